--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use juniperrail_council::{Council, Figures, Member, MemberId, Members, Message, Recovered, Role, Voice};
 use juniperrail_store::{sim::SimDisk, Disk, Folder, Limits, Store};
-use juniperrail_trials::{Made, State, Town};
+use juniperrail_trials::{ClusterConfig, State, TestCluster};
 
 use crate::report::Report;
 
@@ -123,12 +123,16 @@
 }
 
 /// How long nobody leads, in milliseconds: the time to the next leader's log line.
-fn leaderless(town: &mut Town, fault: impl Fn(&mut Town, u16), mend: impl Fn(&mut Town, u16)) -> f64 {
-    let leader = town.until_led();
+fn leaderless(
+    town: &mut TestCluster,
+    fault: impl Fn(&mut TestCluster, u16),
+    mend: impl Fn(&mut TestCluster, u16),
+) -> f64 {
+    let leader = town.wait_for_leader();
     std::thread::sleep(Duration::from_millis(300));
     let begun = Instant::now();
     fault(town, leader);
-    town.until_led_but(&[leader]);
+    town.wait_for_leader_except(&[leader]);
     let took = begun.elapsed().as_secs_f64() * 1000.0;
     mend(town, leader);
     std::thread::sleep(Duration::from_millis(700));
@@ -162,18 +166,18 @@
     }
     _ = std::fs::remove_dir_all(&folder);
     report.bound("3 members: 64 together against one at a time", format!("{single:.1} times"), single >= 8.0);
-    let made = Made { proxies: 0, schedules: String::new(), ..Made::default() };
-    let election = f64::from(made.election);
-    let mut town = Town::start(made);
+    let made = ClusterConfig { proxies_per_manager: 0, schedules: String::new(), ..ClusterConfig::default() };
+    let election = f64::from(made.election_timeout_ms);
+    let mut town = TestCluster::start(made);
     let mut all: Vec<(&str, Vec<f64>)> =
         vec![("killed", vec![]), ("stopped", vec![]), ("cut off", vec![]), ("ended by SIGTERM", vec![])];
     for _ in 0..rounds {
-        let start = |town: &mut Town, id: u16| town.manager(id).start();
+        let start = |town: &mut TestCluster, id: u16| town.manager(id).start();
         all[0].1.push(leaderless(&mut town, |town, id| town.manager(id).kill(), start));
-        let go_on = |town: &mut Town, id: u16| town.manager(id).go_on();
+        let go_on = |town: &mut TestCluster, id: u16| town.manager(id).go_on();
         all[1].1.push(leaderless(&mut town, |town, id| town.manager(id).stop(), go_on));
-        let heal = |town: &mut Town, _| town.heal();
-        all[2].1.push(leaderless(&mut town, |town, id| town.between(&[id], State::Silent), heal));
+        let heal = |town: &mut TestCluster, _| town.heal_links();
+        all[2].1.push(leaderless(&mut town, |town, id| town.set_links_across(&[id], State::Silent), heal));
         all[3].1.push(leaderless(&mut town, |town, id| _ = town.manager(id).terminate(), start));
     }
     for (what, took) in &mut all {
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use juniperrail_schedule::Timing;
-use juniperrail_trials::{Made, Town};
+use juniperrail_trials::{ClusterConfig, TestCluster};
 
 use crate::report::Report;
 
@@ -24,25 +24,25 @@
         )
     };
     let schedules: String = (0..count).map(schedule).collect();
-    let made = Made {
+    let made = ClusterConfig {
         managers: 5,
-        proxies: 0,
+        proxies_per_manager: 0,
         schedules,
-        heartbeat: 100,
-        election: 1000,
-        entries: 20_000,
-        ..Made::default()
+        heartbeat_ms: 100,
+        election_timeout_ms: 1000,
+        retained_entries: 20_000,
+        ..ClusterConfig::default()
     };
-    let mut town = Town::start(made);
-    town.until_led();
+    let mut town = TestCluster::start(made);
+    town.wait_for_leader();
     let begun = Instant::now();
     let mut lost = 0;
     while begun.elapsed() < Duration::from_secs(seconds) {
         std::thread::sleep(LOST_EVERY);
-        let leader = town.until_led();
+        let leader = town.wait_for_leader();
         town.manager(leader).kill();
         lost += 1;
-        town.until_led_but(&[leader]);
+        town.wait_for_leader_except(&[leader]);
         town.manager(leader).start();
     }
     // What was claimed last may come to its end.
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use crate::cluster::TestCluster;
 use crate::executor::Ran;
-use crate::town::Town;
 
 /// Lines of each log that are shown.
 const TOLD: usize = 80;
@@ -19,19 +19,19 @@
 }
 
 impl Checks {
-    /// Looks at all that a town left. `side_effecting`: the schedules whose effects must not come twice.
-    pub fn of(town: &Town, side_effecting: &[&str]) -> Checks {
-        let mut broken = town.broken();
-        let seen = town.seen.lock().expect("no wire panics");
+    /// Looks at all that a cluster left. `side_effecting`: the schedules whose effects must not come twice.
+    pub fn of(cluster: &TestCluster, side_effecting: &[&str]) -> Checks {
+        let mut broken = cluster.broken();
+        let seen = cluster.seen.lock().expect("no wire panics");
         for (term, leaders) in &seen.leaders {
             if leaders.len() > 1 {
                 broken.push(format!("two leaders in {term}: {leaders:?}"));
             }
         }
         broken.extend(seen.differing.iter().map(|differing| format!("two logs: {differing}")));
-        let ran = town.executor.ran();
+        let ran = cluster.executor.ran();
         broken.extend(effects(&ran, side_effecting));
-        let logs: Vec<Vec<String>> = town.managers.values().map(|manager| manager.lines()).collect();
+        let logs: Vec<Vec<String>> = cluster.managers.values().map(|manager| manager.lines()).collect();
         broken.extend(claims(&logs));
         broken.extend(unaccounted(&logs, &ran));
         broken.extend(panics(&logs));
@@ -40,12 +40,12 @@
             terms: seen.leaders.len(),
             entries: seen.entries.len(),
             effects: ran.len(),
-            refused: town.executor.refused(),
+            refused: cluster.executor.refused(),
         }
     }
 }
 
-impl Town {
+impl TestCluster {
     /// Looks at all that it left, and panics with the ends of the logs where something is broken.
     pub fn sound(&self, side_effecting: &[&str]) -> Checks {
         let checks = Checks::of(self, side_effecting);
--- a/crates/trials/src/town.rs
+++ b/crates/trials/src/cluster.rs
@@ -17,47 +17,47 @@
 use crate::wire::{Seen, State, Wire};
 use crate::world::World;
 
-/// What a town is made of.
+/// What a cluster is made of.
 #[derive(Clone, Debug)]
-pub struct Made {
+pub struct ClusterConfig {
     pub managers: u16,
     /// Named in every file and never started.
-    pub named_only: u16,
+    pub absent_managers: u16,
     pub fleet: bool,
     /// Proxies of each manager.
-    pub proxies: u16,
+    pub proxies_per_manager: u16,
     /// As the operator's file has them, with `WORKER` for the executor's address.
     pub schedules: String,
-    pub heartbeat: u32,
-    pub election: u32,
+    pub heartbeat_ms: u32,
+    pub election_timeout_ms: u32,
     /// Entries of the log that are kept.
-    pub entries: u32,
+    pub retained_entries: u32,
     /// Zones are failed over in common, and collectors tell what is met in them.
     pub failover: bool,
 }
 
-impl Default for Made {
+impl Default for ClusterConfig {
     fn default() -> Self {
         let schedules = [
-            schedule("warm", "idempotent", "* * * * * *"),
-            schedule("grade", "side-effecting", "* * * * * *"),
+            schedule_xml("warm", "idempotent", "* * * * * *"),
+            schedule_xml("grade", "side-effecting", "* * * * * *"),
         ];
-        Made {
+        ClusterConfig {
             managers: 3,
-            named_only: 0,
+            absent_managers: 0,
             fleet: true,
-            proxies: 3,
+            proxies_per_manager: 3,
             schedules: schedules.concat(),
-            heartbeat: 50,
-            election: 400,
-            entries: 20,
+            heartbeat_ms: 50,
+            election_timeout_ms: 400,
+            retained_entries: 20,
             failover: false,
         }
     }
 }
 
 /// A schedule in the operator's file.
-pub fn schedule(name: &str, effect: &str, cron: &str) -> String {
+pub fn schedule_xml(name: &str, effect: &str, cron: &str) -> String {
     format!(
         "<schedule><name>{name}</name><cron>{cron}</cron><worker>WORKER</worker><path>/{name}</path>\
          <effect>{effect}</effect><deadline>3000</deadline><backoff>100</backoff><lease>1600</lease>\
@@ -65,8 +65,8 @@
     )
 }
 
-pub struct Town {
-    pub made: Made,
+pub struct TestCluster {
+    pub config: ClusterConfig,
     pub folder: PathBuf,
     pub discovery: Discovery,
     pub executor: Executor,
@@ -76,8 +76,8 @@
     /// The proxies of each manager, in the managers' order.
     pub proxies: Vec<Proxies>,
     pub world: Arc<World>,
-    listens: BTreeMap<MemberId, SocketAddr>,
-    list: u64,
+    listen_addresses: BTreeMap<MemberId, SocketAddr>,
+    list_version: u64,
 }
 
 /// Two workers in each of three zones.
@@ -86,28 +86,28 @@
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// The stand-ins' settings with a third zone, and sums that come often and soon, so that trials are short.
-fn settings() -> String {
+fn manager_settings() -> String {
     let settings = SETTINGS.replace(r#""zones":["a","b"]"#, r#""zones":["a","b","c"]"#);
     let settings = settings.replace(r#""period-ms":2000"#, r#""period-ms":300"#);
     settings.replace(r#""worst-transit-ms":900"#, r#""worst-transit-ms":200"#)
 }
 
 /// A plan's lease in trials, in milliseconds.
-pub const PLAN_LEASE: u64 = 4000;
+pub const PLAN_LEASE_MS: u64 = 4000;
 
 const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
 
-/// Where a manager listens for others: a loopback address that no other town has, so that nobody who takes a free port
+/// Where a manager listens for others: a loopback address that no other cluster has, so that nobody who takes a free port
 /// on the usual one gets in its place.
-fn place(town: usize, id: MemberId) -> SocketAddr {
+fn listen_address(cluster: usize, id: MemberId) -> SocketAddr {
     let process = std::process::id();
-    let octets = [127, 1 + (process / 250 % 250) as u8, 1 + (process % 250) as u8, 1 + (town % 250) as u8];
+    let octets = [127, 1 + (process / 250 % 250) as u8, 1 + (process % 250) as u8, 1 + (cluster % 250) as u8];
     SocketAddr::from((octets, 20_000 + id.0))
 }
 
-impl Town {
+impl TestCluster {
     /// Nothing is started yet.
-    pub fn new(made: Made) -> Town {
+    pub fn new(config: ClusterConfig) -> TestCluster {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("juniperrail-trial-{}-{number}", std::process::id()));
@@ -116,15 +116,16 @@
         discovery.tell(&list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"))));
         let executor = Executor::start();
         let seen = Arc::new(Mutex::new(Seen::default()));
-        let ids: Vec<MemberId> = (1..=made.managers).map(MemberId).collect();
-        let named: Vec<MemberId> = (1..=made.managers + made.named_only).map(MemberId).collect();
-        let listens: BTreeMap<MemberId, SocketAddr> =
-            named.iter().map(|id| (*id, place(number, *id))).collect();
+        let ids: Vec<MemberId> = (1..=config.managers).map(MemberId).collect();
+        let named: Vec<MemberId> = (1..=config.managers + config.absent_managers).map(MemberId).collect();
+        let listen_addresses: BTreeMap<MemberId, SocketAddr> =
+            named.iter().map(|id| (*id, listen_address(number, *id))).collect();
         let pairs =
             ids.iter().flat_map(|from| ids.iter().map(move |to| (*from, *to))).filter(|(a, b)| a != b);
-        let wires: BTreeMap<_, _> =
-            pairs.map(|(from, to)| ((from, to), Wire::start(from, listens[&to], seen.clone()))).collect();
-        let mut town = Town {
+        let wires: BTreeMap<_, _> = pairs
+            .map(|(from, to)| ((from, to), Wire::start(from, listen_addresses[&to], seen.clone())))
+            .collect();
+        let mut cluster = TestCluster {
             folder,
             discovery,
             executor,
@@ -133,21 +134,21 @@
             seen,
             proxies: Vec::new(),
             world: Arc::default(),
-            listens,
-            list: 1,
-            made,
+            listen_addresses,
+            list_version: 1,
+            config,
         };
         for id in ids {
-            let folder = town.folder.join(format!("n{}", id.0));
+            let folder = cluster.folder.join(format!("n{}", id.0));
             fs::create_dir_all(&folder).expect("a folder");
-            town.managers.insert(id, Manager::new(&format!("n{}", id.0), folder));
-            town.write(id, 0, &named);
+            cluster.managers.insert(id, Manager::new(&format!("n{}", id.0), folder));
+            cluster.write_config_files(id, 0, &named);
         }
-        town
+        cluster
     }
 
     /// Writes the files of a manager, whose operator's file names these managers.
-    pub fn write(&self, id: MemberId, generation: u64, named: &[MemberId]) {
+    pub fn write_config_files(&self, id: MemberId, generation: u64, members: &[MemberId]) {
         let folder = self.managers[&id].folder();
         let config = format!(
             r#"{{"name":"n{}","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be9{:02x}",
@@ -155,54 +156,54 @@
             id.0,
             self.discovery.address,
             id.0,
-            settings()
+            manager_settings()
         );
         fs::write(folder.join("config.json"), config).expect("a file");
-        fs::write(folder.join("operator.xml"), self.operator(id, generation, named)).expect("a file");
+        fs::write(folder.join("operator.xml"), self.operator_xml(id, generation, members)).expect("a file");
     }
 
-    fn operator(&self, id: MemberId, generation: u64, named: &[MemberId]) -> String {
+    fn operator_xml(&self, id: MemberId, generation: u64, members: &[MemberId]) -> String {
         let root = "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">";
-        if !self.made.fleet {
+        if !self.config.fleet {
             return format!("{root}</config>");
         }
         let address = |of: &MemberId| match self.wires.get(&(id, *of)) {
             Some(wire) => wire.address,
-            None => self.listens[of],
+            None => self.listen_addresses[of],
         };
         let member = |of: &MemberId| {
             format!("<member-of><number>{}</number><address>{}</address></member-of>", of.0, address(of))
         };
-        let members: String = named.iter().map(member).collect();
-        let schedules = self.made.schedules.replace("WORKER", &self.executor.address.to_string());
-        let Made { heartbeat, election, entries, .. } = self.made;
-        let failover = match self.made.failover {
-            true => format!("<failover><plan-lease>{PLAN_LEASE}</plan-lease></failover>"),
+        let member_list: String = members.iter().map(member).collect();
+        let schedules = self.config.schedules.replace("WORKER", &self.executor.address.to_string());
+        let ClusterConfig { heartbeat_ms, election_timeout_ms, retained_entries, .. } = self.config;
+        let failover = match self.config.failover {
+            true => format!("<failover><plan-lease>{PLAN_LEASE_MS}</plan-lease></failover>"),
             false => String::new(),
         };
         format!(
-            "{root}<fleet xmlns=\"{NAMESPACE}\"><name>town</name><member>{}</member><listen>{}</listen>\
-             <store>council</store><generation>{generation}</generation><heartbeat>{heartbeat}</heartbeat>\
-             <election>{election}</election><entries>{entries}</entries><probe-period>200</probe-period><probe-answer>80</probe-answer>\
-             {members}{failover}{schedules}</fleet></config>",
-            id.0, self.listens[&id]
+            "{root}<fleet xmlns=\"{NAMESPACE}\"><name>cluster</name><member>{}</member><listen>{}</listen>\
+             <store>council</store><generation>{generation}</generation><heartbeat>{heartbeat_ms}</heartbeat>\
+             <election>{election_timeout_ms}</election><entries>{retained_entries}</entries><probe-period>200</probe-period><probe-answer>80</probe-answer>\
+             {member_list}{failover}{schedules}</fleet></config>",
+            id.0, self.listen_addresses[&id]
         )
     }
 
     /// Starts all, and proxies at each.
-    pub fn start(made: Made) -> Town {
-        let mut town = Town::new(made);
-        town.managers.values_mut().for_each(Manager::start);
-        town.come();
-        town
+    pub fn start(config: ClusterConfig) -> TestCluster {
+        let mut cluster = TestCluster::new(config);
+        cluster.managers.values_mut().for_each(Manager::start);
+        cluster.start_proxies();
+        cluster
     }
 
     /// Proxies come to every manager.
-    pub fn come(&mut self) {
-        if self.made.proxies == 0 {
+    pub fn start_proxies(&mut self) {
+        if self.config.proxies_per_manager == 0 {
             return;
         }
-        for (place, manager) in self.managers.values().enumerate() {
+        for (position, manager) in self.managers.values().enumerate() {
             let mut rules = Rules::new(Limits {
                 // The program's grace, and room for machines that are busy.
                 drain_grace: 3000.0 + 12_000.0,
@@ -212,8 +213,14 @@
                 message_overhead: 4.0,
             });
             WORKERS.iter().for_each(|(worker, _)| rules.knows(worker));
-            let first = self.made.proxies * place as u16;
-            self.proxies.push(Proxies::start(manager.address(), first, self.made.proxies, &ZONES, rules));
+            let first = self.config.proxies_per_manager * position as u16;
+            self.proxies.push(Proxies::start(
+                manager.address(),
+                first,
+                self.config.proxies_per_manager,
+                &ZONES,
+                rules,
+            ));
         }
         self.proxies.iter().for_each(|proxies| {
             let all = |rules: &Rules| (0..100).filter(|proxy| !rules.holds(*proxy).is_empty()).count();
@@ -222,28 +229,28 @@
     }
 
     /// Collectors of every zone come to every manager, and again where it was started anew.
-    pub fn collect(&self) {
-        self.managers.keys().for_each(|id| self.collect_at(*id));
+    pub fn start_collectors(&self) {
+        self.managers.keys().for_each(|id| self.start_collectors_at(*id));
     }
 
-    pub fn collect_at(&self, id: MemberId) {
+    pub fn start_collectors_at(&self, id: MemberId) {
         let address = self.managers[&id].address();
         ZONES.iter().for_each(|zone| self.world.collect(zone, address));
     }
 
     /// How many proxies of a manager may pick a worker.
-    pub fn holders(&self, id: u16, worker: &str) -> usize {
+    pub fn count_proxies_routing_to(&self, id: u16, worker: &str) -> usize {
         let proxies = &self.proxies[usize::from(id) - 1];
         proxies.rules(|rules| (0..100).filter(|proxy| rules.holds(*proxy).contains_key(worker)).count())
     }
 
     /// Waits until all proxies of these managers may pick a worker, or none may.
-    pub fn until_held(&self, ids: &[u16], workers: &[&str], held: bool) {
+    pub fn wait_for_routing(&self, ids: &[u16], workers: &[&str], held: bool) {
         let begun = Instant::now();
-        let wanted = if held { usize::from(self.made.proxies) } else { 0 };
+        let wanted = if held { usize::from(self.config.proxies_per_manager) } else { 0 };
         loop {
             let mut all = ids.iter().flat_map(|id| workers.iter().map(move |worker| (id, worker)));
-            if all.all(|(id, worker)| self.holders(*id, worker) == wanted) {
+            if all.all(|(id, worker)| self.count_proxies_routing_to(*id, worker) == wanted) {
                 return;
             }
             assert!(
@@ -269,13 +276,17 @@
 
     /// A worker drains, and every proxy whose manager runs has to be told.
     pub fn drain(&mut self, worker: &str) {
-        self.list += 1;
+        self.list_version += 1;
         for proxies in &self.proxies {
             let now = proxies.now();
             proxies.rules(|rules| rules.leaves(worker, now));
         }
         let zone = WORKERS.iter().find(|(id, _)| *id == worker).map_or("a", |(_, zone)| zone);
-        self.discovery.tell(&list(self.list, false, &[entry(worker, zone, "127.0.0.1:9", "draining")]));
+        self.discovery.tell(&list(
+            self.list_version,
+            false,
+            &[entry(worker, zone, "127.0.0.1:9", "draining")],
+        ));
     }
 
     pub fn manager(&mut self, id: u16) -> &mut Manager {
@@ -283,19 +294,19 @@
     }
 
     /// Sets the wires between two groups, both ways.
-    pub fn between(&self, some: &[u16], state: State) {
+    pub fn set_links_across(&self, group: &[u16], state: State) {
         for ((from, to), wire) in &self.wires {
-            if some.contains(&from.0) != some.contains(&to.0) {
+            if group.contains(&from.0) != group.contains(&to.0) {
                 wire.set(state);
             }
         }
     }
 
-    pub fn way(&self, from: u16, to: u16, state: State) {
+    pub fn set_link(&self, from: u16, to: u16, state: State) {
         self.wires[&(MemberId(from), MemberId(to))].set(state);
     }
 
-    pub fn heal(&self) {
+    pub fn heal_links(&self) {
         self.wires.values().for_each(|wire| wire.set(State::Open));
     }
 
@@ -317,30 +328,30 @@
         all.filter_map(|(id, manager)| Some((led(manager)?, id.0))).max().map(|(_, id)| id)
     }
 
-    pub fn until_led(&self) -> u16 {
-        self.until_led_but(&[])
+    pub fn wait_for_leader(&self) -> u16 {
+        self.wait_for_leader_except(&[])
     }
 
     /// Waits until somebody leads who is none of these.
-    pub fn until_led_but(&self, not: &[u16]) -> u16 {
+    pub fn wait_for_leader_except(&self, excluded: &[u16]) -> u16 {
         let begun = Instant::now();
         loop {
-            if let Some(leader) = self.leader().filter(|leader| !not.contains(leader)) {
+            if let Some(leader) = self.leader().filter(|leader| !excluded.contains(leader)) {
                 return leader;
             }
-            assert!(begun.elapsed() < WITHIN, "nobody leads but {not:?}");
+            assert!(begun.elapsed() < WITHIN, "nobody leads but {excluded:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// Where a manager keeps its store.
-    pub fn store(&self, id: u16) -> PathBuf {
+    pub fn store_dir(&self, id: u16) -> PathBuf {
         self.managers[&MemberId(id)].folder().join("council")
     }
 
     /// Ends all as a planned stop does.
-    pub fn end(&mut self) {
-        self.heal();
+    pub fn shut_down(&mut self) {
+        self.heal_links();
         self.managers.values_mut().for_each(|manager| {
             manager.go_on();
             manager.terminate();
@@ -349,7 +360,7 @@
 }
 
 /// Copies a folder of plain files.
-pub fn copy(from: &Path, to: &Path) {
+pub fn copy_dir(from: &Path, to: &Path) {
     _ = fs::remove_dir_all(to);
     fs::create_dir_all(to).expect("a folder");
     for file in fs::read_dir(from).expect("a folder").flatten() {
@@ -357,7 +368,7 @@
     }
 }
 
-impl Drop for Town {
+impl Drop for TestCluster {
     fn drop(&mut self) {
         self.managers.clear();
         // Kept where something failed, so that the logs can be read.
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -4,17 +4,17 @@
 //! points of `crates/faults`. What came of it is judged by what crossed the wires, what executors did and what was logged.
 
 mod checks;
+mod cluster;
 mod executor;
 mod program;
 mod sweep;
-mod town;
 mod wire;
 mod world;
 
 pub use checks::Checks;
+pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS, WORKERS, ZONES};
 pub use executor::{Executor, Manner, Ran};
 pub use program::{Manager, Program, WITHIN};
 pub use sweep::{counted, plays, sweep, Outcome, Play, Sweep, Unreached};
-pub use town::{copy, schedule, Made, Town, PLAN_LEASE, WORKERS, ZONES};
 pub use wire::{Seen, State, Wire};
 pub use world::World;
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -10,7 +10,7 @@
 use juniperrail_faults::{Fault, Point, POINTS};
 
 use crate::checks::Checks;
-use crate::town::{Made, Town};
+use crate::cluster::{ClusterConfig, TestCluster};
 use crate::wire::State;
 
 /// One play: what happens where.
@@ -59,16 +59,16 @@
 pub fn counted() -> BTreeMap<Point, u64> {
     let mut most: BTreeMap<Point, u64> = BTreeMap::new();
     for course in [Course::Schedules, Course::Zones] {
-        let mut town = Town::new(made(course));
+        let mut cluster = TestCluster::new(cluster_config(course));
         let passed = |id: u16| format!("passed-{id}");
-        for (id, manager) in town.managers.iter_mut() {
-            let path = town.folder.join(passed(id.0)).display().to_string();
+        for (id, manager) in cluster.managers.iter_mut() {
+            let path = cluster.folder.join(passed(id.0)).display().to_string();
             manager.always.insert("JUNIPERRAIL_POINTS_PASSED".into(), path);
             manager.start();
         }
-        run(&mut town, course);
-        for id in town.managers.keys() {
-            let text = fs::read_to_string(town.folder.join(passed(id.0))).unwrap_or_default();
+        run(&mut cluster, course);
+        for id in cluster.managers.keys() {
+            let text = fs::read_to_string(cluster.folder.join(passed(id.0))).unwrap_or_default();
             let mut counts: BTreeMap<Point, u64> = BTreeMap::new();
             for point in text.lines().filter_map(|line| line.parse().ok()).map(Point) {
                 *counts.entry(point).or_default() += 1;
@@ -102,94 +102,105 @@
     plays
 }
 
-fn made(course: Course) -> Made {
+fn cluster_config(course: Course) -> ClusterConfig {
     match course {
-        Course::Schedules => Made { proxies: 0, ..Made::default() },
-        Course::Zones => Made { proxies: 0, failover: true, schedules: String::new(), ..Made::default() },
+        Course::Schedules => ClusterConfig { proxies_per_manager: 0, ..ClusterConfig::default() },
+        Course::Zones => ClusterConfig {
+            proxies_per_manager: 0,
+            failover: true,
+            schedules: String::new(),
+            ..ClusterConfig::default()
+        },
     }
 }
 
 const SCHEDULES: [&str; 2] = ["warm", "grade"];
 
 /// Waits until it holds. Whoever dies at a point meanwhile comes back without it, as a supervisor would start it.
-fn until(town: &mut Town, what: &str, holds: impl Fn(&Town) -> bool) {
+fn until(cluster: &mut TestCluster, what: &str, holds: impl Fn(&TestCluster) -> bool) {
     let begun = std::time::Instant::now();
-    while !holds(town) {
+    while !holds(cluster) {
         assert!(begun.elapsed() < crate::program::WITHIN, "still waiting for {what}");
         let mut back = Vec::new();
-        for (id, manager) in town.managers.iter_mut().filter(|(_, manager)| manager.starts > 0) {
+        for (id, manager) in cluster.managers.iter_mut().filter(|(_, manager)| manager.starts > 0) {
             if !manager.runs() {
                 manager.ended();
                 manager.start();
                 back.push(*id);
             }
         }
-        if town.made.failover {
-            back.iter().for_each(|id| town.collect_at(*id));
+        if cluster.config.failover {
+            back.iter().for_each(|id| cluster.start_collectors_at(*id));
         }
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn run(town: &mut Town, course: Course) {
+fn run(cluster: &mut TestCluster, course: Course) {
     match course {
-        Course::Schedules => run_schedules(town),
-        Course::Zones => run_zones(town),
+        Course::Schedules => run_schedules(cluster),
+        Course::Zones => run_zones(cluster),
     }
 }
 
 /// Work, a planned restart of the leader, work.
-fn run_schedules(town: &mut Town) {
-    let work = |town: &mut Town, more: usize| {
-        let count =
-            |town: &Town, of: &str| town.executor.ran().iter().filter(|ran| ran.schedule == of).count();
-        let before = SCHEDULES.map(|of| count(town, of));
-        let enough =
-            |town: &Town| SCHEDULES.iter().zip(before).all(|(of, before)| count(town, of) >= before + more);
-        until(town, &format!("{more} more effects of each schedule"), enough);
+fn run_schedules(cluster: &mut TestCluster) {
+    let work = |cluster: &mut TestCluster, more: usize| {
+        let count = |cluster: &TestCluster, of: &str| {
+            cluster.executor.ran().iter().filter(|ran| ran.schedule == of).count()
+        };
+        let before = SCHEDULES.map(|of| count(cluster, of));
+        let enough = |cluster: &TestCluster| {
+            SCHEDULES.iter().zip(before).all(|(of, before)| count(cluster, of) >= before + more)
+        };
+        until(cluster, &format!("{more} more effects of each schedule"), enough);
     };
-    work(town, 2);
-    if let Some(leader) = town.leader() {
-        let manager = town.manager(leader);
+    work(cluster, 2);
+    if let Some(leader) = cluster.leader() {
+        let manager = cluster.manager(leader);
         manager.terminate();
         manager.start();
     }
-    work(town, 2);
+    work(cluster, 2);
 }
 
 /// A zone is lost, one manager is cut off until its plan's lease is over, the zone comes back.
-fn run_zones(town: &mut Town) {
-    let last = |town: &Town, id: MemberId| {
-        let lines = town.managers[&id].lines();
+fn run_zones(cluster: &mut TestCluster) {
+    let last = |cluster: &TestCluster, id: MemberId| {
+        let lines = cluster.managers[&id].lines();
         lines.iter().rev().find_map(|line| Some(line.split_once("fleet: plan ")?.1.to_string()))
     };
-    let all: Vec<MemberId> = town.managers.keys().copied().collect();
-    let said = |town: &Town, id: MemberId, part: &str| last(town, id).is_some_and(|plan| plan.contains(part));
-    town.collect();
-    until(town, "a leader", |town| town.leader().is_some());
-    town.world.lose(&["b"]);
-    until(town, "the zone to be out", |town| all.iter().all(|id| said(town, *id, ": b 0.")));
-    let alone = all.iter().find(|id| Some(id.0) != town.leader()).copied().unwrap_or(MemberId(1));
-    let starts = town.managers[&alone].starts;
-    let lapsed = town.managers[&alone].count("is over: all zones whole");
-    town.between(&[alone.0], State::Silent);
+    let all: Vec<MemberId> = cluster.managers.keys().copied().collect();
+    let said = |cluster: &TestCluster, id: MemberId, part: &str| {
+        last(cluster, id).is_some_and(|plan| plan.contains(part))
+    };
+    cluster.start_collectors();
+    until(cluster, "a leader", |cluster| cluster.leader().is_some());
+    cluster.world.lose(&["b"]);
+    until(cluster, "the zone to be out", |cluster| all.iter().all(|id| said(cluster, *id, ": b 0.")));
+    let alone = all.iter().find(|id| Some(id.0) != cluster.leader()).copied().unwrap_or(MemberId(1));
+    let starts = cluster.managers[&alone].starts;
+    let lapsed = cluster.managers[&alone].count("is over: all zones whole");
+    cluster.set_links_across(&[alone.0], State::Silent);
     // Or it died meanwhile: alone as it is it starts without a plan.
-    let over = |town: &Town| {
-        let manager = &town.managers[&alone];
+    let over = |cluster: &TestCluster| {
+        let manager = &cluster.managers[&alone];
         manager.count("is over: all zones whole") > lapsed || manager.starts > starts
     };
-    until(town, "the lease to be over", over);
-    town.heal();
-    town.world.lose(&[]);
-    until(town, "the zone to be back", |town| all.iter().all(|id| said(town, *id, "all zones whole")));
+    until(cluster, "the lease to be over", over);
+    cluster.heal_links();
+    cluster.world.lose(&[]);
+    until(cluster, "the zone to be back", |cluster| {
+        all.iter().all(|id| said(cluster, *id, "all zones whole"))
+    });
 }
 
 fn play(play: Play) -> Outcome {
     let course = course(play.point);
-    let mut town = Town::new(made(course));
+    let mut cluster = TestCluster::new(cluster_config(course));
     let Play { point, fault, passing, everywhere } = play;
-    let once = town.folder.join("once").display().to_string();
-    for manager in town.managers.values_mut() {
+    let once = cluster.folder.join("once").display().to_string();
+    for manager in cluster.managers.values_mut() {
         let word = format!("{}:{passing}:{}", point.0, fault.name());
         manager.once.insert("JUNIPERRAIL_POINTS".into(), word);
         if !everywhere {
@@ -197,17 +208,17 @@
         }
         manager.start();
     }
-    let ran = catch_unwind(AssertUnwindSafe(|| run(&mut town, course)));
+    let ran = catch_unwind(AssertUnwindSafe(|| run(&mut cluster, course)));
     let shown = format!("{point}: {}", fault.name());
-    let reached = town.managers.values().any(|manager| manager.count(&shown) > 0);
-    let mut broken = Checks::of(&town, &["grade"]).broken;
+    let reached = cluster.managers.values().any(|manager| manager.count(&shown) > 0);
+    let mut broken = Checks::of(&cluster, &["grade"]).broken;
     if let Err(why) = ran {
         let text =
             why.downcast_ref::<String>().cloned().or(why.downcast_ref::<&str>().map(|text| text.to_string()));
         broken.push(text.unwrap_or_else(|| "it did not go on".into()));
     }
     if !broken.is_empty() {
-        for (id, manager) in &town.managers {
+        for (id, manager) in &cluster.managers {
             let lines = manager.lines();
             eprintln!("{play:?} {id}:\n{}", lines[lines.len().saturating_sub(40)..].join("\n"));
         }
--- a/crates/trials/src/world.rs
+++ b/crates/trials/src/world.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::town::WORKERS;
+use crate::cluster::WORKERS;
 
 #[derive(Clone, Default)]
 struct Truth {
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -9,111 +9,111 @@
 
 const BOTH: [&str; 2] = ["warm", "grade"];
 
-/// A town in which each process is told a clock of its own.
-fn clocked(made: Made) -> Town {
-    let mut town = Town::new(made);
-    for (id, manager) in town.managers.iter_mut() {
-        let path = town.folder.join(format!("clock-{}", id.0));
+/// A cluster in which each process is told a clock of its own.
+fn clocked(config: ClusterConfig) -> TestCluster {
+    let mut cluster = TestCluster::new(config);
+    for (id, manager) in cluster.managers.iter_mut() {
+        let path = cluster.folder.join(format!("clock-{}", id.0));
         fs::write(&path, "0").unwrap();
         manager.always.insert("JUNIPERRAIL_CLOCK".into(), path.display().to_string());
         manager.start();
     }
-    town.until_led();
-    town.executor.until_more(&BOTH, 1);
-    town
+    cluster.wait_for_leader();
+    cluster.executor.until_more(&BOTH, 1);
+    cluster
 }
 
-fn ahead(town: &Town, id: u16, ms: f64) {
-    let new = town.folder.join("clock-new");
+fn ahead(cluster: &TestCluster, id: u16, ms: f64) {
+    let new = cluster.folder.join("clock-new");
     fs::write(&new, ms.to_string()).unwrap();
-    fs::rename(new, town.folder.join(format!("clock-{id}"))).unwrap();
+    fs::rename(new, cluster.folder.join(format!("clock-{id}"))).unwrap();
 }
 
 /// How far ahead of the machine's clock the newest effects were due.
-fn early(town: &Town) -> f64 {
-    let ran = town.executor.ran();
+fn early(cluster: &TestCluster) -> f64 {
+    let ran = cluster.executor.ran();
     ran.iter().rev().take(4).map(|ran| ran.due as f64 - ran.at).fold(f64::NEG_INFINITY, f64::max)
 }
 
 #[test]
 fn one_clock_that_jumps_moves_nothing() {
-    let town = clocked(Made::default());
-    let leader = town.until_led();
+    let cluster = clocked(ClusterConfig::default());
+    let leader = cluster.wait_for_leader();
     for ms in [3_600_000.0, -3_600_000.0, 40_000.0] {
-        ahead(&town, leader, ms);
-        town.executor.until_more(&BOTH, 3);
-        assert!(early(&town) < 1500.0, "with {ms} ms at the leader: {} ms early", early(&town));
+        ahead(&cluster, leader, ms);
+        cluster.executor.until_more(&BOTH, 3);
+        assert!(early(&cluster) < 1500.0, "with {ms} ms at the leader: {} ms early", early(&cluster));
     }
-    town.sound(&["grade"]);
+    cluster.sound(&["grade"]);
 }
 
 #[test]
 fn all_clocks_that_go_back_an_hour_repeat_nothing() {
-    let town = clocked(Made::default());
-    town.executor.until_more(&BOTH, 2);
-    let before = town.executor.ran();
-    (1..=3).for_each(|id| ahead(&town, id, -3_600_000.0));
+    let cluster = clocked(ClusterConfig::default());
+    cluster.executor.until_more(&BOTH, 2);
+    let before = cluster.executor.ran();
+    (1..=3).for_each(|id| ahead(&cluster, id, -3_600_000.0));
     std::thread::sleep(Duration::from_millis(3000));
     let dues: Vec<i64> = before.iter().map(|ran| ran.due).collect();
-    let again = town
+    let again = cluster
         .executor
         .ran()
         .into_iter()
         .skip(before.len())
         .filter(|ran| ran.due < *dues.iter().max().unwrap());
     assert_eq!(again.count(), 0, "an hour that was decided on is not decided on again");
-    (1..=3).for_each(|id| ahead(&town, id, 0.0));
-    town.executor.until_more(&BOTH, 2);
-    town.sound(&["grade"]);
+    (1..=3).for_each(|id| ahead(&cluster, id, 0.0));
+    cluster.executor.until_more(&BOTH, 2);
+    cluster.sound(&["grade"]);
 }
 
 #[test]
 fn what_is_due_during_an_election_is_begun_after_it() {
-    let mut town = Town::start(Made::default());
-    town.until_led();
-    town.executor.until_more(&BOTH, 1);
+    let mut cluster = TestCluster::start(ClusterConfig::default());
+    cluster.wait_for_leader();
+    cluster.executor.until_more(&BOTH, 1);
     for _ in 0..3 {
-        let leader = town.until_led();
-        town.manager(leader).kill();
+        let leader = cluster.wait_for_leader();
+        cluster.manager(leader).kill();
         // Longer than a second: something came due while nobody led.
         std::thread::sleep(Duration::from_millis(600));
-        town.until_led_but(&[leader]);
-        town.manager(leader).start();
-        town.executor.until_more(&BOTH, 1);
+        cluster.wait_for_leader_except(&[leader]);
+        cluster.manager(leader).start();
+        cluster.executor.until_more(&BOTH, 1);
     }
-    town.sound(&["grade"]);
+    cluster.sound(&["grade"]);
 }
 
 #[test]
 fn an_owner_that_is_cut_off_until_after_its_lease() {
-    let town = Town::start(Made::default());
-    town.until_led();
-    town.executor.until_more(&BOTH, 1);
-    town.executor.set(Manner::Slow(2500));
-    town.executor.until_more(&["grade"], 1);
+    let cluster = TestCluster::start(ClusterConfig::default());
+    cluster.wait_for_leader();
+    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.set(Manner::Slow(2500));
+    cluster.executor.until_more(&["grade"], 1);
     // Whoever owns what is under way now cannot tell how it went before its lease is over.
-    let leader = town.until_led();
+    let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
-    town.between(&[others[0]], State::Silent);
+    cluster.set_links_across(&[others[0]], State::Silent);
     std::thread::sleep(Duration::from_millis(2500));
-    town.executor.set(Manner::Well);
-    town.heal();
-    town.executor.until_more(&BOTH, 3);
-    town.sound(&["grade"]);
+    cluster.executor.set(Manner::Well);
+    cluster.heal_links();
+    cluster.executor.until_more(&BOTH, 3);
+    cluster.sound(&["grade"]);
 }
 
 #[test]
 fn a_worker_that_acts_and_does_not_answer_is_unknown_and_asked_once() {
-    let town = Town::start(Made::default());
-    town.until_led();
-    town.executor.until_more(&BOTH, 1);
-    town.executor.set(Manner::Mute);
-    town.executor.until_more(&BOTH, 2);
-    town.executor.set(Manner::Well);
-    town.executor.until_more(&BOTH, 2);
-    let unknown: usize = town.managers.values().map(|manager| manager.count("came to Unanswered")).sum();
+    let cluster = TestCluster::start(ClusterConfig::default());
+    cluster.wait_for_leader();
+    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.set(Manner::Mute);
+    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.set(Manner::Well);
+    cluster.executor.until_more(&BOTH, 2);
+    let unknown: usize = cluster.managers.values().map(|manager| manager.count("came to Unanswered")).sum();
     assert!(unknown > 0);
-    let ran = town.executor.ran();
+    let ran = cluster.executor.ran();
     let again = |of: &str| {
         let mut dues: Vec<i64> = ran.iter().filter(|ran| ran.schedule == of).map(|ran| ran.due).collect();
         let all = dues.len();
@@ -123,32 +123,33 @@
     };
     assert!(again("warm") > 0, "what may run again did");
     assert_eq!(again("grade"), 0);
-    town.sound(&["grade"]);
+    cluster.sound(&["grade"]);
 }
 
 #[test]
 fn a_worker_that_is_gone_was_never_asked_so_it_is_asked_again() {
-    let town = Town::start(Made::default());
-    town.until_led();
-    town.executor.until_more(&BOTH, 1);
-    town.executor.set(Manner::Gone);
+    let cluster = TestCluster::start(ClusterConfig::default());
+    cluster.wait_for_leader();
+    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.set(Manner::Gone);
     std::thread::sleep(Duration::from_millis(1500));
-    town.executor.set(Manner::Well);
-    town.executor.until_more(&BOTH, 2);
-    town.sound(&["grade"]);
+    cluster.executor.set(Manner::Well);
+    cluster.executor.until_more(&BOTH, 2);
+    cluster.sound(&["grade"]);
 }
 
 #[test]
 fn a_partition_that_heals_after_the_lease() {
-    let town = Town::start(Made { managers: 5, proxies: 1, ..Made::default() });
-    let leader = town.until_led();
-    town.executor.until_more(&BOTH, 1);
+    let cluster =
+        TestCluster::start(ClusterConfig { managers: 5, proxies_per_manager: 1, ..ClusterConfig::default() });
+    let leader = cluster.wait_for_leader();
+    cluster.executor.until_more(&BOTH, 1);
     let other = (1..=5).find(|id| *id != leader).unwrap();
-    town.between(&[leader, other], State::Silent);
-    let next = town.until_led_but(&[leader, other]);
-    town.executor.until_more(&BOTH, 3);
-    town.heal();
-    town.managers[&MemberId(leader)].until(&format!("member {next} leads"), 1);
-    town.executor.until_more(&BOTH, 2);
-    town.sound(&["grade"]);
+    cluster.set_links_across(&[leader, other], State::Silent);
+    let next = cluster.wait_for_leader_except(&[leader, other]);
+    cluster.executor.until_more(&BOTH, 3);
+    cluster.heal_links();
+    cluster.managers[&MemberId(leader)].until(&format!("member {next} leads"), 1);
+    cluster.executor.until_more(&BOTH, 2);
+    cluster.sound(&["grade"]);
 }
