--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -15,7 +15,7 @@
 use crate::executor::Executor;
 use crate::program::{Manager, WITHIN};
 use crate::wire::{Seen, State, Wire};
-use crate::world::World;
+use crate::zone_faults::ZoneFaults;
 
 /// What a cluster is made of.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
     pub seen: Arc<Mutex<Seen>>,
     /// The proxies of each manager, in the managers' order.
     pub proxies: Vec<Proxies>,
-    pub world: Arc<World>,
+    pub zone_faults: Arc<ZoneFaults>,
     listen_addresses: BTreeMap<MemberId, SocketAddr>,
     list_version: u64,
 }
@@ -133,7 +133,7 @@
             wires,
             seen,
             proxies: Vec::new(),
-            world: Arc::default(),
+            zone_faults: Arc::default(),
             listen_addresses,
             list_version: 1,
             config,
@@ -235,7 +235,7 @@
 
     pub fn start_collectors_at(&self, id: MemberId) {
         let address = self.managers[&id].address();
-        ZONES.iter().for_each(|zone| self.world.collect(zone, address));
+        ZONES.iter().for_each(|zone| self.zone_faults.start_collector(zone, address));
     }
 
     /// How many proxies of a manager may pick a worker.
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -9,7 +9,7 @@
 mod program;
 mod sweep;
 mod wire;
-mod world;
+mod zone_faults;
 
 pub use checks::Checks;
 pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS, WORKERS, ZONES};
@@ -17,4 +17,4 @@
 pub use program::{Manager, Program, WITHIN};
 pub use sweep::{counted, plays, sweep, Outcome, Play, Sweep, Unreached};
 pub use wire::{Seen, State, Wire};
-pub use world::World;
+pub use zone_faults::ZoneFaults;
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -176,7 +176,7 @@
     };
     cluster.start_collectors();
     until(cluster, "a leader", |cluster| cluster.leader().is_some());
-    cluster.world.lose(&["b"]);
+    cluster.zone_faults.set_lost(&["b"]);
     until(cluster, "the zone to be out", |cluster| all.iter().all(|id| said(cluster, *id, ": b 0.")));
     let alone = all.iter().find(|id| Some(id.0) != cluster.leader()).copied().unwrap_or(MemberId(1));
     let starts = cluster.managers[&alone].starts;
@@ -189,7 +189,7 @@
     };
     until(cluster, "the lease to be over", over);
     cluster.heal_links();
-    cluster.world.lose(&[]);
+    cluster.zone_faults.set_lost(&[]);
     until(cluster, "the zone to be back", |cluster| {
         all.iter().all(|id| said(cluster, *id, "all zones whole"))
     });
--- /dev/null
+++ b/crates/trials/src/zone_faults.rs
@@ -0,0 +1,78 @@
+//! What is true of zones, and collectors that tell managers what proxies meet in them, a while late.
+
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+use crate::cluster::WORKERS;
+
+#[derive(Clone, Default)]
+struct Conditions {
+    /// Nobody is served there.
+    lost: Vec<String>,
+    /// Between these and all others nothing passes.
+    cut_off: Vec<String>,
+    report_delay: Duration,
+}
+
+/// Sums come so often.
+const REPORT_INTERVAL: Duration = Duration::from_millis(300);
+
+#[derive(Default)]
+pub struct ZoneFaults(Mutex<Conditions>);
+
+impl ZoneFaults {
+    pub fn set_lost(&self, zones: &[&str]) {
+        self.with_conditions(|conditions| {
+            conditions.lost = zones.iter().map(|zone| zone.to_string()).collect()
+        });
+    }
+
+    pub fn set_cut_off(&self, zones: &[&str]) {
+        self.with_conditions(|conditions| {
+            conditions.cut_off = zones.iter().map(|zone| zone.to_string()).collect()
+        });
+    }
+
+    /// Sums come so late from now on.
+    pub fn set_report_delay(&self, report_delay: Duration) {
+        self.with_conditions(|conditions| conditions.report_delay = report_delay);
+    }
+
+    fn with_conditions<R>(&self, access: impl FnOnce(&mut Conditions) -> R) -> R {
+        access(&mut self.0.lock().expect("no collector panics"))
+    }
+
+    /// A collector of a zone that tells a manager what its proxies meet, until that ends.
+    pub fn start_collector(self: &Arc<Self>, zone: &'static str, manager: SocketAddr) {
+        let faults = self.clone();
+        thread::spawn(move || {
+            let Ok(mut socket) = TcpStream::connect(manager) else { return };
+            if write!(socket, "agent locality={zone}\r\n").is_err() {
+                return;
+            }
+            loop {
+                thread::sleep(REPORT_INTERVAL);
+                let Conditions { lost, cut_off, report_delay } =
+                    faults.with_conditions(|conditions| conditions.clone());
+                let mut report = String::new();
+                for (worker, worker_zone) in WORKERS {
+                    let separated =
+                        cut_off.iter().any(|cut| cut == zone) != cut_off.iter().any(|cut| cut == worker_zone);
+                    let errors =
+                        if lost.iter().any(|lost| lost == worker_zone) || separated { 30 } else { 0 };
+                    report += &format!(
+                        "outcomes locality={zone} endpoint={worker} total=30 errors={errors} rtt=40 interval=300 \
+                         metrics=inflight:2,util:0.50\r\n"
+                    );
+                }
+                thread::sleep(report_delay);
+                if socket.write_all(report.as_bytes()).is_err() {
+                    return;
+                }
+            }
+        });
+    }
+}
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -28,7 +28,7 @@
 #[test]
 fn a_lost_zone_is_out_at_all_managers_and_comes_back_in_steps() {
     let cluster = start_with_leader();
-    cluster.world.lose(&["b"]);
+    cluster.zone_faults.set_lost(&["b"]);
     cluster.wait_for_routing(&ALL, &B, false);
     let leader = cluster.wait_for_leader();
     assert!(
@@ -36,7 +36,7 @@
         "{:?}",
         plans(&cluster, leader)
     );
-    cluster.world.lose(&[]);
+    cluster.zone_faults.set_lost(&[]);
     cluster.managers[&MemberId(leader)].until("all zones whole", 1);
     cluster.wait_for_routing(&ALL, &B, true);
     let steps = plans(&cluster, leader);
@@ -54,7 +54,7 @@
 #[test]
 fn the_leader_dies_while_a_zone_is_out_and_nobody_lets_it_back() {
     let mut cluster = start_with_leader();
-    cluster.world.lose(&["b"]);
+    cluster.zone_faults.set_lost(&["b"]);
     cluster.wait_for_routing(&ALL, &B, false);
     let leader = cluster.wait_for_leader();
     let rest: Vec<u16> = ALL.into_iter().filter(|id| *id != leader).collect();
@@ -68,7 +68,7 @@
         assert_eq!(whole, 0, "{:?}", plans(&cluster, rest[0]));
         std::thread::sleep(Duration::from_millis(50));
     }
-    cluster.world.lose(&[]);
+    cluster.zone_faults.set_lost(&[]);
     rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].until("all zones whole", 1));
     cluster.wait_for_routing(&rest, &B, true);
     cluster.sound(&[]);
@@ -77,7 +77,7 @@
 #[test]
 fn who_is_cut_off_from_the_council_goes_home_as_the_lease_ends() {
     let cluster = start_with_leader();
-    cluster.world.lose(&["b"]);
+    cluster.zone_faults.set_lost(&["b"]);
     cluster.wait_for_routing(&ALL, &B, false);
     let leader = cluster.wait_for_leader();
     let alone = ALL.into_iter().find(|id| *id != leader).unwrap();
@@ -96,7 +96,7 @@
     let mut cluster = start_with_leader();
     cluster.manager(1).kill();
     cluster.manager(2).kill();
-    cluster.world.lose(&["b"]);
+    cluster.zone_faults.set_lost(&["b"]);
     std::thread::sleep(Duration::from_millis(3000));
     assert_eq!(plans(&cluster, 3), Vec::<String>::new());
     assert_eq!(cluster.count_proxies_routing_to(3, "s-3"), usize::from(cluster.config.proxies_per_manager));
@@ -110,17 +110,17 @@
 #[test]
 fn two_zones_of_three_are_lost_and_one_stays() {
     let cluster = start_with_leader();
-    cluster.world.lose(&["b", "c"]);
+    cluster.zone_faults.set_lost(&["b", "c"]);
     cluster.wait_for_routing(&ALL, &["s-3", "s-4", "s-5", "s-6"], false);
     cluster.wait_for_routing(&ALL, &["s-1", "s-2"], true);
-    cluster.world.lose(&["a", "b", "c"]);
+    cluster.zone_faults.set_lost(&["a", "b", "c"]);
     std::thread::sleep(Duration::from_millis(2500));
     for id in ALL {
         let left: usize =
             WORKERS.iter().map(|(worker, _)| cluster.count_proxies_routing_to(id, worker)).sum();
         assert!(left > 0, "member {id} leaves its proxies somebody");
     }
-    cluster.world.lose(&[]);
+    cluster.zone_faults.set_lost(&[]);
     let leader = cluster.wait_for_leader();
     cluster.managers[&MemberId(leader)].until("all zones whole", 1);
     cluster.sound(&[]);
@@ -129,11 +129,11 @@
 #[test]
 fn a_zone_that_flaps_with_sums_that_are_late() {
     let cluster = start_with_leader();
-    cluster.world.late(Duration::from_millis(600));
+    cluster.zone_faults.set_report_delay(Duration::from_millis(600));
     for _ in 0..4 {
-        cluster.world.lose(&["b"]);
+        cluster.zone_faults.set_lost(&["b"]);
         std::thread::sleep(Duration::from_millis(1500));
-        cluster.world.lose(&[]);
+        cluster.zone_faults.set_lost(&[]);
         std::thread::sleep(Duration::from_millis(1500));
     }
     let leader = cluster.wait_for_leader();
@@ -149,13 +149,13 @@
     let leader = cluster.wait_for_leader();
     let rest: Vec<u16> = ALL.into_iter().filter(|id| *id != leader).collect();
     // Zone b and the manager in it see nobody else.
-    cluster.world.cut(&["b"]);
+    cluster.zone_faults.set_cut_off(&["b"]);
     cluster.set_links_across(&[leader], State::Silent);
     cluster.wait_for_leader_except(&[leader]);
     cluster.wait_for_routing(&rest, &B, false);
     let told = plans(&cluster, rest[0]);
     assert!(told.iter().any(|plan| plan.contains("b 0.00 (CutOff)")), "{told:?}");
-    cluster.world.cut(&[]);
+    cluster.zone_faults.set_cut_off(&[]);
     cluster.heal_links();
     rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].until("all zones whole", 1));
     cluster.wait_for_routing(&ALL, &B, true);
@@ -165,7 +165,7 @@
 #[test]
 fn a_rolling_restart_during_a_failover() {
     let mut cluster = start_with_leader();
-    cluster.world.lose(&["b"]);
+    cluster.zone_faults.set_lost(&["b"]);
     cluster.wait_for_routing(&ALL, &B, false);
     for id in ALL {
         assert_eq!(cluster.manager(id).terminate().and_then(|status| status.code()), Some(0));
@@ -175,7 +175,7 @@
     }
     cluster.start_collectors();
     let leader = cluster.wait_for_leader();
-    cluster.world.lose(&[]);
+    cluster.zone_faults.set_lost(&[]);
     cluster.managers[&MemberId(leader)].until("all zones whole", 1);
     cluster.sound(&[]);
 }
