--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -14,6 +14,7 @@
 
 use crate::executor::Executor;
 use crate::program::{Manager, WITHIN};
+use crate::topology::{WORKERS, ZONES};
 use crate::wire::{Seen, State, Wire};
 use crate::zone_faults::ZoneFaults;
 
@@ -80,11 +81,6 @@
     list_version: u64,
 }
 
-/// Two workers in each of three zones.
-pub const WORKERS: [(&str, &str); 6] =
-    [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b"), ("s-5", "c"), ("s-6", "c")];
-pub const ZONES: [&str; 3] = ["a", "b", "c"];
-
 /// The stand-ins' settings with a third zone, and sums that come often and soon, so that trials are short.
 fn manager_settings() -> String {
     let settings = SETTINGS.replace(r#""zones":["a","b"]"#, r#""zones":["a","b","c"]"#);
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -8,13 +8,15 @@
 mod executor;
 mod program;
 mod sweep;
+mod topology;
 mod wire;
 mod zone_faults;
 
 pub use checks::Checks;
-pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS, WORKERS, ZONES};
+pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS};
 pub use executor::{Executor, Manner, Ran};
 pub use program::{Manager, Program, WITHIN};
 pub use sweep::{counted, plays, sweep, Outcome, Play, Sweep, Unreached};
+pub use topology::{WORKERS, ZONES};
 pub use wire::{Seen, State, Wire};
 pub use zone_faults::ZoneFaults;
--- a/crates/trials/src/zone_faults.rs
+++ b/crates/trials/src/zone_faults.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::cluster::WORKERS;
+use crate::topology::WORKERS;
 
 #[derive(Clone, Default)]
 struct Conditions {
