--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -174,8 +174,8 @@
     for _ in 0..rounds {
         let start = |town: &mut TestCluster, id: u16| town.manager(id).start();
         all[0].1.push(leaderless(&mut town, |town, id| town.manager(id).kill(), start));
-        let go_on = |town: &mut TestCluster, id: u16| town.manager(id).go_on();
-        all[1].1.push(leaderless(&mut town, |town, id| town.manager(id).stop(), go_on));
+        let go_on = |town: &mut TestCluster, id: u16| town.manager(id).resume();
+        all[1].1.push(leaderless(&mut town, |town, id| town.manager(id).suspend(), go_on));
         let heal = |town: &mut TestCluster, _| town.heal_links();
         all[2].1.push(leaderless(&mut town, |town, id| town.set_links_across(&[id], State::Silent), heal));
         all[3].1.push(leaderless(&mut town, |town, id| _ = town.manager(id).terminate(), start));
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -58,7 +58,7 @@
     let mut claimed: BTreeMap<(String, i64), ()> = BTreeMap::new();
     let (mut unknown, mut passed) = (0, 0);
     for manager in town.managers.values() {
-        for line in manager.lines() {
+        for line in manager.log_lines() {
             let Some((_, told)) = line.split_once("fleet: ") else { continue };
             if told.contains("'s under ") {
                 let due = told
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -31,7 +31,7 @@
         broken.extend(seen.differing.iter().map(|differing| format!("two logs: {differing}")));
         let ran = cluster.executor.ran();
         broken.extend(effects(&ran, side_effecting));
-        let logs: Vec<Vec<String>> = cluster.managers.values().map(|manager| manager.lines()).collect();
+        let logs: Vec<Vec<String>> = cluster.managers.values().map(|manager| manager.log_lines()).collect();
         broken.extend(claims(&logs));
         broken.extend(unaccounted(&logs, &ran));
         broken.extend(panics(&logs));
@@ -51,7 +51,7 @@
         let checks = Checks::of(self, side_effecting);
         if !checks.broken.is_empty() {
             for (id, manager) in &self.managers {
-                let lines = manager.lines();
+                let lines = manager.log_lines();
                 eprintln!("{id}:\n{}", lines[lines.len().saturating_sub(TOLD)..].join("\n"));
             }
         }
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -13,7 +13,7 @@
 use juniperrail_standins::{entry, list, Discovery, Limits, Proxies, Rules, SETTINGS};
 
 use crate::executor::Executor;
-use crate::program::{Manager, WITHIN};
+use crate::process::{ManagerProcess, WAIT_TIMEOUT};
 use crate::topology::{WORKERS, ZONES};
 use crate::wire::{Seen, State, Wire};
 use crate::zone_faults::ZoneFaults;
@@ -71,7 +71,7 @@
     pub folder: PathBuf,
     pub discovery: Discovery,
     pub executor: Executor,
-    pub managers: BTreeMap<MemberId, Manager>,
+    pub managers: BTreeMap<MemberId, ManagerProcess>,
     pub wires: BTreeMap<(MemberId, MemberId), Wire>,
     pub seen: Arc<Mutex<Seen>>,
     /// The proxies of each manager, in the managers' order.
@@ -137,7 +137,7 @@
         for id in ids {
             let folder = cluster.folder.join(format!("n{}", id.0));
             fs::create_dir_all(&folder).expect("a folder");
-            cluster.managers.insert(id, Manager::new(&format!("n{}", id.0), folder));
+            cluster.managers.insert(id, ManagerProcess::new(&format!("n{}", id.0), folder));
             cluster.write_config_files(id, 0, &named);
         }
         cluster
@@ -189,7 +189,7 @@
     /// Starts all, and proxies at each.
     pub fn start(config: ClusterConfig) -> TestCluster {
         let mut cluster = TestCluster::new(config);
-        cluster.managers.values_mut().for_each(Manager::start);
+        cluster.managers.values_mut().for_each(ManagerProcess::start);
         cluster.start_proxies();
         cluster
     }
@@ -211,7 +211,7 @@
             WORKERS.iter().for_each(|(worker, _)| rules.knows(worker));
             let first = self.config.proxies_per_manager * position as u16;
             self.proxies.push(Proxies::start(
-                manager.address(),
+                manager.wait_for_address(),
                 first,
                 self.config.proxies_per_manager,
                 &ZONES,
@@ -230,7 +230,7 @@
     }
 
     pub fn start_collectors_at(&self, id: MemberId) {
-        let address = self.managers[&id].address();
+        let address = self.managers[&id].wait_for_address();
         ZONES.iter().for_each(|zone| self.zone_faults.start_collector(zone, address));
     }
 
@@ -250,7 +250,7 @@
                 return;
             }
             assert!(
-                begun.elapsed() < WITHIN,
+                begun.elapsed() < WAIT_TIMEOUT,
                 "{workers:?} are not {} at {ids:?}",
                 if held { "held" } else { "out" }
             );
@@ -285,7 +285,7 @@
         ));
     }
 
-    pub fn manager(&mut self, id: u16) -> &mut Manager {
+    pub fn manager(&mut self, id: u16) -> &mut ManagerProcess {
         self.managers.get_mut(&MemberId(id)).expect("a manager of that number")
     }
 
@@ -308,8 +308,8 @@
 
     /// Who says last that it leads, and has not said otherwise since.
     pub fn leader(&self) -> Option<u16> {
-        let led = |manager: &Manager| {
-            let lines = manager.lines();
+        let led = |manager: &ManagerProcess| {
+            let lines = manager.log_lines();
             let at = lines.iter().rposition(|line| line.contains("this manager leads in term "))?;
             let over = |line: &String| {
                 line.contains("leads no more")
@@ -335,7 +335,7 @@
             if let Some(leader) = self.leader().filter(|leader| !excluded.contains(leader)) {
                 return leader;
             }
-            assert!(begun.elapsed() < WITHIN, "nobody leads but {excluded:?}");
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "nobody leads but {excluded:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -349,7 +349,7 @@
     pub fn shut_down(&mut self) {
         self.heal_links();
         self.managers.values_mut().for_each(|manager| {
-            manager.go_on();
+            manager.resume();
             manager.terminate();
         });
     }
--- a/crates/trials/src/executor.rs
+++ b/crates/trials/src/executor.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::program::WITHIN;
+use crate::process::WAIT_TIMEOUT;
 
 /// One effect.
 #[derive(Clone, Debug, PartialEq)]
@@ -77,7 +77,7 @@
         let begun = Instant::now();
         let mut shared = self.shared.0.lock().expect("no worker panics");
         while !holds(&shared.ran) {
-            if begun.elapsed() >= WITHIN {
+            if begun.elapsed() >= WAIT_TIMEOUT {
                 let last: Vec<Ran> = shared.ran.iter().rev().take(4).cloned().collect();
                 drop(shared);
                 panic!("still waiting for {what}: {last:?}");
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -6,7 +6,7 @@
 mod checks;
 mod cluster;
 mod executor;
-mod program;
+mod process;
 mod sweep;
 mod topology;
 mod wire;
@@ -15,7 +15,7 @@
 pub use checks::Checks;
 pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS};
 pub use executor::{Executor, Manner, Ran};
-pub use program::{Manager, Program, WITHIN};
+pub use process::{ManagerBinary, ManagerProcess, WAIT_TIMEOUT};
 pub use sweep::{counted, plays, sweep, Outcome, Play, Sweep, Unreached};
 pub use topology::{WORKERS, ZONES};
 pub use wire::{Seen, State, Wire};
--- a/crates/trials/src/program.rs
+++ b/crates/trials/src/process.rs
@@ -13,16 +13,16 @@
 use rustix::process::{kill_process, Pid, Signal};
 
 /// Nothing that is waited for takes so long, however busy the machine is.
-pub const WITHIN: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Where the program with points is.
-pub struct Program(PathBuf);
+pub struct ManagerBinary(PathBuf);
 
-impl Program {
+impl ManagerBinary {
     /// Builds it, once a process, in a folder of its own: built with the others, cargo would give the points to the
     /// program that is shipped too.
-    pub fn with_points() -> &'static Program {
-        static BUILT: OnceLock<Program> = OnceLock::new();
+    pub fn with_fault_points() -> &'static ManagerBinary {
+        static BUILT: OnceLock<ManagerBinary> = OnceLock::new();
         BUILT.get_or_init(|| {
             let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
             let target = root.join("target/points");
@@ -33,9 +33,9 @@
             // Measured where the one that asks is.
             let profile = if cfg!(debug_assertions) { "debug" } else { "release" };
             build.args((profile == "release").then_some("--release"));
-            let built = build.status().expect("cargo starts");
-            assert!(built.success(), "the program with points is built");
-            Program(target.join(profile).join("juniperrail"))
+            let build_status = build.status().expect("cargo starts");
+            assert!(build_status.success(), "the program with points is built");
+            ManagerBinary(target.join(profile).join("juniperrail"))
         })
     }
 
@@ -47,26 +47,34 @@
 #[derive(Default)]
 struct Log {
     lines: Vec<String>,
-    over: bool,
+    closed: bool,
 }
 
 /// One process, with all that it logged over all its starts.
-pub struct Manager {
+pub struct ManagerProcess {
     name: String,
     folder: PathBuf,
     child: Option<Child>,
     log: Arc<(Mutex<Log>, Condvar)>,
     /// What is set at the next start alone.
-    pub once: BTreeMap<String, String>,
-    pub always: BTreeMap<String, String>,
-    pub starts: usize,
+    pub next_start_env: BTreeMap<String, String>,
+    pub env: BTreeMap<String, String>,
+    pub start_count: usize,
 }
 
-impl Manager {
+impl ManagerProcess {
     /// `folder` holds `config.json` and `operator.xml`.
-    pub fn new(name: &str, folder: PathBuf) -> Manager {
-        let (once, always) = Default::default();
-        Manager { name: name.into(), folder, child: None, log: Arc::default(), once, always, starts: 0 }
+    pub fn new(name: &str, folder: PathBuf) -> ManagerProcess {
+        let (next_start_env, env) = Default::default();
+        ManagerProcess {
+            name: name.into(),
+            folder,
+            child: None,
+            log: Arc::default(),
+            next_start_env,
+            env,
+            start_count: 0,
+        }
     }
 
     pub fn folder(&self) -> &Path {
@@ -74,46 +82,46 @@
     }
 
     pub fn start(&mut self) {
-        let mut command = Command::new(Program::with_points().path());
+        let mut command = Command::new(ManagerBinary::with_fault_points().path());
         command.env_clear().env("PROXY_CONFIG", self.folder.join("config.json")).env("RUST_LOG", "info");
-        command.envs(&self.always).envs(std::mem::take(&mut self.once));
+        command.envs(&self.env).envs(std::mem::take(&mut self.next_start_env));
         command.arg("--operator-file").arg(self.folder.join("operator.xml"));
         let mut child =
             command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn().expect("the program starts");
-        self.starts += 1;
+        self.start_count += 1;
         let stderr = child.stderr.take().expect("it is piped");
         let log = self.log.clone();
-        log.0.lock().expect("no reader panics").over = false;
-        let mut copy =
+        log.0.lock().expect("no reader panics").closed = false;
+        let mut log_file =
             File::options().append(true).create(true).open(self.folder.join("log")).expect("a log");
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                _ = writeln!(copy, "{line}");
+                _ = writeln!(log_file, "{line}");
                 log.0.lock().expect("no reader panics").lines.push(line);
                 log.1.notify_all();
             }
-            log.0.lock().expect("no reader panics").over = true;
+            log.0.lock().expect("no reader panics").closed = true;
             log.1.notify_all();
         });
         self.child = Some(child);
     }
 
     /// Every line that it logged.
-    pub fn lines(&self) -> Vec<String> {
+    pub fn log_lines(&self) -> Vec<String> {
         self.log.0.lock().expect("no reader panics").lines.clone()
     }
 
     /// How many lines hold a part.
-    pub fn count(&self, part: &str) -> usize {
+    pub fn count_log_lines(&self, part: &str) -> usize {
         self.log.0.lock().expect("no reader panics").lines.iter().filter(|line| line.contains(part)).count()
     }
 
     /// Waits until so many lines hold a part. Panics where that takes too long.
-    pub fn until(&self, part: &str, count: usize) {
+    pub fn wait_for_log(&self, part: &str, count: usize) {
         let begun = Instant::now();
         let mut log = self.log.0.lock().expect("no reader panics");
         while log.lines.iter().filter(|line| line.contains(part)).count() < count {
-            if begun.elapsed() >= WITHIN {
+            if begun.elapsed() >= WAIT_TIMEOUT {
                 let last: Vec<String> = log.lines.iter().rev().take(12).cloned().collect();
                 drop(log);
                 panic!("{}: still waiting for {count} times {part:?}: {last:#?}", self.name);
@@ -123,9 +131,9 @@
     }
 
     /// Where its newest start listens for proxies. One that dies before it says so never does.
-    pub fn address(&self) -> SocketAddr {
-        self.until("serves on ", self.starts);
-        let lines = self.lines();
+    pub fn wait_for_address(&self) -> SocketAddr {
+        self.wait_for_log("serves on ", self.start_count);
+        let lines = self.log_lines();
         let last = lines.iter().rev().find_map(|line| Some(line.split_once("serves on ")?.1.trim()));
         last.and_then(|at| at.parse().ok()).expect("an address")
     }
@@ -137,32 +145,32 @@
         }
     }
 
-    pub fn stop(&self) {
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
     pub fn terminate(&mut self) -> Option<ExitStatus> {
         self.signal(Signal::TERM);
-        self.ended()
+        self.wait_for_exit()
     }
 
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
-        self.ended();
+        self.wait_for_exit();
     }
 
     /// Waits for its end.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut child = self.child.take()?;
         let begun = Instant::now();
         loop {
             match child.try_wait() {
                 Ok(Some(status)) => return Some(status),
-                Ok(None) if begun.elapsed() < WITHIN => thread::sleep(Duration::from_millis(5)),
+                Ok(None) if begun.elapsed() < WAIT_TIMEOUT => thread::sleep(Duration::from_millis(5)),
                 _ => {
                     _ = child.kill();
                     _ = child.wait();
@@ -173,7 +181,7 @@
     }
 
     /// Whether it runs, or is gone by itself.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
@@ -182,7 +190,7 @@
     }
 }
 
-impl Drop for Manager {
+impl Drop for ManagerProcess {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             _ = child.kill();
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -63,7 +63,7 @@
         let passed = |id: u16| format!("passed-{id}");
         for (id, manager) in cluster.managers.iter_mut() {
             let path = cluster.folder.join(passed(id.0)).display().to_string();
-            manager.always.insert("JUNIPERRAIL_POINTS_PASSED".into(), path);
+            manager.env.insert("JUNIPERRAIL_POINTS_PASSED".into(), path);
             manager.start();
         }
         run(&mut cluster, course);
@@ -120,11 +120,11 @@
 fn until(cluster: &mut TestCluster, what: &str, holds: impl Fn(&TestCluster) -> bool) {
     let begun = std::time::Instant::now();
     while !holds(cluster) {
-        assert!(begun.elapsed() < crate::program::WITHIN, "still waiting for {what}");
+        assert!(begun.elapsed() < crate::process::WAIT_TIMEOUT, "still waiting for {what}");
         let mut back = Vec::new();
-        for (id, manager) in cluster.managers.iter_mut().filter(|(_, manager)| manager.starts > 0) {
-            if !manager.runs() {
-                manager.ended();
+        for (id, manager) in cluster.managers.iter_mut().filter(|(_, manager)| manager.start_count > 0) {
+            if !manager.is_running() {
+                manager.wait_for_exit();
                 manager.start();
                 back.push(*id);
             }
@@ -167,7 +167,7 @@
 /// A zone is lost, one manager is cut off until its plan's lease is over, the zone comes back.
 fn run_zones(cluster: &mut TestCluster) {
     let last = |cluster: &TestCluster, id: MemberId| {
-        let lines = cluster.managers[&id].lines();
+        let lines = cluster.managers[&id].log_lines();
         lines.iter().rev().find_map(|line| Some(line.split_once("fleet: plan ")?.1.to_string()))
     };
     let all: Vec<MemberId> = cluster.managers.keys().copied().collect();
@@ -179,13 +179,14 @@
     cluster.zone_faults.set_lost(&["b"]);
     until(cluster, "the zone to be out", |cluster| all.iter().all(|id| said(cluster, *id, ": b 0.")));
     let alone = all.iter().find(|id| Some(id.0) != cluster.leader()).copied().unwrap_or(MemberId(1));
-    let starts = cluster.managers[&alone].starts;
-    let lapsed = cluster.managers[&alone].count("is over: all zones whole");
+    let starts_before = cluster.managers[&alone].start_count;
+    let expiries_before = cluster.managers[&alone].count_log_lines("is over: all zones whole");
     cluster.set_links_across(&[alone.0], State::Silent);
     // Or it died meanwhile: alone as it is it starts without a plan.
     let over = |cluster: &TestCluster| {
         let manager = &cluster.managers[&alone];
-        manager.count("is over: all zones whole") > lapsed || manager.starts > starts
+        manager.count_log_lines("is over: all zones whole") > expiries_before
+            || manager.start_count > starts_before
     };
     until(cluster, "the lease to be over", over);
     cluster.heal_links();
@@ -202,15 +203,15 @@
     let once = cluster.folder.join("once").display().to_string();
     for manager in cluster.managers.values_mut() {
         let word = format!("{}:{passing}:{}", point.0, fault.name());
-        manager.once.insert("JUNIPERRAIL_POINTS".into(), word);
+        manager.next_start_env.insert("JUNIPERRAIL_POINTS".into(), word);
         if !everywhere {
-            manager.once.insert("JUNIPERRAIL_POINTS_ONCE".into(), once.clone());
+            manager.next_start_env.insert("JUNIPERRAIL_POINTS_ONCE".into(), once.clone());
         }
         manager.start();
     }
     let ran = catch_unwind(AssertUnwindSafe(|| run(&mut cluster, course)));
     let shown = format!("{point}: {}", fault.name());
-    let reached = cluster.managers.values().any(|manager| manager.count(&shown) > 0);
+    let reached = cluster.managers.values().any(|manager| manager.count_log_lines(&shown) > 0);
     let mut broken = Checks::of(&cluster, &["grade"]).broken;
     if let Err(why) = ran {
         let text =
@@ -219,7 +220,7 @@
     }
     if !broken.is_empty() {
         for (id, manager) in &cluster.managers {
-            let lines = manager.lines();
+            let lines = manager.log_lines();
             eprintln!("{play:?} {id}:\n{}", lines[lines.len().saturating_sub(40)..].join("\n"));
         }
     }
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -48,7 +48,7 @@
     cluster.drain("s-1");
     cluster.manager(2).kill();
     cluster.manager(2).start();
-    cluster.manager(2).address();
+    cluster.manager(2).wait_for_address();
     assert_eq!(cluster.manager(1).terminate().and_then(|status| status.code()), Some(0));
     cluster.sound(&["grade"]);
 }
@@ -76,9 +76,9 @@
     cluster.set_links_across(&[leader], State::Silent);
     let next = cluster.wait_for_leader_except(&[leader]);
     cluster.executor.until_more(&BOTH, 2);
-    cluster.managers[&MemberId(leader)].until("leads no more", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("leads no more", 1);
     cluster.heal_links();
-    cluster.managers[&MemberId(leader)].until(&format!("member {next} leads"), 1);
+    cluster.managers[&MemberId(leader)].wait_for_log(&format!("member {next} leads"), 1);
     cluster.executor.until_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
@@ -87,11 +87,11 @@
 fn a_leader_that_is_stopped_and_let_go_on_is_refused() {
     let cluster = start_with_leader(ClusterConfig::default());
     let leader = cluster.wait_for_leader();
-    cluster.managers[&MemberId(leader)].stop();
+    cluster.managers[&MemberId(leader)].suspend();
     cluster.wait_for_leader_except(&[leader]);
     cluster.executor.until_more(&BOTH, 3);
-    cluster.managers[&MemberId(leader)].go_on();
-    cluster.managers[&MemberId(leader)].until("leads no more", 1);
+    cluster.managers[&MemberId(leader)].resume();
+    cluster.managers[&MemberId(leader)].wait_for_log("leads no more", 1);
     cluster.executor.until_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
@@ -125,8 +125,8 @@
     (1..=3).for_each(|id| cluster.manager(id).kill());
     copy_dir(&old, &cluster.store_dir(2));
     (1..=3).for_each(|id| cluster.manager(id).start());
-    cluster.manager(2).until("the store is lost or old", 1);
-    cluster.manager(2).until("the store has caught up", 1);
+    cluster.manager(2).wait_for_log("the store is lost or old", 1);
+    cluster.manager(2).wait_for_log("the store has caught up", 1);
     cluster.executor.until_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
@@ -137,8 +137,8 @@
     cluster.manager(3).kill();
     fs::remove_dir_all(cluster.store_dir(3)).unwrap();
     cluster.manager(3).start();
-    cluster.manager(3).until("the store is lost or old", 1);
-    cluster.manager(3).until("the store has caught up", 1);
+    cluster.manager(3).wait_for_log("the store is lost or old", 1);
+    cluster.manager(3).wait_for_log("the store has caught up", 1);
     cluster.executor.until_more(&BOTH, 1);
     // Bytes after the last record, as power leaves them.
     cluster.manager(1).kill();
@@ -153,7 +153,7 @@
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, [&bytes[..], &[7; 9][..]].concat()).unwrap();
     cluster.manager(1).start();
-    cluster.manager(1).until("bytes of a torn tail are cut", 1);
+    cluster.manager(1).wait_for_log("bytes of a torn tail are cut", 1);
     cluster.executor.until_more(&BOTH, 1);
     // A flip in what is vouched for, whatever the segments hold by now: nothing is guessed, and the manager serves its
     // proxies alone.
@@ -163,8 +163,8 @@
     bytes[8] ^= 0x10;
     fs::write(&path, bytes).unwrap();
     cluster.manager(1).start();
-    cluster.manager(1).until("this manager decides alone", 1);
-    cluster.manager(1).address();
+    cluster.manager(1).wait_for_log("this manager decides alone", 1);
+    cluster.manager(1).wait_for_address();
     cluster.executor.until_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
@@ -176,7 +176,7 @@
         let leader = cluster.wait_for_leader();
         let status = cluster.manager(leader).terminate();
         assert_eq!(status.and_then(|status| status.code()), Some(0));
-        assert!(cluster.manager(leader).count("hands its office over") > 0);
+        assert!(cluster.manager(leader).count_log_lines("hands its office over") > 0);
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
         cluster.executor.until_more(&BOTH, 2);
@@ -226,14 +226,14 @@
         cluster
             .managers
             .values()
-            .map(|manager| manager.count("the members change: Remove(MemberId(1))"))
+            .map(|manager| manager.count_log_lines("the members change: Remove(MemberId(1))"))
             .sum::<usize>()
     };
     // If the one with the old file leads, its office goes on: it is stopped, as an operator would.
     cluster.manager(1).terminate();
     let begun = std::time::Instant::now();
     while taken(&cluster) == 0 {
-        assert!(begun.elapsed() < WITHIN);
+        assert!(begun.elapsed() < WAIT_TIMEOUT);
         std::thread::sleep(Duration::from_millis(20));
     }
     cluster.executor.until_more(&BOTH, 3);
@@ -245,13 +245,13 @@
     let mut cluster = TestCluster::new(ClusterConfig::default());
     // A while after its start thirty syncs in a row fail.
     let fails: Vec<String> = (12..42).map(|passing| format!("12:{passing}:error")).collect();
-    cluster.manager(1).once.insert("JUNIPERRAIL_POINTS".into(), fails.join(","));
+    cluster.manager(1).next_start_env.insert("JUNIPERRAIL_POINTS".into(), fails.join(","));
     (1..=3).for_each(|id| cluster.manager(id).start());
     cluster.wait_for_leader();
-    cluster.manager(1).until("the store fails", 1);
+    cluster.manager(1).wait_for_log("the store fails", 1);
     cluster.wait_for_leader_except(&[1]);
     cluster.executor.until_more(&BOTH, 2);
-    cluster.manager(1).until("the store is well again", 1);
+    cluster.manager(1).wait_for_log("the store is well again", 1);
     cluster.executor.until_more(&BOTH, 1);
     cluster.sound(&["grade"]);
 }
@@ -266,7 +266,7 @@
         ..ClusterConfig::default()
     });
     for manager in cluster.managers.values() {
-        manager.until("links of other managers come to", 1);
+        manager.wait_for_log("links of other managers come to", 1);
     }
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(cluster.leader(), None);
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -15,7 +15,7 @@
     for (id, manager) in cluster.managers.iter_mut() {
         let path = cluster.folder.join(format!("clock-{}", id.0));
         fs::write(&path, "0").unwrap();
-        manager.always.insert("JUNIPERRAIL_CLOCK".into(), path.display().to_string());
+        manager.env.insert("JUNIPERRAIL_CLOCK".into(), path.display().to_string());
         manager.start();
     }
     cluster.wait_for_leader();
@@ -111,7 +111,8 @@
     cluster.executor.until_more(&BOTH, 2);
     cluster.executor.set(Manner::Well);
     cluster.executor.until_more(&BOTH, 2);
-    let unknown: usize = cluster.managers.values().map(|manager| manager.count("came to Unanswered")).sum();
+    let unknown: usize =
+        cluster.managers.values().map(|manager| manager.count_log_lines("came to Unanswered")).sum();
     assert!(unknown > 0);
     let ran = cluster.executor.ran();
     let again = |of: &str| {
@@ -149,7 +150,7 @@
     let next = cluster.wait_for_leader_except(&[leader, other]);
     cluster.executor.until_more(&BOTH, 3);
     cluster.heal_links();
-    cluster.managers[&MemberId(leader)].until(&format!("member {next} leads"), 1);
+    cluster.managers[&MemberId(leader)].wait_for_log(&format!("member {next} leads"), 1);
     cluster.executor.until_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -21,7 +21,7 @@
 
 /// The plans that a manager told of, as it words them.
 fn plans(cluster: &TestCluster, id: u16) -> Vec<String> {
-    let lines = cluster.managers[&MemberId(id)].lines();
+    let lines = cluster.managers[&MemberId(id)].log_lines();
     lines.iter().filter_map(|line| Some(line.split_once("fleet: plan ")?.1.to_string())).collect()
 }
 
@@ -37,7 +37,7 @@
         plans(&cluster, leader)
     );
     cluster.zone_faults.set_lost(&[]);
-    cluster.managers[&MemberId(leader)].until("all zones whole", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("all zones whole", 1);
     cluster.wait_for_routing(&ALL, &B, true);
     let steps = plans(&cluster, leader);
     for part in ["b 0.10", "b 0.30", "b 0.60"] {
@@ -45,7 +45,7 @@
     }
     // All went by the same plans.
     for id in ALL {
-        cluster.managers[&MemberId(id)].until("all zones whole", 1);
+        cluster.managers[&MemberId(id)].wait_for_log("all zones whole", 1);
         assert_eq!(plans(&cluster, id), steps, "member {id}");
     }
     cluster.sound(&[]);
@@ -64,12 +64,12 @@
     while Instant::now() < until {
         // Trials of the way back may come; the whole zone may not.
         let whole: usize =
-            rest.iter().map(|id| cluster.managers[&MemberId(*id)].count("all zones whole")).sum();
+            rest.iter().map(|id| cluster.managers[&MemberId(*id)].count_log_lines("all zones whole")).sum();
         assert_eq!(whole, 0, "{:?}", plans(&cluster, rest[0]));
         std::thread::sleep(Duration::from_millis(50));
     }
     cluster.zone_faults.set_lost(&[]);
-    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].until("all zones whole", 1));
+    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones whole", 1));
     cluster.wait_for_routing(&rest, &B, true);
     cluster.sound(&[]);
 }
@@ -82,10 +82,10 @@
     let leader = cluster.wait_for_leader();
     let alone = ALL.into_iter().find(|id| *id != leader).unwrap();
     cluster.set_links_across(&[alone], State::Silent);
-    cluster.managers[&MemberId(alone)].until("is over: all zones whole", 1);
+    cluster.managers[&MemberId(alone)].wait_for_log("is over: all zones whole", 1);
     // It decides alone again, as it did before there was a council; the others go on together.
     cluster.wait_for_routing(&[alone], &B, true);
-    assert_eq!(cluster.managers[&MemberId(leader)].count("is over: all zones whole"), 0);
+    assert_eq!(cluster.managers[&MemberId(leader)].count_log_lines("is over: all zones whole"), 0);
     cluster.heal_links();
     cluster.wait_for_routing(&[alone], &B, false);
     cluster.sound(&[]);
@@ -122,7 +122,7 @@
     }
     cluster.zone_faults.set_lost(&[]);
     let leader = cluster.wait_for_leader();
-    cluster.managers[&MemberId(leader)].until("all zones whole", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("all zones whole", 1);
     cluster.sound(&[]);
 }
 
@@ -157,7 +157,7 @@
     assert!(told.iter().any(|plan| plan.contains("b 0.00 (CutOff)")), "{told:?}");
     cluster.zone_faults.set_cut_off(&[]);
     cluster.heal_links();
-    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].until("all zones whole", 1));
+    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones whole", 1));
     cluster.wait_for_routing(&ALL, &B, true);
     cluster.sound(&[]);
 }
@@ -170,12 +170,12 @@
     for id in ALL {
         assert_eq!(cluster.manager(id).terminate().and_then(|status| status.code()), Some(0));
         cluster.manager(id).start();
-        cluster.manager(id).address();
+        cluster.manager(id).wait_for_address();
         cluster.wait_for_leader();
     }
     cluster.start_collectors();
     let leader = cluster.wait_for_leader();
     cluster.zone_faults.set_lost(&[]);
-    cluster.managers[&MemberId(leader)].until("all zones whole", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("all zones whole", 1);
     cluster.sound(&[]);
 }
