--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -47,7 +47,7 @@
     }
     // What was claimed last may come to its end.
     std::thread::sleep(Duration::from_secs(6));
-    let ran = town.executor.ran();
+    let ran = town.executor.executions();
     let mut by_due: BTreeMap<(String, i64), usize> = BTreeMap::new();
     ran.iter().for_each(|ran| *by_due.entry((ran.schedule.clone(), ran.due)).or_default() += 1);
     let side = |name: &str| {
@@ -88,8 +88,8 @@
     let mut tenths = [0usize; 10];
     let mut firsts: BTreeMap<(&str, i64), f64> = BTreeMap::new();
     for one in &ran {
-        let first = firsts.entry((&one.schedule, one.due)).or_insert(one.at);
-        *first = first.min(one.at);
+        let first = firsts.entry((&one.schedule, one.due)).or_insert(one.received_at);
+        *first = first.min(one.received_at);
     }
     for ((name, due), at) in firsts {
         // As every manager reckons it.
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::cluster::TestCluster;
-use crate::executor::Ran;
+use crate::executor::Execution;
 
 /// Lines of each log that are shown.
 const TOLD: usize = 80;
@@ -29,7 +29,7 @@
             }
         }
         broken.extend(seen.differing.iter().map(|differing| format!("two logs: {differing}")));
-        let ran = cluster.executor.ran();
+        let ran = cluster.executor.executions();
         broken.extend(effects(&ran, side_effecting));
         let logs: Vec<Vec<String>> = cluster.managers.values().map(|manager| manager.log_lines()).collect();
         broken.extend(claims(&logs));
@@ -40,7 +40,7 @@
             terms: seen.leaders.len(),
             entries: seen.entries.len(),
             effects: ran.len(),
-            refused: cluster.executor.refused(),
+            refused: cluster.executor.rejected(),
         }
     }
 }
@@ -61,7 +61,7 @@
 }
 
 /// No side effect twice, and no effect under a lower number than one before.
-fn effects(ran: &[Ran], side_effecting: &[&str]) -> Vec<String> {
+fn effects(ran: &[Execution], side_effecting: &[&str]) -> Vec<String> {
     let mut broken = Vec::new();
     let mut count: BTreeMap<(&str, i64), usize> = BTreeMap::new();
     let mut fences: BTreeMap<&str, u64> = BTreeMap::new();
@@ -72,10 +72,10 @@
             broken.push(format!("{} of {} took effect {times} times", one.schedule, one.due));
         }
         let fence = fences.entry(&one.schedule).or_default();
-        if one.fence < *fence {
+        if one.fencing_token < *fence {
             broken.push(format!("{one:?} after {fence}"));
         }
-        *fence = one.fence;
+        *fence = one.fencing_token;
     }
     broken
 }
@@ -103,7 +103,7 @@
 
 /// Of each schedule every second between the first and the last that was claimed was claimed or told as passed over: the
 /// trials' schedules are due each second.
-fn unaccounted(logs: &[Vec<String>], ran: &[Ran]) -> Vec<String> {
+fn unaccounted(logs: &[Vec<String>], ran: &[Execution]) -> Vec<String> {
     let mut dues: BTreeMap<&str, BTreeSet<i64>> = BTreeMap::new();
     for line in logs.iter().flatten() {
         if let Some(told) = after(line, "fleet: ").filter(|told| told.contains("'s under ")) {
@@ -146,16 +146,17 @@
 mod tests {
     use super::*;
 
-    fn ran(schedule: &str, due: i64, fence: u64) -> Ran {
-        Ran { schedule: schedule.into(), due, fence, at: 0.0 }
+    fn execution(schedule: &str, due: i64, fencing_token: u64) -> Execution {
+        Execution { schedule: schedule.into(), due, fencing_token, received_at: 0.0 }
     }
 
     #[test]
     fn effects_that_come_twice_or_under_lower_numbers_are_found() {
-        assert!(effects(&[ran("a", 1, 5), ran("b", 1, 4), ran("a", 2, 6)], &["a", "b"]).is_empty());
-        assert_eq!(effects(&[ran("a", 1, 5), ran("a", 1, 6)], &["a"]).len(), 1);
-        assert!(effects(&[ran("a", 1, 5), ran("a", 1, 6)], &[]).is_empty(), "it may run again");
-        assert_eq!(effects(&[ran("a", 1, 5), ran("a", 2, 4)], &[]).len(), 1);
+        assert!(effects(&[execution("a", 1, 5), execution("b", 1, 4), execution("a", 2, 6)], &["a", "b"])
+            .is_empty());
+        assert_eq!(effects(&[execution("a", 1, 5), execution("a", 1, 6)], &["a"]).len(), 1);
+        assert!(effects(&[execution("a", 1, 5), execution("a", 1, 6)], &[]).is_empty(), "it may run again");
+        assert_eq!(effects(&[execution("a", 1, 5), execution("a", 2, 4)], &[]).len(), 1);
     }
 
     #[test]
@@ -165,7 +166,7 @@
         assert_eq!(unaccounted(std::slice::from_ref(&one), &[]), ["warm of 2000 is silently left out"]);
         let told = log(&["1 of warm up to 2000 are passed over: Missed"]);
         assert!(unaccounted(&[one.clone(), told], &[]).is_empty());
-        assert_eq!(unaccounted(std::slice::from_ref(&one), &[ran("warm", 7000, 4)]).len(), 2);
+        assert_eq!(unaccounted(std::slice::from_ref(&one), &[execution("warm", 7000, 4)]).len(), 2);
         assert!(claims(&[one.clone(), one.clone()]).is_empty());
         let other = log(&["warm of 1000 is member 3's under 4"]);
         assert_eq!(claims(&[one, other]).len(), 1);
--- a/crates/trials/src/executor.rs
+++ b/crates/trials/src/executor.rs
@@ -11,32 +11,32 @@
 
 /// One effect.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ran {
+pub struct Execution {
     pub schedule: String,
     pub due: i64,
-    pub fence: u64,
+    pub fencing_token: u64,
     /// The Unix time at which it came, in milliseconds.
-    pub at: f64,
+    pub received_at: f64,
 }
 
 /// How it answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
-    Well,
+pub enum ResponseMode {
+    Normal,
     /// The effect is done and the connection ends without an answer.
-    Mute,
+    NoResponse,
     /// The effect is done, and the answer comes so many milliseconds later.
-    Slow(u64),
+    Delayed(u64),
     /// Connections end before anything is read.
-    Gone,
+    Unavailable,
 }
 
 struct Shared {
-    ran: Vec<Ran>,
+    executions: Vec<Execution>,
     /// The highest number seen of each schedule.
-    seen: BTreeMap<String, u64>,
-    refused: u64,
-    manner: Manner,
+    highest_tokens: BTreeMap<String, u64>,
+    rejected: u64,
+    response_mode: ResponseMode,
 }
 
 pub struct Executor {
@@ -48,37 +48,41 @@
     pub fn start() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("a bound port");
-        let (ran, seen, refused, manner) = (Vec::new(), BTreeMap::new(), 0, Manner::Well);
-        let shared = Arc::new((Mutex::new(Shared { ran, seen, refused, manner }), Condvar::new()));
-        let told = shared.clone();
+        let (executions, highest_tokens, rejected, response_mode) =
+            (Vec::new(), BTreeMap::new(), 0, ResponseMode::Normal);
+        let shared = Arc::new((
+            Mutex::new(Shared { executions, highest_tokens, rejected, response_mode }),
+            Condvar::new(),
+        ));
+        let listener_shared = shared.clone();
         thread::spawn(move || {
             for socket in listener.incoming().flatten() {
-                let shared = told.clone();
-                thread::spawn(move || _ = answer(socket, &shared));
+                let shared = listener_shared.clone();
+                thread::spawn(move || _ = respond(socket, &shared));
             }
         });
         Executor { address, shared }
     }
 
-    pub fn set(&self, manner: Manner) {
-        self.shared.0.lock().expect("no worker panics").manner = manner;
+    pub fn set_response_mode(&self, response_mode: ResponseMode) {
+        self.shared.0.lock().expect("no worker panics").response_mode = response_mode;
     }
 
-    pub fn ran(&self) -> Vec<Ran> {
-        self.shared.0.lock().expect("no worker panics").ran.clone()
+    pub fn executions(&self) -> Vec<Execution> {
+        self.shared.0.lock().expect("no worker panics").executions.clone()
     }
 
-    pub fn refused(&self) -> u64 {
-        self.shared.0.lock().expect("no worker panics").refused
+    pub fn rejected(&self) -> u64 {
+        self.shared.0.lock().expect("no worker panics").rejected
     }
 
     /// Waits until it holds of what has run.
-    pub fn until(&self, what: &str, holds: impl Fn(&[Ran]) -> bool) {
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&[Execution]) -> bool) {
         let begun = Instant::now();
         let mut shared = self.shared.0.lock().expect("no worker panics");
-        while !holds(&shared.ran) {
+        while !condition(&shared.executions) {
             if begun.elapsed() >= WAIT_TIMEOUT {
-                let last: Vec<Ran> = shared.ran.iter().rev().take(4).cloned().collect();
+                let last: Vec<Execution> = shared.executions.iter().rev().take(4).cloned().collect();
                 drop(shared);
                 panic!("still waiting for {what}: {last:?}");
             }
@@ -88,53 +92,64 @@
     }
 
     /// Waits for so many effects more than there are of each of these schedules.
-    pub fn until_more(&self, schedules: &[&str], more: usize) {
-        let count = |ran: &[Ran], of: &str| ran.iter().filter(|ran| ran.schedule == of).count();
-        let before = self.ran();
-        let wanted = |ran: &[Ran]| schedules.iter().all(|of| count(ran, of) >= count(&before, of) + more);
-        self.until(&format!("{more} more of {schedules:?}"), wanted);
+    pub fn wait_for_more(&self, schedules: &[&str], more: usize) {
+        let count = |executions: &[Execution], schedule: &str| {
+            executions.iter().filter(|execution| execution.schedule == schedule).count()
+        };
+        let before = self.executions();
+        let enough = |executions: &[Execution]| {
+            schedules.iter().all(|schedule| count(executions, schedule) >= count(&before, schedule) + more)
+        };
+        self.wait_until(&format!("{more} more of {schedules:?}"), enough);
     }
 }
 
-fn answer(socket: TcpStream, shared: &(Mutex<Shared>, Condvar)) -> std::io::Result<()> {
-    let manner = shared.0.lock().expect("no worker panics").manner;
-    if manner == Manner::Gone {
+fn respond(socket: TcpStream, shared: &(Mutex<Shared>, Condvar)) -> std::io::Result<()> {
+    let response_mode = shared.0.lock().expect("no worker panics").response_mode;
+    if response_mode == ResponseMode::Unavailable {
         return Ok(());
     }
-    let mut asked = BTreeMap::new();
+    let mut headers = BTreeMap::new();
     let mut lines = BufReader::new(socket.try_clone()?).lines();
-    let first = lines.next().transpose()?.unwrap_or_default();
+    let request_line = lines.next().transpose()?.unwrap_or_default();
     for line in lines {
         let line = line?;
         let Some((name, value)) = line.split_once(':') else { break };
-        asked.insert(name.to_ascii_lowercase(), value.trim().to_string());
+        headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
-    let told = |name: &str| asked.get(&format!("juniperrail-{name}")).cloned();
-    let (Some(schedule), Some(due), Some(fence)) = (told("schedule"), told("due"), told("fence")) else {
+    let header = |name: &str| headers.get(&format!("juniperrail-{name}")).cloned();
+    let (Some(schedule), Some(due), Some(fencing_token)) =
+        (header("schedule"), header("due"), header("fence"))
+    else {
         return write!(&socket, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     };
-    let (due, fence) = (due.parse().unwrap_or(i64::MIN), fence.parse().unwrap_or(0));
-    let taken = first.starts_with("POST ") && {
-        let mut known = shared.0.lock().expect("no worker panics");
-        let seen = known.seen.entry(schedule.clone()).or_default();
-        let taken = fence >= *seen;
-        *seen = fence.max(*seen);
-        match taken {
+    let (due, fencing_token) = (due.parse().unwrap_or(i64::MIN), fencing_token.parse().unwrap_or(0));
+    let accepted = request_line.starts_with("POST ") && {
+        let mut state = shared.0.lock().expect("no worker panics");
+        let highest = state.highest_tokens.entry(schedule.clone()).or_default();
+        let accepted = fencing_token >= *highest;
+        *highest = fencing_token.max(*highest);
+        match accepted {
             true => {
                 let unix =
                     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-                known.ran.push(Ran { schedule, due, fence, at: unix.as_secs_f64() * 1000.0 });
+                state.executions.push(Execution {
+                    schedule,
+                    due,
+                    fencing_token,
+                    received_at: unix.as_secs_f64() * 1000.0,
+                });
             }
-            false => known.refused += 1,
+            false => state.rejected += 1,
         }
-        taken
+        accepted
     };
     shared.1.notify_all();
-    match manner {
-        Manner::Mute => return Ok(()),
-        Manner::Slow(late) => thread::sleep(Duration::from_millis(late)),
-        Manner::Well | Manner::Gone => {}
+    match response_mode {
+        ResponseMode::NoResponse => return Ok(()),
+        ResponseMode::Delayed(delay) => thread::sleep(Duration::from_millis(delay)),
+        ResponseMode::Normal | ResponseMode::Unavailable => {}
     }
-    let status = if taken { "200 OK" } else { "409 Conflict" };
+    let status = if accepted { "200 OK" } else { "409 Conflict" };
     write!(&socket, "HTTP/1.1 {status}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 }
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use checks::Checks;
 pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS};
-pub use executor::{Executor, Manner, Ran};
+pub use executor::{Execution, Executor, ResponseMode};
 pub use process::{ManagerBinary, ManagerProcess, WAIT_TIMEOUT};
 pub use sweep::{counted, plays, sweep, Outcome, Play, Sweep, Unreached};
 pub use topology::{WORKERS, ZONES};
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -147,7 +147,7 @@
 fn run_schedules(cluster: &mut TestCluster) {
     let work = |cluster: &mut TestCluster, more: usize| {
         let count = |cluster: &TestCluster, of: &str| {
-            cluster.executor.ran().iter().filter(|ran| ran.schedule == of).count()
+            cluster.executor.executions().iter().filter(|ran| ran.schedule == of).count()
         };
         let before = SCHEDULES.map(|of| count(cluster, of));
         let enough = |cluster: &TestCluster| {
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -11,7 +11,7 @@
 fn start_with_leader(config: ClusterConfig) -> TestCluster {
     let cluster = TestCluster::start(config);
     cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster
 }
 
@@ -60,11 +60,11 @@
         let leader = cluster.wait_for_leader();
         cluster.manager(leader).kill();
         cluster.wait_for_leader_except(&[leader]);
-        cluster.executor.until_more(&BOTH, 2);
+        cluster.executor.wait_for_more(&BOTH, 2);
         cluster.manager(leader).start();
     }
     cluster.drain("s-3");
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     let checks = cluster.sound(&["grade"]);
     assert!(checks.terms >= 3 && checks.entries > 0 && checks.effects >= 10, "{checks:?}");
 }
@@ -75,11 +75,11 @@
     let leader = cluster.wait_for_leader();
     cluster.set_links_across(&[leader], State::Silent);
     let next = cluster.wait_for_leader_except(&[leader]);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.managers[&MemberId(leader)].wait_for_log("leads no more", 1);
     cluster.heal_links();
     cluster.managers[&MemberId(leader)].wait_for_log(&format!("member {next} leads"), 1);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
 
@@ -89,10 +89,10 @@
     let leader = cluster.wait_for_leader();
     cluster.managers[&MemberId(leader)].suspend();
     cluster.wait_for_leader_except(&[leader]);
-    cluster.executor.until_more(&BOTH, 3);
+    cluster.executor.wait_for_more(&BOTH, 3);
     cluster.managers[&MemberId(leader)].resume();
     cluster.managers[&MemberId(leader)].wait_for_log("leads no more", 1);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
 
@@ -103,14 +103,14 @@
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     // The leader hears one of them no more, and is heard.
     cluster.set_link(others[0], leader, State::HalfOpen);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.heal_links();
     // It sees one, that one sees the other, and the other does not see it.
     cluster.set_link(leader, others[1], State::Silent);
     cluster.set_link(others[1], leader, State::Silent);
-    cluster.executor.until_more(&BOTH, 3);
+    cluster.executor.wait_for_more(&BOTH, 3);
     cluster.heal_links();
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     cluster.sound(&["grade"]);
 }
 
@@ -121,13 +121,13 @@
     cluster.manager(2).kill();
     copy_dir(&cluster.store_dir(2), &old);
     cluster.manager(2).start();
-    cluster.executor.until_more(&BOTH, 3);
+    cluster.executor.wait_for_more(&BOTH, 3);
     (1..=3).for_each(|id| cluster.manager(id).kill());
     copy_dir(&old, &cluster.store_dir(2));
     (1..=3).for_each(|id| cluster.manager(id).start());
     cluster.manager(2).wait_for_log("the store is lost or old", 1);
     cluster.manager(2).wait_for_log("the store has caught up", 1);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
 
@@ -139,7 +139,7 @@
     cluster.manager(3).start();
     cluster.manager(3).wait_for_log("the store is lost or old", 1);
     cluster.manager(3).wait_for_log("the store has caught up", 1);
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     // Bytes after the last record, as power leaves them.
     cluster.manager(1).kill();
     let newest = |cluster: &TestCluster| {
@@ -154,7 +154,7 @@
     fs::write(&path, [&bytes[..], &[7; 9][..]].concat()).unwrap();
     cluster.manager(1).start();
     cluster.manager(1).wait_for_log("bytes of a torn tail are cut", 1);
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     // A flip in what is vouched for, whatever the segments hold by now: nothing is guessed, and the manager serves its
     // proxies alone.
     cluster.manager(1).kill();
@@ -165,7 +165,7 @@
     cluster.manager(1).start();
     cluster.manager(1).wait_for_log("this manager decides alone", 1);
     cluster.manager(1).wait_for_address();
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
 
@@ -179,7 +179,7 @@
         assert!(cluster.manager(leader).count_log_lines("hands its office over") > 0);
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
-        cluster.executor.until_more(&BOTH, 2);
+        cluster.executor.wait_for_more(&BOTH, 2);
     }
     cluster.sound(&["grade"]);
 }
@@ -191,7 +191,7 @@
     let slow = (1..=3).find(|id| *id != leader).unwrap();
     cluster.set_link(leader, slow, State::Slow(2000));
     cluster.set_link(slow, leader, State::Slow(2000));
-    cluster.executor.until_more(&BOTH, 3);
+    cluster.executor.wait_for_more(&BOTH, 3);
     // Whoever is not of the fleet, and whoever claims to be one of it and says nothing that can be read.
     let wire = &cluster.wires[&(MemberId(slow), MemberId(leader))];
     for _ in 0..40 {
@@ -199,7 +199,7 @@
             _ = std::io::Write::write_all(&mut socket, &[0xff; 4096]);
         }
     }
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
 
@@ -211,7 +211,7 @@
     (1..=3).for_each(|id| cluster.write_config_files(MemberId(id), 0, &first));
     (1..=3).for_each(|id| cluster.manager(id).start());
     cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     let later = named(&[2, 3, 4]);
     (2..=4).for_each(|id| cluster.write_config_files(MemberId(id), 1, &later));
     cluster.manager(4).start();
@@ -220,7 +220,7 @@
         cluster.manager(id).terminate();
         cluster.manager(id).start();
         cluster.wait_for_leader();
-        cluster.executor.until_more(&BOTH, 1);
+        cluster.executor.wait_for_more(&BOTH, 1);
     }
     let taken = |cluster: &TestCluster| {
         cluster
@@ -236,7 +236,7 @@
         assert!(begun.elapsed() < WAIT_TIMEOUT);
         std::thread::sleep(Duration::from_millis(20));
     }
-    cluster.executor.until_more(&BOTH, 3);
+    cluster.executor.wait_for_more(&BOTH, 3);
     cluster.sound(&["grade"]);
 }
 
@@ -250,9 +250,9 @@
     cluster.wait_for_leader();
     cluster.manager(1).wait_for_log("the store fails", 1);
     cluster.wait_for_leader_except(&[1]);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.manager(1).wait_for_log("the store is well again", 1);
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     cluster.sound(&["grade"]);
 }
 
@@ -270,7 +270,7 @@
     }
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(cluster.leader(), None);
-    assert!(cluster.executor.ran().is_empty());
+    assert!(cluster.executor.executions().is_empty());
     for manager in cluster.managers.values() {
         let pid = manager.pid().unwrap();
         assert!(threads(pid) <= 6, "{} threads", threads(pid));
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -19,7 +19,7 @@
         manager.start();
     }
     cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     cluster
 }
 
@@ -31,8 +31,8 @@
 
 /// How far ahead of the machine's clock the newest effects were due.
 fn early(cluster: &TestCluster) -> f64 {
-    let ran = cluster.executor.ran();
-    ran.iter().rev().take(4).map(|ran| ran.due as f64 - ran.at).fold(f64::NEG_INFINITY, f64::max)
+    let ran = cluster.executor.executions();
+    ran.iter().rev().take(4).map(|ran| ran.due as f64 - ran.received_at).fold(f64::NEG_INFINITY, f64::max)
 }
 
 #[test]
@@ -41,7 +41,7 @@
     let leader = cluster.wait_for_leader();
     for ms in [3_600_000.0, -3_600_000.0, 40_000.0] {
         ahead(&cluster, leader, ms);
-        cluster.executor.until_more(&BOTH, 3);
+        cluster.executor.wait_for_more(&BOTH, 3);
         assert!(early(&cluster) < 1500.0, "with {ms} ms at the leader: {} ms early", early(&cluster));
     }
     cluster.sound(&["grade"]);
@@ -50,20 +50,20 @@
 #[test]
 fn all_clocks_that_go_back_an_hour_repeat_nothing() {
     let cluster = clocked(ClusterConfig::default());
-    cluster.executor.until_more(&BOTH, 2);
-    let before = cluster.executor.ran();
+    cluster.executor.wait_for_more(&BOTH, 2);
+    let before = cluster.executor.executions();
     (1..=3).for_each(|id| ahead(&cluster, id, -3_600_000.0));
     std::thread::sleep(Duration::from_millis(3000));
     let dues: Vec<i64> = before.iter().map(|ran| ran.due).collect();
     let again = cluster
         .executor
-        .ran()
+        .executions()
         .into_iter()
         .skip(before.len())
         .filter(|ran| ran.due < *dues.iter().max().unwrap());
     assert_eq!(again.count(), 0, "an hour that was decided on is not decided on again");
     (1..=3).for_each(|id| ahead(&cluster, id, 0.0));
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
 
@@ -71,7 +71,7 @@
 fn what_is_due_during_an_election_is_begun_after_it() {
     let mut cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     for _ in 0..3 {
         let leader = cluster.wait_for_leader();
         cluster.manager(leader).kill();
@@ -79,7 +79,7 @@
         std::thread::sleep(Duration::from_millis(600));
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
-        cluster.executor.until_more(&BOTH, 1);
+        cluster.executor.wait_for_more(&BOTH, 1);
     }
     cluster.sound(&["grade"]);
 }
@@ -88,17 +88,17 @@
 fn an_owner_that_is_cut_off_until_after_its_lease() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 1);
-    cluster.executor.set(Manner::Slow(2500));
-    cluster.executor.until_more(&["grade"], 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
+    cluster.executor.set_response_mode(ResponseMode::Delayed(2500));
+    cluster.executor.wait_for_more(&["grade"], 1);
     // Whoever owns what is under way now cannot tell how it went before its lease is over.
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     cluster.set_links_across(&[others[0]], State::Silent);
     std::thread::sleep(Duration::from_millis(2500));
-    cluster.executor.set(Manner::Well);
+    cluster.executor.set_response_mode(ResponseMode::Normal);
     cluster.heal_links();
-    cluster.executor.until_more(&BOTH, 3);
+    cluster.executor.wait_for_more(&BOTH, 3);
     cluster.sound(&["grade"]);
 }
 
@@ -106,15 +106,15 @@
 fn a_worker_that_acts_and_does_not_answer_is_unknown_and_asked_once() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 1);
-    cluster.executor.set(Manner::Mute);
-    cluster.executor.until_more(&BOTH, 2);
-    cluster.executor.set(Manner::Well);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 1);
+    cluster.executor.set_response_mode(ResponseMode::NoResponse);
+    cluster.executor.wait_for_more(&BOTH, 2);
+    cluster.executor.set_response_mode(ResponseMode::Normal);
+    cluster.executor.wait_for_more(&BOTH, 2);
     let unknown: usize =
         cluster.managers.values().map(|manager| manager.count_log_lines("came to Unanswered")).sum();
     assert!(unknown > 0);
-    let ran = cluster.executor.ran();
+    let ran = cluster.executor.executions();
     let again = |of: &str| {
         let mut dues: Vec<i64> = ran.iter().filter(|ran| ran.schedule == of).map(|ran| ran.due).collect();
         let all = dues.len();
@@ -131,11 +131,11 @@
 fn a_worker_that_is_gone_was_never_asked_so_it_is_asked_again() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 1);
-    cluster.executor.set(Manner::Gone);
+    cluster.executor.wait_for_more(&BOTH, 1);
+    cluster.executor.set_response_mode(ResponseMode::Unavailable);
     std::thread::sleep(Duration::from_millis(1500));
-    cluster.executor.set(Manner::Well);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.set_response_mode(ResponseMode::Normal);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
 
@@ -144,13 +144,13 @@
     let cluster =
         TestCluster::start(ClusterConfig { managers: 5, proxies_per_manager: 1, ..ClusterConfig::default() });
     let leader = cluster.wait_for_leader();
-    cluster.executor.until_more(&BOTH, 1);
+    cluster.executor.wait_for_more(&BOTH, 1);
     let other = (1..=5).find(|id| *id != leader).unwrap();
     cluster.set_links_across(&[leader, other], State::Silent);
     let next = cluster.wait_for_leader_except(&[leader, other]);
-    cluster.executor.until_more(&BOTH, 3);
+    cluster.executor.wait_for_more(&BOTH, 3);
     cluster.heal_links();
     cluster.managers[&MemberId(leader)].wait_for_log(&format!("member {next} leads"), 1);
-    cluster.executor.until_more(&BOTH, 2);
+    cluster.executor.wait_for_more(&BOTH, 2);
     cluster.sound(&["grade"]);
 }
