--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use juniperrail_council::{Council, Figures, Member, MemberId, Members, Message, Recovered, Role, Voice};
 use juniperrail_store::{sim::SimDisk, Disk, Folder, Limits, Store};
-use juniperrail_trials::{ClusterConfig, State, TestCluster};
+use juniperrail_trials::{ClusterConfig, LinkState, TestCluster};
 
 use crate::report::Report;
 
@@ -177,7 +177,11 @@
         let go_on = |town: &mut TestCluster, id: u16| town.manager(id).resume();
         all[1].1.push(leaderless(&mut town, |town, id| town.manager(id).suspend(), go_on));
         let heal = |town: &mut TestCluster, _| town.heal_links();
-        all[2].1.push(leaderless(&mut town, |town, id| town.set_links_across(&[id], State::Silent), heal));
+        all[2].1.push(leaderless(
+            &mut town,
+            |town, id| town.set_links_across(&[id], LinkState::Silent),
+            heal,
+        ));
         all[3].1.push(leaderless(&mut town, |town, id| _ = town.manager(id).terminate(), start));
     }
     for (what, took) in &mut all {
@@ -192,7 +196,7 @@
             _ => report.bound(&format!("without a leader, one {what}"), shown, middle < 4.0 * election),
         }
     }
-    let seen = town.seen.lock().expect("no wire panics");
+    let seen = town.traffic.lock().expect("no wire panics");
     let two = seen.leaders.values().filter(|leaders| leaders.len() > 1).count();
     report.bound("terms with two leaders", format!("{two} of {}", seen.leaders.len()), two == 0);
 }
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -22,13 +22,13 @@
     /// Looks at all that a cluster left. `side_effecting`: the schedules whose effects must not come twice.
     pub fn of(cluster: &TestCluster, side_effecting: &[&str]) -> Checks {
         let mut broken = cluster.broken();
-        let seen = cluster.seen.lock().expect("no wire panics");
-        for (term, leaders) in &seen.leaders {
+        let traffic = cluster.traffic.lock().expect("no link panics");
+        for (term, leaders) in &traffic.leaders {
             if leaders.len() > 1 {
                 broken.push(format!("two leaders in {term}: {leaders:?}"));
             }
         }
-        broken.extend(seen.differing.iter().map(|differing| format!("two logs: {differing}")));
+        broken.extend(traffic.conflicts.iter().map(|conflict| format!("two logs: {conflict}")));
         let ran = cluster.executor.executions();
         broken.extend(effects(&ran, side_effecting));
         let logs: Vec<Vec<String>> = cluster.managers.values().map(|manager| manager.log_lines()).collect();
@@ -37,8 +37,8 @@
         broken.extend(panics(&logs));
         Checks {
             broken,
-            terms: seen.leaders.len(),
-            entries: seen.entries.len(),
+            terms: traffic.leaders.len(),
+            entries: traffic.entries.len(),
             effects: ran.len(),
             refused: cluster.executor.rejected(),
         }
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Managers with all that they meet: discovery, proxies under the eyes of the rules' checker, an executor, and a wire for
+//! Managers with all that they meet: discovery, proxies under the eyes of the rules' checker, an executor, and a link for
 //! each way between two managers.
 
 use std::collections::BTreeMap;
@@ -13,9 +13,9 @@
 use juniperrail_standins::{entry, list, Discovery, Limits, Proxies, Rules, SETTINGS};
 
 use crate::executor::Executor;
+use crate::link::{Link, LinkState, Traffic};
 use crate::process::{ManagerProcess, WAIT_TIMEOUT};
 use crate::topology::{WORKERS, ZONES};
-use crate::wire::{Seen, State, Wire};
 use crate::zone_faults::ZoneFaults;
 
 /// What a cluster is made of.
@@ -72,8 +72,8 @@
     pub discovery: Discovery,
     pub executor: Executor,
     pub managers: BTreeMap<MemberId, ManagerProcess>,
-    pub wires: BTreeMap<(MemberId, MemberId), Wire>,
-    pub seen: Arc<Mutex<Seen>>,
+    pub links: BTreeMap<(MemberId, MemberId), Link>,
+    pub traffic: Arc<Mutex<Traffic>>,
     /// The proxies of each manager, in the managers' order.
     pub proxies: Vec<Proxies>,
     pub zone_faults: Arc<ZoneFaults>,
@@ -111,23 +111,23 @@
         let discovery = Discovery::start();
         discovery.tell(&list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"))));
         let executor = Executor::start();
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let traffic = Arc::new(Mutex::new(Traffic::default()));
         let ids: Vec<MemberId> = (1..=config.managers).map(MemberId).collect();
         let named: Vec<MemberId> = (1..=config.managers + config.absent_managers).map(MemberId).collect();
         let listen_addresses: BTreeMap<MemberId, SocketAddr> =
             named.iter().map(|id| (*id, listen_address(number, *id))).collect();
         let pairs =
             ids.iter().flat_map(|from| ids.iter().map(move |to| (*from, *to))).filter(|(a, b)| a != b);
-        let wires: BTreeMap<_, _> = pairs
-            .map(|(from, to)| ((from, to), Wire::start(from, listen_addresses[&to], seen.clone())))
+        let links: BTreeMap<_, _> = pairs
+            .map(|(from, to)| ((from, to), Link::start(from, listen_addresses[&to], traffic.clone())))
             .collect();
         let mut cluster = TestCluster {
             folder,
             discovery,
             executor,
             managers: BTreeMap::new(),
-            wires,
-            seen,
+            links,
+            traffic,
             proxies: Vec::new(),
             zone_faults: Arc::default(),
             listen_addresses,
@@ -163,8 +163,8 @@
         if !self.config.fleet {
             return format!("{root}</config>");
         }
-        let address = |of: &MemberId| match self.wires.get(&(id, *of)) {
-            Some(wire) => wire.address,
+        let address = |of: &MemberId| match self.links.get(&(id, *of)) {
+            Some(link) => link.address,
             None => self.listen_addresses[of],
         };
         let member = |of: &MemberId| {
@@ -289,21 +289,21 @@
         self.managers.get_mut(&MemberId(id)).expect("a manager of that number")
     }
 
-    /// Sets the wires between two groups, both ways.
-    pub fn set_links_across(&self, group: &[u16], state: State) {
-        for ((from, to), wire) in &self.wires {
+    /// Sets the links between two groups, both ways.
+    pub fn set_links_across(&self, group: &[u16], state: LinkState) {
+        for ((from, to), link) in &self.links {
             if group.contains(&from.0) != group.contains(&to.0) {
-                wire.set(state);
+                link.set(state);
             }
         }
     }
 
-    pub fn set_link(&self, from: u16, to: u16, state: State) {
-        self.wires[&(MemberId(from), MemberId(to))].set(state);
+    pub fn set_link(&self, from: u16, to: u16, state: LinkState) {
+        self.links[&(MemberId(from), MemberId(to))].set(state);
     }
 
     pub fn heal_links(&self) {
-        self.wires.values().for_each(|wire| wire.set(State::Open));
+        self.links.values().for_each(|link| link.set(LinkState::Open));
     }
 
     /// Who says last that it leads, and has not said otherwise since.
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -1,22 +1,22 @@
 //! Trials: several processes of the program, started as an operator starts them, with stand-ins for all that they meet and
-//! a wire of our own for each way between two of them. Faults are injected from outside (processes are killed, stopped
-//! and restarted, wires cut, slowed and half opened, stores lost and put back, clocks moved) and inside, at the numbered
-//! points of `crates/faults`. What came of it is judged by what crossed the wires, what executors did and what was logged.
+//! a link of our own for each way between two of them. Faults are injected from outside (processes are killed, stopped
+//! and restarted, links cut, slowed and half opened, stores lost and put back, clocks moved) and inside, at the numbered
+//! points of `crates/faults`. What came of it is judged by what crossed the links, what executors did and what was logged.
 
 mod checks;
 mod cluster;
 mod executor;
+mod link;
 mod process;
 mod sweep;
 mod topology;
-mod wire;
 mod zone_faults;
 
 pub use checks::Checks;
 pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS};
 pub use executor::{Execution, Executor, ResponseMode};
+pub use link::{Link, LinkState, Traffic};
 pub use process::{ManagerBinary, ManagerProcess, WAIT_TIMEOUT};
 pub use sweep::{counted, plays, sweep, Outcome, Play, Sweep, Unreached};
 pub use topology::{WORKERS, ZONES};
-pub use wire::{Seen, State, Wire};
 pub use zone_faults::ZoneFaults;
--- /dev/null
+++ b/crates/trials/src/link.rs
@@ -0,0 +1,183 @@
+//! The way from one manager to another: a stand-in that passes bytes on, or not, and reads what the leader's messages say
+//! as they cross.
+
+use std::collections::BTreeMap;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Duration;
+
+use juniperrail_council::{Entry, Index, MemberId, Message, Term, What};
+use juniperrail_fleet::PeerMessage;
+
+/// What a link does with what it is given.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LinkState {
+    Open,
+    /// Connections stay open and silent, as when a machine is cut off; what was given meanwhile comes after.
+    Silent,
+    /// Connections are reset and new ones refused, as when a process is dead.
+    Reset,
+    /// Connections are taken and nothing is read: half open.
+    HalfOpen,
+    /// Each piece comes so many milliseconds later, and all after it.
+    Delayed(u64),
+}
+
+/// What crossed, of all links together.
+#[derive(Default)]
+pub struct Traffic {
+    /// Who sent a leader's word, by term.
+    pub leaders: BTreeMap<Term, Vec<MemberId>>,
+    /// What leaders sent, by place and term: the same wherever it is sent.
+    pub entries: BTreeMap<(Index, Term), What>,
+    pub conflicts: Vec<String>,
+    pub messages: u64,
+}
+
+pub struct Link {
+    pub address: SocketAddr,
+    state: Arc<Mutex<LinkState>>,
+}
+
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+impl Link {
+    /// From one manager, to where another listens.
+    pub fn start(from: MemberId, to: SocketAddr, traffic: Arc<Mutex<Traffic>>) -> Link {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("a bound port");
+        let state = Arc::new(Mutex::new(LinkState::Open));
+        let shared_state = state.clone();
+        thread::spawn(move || {
+            for socket in listener.incoming().flatten() {
+                let (shared_state, traffic) = (shared_state.clone(), traffic.clone());
+                if current_state(&shared_state) == LinkState::Reset {
+                    close(&socket);
+                    continue;
+                }
+                thread::spawn(move || relay(from, socket, to, &shared_state, &traffic));
+            }
+        });
+        Link { address, state }
+    }
+
+    pub fn set(&self, state: LinkState) {
+        *self.state.lock().expect("no link panics") = state;
+    }
+}
+
+fn current_state(state: &Mutex<LinkState>) -> LinkState {
+    *state.lock().expect("no link panics")
+}
+
+fn close(socket: &TcpStream) {
+    // The far side sees an end either way.
+    _ = socket.shutdown(std::net::Shutdown::Both);
+}
+
+fn relay(
+    from: MemberId,
+    mut socket: TcpStream,
+    to: SocketAddr,
+    state: &Mutex<LinkState>,
+    traffic: &Mutex<Traffic>,
+) {
+    let Ok(mut target) = TcpStream::connect(to) else { return close(&socket) };
+    if socket.set_read_timeout(Some(POLL_INTERVAL)).is_err() || target.set_nodelay(true).is_err() {
+        return;
+    }
+    let (mut bytes, mut reader) = ([0; 16 << 10], MessageReader::default());
+    loop {
+        match current_state(state) {
+            LinkState::Reset => {
+                close(&target);
+                return close(&socket);
+            }
+            LinkState::HalfOpen => {
+                thread::sleep(POLL_INTERVAL);
+                continue;
+            }
+            _ => {}
+        }
+        let read = match socket.read(&mut bytes) {
+            Ok(0) => return close(&target),
+            Ok(read) => read,
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                // The far side may have ended it.
+                if is_closed(&target) {
+                    return close(&socket);
+                }
+                continue;
+            }
+            Err(_) => return close(&target),
+        };
+        while current_state(state) == LinkState::Silent {
+            thread::sleep(POLL_INTERVAL);
+        }
+        if let LinkState::Delayed(delay) = current_state(state) {
+            thread::sleep(Duration::from_millis(delay));
+        }
+        reader.read(&bytes[..read], |message| {
+            record_message(from, message, &mut traffic.lock().expect("no link panics"))
+        });
+        if target.write_all(&bytes[..read]).is_err() {
+            return close(&socket);
+        }
+    }
+}
+
+fn is_closed(socket: &TcpStream) -> bool {
+    if socket.set_nonblocking(true).is_err() {
+        return true;
+    }
+    let closed = matches!(socket.peek(&mut [0; 1]), Ok(0))
+        || matches!(socket.peek(&mut [0; 1]), Err(error) if error.kind() != ErrorKind::WouldBlock);
+    _ = socket.set_nonblocking(false);
+    closed
+}
+
+/// Messages out of bytes; the first is a hello.
+#[derive(Default)]
+struct MessageReader {
+    bytes: Vec<u8>,
+    hello_read: bool,
+}
+
+impl MessageReader {
+    fn read(&mut self, bytes: &[u8], mut on_message: impl FnMut(PeerMessage)) {
+        self.bytes.extend_from_slice(bytes);
+        while let Some((head, rest)) = self.bytes.split_first_chunk::<4>() {
+            let length = u32::from_be_bytes(*head) as usize;
+            if rest.len() < length {
+                return;
+            }
+            if self.hello_read {
+                // What cannot be read is no message of the fleet's; the manager says so itself.
+                postcard::from_bytes(&rest[..length]).into_iter().for_each(&mut on_message);
+            }
+            self.hello_read = true;
+            self.bytes.drain(..4 + length);
+        }
+    }
+}
+
+fn record_message(from: MemberId, message: PeerMessage, traffic: &mut Traffic) {
+    traffic.messages += 1;
+    let (term, entries) = match message {
+        PeerMessage::Council(Message::Append { term, entries, .. }) => (term, entries),
+        PeerMessage::Council(Message::Install { term, .. }) => (term, Vec::new()),
+        _ => return,
+    };
+    let leaders = traffic.leaders.entry(term).or_default();
+    if !leaders.contains(&from) {
+        leaders.push(from);
+    }
+    for Entry { index, term, what } in entries {
+        let known = traffic.entries.entry((index, term)).or_insert_with(|| what.clone());
+        if *known != what {
+            traffic.conflicts.push(format!("{index:?} of {term}: {known:?} and {what:?}"));
+        }
+    }
+}
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -11,7 +11,7 @@
 
 use crate::checks::Checks;
 use crate::cluster::{ClusterConfig, TestCluster};
-use crate::wire::State;
+use crate::link::LinkState;
 
 /// One play: what happens where.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -181,7 +181,7 @@
     let alone = all.iter().find(|id| Some(id.0) != cluster.leader()).copied().unwrap_or(MemberId(1));
     let starts_before = cluster.managers[&alone].start_count;
     let expiries_before = cluster.managers[&alone].count_log_lines("is over: all zones whole");
-    cluster.set_links_across(&[alone.0], State::Silent);
+    cluster.set_links_across(&[alone.0], LinkState::Silent);
     // Or it died meanwhile: alone as it is it starts without a plan.
     let over = |cluster: &TestCluster| {
         let manager = &cluster.managers[&alone];
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -73,7 +73,7 @@
 fn a_leader_cut_off_is_deposed_and_its_late_word_is_refused() {
     let cluster = start_with_leader(ClusterConfig::default());
     let leader = cluster.wait_for_leader();
-    cluster.set_links_across(&[leader], State::Silent);
+    cluster.set_links_across(&[leader], LinkState::Silent);
     let next = cluster.wait_for_leader_except(&[leader]);
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.managers[&MemberId(leader)].wait_for_log("leads no more", 1);
@@ -102,12 +102,12 @@
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     // The leader hears one of them no more, and is heard.
-    cluster.set_link(others[0], leader, State::HalfOpen);
+    cluster.set_link(others[0], leader, LinkState::HalfOpen);
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.heal_links();
     // It sees one, that one sees the other, and the other does not see it.
-    cluster.set_link(leader, others[1], State::Silent);
-    cluster.set_link(others[1], leader, State::Silent);
+    cluster.set_link(leader, others[1], LinkState::Silent);
+    cluster.set_link(others[1], leader, LinkState::Silent);
     cluster.executor.wait_for_more(&BOTH, 3);
     cluster.heal_links();
     cluster.executor.wait_for_more(&BOTH, 1);
@@ -189,13 +189,13 @@
     let cluster = start_with_leader(ClusterConfig::default());
     let leader = cluster.wait_for_leader();
     let slow = (1..=3).find(|id| *id != leader).unwrap();
-    cluster.set_link(leader, slow, State::Slow(2000));
-    cluster.set_link(slow, leader, State::Slow(2000));
+    cluster.set_link(leader, slow, LinkState::Delayed(2000));
+    cluster.set_link(slow, leader, LinkState::Delayed(2000));
     cluster.executor.wait_for_more(&BOTH, 3);
     // Whoever is not of the fleet, and whoever claims to be one of it and says nothing that can be read.
-    let wire = &cluster.wires[&(MemberId(slow), MemberId(leader))];
+    let link = &cluster.links[&(MemberId(slow), MemberId(leader))];
     for _ in 0..40 {
-        if let Ok(mut socket) = std::net::TcpStream::connect(wire.address) {
+        if let Ok(mut socket) = std::net::TcpStream::connect(link.address) {
             _ = std::io::Write::write_all(&mut socket, &[0xff; 4096]);
         }
     }
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -94,7 +94,7 @@
     // Whoever owns what is under way now cannot tell how it went before its lease is over.
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
-    cluster.set_links_across(&[others[0]], State::Silent);
+    cluster.set_links_across(&[others[0]], LinkState::Silent);
     std::thread::sleep(Duration::from_millis(2500));
     cluster.executor.set_response_mode(ResponseMode::Normal);
     cluster.heal_links();
@@ -146,7 +146,7 @@
     let leader = cluster.wait_for_leader();
     cluster.executor.wait_for_more(&BOTH, 1);
     let other = (1..=5).find(|id| *id != leader).unwrap();
-    cluster.set_links_across(&[leader, other], State::Silent);
+    cluster.set_links_across(&[leader, other], LinkState::Silent);
     let next = cluster.wait_for_leader_except(&[leader, other]);
     cluster.executor.wait_for_more(&BOTH, 3);
     cluster.heal_links();
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -81,7 +81,7 @@
     cluster.wait_for_routing(&ALL, &B, false);
     let leader = cluster.wait_for_leader();
     let alone = ALL.into_iter().find(|id| *id != leader).unwrap();
-    cluster.set_links_across(&[alone], State::Silent);
+    cluster.set_links_across(&[alone], LinkState::Silent);
     cluster.managers[&MemberId(alone)].wait_for_log("is over: all zones whole", 1);
     // It decides alone again, as it did before there was a council; the others go on together.
     cluster.wait_for_routing(&[alone], &B, true);
@@ -150,7 +150,7 @@
     let rest: Vec<u16> = ALL.into_iter().filter(|id| *id != leader).collect();
     // Zone b and the manager in it see nobody else.
     cluster.zone_faults.set_cut_off(&["b"]);
-    cluster.set_links_across(&[leader], State::Silent);
+    cluster.set_links_across(&[leader], LinkState::Silent);
     cluster.wait_for_leader_except(&[leader]);
     cluster.wait_for_routing(&rest, &B, false);
     let told = plans(&cluster, rest[0]);
