--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -344,15 +344,6 @@
     pub fn store_dir(&self, id: u16) -> PathBuf {
         self.managers[&MemberId(id)].folder().join("council")
     }
-
-    /// Ends all as a planned stop does.
-    pub fn shut_down(&mut self) {
-        self.heal_links();
-        self.managers.values_mut().for_each(|manager| {
-            manager.resume();
-            manager.terminate();
-        });
-    }
 }
 
 /// Copies a folder of plain files.
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -17,8 +17,6 @@
 pub use invariants::InvariantReport;
 pub use link::{Link, LinkState, Traffic};
 pub use process::{ManagerBinary, ManagerProcess, WAIT_TIMEOUT};
-pub use sweep::{
-    count_point_passings, fault_cases, run_sweep, CaseOutcome, FaultCase, SweepReport, Unreached,
-};
+pub use sweep::{count_point_passings, fault_cases, run_sweep, CaseOutcome, FaultCase, SweepReport};
 pub use topology::{WORKERS, ZONES};
 pub use zone_faults::ZoneFaults;
--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -33,7 +33,6 @@
     /// What leaders sent, by place and term: the same wherever it is sent.
     pub entries: BTreeMap<(Index, Term), What>,
     pub conflicts: Vec<String>,
-    pub messages: u64,
 }
 
 pub struct Link {
@@ -164,7 +163,6 @@
 }
 
 fn record_message(from: MemberId, message: PeerMessage, traffic: &mut Traffic) {
-    traffic.messages += 1;
     let (term, entries) = match message {
         PeerMessage::Council(Message::Append { term, entries, .. }) => (term, entries),
         PeerMessage::Council(Message::Install { term, .. }) => (term, Vec::new()),
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -47,7 +47,6 @@
 #[derive(Default)]
 struct Log {
     lines: Vec<String>,
-    closed: bool,
 }
 
 /// One process, with all that it logged over all its starts.
@@ -91,7 +90,6 @@
         self.start_count += 1;
         let stderr = child.stderr.take().expect("it is piped");
         let log = self.log.clone();
-        log.0.lock().expect("no reader panics").closed = false;
         let mut log_file =
             File::options().append(true).create(true).open(self.folder.join("log")).expect("a log");
         thread::spawn(move || {
@@ -100,8 +98,6 @@
                 log.0.lock().expect("no reader panics").lines.push(line);
                 log.1.notify_all();
             }
-            log.0.lock().expect("no reader panics").closed = true;
-            log.1.notify_all();
         });
         self.child = Some(child);
     }
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -31,13 +31,11 @@
     pub violations: Vec<String>,
 }
 
-/// Points that no process passed, though a trial is there to pass them.
-pub type Unreached = Vec<Point>;
-
 #[derive(Clone, Debug, Default)]
 pub struct SweepReport {
     pub outcomes: Vec<CaseOutcome>,
-    pub unreached: Unreached,
+    /// Points that no process passed, though a trial is there to pass them.
+    pub unreached: Vec<Point>,
 }
 
 /// The course by which a point is passed: failover's, or the schedules'.
@@ -249,7 +247,7 @@
     let outcomes: Vec<CaseOutcome> = outcomes.into_inner().expect("no case panics");
     let reached =
         |point: &Point| outcomes.iter().any(|outcome| outcome.case.point == *point && outcome.reached);
-    let mut unreached: Unreached =
+    let mut unreached: Vec<Point> =
         cases.iter().map(|case| case.point).filter(|point| !reached(point)).collect();
     unreached.sort();
     unreached.dedup();
