--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -1,5 +1,5 @@
-//! Managers with all that they meet: discovery, proxies under the eyes of the rules' checker, an executor, and a link for
-//! each way between two managers.
+//! A cluster of manager processes with stand-ins for discovery, proxies and the worker that runs schedules, and a link
+//! for each direction between two managers.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -18,22 +18,26 @@
 use crate::topology::{WORKERS, ZONES};
 use crate::zone_faults::ZoneFaults;
 
-/// What a cluster is made of.
+/// Size and settings of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
+    /// Managers that can be started.
     pub managers: u16,
-    /// Named in every file and never started.
+    /// Further managers that every operator file lists and that never run.
     pub absent_managers: u16,
+    /// Whether the operator files configure a fleet; without one each manager decides alone.
     pub fleet: bool,
-    /// Proxies of each manager.
+    /// Proxies connected to each manager.
     pub proxies_per_manager: u16,
-    /// As the operator's file has them, with `WORKER` for the executor's address.
+    /// Schedules as XML for the operator file, with `WORKER` in place of the executor's address.
     pub schedules: String,
+    /// Interval between heartbeats of the leader, in milliseconds.
     pub heartbeat_ms: u32,
+    /// Election timeout in milliseconds.
     pub election_timeout_ms: u32,
-    /// Entries of the log that are kept.
+    /// Log entries that are kept before compaction.
     pub retained_entries: u32,
-    /// Zones are failed over in common, and collectors tell what is met in them.
+    /// Whether the managers agree on zone failover.
     pub failover: bool,
 }
 
@@ -57,7 +61,7 @@
     }
 }
 
-/// A schedule in the operator's file.
+/// A schedule as XML for the operator file. `effect` is `idempotent` or `side-effecting`.
 pub fn schedule_xml(name: &str, effect: &str, cron: &str) -> String {
     format!(
         "<schedule><name>{name}</name><cron>{cron}</cron><worker>WORKER</worker><path>/{name}</path>\
@@ -66,35 +70,46 @@
     )
 }
 
+/// A cluster of manager processes, which are killed when it is dropped.
 pub struct TestCluster {
+    /// What it was created with.
     pub config: ClusterConfig,
+    /// Its temporary directory, which stays after a panic, so that the logs can be read.
     pub folder: PathBuf,
+    /// The stand-in for discovery, which lists the workers.
     pub discovery: Discovery,
+    /// The stand-in for the worker that runs schedules.
     pub executor: Executor,
+    /// The managers by member id, which starts at 1.
     pub managers: BTreeMap<MemberId, ManagerProcess>,
+    /// The links by sending and receiving manager.
     pub links: BTreeMap<(MemberId, MemberId), Link>,
+    /// What was observed on all links.
     pub traffic: Arc<Mutex<Traffic>>,
-    /// The proxies of each manager, in the managers' order.
+    /// The proxies of each manager, in the order of `managers`; empty until they are started.
     pub proxies: Vec<Proxies>,
+    /// The zone failures that collectors report.
     pub zone_faults: Arc<ZoneFaults>,
+    /// The address each manager accepts the others on.
     listen_addresses: BTreeMap<MemberId, SocketAddr>,
+    /// The version of the worker list last published.
     list_version: u64,
 }
 
-/// The stand-ins' settings with a third zone, and sums that come often and soon, so that trials are short.
+/// The stand-ins' settings with a third zone, and with shorter report intervals and delays, so that tests are short.
 fn manager_settings() -> String {
     let settings = SETTINGS.replace(r#""zones":["a","b"]"#, r#""zones":["a","b","c"]"#);
     let settings = settings.replace(r#""period-ms":2000"#, r#""period-ms":300"#);
     settings.replace(r#""worst-transit-ms":900"#, r#""worst-transit-ms":200"#)
 }
 
-/// A plan's lease in trials, in milliseconds.
+/// The lease of a failover plan, in milliseconds.
 pub const PLAN_LEASE_MS: u64 = 4000;
 
 const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
 
-/// Where a manager listens for others: a loopback address that no other cluster has, so that nobody who takes a free port
-/// on the usual one gets in its place.
+/// The address a manager accepts the others on. Each cluster has its own loopback address, so that the port cannot be
+/// taken by another process that binds a free port on 127.0.0.1.
 fn listen_address(cluster: usize, id: MemberId) -> SocketAddr {
     let process = std::process::id();
     let octets = [127, 1 + (process / 250 % 250) as u8, 1 + (process % 250) as u8, 1 + (cluster % 250) as u8];
@@ -102,7 +117,7 @@
 }
 
 impl TestCluster {
-    /// Nothing is started yet.
+    /// Writes the configuration of all managers and starts the stand-ins, but no manager or proxy.
     pub fn new(config: ClusterConfig) -> TestCluster {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -143,7 +158,7 @@
         cluster
     }
 
-    /// Writes the files of a manager, whose operator's file names these managers.
+    /// Writes the configuration of a manager. Its operator file has this generation and lists these members.
     pub fn write_config_files(&self, id: MemberId, generation: u64, members: &[MemberId]) {
         let folder = self.managers[&id].folder();
         let config = format!(
@@ -158,6 +173,7 @@
         fs::write(folder.join("operator.xml"), self.operator_xml(id, generation, members)).expect("a file");
     }
 
+    /// The operator file of a manager.
     fn operator_xml(&self, id: MemberId, generation: u64, members: &[MemberId]) -> String {
         let root = "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">";
         if !self.config.fleet {
@@ -186,7 +202,7 @@
         )
     }
 
-    /// Starts all, and proxies at each.
+    /// Creates a cluster and starts all managers and their proxies.
     pub fn start(config: ClusterConfig) -> TestCluster {
         let mut cluster = TestCluster::new(config);
         cluster.managers.values_mut().for_each(ManagerProcess::start);
@@ -194,14 +210,14 @@
         cluster
     }
 
-    /// Proxies come to every manager.
+    /// Connects proxies to every manager and waits until each has a routing table.
     pub fn start_proxies(&mut self) {
         if self.config.proxies_per_manager == 0 {
             return;
         }
         for (position, manager) in self.managers.values().enumerate() {
             let mut rules = Rules::new(Limits {
-                // The program's grace, and room for machines that are busy.
+                // The manager's grace period and an allowance for a busy machine.
                 drain_grace: 3000.0 + 12_000.0,
                 messages_most: usize::MAX,
                 messages_over: 10_000.0,
@@ -224,23 +240,25 @@
         });
     }
 
-    /// Collectors of every zone come to every manager, and again where it was started anew.
+    /// Connects collectors of every zone to every manager. Needed again after a restart.
     pub fn start_collectors(&self) {
         self.managers.keys().for_each(|id| self.start_collectors_at(*id));
     }
 
+    /// Connects collectors of every zone to one manager.
     pub fn start_collectors_at(&self, id: MemberId) {
         let address = self.managers[&id].wait_for_address();
         ZONES.iter().for_each(|zone| self.zone_faults.start_collector(zone, address));
     }
 
-    /// How many proxies of a manager may pick a worker.
+    /// The number of proxies of a manager that may route requests to a worker.
     pub fn count_proxies_routing_to(&self, id: u16, worker: &str) -> usize {
         let proxies = &self.proxies[usize::from(id) - 1];
         proxies.rules(|rules| (0..100).filter(|proxy| rules.holds(*proxy).contains_key(worker)).count())
     }
 
-    /// Waits until all proxies of these managers may pick a worker, or none may.
+    /// Waits until all proxies of these managers may route to each of these workers (`held`) or none may. Panics after
+    /// [`WAIT_TIMEOUT`].
     pub fn wait_for_routing(&self, ids: &[u16], workers: &[&str], held: bool) {
         let begun = Instant::now();
         let wanted = if held { usize::from(self.config.proxies_per_manager) } else { 0 };
@@ -258,7 +276,7 @@
         }
     }
 
-    /// What the rules' checkers found broken.
+    /// Violations of the proxy protocol's rules, as the checkers in the proxies found them.
     pub fn rule_violations(&self) -> Vec<String> {
         let each = |proxies: &Proxies| {
             let now = proxies.now();
@@ -270,7 +288,7 @@
         self.proxies.iter().flat_map(each).collect()
     }
 
-    /// A worker drains, and every proxy whose manager runs has to be told.
+    /// Marks a worker as draining in discovery; from now on the checkers expect every proxy to stop routing to it.
     pub fn drain(&mut self, worker: &str) {
         self.list_version += 1;
         for proxies in &self.proxies {
@@ -285,11 +303,12 @@
         ));
     }
 
+    /// The manager with this member id.
     pub fn manager(&mut self, id: u16) -> &mut ManagerProcess {
         self.managers.get_mut(&MemberId(id)).expect("a manager of that number")
     }
 
-    /// Sets the links between two groups, both ways.
+    /// Sets the links between a group of managers and the others, in both directions.
     pub fn set_links_across(&self, group: &[u16], state: LinkState) {
         for ((from, to), link) in &self.links {
             if group.contains(&from.0) != group.contains(&to.0) {
@@ -298,15 +317,17 @@
         }
     }
 
+    /// Sets the link in one direction between two managers.
     pub fn set_link(&self, from: u16, to: u16, state: LinkState) {
         self.links[&(MemberId(from), MemberId(to))].set(state);
     }
 
+    /// Opens all links.
     pub fn heal_links(&self) {
         self.links.values().for_each(|link| link.set(LinkState::Open));
     }
 
-    /// Who says last that it leads, and has not said otherwise since.
+    /// The running manager that logged the highest term it leads in and nothing since that ends it.
     pub fn leader(&self) -> Option<u16> {
         let led = |manager: &ManagerProcess| {
             let lines = manager.log_lines();
@@ -324,11 +345,12 @@
         all.filter_map(|(id, manager)| Some((led(manager)?, id.0))).max().map(|(_, id)| id)
     }
 
+    /// Waits until a manager leads. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_leader(&self) -> u16 {
         self.wait_for_leader_except(&[])
     }
 
-    /// Waits until somebody leads who is none of these.
+    /// Waits until a manager other than these leads. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_leader_except(&self, excluded: &[u16]) -> u16 {
         let begun = Instant::now();
         loop {
@@ -340,13 +362,13 @@
         }
     }
 
-    /// Where a manager keeps its store.
+    /// The directory of the store of a manager.
     pub fn store_dir(&self, id: u16) -> PathBuf {
         self.managers[&MemberId(id)].folder().join("council")
     }
 }
 
-/// Copies a folder of plain files.
+/// Replaces the directory `to` by a copy of `from`, which holds only plain files.
 pub fn copy_dir(from: &Path, to: &Path) {
     _ = fs::remove_dir_all(to);
     fs::create_dir_all(to).expect("a folder");
@@ -358,7 +380,7 @@
 impl Drop for TestCluster {
     fn drop(&mut self) {
         self.managers.clear();
-        // Kept where something failed, so that the logs can be read.
+        // Kept after a panic, so that the logs can be read.
         if !std::thread::panicking() {
             _ = fs::remove_dir_all(&self.folder);
         }
--- a/crates/trials/src/executor.rs
+++ b/crates/trials/src/executor.rs
@@ -1,4 +1,4 @@
-//! A worker that does what schedules ask: it refuses lower fencing numbers than it has seen, and writes down each effect.
+//! A stand-in for the worker that runs schedules: it rejects stale fencing tokens and records each execution.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -9,42 +9,50 @@
 
 use crate::process::WAIT_TIMEOUT;
 
-/// One effect.
+/// One execution of a schedule, as the worker received it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Execution {
+    /// The name of the schedule.
     pub schedule: String,
+    /// The Unix time at which it was due, in milliseconds.
     pub due: i64,
+    /// The fencing token of the claim under which it was requested.
     pub fencing_token: u64,
-    /// The Unix time at which it came, in milliseconds.
+    /// The Unix time at which the request was received, in milliseconds.
     pub received_at: f64,
 }
 
-/// How it answers.
+/// How the executor responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResponseMode {
+    /// It executes the request and responds.
     Normal,
-    /// The effect is done and the connection ends without an answer.
+    /// It executes the request and closes the connection without a response.
     NoResponse,
-    /// The effect is done, and the answer comes so many milliseconds later.
+    /// It executes the request and responds after this many milliseconds.
     Delayed(u64),
-    /// Connections end before anything is read.
+    /// It closes connections without reading from them.
     Unavailable,
 }
 
+/// State shared with the connection threads.
 struct Shared {
     executions: Vec<Execution>,
-    /// The highest number seen of each schedule.
+    /// The highest fencing token received for each schedule.
     highest_tokens: BTreeMap<String, u64>,
     rejected: u64,
     response_mode: ResponseMode,
 }
 
+/// The worker that runs schedules; it responds normally at first.
 pub struct Executor {
+    /// The address it accepts requests on.
     pub address: SocketAddr,
     shared: Arc<(Mutex<Shared>, Condvar)>,
 }
 
 impl Executor {
+    /// Starts it on a free port.
     pub fn start() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("a bound port");
@@ -64,19 +72,22 @@
         Executor { address, shared }
     }
 
+    /// Sets how further requests are responded to.
     pub fn set_response_mode(&self, response_mode: ResponseMode) {
         self.shared.0.lock().expect("no worker panics").response_mode = response_mode;
     }
 
+    /// All executions so far, in the order of their requests.
     pub fn executions(&self) -> Vec<Execution> {
         self.shared.0.lock().expect("no worker panics").executions.clone()
     }
 
+    /// The number of requests rejected for a stale fencing token.
     pub fn rejected(&self) -> u64 {
         self.shared.0.lock().expect("no worker panics").rejected
     }
 
-    /// Waits until it holds of what has run.
+    /// Waits until the executions so far satisfy a condition. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_until(&self, what: &str, condition: impl Fn(&[Execution]) -> bool) {
         let begun = Instant::now();
         let mut shared = self.shared.0.lock().expect("no worker panics");
@@ -91,7 +102,7 @@
         }
     }
 
-    /// Waits for so many effects more than there are of each of these schedules.
+    /// Waits until each of these schedules was executed `more` times more than now.
     pub fn wait_for_more(&self, schedules: &[&str], more: usize) {
         let count = |executions: &[Execution], schedule: &str| {
             executions.iter().filter(|execution| execution.schedule == schedule).count()
@@ -104,6 +115,7 @@
     }
 }
 
+/// Reads one request, executes it unless its token is stale, and responds.
 fn respond(socket: TcpStream, shared: &(Mutex<Shared>, Condvar)) -> std::io::Result<()> {
     let response_mode = shared.0.lock().expect("no worker panics").response_mode;
     if response_mode == ResponseMode::Unavailable {
--- a/crates/trials/src/invariants.rs
+++ b/crates/trials/src/invariants.rs
@@ -1,25 +1,30 @@
-//! What has to hold after any trial, judged from outside.
+//! The invariants of a cluster, checked after a test from what is visible outside the managers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::cluster::TestCluster;
 use crate::executor::Execution;
 
-/// Lines of each log that are shown.
+/// Log lines of each manager that are printed where an invariant is violated.
 const LOG_LINES_SHOWN: usize = 80;
 
-/// What was found, by what was looked at.
+/// The violations found, and how much was checked.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InvariantReport {
+    /// A description of each violation.
     pub violations: Vec<String>,
+    /// Terms in which a leader sent messages.
     pub terms: usize,
+    /// Distinct log entries sent.
     pub entries: usize,
+    /// Executions of schedules.
     pub effects: usize,
+    /// Requests rejected for a stale fencing token.
     pub rejected: u64,
 }
 
 impl InvariantReport {
-    /// Looks at all that a cluster left. `side_effecting`: the schedules whose effects must not come twice.
+    /// Checks a cluster. `side_effecting`: the schedules that must not be executed twice for one due time.
     pub fn check(cluster: &TestCluster, side_effecting: &[&str]) -> InvariantReport {
         let mut violations = cluster.rule_violations();
         let traffic = cluster.traffic.lock().expect("no link panics");
@@ -46,7 +51,7 @@
 }
 
 impl TestCluster {
-    /// Looks at all that it left, and panics with the ends of the logs where an invariant is violated.
+    /// Checks this cluster, and panics after printing the ends of the logs where an invariant is violated.
     pub fn assert_invariants(&self, side_effecting: &[&str]) -> InvariantReport {
         let report = InvariantReport::check(self, side_effecting);
         if !report.violations.is_empty() {
@@ -60,7 +65,7 @@
     }
 }
 
-/// No side effect twice, and no effect under a lower number than one before.
+/// No side-effecting schedule is executed twice for one due time, and fencing tokens never decrease.
 fn check_effects(executions: &[Execution], side_effecting: &[&str]) -> Vec<String> {
     let mut violations = Vec::new();
     let mut count: BTreeMap<(&str, i64), usize> = BTreeMap::new();
@@ -80,11 +85,12 @@
     violations
 }
 
+/// The part of a line after the first occurrence of `part`.
 fn text_after<'a>(line: &'a str, part: &str) -> Option<&'a str> {
     Some(line.split_once(part)?.1)
 }
 
-/// Every manager that told of a claim told the same of its number: what is agreed is one.
+/// All managers that logged a claim with the same fencing token logged the same claim.
 fn check_claims(logs: &[Vec<String>]) -> Vec<String> {
     let mut known: BTreeMap<u64, &str> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -103,8 +109,8 @@
     violations
 }
 
-/// Of each schedule every second between the first and the last that was claimed was claimed or told as passed over: the
-/// trials' schedules are due each second.
+/// Each due time of a schedule between its first and last claimed ones was claimed or logged as passed over, and all
+/// that was executed was claimed. The schedules of the tests are due each second.
 fn check_due_times(logs: &[Vec<String>], executions: &[Execution]) -> Vec<String> {
     let mut accounted: BTreeMap<&str, BTreeSet<i64>> = BTreeMap::new();
     for line in logs.iter().flatten() {
@@ -143,6 +149,7 @@
     violations
 }
 
+/// No manager logged a panic.
 fn check_panics(logs: &[Vec<String>]) -> Vec<String> {
     let panicked = |line: &&String| line.contains("panicked at");
     logs.iter().flatten().filter(panicked).map(|line| format!("a thread panicked: {line}")).collect()
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -1,7 +1,14 @@
-//! Trials: several processes of the program, started as an operator starts them, with stand-ins for all that they meet and
-//! a link of our own for each way between two of them. Faults are injected from outside (processes are killed, stopped
-//! and restarted, links cut, slowed and half opened, stores lost and put back, clocks moved) and inside, at the numbered
-//! points of `crates/faults`. What came of it is judged by what crossed the links, what executors did and what was logged.
+//! Fault-injection tests of a cluster of real manager processes.
+//!
+//! A [`TestCluster`] starts several managers as an operator does, with stand-ins for discovery, proxies, collectors and
+//! the worker that runs schedules, and with one fault-injecting [`Link`] for each direction between two managers.
+//! Faults are injected from outside (processes are killed, suspended and restarted; links are cut, delayed and left
+//! half open; stores are deleted or replaced by older copies; clocks are moved) and from inside, at the numbered fault
+//! points of `crates/faults`. [`InvariantReport`] judges a run by the messages that crossed the links, the executions
+//! of schedules, the managers' logs and the proxies' checks.
+//!
+//! Modules, each using only those before it: `process`, `topology`, `link`, `executor` and `zone_faults`; `cluster`;
+//! `invariants`; `sweep`.
 
 mod cluster;
 mod executor;
--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -1,5 +1,4 @@
-//! The way from one manager to another: a stand-in that passes bytes on, or not, and reads what the leader's messages say
-//! as they cross.
+//! A fault-injecting TCP relay from one manager to another, which also records what leaders send.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -11,39 +10,45 @@
 use juniperrail_council::{Entry, Index, MemberId, Message, Term, What};
 use juniperrail_fleet::PeerMessage;
 
-/// What a link does with what it is given.
+/// How a link treats the bytes sent over it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkState {
+    /// Bytes are forwarded.
     Open,
-    /// Connections stay open and silent, as when a machine is cut off; what was given meanwhile comes after.
+    /// Connections stay open and nothing is forwarded, as when a machine is partitioned; bytes sent meanwhile are
+    /// forwarded afterwards.
     Silent,
-    /// Connections are reset and new ones refused, as when a process is dead.
+    /// Connections are closed, new ones at once, as when the process at the far end is dead.
     Reset,
-    /// Connections are taken and nothing is read: half open.
+    /// Connections are accepted and never read from.
     HalfOpen,
-    /// Each piece comes so many milliseconds later, and all after it.
+    /// Each chunk read is held back by this many milliseconds, and with it all that follows.
     Delayed(u64),
 }
 
-/// What crossed, of all links together.
+/// What was observed on all links of a cluster.
 #[derive(Default)]
 pub struct Traffic {
-    /// Who sent a leader's word, by term.
+    /// The members that sent messages only a leader sends, by term.
     pub leaders: BTreeMap<Term, Vec<MemberId>>,
-    /// What leaders sent, by place and term: the same wherever it is sent.
+    /// The log entries that leaders sent, by index and term.
     pub entries: BTreeMap<(Index, Term), What>,
+    /// Entries sent with the same index and term and different content.
     pub conflicts: Vec<String>,
 }
 
+/// A relay for one direction between two managers.
 pub struct Link {
+    /// The address that the sending manager connects to.
     pub address: SocketAddr,
     state: Arc<Mutex<LinkState>>,
 }
 
+/// Time between two looks at the state of the link.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Link {
-    /// From one manager, to where another listens.
+    /// Starts an open relay for `from`, to the address `to` that another manager listens on.
     pub fn start(from: MemberId, to: SocketAddr, traffic: Arc<Mutex<Traffic>>) -> Link {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("a bound port");
@@ -62,6 +67,7 @@
         Link { address, state }
     }
 
+    /// Sets the state, for existing connections and new ones.
     pub fn set(&self, state: LinkState) {
         *self.state.lock().expect("no link panics") = state;
     }
@@ -71,11 +77,13 @@
     *state.lock().expect("no link panics")
 }
 
+/// Closes both directions of a connection.
 fn close(socket: &TcpStream) {
-    // The far side sees an end either way.
+    // An error means that it is closed already.
     _ = socket.shutdown(std::net::Shutdown::Both);
 }
 
+/// Forwards one connection until either side closes it.
 fn relay(
     from: MemberId,
     mut socket: TcpStream,
@@ -104,7 +112,7 @@
             Ok(0) => return close(&target),
             Ok(read) => read,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                // The far side may have ended it.
+                // The far side may have closed it.
                 if is_closed(&target) {
                     return close(&socket);
                 }
@@ -127,6 +135,7 @@
     }
 }
 
+/// Whether the far side has closed a connection.
 fn is_closed(socket: &TcpStream) -> bool {
     if socket.set_nonblocking(true).is_err() {
         return true;
@@ -137,7 +146,7 @@
     closed
 }
 
-/// Messages out of bytes; the first is a hello.
+/// Splits a stream into length-prefixed messages; the first is a hello and is skipped.
 #[derive(Default)]
 struct MessageReader {
     bytes: Vec<u8>,
@@ -153,7 +162,7 @@
                 return;
             }
             if self.hello_read {
-                // What cannot be read is no message of the fleet's; the manager says so itself.
+                // Undecodable messages are skipped: the receiving manager rejects and logs them.
                 postcard::from_bytes(&rest[..length]).into_iter().for_each(&mut on_message);
             }
             self.hello_read = true;
@@ -162,6 +171,7 @@
     }
 }
 
+/// Records what a leader sends, and conflicts with what was sent before.
 fn record_message(from: MemberId, message: PeerMessage, traffic: &mut Traffic) {
     let (term, entries) = match message {
         PeerMessage::Council(Message::Append { term, entries, .. }) => (term, entries),
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -1,4 +1,4 @@
-//! The program with its numbered points, built apart from the one that is shipped, and one process of it.
+//! The manager binary, built with fault points, and processes that run it.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -12,15 +12,15 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 
-/// Nothing that is waited for takes so long, however busy the machine is.
+/// Longest wait for any condition before a test fails; generous, as the machine may be busy.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Where the program with points is.
+/// Path of the manager binary built with the feature `points`.
 pub struct ManagerBinary(PathBuf);
 
 impl ManagerBinary {
-    /// Builds it, once a process, in a folder of its own: built with the others, cargo would give the points to the
-    /// program that is shipped too.
+    /// Builds the binary, once per test process. It has its own target directory, since Cargo's feature unification
+    /// would otherwise enable the fault points in the binary that is shipped too.
     pub fn with_fault_points() -> &'static ManagerBinary {
         static BUILT: OnceLock<ManagerBinary> = OnceLock::new();
         BUILT.get_or_init(|| {
@@ -30,7 +30,7 @@
             let mut build = Command::new(cargo);
             build.current_dir(&root).args(["build", "--locked", "--quiet", "-p", "juniperrail-manager"]);
             build.args(["--features", "points", "--target-dir"]).arg(&target);
-            // Measured where the one that asks is.
+            // Same profile as the caller, so that measurements are of optimised code where the caller is.
             let profile = if cfg!(debug_assertions) { "debug" } else { "release" };
             build.args((profile == "release").then_some("--release"));
             let build_status = build.status().expect("cargo starts");
@@ -39,30 +39,34 @@
         })
     }
 
+    /// The path of the executable.
     pub fn path(&self) -> &Path {
         &self.0
     }
 }
 
+/// Log lines read so far.
 #[derive(Default)]
 struct Log {
     lines: Vec<String>,
 }
 
-/// One process, with all that it logged over all its starts.
+/// A manager that can be started, signalled and restarted, with the log of all its runs.
 pub struct ManagerProcess {
     name: String,
     folder: PathBuf,
     child: Option<Child>,
     log: Arc<(Mutex<Log>, Condvar)>,
-    /// What is set at the next start alone.
+    /// Environment variables for the next start only.
     pub next_start_env: BTreeMap<String, String>,
+    /// Environment variables for every start.
     pub env: BTreeMap<String, String>,
+    /// How often it was started.
     pub start_count: usize,
 }
 
 impl ManagerProcess {
-    /// `folder` holds `config.json` and `operator.xml`.
+    /// A manager that is not yet started. `folder` holds its `config.json` and `operator.xml`.
     pub fn new(name: &str, folder: PathBuf) -> ManagerProcess {
         let (next_start_env, env) = Default::default();
         ManagerProcess {
@@ -76,10 +80,12 @@
         }
     }
 
+    /// The directory of its configuration, log and store.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
+    /// Starts the process and a thread that collects its log.
     pub fn start(&mut self) {
         let mut command = Command::new(ManagerBinary::with_fault_points().path());
         command.env_clear().env("PROXY_CONFIG", self.folder.join("config.json")).env("RUST_LOG", "info");
@@ -102,17 +108,17 @@
         self.child = Some(child);
     }
 
-    /// Every line that it logged.
+    /// All log lines, of every run.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.0.lock().expect("no reader panics").lines.clone()
     }
 
-    /// How many lines hold a part.
+    /// The number of log lines that contain `part`.
     pub fn count_log_lines(&self, part: &str) -> usize {
         self.log.0.lock().expect("no reader panics").lines.iter().filter(|line| line.contains(part)).count()
     }
 
-    /// Waits until so many lines hold a part. Panics where that takes too long.
+    /// Waits until at least `count` log lines contain `part`. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_log(&self, part: &str, count: usize) {
         let begun = Instant::now();
         let mut log = self.log.0.lock().expect("no reader panics");
@@ -126,7 +132,7 @@
         }
     }
 
-    /// Where its newest start listens for proxies. One that dies before it says so never does.
+    /// Waits until the latest run logs the address it serves proxies on. Panics where it never does.
     pub fn wait_for_address(&self) -> SocketAddr {
         self.wait_for_log("serves on ", self.start_count);
         let lines = self.log_lines();
@@ -134,32 +140,37 @@
         last.and_then(|at| at.parse().ok()).expect("an address")
     }
 
+    /// Sends a signal to the process.
     fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // It may be gone already: that is what many trials are about.
+            // The process may have exited already, as many tests intend.
             _ = kill_process(Pid::from_child(child), signal);
         }
     }
 
+    /// Suspends the process (SIGSTOP).
     pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
+    /// Asks the process to shut down (SIGTERM) and waits for its exit.
     pub fn terminate(&mut self) -> Option<ExitStatus> {
         self.signal(Signal::TERM);
         self.wait_for_exit()
     }
 
+    /// Kills the process (SIGKILL) and waits for its exit.
     pub fn kill(&mut self) {
         self.signal(Signal::KILL);
         self.wait_for_exit();
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit; `None` where none was started. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut child = self.child.take()?;
         let begun = Instant::now();
@@ -176,11 +187,12 @@
         }
     }
 
-    /// Whether it runs, or is gone by itself.
+    /// Whether the process runs; false also where it exited by itself.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
+    /// The id of the process, until its exit was waited for.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Each numbered point in turn, with each fault that may happen there, at its first, a middle and a late passing.
+//! A sweep over all fault points: each possible fault at each point, at its first, a middle and a late passing.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,38 +13,47 @@
 use crate::invariants::InvariantReport;
 use crate::link::LinkState;
 
-/// One play: what happens where.
+/// One run of the sweep: a fault at a passing of a fault point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultCase {
+    /// The fault point.
     pub point: Point,
+    /// The fault injected there.
     pub fault: Fault,
+    /// The passing at which it is injected, counted in each process from 1.
     pub passing: u64,
-    /// At every manager, or at the first that comes there.
+    /// Whether it is injected at every manager, or only at the first that reaches that passing.
     pub at_all_managers: bool,
 }
 
+/// What one run showed.
 #[derive(Clone, Debug)]
 pub struct CaseOutcome {
+    /// The run.
     pub case: FaultCase,
-    /// The fault was played.
+    /// Whether the fault was injected.
     pub reached: bool,
+    /// Violated invariants, and the panic where the run did not finish.
     pub violations: Vec<String>,
 }
 
+/// The outcomes of a sweep.
 #[derive(Clone, Debug, Default)]
 pub struct SweepReport {
+    /// The outcome of each run, in the order in which they ended.
     pub outcomes: Vec<CaseOutcome>,
-    /// Points that no process passed, though a trial is there to pass them.
+    /// Points of the cases at which no run injected a fault.
     pub unreached: Vec<Point>,
 }
 
-/// The course by which a point is passed: failover's, or the schedules'.
+/// What a cluster does during a run, chosen so that it passes the fault point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Workload {
     Schedules,
     Zones,
 }
 
+/// The workload that passes a point.
 fn workload(point: Point) -> Workload {
     if point >= Point::EVIDENCE_SENT {
         Workload::Zones
@@ -53,7 +62,7 @@
     }
 }
 
-/// How often one process passes each point in an undisturbed run, at the most.
+/// How often a process passes each point in a run without faults: the maximum over all processes.
 pub fn count_point_passings() -> BTreeMap<Point, u64> {
     let mut maxima: BTreeMap<Point, u64> = BTreeMap::new();
     for workload in [Workload::Schedules, Workload::Zones] {
@@ -80,8 +89,8 @@
     maxima
 }
 
-/// What is played: for each point all that may happen there. `exhaustive`: also at middle and late passings, and everywhere at
-/// once.
+/// The runs of a sweep: each fault that may happen at each point, at its first passing. `exhaustive`: also at a middle
+/// and a late passing, and at all managers at once.
 pub fn fault_cases(counts: &BTreeMap<Point, u64>, exhaustive: bool) -> Vec<FaultCase> {
     let mut cases = Vec::new();
     for description in POINTS {
@@ -115,9 +124,10 @@
     }
 }
 
+/// The schedules of [`ClusterConfig::default`].
 const SCHEDULES: [&str; 2] = ["warm", "grade"];
 
-/// Waits until it holds. Whoever dies at a point meanwhile comes back without it, as a supervisor would start it.
+/// Waits for a condition. Managers that die meanwhile are restarted without the fault, as a supervisor would.
 fn wait_until(cluster: &mut TestCluster, what: &str, condition: impl Fn(&TestCluster) -> bool) {
     let begun = std::time::Instant::now();
     while !condition(cluster) {
@@ -144,7 +154,7 @@
     }
 }
 
-/// Work, a planned restart of the leader, work.
+/// Executions of schedules, a planned restart of the leader, and further executions.
 fn run_schedules(cluster: &mut TestCluster) {
     let work = |cluster: &mut TestCluster, more: usize| {
         let count = |cluster: &TestCluster, of: &str| {
@@ -165,7 +175,7 @@
     work(cluster, 2);
 }
 
-/// A zone is lost, one manager is cut off until its plan's lease is over, the zone comes back.
+/// A zone fails, a manager is partitioned until the lease of its failover plan expires, and the zone recovers.
 fn run_zones(cluster: &mut TestCluster) {
     let last_plan = |cluster: &TestCluster, id: MemberId| {
         let lines = cluster.managers[&id].log_lines();
@@ -185,7 +195,7 @@
     let starts_before = cluster.managers[&isolated].start_count;
     let expiries_before = cluster.managers[&isolated].count_log_lines("is over: all zones whole");
     cluster.set_links_across(&[isolated.0], LinkState::Silent);
-    // Or it died meanwhile: alone as it is it starts without a plan.
+    // Or it died meanwhile: while partitioned it restarts without a plan.
     let over = |cluster: &TestCluster| {
         let manager = &cluster.managers[&isolated];
         manager.count_log_lines("is over: all zones whole") > expiries_before
@@ -199,6 +209,7 @@
     });
 }
 
+/// Runs one case in a cluster of its own.
 fn run_case(case: FaultCase) -> CaseOutcome {
     let workload = workload(case.point);
     let mut cluster = TestCluster::new(cluster_config(workload));
@@ -232,7 +243,7 @@
     CaseOutcome { case, reached, violations }
 }
 
-/// Plays all, some at once.
+/// Runs all cases, `parallelism` of them at a time.
 pub fn run_sweep(cases: &[FaultCase], parallelism: usize) -> SweepReport {
     let (next, outcomes) = (Mutex::new(cases.iter()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
--- a/crates/trials/src/zone_faults.rs
+++ b/crates/trials/src/zone_faults.rs
@@ -1,4 +1,4 @@
-//! What is true of zones, and collectors that tell managers what proxies meet in them, a while late.
+//! Simulated zone failures, and collectors that report the resulting error counts to managers.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -8,35 +8,40 @@
 
 use crate::topology::WORKERS;
 
+/// The failures in force.
 #[derive(Clone, Default)]
 struct Conditions {
-    /// Nobody is served there.
+    /// Zones in which every request fails.
     lost: Vec<String>,
-    /// Between these and all others nothing passes.
+    /// Zones partitioned from all zones outside this list.
     cut_off: Vec<String>,
+    /// Time between the end of an interval and the delivery of its report.
     report_delay: Duration,
 }
 
-/// Sums come so often.
+/// Interval between two reports of a collector.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
+/// The zone failures in force, shared with the collectors that report their effects. None at first.
 #[derive(Default)]
 pub struct ZoneFaults(Mutex<Conditions>);
 
 impl ZoneFaults {
+    /// Makes every request to these zones fail, and to no others.
     pub fn set_lost(&self, zones: &[&str]) {
         self.with_conditions(|conditions| {
             conditions.lost = zones.iter().map(|zone| zone.to_string()).collect()
         });
     }
 
+    /// Partitions these zones from all others: requests across the boundary fail, in both directions.
     pub fn set_cut_off(&self, zones: &[&str]) {
         self.with_conditions(|conditions| {
             conditions.cut_off = zones.iter().map(|zone| zone.to_string()).collect()
         });
     }
 
-    /// Sums come so late from now on.
+    /// Delays all further reports by this long.
     pub fn set_report_delay(&self, report_delay: Duration) {
         self.with_conditions(|conditions| conditions.report_delay = report_delay);
     }
@@ -45,7 +50,8 @@
         access(&mut self.0.lock().expect("no collector panics"))
     }
 
-    /// A collector of a zone that tells a manager what its proxies meet, until that ends.
+    /// Starts a thread that reports to a manager what the proxies of a zone observe at each worker. It ends with the
+    /// connection.
     pub fn start_collector(self: &Arc<Self>, zone: &'static str, manager: SocketAddr) {
         let faults = self.clone();
         thread::spawn(move || {
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -1,4 +1,4 @@
-//! Several processes that agree, while some of them fail.
+//! Consensus among several manager processes while some of them fail.
 
 use std::fs;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     fs::read_dir(format!("/proc/{pid}/task")).map_or(0, Iterator::count)
 }
 
-/// What each descriptor of a process is.
+/// The target of each open file descriptor of a process.
 fn open_descriptors(pid: u32) -> Vec<String> {
     let all = fs::read_dir(format!("/proc/{pid}/fd")).into_iter().flatten().flatten();
     let held = all.filter_map(|held| fs::read_link(held.path()).ok());
@@ -101,11 +101,11 @@
     let cluster = start_with_leader(ClusterConfig::default());
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
-    // The leader hears one of them no more, and is heard.
+    // The leader receives nothing from one of them, which still receives from the leader.
     cluster.set_link(others[0], leader, LinkState::HalfOpen);
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.heal_links();
-    // It sees one, that one sees the other, and the other does not see it.
+    // The leader reaches one of them, that one reaches the other, and the other and the leader do not reach each other.
     cluster.set_link(leader, others[1], LinkState::Silent);
     cluster.set_link(others[1], leader, LinkState::Silent);
     cluster.executor.wait_for_more(&BOTH, 3);
@@ -140,7 +140,7 @@
     cluster.manager(3).wait_for_log("the store is lost or old", 1);
     cluster.manager(3).wait_for_log("the store has caught up", 1);
     cluster.executor.wait_for_more(&BOTH, 1);
-    // Bytes after the last record, as power leaves them.
+    // Bytes after the last record, as a power failure leaves them.
     cluster.manager(1).kill();
     let newest = |cluster: &TestCluster| {
         let files = fs::read_dir(cluster.store_dir(1)).unwrap().flatten().map(|file| file.path());
@@ -155,8 +155,8 @@
     cluster.manager(1).start();
     cluster.manager(1).wait_for_log("bytes of a torn tail are cut", 1);
     cluster.executor.wait_for_more(&BOTH, 1);
-    // A flip in what is vouched for, whatever the segments hold by now: nothing is guessed, and the manager serves its
-    // proxies alone.
+    // A flipped bit in the manifest, whatever the segments hold by now: the store is not used, and the manager serves
+    // its proxies alone.
     cluster.manager(1).kill();
     let path = cluster.store_dir(1).join("MANIFEST");
     let mut bytes = fs::read(&path).unwrap();
@@ -192,7 +192,7 @@
     cluster.set_link(leader, slow, LinkState::Delayed(2000));
     cluster.set_link(slow, leader, LinkState::Delayed(2000));
     cluster.executor.wait_for_more(&BOTH, 3);
-    // Whoever is not of the fleet, and whoever claims to be one of it and says nothing that can be read.
+    // Connections from outside the fleet, which send bytes that cannot be decoded.
     let link = &cluster.links[&(MemberId(slow), MemberId(leader))];
     for _ in 0..40 {
         if let Ok(mut socket) = std::net::TcpStream::connect(link.address) {
@@ -215,7 +215,7 @@
     let later = named(&[2, 3, 4]);
     (2..=4).for_each(|id| cluster.write_config_files(MemberId(id), 1, &later));
     cluster.manager(4).start();
-    // A planned restart of each with its new file; whoever leads next brings the council there.
+    // A planned restart of each with its new file; the next leader changes the membership.
     for id in [2, 3] {
         cluster.manager(id).terminate();
         cluster.manager(id).start();
@@ -229,7 +229,7 @@
             .map(|manager| manager.count_log_lines("the members change: Remove(MemberId(1))"))
             .sum::<usize>()
     };
-    // If the one with the old file leads, its office goes on: it is stopped, as an operator would.
+    // If the manager with the old file leads, it keeps the lead: it is stopped, as an operator would do.
     cluster.manager(1).terminate();
     let begun = std::time::Instant::now();
     while removals(&cluster) == 0 {
@@ -258,7 +258,7 @@
 
 #[test]
 fn a_few_run_of_many_that_are_named() {
-    // 350 are named and seven run: they are no majority, so nothing is agreed, and each goes on alone.
+    // 350 members are configured and seven run: without a majority nothing is agreed, and each decides alone.
     let cluster = TestCluster::start(ClusterConfig {
         managers: 7,
         absent_managers: 343,
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Schedules that fire once, whichever manager is up: clocks that jump, elections and cuts at the wrong moment, workers
-//! that do not answer.
+//! Schedules are executed once, whichever manager is up: clocks that jump, elections and partitions at the wrong
+//! moment, workers that do not respond.
 
 use std::fs;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const BOTH: [&str; 2] = ["warm", "grade"];
 
-/// A cluster in which each process is told a clock of its own.
+/// A cluster in which each process reads the offset of its clock from a file of its own.
 fn start_with_clock_offsets(config: ClusterConfig) -> TestCluster {
     let mut cluster = TestCluster::new(config);
     for (id, manager) in cluster.managers.iter_mut() {
@@ -29,7 +29,7 @@
     fs::rename(new, cluster.folder.join(format!("clock-{id}"))).unwrap();
 }
 
-/// How far ahead of the machine's clock the newest effects were due.
+/// How far ahead of the machine's clock the latest executions were due.
 fn max_lead_ms(cluster: &TestCluster) -> f64 {
     let ran = cluster.executor.executions();
     ran.iter().rev().take(4).map(|ran| ran.due as f64 - ran.received_at).fold(f64::NEG_INFINITY, f64::max)
@@ -79,7 +79,7 @@
     for _ in 0..3 {
         let leader = cluster.wait_for_leader();
         cluster.manager(leader).kill();
-        // Longer than a second: something came due while nobody led.
+        // Longer than a second in all: an execution became due while there was no leader.
         std::thread::sleep(Duration::from_millis(600));
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
@@ -95,7 +95,7 @@
     cluster.executor.wait_for_more(&BOTH, 1);
     cluster.executor.set_response_mode(ResponseMode::Delayed(2500));
     cluster.executor.wait_for_more(&["grade"], 1);
-    // Whoever owns what is under way now cannot tell how it went before its lease is over.
+    // The owner of the running execution cannot report its result before its lease expires.
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     cluster.set_links_across(&[others[0]], LinkState::Silent);
--- a/crates/trials/tests/sweep.rs
+++ b/crates/trials/tests/sweep.rs
@@ -1,10 +1,10 @@
-//! Every numbered point in turn, with every fault that may happen there, at its first passing, by the first manager that
-//! comes to it; whoever dies is started again. The long form is `juniperrail-lab -- trials`.
+//! The sweep over all fault points: every fault that may happen at a point, at its first passing, in the first manager
+//! that reaches it; managers that die are restarted. The exhaustive form is `juniperrail-lab -- trials`.
 
 use juniperrail_faults::{Point, POINTS};
 use juniperrail_trials::{count_point_passings, fault_cases, run_sweep};
 
-/// Plays at once: each is three processes that mostly wait.
+/// Cases run at a time: each is three processes that mostly wait.
 const PARALLELISM: usize = 6;
 
 #[test]
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that are failed over by several processes in common, while some of those fail.
+//! Zone failover agreed by several manager processes while some of them fail.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
     cluster
 }
 
-/// The plans that a manager told of, as it words them.
+/// The failover plans that a manager logged, in its wording.
 fn logged_plans(cluster: &TestCluster, id: u16) -> Vec<String> {
     let lines = cluster.managers[&MemberId(id)].log_lines();
     lines.iter().filter_map(|line| Some(line.split_once("fleet: plan ")?.1.to_string())).collect()
@@ -43,7 +43,7 @@
     for part in ["b 0.10", "b 0.30", "b 0.60"] {
         assert!(steps.iter().any(|plan| plan.contains(part)), "{part} in {steps:?}");
     }
-    // All went by the same plans.
+    // All managers followed the same plans.
     for id in ALL {
         cluster.managers[&MemberId(id)].wait_for_log("all zones whole", 1);
         assert_eq!(logged_plans(&cluster, id), steps, "member {id}");
@@ -62,7 +62,7 @@
     cluster.wait_for_leader_except(&[leader]);
     let until = Instant::now() + Duration::from_millis(PLAN_LEASE_MS);
     while Instant::now() < until {
-        // Trials of the way back may come; the whole zone may not.
+        // Trial steps of the recovery may occur; the zone must not be fully restored.
         let whole: usize =
             rest.iter().map(|id| cluster.managers[&MemberId(*id)].count_log_lines("all zones whole")).sum();
         assert_eq!(whole, 0, "{:?}", logged_plans(&cluster, rest[0]));
@@ -83,7 +83,7 @@
     let isolated = ALL.into_iter().find(|id| *id != leader).unwrap();
     cluster.set_links_across(&[isolated], LinkState::Silent);
     cluster.managers[&MemberId(isolated)].wait_for_log("is over: all zones whole", 1);
-    // It decides alone again, as it did before there was a council; the others go on together.
+    // It decides alone again, as without a fleet; the others continue to agree.
     cluster.wait_for_routing(&[isolated], &B, true);
     assert_eq!(cluster.managers[&MemberId(leader)].count_log_lines("is over: all zones whole"), 0);
     cluster.heal_links();
@@ -138,7 +138,8 @@
     }
     let leader = cluster.wait_for_leader();
     let outs = logged_plans(&cluster, leader).iter().filter(|plan| plan.contains("b 0.00")).count();
-    // Each relapse doubles the wait of a second before the next trial: in some 13 s there is room for five outs.
+    // Each relapse doubles the wait of one second before the next trial step: in about 13 s the zone can be taken out at
+    // most five times.
     assert!(outs <= 5, "out {outs} times in four flaps: {:?}", logged_plans(&cluster, leader));
     cluster.assert_invariants(&[]);
 }
@@ -148,7 +149,7 @@
     let cluster = start_with_leader();
     let leader = cluster.wait_for_leader();
     let rest: Vec<u16> = ALL.into_iter().filter(|id| *id != leader).collect();
-    // Zone b and the manager in it see nobody else.
+    // Zone b and the manager in it are partitioned from all others.
     cluster.zone_faults.set_cut_off(&["b"]);
     cluster.set_links_across(&[leader], LinkState::Silent);
     cluster.wait_for_leader_except(&[leader]);
