--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use juniperrail_schedule::Timing;
-use juniperrail_trials::{Made, Town};
+use juniperrail_trials::{ClusterConfig, TestCluster};
 
 use crate::report::Report;
 
@@ -24,30 +24,30 @@
         )
     };
     let schedules: String = (0..count).map(schedule).collect();
-    let made = Made {
+    let made = ClusterConfig {
         managers: 5,
-        proxies: 0,
+        proxies_per_manager: 0,
         schedules,
-        heartbeat: 100,
-        election: 1000,
-        entries: 20_000,
-        ..Made::default()
+        heartbeat_ms: 100,
+        election_timeout_ms: 1000,
+        retained_entries: 20_000,
+        ..ClusterConfig::default()
     };
-    let mut town = Town::start(made);
-    town.until_led();
+    let mut town = TestCluster::start(made);
+    town.wait_for_leader();
     let begun = Instant::now();
     let mut lost = 0;
     while begun.elapsed() < Duration::from_secs(seconds) {
         std::thread::sleep(LOST_EVERY);
-        let leader = town.until_led();
+        let leader = town.wait_for_leader();
         town.manager(leader).kill();
         lost += 1;
-        town.until_led_but(&[leader]);
+        town.wait_for_leader_except(&[leader]);
         town.manager(leader).start();
     }
     // What was claimed last may come to its end.
     std::thread::sleep(Duration::from_secs(6));
-    let ran = town.executor.ran();
+    let ran = town.executor.executions();
     let mut by_due: BTreeMap<(String, i64), usize> = BTreeMap::new();
     ran.iter().for_each(|ran| *by_due.entry((ran.schedule.clone(), ran.due)).or_default() += 1);
     let side = |name: &str| {
@@ -58,7 +58,7 @@
     let mut claimed: BTreeMap<(String, i64), ()> = BTreeMap::new();
     let (mut unknown, mut passed) = (0, 0);
     for manager in town.managers.values() {
-        for line in manager.lines() {
+        for line in manager.log_lines() {
             let Some((_, told)) = line.split_once("fleet: ") else { continue };
             if told.contains("'s under ") {
                 let due = told
@@ -88,8 +88,8 @@
     let mut tenths = [0usize; 10];
     let mut firsts: BTreeMap<(&str, i64), f64> = BTreeMap::new();
     for one in &ran {
-        let first = firsts.entry((&one.schedule, one.due)).or_insert(one.at);
-        *first = first.min(one.at);
+        let first = firsts.entry((&one.schedule, one.due)).or_insert(one.received_at);
+        *first = first.min(one.received_at);
     }
     for ((name, due), at) in firsts {
         // As every manager reckons it.
--- /dev/null
+++ b/crates/trials/src/cluster.rs
@@ -0,0 +1,388 @@
+//! A cluster of manager processes with stand-ins for discovery, proxies and the worker that runs schedules, and a link
+//! for each direction between two managers.
+
+use std::collections::BTreeMap;
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use juniperrail_council::MemberId;
+use juniperrail_standins::{entry, list, Discovery, Limits, Proxies, Rules, SETTINGS};
+
+use crate::executor::Executor;
+use crate::link::{Link, LinkState, Traffic};
+use crate::process::{ManagerProcess, WAIT_TIMEOUT};
+use crate::topology::{WORKERS, ZONES};
+use crate::zone_faults::ZoneFaults;
+
+/// Size and settings of a cluster.
+#[derive(Clone, Debug)]
+pub struct ClusterConfig {
+    /// Managers that can be started.
+    pub managers: u16,
+    /// Further managers that every operator file lists and that never run.
+    pub absent_managers: u16,
+    /// Whether the operator files configure a fleet; without one each manager decides alone.
+    pub fleet: bool,
+    /// Proxies connected to each manager.
+    pub proxies_per_manager: u16,
+    /// Schedules as XML for the operator file, with `WORKER` in place of the executor's address.
+    pub schedules: String,
+    /// Interval between heartbeats of the leader, in milliseconds.
+    pub heartbeat_ms: u32,
+    /// Election timeout in milliseconds.
+    pub election_timeout_ms: u32,
+    /// Log entries that are kept before compaction.
+    pub retained_entries: u32,
+    /// Whether the managers agree on zone failover.
+    pub failover: bool,
+}
+
+impl Default for ClusterConfig {
+    fn default() -> Self {
+        let schedules = [
+            schedule_xml("warm", "idempotent", "* * * * * *"),
+            schedule_xml("grade", "side-effecting", "* * * * * *"),
+        ];
+        ClusterConfig {
+            managers: 3,
+            absent_managers: 0,
+            fleet: true,
+            proxies_per_manager: 3,
+            schedules: schedules.concat(),
+            heartbeat_ms: 50,
+            election_timeout_ms: 400,
+            retained_entries: 20,
+            failover: false,
+        }
+    }
+}
+
+/// A schedule as XML for the operator file. `effect` is `idempotent` or `side-effecting`.
+pub fn schedule_xml(name: &str, effect: &str, cron: &str) -> String {
+    format!(
+        "<schedule><name>{name}</name><cron>{cron}</cron><worker>WORKER</worker><path>/{name}</path>\
+         <effect>{effect}</effect><deadline>3000</deadline><backoff>100</backoff><lease>1600</lease>\
+         <overlap>queue</overlap></schedule>"
+    )
+}
+
+/// A cluster of manager processes, which are killed when it is dropped.
+pub struct TestCluster {
+    /// What it was created with.
+    pub config: ClusterConfig,
+    /// Its temporary directory, which stays after a panic, so that the logs can be read.
+    pub folder: PathBuf,
+    /// The stand-in for discovery, which lists the workers.
+    pub discovery: Discovery,
+    /// The stand-in for the worker that runs schedules.
+    pub executor: Executor,
+    /// The managers by member id, which starts at 1.
+    pub managers: BTreeMap<MemberId, ManagerProcess>,
+    /// The links by sending and receiving manager.
+    pub links: BTreeMap<(MemberId, MemberId), Link>,
+    /// What was observed on all links.
+    pub traffic: Arc<Mutex<Traffic>>,
+    /// The proxies of each manager, in the order of `managers`; empty until they are started.
+    pub proxies: Vec<Proxies>,
+    /// The zone failures that collectors report.
+    pub zone_faults: Arc<ZoneFaults>,
+    /// The address each manager accepts the others on.
+    listen_addresses: BTreeMap<MemberId, SocketAddr>,
+    /// The version of the worker list last published.
+    list_version: u64,
+}
+
+/// The stand-ins' settings with a third zone, and with shorter report intervals and delays, so that tests are short.
+fn manager_settings() -> String {
+    let settings = SETTINGS.replace(r#""zones":["a","b"]"#, r#""zones":["a","b","c"]"#);
+    let settings = settings.replace(r#""period-ms":2000"#, r#""period-ms":300"#);
+    settings.replace(r#""worst-transit-ms":900"#, r#""worst-transit-ms":200"#)
+}
+
+/// The lease of a failover plan, in milliseconds.
+pub const PLAN_LEASE_MS: u64 = 4000;
+
+const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
+
+/// The address a manager accepts the others on. Each cluster has its own loopback address, so that the port cannot be
+/// taken by another process that binds a free port on 127.0.0.1.
+fn listen_address(cluster: usize, id: MemberId) -> SocketAddr {
+    let process = std::process::id();
+    let octets = [127, 1 + (process / 250 % 250) as u8, 1 + (process % 250) as u8, 1 + (cluster % 250) as u8];
+    SocketAddr::from((octets, 20_000 + id.0))
+}
+
+impl TestCluster {
+    /// Writes the configuration of all managers and starts the stand-ins, but no manager or proxy.
+    pub fn new(config: ClusterConfig) -> TestCluster {
+        static NUMBER: AtomicUsize = AtomicUsize::new(0);
+        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        let folder = std::env::temp_dir().join(format!("juniperrail-trial-{}-{number}", std::process::id()));
+        _ = fs::remove_dir_all(&folder);
+        let discovery = Discovery::start();
+        discovery.tell(&list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"))));
+        let executor = Executor::start();
+        let traffic = Arc::new(Mutex::new(Traffic::default()));
+        let ids: Vec<MemberId> = (1..=config.managers).map(MemberId).collect();
+        let named: Vec<MemberId> = (1..=config.managers + config.absent_managers).map(MemberId).collect();
+        let listen_addresses: BTreeMap<MemberId, SocketAddr> =
+            named.iter().map(|id| (*id, listen_address(number, *id))).collect();
+        let pairs =
+            ids.iter().flat_map(|from| ids.iter().map(move |to| (*from, *to))).filter(|(a, b)| a != b);
+        let links: BTreeMap<_, _> = pairs
+            .map(|(from, to)| ((from, to), Link::start(from, listen_addresses[&to], traffic.clone())))
+            .collect();
+        let mut cluster = TestCluster {
+            folder,
+            discovery,
+            executor,
+            managers: BTreeMap::new(),
+            links,
+            traffic,
+            proxies: Vec::new(),
+            zone_faults: Arc::default(),
+            listen_addresses,
+            list_version: 1,
+            config,
+        };
+        for id in ids {
+            let folder = cluster.folder.join(format!("n{}", id.0));
+            fs::create_dir_all(&folder).expect("a folder");
+            cluster.managers.insert(id, ManagerProcess::new(&format!("n{}", id.0), folder));
+            cluster.write_config_files(id, 0, &named);
+        }
+        cluster
+    }
+
+    /// Writes the configuration of a manager. Its operator file has this generation and lists these members.
+    pub fn write_config_files(&self, id: MemberId, generation: u64, members: &[MemberId]) {
+        let folder = self.managers[&id].folder();
+        let config = format!(
+            r#"{{"name":"n{}","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be9{:02x}",
+            "settings":{}}}"#,
+            id.0,
+            self.discovery.address,
+            id.0,
+            manager_settings()
+        );
+        fs::write(folder.join("config.json"), config).expect("a file");
+        fs::write(folder.join("operator.xml"), self.operator_xml(id, generation, members)).expect("a file");
+    }
+
+    /// The operator file of a manager.
+    fn operator_xml(&self, id: MemberId, generation: u64, members: &[MemberId]) -> String {
+        let root = "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">";
+        if !self.config.fleet {
+            return format!("{root}</config>");
+        }
+        let address = |of: &MemberId| match self.links.get(&(id, *of)) {
+            Some(link) => link.address,
+            None => self.listen_addresses[of],
+        };
+        let member = |of: &MemberId| {
+            format!("<member-of><number>{}</number><address>{}</address></member-of>", of.0, address(of))
+        };
+        let member_list: String = members.iter().map(member).collect();
+        let schedules = self.config.schedules.replace("WORKER", &self.executor.address.to_string());
+        let ClusterConfig { heartbeat_ms, election_timeout_ms, retained_entries, .. } = self.config;
+        let failover = match self.config.failover {
+            true => format!("<failover><plan-lease>{PLAN_LEASE_MS}</plan-lease></failover>"),
+            false => String::new(),
+        };
+        format!(
+            "{root}<fleet xmlns=\"{NAMESPACE}\"><name>cluster</name><member>{}</member><listen>{}</listen>\
+             <store>council</store><generation>{generation}</generation><heartbeat>{heartbeat_ms}</heartbeat>\
+             <election>{election_timeout_ms}</election><entries>{retained_entries}</entries><probe-period>200</probe-period><probe-answer>80</probe-answer>\
+             {member_list}{failover}{schedules}</fleet></config>",
+            id.0, self.listen_addresses[&id]
+        )
+    }
+
+    /// Creates a cluster and starts all managers and their proxies.
+    pub fn start(config: ClusterConfig) -> TestCluster {
+        let mut cluster = TestCluster::new(config);
+        cluster.managers.values_mut().for_each(ManagerProcess::start);
+        cluster.start_proxies();
+        cluster
+    }
+
+    /// Connects proxies to every manager and waits until each has a routing table.
+    pub fn start_proxies(&mut self) {
+        if self.config.proxies_per_manager == 0 {
+            return;
+        }
+        for (position, manager) in self.managers.values().enumerate() {
+            let mut rules = Rules::new(Limits {
+                // The manager's grace period and an allowance for a busy machine.
+                drain_grace: 3000.0 + 12_000.0,
+                messages_most: usize::MAX,
+                messages_over: 10_000.0,
+                lines_waiting_most: 5000.0,
+                message_overhead: 4.0,
+            });
+            WORKERS.iter().for_each(|(worker, _)| rules.knows(worker));
+            let first = self.config.proxies_per_manager * position as u16;
+            self.proxies.push(Proxies::start(
+                manager.wait_for_address(),
+                first,
+                self.config.proxies_per_manager,
+                &ZONES,
+                rules,
+            ));
+        }
+        self.proxies.iter().for_each(|proxies| {
+            let all = |rules: &Rules| (0..100).filter(|proxy| !rules.holds(*proxy).is_empty()).count();
+            proxies.until("all hold a table", |rules| all(rules) >= usize::from(proxies.count()));
+        });
+    }
+
+    /// Connects collectors of every zone to every manager. Needed again after a restart.
+    pub fn start_collectors(&self) {
+        self.managers.keys().for_each(|id| self.start_collectors_at(*id));
+    }
+
+    /// Connects collectors of every zone to one manager.
+    pub fn start_collectors_at(&self, id: MemberId) {
+        let address = self.managers[&id].wait_for_address();
+        ZONES.iter().for_each(|zone| self.zone_faults.start_collector(zone, address));
+    }
+
+    /// The number of proxies of a manager that may route requests to a worker.
+    pub fn count_proxies_routing_to(&self, id: u16, worker: &str) -> usize {
+        let proxies = &self.proxies[usize::from(id) - 1];
+        proxies.rules(|rules| (0..100).filter(|proxy| rules.holds(*proxy).contains_key(worker)).count())
+    }
+
+    /// Waits until all proxies of these managers may route to each of these workers (`held`) or none may. Panics after
+    /// [`WAIT_TIMEOUT`].
+    pub fn wait_for_routing(&self, ids: &[u16], workers: &[&str], held: bool) {
+        let begun = Instant::now();
+        let wanted = if held { usize::from(self.config.proxies_per_manager) } else { 0 };
+        loop {
+            let mut all = ids.iter().flat_map(|id| workers.iter().map(move |worker| (id, worker)));
+            if all.all(|(id, worker)| self.count_proxies_routing_to(*id, worker) == wanted) {
+                return;
+            }
+            assert!(
+                begun.elapsed() < WAIT_TIMEOUT,
+                "{workers:?} are not {} at {ids:?}",
+                if held { "held" } else { "out" }
+            );
+            std::thread::sleep(Duration::from_millis(20));
+        }
+    }
+
+    /// Violations of the proxy protocol's rules, as the checkers in the proxies found them.
+    pub fn rule_violations(&self) -> Vec<String> {
+        let each = |proxies: &Proxies| {
+            let now = proxies.now();
+            proxies.rules(|rules| {
+                rules.drains(now);
+                rules.broken.iter().map(|violation| format!("{violation:?}")).collect::<Vec<_>>()
+            })
+        };
+        self.proxies.iter().flat_map(each).collect()
+    }
+
+    /// Marks a worker as draining in discovery; from now on the checkers expect every proxy to stop routing to it.
+    pub fn drain(&mut self, worker: &str) {
+        self.list_version += 1;
+        for proxies in &self.proxies {
+            let now = proxies.now();
+            proxies.rules(|rules| rules.leaves(worker, now));
+        }
+        let zone = WORKERS.iter().find(|(id, _)| *id == worker).map_or("a", |(_, zone)| zone);
+        self.discovery.tell(&list(
+            self.list_version,
+            false,
+            &[entry(worker, zone, "127.0.0.1:9", "draining")],
+        ));
+    }
+
+    /// The manager with this member id.
+    pub fn manager(&mut self, id: u16) -> &mut ManagerProcess {
+        self.managers.get_mut(&MemberId(id)).expect("a manager of that number")
+    }
+
+    /// Sets the links between a group of managers and the others, in both directions.
+    pub fn set_links_across(&self, group: &[u16], state: LinkState) {
+        for ((from, to), link) in &self.links {
+            if group.contains(&from.0) != group.contains(&to.0) {
+                link.set(state);
+            }
+        }
+    }
+
+    /// Sets the link in one direction between two managers.
+    pub fn set_link(&self, from: u16, to: u16, state: LinkState) {
+        self.links[&(MemberId(from), MemberId(to))].set(state);
+    }
+
+    /// Opens all links.
+    pub fn heal_links(&self) {
+        self.links.values().for_each(|link| link.set(LinkState::Open));
+    }
+
+    /// The running manager that logged the highest term it leads in and nothing since that ends it.
+    pub fn leader(&self) -> Option<u16> {
+        let led = |manager: &ManagerProcess| {
+            let lines = manager.log_lines();
+            let at = lines.iter().rposition(|line| line.contains("this manager leads in term "))?;
+            let over = |line: &String| {
+                line.contains("leads no more")
+                    || line.contains("serves on")
+                    || line.contains(" leads in term ")
+            };
+            let stands = !lines[at + 1..].iter().any(over);
+            let term = lines[at].rsplit(' ').next()?.parse::<u64>().ok()?;
+            stands.then_some(term)
+        };
+        let all = self.managers.iter().filter(|(_, manager)| manager.pid().is_some());
+        all.filter_map(|(id, manager)| Some((led(manager)?, id.0))).max().map(|(_, id)| id)
+    }
+
+    /// Waits until a manager leads. Panics after [`WAIT_TIMEOUT`].
+    pub fn wait_for_leader(&self) -> u16 {
+        self.wait_for_leader_except(&[])
+    }
+
+    /// Waits until a manager other than these leads. Panics after [`WAIT_TIMEOUT`].
+    pub fn wait_for_leader_except(&self, excluded: &[u16]) -> u16 {
+        let begun = Instant::now();
+        loop {
+            if let Some(leader) = self.leader().filter(|leader| !excluded.contains(leader)) {
+                return leader;
+            }
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "nobody leads but {excluded:?}");
+            std::thread::sleep(Duration::from_millis(10));
+        }
+    }
+
+    /// The directory of the store of a manager.
+    pub fn store_dir(&self, id: u16) -> PathBuf {
+        self.managers[&MemberId(id)].folder().join("council")
+    }
+}
+
+/// Replaces the directory `to` by a copy of `from`, which holds only plain files.
+pub fn copy_dir(from: &Path, to: &Path) {
+    _ = fs::remove_dir_all(to);
+    fs::create_dir_all(to).expect("a folder");
+    for file in fs::read_dir(from).expect("a folder").flatten() {
+        fs::copy(file.path(), to.join(file.file_name())).expect("a copy");
+    }
+}
+
+impl Drop for TestCluster {
+    fn drop(&mut self) {
+        self.managers.clear();
+        // Kept after a panic, so that the logs can be read.
+        if !std::thread::panicking() {
+            _ = fs::remove_dir_all(&self.folder);
+        }
+    }
+}
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -1,20 +1,29 @@
-//! Trials: several processes of the program, started as an operator starts them, with stand-ins for all that they meet and
-//! a wire of our own for each way between two of them. Faults are injected from outside (processes are killed, stopped
-//! and restarted, wires cut, slowed and half opened, stores lost and put back, clocks moved) and inside, at the numbered
-//! points of `crates/faults`. What came of it is judged by what crossed the wires, what executors did and what was logged.
+//! Fault-injection tests of a cluster of real manager processes.
+//!
+//! A [`TestCluster`] starts several managers as an operator does, with stand-ins for discovery, proxies, collectors and
+//! the worker that runs schedules, and with one fault-injecting [`Link`] for each direction between two managers.
+//! Faults are injected from outside (processes are killed, suspended and restarted; links are cut, delayed and left
+//! half open; stores are deleted or replaced by older copies; clocks are moved) and from inside, at the numbered fault
+//! points of `crates/faults`. [`InvariantReport`] judges a run by the messages that crossed the links, the executions
+//! of schedules, the managers' logs and the proxies' checks.
+//!
+//! Modules, each using only those before it: `process`, `topology`, `link`, `executor` and `zone_faults`; `cluster`;
+//! `invariants`; `sweep`.
 
-mod checks;
+mod cluster;
 mod executor;
-mod program;
+mod invariants;
+mod link;
+mod process;
 mod sweep;
-mod town;
-mod wire;
-mod world;
+mod topology;
+mod zone_faults;
 
-pub use checks::Checks;
-pub use executor::{Executor, Manner, Ran};
-pub use program::{Manager, Program, WITHIN};
-pub use sweep::{counted, plays, sweep, Outcome, Play, Sweep, Unreached};
-pub use town::{copy, schedule, Made, Town, PLAN_LEASE, WORKERS, ZONES};
-pub use wire::{Seen, State, Wire};
-pub use world::World;
+pub use cluster::{copy_dir, schedule_xml, ClusterConfig, TestCluster, PLAN_LEASE_MS};
+pub use executor::{Execution, Executor, ResponseMode};
+pub use invariants::InvariantReport;
+pub use link::{Link, LinkState, Traffic};
+pub use process::{ManagerBinary, ManagerProcess, WAIT_TIMEOUT};
+pub use sweep::{count_point_passings, fault_cases, run_sweep, CaseOutcome, FaultCase, SweepReport};
+pub use topology::{WORKERS, ZONES};
+pub use zone_faults::ZoneFaults;
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Each numbered point in turn, with each fault that may happen there, at its first, a middle and a late passing.
+//! A sweep over all fault points: each possible fault at each point, at its first, a middle and a late passing.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,230 +9,258 @@
 use juniperrail_council::MemberId;
 use juniperrail_faults::{Fault, Point, POINTS};
 
-use crate::checks::Checks;
-use crate::town::{Made, Town};
-use crate::wire::State;
+use crate::cluster::{ClusterConfig, TestCluster};
+use crate::invariants::InvariantReport;
+use crate::link::LinkState;
 
-/// One play: what happens where.
+/// One run of the sweep: a fault at a passing of a fault point.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Play {
+pub struct FaultCase {
+    /// The fault point.
     pub point: Point,
+    /// The fault injected there.
     pub fault: Fault,
+    /// The passing at which it is injected, counted in each process from 1.
     pub passing: u64,
-    /// At every manager, or at the first that comes there.
-    pub everywhere: bool,
+    /// Whether it is injected at every manager, or only at the first that reaches that passing.
+    pub at_all_managers: bool,
 }
 
+/// What one run showed.
 #[derive(Clone, Debug)]
-pub struct Outcome {
-    pub play: Play,
-    /// The fault was played.
+pub struct CaseOutcome {
+    /// The run.
+    pub case: FaultCase,
+    /// Whether the fault was injected.
     pub reached: bool,
-    pub broken: Vec<String>,
+    /// Violated invariants, and the panic where the run did not finish.
+    pub violations: Vec<String>,
 }
 
-/// Points that no process passed, though a trial is there to pass them.
-pub type Unreached = Vec<Point>;
-
+/// The outcomes of a sweep.
 #[derive(Clone, Debug, Default)]
-pub struct Sweep {
-    pub outcomes: Vec<Outcome>,
-    pub unreached: Unreached,
+pub struct SweepReport {
+    /// The outcome of each run, in the order in which they ended.
+    pub outcomes: Vec<CaseOutcome>,
+    /// Points of the cases at which no run injected a fault.
+    pub unreached: Vec<Point>,
 }
 
-/// The course by which a point is passed: failover's, or the schedules'.
+/// What a cluster does during a run, chosen so that it passes the fault point.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Course {
+enum Workload {
     Schedules,
     Zones,
 }
 
-fn course(point: Point) -> Course {
+/// The workload that passes a point.
+fn workload(point: Point) -> Workload {
     if point >= Point::EVIDENCE_SENT {
-        Course::Zones
+        Workload::Zones
     } else {
-        Course::Schedules
+        Workload::Schedules
     }
 }
 
-/// How often one process passes each point in an undisturbed run, at the most.
-pub fn counted() -> BTreeMap<Point, u64> {
-    let mut most: BTreeMap<Point, u64> = BTreeMap::new();
-    for course in [Course::Schedules, Course::Zones] {
-        let mut town = Town::new(made(course));
+/// How often a process passes each point in a run without faults: the maximum over all processes.
+pub fn count_point_passings() -> BTreeMap<Point, u64> {
+    let mut maxima: BTreeMap<Point, u64> = BTreeMap::new();
+    for workload in [Workload::Schedules, Workload::Zones] {
+        let mut cluster = TestCluster::new(cluster_config(workload));
         let passed = |id: u16| format!("passed-{id}");
-        for (id, manager) in town.managers.iter_mut() {
-            let path = town.folder.join(passed(id.0)).display().to_string();
-            manager.always.insert("JUNIPERRAIL_POINTS_PASSED".into(), path);
+        for (id, manager) in cluster.managers.iter_mut() {
+            let path = cluster.folder.join(passed(id.0)).display().to_string();
+            manager.env.insert("JUNIPERRAIL_POINTS_PASSED".into(), path);
             manager.start();
         }
-        run(&mut town, course);
-        for id in town.managers.keys() {
-            let text = fs::read_to_string(town.folder.join(passed(id.0))).unwrap_or_default();
+        run_workload(&mut cluster, workload);
+        for id in cluster.managers.keys() {
+            let text = fs::read_to_string(cluster.folder.join(passed(id.0))).unwrap_or_default();
             let mut counts: BTreeMap<Point, u64> = BTreeMap::new();
             for point in text.lines().filter_map(|line| line.parse().ok()).map(Point) {
                 *counts.entry(point).or_default() += 1;
             }
             for (point, count) in counts {
-                let known = most.entry(point).or_default();
+                let known = maxima.entry(point).or_default();
                 *known = count.max(*known);
             }
         }
     }
-    most
+    maxima
 }
 
-/// What is played: for each point all that may happen there. `whole`: also at middle and late passings, and everywhere at
-/// once.
-pub fn plays(counts: &BTreeMap<Point, u64>, whole: bool) -> Vec<Play> {
-    let mut plays = Vec::new();
-    for told in POINTS {
-        let count = counts.get(&told.point).copied().unwrap_or(1).max(1);
-        for fault in told.may {
+/// The runs of a sweep: each fault that may happen at each point, at its first passing. `exhaustive`: also at a middle
+/// and a late passing, and at all managers at once.
+pub fn fault_cases(counts: &BTreeMap<Point, u64>, exhaustive: bool) -> Vec<FaultCase> {
+    let mut cases = Vec::new();
+    for description in POINTS {
+        let count = counts.get(&description.point).copied().unwrap_or(1).max(1);
+        for fault in description.may {
             let mut passings = vec![1, count.div_ceil(2), (count * 4).div_ceil(5)];
             passings.dedup();
-            passings.truncate(if whole { 3 } else { 1 });
+            passings.truncate(if exhaustive { 3 } else { 1 });
             for passing in passings {
-                let play = Play { point: told.point, fault: *fault, passing, everywhere: false };
-                plays.push(play);
-                plays.extend((whole && passing == 1).then_some(Play { everywhere: true, ..play }));
+                let case =
+                    FaultCase { point: description.point, fault: *fault, passing, at_all_managers: false };
+                cases.push(case);
+                cases.extend(
+                    (exhaustive && passing == 1).then_some(FaultCase { at_all_managers: true, ..case }),
+                );
             }
         }
     }
-    plays
+    cases
 }
 
-fn made(course: Course) -> Made {
-    match course {
-        Course::Schedules => Made { proxies: 0, ..Made::default() },
-        Course::Zones => Made { proxies: 0, failover: true, schedules: String::new(), ..Made::default() },
+fn cluster_config(workload: Workload) -> ClusterConfig {
+    match workload {
+        Workload::Schedules => ClusterConfig { proxies_per_manager: 0, ..ClusterConfig::default() },
+        Workload::Zones => ClusterConfig {
+            proxies_per_manager: 0,
+            failover: true,
+            schedules: String::new(),
+            ..ClusterConfig::default()
+        },
     }
 }
 
+/// The schedules of [`ClusterConfig::default`].
 const SCHEDULES: [&str; 2] = ["warm", "grade"];
 
-/// Waits until it holds. Whoever dies at a point meanwhile comes back without it, as a supervisor would start it.
-fn until(town: &mut Town, what: &str, holds: impl Fn(&Town) -> bool) {
+/// Waits for a condition. Managers that die meanwhile are restarted without the fault, as a supervisor would.
+fn wait_until(cluster: &mut TestCluster, what: &str, condition: impl Fn(&TestCluster) -> bool) {
     let begun = std::time::Instant::now();
-    while !holds(town) {
-        assert!(begun.elapsed() < crate::program::WITHIN, "still waiting for {what}");
-        let mut back = Vec::new();
-        for (id, manager) in town.managers.iter_mut().filter(|(_, manager)| manager.starts > 0) {
-            if !manager.runs() {
-                manager.ended();
+    while !condition(cluster) {
+        assert!(begun.elapsed() < crate::process::WAIT_TIMEOUT, "still waiting for {what}");
+        let mut restarted = Vec::new();
+        for (id, manager) in cluster.managers.iter_mut().filter(|(_, manager)| manager.start_count > 0) {
+            if !manager.is_running() {
+                manager.wait_for_exit();
                 manager.start();
-                back.push(*id);
+                restarted.push(*id);
             }
         }
-        if town.made.failover {
-            back.iter().for_each(|id| town.collect_at(*id));
+        if cluster.config.failover {
+            restarted.iter().for_each(|id| cluster.start_collectors_at(*id));
         }
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn run(town: &mut Town, course: Course) {
-    match course {
-        Course::Schedules => run_schedules(town),
-        Course::Zones => run_zones(town),
+fn run_workload(cluster: &mut TestCluster, workload: Workload) {
+    match workload {
+        Workload::Schedules => run_schedules(cluster),
+        Workload::Zones => run_zones(cluster),
     }
 }
 
-/// Work, a planned restart of the leader, work.
-fn run_schedules(town: &mut Town) {
-    let work = |town: &mut Town, more: usize| {
-        let count =
-            |town: &Town, of: &str| town.executor.ran().iter().filter(|ran| ran.schedule == of).count();
-        let before = SCHEDULES.map(|of| count(town, of));
-        let enough =
-            |town: &Town| SCHEDULES.iter().zip(before).all(|(of, before)| count(town, of) >= before + more);
-        until(town, &format!("{more} more effects of each schedule"), enough);
+/// Executions of schedules, a planned restart of the leader, and further executions.
+fn run_schedules(cluster: &mut TestCluster) {
+    let work = |cluster: &mut TestCluster, more: usize| {
+        let count = |cluster: &TestCluster, of: &str| {
+            cluster.executor.executions().iter().filter(|ran| ran.schedule == of).count()
+        };
+        let before = SCHEDULES.map(|of| count(cluster, of));
+        let enough = |cluster: &TestCluster| {
+            SCHEDULES.iter().zip(before).all(|(of, before)| count(cluster, of) >= before + more)
+        };
+        wait_until(cluster, &format!("{more} more effects of each schedule"), enough);
     };
-    work(town, 2);
-    if let Some(leader) = town.leader() {
-        let manager = town.manager(leader);
+    work(cluster, 2);
+    if let Some(leader) = cluster.leader() {
+        let manager = cluster.manager(leader);
         manager.terminate();
         manager.start();
     }
-    work(town, 2);
+    work(cluster, 2);
 }
 
-/// A zone is lost, one manager is cut off until its plan's lease is over, the zone comes back.
-fn run_zones(town: &mut Town) {
-    let last = |town: &Town, id: MemberId| {
-        let lines = town.managers[&id].lines();
+/// A zone fails, a manager is partitioned until the lease of its failover plan expires, and the zone recovers.
+fn run_zones(cluster: &mut TestCluster) {
+    let last_plan = |cluster: &TestCluster, id: MemberId| {
+        let lines = cluster.managers[&id].log_lines();
         lines.iter().rev().find_map(|line| Some(line.split_once("fleet: plan ")?.1.to_string()))
     };
-    let all: Vec<MemberId> = town.managers.keys().copied().collect();
-    let said = |town: &Town, id: MemberId, part: &str| last(town, id).is_some_and(|plan| plan.contains(part));
-    town.collect();
-    until(town, "a leader", |town| town.leader().is_some());
-    town.world.lose(&["b"]);
-    until(town, "the zone to be out", |town| all.iter().all(|id| said(town, *id, ": b 0.")));
-    let alone = all.iter().find(|id| Some(id.0) != town.leader()).copied().unwrap_or(MemberId(1));
-    let starts = town.managers[&alone].starts;
-    let lapsed = town.managers[&alone].count("is over: all zones whole");
-    town.between(&[alone.0], State::Silent);
-    // Or it died meanwhile: alone as it is it starts without a plan.
-    let over = |town: &Town| {
-        let manager = &town.managers[&alone];
-        manager.count("is over: all zones whole") > lapsed || manager.starts > starts
+    let all: Vec<MemberId> = cluster.managers.keys().copied().collect();
+    let last_plan_contains = |cluster: &TestCluster, id: MemberId, part: &str| {
+        last_plan(cluster, id).is_some_and(|plan| plan.contains(part))
+    };
+    cluster.start_collectors();
+    wait_until(cluster, "a leader", |cluster| cluster.leader().is_some());
+    cluster.zone_faults.set_lost(&["b"]);
+    wait_until(cluster, "the zone to be out", |cluster| {
+        all.iter().all(|id| last_plan_contains(cluster, *id, ": b 0."))
+    });
+    let isolated = all.iter().find(|id| Some(id.0) != cluster.leader()).copied().unwrap_or(MemberId(1));
+    let starts_before = cluster.managers[&isolated].start_count;
+    let expiries_before = cluster.managers[&isolated].count_log_lines("is over: all zones whole");
+    cluster.set_links_across(&[isolated.0], LinkState::Silent);
+    // Or it died meanwhile: while partitioned it restarts without a plan.
+    let over = |cluster: &TestCluster| {
+        let manager = &cluster.managers[&isolated];
+        manager.count_log_lines("is over: all zones whole") > expiries_before
+            || manager.start_count > starts_before
     };
-    until(town, "the lease to be over", over);
-    town.heal();
-    town.world.lose(&[]);
-    until(town, "the zone to be back", |town| all.iter().all(|id| said(town, *id, "all zones whole")));
+    wait_until(cluster, "the lease to be over", over);
+    cluster.heal_links();
+    cluster.zone_faults.set_lost(&[]);
+    wait_until(cluster, "the zone to be back", |cluster| {
+        all.iter().all(|id| last_plan_contains(cluster, *id, "all zones whole"))
+    });
 }
 
-fn play(play: Play) -> Outcome {
-    let course = course(play.point);
-    let mut town = Town::new(made(course));
-    let Play { point, fault, passing, everywhere } = play;
-    let once = town.folder.join("once").display().to_string();
-    for manager in town.managers.values_mut() {
-        let word = format!("{}:{passing}:{}", point.0, fault.name());
-        manager.once.insert("JUNIPERRAIL_POINTS".into(), word);
-        if !everywhere {
-            manager.once.insert("JUNIPERRAIL_POINTS_ONCE".into(), once.clone());
+/// Runs one case in a cluster of its own.
+fn run_case(case: FaultCase) -> CaseOutcome {
+    let workload = workload(case.point);
+    let mut cluster = TestCluster::new(cluster_config(workload));
+    let FaultCase { point, fault, passing, at_all_managers } = case;
+    let once = cluster.folder.join("once").display().to_string();
+    for manager in cluster.managers.values_mut() {
+        let setting = format!("{}:{passing}:{}", point.0, fault.name());
+        manager.next_start_env.insert("JUNIPERRAIL_POINTS".into(), setting);
+        if !at_all_managers {
+            manager.next_start_env.insert("JUNIPERRAIL_POINTS_ONCE".into(), once.clone());
         }
         manager.start();
     }
-    let ran = catch_unwind(AssertUnwindSafe(|| run(&mut town, course)));
-    let shown = format!("{point}: {}", fault.name());
-    let reached = town.managers.values().any(|manager| manager.count(&shown) > 0);
-    let mut broken = Checks::of(&town, &["grade"]).broken;
-    if let Err(why) = ran {
-        let text =
-            why.downcast_ref::<String>().cloned().or(why.downcast_ref::<&str>().map(|text| text.to_string()));
-        broken.push(text.unwrap_or_else(|| "it did not go on".into()));
+    let ran = catch_unwind(AssertUnwindSafe(|| run_workload(&mut cluster, workload)));
+    let announcement = format!("{point}: {}", fault.name());
+    let reached = cluster.managers.values().any(|manager| manager.count_log_lines(&announcement) > 0);
+    let mut violations = InvariantReport::check(&cluster, &["grade"]).violations;
+    if let Err(panic) = ran {
+        let text = panic
+            .downcast_ref::<String>()
+            .cloned()
+            .or(panic.downcast_ref::<&str>().map(|text| text.to_string()));
+        violations.push(text.unwrap_or_else(|| "it did not go on".into()));
     }
-    if !broken.is_empty() {
-        for (id, manager) in &town.managers {
-            let lines = manager.lines();
-            eprintln!("{play:?} {id}:\n{}", lines[lines.len().saturating_sub(40)..].join("\n"));
+    if !violations.is_empty() {
+        for (id, manager) in &cluster.managers {
+            let lines = manager.log_lines();
+            eprintln!("{case:?} {id}:\n{}", lines[lines.len().saturating_sub(40)..].join("\n"));
         }
     }
-    Outcome { play, reached, broken }
+    CaseOutcome { case, reached, violations }
 }
 
-/// Plays all, some at once.
-pub fn sweep(plays: &[Play], at_once: usize) -> Sweep {
-    let (next, outcomes) = (Mutex::new(plays.iter()), Mutex::new(Vec::new()));
+/// Runs all cases, `parallelism` of them at a time.
+pub fn run_sweep(cases: &[FaultCase], parallelism: usize) -> SweepReport {
+    let (next, outcomes) = (Mutex::new(cases.iter()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..at_once {
+        for _ in 0..parallelism {
             scope.spawn(|| loop {
-                let Some(one) = next.lock().expect("no play panics").next().copied() else { return };
-                let outcome = play(one);
-                outcomes.lock().expect("no play panics").push(outcome);
+                let Some(case) = next.lock().expect("no case panics").next().copied() else { return };
+                let outcome = run_case(case);
+                outcomes.lock().expect("no case panics").push(outcome);
             });
         }
     });
-    let outcomes: Vec<Outcome> = outcomes.into_inner().expect("no play panics");
+    let outcomes: Vec<CaseOutcome> = outcomes.into_inner().expect("no case panics");
     let reached =
-        |point: &Point| outcomes.iter().any(|outcome| outcome.play.point == *point && outcome.reached);
-    let mut unreached: Unreached =
-        plays.iter().map(|play| play.point).filter(|point| !reached(point)).collect();
+        |point: &Point| outcomes.iter().any(|outcome| outcome.case.point == *point && outcome.reached);
+    let mut unreached: Vec<Point> =
+        cases.iter().map(|case| case.point).filter(|point| !reached(point)).collect();
     unreached.sort();
     unreached.dedup();
-    Sweep { outcomes, unreached }
+    SweepReport { outcomes, unreached }
 }
