--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -2,7 +2,9 @@
 //! which relay it learns of the next. Nothing here reads a socket, a file or a clock.
 
 mod list_reader;
+mod relay_choice;
 mod scope;
 
 pub use list_reader::{ListEnd, ListError, ListEvent, ListLimits, ListReader};
+pub use relay_choice::{RelayChoice, RelayFailure, Retry};
 pub use scope::{Place, Scope, ScopeError};
--- /dev/null
+++ b/crates/distribution/tests/relay_choice.rs
@@ -0,0 +1,164 @@
+//! Which relay each of a fleet's managers asks, and what becomes of them when relays fail.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use juniperrail_distribution::{RelayChoice, RelayFailure, Retry};
+
+const RELAYS: u8 = 51;
+const MANAGERS: usize = 17_000;
+
+fn relays() -> Vec<SocketAddr> {
+    (0..RELAYS).map(|place| SocketAddr::from(([10, 0, 7, place], 7100))).collect()
+}
+
+fn choices(relays: &[SocketAddr]) -> Vec<RelayChoice> {
+    let choice = |place| RelayChoice::new(&format!("manager-{place}"), relays.iter().copied()).unwrap();
+    (0..MANAGERS).map(choice).collect()
+}
+
+fn counted(choices: impl Iterator<Item = SocketAddr>) -> BTreeMap<SocketAddr, usize> {
+    let mut counts = BTreeMap::new();
+    choices.for_each(|relay| *counts.entry(relay).or_default() += 1);
+    counts
+}
+
+#[test]
+fn managers_spread_evenly_over_the_relays_whatever_the_order_of_the_file() {
+    let relays = relays();
+    let counts = counted(choices(&relays).iter().map(RelayChoice::current));
+    // 333 on average; four standard deviations of a fair draw are 72.
+    assert_eq!(counts.len(), relays.len());
+    assert!(counts.values().all(|count| (261..=405).contains(count)), "{counts:?}");
+    let reversed: Vec<SocketAddr> = relays.iter().rev().copied().collect();
+    let pairs = choices(&relays).into_iter().zip(choices(&reversed));
+    assert!(pairs.into_iter().all(|(one, other)| one.current() == other.current()));
+}
+
+#[test]
+fn the_order_of_preference_is_the_same_in_every_build() {
+    let relays: Vec<SocketAddr> = (1..=3).map(|place| SocketAddr::from(([127, 0, 0, place], 7100))).collect();
+    let first: Vec<SocketAddr> = ["n0", "n1", "n2", "n3"]
+        .map(|name| RelayChoice::new(name, relays.iter().copied()).unwrap().current())
+        .to_vec();
+    assert_eq!(first, EXPECTED.map(|place| relays[place]));
+}
+
+/// Computed once; another hash, or another wording of what is hashed, would move a whole fleet at an upgrade.
+const EXPECTED: [usize; 4] = [0, 2, 1, 0];
+
+#[test]
+fn a_dead_relay_moves_its_own_managers_alone_and_these_spread_evenly() {
+    let relays = relays();
+    let dead = relays[17];
+    let alive: Vec<SocketAddr> = relays.iter().copied().filter(|relay| *relay != dead).collect();
+    let mut rng = fastrand::Rng::with_seed(5);
+    let mut moved = Vec::new();
+    for (mut choice, without) in choices(&relays).into_iter().zip(choices(&alive)) {
+        if choice.current() != dead {
+            assert_eq!(choice.current(), without.current(), "it stays where it is");
+            continue;
+        }
+        choice.failed(RelayFailure::Broken, &mut rng);
+        assert_eq!(choice.current(), without.current(), "its next is its first without the dead one");
+        moved.push(choice.current());
+    }
+    let counts = counted(moved.iter().copied());
+    // Some 333 over 50: 6.7 on average, and nowhere near one relay taking all.
+    assert!((261..=405).contains(&moved.len()), "{}", moved.len());
+    assert!(counts.len() >= 45 && counts.values().all(|count| *count <= 18), "{counts:?}");
+}
+
+#[test]
+fn a_round_tries_every_relay_once_and_the_next_begins_with_the_first() {
+    let mut choice = RelayChoice::new("n0", relays()).unwrap();
+    let mut rng = fastrand::Rng::with_seed(5);
+    let first = choice.current();
+    let mut tried = BTreeSet::new();
+    for _ in 0..RELAYS {
+        assert!(tried.insert(choice.current()), "{} is tried twice", choice.current());
+        choice.failed(RelayFailure::Broken, &mut rng);
+    }
+    assert_eq!((tried.len(), choice.current()), (RELAYS.into(), first));
+}
+
+#[test]
+fn a_relay_that_serves_is_kept_and_the_round_begins_with_it() {
+    let mut rng = fastrand::Rng::with_seed(5);
+    let mut choice = RelayChoice::new("n0", relays()).unwrap();
+    let first = choice.current();
+    choice.failed(RelayFailure::Broken, &mut rng);
+    let second = choice.current();
+    choice.succeeded();
+    assert_eq!(choice.current(), second, "it does not go back");
+    for _ in 1..RELAYS {
+        let retry = choice.failed(RelayFailure::Broken, &mut rng);
+        assert!(retry.wait < Duration::from_millis(1501), "within the round: {retry:?}");
+    }
+    assert_eq!(choice.current(), first, "the last of a round that began with the second");
+}
+
+#[test]
+fn waits_are_short_at_first_grow_stay_bounded_and_differ() {
+    let first_waits: BTreeSet<Duration> = (0..64)
+        .map(|seed| {
+            let mut choice = RelayChoice::new("n0", relays()).unwrap();
+            choice.failed(RelayFailure::Broken, &mut fastrand::Rng::with_seed(seed)).wait
+        })
+        .collect();
+    assert!(first_waits.len() > 60, "managers that fail together come apart");
+    assert!(first_waits.iter().all(|wait| (25..=75).contains(&wait.as_millis())), "{first_waits:?}");
+
+    let mut choice = RelayChoice::new("n0", relays()).unwrap();
+    let mut rng = fastrand::Rng::with_seed(5);
+    let mut between_rounds = Vec::new();
+    for _ in 0..12 {
+        let waits: Vec<Duration> =
+            (0..RELAYS).map(|_| choice.failed(RelayFailure::Broken, &mut rng).wait).collect();
+        let (last, within) = waits.split_last().unwrap();
+        assert!(within.iter().all(|wait| *wait <= Duration::from_millis(1500)), "{within:?}");
+        between_rounds.push(*last);
+    }
+    for (round, wait) in between_rounds.iter().enumerate() {
+        let middle = Duration::from_secs(1).mul_f64(2f64.powi(round as i32)).min(Duration::from_secs(8));
+        assert!((middle / 2..=middle * 3 / 2).contains(wait), "round {round}: {wait:?}");
+    }
+    choice.succeeded();
+    let again = choice.failed(RelayFailure::Broken, &mut rng).wait;
+    assert!(again <= Duration::from_millis(75), "after a success it is short again: {again:?}");
+}
+
+#[test]
+fn only_a_whole_round_of_relays_behind_shows_that_the_source_began_anew() {
+    let mut rng = fastrand::Rng::with_seed(5);
+    let mut round = |choice: &mut RelayChoice, broken: Option<u8>| -> Vec<bool> {
+        let failure = |place| match broken == Some(place) {
+            true => RelayFailure::Broken,
+            false => RelayFailure::Behind,
+        };
+        let retries: Vec<Retry> = (0..RELAYS).map(|place| choice.failed(failure(place), &mut rng)).collect();
+        retries.iter().map(|retry| retry.whole_list).collect()
+    };
+    let mut choice = RelayChoice::new("n0", relays()).unwrap();
+    for broken in [0, 20, RELAYS - 1] {
+        assert!(round(&mut choice, Some(broken)).iter().all(|whole| !whole), "{broken} said nothing");
+    }
+    let (last, before) = round(&mut choice, None).split_last().map(|(l, b)| (*l, b.to_vec())).unwrap();
+    assert!(last && before.iter().all(|whole| !whole), "not before the last of them");
+    // Who serves in between ends the round: what was behind before it counts no more.
+    choice.failed(RelayFailure::Behind, &mut fastrand::Rng::with_seed(1));
+    choice.succeeded();
+    assert!(round(&mut choice, Some(RELAYS - 1)).iter().all(|whole| !whole));
+}
+
+#[test]
+fn a_single_relay_is_asked_again_and_without_any_there_is_no_choice() {
+    let only = SocketAddr::from(([127, 0, 0, 1], 7100));
+    let mut choice = RelayChoice::new("n0", [only, only]).unwrap();
+    let mut rng = fastrand::Rng::with_seed(5);
+    assert!(!choice.failed(RelayFailure::Broken, &mut rng).whole_list);
+    assert_eq!(choice.current(), only);
+    assert!(choice.failed(RelayFailure::Behind, &mut rng).whole_list);
+    assert!(RelayChoice::new("n0", []).is_none());
+}
