--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -6,5 +6,5 @@
 mod scope;
 
 pub use list_reader::{ListEnd, ListError, ListEvent, ListLimits, ListReader};
-pub use relay_choice::{RelayChoice, RelayFailure, Retry};
+pub use relay_choice::{RelayChoice, RelayFailure, Retry, Round};
 pub use scope::{Place, Scope, ScopeError};
--- a/crates/distribution/src/relay_choice.rs
+++ b/crates/distribution/src/relay_choice.rs
@@ -27,14 +27,24 @@
     Behind,
 }
 
+/// How far a subscriber has come in asking every relay.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Round {
+    /// There are relays that it has not asked yet.
+    UnderWay,
+    /// It has asked every relay, and none served.
+    Over,
+    /// It has asked every relay, and every one was behind, so that the source itself has begun anew: the whole list is
+    /// to be asked for, and taken whatever its version is.
+    AllBehind,
+}
+
 /// When, and how, the next relay is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retry {
     /// How long to wait before.
     pub wait: Duration,
-    /// Every relay of a whole round was behind, so that the source itself has begun anew: the whole list is to be
-    /// asked for, and taken whatever its version is.
-    pub whole_list: bool,
+    pub round: Round,
 }
 
 /// The relays of one subscriber in its order of preference, and where in it the subscriber is.
@@ -76,22 +86,32 @@
         self.current = (self.current + 1) % self.order.len();
         self.failed += 1;
         self.behind += usize::from(failure == RelayFailure::Behind);
-        if self.failed < self.order.len() {
-            let wait = match failure {
-                RelayFailure::Behind => FIRST_WAIT,
-                RelayFailure::Broken => doubled(FIRST_WAIT, self.failed as u32 - 1, LONGEST_WAIT_IN_ROUND),
-            };
-            return Retry { wait: jittered(wait, rng), whole_list: false };
+        let (wait, round) = if self.failed < self.order.len() {
+            (self.wait_in_round(failure), Round::UnderWay)
+        } else {
+            self.end_round()
+        };
+        Retry { wait: jittered(wait, rng), round }
+    }
+
+    fn wait_in_round(&self, failure: RelayFailure) -> Duration {
+        match failure {
+            // It works, so that the next may soon be asked the same short question.
+            RelayFailure::Behind => FIRST_WAIT,
+            RelayFailure::Broken => doubled(FIRST_WAIT, self.failed as u32 - 1, LONGEST_WAIT_IN_ROUND),
         }
-        let whole_list = self.behind == self.order.len();
+    }
+
+    fn end_round(&mut self) -> (Duration, Round) {
+        let all_behind = self.behind == self.order.len();
         (self.failed, self.behind) = (0, 0);
-        if whole_list {
+        if all_behind {
             self.rounds = 0;
-            return Retry { wait: jittered(FIRST_WAIT, rng), whole_list };
+            return (FIRST_WAIT, Round::AllBehind);
         }
         let wait = doubled(FIRST_WAIT_BETWEEN_ROUNDS, self.rounds, LONGEST_WAIT_BETWEEN_ROUNDS);
         self.rounds = self.rounds.saturating_add(1);
-        Retry { wait: jittered(wait, rng), whole_list }
+        (wait, Round::Over)
     }
 }
 
--- a/crates/distribution/tests/relay_choice.rs
+++ b/crates/distribution/tests/relay_choice.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use juniperrail_distribution::{RelayChoice, RelayFailure, Retry};
+use juniperrail_distribution::{RelayChoice, RelayFailure, Retry, Round};
 
 const RELAYS: u8 = 51;
 const MANAGERS: usize = 17_000;
@@ -132,24 +132,29 @@
 #[test]
 fn only_a_whole_round_of_relays_behind_shows_that_the_source_began_anew() {
     let mut rng = fastrand::Rng::with_seed(5);
-    let mut round = |choice: &mut RelayChoice, broken: Option<u8>| -> Vec<bool> {
+    let mut round = |choice: &mut RelayChoice, broken: Option<u8>| -> Vec<Round> {
         let failure = |place| match broken == Some(place) {
             true => RelayFailure::Broken,
             false => RelayFailure::Behind,
         };
         let retries: Vec<Retry> = (0..RELAYS).map(|place| choice.failed(failure(place), &mut rng)).collect();
-        retries.iter().map(|retry| retry.whole_list).collect()
+        retries.iter().map(|retry| retry.round).collect()
     };
     let mut choice = RelayChoice::new("n0", relays()).unwrap();
     for broken in [0, 20, RELAYS - 1] {
-        assert!(round(&mut choice, Some(broken)).iter().all(|whole| !whole), "{broken} said nothing");
+        let rounds = round(&mut choice, Some(broken));
+        let (last, before) = rounds.split_last().unwrap();
+        assert_eq!(*last, Round::Over, "{broken} said nothing");
+        assert!(before.iter().all(|round| *round == Round::UnderWay), "{before:?}");
     }
-    let (last, before) = round(&mut choice, None).split_last().map(|(l, b)| (*l, b.to_vec())).unwrap();
-    assert!(last && before.iter().all(|whole| !whole), "not before the last of them");
+    let rounds = round(&mut choice, None);
+    let (last, before) = rounds.split_last().unwrap();
+    assert_eq!(*last, Round::AllBehind);
+    assert!(before.iter().all(|round| *round == Round::UnderWay), "not before the last of them: {before:?}");
     // Who serves in between ends the round: what was behind before it counts no more.
     choice.failed(RelayFailure::Behind, &mut fastrand::Rng::with_seed(1));
     choice.succeeded();
-    assert!(round(&mut choice, Some(RELAYS - 1)).iter().all(|whole| !whole));
+    assert_eq!(round(&mut choice, Some(RELAYS - 1)).last(), Some(&Round::Over));
 }
 
 #[test]
@@ -157,8 +162,8 @@
     let only = SocketAddr::from(([127, 0, 0, 1], 7100));
     let mut choice = RelayChoice::new("n0", [only, only]).unwrap();
     let mut rng = fastrand::Rng::with_seed(5);
-    assert!(!choice.failed(RelayFailure::Broken, &mut rng).whole_list);
+    assert_eq!(choice.failed(RelayFailure::Broken, &mut rng).round, Round::Over);
     assert_eq!(choice.current(), only);
-    assert!(choice.failed(RelayFailure::Behind, &mut rng).whole_list);
+    assert_eq!(choice.failed(RelayFailure::Behind, &mut rng).round, Round::AllBehind);
     assert!(RelayChoice::new("n0", []).is_none());
 }
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -100,6 +100,16 @@
         self.told.insert(name.to_string(), Told { listed, address, phase_at, weight_at });
     }
 
+    /// Discovery's word on the phase alone; what else it said of the worker holds. It brings nobody back: false, and
+    /// nothing changes, where discovery names no such worker or said that it is gone.
+    pub fn tell_phase(&mut self, name: &str, phase: Phase) -> bool {
+        let told = self.told.get(name).filter(|told| told.listed.phase != Phase::Gone);
+        let Some(told) = told.cloned() else { return false };
+        let address = told.address.filter(|_| phase != Phase::Gone);
+        self.tell(name, Listed { phase, ..told.listed }, address);
+        true
+    }
+
     /// A whole list came: those that it does not name are gone, as if it had said so. Their names are returned.
     pub fn only(&mut self, named: &dyn Fn(&str) -> bool) -> Vec<String> {
         let gone = |(name, told): (&String, &Told)| {
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -414,3 +414,50 @@
     cluster.settle(stream);
     assert_eq!(cluster.0.strains(now + 2000.0), Vec::<String>::new(), "answered");
 }
+
+#[test]
+fn whoever_leaves_the_scope_drains_where_it_was_until_it_is_gone_or_back() {
+    use crate::scope_filter::ScopeFilter;
+    use juniperrail_distribution::Scope;
+
+    let mut cluster = TestCluster::new();
+    cluster.turn();
+    let mut filter = ScopeFilter::new(Scope::new(["a".to_string()], []));
+    let mut list = |cluster: &mut TestCluster, full: bool, entries: &[(&str, &str, &str)]| {
+        let entry = |(id, zone, lifecycle): &(&str, &str, &str)| {
+            format!(r#"{{"instanceId":"{id}","zone":"{zone}","lifecycle":"{lifecycle}","weight":1}}"#)
+        };
+        let entries: Vec<String> = entries.iter().map(entry).collect();
+        let listing = format!(r#"{{"generation":5,"reset":{full},"instances":[{}]}}"#, entries.join(","));
+        let listing = filter.filter(serde_json::from_str(&listing).unwrap());
+        cluster.0.hear(Inbound::Listing(listing));
+        cluster.turn();
+    };
+    let place = |cluster: &TestCluster, name: &str| {
+        let state = cluster.0.state();
+        let worker = state.workers.into_iter().find(|worker| worker.name == name);
+        worker.map(|worker| (worker.composed.listed.phase, worker.zone))
+    };
+    let in_zone_a = |phase: Phase| Some((phase, "a".to_string()));
+
+    list(&mut cluster, true, &[("s-1", "a", "ready"), ("s-2", "a", "ready"), ("s-9", "b", "ready")]);
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Ready));
+    assert_eq!(place(&cluster, "s-9"), None);
+    list(&mut cluster, false, &[("s-1", "b", "ready"), ("s-9", "b", "draining")]);
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "by changes");
+    list(&mut cluster, true, &[("s-1", "b", "ready"), ("s-2", "c", "draining")]);
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "a whole list that names it elsewhere");
+    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Draining), "by a whole list");
+    list(&mut cluster, false, &[("s-1", "a", "ready"), ("s-2", "c", "gone")]);
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Ready), "it is back");
+    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "told as gone where it is");
+    list(&mut cluster, false, &[("s-2", "c", "ready"), ("s-1", "b", "ready")]);
+    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "nobody comes back elsewhere");
+    list(&mut cluster, true, &[]);
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Gone), "a whole list lacks it");
+    let names = &cluster.0.names;
+    assert_eq!(
+        (names.workers.known("s-9"), names.zones.known("b"), names.zones.known("c")),
+        (None, None, None)
+    );
+}
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -15,6 +15,8 @@
 
 use crate::listing::Listing;
 use crate::presence::Patience;
+use crate::scope_filter::ScopeFilter;
+use crate::subscription::Subscription;
 
 /// All that a manager is told at its start, checked.
 pub struct Launch {
@@ -30,6 +32,10 @@
     pub(crate) patience: Patience,
     /// What the operator's file says, if it says anything.
     pub(crate) operator: Option<Operator>,
+    /// Which part of the list is needed, and from whom it is taken.
+    pub(crate) subscription: Subscription,
+    /// Keeps to that part; `None` where all of the list is needed.
+    pub(crate) filter: Option<ScopeFilter>,
 }
 
 /// The operator's file as read at the start.
@@ -166,6 +172,8 @@
             names,
             zones,
             operator: None,
+            subscription: Subscription::default(),
+            filter: None,
         })
     }
 
@@ -173,6 +181,7 @@
     pub fn check_operator_data(data: &Data) -> Result<(), String> {
         let schema = Arc::new(juniperrail_model::schema());
         crate::fleet::setting(&OperatorFile::new(""), &schema, data, 0, &Start::default())?;
+        Subscription::read(&schema, data)?;
         Datastores::new(schema, 0.0, data.clone()).map(drop).map_err(|refused| refused.to_string())
     }
 
@@ -207,7 +216,19 @@
         if let Some(refusal) = judge_alone(&world, &intent).first() {
             return Err(format!("{shown}: {}: {refusal}", refusal.path()));
         }
+        let subscription = Subscription::read(&schema, &data).map_err(|why| format!("{shown}: {why}"))?;
         self.operator = Some(Operator { file, schema, data, intent, fleet });
-        Ok(self)
+        Ok(self.subscribed(subscription))
+    }
+
+    /// Keeps to the scope from the list last held on.
+    fn subscribed(mut self, subscription: Subscription) -> Launch {
+        if !subscription.scope.is_everything() {
+            let mut filter = ScopeFilter::new(subscription.scope.clone());
+            self.known = self.known.map(|known| filter.filter(known));
+            self.filter = Some(filter);
+        }
+        self.subscription = subscription;
+        self
     }
 }
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -21,6 +21,7 @@
 mod launch;
 mod limiter;
 mod lines;
+mod list_assembler;
 mod listening;
 mod listing;
 mod north;
@@ -29,9 +30,12 @@
 mod probes;
 mod reload;
 mod roster;
+mod scope_filter;
 mod streams;
+mod subscription;
 mod tally;
 mod text;
+mod upstream;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -119,7 +123,7 @@
 
     /// Serves for good. Dropping the future stops the manager and ends all its connections.
     pub async fn serve(self) {
-        let Manager { launch, listener, address, reloader, north, fleet } = self;
+        let Manager { mut launch, listener, address, reloader, north, fleet } = self;
         let fixed = launch.fixed.clone();
         let (inbound, inbox) = mpsc::channel(INBOX);
         let resync = Rc::new(Notify::new());
@@ -130,12 +134,7 @@
         launch.zones.iter().for_each(|zone| zones.name(zone));
         let budget = limiter::Budget::new(fixed.sockets, proxies.into(), launch.zones.len());
         let probes = probes::probes(fixed.dial_within, answer_within, budget.probes);
-        let watch = discovery::Watch {
-            held: launch.known.as_ref().map(|known| known.version),
-            behind: None,
-            rng: fastrand::Rng::with_seed(launch.seed),
-            inbound: inbound.clone(),
-        };
+        let watch = discovery::Watch::new(&mut launch, reloader.discovery(), inbound.clone());
         let context = Rc::new(streams::AcceptorContext {
             inbound: inbound.clone(),
             proxies,
@@ -156,7 +155,7 @@
         let tasks = async {
             tokio::join!(
                 decider.run(inbox),
-                watch.run(reloader.discovery(), &resync),
+                watch.run(&resync),
                 streams::accept(listener, context, fixed.tick)
             );
         };
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -5,7 +5,7 @@
 
 use juniperrail_interface::*;
 use juniperrail_start::Names;
-use serde::Deserialize;
+use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
 /// A list or its changes, as discovery words them; what no decision needs is not even read.
@@ -16,7 +16,30 @@
     #[serde(default, rename = "reset")]
     pub full: bool,
     #[serde(default)]
-    instances: Vec<Box<RawValue>>,
+    pub instances: Vec<Instance>,
+}
+
+/// One element of a list.
+#[derive(Debug)]
+pub enum Instance {
+    /// An entry, as discovery words it.
+    Entry(Box<RawValue>),
+    /// A worker that is held has left the scope; nothing else of its entry is kept.
+    Departure(Departure),
+}
+
+impl<'de> Deserialize<'de> for Instance {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Instance, D::Error> {
+        Box::<RawValue>::deserialize(from).map(Instance::Entry)
+    }
+}
+
+/// A worker that has left the scope of this manager.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Departure {
+    pub worker: String,
+    /// What it is for this manager from now on: draining, or gone if it is.
+    pub phase: Phase,
 }
 
 #[derive(Deserialize)]
@@ -37,9 +60,15 @@
     started_at_ms: Option<f64>,
 }
 
+/// One element of a list that can be read.
+pub enum ReadEntry {
+    Listed { listed: Listed, address: Option<SocketAddr> },
+    Departure(Departure),
+}
+
+/// A list as far as it can be read.
 pub struct Entries {
-    /// Each with its address.
-    pub read: Vec<(Listed, Option<SocketAddr>)>,
+    pub read: Vec<ReadEntry>,
     /// Whom the entries that can't be read are about, as far as at least that can be.
     pub unread: Vec<Option<String>>,
 }
@@ -54,16 +83,31 @@
 impl Listing {
     /// What can be read; the other entries are passed over with a log line.
     pub fn entries(&self, names: &mut Names) -> Entries {
-        let read: Vec<_> = self.instances.iter().map(|raw| entry(raw.get(), names)).collect();
-        let odd: Vec<&String> = read.iter().filter_map(|entry| entry.as_ref().err()).collect();
-        if let Some(last) = odd.last() {
-            tracing::warn!("list {}: {} entries are passed over, the last: {last}", self.version, odd.len());
+        let mut entries = Entries { read: Vec::with_capacity(self.instances.len()), unread: Vec::new() };
+        let mut last_fault = None;
+        for instance in &self.instances {
+            let raw = match instance {
+                Instance::Entry(raw) => raw.get(),
+                Instance::Departure(departure) => {
+                    entries.read.push(ReadEntry::Departure(departure.clone()));
+                    continue;
+                }
+            };
+            match entry(raw, names) {
+                Ok((listed, address)) => entries.read.push(ReadEntry::Listed { listed, address }),
+                Err(fault) => {
+                    entries
+                        .unread
+                        .push(serde_json::from_str(raw).ok().map(|About { instance_id }| instance_id));
+                    last_fault = Some(fault);
+                }
+            }
+        }
+        if let Some(last) = last_fault {
+            let odd = entries.unread.len();
+            tracing::warn!("list {}: {odd} entries are passed over, the last: {last}", self.version);
         }
-        let unread = self.instances.iter().zip(&read).filter(|(_, entry)| entry.is_err());
-        let about =
-            |raw: &RawValue| serde_json::from_str(raw.get()).ok().map(|About { instance_id }| instance_id);
-        let unread = unread.map(|(raw, _)| about(raw)).collect();
-        Entries { read: read.into_iter().flatten().collect(), unread }
+        entries
     }
 }
 
--- a/crates/manager/src/reload.rs
+++ b/crates/manager/src/reload.rs
@@ -11,11 +11,15 @@
 pub struct Reloader {
     fixed: Fixed,
     discovery: watch::Sender<SocketAddr>,
+    /// The list is taken from relays, so that nobody dials discovery.
+    relayed: bool,
 }
 
 impl Reloader {
     pub(crate) fn new(launch: &Launch) -> Reloader {
-        Reloader { fixed: launch.fixed.clone(), discovery: watch::Sender::new(launch.discovery) }
+        let discovery = watch::Sender::new(launch.discovery);
+        let relayed = !launch.subscription.relays.is_empty();
+        Reloader { fixed: launch.fixed.clone(), discovery, relayed }
     }
 
     pub(crate) fn discovery(&self) -> watch::Receiver<SocketAddr> {
@@ -32,8 +36,12 @@
         for what in self.fixed.other_than(&launch.fixed) {
             tracing::warn!("{what} cannot change while running and stays as it was");
         }
-        self.discovery
+        let moved = self
+            .discovery
             .send_if_modified(|known| std::mem::replace(known, launch.discovery) != launch.discovery);
+        if moved && self.relayed {
+            tracing::warn!("that discovery has moved has no effect: the list is taken from relays");
+        }
         tracing::info!("the configuration was read again: discovery is at {}", launch.discovery);
     }
 }
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -7,7 +7,7 @@
 use juniperrail_interface::*;
 use juniperrail_start::Names;
 
-use crate::listing::{Entries, Listing};
+use crate::listing::{Departure, Entries, Listing, ReadEntry};
 
 #[derive(Default)]
 pub struct Roster {
@@ -32,9 +32,21 @@
             self.listed.clear();
             self.addresses.clear();
         }
-        for (listed, address) in entries {
-            let name = names.workers.name(listed.worker.0).to_string();
-            self.composer.tell(&name, listed, address);
+        for entry in entries {
+            let name = match entry {
+                ReadEntry::Listed { listed, address } => {
+                    let name = names.workers.name(listed.worker.0).to_string();
+                    self.composer.tell(&name, listed, address);
+                    name
+                }
+                ReadEntry::Departure(Departure { worker, phase }) => {
+                    // Whom discovery does not name here any more can't leave either.
+                    if !self.composer.tell_phase(&worker, phase) {
+                        continue;
+                    }
+                    worker
+                }
+            };
             workers.extend(self.told(&name, names));
             named.insert(name);
         }
