--- a/crates/distribution/src/relay_choice.rs
+++ b/crates/distribution/src/relay_choice.rs
@@ -44,6 +44,7 @@
 pub struct Retry {
     /// How long to wait before.
     pub wait: Duration,
+    /// Whether there are relays left to ask before.
     pub round: Round,
 }
 
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -480,3 +480,22 @@
     watch.chunk(&change(42, "s-1", "a", "draining"));
     proxy.line_with("out=s-1");
 }
+
+#[test]
+fn a_list_that_a_relay_sends_at_a_pace_is_taken_though_its_line_takes_longer_than_a_silence() {
+    let (relays, manager) = Relays::of_zone_a("pace");
+    let mut proxy = Answering::joined(manager.address, 1);
+    proxy.line_with("whole=1");
+    let mut watch = relays.watch_from(0, 41);
+    let entries = ["s-1", "s-2", "s-3", "s-4"].map(|id| entry(id, "a", "draining"));
+    watch.chunk(r#"{"generation":42,"reset":true,"instances":["#);
+    // An entry every 2 s: a line of 8 s, of which no 4 s pass in silence.
+    for (place, entry) in entries.iter().enumerate() {
+        let comma = if place > 0 { "," } else { "" };
+        watch.chunk(&format!("{comma}{entry}"));
+        thread::sleep(Duration::from_secs(2));
+    }
+    watch.chunk("]}\n");
+    proxy.line_with("out=s-1,s-2,s-3");
+    assert!(relays.next_connection(1).is_none(), "nobody else is asked");
+}
