--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -18,7 +18,7 @@
 use tower::ServiceExt;
 
 use crate::clock::Clock;
-use crate::fleet::{self, Witness};
+use crate::fleet::{self, EvidenceCollector};
 use crate::inbound::{Hello, Inbound, Outbox, StreamId};
 use crate::launch::Launch;
 use crate::limiter::Zones;
@@ -39,7 +39,7 @@
 const NEAR: (f64, f64) = (0.8, 0.6);
 
 /// How far the open changes have come is looked at no more often.
-const LOOK_EVERY: Ms = 5.0;
+const PROGRESS_CHECK_EVERY: Ms = 5.0;
 
 /// The ways to and from the north, where there is one.
 pub struct North {
@@ -62,9 +62,10 @@
     presence: Presence,
     roster: Roster,
     progress: Progress,
-    looked: Ms,
+    progress_checked_at: Ms,
     wakes: Vec<(Ms, String)>,
-    heard: Vec<Event>,
+    /// What the next turn is told.
+    events: Vec<Event>,
     tally: Tally,
     /// What is added to the module's marks as they go out, and the last that did. Guards against answers to marks of a
     /// module that failed: the next one counts from the start again.
@@ -80,7 +81,7 @@
     /// Who may come from where, for whoever takes connections.
     zones: Rc<Zones>,
     /// What is decided in common, and what is told of it.
-    fleet: Option<(Common, Witness)>,
+    fleet: Option<(Common, EvidenceCollector)>,
 }
 
 impl Decider {
@@ -109,9 +110,9 @@
             presence: Presence::new(launch.patience),
             roster: Roster::default(),
             progress: Progress::default(),
-            looked: 0.0,
+            progress_checked_at: 0.0,
             wakes: Vec::new(),
-            heard: Vec::new(),
+            events: Vec::new(),
             tally: Tally::default(),
             marks: (0, 0),
             failed: (0, 0.0),
@@ -124,29 +125,29 @@
             fleet: None,
         };
         let known = launch.known.unwrap_or_default();
-        let event = decider.roster.hear(&known, ListKind::Remembered, &mut decider.names);
-        decider.list(event);
+        let event = decider.roster.apply_list(&known, ListKind::Remembered, &mut decider.names);
+        decider.apply_list(event);
         let wanted = launch.operator.map(|operator| operator.intent).unwrap_or_default();
         // The list may be old: what it would not bear is said, and the decisions bear it as they bear any loss.
-        for refusal in decider.judge(&wanted) {
+        for refusal in decider.check_intent(&wanted) {
             tracing::warn!("the operator's file: {refusal}");
         }
-        decider.take_over(wanted);
+        decider.apply_intent(wanted);
         decider.turn();
         decider
     }
 
     /// What is decided in common with other managers is part of the state from now on.
     pub fn in_common(self, fleet: Option<Common>) -> Self {
-        Decider { fleet: fleet.map(|common| (common, Witness::default())), ..self }
+        Decider { fleet: fleet.map(|common| (common, EvidenceCollector::default())), ..self }
     }
 
     pub async fn run(mut self, mut inbound: mpsc::Receiver<Inbound>) {
         let mut last = Instant::now();
         loop {
             let wakes = self.wakes.iter().map(|(at, _)| *at).chain(self.presence.next());
-            let look = self.progress.open().next().map(|_| self.looked + LOOK_EVERY);
-            let rested = Some(self.failed.1).filter(|_| !self.heard.is_empty());
+            let look = self.progress.open().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
+            let rested = Some(self.failed.1).filter(|_| !self.events.is_empty());
             let wake = wakes.chain(look).chain(rested).fold(self.clock.now() + LONGEST_SLEEP, f64::min);
             let (mut first, mut asked, mut agreed) = (None, None, None);
             tokio::select! {
@@ -159,34 +160,34 @@
                 () = sleep_until(self.clock.instant(wake)) => {}
             }
             sleep_until(last + self.tick).await;
-            first.into_iter().for_each(|first| self.hear(first));
+            first.into_iter().for_each(|first| self.receive(first));
             while let Ok(next) = inbound.try_recv() {
-                self.hear(next);
+                self.receive(next);
             }
             let now = self.clock.now();
-            self.silences(now);
+            self.check_silences(now);
             let due: Vec<(Ms, String)> = self.wakes.extract_if(.., |(at, _)| *at <= now).collect();
             if let Some(at) = due.iter().map(|(at, _)| *at).reduce(f64::min) {
                 tracing::trace!(target: TURN_TARGET, late = now - at);
             }
-            self.heard.extend(due.into_iter().map(|(_, handle)| Event::Woken { handle }));
+            self.events.extend(due.into_iter().map(|(_, handle)| Event::Woken { handle }));
             last = Instant::now();
-            asked.into_iter().for_each(|ask| self.answer(ask));
-            agreed.into_iter().for_each(|parts| self.lean(&parts));
-            self.witness(now);
-            if !self.heard.is_empty() && now >= self.failed.1 {
+            asked.into_iter().for_each(|ask| self.answer_request(ask));
+            agreed.into_iter().for_each(|parts| self.apply_plan(&parts));
+            self.report_evidence(now);
+            if !self.events.is_empty() && now >= self.failed.1 {
                 self.turn();
             }
-            self.look(now);
+            self.check_progress(now);
         }
     }
 
-    fn hear(&mut self, inbound: Inbound) {
+    fn receive(&mut self, inbound: Inbound) {
         match inbound {
             Inbound::Listing(listing) => {
                 let kind = if listing.full { ListKind::Full } else { ListKind::Changes };
-                let event = self.roster.hear(&listing, kind, &mut self.names);
-                self.list(event);
+                let event = self.roster.apply_list(&listing, kind, &mut self.names);
+                self.apply_list(event);
             }
             Inbound::Joined { stream, hello, orders } => self.join(stream, hello, orders),
             Inbound::Ended(stream, why) => {
@@ -195,7 +196,7 @@
                 left.into_iter().for_each(|proxy| self.leave(proxy));
             }
             Inbound::Said(from, report) => match self.report(from, report) {
-                Ok(event) => self.heard.push(event),
+                Ok(event) => self.events.push(event),
                 Err(why) => {
                     tracing::debug!("passed over: {why}");
                     self.tally.odd.add(why);
@@ -203,12 +204,12 @@
             },
             Inbound::Rejected(why) => self.tally.away.add(why),
             Inbound::Probed(worker, Found { ending, took, load }) => {
-                self.heard.push(Event::Probed { worker, ending, took, load });
+                self.events.push(Event::Probed { worker, ending, took, load });
             }
         }
     }
 
-    fn list(&mut self, event: Event) {
+    fn apply_list(&mut self, event: Event) {
         if let Event::List { workers, .. } = &event {
             let now = self.clock.now();
             for listed in workers {
@@ -220,25 +221,25 @@
                 self.zones.name(self.names.zones.name(listed.zone.0.into()));
             }
         }
-        self.heard.push(event);
+        self.events.push(event);
     }
 
     /// What the north asks, answered in this turn.
-    fn answer(&mut self, ask: Ask) {
+    fn answer_request(&mut self, ask: Ask) {
         // Whoever asked may be gone.
         match ask {
             Ask::State(tell) => _ = tell.send(Arc::new(self.state())),
-            Ask::Judge { intent, verdict } => _ = verdict.send(self.judged(&intent)),
+            Ask::Judge { intent, verdict } => _ = verdict.send(self.verdict(&intent)),
             Ask::Change { number, by, intent, verdict } => {
                 let _change = tracing::info_span!("change", number, by).entered();
-                let judged = self.judged(&intent);
+                let judged = self.verdict(&intent);
                 match &judged {
                     Ok(()) => {
                         let workers: BTreeSet<String> =
                             self.intent.differing(&intent).map(str::to_string).collect();
                         tracing::info!("change {number} by {by} is taken over: {} workers", workers.len());
                         self.progress.taken(self.clock.now(), number, &by, workers);
-                        self.take_over(*intent);
+                        self.apply_intent(*intent);
                     }
                     Err(why) => {
                         let why = why.first().map(ToString::to_string).unwrap_or_default();
@@ -250,8 +251,8 @@
         }
     }
 
-    fn judged(&self, intent: &Intent) -> Verdict {
-        let refusals = self.judge(intent);
+    fn verdict(&self, intent: &Intent) -> Verdict {
+        let refusals = self.check_intent(intent);
         if refusals.is_empty() {
             Ok(())
         } else {
@@ -259,12 +260,12 @@
         }
     }
 
-    fn judge(&self, intent: &Intent) -> Vec<juniperrail_intent::Refusal> {
-        self.judge_by(&self.roster.all(Some(intent), &self.names), intent)
+    fn check_intent(&self, intent: &Intent) -> Vec<juniperrail_intent::Refusal> {
+        self.check_composed(&self.roster.composed(Some(intent), &self.names), intent)
     }
 
     /// What speaks against workers being composed otherwise than now.
-    fn judge_by(
+    fn check_composed(
         &self,
         after: &BTreeMap<String, Composed>,
         intent: &Intent,
@@ -279,63 +280,65 @@
             joined: self.presence.here().count(),
             readers: &|worker| plane.readers(worker),
         };
-        judge(&world, &self.roster.all(None, names), after, intent)
+        judge(&world, &self.roster.composed(None, names), after, intent)
     }
 
     /// An intent that was judged, or that the file had at the start, holds from this turn on.
-    fn take_over(&mut self, intent: Intent) {
+    fn apply_intent(&mut self, intent: Intent) {
         let figures = intent.figures(&self.start, &self.operations);
         if figures != self.intent.figures(&self.start, &self.operations) {
-            self.heard.push(Event::Figures(figures));
+            self.events.push(Event::Figures(figures));
         }
-        if let Some(event) = self.roster.wish(&intent, &mut self.names) {
+        if let Some(event) = self.roster.apply_intent(&intent, &mut self.names) {
             if let Event::List { workers, .. } = &event {
                 // Guards against a worker that was out for long, forgotten, and stays shut out as it comes back.
                 workers.iter().for_each(|listed| self.plane.doubt(listed.worker));
             }
-            self.list(event);
+            self.apply_list(event);
         }
         self.intent = intent;
     }
 
     /// What managers agreed on holds from this turn on, unless an operation would have nobody left by it.
-    fn lean(&mut self, parts: &Parts) {
+    fn apply_plan(&mut self, parts: &Parts) {
         let id = |zone: &str| self.names.zones.known(zone).map(|id| ZoneId(id as u16));
         let parts: BTreeMap<ZoneId, f64> =
             parts.iter().filter_map(|(zone, part)| Some((id(&zone.0)?, *part))).collect();
-        let refusals = self.judge_by(&self.roster.leant(&parts, &self.names), &self.intent);
+        let refusals =
+            self.check_composed(&self.roster.composed_with_plan(&parts, &self.names), &self.intent);
         if let Some(refusal) = refusals.first() {
             return tracing::warn!("the plan in common is not followed: {refusal}");
         }
-        if let Some(event) = self.roster.lean(parts, &self.names) {
-            self.list(event);
+        if let Some(event) = self.roster.apply_plan(parts, &self.names) {
+            self.apply_list(event);
         }
     }
 
     /// Tells what was met since, once a period.
-    fn witness(&mut self, now: Ms) {
-        let Some((common, witness)) = &mut self.fleet else { return };
+    fn report_evidence(&mut self, now: Ms) {
+        let Some((common, evidence)) = &mut self.fleet else { return };
         let figures = self.intent.figures(&self.start, &self.operations);
         let warmth = |booted: Option<Ms>| match booted {
             Some(booted) if now < booted + figures.warm_up => figures.cold_share,
             _ => 1.0,
         };
         let names = &self.names;
-        let listed = self.roster.all_listed();
+        let listed = self.roster.workers();
         let listed = listed.map(|l| (l, names.zones.name(l.zone.0.into()), warmth(l.booted)));
         let streams = self.presence.streams.values();
         let proxies = streams.map(|s| (names.zones.name(s.zone.0.into()), s.silent.is_some()));
-        let word = witness.tell(now, self.start.report_period, listed, proxies);
-        word.into_iter().for_each(|word| common.met(word));
+        let report = evidence.report(now, self.start.report_period, listed, proxies);
+        report.into_iter().for_each(|report| common.met(report));
     }
 
     /// How far the changes that are under way have come.
-    fn look(&mut self, now: Ms) {
-        let due = now >= self.looked + LOOK_EVERY && self.progress.open().next().is_some();
+    fn check_progress(&mut self, now: Ms) {
+        let due =
+            now >= self.progress_checked_at + PROGRESS_CHECK_EVERY && self.progress.open().next().is_some();
         if !due {
             return;
         }
-        self.looked = now;
+        self.progress_checked_at = now;
         let joined = self.presence.here().count();
         let open: Vec<(u64, BTreeSet<WorkerId>)> =
             self.progress.open().map(|c| (c.number, self.ids(c))).collect();
@@ -381,7 +384,7 @@
         State {
             manager: self.name.clone(),
             list_version: self.roster.version,
-            workers: self.roster.all(None, &self.names).into_iter().map(worker).collect(),
+            workers: self.roster.composed(None, &self.names).into_iter().map(worker).collect(),
             tables: self.plane.table_states(&self.names),
             proxies: self.plane.proxy_states(&self.names, &self.presence, now),
             lines_waiting: self.brain.waiting(),
@@ -410,7 +413,7 @@
         let Stream { zone, inv_per_second, .. } = self.presence.streams[&proxy];
         tracing::debug!("proxy {} joined: {inv_per_second} a second, fresh {fresh}", proxy.0);
         self.plane.joined(proxy, fresh);
-        self.heard.push(Event::Joined { proxy, fresh, inv_per_second, zone });
+        self.events.push(Event::Joined { proxy, fresh, inv_per_second, zone });
     }
 
     fn leave(&mut self, proxy: ProxyId) {
@@ -422,10 +425,10 @@
     fn left(&mut self, proxy: ProxyId) {
         tracing::debug!("proxy {} left", proxy.0);
         self.plane.left(proxy);
-        self.heard.push(Event::Left { proxy });
+        self.events.push(Event::Left { proxy });
     }
 
-    fn silences(&mut self, now: Ms) {
+    fn check_silences(&mut self, now: Ms) {
         for lapse in self.presence.lapses(now) {
             match lapse {
                 Lapse::Silent { proxy, since, owed } => {
@@ -441,7 +444,7 @@
     }
 
     /// Something came over a stream. False if another stream took its place.
-    fn spoke(&mut self, from: StreamId, proxy: ProxyId) -> bool {
+    fn record_activity(&mut self, from: StreamId, proxy: ProxyId) -> bool {
         let Some(word) = self.presence.spoke(self.clock.now(), from, proxy) else { return false };
         tracing::trace!(
             "proxy {} speaks after {:.0} ms, owing for {:.0} ms",
@@ -462,7 +465,7 @@
         report: Result<Report, String>,
     ) -> Result<Event, String> {
         // Whatever comes over a stream shows that it is not silent, spoilt or not.
-        if let Some((_, proxy)) = from.filter(|(stream, proxy)| !self.spoke(*stream, *proxy)) {
+        if let Some((_, proxy)) = from.filter(|(stream, proxy)| !self.record_activity(*stream, *proxy)) {
             return Err(format!("another stream of proxy {} took its place", proxy.0));
         }
         let foreign = |proxy| from.is_some_and(|(_, own)| own != proxy);
@@ -473,9 +476,9 @@
                 let known = self.names.zones.known(&zone).map(|id| ZoneId(id as u16));
                 let zone_name = &zone;
                 let zone = known.ok_or_else(|| format!("unknown zone {zone:?}"))?;
-                if let (Some((_, witness)), Some(listed)) = (&mut self.fleet, self.roster.listed(worker)) {
+                if let (Some((_, evidence)), Some(listed)) = (&mut self.fleet, self.roster.worker(worker)) {
                     let to = self.names.zones.name(listed.zone.0.into());
-                    witness.met(zone_name, to, tries, bad, mean, load.busy);
+                    evidence.record(zone_name, to, tries, bad, mean, load.busy);
                 }
                 Ok(Event::WorkerSums { zone, worker, tries, bad, mean, over, load })
             }
@@ -503,16 +506,16 @@
     }
 
     fn turn_by(&mut self, decide: impl FnOnce(&mut Brain, Ms, &[Event]) -> Vec<Order>) {
-        let (now, heard) = (self.clock.now(), std::mem::take(&mut self.heard));
-        let _turn = tracing::debug_span!("turn", heard = heard.len()).entered();
-        self.tally.joined += heard.iter().filter(|event| matches!(event, Event::Joined { .. })).count();
-        self.tally.left += heard.iter().filter(|event| matches!(event, Event::Left { .. })).count();
+        let (now, events) = (self.clock.now(), std::mem::take(&mut self.events));
+        let _turn = tracing::debug_span!("turn", events = events.len()).entered();
+        self.tally.joined += events.iter().filter(|event| matches!(event, Event::Joined { .. })).count();
+        self.tally.left += events.iter().filter(|event| matches!(event, Event::Left { .. })).count();
         if now >= self.tally.logged + self.start.report_period {
             self.tally.log(now, self.presence.here().count());
-            self.strains(now).iter().for_each(|strain| tracing::warn!("{strain}"));
+            self.limit_warnings(now).iter().for_each(|warning| tracing::warn!("{warning}"));
         }
         let turn = AssertUnwindSafe(|| {
-            let mut orders = decide(&mut self.brain, now, &heard);
+            let mut orders = decide(&mut self.brain, now, &events);
             for order in &mut orders {
                 if let Order::Mark { number, .. } = order {
                     number.0 = number.0.wrapping_add(self.marks.0);
@@ -524,14 +527,14 @@
         match catch_unwind(turn) {
             Ok((messages, orders)) => {
                 self.failed = (0, 0.0);
-                self.hand_out(now, messages, orders)
+                self.dispatch_orders(now, messages, orders)
             }
             Err(_) => self.restart(now),
         }
     }
 
     /// What is near a limit, as people on call should know it.
-    fn strains(&mut self, now: Ms) -> Vec<String> {
+    fn limit_warnings(&mut self, now: Ms) -> Vec<String> {
         let (waiting, most) = (self.brain.waiting(), self.start.lines_waiting_most);
         let full = (waiting >= NEAR.0 * most && most > 0.0)
             .then(|| format!("{waiting:.0} of {most:.0} lines wait in the channel"));
@@ -568,21 +571,21 @@
         self.marks.0 = self.marks.1;
         self.plane.restart();
         self.wakes.clear();
-        self.heard.push(self.roster.remembered());
+        self.events.push(self.roster.remembered_list());
         let figures = self.intent.figures(&self.start, &self.operations);
         if figures != Intent::default().figures(&self.start, &self.operations) {
-            self.heard.push(Event::Figures(figures));
+            self.events.push(Event::Figures(figures));
         }
         let here = self.presence.streams.iter_mut().filter(|(_, stream)| stream.silent.is_none());
         for (proxy, stream) in here {
             let Stream { zone, inv_per_second, .. } = *stream;
             stream.absolve();
-            self.heard.push(Event::Joined { proxy: *proxy, fresh: false, inv_per_second, zone });
+            self.events.push(Event::Joined { proxy: *proxy, fresh: false, inv_per_second, zone });
         }
         self.wakes.push((now, "anew".into()));
     }
 
-    fn hand_out(&mut self, now: Ms, messages: Vec<OutboundMessage>, orders: Vec<Order>) {
+    fn dispatch_orders(&mut self, now: Ms, messages: Vec<OutboundMessage>, orders: Vec<Order>) {
         self.presence.next_turn();
         for OutboundMessage { proxy, bytes, lines, mark } in messages {
             tracing::trace!("to {}: {lines} lines, {bytes:?}", proxy.0);
@@ -615,7 +618,7 @@
     fn probe(&mut self, worker: WorkerId) {
         let Some(address) = self.roster.address(worker) else {
             let found = Found { ending: Ending::Unreachable, took: 0.0, load: Load::default() };
-            return self.hear(Inbound::Probed(worker, found));
+            return self.receive(Inbound::Probed(worker, found));
         };
         let (probes, inbound) = (self.probes.clone(), self.inbound.clone());
         tokio::spawn(async move {
@@ -640,7 +643,7 @@
 }
 
 /// The next plan in common; never where nothing is decided in common.
-async fn next_plan(fleet: &mut Option<(Common, Witness)>) -> Arc<Parts> {
+async fn next_plan(fleet: &mut Option<(Common, EvidenceCollector)>) -> Arc<Parts> {
     match fleet {
         Some((common, _)) => common.next().await,
         None => std::future::pending().await,
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -26,7 +26,7 @@
         let stream = StreamId(self.1.len() as u64);
         self.1.push(told);
         let hello = Hello { proxy: 2, zone: "a".into(), inv_per_second: 5.0, fresh };
-        self.0.hear(Inbound::Joined { stream, hello, orders });
+        self.0.receive(Inbound::Joined { stream, hello, orders });
         stream
     }
 
@@ -51,7 +51,7 @@
 
     fn ack(&mut self, from: StreamId, mark: u16) {
         let report = Report::Ack { proxy: 2, mark, took: 1.0 };
-        self.0.hear(Inbound::Said(Some((from, ProxyId(2))), Ok(report)));
+        self.0.receive(Inbound::Said(Some((from, ProxyId(2))), Ok(report)));
     }
 }
 
@@ -115,12 +115,12 @@
     assert!(again.contains("ticket=2\r\n") && again.contains("ticket=3\r\n"), "{again}");
     // Held back by the proxy till now: it says nothing of the table sent since.
     cluster.ack(stream, 1);
-    assert!(cluster.0.heard.is_empty() && cluster.0.presence.streams[&ProxyId(2)].owed.len() == 2);
+    assert!(cluster.0.events.is_empty() && cluster.0.presence.streams[&ProxyId(2)].owed.len() == 2);
     cluster.ack(stream, 3);
     assert!(
-        matches!(cluster.0.heard[..], [Event::Answered { mark: MarkId(2), .. }]),
+        matches!(cluster.0.events[..], [Event::Answered { mark: MarkId(2), .. }]),
         "the module counts from the start: {:?}",
-        cluster.0.heard
+        cluster.0.events
     );
 }
 
@@ -130,20 +130,20 @@
     let stream = cluster.join(true);
     cluster.turn();
     let silent_at = cluster.silent_at();
-    cluster.0.silences(silent_at - 1.0);
-    assert!(cluster.0.heard.is_empty(), "not yet");
-    cluster.0.silences(silent_at);
+    cluster.0.check_silences(silent_at - 1.0);
+    assert!(cluster.0.events.is_empty(), "not yet");
+    cluster.0.check_silences(silent_at);
     assert_eq!(cluster.turn(), [LEFT]);
-    cluster.0.silences(silent_at + 1.0);
-    assert!(cluster.0.heard.is_empty(), "told once");
+    cluster.0.check_silences(silent_at + 1.0);
+    assert!(cluster.0.events.is_empty(), "told once");
     let orders = cluster.told(stream);
     cluster.ack(stream, 1);
     assert!(matches!(cluster.turn()[..], [Event::Joined { fresh: false, .. }]), "answers of before are void");
     assert!(orders.contains("whole=1") && cluster.told(stream).contains("whole=1"));
     cluster.ack(stream, 2);
     cluster.turn();
-    cluster.0.silences(silent_at * 3.0);
-    assert!(cluster.0.heard.is_empty(), "who owes nothing may be silent");
+    cluster.0.check_silences(silent_at * 3.0);
+    assert!(cluster.0.events.is_empty(), "who owes nothing may be silent");
 }
 
 #[test]
@@ -152,10 +152,10 @@
     let stream = cluster.join(true);
     cluster.turn();
     let silent_at = cluster.silent_at();
-    cluster.0.silences(silent_at);
+    cluster.0.check_silences(silent_at);
     assert_eq!(cluster.turn(), [LEFT]);
     cluster.told(stream);
-    cluster.0.silences(cluster.silent_at());
+    cluster.0.check_silences(cluster.silent_at());
     let end = cluster.1[0].try_recv();
     assert_eq!((end, cluster.turn()), (Err(mpsc::error::TryRecvError::Disconnected), vec![]));
 }
@@ -166,18 +166,18 @@
     let stream = cluster.join(true);
     cluster.turn();
     let silent_at = cluster.silent_at();
-    cluster.0.silences(silent_at);
+    cluster.0.check_silences(silent_at);
     cluster.turn();
-    cluster.0.hear(Inbound::Said(Some((stream, ProxyId(2))), Err("latency is missing".into())));
+    cluster.0.receive(Inbound::Said(Some((stream, ProxyId(2))), Err("latency is missing".into())));
     let heard = cluster.turn();
     assert!(matches!(heard[..], [Event::Joined { fresh: false, .. }]), "{heard:?}");
     let (zone, worker) = ("b".into(), "s-1".into());
     let spoilt =
         Report::Outcomes { zone, worker, tries: 1.0, bad: 1.0, mean: 0.0, over: 1.0, load: <_>::default() };
-    cluster.0.hear(Inbound::Said(None, Ok(spoilt)));
+    cluster.0.receive(Inbound::Said(None, Ok(spoilt)));
     let demand = Report::Demand { proxy: 2, op: "s-zz".into(), invs: 4.0, unanswered: 0.0, over: 2.0 };
-    cluster.0.hear(Inbound::Said(None, Ok(demand)));
-    assert!(cluster.0.heard.is_empty());
+    cluster.0.receive(Inbound::Said(None, Ok(demand)));
+    assert!(cluster.0.events.is_empty());
     let names = &cluster.0.names;
     assert_eq!([&names.zones, &names.workers, &names.ops].map(|named| named.count()), [1, 1, 1]);
 }
@@ -193,14 +193,14 @@
     cluster.ack(old, 1);
     let (op, over) = ("lookup".into(), 2000.0);
     let demand = Report::Demand { proxy: 2, op, invs: 4.0, unanswered: 0.0, over };
-    cluster.0.hear(Inbound::Said(Some((old, ProxyId(2))), Ok(demand)));
-    cluster.0.hear(Inbound::Ended(old, None));
-    assert!(cluster.0.heard.is_empty());
+    cluster.0.receive(Inbound::Said(Some((old, ProxyId(2))), Ok(demand)));
+    cluster.0.receive(Inbound::Ended(old, None));
+    assert!(cluster.0.events.is_empty());
     cluster.ack(new, 1);
-    assert!(cluster.0.heard.is_empty(), "mark 1 went over the old stream");
+    assert!(cluster.0.events.is_empty(), "mark 1 went over the old stream");
     cluster.ack(new, 2);
     cluster.ack(new, 2);
-    assert_eq!(cluster.0.heard.len(), 1, "an answer counts once");
+    assert_eq!(cluster.0.events.len(), 1, "an answer counts once");
 }
 
 #[test]
@@ -215,7 +215,7 @@
         sent += 1;
     }
     assert_eq!(sent, 64);
-    assert_eq!(cluster.0.heard, [LEFT]);
+    assert_eq!(cluster.0.events, [LEFT]);
     assert!(cluster.told(stream).contains("ticket=62"));
 }
 
@@ -231,12 +231,12 @@
     for id in 2..40 {
         let entries = [entry(id, "ready"), entry(id - 1, "gone")].join(",");
         let listing = format!(r#"{{"generation":{id},"instances":[{entries}]}}"#);
-        cluster.0.hear(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
+        cluster.0.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
         cluster.turn();
         for mark in cluster.told(stream).split("ticket=").skip(1) {
             cluster.ack(stream, mark.split_whitespace().next().unwrap().parse().unwrap());
         }
-        cluster.0.hand_out(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id as u32 - 2) }]);
+        cluster.0.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id as u32 - 2) }]);
     }
     assert_eq!((cluster.0.names.workers.count(), cluster.0.roster.counts()), (1, (1, 1)));
     assert_eq!(cluster.0.names.workers.known("s-39"), Some(38), "ids are not given out again");
@@ -250,7 +250,7 @@
         };
         let entries: Vec<String> = entries.iter().map(entry).collect();
         let listing = format!(r#"{{"generation":{version},"instances":[{}]}}"#, entries.join(","));
-        self.0.hear(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
+        self.0.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
     }
 
     fn ask(&mut self, number: u64, wishes: &[(&str, Wanted)]) -> Verdict {
@@ -259,7 +259,7 @@
         let workers = wishes.iter().map(wish).collect();
         let intent = Box::new(Intent { workers, drain_grace: Some(2500.0), ..Intent::default() });
         let (verdict, mut told) = oneshot::channel();
-        self.0.answer(Ask::Change { number, by: "ann".into(), intent, verdict });
+        self.0.answer_request(Ask::Change { number, by: "ann".into(), intent, verdict });
         told.try_recv().expect("answered at once")
     }
 
@@ -293,7 +293,7 @@
     cluster.settle(stream);
     let refused = cluster.ask(2, &[("s-1", Wanted::Out), ("s-2", Wanted::Draining)]).unwrap_err();
     assert_eq!(refused[0].tag(), "no-ready-worker");
-    assert!(cluster.0.heard.is_empty() && cluster.0.progress.all().next().is_none());
+    assert!(cluster.0.events.is_empty() && cluster.0.progress.all().next().is_none());
     assert_eq!(cluster.ask(2, &[("s-1", Wanted::Draining)]), Ok(()));
     let heard = cluster.turn();
     assert!(
@@ -303,12 +303,12 @@
     );
     let told = cluster.told(stream);
     assert!(told.contains("out=s-1"), "{told}");
-    cluster.0.look(1e18);
+    cluster.0.check_progress(1e18);
     assert_eq!(cluster.0.state().changes[0].held_by, 0, "told and not answered is not held");
     let mark = told.split("ticket=").nth(1).unwrap().trim().parse().unwrap();
     cluster.ack(stream, mark);
     cluster.settle(stream);
-    cluster.0.look(2e18);
+    cluster.0.check_progress(2e18);
     let change = &cluster.0.state().changes[0];
     assert!(matches!(change.stage, juniperrail_intent::Stage::Held { .. }), "{change:?}");
     assert_eq!((change.number, change.held_by, change.joined), (2, 1, 1));
@@ -357,7 +357,7 @@
     assert_eq!(cluster.ask(2, &[("s-2", Wanted::Out)]), Ok(()));
     assert!(cluster.settle(stream).contains("out=s-2"));
     let id = cluster.0.names.workers.known("s-2").unwrap();
-    cluster.0.hand_out(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id) }]);
+    cluster.0.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id) }]);
     let again = cluster.0.names.workers.known("s-2").unwrap();
     assert_ne!(again, id);
     // A whole list names it still; it stays out.
@@ -400,19 +400,19 @@
     cluster.list(6, &[("s-1", "draining")]);
     cluster.turn();
     let now = cluster.0.clock.now();
-    assert_eq!(cluster.0.strains(now), Vec::<String>::new(), "not yet");
+    assert_eq!(cluster.0.limit_warnings(now), Vec::<String>::new(), "not yet");
     let most = std::mem::replace(&mut cluster.0.start.lines_waiting_most, 5.0);
-    let full = cluster.0.strains(now);
+    let full = cluster.0.limit_warnings(now);
     assert!(matches!(&full[..], [full] if full.ends_with("of 5 lines wait in the channel")), "{full:?}");
     cluster.0.start.lines_waiting_most = most;
-    let late = cluster.0.strains(now + 2000.0);
+    let late = cluster.0.limit_warnings(now + 2000.0);
     assert!(
         matches!(&late[..], [late] if late.starts_with("1 of 1 proxies have not answered for 1 workers")
             && late.contains("s-1 for 20") && late.ends_with("ms of 3000")),
         "{late:?}"
     );
     cluster.settle(stream);
-    assert_eq!(cluster.0.strains(now + 2000.0), Vec::<String>::new(), "answered");
+    assert_eq!(cluster.0.limit_warnings(now + 2000.0), Vec::<String>::new(), "answered");
 }
 
 #[test]
@@ -430,7 +430,7 @@
         let entries: Vec<String> = entries.iter().map(entry).collect();
         let listing = format!(r#"{{"generation":5,"reset":{full},"instances":[{}]}}"#, entries.join(","));
         let listing = filter.filter(serde_json::from_str(&listing).unwrap());
-        cluster.0.hear(Inbound::Listing(listing));
+        cluster.0.receive(Inbound::Listing(listing));
         cluster.turn();
     };
     let place = |cluster: &TestCluster, name: &str| {
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -223,22 +223,22 @@
     }
 }
 
-/// What this manager has met since it last told, and when that was.
+/// What the proxies of this manager have met since it last reported, and when that was.
 #[derive(Default)]
-pub struct Witness {
+pub struct EvidenceCollector {
     gather: Gather,
     told: Ms,
 }
 
-impl Witness {
+impl EvidenceCollector {
     /// What proxies of one zone met at a worker of another, or of their own.
-    pub fn met(&mut self, from: &str, to: &str, tries: f64, bad: f64, mean: Ms, busy: Option<f64>) {
+    pub fn record(&mut self, from: &str, to: &str, tries: f64, bad: f64, mean: Ms, busy: Option<f64>) {
         self.gather.met(&Zone(from.into()), &Zone(to.into()), tries, bad, mean, busy);
     }
 
-    /// A word a period: `warmth` tells what part of its weight a worker has by now, `proxies` the zone of each that is
+    /// One report a period: `warmth` tells what part of its weight a worker has by now, `proxies` the zone of each that is
     /// joined and whether it is silent.
-    pub fn tell<'a>(
+    pub fn report<'a>(
         &mut self,
         now: Ms,
         period: Ms,
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -20,7 +20,7 @@
 
 impl Roster {
     /// Takes over what discovery says; the decisions are to be told the event.
-    pub fn hear(&mut self, listing: &Listing, kind: ListKind, names: &mut Names) -> Event {
+    pub fn apply_list(&mut self, listing: &Listing, kind: ListKind, names: &mut Names) -> Event {
         let Entries { read: entries, unread } = listing.entries(names);
         // Guards against an entry of which not even the worker can be read: a whole list without it would tell that one gone.
         let kind = if unread.iter().all(Option::is_some) { kind } else { ListKind::Changes };
@@ -47,7 +47,7 @@
                     worker
                 }
             };
-            workers.extend(self.told(&name, names));
+            workers.extend(self.recompose(&name, names));
             named.insert(name);
         }
         if kind != ListKind::Changes {
@@ -55,27 +55,27 @@
             for name in
                 unread.into_iter().flatten().filter(|name| !named.contains(name)).collect::<BTreeSet<_>>()
             {
-                workers.extend(self.told(&name, names));
+                workers.extend(self.recompose(&name, names));
                 named.insert(name);
             }
             self.composer.only(&|name| named.contains(name));
             // Who stands in no list of discovery's at all is not gone for that.
-            self.number(names);
+            self.assign_ids(names);
             let placed: Vec<String> = self.composer.placed().map(|(name, _)| name.to_string()).collect();
-            workers.extend(placed.iter().filter_map(|name| self.told(name, names)));
+            workers.extend(placed.iter().filter_map(|name| self.recompose(name, names)));
         }
         Event::List { kind, version: listing.version, workers }
     }
 
     /// Takes over what the operator wants; the decisions are to be told the event, if anything is new to them.
-    pub fn wish(&mut self, intent: &Intent, names: &mut Names) -> Option<Event> {
+    pub fn apply_intent(&mut self, intent: &Intent, names: &mut Names) -> Option<Event> {
         let changed = self.composer.wish(intent);
-        self.number(names);
+        self.assign_ids(names);
         let mut workers = Vec::new();
         for name in changed {
             let Some(id) = names.workers.known(&name).map(WorkerId) else { continue };
             let before = self.listed.get(&id).cloned();
-            match self.told(&name, names) {
+            match self.recompose(&name, names) {
                 Some(listed) if before.as_ref() == Some(&listed) => {}
                 Some(listed) if before.is_none() && listed.phase == Phase::Gone => {}
                 Some(listed) => workers.push(listed),
@@ -92,7 +92,7 @@
     }
 
     /// Takes over what managers agreed on; the decisions are to be told the event, if anything is new to them.
-    pub fn lean(&mut self, parts: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
+    pub fn apply_plan(&mut self, parts: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
         if !self.composer.lean(parts) {
             return None;
         }
@@ -101,31 +101,35 @@
         for name in all {
             let before = names.workers.known(&name).and_then(|id| self.listed.get(&WorkerId(id)).cloned());
             let Some(before) = before else { continue };
-            workers.extend(self.told(&name, names).filter(|listed| *listed != before));
+            workers.extend(self.recompose(&name, names).filter(|listed| *listed != before));
         }
         let (kind, version) = (ListKind::Changes, self.version);
         (!workers.is_empty()).then_some(Event::List { kind, version, workers })
     }
 
     /// All workers as they would be with another plan in common.
-    pub fn leant(&self, parts: &BTreeMap<ZoneId, f64>, names: &Names) -> BTreeMap<String, Composed> {
+    pub fn composed_with_plan(
+        &self,
+        parts: &BTreeMap<ZoneId, f64>,
+        names: &Names,
+    ) -> BTreeMap<String, Composed> {
         let mut composer = self.composer.clone();
         composer.lean(parts.clone());
-        let one = |name: &str| Some((name.to_string(), composed(&composer, name, names)?));
+        let one = |name: &str| Some((name.to_string(), compose(&composer, name, names)?));
         composer.names().filter_map(one).collect()
     }
 
     /// Where a worker is, and its weight, as the decisions were last told.
-    pub fn listed(&self, worker: WorkerId) -> Option<&Listed> {
+    pub fn worker(&self, worker: WorkerId) -> Option<&Listed> {
         self.listed.get(&worker)
     }
 
-    pub fn all_listed(&self) -> impl Iterator<Item = &Listed> {
+    pub fn workers(&self) -> impl Iterator<Item = &Listed> {
         self.listed.values()
     }
 
     /// Gives ids to what the operator alone places.
-    fn number(&self, names: &mut Names) {
+    fn assign_ids(&self, names: &mut Names) {
         for (name, place) in self.composer.placed() {
             names.worker(name);
             names.zone(&place.zone);
@@ -134,8 +138,8 @@
     }
 
     /// One worker as the decisions are told it from now on.
-    fn told(&mut self, name: &str, names: &Names) -> Option<Listed> {
-        let Composed { listed, address, .. } = composed(&self.composer, name, names)?;
+    fn recompose(&mut self, name: &str, names: &Names) -> Option<Listed> {
+        let Composed { listed, address, .. } = compose(&self.composer, name, names)?;
         self.addresses.remove(&listed.worker);
         if listed.phase == Phase::Gone {
             self.listed.remove(&listed.worker);
@@ -147,9 +151,9 @@
     }
 
     /// All workers as they are, and as they would be with another intent.
-    pub fn all(&self, intent: Option<&Intent>, names: &Names) -> BTreeMap<String, Composed> {
+    pub fn composed(&self, intent: Option<&Intent>, names: &Names) -> BTreeMap<String, Composed> {
         let every = |composer: &Composer| {
-            let one = |name: &str| Some((name.to_string(), composed(composer, name, names)?));
+            let one = |name: &str| Some((name.to_string(), compose(composer, name, names)?));
             composer.names().filter_map(one).collect()
         };
         match intent {
@@ -163,7 +167,7 @@
     }
 
     /// For decisions that start anew: the list as held.
-    pub fn remembered(&self) -> Event {
+    pub fn remembered_list(&self) -> Event {
         let workers = self.listed.values().cloned().collect();
         Event::List { kind: ListKind::Remembered, version: 0, workers }
     }
@@ -190,7 +194,7 @@
     }
 }
 
-fn composed(composer: &Composer, name: &str, names: &Names) -> Option<Composed> {
+fn compose(composer: &Composer, name: &str, names: &Names) -> Option<Composed> {
     // A change that is only judged may place workers that have no id yet: they are nobody's readers.
     let placed = |wish: &Wish| {
         let place = wish.place.as_ref()?;
