--- /dev/null
+++ b/crates/manager/src/decider/intents.rs
@@ -0,0 +1,101 @@
+//! What operators ask for, and what managers agreed on: judged, and taken over.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use juniperrail_fleet::Parts;
+use juniperrail_intent::{judge, Composed, Intent, Refusal, World};
+use juniperrail_interface::{Event, ZoneId};
+use juniperrail_north::{Ask, Verdict};
+
+use super::Decider;
+
+impl Decider {
+    /// What the north asks, answered in this turn.
+    pub(super) fn answer_request(&mut self, ask: Ask) {
+        // Whoever asked may be gone.
+        match ask {
+            Ask::State(tell) => _ = tell.send(Arc::new(self.state())),
+            Ask::Judge { intent, verdict } => _ = verdict.send(self.verdict(&intent)),
+            Ask::Change { number, by, intent, verdict } => {
+                let _change = tracing::info_span!("change", number, by).entered();
+                let judged = self.verdict(&intent);
+                match &judged {
+                    Ok(()) => {
+                        let workers: BTreeSet<String> =
+                            self.intent.differing(&intent).map(str::to_string).collect();
+                        tracing::info!("change {number} by {by} is taken over: {} workers", workers.len());
+                        self.progress.taken(self.clock.now(), number, &by, workers);
+                        self.apply_intent(*intent);
+                    }
+                    Err(why) => {
+                        let why = why.first().map(ToString::to_string).unwrap_or_default();
+                        tracing::info!("a change by {by} is refused: {why}");
+                    }
+                }
+                _ = verdict.send(judged);
+            }
+        }
+    }
+
+    /// Whether an intent may be taken over now, and if not, why.
+    pub(super) fn verdict(&self, intent: &Intent) -> Verdict {
+        let refusals = self.check_intent(intent);
+        if refusals.is_empty() {
+            Ok(())
+        } else {
+            Err(refusals)
+        }
+    }
+
+    /// What speaks against an intent.
+    pub(super) fn check_intent(&self, intent: &Intent) -> Vec<Refusal> {
+        self.check_composed(&self.roster.composed(Some(intent), &self.names), intent)
+    }
+
+    /// What speaks against workers being composed otherwise than now.
+    pub(super) fn check_composed(&self, after: &BTreeMap<String, Composed>, intent: &Intent) -> Vec<Refusal> {
+        let (names, plane) = (&self.names, &self.plane);
+        let world = World {
+            now: self.clock.now(),
+            settings: &self.start,
+            operations: &self.operations,
+            zone_name: &|zone| names.zones.name(zone.0.into()).to_string(),
+            zone_known: &|zone| self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone),
+            joined: self.presence.here().count(),
+            readers: &|worker| plane.readers(worker),
+        };
+        judge(&world, &self.roster.composed(None, names), after, intent)
+    }
+
+    /// An intent that was judged, or that the file had at the start, holds from this turn on.
+    pub(super) fn apply_intent(&mut self, intent: Intent) {
+        let figures = intent.figures(&self.start, &self.operations);
+        if figures != self.intent.figures(&self.start, &self.operations) {
+            self.events.push(Event::Figures(figures));
+        }
+        if let Some(event) = self.roster.apply_intent(&intent, &mut self.names) {
+            if let Event::List { workers, .. } = &event {
+                // Guards against a worker that was out for long, forgotten, and stays shut out as it comes back.
+                workers.iter().for_each(|listed| self.plane.doubt(listed.worker));
+            }
+            self.apply_list(event);
+        }
+        self.intent = intent;
+    }
+
+    /// What managers agreed on holds from this turn on, unless an operation would have nobody left by it.
+    pub(super) fn apply_plan(&mut self, parts: &Parts) {
+        let id = |zone: &str| self.names.zones.known(zone).map(|id| ZoneId(id as u16));
+        let parts: BTreeMap<ZoneId, f64> =
+            parts.iter().filter_map(|(zone, part)| Some((id(&zone.0)?, *part))).collect();
+        let refusals =
+            self.check_composed(&self.roster.composed_with_plan(&parts, &self.names), &self.intent);
+        if let Some(refusal) = refusals.first() {
+            return tracing::warn!("the plan in common is not followed: {refusal}");
+        }
+        if let Some(event) = self.roster.apply_plan(parts, &self.names) {
+            self.apply_list(event);
+        }
+    }
+}
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -1,6 +1,10 @@
 use super::*;
+use crate::inbound::{Hello, Outbox, StreamId};
+use crate::text::Report;
 use bytes::Bytes;
-use juniperrail_intent::{Intent, Wanted, Wish};
+use juniperrail_intent::{Wanted, Wish};
+use juniperrail_interface::{MarkId, Order, ProxyId};
+use juniperrail_north::{Verdict, WorkerState};
 use tokio::sync::oneshot;
 
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -334,7 +334,7 @@
         if self.inbound.send(Inbound::Listing(listing)).await.is_err() {
             return Err(Fault::reading("nobody wants the list any more").into());
         }
-        // Only now: a watch given up while it waits to tell would count as told what nobody heard.
+        // Only now: a watch given up while it waits to tell would count as told what nobody has received.
         self.session.advanced |= self.held != Some(version);
         self.session.took_list = true;
         self.held = Some(version);
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -11,10 +11,13 @@
 /// A list or its changes, as discovery words them; what no decision needs is not even read.
 #[derive(Debug, Default, Deserialize)]
 pub struct Listing {
+    /// The source's number of this state of the list.
     #[serde(rename = "generation")]
     pub version: u64,
+    /// Whether it is the whole list; otherwise these are changes.
     #[serde(default, rename = "reset")]
     pub full: bool,
+    /// The entries that are kept.
     #[serde(default)]
     pub instances: Vec<Instance>,
 }
@@ -37,6 +40,7 @@
 /// A worker that has left the scope of this manager.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Departure {
+    /// Its name.
     pub worker: String,
     /// What it is for this manager from now on: draining, or gone if it is.
     pub phase: Phase,
@@ -62,12 +66,15 @@
 
 /// One element of a list that can be read.
 pub enum ReadEntry {
+    /// How a worker is, and where it is probed.
     Listed { listed: Listed, address: Option<SocketAddr> },
+    /// A worker has left the scope.
     Departure(Departure),
 }
 
 /// A list as far as it can be read.
 pub struct Entries {
+    /// In the order of the list.
     pub read: Vec<ReadEntry>,
     /// Whom the entries that can't be read are about, as far as at least that can be.
     pub unread: Vec<Option<String>>,
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -9,12 +9,14 @@
 
 use crate::listing::{Departure, Entries, Listing, ReadEntry};
 
+/// All workers that some source names, and what the decisions were last told of each.
 #[derive(Default)]
 pub struct Roster {
     composer: Composer,
     /// As the decisions were last told; who is gone is not kept.
     listed: BTreeMap<WorkerId, Listed>,
     addresses: BTreeMap<WorkerId, SocketAddr>,
+    /// Of the last list.
     pub version: u64,
 }
 
@@ -124,6 +126,7 @@
         self.listed.get(&worker)
     }
 
+    /// All workers as the decisions were last told.
     pub fn workers(&self) -> impl Iterator<Item = &Listed> {
         self.listed.values()
     }
@@ -172,6 +175,7 @@
         Event::List { kind: ListKind::Remembered, version: 0, workers }
     }
 
+    /// Where a worker is probed.
     pub fn address(&self, worker: WorkerId) -> Option<SocketAddr> {
         self.addresses.get(&worker).copied()
     }
--- a/crates/manager/src/subscription.rs
+++ b/crates/manager/src/subscription.rs
@@ -10,7 +10,9 @@
 /// the settings name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscription {
+    /// Where the relays are; empty where the agent is followed.
     pub relays: Vec<SocketAddr>,
+    /// What is needed of the list.
     pub scope: Scope,
 }
 
