--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,8 +1,16 @@
 //! How the list of workers is distributed: which part of it a subscriber needs, which versions it has seen, and from
 //! which relay it learns of the next. Nothing here reads a socket, a file or a clock.
 
+mod change_log;
+mod cursor;
+mod entry;
 mod list_reader;
+mod places;
 mod scope;
+mod worker_list;
 
+pub use cursor::{Cursor, CursorLimits, Step};
+pub use entry::EntryError;
 pub use list_reader::{ListEnd, ListError, ListEvent, ListLimits, ListReader};
 pub use scope::{Place, Scope, ScopeError};
+pub use worker_list::{Applied, ApplyError, WorkerList, WorkerListLimits};
--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -1,5 +1,6 @@
 //! The command line. Without a command the manager serves.
 
+mod relay;
 mod remote;
 
 use std::fmt;
@@ -68,6 +69,8 @@
         #[arg(long, value_name = "COUNT")]
         events: Option<u64>,
     },
+    /// Relays the list of workers: holds it whole and serves each manager its part, until it is ended.
+    Relay(relay::RelayArgs),
     /// Writes completions for a shell to standard output.
     Completions { shell: Shell },
 }
@@ -117,6 +120,11 @@
 }
 
 impl Command {
+    /// Whether it serves until it is ended, and logs meanwhile.
+    pub fn serves(&self) -> bool {
+        matches!(self, Command::Relay(_))
+    }
+
     pub async fn run(self, operator_file: Option<PathBuf>) -> Result<(), Trouble> {
         match self {
             Command::Check => check(operator_file).map_err(Trouble::Fault),
@@ -124,6 +132,7 @@
             Command::Config { to, what } => what.run(&to).await,
             Command::State { to, shown } => remote::state(&to, &shown).await,
             Command::Watch { to, events } => remote::watch(&to, events).await,
+            Command::Relay(args) => relay::run(args).await,
             Command::Completions { shell } => {
                 clap_complete::generate(shell, &mut Line::command(), "juniperrail", &mut io::stdout());
                 Ok(())
--- a/crates/manager/src/main.rs
+++ b/crates/manager/src/main.rs
@@ -19,7 +19,12 @@
             logs::start(line.log);
             serve(line.operator_file).await.map_err(Trouble::Fault)
         }
-        Some(command) => command.run(line.operator_file).await,
+        Some(command) => {
+            if command.serves() {
+                logs::start(line.log);
+            }
+            command.run(line.operator_file).await
+        }
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -4,6 +4,7 @@
 
 mod credentials;
 mod discovery;
+mod list_subscriber;
 mod peer;
 mod proxies;
 mod rules;
@@ -11,6 +12,7 @@
 
 pub use credentials::{Authority, SshKeys};
 pub use discovery::{entry, list, Discovery};
+pub use list_subscriber::{Ending, ListSubscriber};
 pub use peer::{address_served, Answering, Peer};
 pub use proxies::{Proxies, Table};
 pub use rules::{Broken, Limits, Rules};
