--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -66,8 +66,10 @@
     }
 
     pub fn stop(&mut self) {
-        self.stop.take().map(|stop| stop.send(()));
-        self.thread.take().map(|thread| thread.join().expect("the relay does not panic"));
+        self.stop = None;
+        if let Some(thread) = self.thread.take() {
+            thread.join().expect("the relay does not panic");
+        }
     }
 }
 
--- a/crates/standins/src/list_subscriber.rs
+++ b/crates/standins/src/list_subscriber.rs
@@ -1,6 +1,6 @@
 //! A subscriber of the worker list, as raw as a connection: it reads what it is told to read, and no more.
 
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{BufRead, BufReader, Cursor, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
@@ -11,6 +11,10 @@
 
 /// The receive buffer of a connection that takes little, in bytes.
 const NARROW: usize = 4096;
+/// What such a one takes off it at a time.
+const SIP: usize = 64;
+/// What any other does.
+const GULP: usize = 64 << 10;
 
 /// How the body of an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,6 +28,8 @@
 /// One request for the list, and its answer as it comes.
 pub struct ListSubscriber {
     socket: BufReader<TcpStream>,
+    /// Bytes read one by one, which have yet to be understood.
+    early: Cursor<Vec<u8>>,
     /// The status of the answer.
     pub status: u16,
     /// The length of the body, where the answer has it.
@@ -35,7 +41,7 @@
 impl ListSubscriber {
     /// Asks for a path with its query and reads the head of the answer.
     pub fn ask(address: SocketAddr, path: &str) -> ListSubscriber {
-        ListSubscriber::ask_on(TcpStream::connect(address).expect("somebody listens"), path)
+        ListSubscriber::ask_on(TcpStream::connect(address).expect("somebody listens"), path, GULP)
     }
 
     /// Does so over a connection that takes little: what is written to it and not read soon fills it.
@@ -44,15 +50,16 @@
         // Before it connects: what the other side may send at once goes by it.
         socket.set_recv_buffer_size(NARROW).expect("a live socket");
         socket.connect(&address.into()).expect("somebody listens");
-        ListSubscriber::ask_on(socket.into(), path)
+        ListSubscriber::ask_on(socket.into(), path, SIP)
     }
 
-    fn ask_on(mut socket: TcpStream, path: &str) -> ListSubscriber {
+    fn ask_on(mut socket: TcpStream, path: &str, at_a_time: usize) -> ListSubscriber {
         socket.set_read_timeout(Some(WITHIN)).expect("a live socket");
         let request = format!("GET {path} HTTP/1.1\r\nHost: relay\r\n\r\n");
         socket.write_all(request.as_bytes()).expect("the connection takes it");
         let mut subscriber = ListSubscriber {
-            socket: BufReader::new(socket),
+            socket: BufReader::with_capacity(at_a_time, socket),
+            early: Cursor::default(),
             status: 0,
             length: None,
             body: Vec::new(),
@@ -82,9 +89,12 @@
         line.trim_end().to_string()
     }
 
-    /// Reads one byte off the connection; false once that has ended.
+    /// Reads one byte more; false once the connection has ended.
     pub fn read_one_byte(&mut self) -> bool {
-        self.socket.get_mut().read(&mut [0]).is_ok_and(|read| read == 1)
+        let mut byte = [0];
+        let is_read = self.socket.read(&mut byte).is_ok_and(|read| read == 1);
+        self.early.get_mut().extend_from_slice(&byte[..usize::from(is_read)]);
+        is_read
     }
 
     /// The next line that holds a list; heartbeats are passed over. `None` once the body has ended, which may be within
@@ -140,16 +150,20 @@
     /// False for the last chunk, `None` if the connection broke.
     fn read_chunk(&mut self) -> Option<bool> {
         let mut size = String::new();
-        self.socket.read_line(&mut size).ok()?;
+        self.bytes().read_line(&mut size).ok()?;
         let size = usize::from_str_radix(size.trim(), 16).ok()?;
         self.read_exactly(size)?;
-        self.socket.read_exact(&mut [0; 2]).ok()?;
+        self.bytes().read_exact(&mut [0; 2]).ok()?;
         Some(size > 0)
     }
 
     fn read_exactly(&mut self, size: usize) -> Option<()> {
-        let mut part = (&mut self.socket).take(size as u64);
+        let mut part = (&mut self.early).chain(&mut self.socket).take(size as u64);
         let read = part.read_to_end(&mut self.body).ok()?;
         (read == size).then_some(())
     }
+
+    fn bytes(&mut self) -> impl BufRead + '_ {
+        (&mut self.early).chain(&mut self.socket)
+    }
 }
