--- a/crates/distribution/tests/cursor.rs
+++ b/crates/distribution/tests/cursor.rs
@@ -396,8 +396,14 @@
     }
 }
 
+/// At least 600 of them; more by PROPTEST_CASES.
+fn histories() -> ProptestConfig {
+    let default = ProptestConfig::default();
+    ProptestConfig { cases: default.cases.max(600), failure_persistence: None, ..default }
+}
+
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(histories())]
 
     #[test]
     fn each_subscriber_ends_with_its_part_of_the_list(ops in prop::collection::vec(op(false), 0..120)) {
--- a/crates/relay/tests/scopes.rs
+++ b/crates/relay/tests/scopes.rs
@@ -2,6 +2,8 @@
 
 mod common;
 
+use std::time::Duration;
+
 use common::{expected, next_with_workers, read, worker, RunningRelay, Source};
 use juniperrail_standins::{list, Ending};
 
@@ -137,3 +139,20 @@
     watch.send(&list(8, false, &[worker("s-1", "a", "draining")]));
     assert_eq!(next_with_workers(&mut subscriber), expected(8, false, &["s-1 a draining"]));
 }
+
+#[test]
+fn a_heartbeat_is_an_empty_line_or_the_version_that_was_reached() {
+    let source = Source::new();
+    let relay = RunningRelay::start(source.address(), |options| {
+        options.timing.heartbeat = Duration::from_millis(100);
+    });
+    let (_, watch) = source.accept();
+    watch.send(&list(7, true, &[worker("s-1", "a", "ready")]));
+    let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
+    assert_eq!(next_with_workers(&mut subscriber).version, 7);
+    assert_eq!(subscriber.line().as_deref(), Some(""));
+    // Nothing of the subscriber's, but it can resume from there.
+    watch.send(&list(8, false, &[worker("s-2", "b", "ready")]));
+    assert_eq!(read(&subscriber.list().unwrap()), expected(8, false, &[]));
+    assert_eq!(subscriber.line().as_deref(), Some(""));
+}
--- a/crates/standins/src/list_subscriber.rs
+++ b/crates/standins/src/list_subscriber.rs
@@ -97,6 +97,15 @@
         is_read
     }
 
+    /// Reads what comes until nothing does for so long; returns how many bytes there were.
+    pub fn read_until_silent(&mut self, silence: Duration) -> usize {
+        self.socket.get_ref().set_read_timeout(Some(silence)).expect("a live socket");
+        let before = self.early.get_ref().len();
+        while self.read_one_byte() {}
+        self.socket.get_ref().set_read_timeout(Some(WITHIN)).expect("a live socket");
+        self.early.get_ref().len() - before
+    }
+
     /// The next line that holds a list; heartbeats are passed over. `None` once the body has ended, which may be within
     /// a line.
     pub fn list(&mut self) -> Option<String> {
