--- a/crates/distribution/src/change_log.rs
+++ b/crates/distribution/src/change_log.rs
@@ -58,15 +58,6 @@
         self.entries.range(start..).copied()
     }
 
-    /// Moves the changes behind a version to another, later one; returns where the workers are held.
-    pub fn retag(&mut self, behind: u64, version: u64) -> impl Iterator<Item = u32> + '_ {
-        let start = self.entries.partition_point(|logged| logged.version <= behind);
-        self.entries.range_mut(start..).map(move |logged| {
-            logged.version = version;
-            logged.slot
-        })
-    }
-
     /// Takes out the entries that don't count, if there may be many.
     pub fn compact(&mut self, counts: impl Fn(&Logged) -> bool) {
         if self.entries.len() <= 2 * self.compacted + SLACK {
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -331,40 +331,12 @@
     /// The version under which the changes of a line are logged.
     ///
     /// A line with the version that is held is a part of what leads to the next version. Its changes are logged under
-    /// the version after the one held, until the next version is known: a subscriber that resumes from the one held may
-    /// lack them.
-    fn tag(&mut self, version: u64) -> u64 {
+    /// the version after the one held, as a subscriber that resumes from the one held may lack them. If the next version
+    /// turns out to be a higher one, nobody can resume from between ([`WorkerList::can_resume`]).
+    fn tag(&self, version: u64) -> u64 {
         match self.version {
             Some(held) if version == held => held.saturating_add(1),
-            Some(held) => {
-                self.retag(held, version);
-                version
-            }
-            None => version,
-        }
-    }
-
-    fn retag(&mut self, held: u64, version: u64) {
-        if self.head.version <= held {
-            return;
-        }
-        for log in [&mut self.departures, &mut self.others] {
-            for slot in log.retag(held, version) {
-                let Some(record) = self.records[slot as usize].as_mut() else { continue };
-                if record.version > held {
-                    record.version = version;
-                }
-                let former = record.former.iter_mut().flat_map(|former| former.iter_mut());
-                former
-                    .filter(|former| former.left.version > held)
-                    .for_each(|former| former.left.version = version);
-            }
-        }
-        self.tombstones.retag(held, version).for_each(drop);
-        for position in [&mut self.head, &mut self.floor] {
-            if position.version > held {
-                position.version = version;
-            }
+            _ => version,
         }
     }
 
--- a/crates/distribution/tests/worker_list.rs
+++ b/crates/distribution/tests/worker_list.rs
@@ -168,6 +168,24 @@
     assert_eq!(back.matches("instanceId").count(), 500);
 }
 
+#[test]
+fn workers_that_come_and_go_leave_nothing_behind() {
+    let mut list = WorkerList::new(WorkerListLimits { tombstones: 100 });
+    applied(&mut list, 1, true, &[]);
+    let mut after_a_while = 0;
+    for version in 2..400 {
+        let of = |version: u64, lifecycle: &str| {
+            (0..100).map(|id| entry(&format!("s-{version}-{id}"), "a", lifecycle)).collect::<Vec<_>>()
+        };
+        applied(&mut list, version, false, &[of(version - 1, "gone"), of(version, "ready")].concat());
+        assert_eq!((list.workers(), list.tombstones()), (100, 100));
+        if version == 100 {
+            after_a_while = list.heap_bytes();
+        }
+    }
+    assert!(list.heap_bytes() <= after_a_while + 40_000, "{after_a_while} before, {} now", list.heap_bytes());
+}
+
 #[test]
 fn a_large_list_takes_little_beside_its_entries() {
     const WORKERS: usize = 200_000;
