--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -12,10 +12,10 @@
 use std::io::Write;
 
 use crate::change_log::{Change, ChangeLog};
-use crate::entry::{as_gone, Lifecycle};
+use crate::entry::Lifecycle;
 use crate::places::PlaceSet;
 use crate::scope::Scope;
-use crate::worker_list::{Record, WorkerList};
+use crate::worker_list::{FormerPlace, Record, WorkerList};
 
 /// What one call of [`Cursor::next`] does at most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,19 +78,10 @@
     others: Change,
 }
 
-/// What a subscriber is told of a worker.
-#[derive(Clone, Copy)]
-enum Told {
-    /// The entry as it is.
-    Entry,
-    /// That it is gone: it moved out of the scope.
-    Gone,
-}
-
 /// A line of differences, before it is written.
 #[derive(Default)]
 struct Picked {
-    entries: Vec<(u32, Told)>,
+    slots: Vec<u32>,
     bytes: usize,
 }
 
@@ -198,8 +189,7 @@
         let scan = u32::try_from(self.limits.scan.max(1)).unwrap_or(u32::MAX);
         let end = from.saturating_add(scan).min(list.slots());
         for slot in from..end {
-            let wanted =
-                |record: &&Record| record.lifecycle != Lifecycle::Gone && self.places.contains(record.place);
+            let wanted = |record: &&Record| record.lifecycle != Lifecycle::Gone && self.concerns(record);
             let Some(record) = list.record(slot).filter(wanted) else { continue };
             if !out.is_empty() && out.len() + record.entry.len() > self.limits.chunk {
                 self.progress = Progress::Snapshot { next_slot: slot, is_first };
@@ -233,7 +223,7 @@
             (self.departures, self.others) = (self.complete, self.complete);
             self.version = list.version().unwrap_or_default();
         }
-        if !picked.entries.is_empty() {
+        if !picked.slots.is_empty() {
             self.write_differences(list, &picked, out);
             return Step::Send;
         }
@@ -263,35 +253,33 @@
             }
             *scan -= 1;
             let record = list.changed_record(&logged);
-            if let Some((record, told)) = record.and_then(|record| Some((record, self.told_of(record)?))) {
-                if !picked.entries.is_empty() && picked.bytes + record.entry.len() > self.limits.chunk {
+            if let Some(record) = record.filter(|record| self.concerns(record)) {
+                if !picked.slots.is_empty() && picked.bytes + record.entry.len() > self.limits.chunk {
                     return (position, false);
                 }
                 picked.bytes += record.entry.len() + 1;
-                picked.entries.push((logged.slot, told));
+                picked.slots.push(logged.slot);
             }
             position = logged.change();
         }
         (position, true)
     }
 
-    fn told_of(&self, record: &Record) -> Option<Told> {
-        if self.places.contains(record.place) {
-            return Some(Told::Entry);
-        }
-        let mut former = record.former_places().iter().filter(|former| former.left > self.complete);
-        former.any(|former| self.places.contains(former.place)).then_some(Told::Gone)
+    /// Whether the subscriber is told of a worker: it is in the scope, or was, as far as that is remembered.
+    ///
+    /// A worker that moves out of a scope is not gone, and must not be told so. The subscriber sees by the entry where the
+    /// worker is now, and is told as well when it leaves there or comes back.
+    fn concerns(&self, record: &Record) -> bool {
+        let is_former = |former: &FormerPlace| self.places.contains(former.place);
+        self.places.contains(record.place) || record.former_places().iter().any(is_former)
     }
 
     fn write_differences(&mut self, list: &WorkerList, picked: &Picked, out: &mut Vec<u8>) {
         write_head(out, self.version, false);
         let mut is_first = true;
-        for (slot, told) in &picked.entries {
+        for slot in &picked.slots {
             let Some(record) = list.record(*slot) else { continue };
-            match told {
-                Told::Entry => write_entry(out, &record.entry, &mut is_first),
-                Told::Gone => write_entry(out, &as_gone(&record.entry), &mut is_first),
-            }
+            write_entry(out, &record.entry, &mut is_first);
         }
         out.extend_from_slice(TAIL);
         self.told = Some(self.version);
