--- /dev/null
+++ b/crates/lab/src/capacity/assumptions.rs
@@ -0,0 +1,234 @@
+//! What the page takes for granted and the letter does not say. Each can be halved or doubled, so that the page shows
+//! which of its figures rest on it.
+
+use super::letter;
+
+/// One assumption.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Assumption {
+    ServicesPerManager,
+    RequestsPerProxy,
+    RoutesPerOperation,
+    TenantBytes,
+    EntryBytes,
+    EntriesPerRestart,
+    EntriesPerFailure,
+    WorkersPerMachine,
+    RackMachines,
+    LargestZone,
+    ServicesPerChange,
+    ChangeBytes,
+    ReportPeriodSeconds,
+    ProxyZonesPerManager,
+    MembersOfGroup,
+    StallPerLineMicroseconds,
+}
+
+/// An assumption as the page tells it.
+#[derive(Clone, Copy, Debug)]
+pub struct Details {
+    pub name: &'static str,
+    pub value: f64,
+    pub reason: &'static str,
+}
+
+impl Assumption {
+    /// All of them, in the order of the page.
+    pub const ALL: [Assumption; 16] = [
+        Assumption::ServicesPerManager,
+        Assumption::RequestsPerProxy,
+        Assumption::RoutesPerOperation,
+        Assumption::TenantBytes,
+        Assumption::EntryBytes,
+        Assumption::EntriesPerRestart,
+        Assumption::EntriesPerFailure,
+        Assumption::WorkersPerMachine,
+        Assumption::RackMachines,
+        Assumption::LargestZone,
+        Assumption::ServicesPerChange,
+        Assumption::ChangeBytes,
+        Assumption::ReportPeriodSeconds,
+        Assumption::ProxyZonesPerManager,
+        Assumption::MembersOfGroup,
+        Assumption::StallPerLineMicroseconds,
+    ];
+
+    /// Its name, its value and why it has that value.
+    pub fn details(self) -> Details {
+        let (name, value, reason) = match self {
+            Assumption::ServicesPerManager => (
+                "services that one manager serves",
+                1.0,
+                "a service is one kind of homework checking with workers of its own; services are equally large",
+            ),
+            Assumption::RequestsPerProxy => (
+                "requests a second at one proxy",
+                20.0,
+                "the sites: 62 to 180 a second by 6 to 12 proxies, one in each client process, so 5 to 30",
+            ),
+            Assumption::RoutesPerOperation => (
+                "routes behind one operation",
+                1.0,
+                "a route is what the sites call an operation, as `save-attempt`",
+            ),
+            Assumption::TenantBytes => (
+                "bytes of configuration kept for a tenant",
+                100.0,
+                "a tenant is a school; no decision goes by it today, so its state is a name and a few figures",
+            ),
+            Assumption::EntryBytes => (
+                "bytes of one entry of the list",
+                146.0,
+                "the entries of our stand-in for discovery, as measured with 93e8f85",
+            ),
+            Assumption::EntriesPerRestart => (
+                "entries for one restart",
+                3.0,
+                "draining, gone, ready",
+            ),
+            Assumption::EntriesPerFailure => ("entries for one failure", 2.0, "gone, and ready elsewhere or later"),
+            Assumption::WorkersPerMachine => ("workers on one machine that fails", 1.0, "the letter counts machines; one worker on each"),
+            Assumption::RackMachines => ("machines behind one rack or switch", 40.0, "a full rack of small machines"),
+            Assumption::LargestZone => (
+                "the zone that fails, against the mean zone",
+                1.0,
+                "the letter tells no sizes of zones",
+            ),
+            Assumption::ServicesPerChange => (
+                "services that one change of configuration concerns",
+                1.0,
+                "a weight, a drain or a limit of one service",
+            ),
+            Assumption::ChangeBytes => (
+                "bytes of one change of configuration",
+                300.0,
+                "a worker with its weight in the operator's XML has some 200, and a version and an author are added",
+            ),
+            Assumption::ReportPeriodSeconds => ("seconds between two sums", 1.0, "as at two of the three sites; 2 at the third"),
+            Assumption::ProxyZonesPerManager => (
+                "zones in which one manager's proxies stand",
+                1.0,
+                "proxies dial a manager of their own zone",
+            ),
+            Assumption::MembersOfGroup => (
+                "members of one consensus group",
+                7.0,
+                "three to seven are planned; the larger is the dearer",
+            ),
+            Assumption::StallPerLineMicroseconds => (
+                "microseconds a proxy stands still for one line of an order",
+                120.0,
+                "the worst of the sites' ranges, 21 to 120",
+            ),
+        };
+        Details { name, value, reason }
+    }
+}
+
+/// The assumptions in force, one of them perhaps scaled, and the sizes that follow from them and the letter.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Sizes {
+    scaled: Option<(Assumption, f64)>,
+}
+
+impl Sizes {
+    /// With this assumption times this factor.
+    pub fn scaled(assumption: Assumption, factor: f64) -> Sizes {
+        Sizes { scaled: Some((assumption, factor)) }
+    }
+
+    /// An assumption's value.
+    pub fn assumed(&self, assumption: Assumption) -> f64 {
+        let factor = self.scaled.filter(|(of, _)| *of == assumption).map_or(1.0, |(_, factor)| factor);
+        assumption.details().value * factor
+    }
+
+    /// Workers whose entries a manager needs that follows its services alone.
+    pub fn workers_in_scope(&self) -> f64 {
+        letter::WORKERS / letter::SERVICES * self.assumed(Assumption::ServicesPerManager)
+    }
+
+    /// The part of the whole list in such a scope.
+    pub fn scope_share(&self) -> f64 {
+        self.workers_in_scope() / letter::WORKERS
+    }
+
+    /// Managers that need a given worker's entry.
+    pub fn managers_per_service(&self) -> f64 {
+        letter::MANAGERS * self.scope_share()
+    }
+
+    /// Proxies of the whole fleet.
+    pub fn proxies(&self) -> f64 {
+        letter::REQUESTS_PER_SECOND / self.assumed(Assumption::RequestsPerProxy)
+    }
+
+    /// Proxies of one manager.
+    pub fn proxies_per_manager(&self) -> f64 {
+        self.proxies() / letter::MANAGERS
+    }
+
+    /// Operations for which one manager writes tables.
+    pub fn operations_per_manager(&self) -> f64 {
+        let operations = letter::ROUTES / self.assumed(Assumption::RoutesPerOperation);
+        operations / letter::SERVICES * self.assumed(Assumption::ServicesPerManager)
+    }
+
+    /// Managers that one control machine serves.
+    pub fn managers_per_control_machine(&self) -> f64 {
+        letter::MANAGERS / letter::CONTROL_MACHINES
+    }
+
+    /// Workers of the zone that fails.
+    pub fn workers_per_zone(&self) -> f64 {
+        letter::WORKERS / letter::ZONES * self.assumed(Assumption::LargestZone)
+    }
+
+    /// Managers of the zone that fails.
+    pub fn managers_per_zone(&self) -> f64 {
+        letter::MANAGERS / letter::ZONES * self.assumed(Assumption::LargestZone)
+    }
+
+    /// Workers of one region.
+    pub fn workers_per_region(&self) -> f64 {
+        letter::WORKERS / letter::REGIONS
+    }
+
+    /// Entries of the list that change in a second of an ordinary day.
+    pub fn entries_per_second(&self) -> f64 {
+        let restarts = letter::RESTARTS_PER_DAY * self.assumed(Assumption::EntriesPerRestart);
+        let failures = letter::FAILURES_PER_DAY * self.assumed(Assumption::EntriesPerFailure);
+        (restarts + failures) * self.assumed(Assumption::WorkersPerMachine) / letter::DAY_SECONDS
+    }
+
+    /// Bytes of so many entries of the list.
+    pub fn entries_bytes(&self, entries: f64) -> f64 {
+        entries * self.assumed(Assumption::EntryBytes)
+    }
+
+    /// Bytes of the whole list.
+    pub fn list_bytes(&self) -> f64 {
+        self.entries_bytes(letter::WORKERS)
+    }
+
+    /// Bytes of a snapshot of one manager's scope.
+    pub fn snapshot_bytes(&self) -> f64 {
+        self.entries_bytes(self.workers_in_scope())
+    }
+
+    /// Changes of configuration in a second.
+    pub fn changes_per_second(&self) -> f64 {
+        letter::CHANGES_PER_DAY / letter::DAY_SECONDS
+    }
+
+    /// The part of all changes of configuration that concerns one manager.
+    pub fn change_share(&self) -> f64 {
+        let of_service = self.assumed(Assumption::ServicesPerChange) / letter::SERVICES;
+        (of_service * self.assumed(Assumption::ServicesPerManager)).min(1.0)
+    }
+
+    /// Bytes of so many changes of configuration.
+    pub fn changes_bytes(&self, changes: f64) -> f64 {
+        changes * self.assumed(Assumption::ChangeBytes)
+    }
+}
--- /dev/null
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -0,0 +1,92 @@
+//! A machine set aside for control: a relay that holds the whole list once and is watched by managers.
+
+use super::{bytes, bytes_per_second, count, per_second, Inputs, Table};
+use crate::capacity::assumptions::{Assumption, Sizes};
+use crate::capacity::paths;
+use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
+use crate::capacity::series_measured as series;
+use crate::capacity::{letter, traffic, wire};
+
+pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
+    let mut table = Table::new(Role::ControlMachine);
+    kept(inputs, &mut table);
+    ordinary_day(inputs, &mut table);
+    lists_change(inputs, &mut table);
+    machines_start_anew(inputs, &mut table);
+    table.rows
+}
+
+fn kept(inputs: &Inputs<'_>, table: &mut Table) {
+    let (sizes, measured) = (&inputs.sizes, inputs.measured);
+    let subscribers = sizes.managers_per_control_machine();
+    let when = When::Kept;
+    let descriptors = Limit::descriptors();
+    table.judge(when, "managers that watch it", count(subscribers), descriptors, paths::RELAY);
+    table.tell(when, "the whole list, as sent", bytes(sizes.list_bytes()), paths::RELAY);
+    let list = series::RELAY_MEMORY.at(measured, letter::WORKERS);
+    table.tell(when, "memory with the whole list", list, paths::RELAY);
+    let watches = series::RELAY_MEMORY_BY_SUBSCRIBERS.at(measured, subscribers);
+    table.tell(when, "memory with its managers", watches, paths::RELAY);
+}
+
+fn ordinary_day(inputs: &Inputs<'_>, table: &mut Table) {
+    let (sizes, measured) = (&inputs.sizes, inputs.measured);
+    let subscribers = sizes.managers_per_control_machine();
+    let when = When::OrdinaryDay;
+    table.tell(when, "bytes in", bytes_per_second(traffic::whole_list(sizes)), paths::RELAY);
+    let heartbeats = per_second(subscribers / wire::HEARTBEAT_PERIOD_SECONDS);
+    table.tell(when, "empty lines out", heartbeats, paths::RELAY);
+    let scoped = subscribers * (traffic::scope(sizes) + traffic::heartbeats());
+    table.tell(when, "bytes out by services", bytes_per_second(scoped), paths::SCOPE);
+    let whole = subscribers * (traffic::whole_list(sizes) + traffic::heartbeats());
+    table.tell(when, "bytes out, were all to watch the whole list", bytes_per_second(whole), paths::RELAY);
+    let processor = series::RELAY_PROCESSOR_BY_SUBSCRIBERS.at(measured, subscribers);
+    table.tell(when, "processor time", processor, paths::RELAY);
+}
+
+/// Bytes that one control machine sends for so many changed entries, each to the managers that need it.
+fn sent(sizes: &Sizes, entries: f64) -> f64 {
+    sizes.entries_bytes(entries) * sizes.managers_per_service() / letter::CONTROL_MACHINES
+}
+
+fn lists_change(inputs: &Inputs<'_>, table: &mut Table) {
+    let sizes = &inputs.sizes;
+    let rack = sizes.assumed(Assumption::RackMachines) * sizes.assumed(Assumption::WorkersPerMachine);
+    let failures = [
+        (Failure::Rack, rack),
+        (Failure::ZoneBack, sizes.workers_per_zone()),
+        (Failure::RegionCut, sizes.workers_per_region()),
+    ];
+    for (failure, workers) in failures {
+        let when = When::Worst(failure);
+        table.tell(when, "entries in, one a worker", bytes(sizes.entries_bytes(workers)), paths::RELAY);
+        table.tell(when, "bytes out by services", bytes(sent(sizes, workers)), paths::SCOPE);
+    }
+    let when = When::Worst(Failure::RegionCut);
+    let behind = sizes.entries_per_second() * letter::REGION_CUT_SECONDS;
+    table.tell(when, "there: versions behind, at most", count(behind), paths::VERSION_LOG);
+    let difference = bytes(sizes.entries_bytes(behind));
+    table.tell(when, "there: the difference", difference, paths::VERSION_LOG);
+    table.tell(when, "there: a whole list instead", bytes(sizes.list_bytes()), paths::RELAY);
+}
+
+fn machines_start_anew(inputs: &Inputs<'_>, table: &mut Table) {
+    let sizes = &inputs.sizes;
+    let subscribers = sizes.managers_per_control_machine();
+    let snapshots = |managers: f64| bytes(managers * sizes.snapshot_bytes());
+    let zone = When::Worst(Failure::ZoneBack);
+    let returning = sizes.managers_per_zone() / letter::CONTROL_MACHINES;
+    table.tell(zone, "managers that come to each", count(returning), paths::RELAY_CHOICE);
+    table.tell(zone, "snapshots for them by services", snapshots(returning), paths::SCOPE);
+    let dead = When::Worst(Failure::ControlMachineDead);
+    let shared = subscribers / (letter::CONTROL_MACHINES - 1.0);
+    table.tell(dead, "managers that come to each other one", count(shared), paths::RELAY_CHOICE);
+    table.tell(dead, "snapshots for them by services, at most", snapshots(shared), paths::SCOPE);
+    let whole = bytes(shared * sizes.list_bytes());
+    table.tell(dead, "snapshots for them, were they whole lists", whole, paths::RELAY);
+    let all = When::Worst(Failure::AllRestarted);
+    let pace = Mechanism::Missing("snapshots at a pace");
+    table.tell(all, "snapshots for its managers by services", snapshots(subscribers), pace);
+    let whole = bytes(subscribers * sizes.list_bytes());
+    table.tell(all, "snapshots for its managers, were they whole lists", whole, pace);
+}
--- /dev/null
+++ b/crates/lab/src/capacity/roles/discovery.rs
@@ -0,0 +1,47 @@
+//! The source of the list: who watches it, and what it sends.
+
+use super::{bytes, bytes_per_second, count, Inputs, Table};
+use crate::capacity::paths;
+use crate::capacity::quantity::Unit;
+use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
+use crate::capacity::{letter, traffic};
+
+/// The longest line of a watch that a manager takes.
+const LONGEST_LINE_BYTES: f64 = 16.0 * 1024.0 * 1024.0;
+
+const WHOLE_LIST: &str = "the whole list, one line of a watch";
+
+pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
+    let sizes = &inputs.sizes;
+    let mut table = Table::new(Role::Discovery);
+    let kept = When::Kept;
+    table.tell(kept, "watches, one a manager", count(letter::MANAGERS), paths::WATCH);
+    table.tell(kept, "watches, one a control machine", count(letter::CONTROL_MACHINES), paths::RELAY);
+    let line = bytes(sizes.list_bytes());
+    let longest = Limit::program(LONGEST_LINE_BYTES, Unit::Bytes);
+    match paths::LIST_READER {
+        Mechanism::Missing(_) => table.judge(kept, WHOLE_LIST, line, longest, paths::LIST_READER),
+        Mechanism::File(_) | Mechanism::None => table.tell(kept, WHOLE_LIST, line, paths::LIST_READER),
+    }
+
+    let day = When::OrdinaryDay;
+    let watch = traffic::whole_list(sizes) + traffic::heartbeats();
+    let direct = bytes_per_second(letter::MANAGERS * watch);
+    table.tell(day, "bytes out, one watch a manager", direct, paths::WATCH);
+    let relayed = bytes_per_second(letter::CONTROL_MACHINES * watch);
+    table.tell(day, "bytes out, one watch a control machine", relayed, paths::RELAY);
+
+    let zone = bytes(letter::CONTROL_MACHINES * sizes.entries_bytes(sizes.workers_per_zone()));
+    let back = When::Worst(Failure::ZoneBack);
+    table.tell(back, "its workers' entries, to all control machines", zone, paths::RELAY);
+    let region = sizes.entries_bytes(sizes.workers_per_region());
+    let cut = When::Worst(Failure::RegionCut);
+    let out = bytes(letter::CONTROL_MACHINES * region);
+    table.tell(cut, "its workers' entries, to all control machines", out, paths::RELAY);
+    let all = When::Worst(Failure::AllRestarted);
+    let relayed = bytes(letter::CONTROL_MACHINES * sizes.list_bytes());
+    table.tell(all, "whole lists, one a control machine", relayed, paths::RELAY);
+    let direct = bytes(letter::MANAGERS * sizes.list_bytes());
+    table.tell(all, "whole lists, were managers to watch it themselves", direct, paths::WATCH);
+    table.rows
+}
--- /dev/null
+++ b/crates/lab/src/capacity/roles/manager.rs
@@ -0,0 +1,139 @@
+//! A manager: what it keeps of the list, and what control costs it.
+
+use super::{bytes, bytes_per_second, count, seconds, Inputs, Table};
+use crate::capacity::assumptions::Assumption;
+use crate::capacity::paths;
+use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
+use crate::capacity::series_measured as series;
+use crate::capacity::{letter, quantity::Unit, traffic, wire};
+
+fn memory_limit() -> Limit {
+    Limit::letter(letter::MANAGER_MEMORY_BYTES, Unit::Bytes)
+}
+
+fn processor_limit() -> Limit {
+    Limit::letter(letter::MANAGER_CORES, Unit::Cores)
+}
+
+fn traffic_limit() -> Limit {
+    Limit::letter(letter::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond)
+}
+
+pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
+    let mut table = Table::new(Role::Manager);
+    kept_of_whole_list(inputs, &mut table);
+    kept_of_services(inputs, &mut table);
+    processor_time(inputs, &mut table);
+    bytes_read(inputs, &mut table);
+    list_changes(inputs, &mut table);
+    region_cut(inputs, &mut table);
+    list_taken_anew(inputs, &mut table);
+    table.rows
+}
+
+fn kept_of_whole_list(inputs: &Inputs<'_>, table: &mut Table) {
+    let memory = series::MANAGER_MEMORY.at(inputs.measured, letter::WORKERS);
+    table.judge(When::Kept, "memory with the whole list", memory, memory_limit(), paths::ROSTER);
+    let most = series::MANAGER_MEMORY.reaches(inputs.measured, letter::MANAGER_MEMORY_BYTES);
+    let all = Limit::reached(letter::WORKERS);
+    table.judge(When::Kept, "workers listed that 32 MB bear", most, all, paths::ROSTER);
+}
+
+fn kept_of_services(inputs: &Inputs<'_>, table: &mut Table) {
+    let (sizes, measured) = (&inputs.sizes, inputs.measured);
+    let workers = sizes.workers_in_scope();
+    table.tell(When::Kept, "workers of its services", count(workers), paths::SCOPE);
+    table.tell(When::Kept, "their entries, as sent", bytes(sizes.snapshot_bytes()), paths::SCOPE);
+    let by_zone = series::MANAGER_MEMORY.at(measured, sizes.workers_per_zone());
+    table.judge(When::Kept, "memory with its zone's workers", by_zone, memory_limit(), paths::SCOPE);
+    let scoped = series::MANAGER_MEMORY.at(measured, workers);
+    table.judge(
+        When::Kept,
+        "memory with its services' workers",
+        scoped.clone(),
+        memory_limit(),
+        paths::SCOPE,
+    );
+    let by_proxies = series::MANAGER_MEMORY_BY_PROXIES.growth(measured, sizes.proxies_per_manager());
+    let by_operations = series::MANAGER_MEMORY_BY_OPERATIONS.growth(measured, sizes.operations_per_manager());
+    let together = scoped.plus(by_proxies).plus(by_operations);
+    let name = "memory with its workers, proxies and operations";
+    table.judge(When::Kept, name, together, memory_limit(), paths::PLANE);
+}
+
+fn processor_time(inputs: &Inputs<'_>, table: &mut Table) {
+    let (sizes, measured) = (&inputs.sizes, inputs.measured);
+    let when = When::OrdinaryDay;
+    let whole = series::MANAGER_PROCESSOR.at(measured, letter::WORKERS);
+    table.judge(when, "processor time with the whole list", whole, processor_limit(), paths::ROSTER);
+    let most = series::MANAGER_PROCESSOR.reaches(measured, letter::MANAGER_CORES);
+    let all = Limit::reached(letter::WORKERS);
+    table.judge(when, "workers listed that 1.3% of a core bears", most, all, paths::ROSTER);
+    let scoped = series::MANAGER_PROCESSOR.at(measured, sizes.workers_in_scope());
+    let name = "processor time with its services' workers";
+    table.judge(when, name, scoped.clone(), processor_limit(), paths::SCOPE);
+    let reports = traffic::outcome_lines(sizes) + traffic::demand_lines(sizes);
+    let by_reports = series::MANAGER_PROCESSOR_BY_REPORTS.growth(measured, reports);
+    table.judge(when, "processor time that sums add", by_reports.clone(), processor_limit(), paths::PLANNER);
+    let by_proxies = series::MANAGER_PROCESSOR_BY_PROXIES.growth(measured, sizes.proxies_per_manager());
+    let by_operations =
+        series::MANAGER_PROCESSOR_BY_OPERATIONS.growth(measured, sizes.operations_per_manager());
+    let together = scoped.plus(by_proxies).plus(by_operations).plus(by_reports);
+    let name = "processor time with its workers, proxies, operations and sums";
+    table.judge(when, name, together, processor_limit(), paths::PLANNER);
+}
+
+fn bytes_read(inputs: &Inputs<'_>, table: &mut Table) {
+    let sizes = &inputs.sizes;
+    let when = When::OrdinaryDay;
+    let whole = bytes_per_second(traffic::whole_list(sizes) + traffic::heartbeats());
+    table.judge(when, "watch of the whole list", whole, traffic_limit(), paths::WATCH);
+    let scoped = bytes_per_second(traffic::scope(sizes) + traffic::heartbeats());
+    table.judge(when, "watch of its services", scoped, traffic_limit(), paths::SCOPE);
+    let read = bytes_per_second(traffic::read(sizes));
+    let budget = Mechanism::Missing("a byte budget");
+    table.judge(when, "all that it reads: list, configuration, sums", read, traffic_limit(), budget);
+}
+
+fn list_changes(inputs: &Inputs<'_>, table: &mut Table) {
+    let sizes = &inputs.sizes;
+    let entries = |workers: f64| bytes(sizes.entries_bytes(workers));
+    let rack = sizes.assumed(Assumption::RackMachines) * sizes.assumed(Assumption::WorkersPerMachine);
+    let name = "entries, were all its workers of one service of this manager";
+    table.tell(When::Worst(Failure::Rack), name, entries(rack), paths::SCOPE);
+    let zone = sizes.workers_per_zone();
+    let back = When::Worst(Failure::ZoneBack);
+    let name = "entries, one a worker, where it watches that zone or all";
+    table.tell(back, name, entries(zone), paths::WATCH);
+    let of_services = entries(zone * sizes.scope_share());
+    table.tell(back, "entries, one a worker, of its services", of_services, paths::SCOPE);
+}
+
+fn region_cut(inputs: &Inputs<'_>, table: &mut Table) {
+    let sizes = &inputs.sizes;
+    let when = When::Worst(Failure::RegionCut);
+    let behind = sizes.entries_per_second() * letter::REGION_CUT_SECONDS;
+    let entries = |workers: f64| bytes(sizes.entries_bytes(workers * sizes.scope_share()));
+    table.tell(when, "there: entries missed of its services", entries(behind), paths::VERSION_LOG);
+    let snapshot = bytes(sizes.snapshot_bytes());
+    table.tell(when, "there: a snapshot of its services instead", snapshot, paths::SCOPE);
+    let region = entries(sizes.workers_per_region());
+    table.tell(when, "elsewhere: its services' workers of that region", region, paths::SCOPE);
+}
+
+fn list_taken_anew(inputs: &Inputs<'_>, table: &mut Table) {
+    let sizes = &inputs.sizes;
+    let dead = When::Worst(Failure::ControlMachineDead);
+    let unnoticed = seconds(wire::SILENT_AFTER_SECONDS);
+    table.tell(dead, "until a watch that went silent is dialled again", unnoticed, paths::WATCH);
+    let snapshot = bytes(sizes.snapshot_bytes());
+    table.tell(dead, "a snapshot from another, at most", snapshot, paths::SCOPE);
+    let all = When::Worst(Failure::AllRestarted);
+    let at_budget = |bytes: f64| seconds(bytes / letter::MANAGER_BYTES_PER_SECOND);
+    table.tell(all, "the whole list at 5 KB/s", at_budget(sizes.list_bytes()), paths::WATCH);
+    let zone = at_budget(sizes.entries_bytes(sizes.workers_per_zone()));
+    let named = Mechanism::Missing("entries that name their service");
+    table.tell(all, "its zone's workers at 5 KB/s", zone, named);
+    let services = at_budget(sizes.snapshot_bytes());
+    table.tell(all, "its services' workers at 5 KB/s", services, paths::SCOPE);
+}
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,7 @@
 //! Measurements, each with its bounds: a small table, and `N passed, N failed` alone on the last line. Managers run in
 //! processes of their own, everybody else is a stand-in of ours; all stays on the loopback.
 
+mod capacity_command;
 mod changes;
 mod child;
 mod council;
@@ -72,6 +73,12 @@
     },
     /// What a turn of the decisions costs as workers and proxies grow.
     Turns,
+    /// The tables of the capacity page, from the measured slopes, and whether the page holds them.
+    Capacity {
+        /// Writes the tables into docs/CAPACITY.md.
+        #[arg(long)]
+        write: bool,
+    },
     /// One manager, for the other experiments.
     #[command(hide = true)]
     Serve { config: PathBuf, operator_file: PathBuf },
@@ -85,6 +92,7 @@
         Experiment::Gangs { seeds } => gangs::run(&mut report, seeds),
         Experiment::Council { rounds } => council::run(&mut report, rounds),
         Experiment::Schedule { count, seconds } => schedule::run(&mut report, count, seconds),
+        Experiment::Capacity { write } => capacity_command::run(&mut report, write),
         Experiment::Turns => turns::run(&mut report),
         Experiment::Netconf { commits, rounds } => netconf::run(&mut report, commits, rounds),
         Experiment::Changes { count, seed } => changes::run(&mut report, count, seed),
--- /dev/null
+++ b/crates/lab/tests/capacity.rs
@@ -0,0 +1,224 @@
+//! The capacity page holds what the program computes, and names nothing that is not there.
+
+use std::path::{Path, PathBuf};
+
+use juniperrail_lab::capacity::assumptions::Assumption;
+use juniperrail_lab::capacity::checks;
+use juniperrail_lab::capacity::figure::{Basis, Bound};
+use juniperrail_lab::capacity::markdown::{rewrite, Block, PageError};
+use juniperrail_lab::capacity::page::Page;
+use juniperrail_lab::capacity::quantity::{Quantity, Unit};
+use juniperrail_lab::capacity::row::{Limit, Mechanism, Role, Row, Verdict, When};
+use juniperrail_lab::capacity::series::Series;
+use juniperrail_lab::measured::{Measurements, Reading, Slope};
+
+const MEMORY: Series =
+    Series { role: "manager", figure: "peak memory", against: "workers listed", unit: Unit::Bytes };
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn measured() -> Measurements {
+    let text = std::fs::read_to_string(root().join("docs/capacity/measured.json")).unwrap();
+    serde_json::from_str(&text).unwrap()
+}
+
+fn page_text() -> String {
+    std::fs::read_to_string(root().join("docs/CAPACITY.md")).unwrap()
+}
+
+fn faults(text: &str, measured: &Measurements) -> Vec<String> {
+    let page = Page::new(measured);
+    checks::all(&root(), text, &page, measured).into_iter().flat_map(|check| check.faults).collect()
+}
+
+fn slope(straight: bool) -> Slope {
+    Slope {
+        role: "manager".into(),
+        figure: "peak memory".into(),
+        against: "workers listed".into(),
+        unit: "B".into(),
+        fixed: 9e6,
+        each: 1000.0,
+        r_squared: 1.0,
+        worst_residual: 0.0,
+        straight,
+        sizes: vec![1000.0, 10_000.0],
+        means: vec![1e7, 1.9e7],
+        plays: 3,
+        run: "a run".into(),
+    }
+}
+
+fn with_slope(straight: bool) -> Measurements {
+    Measurements { slopes: vec![slope(straight)], ..Measurements::default() }
+}
+
+fn reading(at: &str, value: f64) -> Reading {
+    let (role, figure, unit, run) = ("manager".into(), "peak memory".into(), "B".into(), "a run".into());
+    Reading { role, figure, at: at.into(), unit, value, run }
+}
+
+fn with_readings() -> Measurements {
+    let readings = vec![
+        reading("1,000 workers listed, one change a second", 1e7),
+        reading("3,000 workers listed, one change a second", 4e7),
+        reading("2,000 proxies joined", 9e9),
+    ];
+    Measurements { readings, ..Measurements::default() }
+}
+
+#[test]
+fn the_page_holds_what_the_program_prints_and_every_check_passes() {
+    let faults = faults(&page_text(), &measured());
+    assert!(faults.is_empty(), "{faults:#?}\nwrite it: cargo run -p juniperrail-lab -- capacity --write");
+}
+
+#[test]
+fn a_figure_changed_by_hand_is_found() {
+    let text = page_text();
+    let row = text.lines().find(|line| line.starts_with("| kept | workers of its services |")).unwrap();
+    let changed = text.replace(row, &row.replace("(assumed)", "(measured)"));
+    assert_ne!(text, changed);
+    let faults = faults(&changed, &measured());
+    assert!(faults[0].contains("(measured)"), "{faults:?}");
+}
+
+#[test]
+fn a_measurement_that_changes_is_found() {
+    let mut measured = measured();
+    let run = measured.runs[0].id.clone();
+    measured.slopes.insert(0, Slope { run, ..slope(true) });
+    let faults = faults(&page_text(), &measured);
+    assert!(faults[0].starts_with("line "), "{faults:?}");
+}
+
+#[test]
+fn a_section_or_block_that_is_missing_is_found() {
+    for role in Role::ALL {
+        let heading = format!("## {}\n", role.title());
+        let without = page_text().replace(&heading, "");
+        let told = format!("there is no section {:?}", role.title());
+        assert!(faults(&without, &measured()).contains(&told), "{told}");
+        let mark = format!("<!-- capacity: {} -->\n", role.block());
+        let without = page_text().replace(&mark, "");
+        assert!(!faults(&without, &measured()).is_empty(), "{mark}");
+    }
+}
+
+#[test]
+fn each_file_named_as_a_mechanism_exists() {
+    for row in Page::new(&measured()).rows {
+        if let Mechanism::File(path) = row.mechanism {
+            assert!(root().join(path).is_file(), "{path}");
+        }
+    }
+}
+
+#[test]
+fn a_file_that_does_not_exist_is_found() {
+    let elsewhere = root().join("docs");
+    let (text, measured) = (page_text(), measured());
+    let checks = checks::all(&elsewhere, &text, &Page::new(&measured), &measured);
+    let faults: Vec<String> = checks.into_iter().flat_map(|check| check.faults).collect();
+    assert!(faults.contains(&"there is no src/brain.rs".to_string()), "{faults:?}");
+}
+
+#[test]
+fn each_assumption_moves_a_figure_and_has_a_reason() {
+    let page = Page::new(&measured());
+    assert_eq!(page.sensitivities.len(), Assumption::ALL.len());
+    for sensitivity in page.sensitivities {
+        let details = sensitivity.assumption.details();
+        assert!(!sensitivity.moved.is_empty(), "{}", details.name);
+        assert!(!details.reason.is_empty(), "{}", details.name);
+    }
+}
+
+#[test]
+fn each_measured_figure_names_a_run_that_is_told() {
+    let mut measured = measured();
+    measured.readings[0].run = "nobody's".into();
+    assert!(faults(&page_text(), &measured).iter().any(|fault| fault.contains("nobody's")));
+}
+
+#[test]
+fn a_slope_is_extrapolated_beyond_twice_its_largest_size_or_where_it_bends() {
+    let near = MEMORY.at(&with_slope(true), 20_000.0);
+    assert_eq!(near.basis, Basis::Measured);
+    assert_eq!(near.quantity, Some(Quantity::new(2.9e7, Unit::Bytes)));
+    let far = MEMORY.at(&with_slope(true), 20_001.0);
+    assert!(matches!(far.basis, Basis::Extrapolated(_)));
+    assert!(far.cell().contains("extrapolated"));
+    let bent = MEMORY.at(&with_slope(false), 5000.0);
+    assert!(matches!(bent.basis, Basis::Extrapolated(_)));
+    let keeps = MEMORY.reaches(&with_slope(true), 2.4e7);
+    assert_eq!(keeps.quantity, Some(Quantity::new(15_000.0, Unit::Count)));
+}
+
+#[test]
+fn readings_bound_what_is_below_and_tell_nothing_of_what_is_beyond() {
+    let below = MEMORY.at(&with_readings(), 45.0);
+    assert_eq!((below.bound, below.quantity), (Bound::AtMost, Some(Quantity::new(1e7, Unit::Bytes))));
+    let between = MEMORY.at(&with_readings(), 2000.0);
+    assert_eq!((between.bound, between.quantity), (Bound::Exact, Some(Quantity::new(2.5e7, Unit::Bytes))));
+    assert_eq!(between.basis, Basis::Between);
+    let beyond = MEMORY.at(&with_readings(), 3001.0);
+    assert_eq!(beyond.cell(), "not measured");
+    assert_eq!(beyond.basis, Basis::NotMeasured(vec![MEMORY.wanted()]));
+    assert_eq!(MEMORY.at(&Measurements::default(), 45.0).cell(), "not measured");
+    let keeps = MEMORY.reaches(&with_readings(), 2.5e7);
+    assert_eq!(keeps.quantity, Some(Quantity::new(2000.0, Unit::Count)));
+    assert_eq!(MEMORY.reaches(&with_readings(), 5e7).quantity, None);
+    let floored = MEMORY.reaches(&with_readings(), 2.6e7);
+    assert_eq!(floored.quantity, Some(Quantity::new(2000.0, Unit::Count)), "2,066 told with two digits");
+}
+
+#[test]
+fn an_upper_bound_over_the_limit_is_not_judged() {
+    let row = |size, limit| Row {
+        role: Role::Manager,
+        when: When::Kept,
+        name: "memory",
+        figure: MEMORY.at(&with_readings(), size),
+        limit: Some(Limit::letter(limit, Unit::Bytes)),
+        mechanism: Mechanism::None,
+    };
+    assert_eq!(row(45.0, 1e7).verdict(), Verdict::Carries);
+    assert_eq!(row(45.0, 9e6).verdict(), Verdict::NotJudged);
+    assert_eq!(row(2000.0, 9e6).verdict(), Verdict::DoesNotCarry);
+    assert_eq!(row(9000.0, 9e9).verdict(), Verdict::NotJudged);
+}
+
+#[test]
+fn blocks_are_written_once_each_and_all_else_stays() {
+    let blocks = [Block { name: "one", text: "new\n".into() }];
+    let page = "before\n<!-- capacity: one -->\nold\n<!-- end -->\nafter\n";
+    let written = "before\n<!-- capacity: one -->\nnew\n<!-- end -->\nafter\n";
+    assert_eq!(rewrite(page, &blocks), Ok(written.to_string()));
+    assert_eq!(rewrite("", &blocks), Err(PageError::NotOnce("one")));
+    assert_eq!(rewrite(&format!("{page}{page}"), &blocks), Err(PageError::NotOnce("one")));
+    let other = "<!-- capacity: other -->\n<!-- end -->\n";
+    assert_eq!(rewrite(other, &blocks), Err(PageError::Unknown("other".into())));
+    assert_eq!(rewrite("<!-- capacity: one -->\n", &blocks), Err(PageError::Open("one".into())));
+}
+
+#[test]
+fn quantities_are_written_with_their_units() {
+    let cases = [
+        (6638.0, Unit::Bytes, "6.64 KB"),
+        (29.2e6, Unit::Bytes, "29.2 MB"),
+        (0.1505, Unit::PerSecond, "0.15/s"),
+        (288_983_000.0, Unit::Count, "288,983,000"),
+        (0.013, Unit::Cores, "1.3% of a core"),
+        (5840.0, Unit::Seconds, "97.3 min"),
+        (0.005, Unit::Seconds, "5 ms"),
+        (0.000_28, Unit::PerSecond, "0.00028/s"),
+        (0.0, Unit::Count, "0"),
+        (100.0, Unit::Count, "100"),
+    ];
+    for (value, unit, written) in cases {
+        assert_eq!(Quantity::new(value, unit).to_string(), written);
+    }
+}
