--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -114,6 +114,7 @@
     let regions = letter::REGIONS;
     let parts = [
         part("managers of one control machine", sizes.managers_per_control_machine(), Unit::Count),
+        part("control machines of a region", letter::CONTROL_MACHINES / regions, Unit::Count),
         part("managers of a zone", sizes.managers_per_zone(), Unit::Count),
         part("workers of a zone", sizes.workers_per_zone(), Unit::Count),
         part("managers of a region", letter::MANAGERS / regions, Unit::Count),
--- a/crates/lab/src/capacity/roles/consensus_member.rs
+++ b/crates/lab/src/capacity/roles/consensus_member.rs
@@ -55,6 +55,8 @@
     table.tell(When::Kept, "links in all, a small group", count(members * others), paths::CONSENSUS);
     let open = count(2.0 * others);
     table.judge(When::Kept, "connections at each, a small group", open, descriptors, paths::CONSENSUS);
+    let member = series::MEMBER_MEMORY.each(inputs.measured);
+    table.tell(When::Kept, "memory for each member", member, paths::CONSENSUS);
     let memory = series::MEMBER_MEMORY.at(inputs.measured, members);
     let limit = Limit::letter(letter::MANAGER_MEMORY_BYTES, Unit::Bytes);
     table.judge(When::Kept, "memory, a small group", memory, limit, paths::CONSENSUS);
--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -23,6 +23,10 @@
     let descriptors = Limit::descriptors();
     table.judge(when, "managers that watch it", count(subscribers), descriptors, paths::RELAY);
     table.tell(when, "the whole list, as sent", bytes(sizes.list_bytes()), paths::RELAY);
+    let worker = series::RELAY_MEMORY.each(measured);
+    table.tell(when, "memory for each worker", worker, paths::RELAY);
+    let manager = series::RELAY_MEMORY_BY_SUBSCRIBERS.each(measured);
+    table.tell(when, "memory for each manager", manager, paths::RELAY);
     let list = series::RELAY_MEMORY.at(measured, letter::WORKERS);
     table.tell(when, "memory with the whole list", list, paths::RELAY);
     let watches = series::RELAY_MEMORY_BY_SUBSCRIBERS.at(measured, subscribers);
@@ -68,12 +72,28 @@
     let difference = bytes(sizes.entries_bytes(behind));
     table.tell(when, "there: the difference", difference, paths::VERSION_LOG);
     table.tell(when, "there: a whole list instead", bytes(sizes.list_bytes()), paths::RELAY);
+    regions_not_heeded(table);
+}
+
+/// What it means that the choice of a relay knows no regions.
+fn regions_not_heeded(table: &mut Table) {
+    let when = When::Worst(Failure::RegionCut);
+    let heeded = Mechanism::Missing("a choice of relay that heeds regions");
+    let elsewhere = letter::MANAGERS / letter::REGIONS * (1.0 - 1.0 / letter::REGIONS);
+    table.tell(when, "there: managers whose relay is elsewhere", count(elsewhere), heeded);
+    let own = letter::CONTROL_MACHINES / letter::REGIONS;
+    // The expected place of the first of `own` in a random order of all.
+    let asked = (letter::CONTROL_MACHINES + 1.0) / (own + 1.0);
+    table.tell(when, "there: relays asked until one of the region is met", count(asked), heeded);
 }
 
 fn machines_start_anew(inputs: &Inputs<'_>, table: &mut Table) {
     let sizes = &inputs.sizes;
     let subscribers = sizes.managers_per_control_machine();
     let snapshots = |managers: f64| bytes(managers * sizes.snapshot_bytes());
+    let lost = When::Worst(Failure::ZoneLost);
+    let with_it = count(letter::CONTROL_MACHINES / letter::ZONES);
+    table.tell(lost, "control machines lost with it, if spread evenly", with_it, paths::RELAY_CHOICE);
     let zone = When::Worst(Failure::ZoneBack);
     let returning = sizes.managers_per_zone() / letter::CONTROL_MACHINES;
     table.tell(zone, "managers that come to each", count(returning), paths::RELAY_CHOICE);
--- a/crates/lab/src/capacity/roles/manager.rs
+++ b/crates/lab/src/capacity/roles/manager.rs
@@ -1,9 +1,10 @@
 //! A manager: what it keeps of the list, and what control costs it.
 
-use super::{bytes, bytes_per_second, count, seconds, Inputs, Table};
+use super::{bytes, bytes_per_second, count, per_second, seconds, Inputs, Table};
 use crate::capacity::assumptions::Assumption;
 use crate::capacity::paths;
 use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
+use crate::capacity::series::Series;
 use crate::capacity::series_measured as series;
 use crate::capacity::{letter, quantity::Unit, traffic, wire};
 
@@ -21,6 +22,7 @@
 
 pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
     let mut table = Table::new(Role::Manager);
+    kept_each(inputs, &mut table);
     kept_of_whole_list(inputs, &mut table);
     kept_of_services(inputs, &mut table);
     processor_time(inputs, &mut table);
@@ -39,6 +41,15 @@
     table.judge(When::Kept, "workers listed that 32 MB bear", most, all, paths::ROSTER);
 }
 
+/// Bytes by thing kept.
+fn kept_each(inputs: &Inputs<'_>, table: &mut Table) {
+    let each = |series: Series| series.each(inputs.measured);
+    table.tell(When::Kept, "memory for each worker", each(series::MANAGER_MEMORY), paths::ROSTER);
+    table.tell(When::Kept, "memory for each proxy", each(series::MANAGER_MEMORY_BY_PROXIES), paths::PLANE);
+    let operation = each(series::MANAGER_MEMORY_BY_OPERATIONS);
+    table.tell(When::Kept, "memory for each operation", operation, paths::PLANNER);
+}
+
 fn kept_of_services(inputs: &Inputs<'_>, table: &mut Table) {
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
     let workers = sizes.workers_in_scope();
@@ -88,6 +99,8 @@
     let when = When::OrdinaryDay;
     let whole = bytes_per_second(traffic::whole_list(sizes) + traffic::heartbeats());
     table.judge(when, "watch of the whole list", whole, traffic_limit(), paths::WATCH);
+    let entries = per_second(sizes.entries_per_second() * sizes.scope_share());
+    table.tell(when, "entries of its services that change", entries, paths::SCOPE);
     let scoped = bytes_per_second(traffic::scope(sizes) + traffic::heartbeats());
     table.judge(when, "watch of its services", scoped, traffic_limit(), paths::SCOPE);
     let read = bytes_per_second(traffic::read(sizes));
