--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -9,6 +9,7 @@
 pub mod markdown;
 pub mod page;
 pub mod paths;
+pub mod point;
 pub mod quantity;
 pub mod requests;
 pub mod roles;
--- a/crates/lab/src/capacity/roles/proxy_stream.rs
+++ b/crates/lab/src/capacity/roles/proxy_stream.rs
@@ -66,6 +66,10 @@
         limit,
         paths::PLANNER,
     );
+    let measured_orders = series::MANAGER_BYTES_OUT_BY_PROXIES.at(measured, sizes.proxies_per_manager());
+    let name = "orders, one worker of 100 changing each second";
+    let limit = Limit::letter(letter::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
+    table.judge(When::OrdinaryDay, name, measured_orders, limit, paths::PLANNER);
     let processor = series::MANAGER_PROCESSOR_BY_PROXIES.at(measured, sizes.proxies_per_manager());
     let limit = Limit::letter(letter::MANAGER_CORES, Unit::Cores);
     table.judge(
--- a/crates/lab/src/capacity/row.rs
+++ b/crates/lab/src/capacity/row.rs
@@ -1,6 +1,6 @@
 //! A row of a role's table: a figure, the limit that it is held against, and what it rests on in the code.
 
-use super::figure::{Bound, Figure};
+use super::figure::{Basis, Bound, Figure};
 use super::quantity::{Quantity, Unit};
 
 /// Descriptors that a process has unless the system is told otherwise.
@@ -244,6 +244,16 @@
         Some(if limit.at_least { 1.0 / ratio } else { ratio })
     }
 
+    /// Whether it carries, and whether that is extrapolated.
+    fn carries(&self) -> String {
+        let verdict = self.verdict();
+        let extrapolated = matches!(self.figure.basis, Basis::Extrapolated(_));
+        match extrapolated && verdict != Verdict::NotJudged {
+            true => format!("{}, extrapolated", verdict.cell()),
+            false => verdict.cell().into(),
+        }
+    }
+
     /// The cells of its table: when, what, slope, at size, limit, carries, mechanism.
     pub fn cells(&self) -> Vec<String> {
         vec![
@@ -252,7 +262,7 @@
             self.figure.slope.clone().unwrap_or_else(|| "-".into()),
             self.figure.cell(),
             self.limit.map_or_else(|| "-".into(), |limit| limit.cell()),
-            self.verdict().cell().into(),
+            self.carries(),
             self.mechanism.cell(),
         ]
     }
--- a/crates/lab/src/capacity/series_measured.rs
+++ b/crates/lab/src/capacity/series_measured.rs
@@ -1,5 +1,6 @@
 //! The slopes that the page is computed from, by the names that `docs/capacity/measured.json` has for them.
 
+use super::point::Point;
 use super::quantity::Unit;
 use super::series::Series;
 
@@ -10,13 +11,14 @@
 
 const PEAK_MEMORY: &str = "peak memory";
 const PROCESSOR_TIME: &str = "processor time";
+const BYTES_IN: &str = "bytes in";
+const BYTES_OUT: &str = "bytes out";
 
 const WORKERS: &str = "workers listed";
 const CHANGES: &str = "changes of the list a second";
 const PROXIES: &str = "proxies joined";
 const OPERATIONS: &str = "operations";
 const REPORTS: &str = "reports a second";
-const SUBSCRIBERS: &str = "subscribers";
 const MEMBERS: &str = "members that agree";
 
 const fn memory(role: &'static str, against: &'static str) -> Series {
@@ -43,16 +45,58 @@
 pub const MANAGER_PROCESSOR_BY_OPERATIONS: Series = processor(MANAGER, OPERATIONS);
 /// Processor time of a manager by the sums that it reads.
 pub const MANAGER_PROCESSOR_BY_REPORTS: Series = processor(MANAGER, REPORTS);
+/// Bytes that a manager reads by the entries that change.
+pub const MANAGER_BYTES_IN_BY_CHANGES: Series =
+    Series { role: MANAGER, figure: BYTES_IN, against: CHANGES, unit: Unit::BytesPerSecond };
+/// Bytes of orders by a manager's proxies, one entry changing a second.
+pub const MANAGER_BYTES_OUT_BY_PROXIES: Series =
+    Series { role: MANAGER, figure: BYTES_OUT, against: PROXIES, unit: Unit::BytesPerSecond };
 /// Bytes that a manager reads by the sums that come to it.
 pub const MANAGER_BYTES_IN_BY_REPORTS: Series =
-    Series { role: MANAGER, figure: "bytes in", against: REPORTS, unit: Unit::BytesPerSecond };
+    Series { role: MANAGER, figure: BYTES_IN, against: REPORTS, unit: Unit::BytesPerSecond };
 
-/// Memory of a relay by the workers listed to it.
-pub const RELAY_MEMORY: Series = memory(RELAY, WORKERS);
-/// Memory of a relay by the managers that watch it.
-pub const RELAY_MEMORY_BY_SUBSCRIBERS: Series = memory(RELAY, SUBSCRIBERS);
-/// Processor time of a relay by the managers that watch it.
-pub const RELAY_PROCESSOR_BY_SUBSCRIBERS: Series = processor(RELAY, SUBSCRIBERS);
+const SCOPED: (&str, &str) = ("scope of ", " through a relay");
+const ORDINARY_DAY: (&str, &str) = ("ordinary day", " subscribers");
+const NEIGHBOUR_DIED: (&str, &str) = ("neighbour died", " subscribers");
+
+const fn point(
+    role: &'static str,
+    figure: &'static str,
+    at: (&'static str, &'static str),
+    unit: Unit,
+) -> Point {
+    Point { role, figure, at, unit }
+}
+
+/// Memory of a manager that watches one service of the letter's list through a relay.
+pub const SCOPED_MEMORY: Point = point(MANAGER, PEAK_MEMORY, SCOPED, Unit::Bytes);
+/// Its processor time.
+pub const SCOPED_PROCESSOR: Point = point(MANAGER, PROCESSOR_TIME, SCOPED, Unit::Cores);
+/// The bytes that it reads.
+pub const SCOPED_BYTES_IN: Point = point(MANAGER, BYTES_IN, SCOPED, Unit::BytesPerSecond);
+
+/// Memory of a relay with the letter's list and its share of managers.
+pub const RELAY_MEMORY: Point = point(RELAY, PEAK_MEMORY, ORDINARY_DAY, Unit::Bytes);
+/// Its processor time.
+pub const RELAY_PROCESSOR: Point = point(RELAY, PROCESSOR_TIME, ORDINARY_DAY, Unit::Cores);
+/// The bytes that it reads.
+pub const RELAY_BYTES_IN: Point = point(RELAY, BYTES_IN, ORDINARY_DAY, Unit::BytesPerSecond);
+/// The bytes that it writes.
+pub const RELAY_BYTES_OUT: Point = point(RELAY, BYTES_OUT, ORDINARY_DAY, Unit::BytesPerSecond);
+/// From a changed entry at the source until the last of its managers has it.
+pub const RELAY_DELAY: Point =
+    point(RELAY, "a change until the last subscriber has it, p99", ("ordinary day", ""), Unit::Seconds);
+/// Memory of a relay that takes over all managers of another.
+pub const RELAY_MEMORY_TWICE: Point = point(RELAY, PEAK_MEMORY, NEIGHBOUR_DIED, Unit::Bytes);
+/// Processor time of a relay that takes over all managers of another.
+pub const RELAY_PROCESSOR_TWICE: Point = point(RELAY, PROCESSOR_TIME, NEIGHBOUR_DIED, Unit::Cores);
+/// From a relay's death until another serves the last of its managers.
+pub const RELAY_TAKEN_OVER: Point = point(
+    RELAY,
+    "until the last of the neighbour's subscribers is served",
+    ("neighbour died", ""),
+    Unit::Seconds,
+);
 
 /// Memory of the largest member of a consensus group by its members.
 pub const MEMBER_MEMORY: Series = Series {
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -4,9 +4,10 @@
 
 use juniperrail_lab::capacity::assumptions::Assumption;
 use juniperrail_lab::capacity::checks;
-use juniperrail_lab::capacity::figure::{Basis, Bound};
+use juniperrail_lab::capacity::figure::{Basis, Bound, Figure};
 use juniperrail_lab::capacity::markdown::{rewrite, Block, PageError};
 use juniperrail_lab::capacity::page::Page;
+use juniperrail_lab::capacity::point::Point;
 use juniperrail_lab::capacity::quantity::{Quantity, Unit};
 use juniperrail_lab::capacity::row::{Limit, Mechanism, Role, Row, Verdict, When};
 use juniperrail_lab::capacity::series::Series;
@@ -155,6 +156,8 @@
     assert!(matches!(bent.basis, Basis::Extrapolated(_)));
     let keeps = MEMORY.reaches(&with_slope(true), 2.4e7);
     assert_eq!(keeps.quantity, Some(Quantity::new(15_000.0, Unit::Count)));
+    let below = MEMORY.at(&with_slope(true), 45.0);
+    assert_eq!((below.bound, below.quantity), (Bound::AtMost, Some(Quantity::new(1e7, Unit::Bytes))));
     let never = MEMORY.reaches(&with_slope(true), 1e6);
     assert_eq!(never.quantity, Some(Quantity::new(0.0, Unit::Count)), "9 MB are there at size 0");
 }
@@ -174,6 +177,63 @@
     assert_eq!(MEMORY.reaches(&measured, 4e7).quantity, None);
 }
 
+#[test]
+fn a_line_that_a_reading_beyond_it_contradicts_says_so() {
+    let mut measured = with_slope(true);
+    let line_at_50_000 = 5.9e7;
+    measured.readings = vec![reading("50,000 workers listed", 1.1 * line_at_50_000)];
+    assert!(!MEMORY.at(&measured, 200_000.0).cell().contains("a reading"));
+    measured.readings = vec![reading("50,000 workers listed", 2.0 * line_at_50_000)];
+    let far = MEMORY.at(&measured, 200_000.0);
+    assert!(far.cell().contains("20 times the largest size of the line, and at 50,000 a reading is 2 times"));
+    assert_eq!(MEMORY.at(&measured, 20_000.0).basis, Basis::Measured);
+}
+
+#[test]
+fn what_does_not_grow_adds_nothing() {
+    let mut measured = with_slope(true);
+    measured.slopes[0].means = vec![1e7, 0.95e7];
+    measured.slopes[0].each = -50.0;
+    assert_eq!(MEMORY.each(&measured).quantity, Some(Quantity::new(0.0, Unit::Bytes)));
+    assert!(MEMORY.each(&measured).slope.unwrap().contains("no growth seen"));
+}
+
+#[test]
+fn a_bend_from_size_0_on_grows_by_its_means() {
+    let mut measured = with_slope(false);
+    measured.slopes[0].sizes = vec![0.0, 100.0, 1000.0];
+    measured.slopes[0].means = vec![1e7, 2e7, 2.1e7];
+    let growth = MEMORY.growth(&measured, 50.0);
+    assert_eq!(growth.quantity, Some(Quantity::new(5e6, Unit::Bytes)));
+    assert_eq!(growth.basis, Basis::Between);
+    assert!(matches!(MEMORY.growth(&measured, 1001.0).basis, Basis::Extrapolated(_)));
+}
+
+#[test]
+fn a_reading_at_the_letters_size_is_taken_as_it_is() {
+    let point =
+        Point { role: "relay", figure: "a delay", at: ("ordinary day", " subscribers"), unit: Unit::Seconds };
+    assert_eq!(point.figure(&with_readings()).quantity, None);
+    let mut measured = with_readings();
+    let (role, figure, unit) = ("relay".into(), "a delay".into(), "ms".into());
+    let at = "ordinary day, 333 subscribers".into();
+    measured.readings.push(Reading { role, figure, at, unit, value: 250.0, run: "a run".into() });
+    let found = point.figure(&measured);
+    assert_eq!(found.quantity, Some(Quantity::new(0.25, Unit::Seconds)));
+    assert_eq!(found.basis, Basis::Measured);
+}
+
+#[test]
+fn a_sum_is_as_sure_as_its_least_sure_part() {
+    let measured = MEMORY.at(&with_slope(true), 2000.0);
+    let computed = Figure::computed(1.0, Unit::Bytes);
+    assert_eq!(measured.clone().plus(computed.clone()).basis, Basis::Computed);
+    let far = MEMORY.at(&with_slope(true), 1e6);
+    assert!(matches!(computed.plus(far).basis, Basis::Extrapolated(_)));
+    let at_most = MEMORY.at(&with_slope(true), 45.0);
+    assert_eq!(measured.plus(at_most).bound, Bound::AtMost);
+}
+
 #[test]
 fn what_one_more_adds_is_told_without_what_is_there_at_size_0() {
     let each = MEMORY.each(&with_slope(true));
