--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,7 +6,6 @@
 mod council;
 mod gangs;
 mod netconf;
-mod report;
 mod schedule;
 mod town;
 mod trials;
@@ -16,8 +15,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-
-use crate::report::Report;
+use juniperrail_lab::report::{self, Report};
+use juniperrail_lab::scale;
 
 #[derive(Parser)]
 #[command(about = "Measures a juniperrail manager among stand-ins")]
@@ -72,6 +71,8 @@
     },
     /// What a turn of the decisions costs as workers and proxies grow.
     Turns,
+    /// Processor time, memory and bytes of real processes among hollow peers, as each size grows.
+    Scale(scale::Options),
     /// One manager, for the other experiments.
     #[command(hide = true)]
     Serve { config: PathBuf, operator_file: PathBuf },
@@ -86,6 +87,12 @@
         Experiment::Council { rounds } => council::run(&mut report, rounds),
         Experiment::Schedule { count, seconds } => schedule::run(&mut report, count, seconds),
         Experiment::Turns => turns::run(&mut report),
+        Experiment::Scale(options) => {
+            if let Err(why) = scale::run(&mut report, &options) {
+                eprintln!("scale: {why}");
+                return ExitCode::FAILURE;
+            }
+        }
         Experiment::Netconf { commits, rounds } => netconf::run(&mut report, commits, rounds),
         Experiment::Changes { count, seed } => changes::run(&mut report, count, seed),
     }
--- /dev/null
+++ b/crates/lab/src/scale/hollow/subscribers.rs
@@ -0,0 +1,115 @@
+//! Hollow subscribers of a relay: hollow managers, of which nothing is left but the watch.
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use tokio::task::JoinSet;
+use tokio::time::sleep;
+
+use super::watch::{Broken, Watch};
+
+/// A manager waits so long, on average, before it first dials again.
+const REDIAL: Duration = Duration::from_millis(62);
+
+/// An entry with a start time came to a subscriber; changes that are timed carry one.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Arrival {
+    pub subscriber: usize,
+    pub started_at_ms: u64,
+    pub at: Instant,
+}
+
+#[derive(Default)]
+struct Shared {
+    arrivals: Mutex<Vec<Arrival>>,
+    /// Subscribers that have a list on an open watch.
+    listed: AtomicUsize,
+    breaks: AtomicUsize,
+    /// When the last subscriber got a line on a new watch.
+    last_listed: Mutex<Option<Instant>>,
+}
+
+/// Watches with one scope each, until they are dropped.
+pub struct Subscribers {
+    shared: Arc<Shared>,
+    _tasks: JoinSet<()>,
+}
+
+impl Subscribers {
+    /// One watch for each query, each at the first of the sources that answers.
+    pub fn start(sources: &[SocketAddr], queries: impl IntoIterator<Item = String>) -> Subscribers {
+        let shared = Arc::<Shared>::default();
+        let mut tasks = JoinSet::new();
+        for (number, query) in queries.into_iter().enumerate() {
+            let sources = sources.to_vec();
+            let subscriber = Subscriber { number, sources, query, held: None, shared: shared.clone() };
+            tasks.spawn(subscriber.run());
+        }
+        Subscribers { shared, _tasks: tasks }
+    }
+
+    pub fn listed(&self) -> usize {
+        self.shared.listed.load(Ordering::Relaxed)
+    }
+
+    /// How often a watch broke.
+    pub fn breaks(&self) -> usize {
+        self.shared.breaks.load(Ordering::Relaxed)
+    }
+
+    pub fn last_listed(&self) -> Option<Instant> {
+        *self.shared.last_listed.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    }
+
+    /// The timed changes that arrived since the last call.
+    pub fn take_arrivals(&self) -> Vec<Arrival> {
+        std::mem::take(&mut self.shared.arrivals.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
+    }
+}
+
+struct Subscriber {
+    number: usize,
+    sources: Vec<SocketAddr>,
+    query: String,
+    held: Option<u64>,
+    shared: Arc<Shared>,
+}
+
+impl Subscriber {
+    async fn run(mut self) {
+        for source in 0.. {
+            let source = self.sources[source % self.sources.len()];
+            let mut listed = false;
+            let Err(Broken) = self.follow(source, &mut listed).await;
+            self.shared.breaks.fetch_add(1, Ordering::Relaxed);
+            if listed {
+                self.shared.listed.fetch_sub(1, Ordering::Relaxed);
+            }
+            sleep(REDIAL.mul_f64(0.5 + fastrand::f64())).await;
+        }
+    }
+
+    async fn follow(
+        &mut self,
+        source: SocketAddr,
+        listed: &mut bool,
+    ) -> Result<std::convert::Infallible, Broken> {
+        let index = self.held.map(|held| format!("&index={held}")).unwrap_or_default();
+        let mut watch = Watch::open(source, &format!("{index}{}", self.query)).await?;
+        loop {
+            let line = watch.next().await?;
+            let at = Instant::now();
+            self.held = Some(line.generation);
+            if !std::mem::replace(listed, true) {
+                self.shared.listed.fetch_add(1, Ordering::Relaxed);
+                *self.shared.last_listed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(at);
+            }
+            let timed = line.instances.iter().filter(|entry| entry.started_at_ms > 0);
+            let arrival = |started_at_ms| Arrival { subscriber: self.number, started_at_ms, at };
+            let arrivals = timed.map(|entry| arrival(entry.started_at_ms));
+            self.shared.arrivals.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).extend(arrivals);
+        }
+    }
+}
--- /dev/null
+++ b/crates/lab/src/scale/hollow/workers.rs
@@ -0,0 +1,51 @@
+//! Hollow workers: one address answers the probes of all of them.
+
+use std::net::SocketAddr;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{JoinHandle, JoinSet};
+
+use crate::scale::error::ScaleError;
+
+const LOAD: &str = "inflight=2,queue=0,util=0.40";
+
+/// Answers probes until it is dropped.
+pub struct Workers {
+    pub address: SocketAddr,
+    accepting: JoinHandle<()>,
+}
+
+impl Workers {
+    pub async fn start() -> Result<Workers, ScaleError> {
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ScaleError::io("hollow workers"))?;
+        let address = listener.local_addr().map_err(ScaleError::io("hollow workers"))?;
+        Ok(Workers { address, accepting: tokio::spawn(accept(listener)) })
+    }
+}
+
+impl Drop for Workers {
+    fn drop(&mut self) {
+        self.accepting.abort();
+    }
+}
+
+async fn accept(listener: TcpListener) {
+    let mut probes = JoinSet::new();
+    while let Ok((socket, _)) = listener.accept().await {
+        probes.spawn(async move {
+            // A probe that breaks is the prober's to notice.
+            _ = answer(socket).await;
+        });
+        while probes.try_join_next().is_some() {}
+    }
+}
+
+async fn answer(mut socket: TcpStream) -> std::io::Result<()> {
+    let mut request = [0; 4096];
+    while socket.read(&mut request).await? > 0 {
+        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LOAD}", LOAD.len());
+        socket.write_all(answer.as_bytes()).await?;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/lab/src/scale/manager.rs
@@ -0,0 +1,82 @@
+//! A real manager of the shipped program, with the settings of a scenario.
+
+use std::fs;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use serde_json::json;
+
+use super::error::ScaleError;
+use super::hollow::Fleet;
+use super::role::{alive, Host, Role};
+use super::scenario::Scenario;
+
+/// Descriptors of a manager besides its proxies'.
+const OWN_SOCKETS: usize = 1024;
+const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
+
+/// A manager that runs, and where it serves.
+pub struct Manager {
+    pub role: Role,
+    pub address: SocketAddr,
+}
+
+impl Manager {
+    /// Starts it and waits until it answers. `operator`: the content of the operator's file, if it has one.
+    pub async fn start(
+        host: &Host,
+        scenario: &Scenario,
+        discovery: SocketAddr,
+        operator: Option<&str>,
+    ) -> Result<Manager, ScaleError> {
+        let folder = host.folder("manager")?;
+        let config = write(&folder, "config.json", &config(scenario, discovery))?;
+        let mut arguments = Vec::new();
+        if let Some(content) = operator {
+            let content =
+                format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">{content}</config>");
+            let file = write(&folder, "operator.xml", &content)?;
+            arguments = vec!["--operator-file".to_string(), file.display().to_string()];
+        }
+        let mut role = host.start(&folder, &arguments, &[("PROXY_CONFIG", config)])?;
+        let address = role.address().await?;
+        alive(address).await?;
+        Ok(Manager { role, address })
+    }
+}
+
+/// An element of the operator's file with this content.
+pub fn operator_element(name: &str, content: &str) -> String {
+    format!("<{name} xmlns=\"{NAMESPACE}\">{content}</{name}>")
+}
+
+fn write(folder: &std::path::Path, name: &str, content: &str) -> Result<PathBuf, ScaleError> {
+    let path = folder.join(name);
+    fs::write(&path, content).map_err(ScaleError::io(path.display().to_string()))?;
+    Ok(path)
+}
+
+fn config(scenario: &Scenario, discovery: SocketAddr) -> String {
+    let zones: Vec<String> = (0..scenario.zones).map(Fleet::zone_name).collect();
+    let operation = |number| json!({"name": format!("op-{number:02}"), "on-time-ms": 500, "worth": 1});
+    let operations: Vec<_> = (0..scenario.operations).map(operation).collect();
+    let settings = json!({
+        "tick-ms": 1, "zones": zones, "skus": ["m2"], "n-instances": 1, "lanes": operations,
+        "domain": {
+            "level-kind": "rate", "channel-rate": 100_000, "pending-max": 100_000, "overhead": 4,
+            "counted-over-ms": 10_000, "worst-transit-ms": 900, "period-ms": 2000,
+            "proxy-count": scenario.proxies.max(1), "cost-per-line": 0.04,
+        },
+        "rules": {"drain-grace-ms": DRAIN_GRACE_MS, "warm-up-ms": 1000, "cold-share": 0.3, "overload-factor": 4},
+        "charges": {"cross-zone": 0.01},
+        "allowed": {"dial-timeout-ms": 250},
+    });
+    let config = json!({
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": scenario.proxies + OWN_SOCKETS}, "settings": settings,
+    });
+    config.to_string()
+}
+
+/// The time within which a draining worker must be out of every table, in the settings of all scenarios.
+pub const DRAIN_GRACE_MS: u32 = 3000;
--- /dev/null
+++ b/crates/lab/src/scale/mod.rs
@@ -0,0 +1,278 @@
+//! The scale run: real processes of the shipped program among hollow peers, as each size grows.
+//!
+//! Processor time is the kernel's count for the measured process, memory is its resident set, and bytes are counted at the
+//! hollow peers. Everything stays on the loopback. A run is refused, or ended, where it takes more than half of the
+//! machine's memory or 300 processes.
+
+mod agreement;
+mod error;
+pub mod fit;
+mod guard;
+pub mod hollow;
+mod manager;
+mod process;
+pub mod record;
+mod role;
+mod scenario;
+mod slopes;
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use clap::Args;
+use tokio::runtime::{Builder, Runtime};
+
+pub use error::ScaleError;
+use fit::{Fit, Sample};
+use guard::{Need, Started, Watchdog};
+use record::{Recorder, Subject};
+use role::{Host, Program};
+use scenario::{play, Cost, Pace, FIGURES};
+use slopes::Growth;
+
+use crate::report::Report;
+
+/// Threads for all hollow peers together.
+const PEER_THREADS: usize = 3;
+/// A play may take so much longer than its settling and its window.
+const PLAY_OVERHEAD: Duration = Duration::from_secs(60);
+/// Above the middle size a figure may grow by so many times what it grows below it, for each unit of size.
+const STEEPENING_MOST: f64 = 2.0;
+/// A figure that changes by less than this share of its largest mean over all sizes does not depend on the size.
+const FLAT: f64 = 0.1;
+
+/// How a scale run is asked for.
+#[derive(Args, Clone, Debug)]
+pub struct Options {
+    /// These slopes and experiments alone.
+    #[arg(long, value_delimiter = ',', value_name = "NAME")]
+    pub only: Vec<String>,
+    /// The window over which a play is measured, in seconds.
+    #[arg(long, default_value_t = 10.0)]
+    pub seconds: f64,
+    /// How often each size is played.
+    #[arg(long, default_value_t = 3)]
+    pub plays: usize,
+    /// Few and small sizes, for CI.
+    #[arg(long)]
+    pub small: bool,
+    /// Where the raw samples go, as JSON lines.
+    #[arg(long, value_name = "FILE")]
+    pub samples: Option<PathBuf>,
+    /// The file of measurements that takes up what is found.
+    #[arg(long, value_name = "FILE")]
+    pub out: Option<PathBuf>,
+    /// What else runs on the machine, for the record.
+    #[arg(long, default_value = "nothing else named")]
+    pub beside: String,
+}
+
+/// One entry of `--only`.
+#[derive(Clone, Copy)]
+enum Experiment {
+    Slope(&'static Growth),
+    Agreement,
+}
+
+impl Experiment {
+    fn all() -> Vec<Experiment> {
+        slopes::MANAGER.iter().map(Experiment::Slope).chain([Experiment::Agreement]).collect()
+    }
+
+    fn name(self) -> &'static str {
+        match self {
+            Experiment::Slope(growth) => growth.name,
+            Experiment::Agreement => "agreement",
+        }
+    }
+
+    fn chosen(only: &[String]) -> Result<Vec<Experiment>, ScaleError> {
+        let all = Experiment::all();
+        let names: Vec<&str> = all.iter().map(|one| one.name()).collect();
+        if let Some(unknown) = only.iter().find(|name| !names.contains(&name.as_str())) {
+            return Err(ScaleError::UnknownExperiment(unknown.clone(), names.join(", ")));
+        }
+        Ok(all
+            .into_iter()
+            .filter(|one| only.is_empty() || only.iter().any(|name| name == one.name()))
+            .collect())
+    }
+
+    fn plays(self, options: &Options) -> usize {
+        let sizes = match self {
+            Experiment::Slope(growth) => sizes(growth, options.small).len(),
+            Experiment::Agreement => agreement::sizes(options.small).len(),
+        };
+        sizes * options.plays
+    }
+
+    fn need(self, options: &Options) -> Need {
+        match self {
+            Experiment::Slope(growth) => {
+                let needs = sizes(growth, options.small).iter().map(|size| (growth.scenario)(*size).need());
+                needs.fold(Need::default(), Need::or)
+            }
+            Experiment::Agreement => agreement::need(options.small),
+        }
+    }
+
+    fn run(self, run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
+        match self {
+            Experiment::Slope(growth) => run.growth(report, growth),
+            Experiment::Agreement => agreement::run(run, report),
+        }
+    }
+}
+
+fn sizes(growth: &Growth, small: bool) -> &'static [usize] {
+    if small {
+        growth.small
+    } else {
+        growth.sizes
+    }
+}
+
+/// What all experiments of a run share.
+struct ScaleRun {
+    host: Host,
+    runtime: Runtime,
+    pace: Pace,
+    plays: usize,
+    small: bool,
+    recorder: Recorder,
+}
+
+/// Runs what the options ask for, prints it, and judges its bounds.
+pub fn run(report: &mut Report, options: &Options) -> Result<(), ScaleError> {
+    let experiments = Experiment::chosen(&options.only)?;
+    let need = experiments.iter().map(|one| one.need(options)).fold(Need::default(), Need::or);
+    guard::admit(need)?;
+    let (window, started) = (Duration::from_secs_f64(options.seconds), Started::default());
+    let pace = Pace { settle: (window / 2).max(Duration::from_secs(1)), window };
+    let plays: usize = experiments.iter().map(|one| one.plays(options)).sum();
+    let within = (pace.settle + pace.window + PLAY_OVERHEAD) * plays as u32;
+    let mut run = ScaleRun {
+        host: Host::new(Program::find()?, started.clone())?,
+        runtime: runtime()?,
+        pace,
+        plays: options.plays,
+        small: options.small,
+        recorder: Recorder::new(&options.beside),
+    };
+    let _watchdog = Watchdog::start(started, within)?;
+    let about = run.recorder.run();
+    println!("run {} of commit {}, on {}", about.id, about.commit, about.machine);
+    for experiment in experiments {
+        experiment.run(&mut run, report)?;
+    }
+    print_not_measured();
+    if let Some(path) = &options.samples {
+        run.recorder.write_samples(path)?;
+    }
+    if let Some(path) = &options.out {
+        run.recorder.merge_into(path)?;
+    }
+    Ok(())
+}
+
+fn runtime() -> Result<Runtime, ScaleError> {
+    let built = Builder::new_multi_thread().worker_threads(PEER_THREADS).enable_all().build();
+    built.map_err(ScaleError::io("the runtime of the hollow peers"))
+}
+
+impl ScaleRun {
+    /// Plays each size of a growth and fits each figure.
+    fn growth(&mut self, report: &mut Report, growth: &Growth) -> Result<(), ScaleError> {
+        let mut played: Vec<(usize, Cost)> = Vec::new();
+        // All sizes once, then all once more: what else runs on the machine meanwhile touches all of them alike.
+        for _ in 0..self.plays {
+            for size in sizes(growth, self.small) {
+                let scenario = (growth.scenario)(*size);
+                let cost = self.runtime.block_on(play(&self.host, &scenario, self.pace))?;
+                played.push((*size, cost));
+            }
+        }
+        println!("\na manager against {}, {} plays of each size", growth.against, self.plays);
+        for figure in FIGURES {
+            let sample =
+                |(size, cost): &(usize, Cost)| Sample { size: *size as f64, value: (figure.of)(cost) };
+            let samples: Vec<Sample> = played.iter().map(sample).collect();
+            let subject = Subject { role: "manager", figure: figure.name, unit: figure.unit };
+            self.fitted(report, subject, growth.against, &samples);
+        }
+        Ok(())
+    }
+
+    /// Prints and keeps one figure.
+    fn kept(&mut self, subject: Subject, against: &str, samples: &[Sample], fit: &Fit) {
+        print_fit(subject, fit);
+        self.recorder.slope(subject, against, samples, fit);
+    }
+
+    /// Fits, prints, keeps and judges one figure.
+    fn fitted(&mut self, report: &mut Report, subject: Subject, against: &str, samples: &[Sample]) {
+        let Some(fit) = Fit::of(samples) else { return };
+        self.kept(subject, against, samples, &fit);
+        let name = format!("{}: growth above the middle size against below", subject.figure);
+        match steepening(&fit) {
+            Some(times) => {
+                report.bound(&name, format!("{times:.2} times"), times <= STEEPENING_MOST);
+            }
+            None => report.bound(&name, "does not grow", true),
+        }
+    }
+}
+
+/// How much more a figure grows above the middle size than below it, for each unit of size; none where it hardly grows.
+fn steepening(fit: &Fit) -> Option<f64> {
+    let (first, last) = (*fit.means.first()?, *fit.means.last()?);
+    let largest = fit.means.iter().copied().fold(0.0, f64::max);
+    if last - first <= FLAT * largest {
+        return None;
+    }
+    fit.steepening()
+}
+
+fn print_fit(subject: Subject, fit: &Fit) {
+    let shape = if fit.straight() { "straight" } else { "NOT straight" };
+    println!(
+        "{:<16} {} + {} * size; r2 {:.4}, worst residual {:.1}%, {shape} (bend {:.1}%, by chance {:.3})",
+        subject.figure,
+        value(fit.fixed, subject.unit),
+        value(fit.each, subject.unit),
+        fit.r_squared,
+        fit.worst_residual * 100.0,
+        fit.bend * 100.0,
+        fit.chance_of_bend,
+    );
+    let means = fit.sizes.iter().zip(&fit.means);
+    let means: Vec<String> =
+        means.map(|(size, mean)| format!("{size}: {}", value(*mean, subject.unit))).collect();
+    println!("{:<16} {}", "", means.join(", "));
+}
+
+/// With a unit that keeps it readable.
+fn value(value: f64, unit: &str) -> String {
+    match unit {
+        "B" | "B/s" if value.abs() >= 1e6 => format!("{:.2} M{unit}", value / 1e6),
+        "B" | "B/s" if value.abs() >= 1e3 => format!("{:.2} k{unit}", value / 1e3),
+        "cores" => format!("{:.4}% of a core", value * 100.0),
+        _ => format!("{value:.2} {unit}"),
+    }
+}
+
+fn print_not_measured() {
+    println!("\nnot measured:");
+    for what in NOT_MEASURED {
+        println!("  {what}");
+    }
+}
+
+/// What a scale run leaves out.
+const NOT_MEASURED: [&str; 5] = [
+    "probes of workers: the settings of these scenarios allow none",
+    "proxies that report what came to them (`demand`)",
+    "NETCONF sessions (see `-- netconf`)",
+    "managers on links slower than the loopback",
+    "more than one size growing at once",
+];
