--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,6 +2,7 @@
 
 use std::process::ExitCode;
 
+/// Counts the bounds that held and those that did not.
 #[derive(Default)]
 pub struct Report {
     passed: usize,
@@ -25,6 +26,12 @@
         }
     }
 
+    /// Bounds that did not hold so far.
+    pub fn failed(&self) -> usize {
+        self.failed
+    }
+
+    /// Prints the counts, alone on the last line.
     pub fn close(self) -> ExitCode {
         println!("{} passed, {} failed", self.passed, self.failed);
         if self.failed == 0 {
--- a/crates/lab/src/scale/hollow/forwarder.rs
+++ b/crates/lab/src/scale/hollow/forwarder.rs
@@ -38,9 +38,19 @@
         self.shared.links.load(Ordering::Relaxed)
     }
 
+    /// Bytes passed on to the address.
+    pub fn into_target(&self) -> u64 {
+        self.shared.traffic.sent()
+    }
+
+    /// Bytes passed back from the address.
+    pub fn out_of_target(&self) -> u64 {
+        self.shared.traffic.received()
+    }
+
     /// Bytes passed on, both ways together.
     pub fn bytes(&self) -> u64 {
-        self.shared.traffic.sent() + self.shared.traffic.received()
+        self.into_target() + self.out_of_target()
     }
 }
 
--- a/crates/lab/src/scale/hollow/subscribers.rs
+++ b/crates/lab/src/scale/hollow/subscribers.rs
@@ -2,13 +2,14 @@
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
 use super::watch::{Broken, Watch};
+use super::Traffic;
 
 /// A manager waits so long, on average, before it first dials again.
 const REDIAL: Duration = Duration::from_millis(62);
@@ -29,6 +30,12 @@
     breaks: AtomicUsize,
     /// When the last subscriber got a line on a new watch.
     last_listed: Mutex<Option<Instant>>,
+    traffic: Traffic,
+}
+
+/// What a panic of another task left is still sound: each holder of a lock writes a whole value.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 /// Watches with one scope each, until they are dropped.
@@ -50,6 +57,12 @@
         Subscribers { shared, _tasks: tasks }
     }
 
+    /// The bytes of the answers' bodies.
+    pub fn traffic(&self) -> &Traffic {
+        &self.shared.traffic
+    }
+
+    /// How many have a list on an open watch.
     pub fn listed(&self) -> usize {
         self.shared.listed.load(Ordering::Relaxed)
     }
@@ -60,12 +73,12 @@
     }
 
     pub fn last_listed(&self) -> Option<Instant> {
-        *self.shared.last_listed.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        *lock(&self.shared.last_listed)
     }
 
     /// The timed changes that arrived since the last call.
     pub fn take_arrivals(&self) -> Vec<Arrival> {
-        std::mem::take(&mut self.shared.arrivals.lock().unwrap_or_else(|poisoned| poisoned.into_inner()))
+        std::mem::take(&mut lock(&self.shared.arrivals))
     }
 }
 
@@ -101,15 +114,16 @@
         loop {
             let line = watch.next().await?;
             let at = Instant::now();
+            self.shared.traffic.add_received(watch.take_received());
             self.held = Some(line.generation);
             if !std::mem::replace(listed, true) {
                 self.shared.listed.fetch_add(1, Ordering::Relaxed);
-                *self.shared.last_listed.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(at);
+                *lock(&self.shared.last_listed) = Some(at);
             }
             let timed = line.instances.iter().filter(|entry| entry.started_at_ms > 0);
             let arrival = |started_at_ms| Arrival { subscriber: self.number, started_at_ms, at };
             let arrivals = timed.map(|entry| arrival(entry.started_at_ms));
-            self.shared.arrivals.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).extend(arrivals);
+            lock(&self.shared.arrivals).extend(arrivals);
         }
     }
 }
--- a/crates/lab/src/scale/hollow/watch.rs
+++ b/crates/lab/src/scale/hollow/watch.rs
@@ -38,6 +38,8 @@
 pub struct Watch {
     body: Incoming,
     unfinished: BytesMut,
+    /// Bytes of the body that came since they were last asked for.
+    received: usize,
     connection: JoinHandle<()>,
 }
 
@@ -56,7 +58,7 @@
             .body(Empty::<Bytes>::new())
             .map_err(|_| Broken)?;
         let answer = sender.send_request(request).await;
-        let watch = |body| Watch { body, unfinished: BytesMut::new(), connection };
+        let watch = |body| Watch { body, unfinished: BytesMut::new(), received: 0, connection };
         match answer {
             Ok(answer) if answer.status().is_success() => Ok(watch(answer.into_body())),
             _ => Err(Broken),
@@ -74,9 +76,16 @@
             }
             let frame = timeout(SILENCE, self.body.frame()).await.map_err(|_| Broken)?;
             let frame = frame.ok_or(Broken)?.map_err(|_| Broken)?;
-            self.unfinished.extend_from_slice(&frame.into_data().unwrap_or_default());
+            let data = frame.into_data().unwrap_or_default();
+            self.received += data.len();
+            self.unfinished.extend_from_slice(&data);
         }
     }
+
+    /// How many bytes came since the last call.
+    pub fn take_received(&mut self) -> usize {
+        std::mem::take(&mut self.received)
+    }
 }
 
 impl Drop for Watch {
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -5,15 +5,19 @@
 //! machine's memory or 300 processes.
 
 mod agreement;
+mod drain;
 mod error;
 pub mod fit;
 mod guard;
 pub mod hollow;
+mod letter;
 mod manager;
 mod process;
 pub mod record;
+mod relay;
 mod role;
 mod scenario;
+mod scoped;
 mod slopes;
 
 use std::path::PathBuf;
@@ -25,6 +29,7 @@
 pub use error::ScaleError;
 use fit::{Fit, Sample};
 use guard::{Need, Started, Watchdog};
+use letter::Letter;
 use record::{Recorder, Subject};
 use role::{Host, Program};
 use scenario::{play, Cost, Pace, FIGURES};
@@ -72,17 +77,24 @@
 enum Experiment {
     Slope(&'static Growth),
     Agreement,
+    Relay,
+    Scoped,
+    Drain,
 }
 
 impl Experiment {
     fn all() -> Vec<Experiment> {
-        slopes::MANAGER.iter().map(Experiment::Slope).chain([Experiment::Agreement]).collect()
+        let others = [Experiment::Agreement, Experiment::Scoped, Experiment::Relay, Experiment::Drain];
+        slopes::MANAGER.iter().map(Experiment::Slope).chain(others).collect()
     }
 
     fn name(self) -> &'static str {
         match self {
             Experiment::Slope(growth) => growth.name,
             Experiment::Agreement => "agreement",
+            Experiment::Relay => "relay",
+            Experiment::Scoped => "scoped",
+            Experiment::Drain => "drain",
         }
     }
 
@@ -99,11 +111,13 @@
     }
 
     fn plays(self, options: &Options) -> usize {
-        let sizes = match self {
-            Experiment::Slope(growth) => sizes(growth, options.small).len(),
-            Experiment::Agreement => agreement::sizes(options.small).len(),
-        };
-        sizes * options.plays
+        match self {
+            Experiment::Slope(growth) => sizes(growth, options.small).len() * options.plays,
+            Experiment::Agreement => agreement::sizes(options.small).len() * options.plays,
+            Experiment::Scoped => 1,
+            // With the neighbour and without; and drains that each wait for their grace.
+            Experiment::Relay | Experiment::Drain => 2,
+        }
     }
 
     fn need(self, options: &Options) -> Need {
@@ -113,6 +127,9 @@
                 needs.fold(Need::default(), Need::or)
             }
             Experiment::Agreement => agreement::need(options.small),
+            Experiment::Relay => relay::need(&Letter::of(options.small)),
+            Experiment::Scoped => scoped::need(),
+            Experiment::Drain => drain::need(),
         }
     }
 
@@ -120,6 +137,9 @@
         match self {
             Experiment::Slope(growth) => run.growth(report, growth),
             Experiment::Agreement => agreement::run(run, report),
+            Experiment::Relay => relay::run(run, report),
+            Experiment::Scoped => scoped::run(run, report),
+            Experiment::Drain => drain::run(run, report),
         }
     }
 }
--- a/crates/lab/src/scale/role.rs
+++ b/crates/lab/src/scale/role.rs
@@ -17,7 +17,9 @@
 /// Nothing that is waited for takes so long, however busy the machine is.
 pub const WITHIN: Duration = Duration::from_secs(60);
 const LOOK_EVERY: Duration = Duration::from_millis(20);
-const SERVES_ON: &str = "serves on ";
+/// What the log says before the address.
+const MANAGER_SERVES: &str = " serves on ";
+const RELAY_SERVES: &str = "relays the list of ";
 
 /// The shipped program, beside the one that measures it.
 #[derive(Clone, Debug)]
@@ -118,7 +120,7 @@
         Ok(())
     }
 
-    /// Where its log says that it serves.
+    /// Where its log says that it serves, be it a manager or a relay.
     pub async fn address(&mut self) -> Result<SocketAddr, ScaleError> {
         let log = self.log.clone();
         let mut address = None;
@@ -146,8 +148,8 @@
 }
 
 fn served_address(log: &str) -> Option<SocketAddr> {
-    let (_, rest) = log.split_once(SERVES_ON)?;
-    rest.split_whitespace().next()?.parse().ok()
+    let line = log.lines().find(|line| line.contains(MANAGER_SERVES) || line.contains(RELAY_SERVES))?;
+    line.split_whitespace().last()?.parse().ok()
 }
 
 /// Asks a manager whether it is alive, until it says so.
--- /dev/null
+++ b/crates/lab/tests/scale.rs
@@ -0,0 +1,68 @@
+//! The small form of the scale run, with the program built as this test is. Its bounds are ratios within the one run.
+
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+use juniperrail_lab::measured::Measurements;
+use juniperrail_lab::report::Report;
+use juniperrail_lab::scale::{self, Options};
+
+/// A test of the lab alone builds no program; a test of the workspace does.
+fn build_program() {
+    let executable = std::env::current_exe().unwrap();
+    let folder = executable.parent().and_then(Path::parent).unwrap();
+    if folder.join("juniperrail").is_file() {
+        return;
+    }
+    let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
+    let mut build = Command::new(cargo);
+    build.current_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("../.."));
+    build.args(["build", "--locked", "--quiet", "-p", "juniperrail-manager", "--target-dir"]);
+    build.arg(folder.parent().unwrap());
+    build.args((!cfg!(debug_assertions)).then_some("--release"));
+    assert!(build.status().unwrap().success(), "the program is built");
+}
+
+fn temporary(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("juniperrail-scale-test-{}-{name}", std::process::id()))
+}
+
+#[test]
+fn the_small_form_keeps_its_bounds() {
+    build_program();
+    let (samples, out) = (temporary("samples.jsonl"), temporary("measured.json"));
+    let options = Options {
+        only: Vec::new(),
+        seconds: 2.0,
+        plays: 1,
+        small: true,
+        samples: Some(samples.clone()),
+        out: Some(out.clone()),
+        beside: "other tests".into(),
+    };
+    let mut report = Report::default();
+    let ran = scale::run(&mut report, &options);
+    let written = [&samples, &out].map(|path| std::fs::read_to_string(path).unwrap_or_default());
+    [&samples, &out].into_iter().for_each(|path| _ = std::fs::remove_file(path));
+    ran.unwrap();
+    assert_eq!(report.failed(), 0, "bounds that are broken; see above");
+    let measured: Measurements = serde_json::from_str(&written[1]).unwrap();
+    assert!(measured.slopes.iter().all(|slope| slope.sizes.len() >= 4 && slope.run == measured.runs[0].id));
+    let per_slope = measured.slopes.iter().map(|slope| slope.sizes.len() * slope.plays).sum::<usize>();
+    assert_eq!(written[0].lines().count(), per_slope + measured.readings.len());
+}
+
+#[test]
+fn an_unknown_experiment_is_named() {
+    let options = Options {
+        only: vec!["wrokers".into()],
+        seconds: 1.0,
+        plays: 1,
+        small: true,
+        samples: None,
+        out: None,
+        beside: String::new(),
+    };
+    let why = scale::run(&mut Report::default(), &options).unwrap_err().to_string();
+    assert!(why.contains("wrokers") && why.contains("workers, changes, proxies"), "{why}");
+}
