--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -31,7 +31,7 @@
     pub row: &'static str,
 }
 
-const GAPS: [Gap; 13] = [
+const GAPS: [Gap; 12] = [
     Gap {
         title: "a small consensus group, with learners through the relays in place of the full mesh of links \
                 (it is off unless the operator's file has a `fleet`)",
@@ -51,12 +51,6 @@
         role: Role::ProxyStream,
         row: "proxies numbered across the fleet",
     },
-    Gap {
-        title: "the whole list read entry by entry, held once by relays and watched by scope",
-        stage: Stage::OrdinaryDay,
-        role: Role::Discovery,
-        row: "the whole list, one line of a watch",
-    },
     Gap {
         title: "configuration through the relays, each change to the managers that it concerns",
         stage: Stage::OrdinaryDay,
@@ -70,7 +64,7 @@
         row: "all of them at one manager, at 5 KB/s",
     },
     Gap {
-        title: "entries that name their service: without it a scope is a zone",
+        title: "entries of the operators' list that name their service: without it a scope is a zone",
         stage: Stage::WorstMinute,
         role: Role::Manager,
         row: "its zone's workers at 5 KB/s",
--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -4,14 +4,18 @@
 
 /// The part of the list that a subscriber needs.
 pub const SCOPE: Mechanism = Mechanism::File("crates/distribution/src/scope.rs");
+/// What a manager keeps of a list, by its scope.
+pub const MANAGER_SCOPE: Mechanism = Mechanism::File("crates/manager/src/scope_filter.rs");
 /// The whole list held once and watched by scope.
-pub const RELAY: Mechanism = Mechanism::Missing("the relay");
+pub const RELAY: Mechanism = Mechanism::File("crates/relay/src/server.rs");
 /// The versions that a relay keeps, for watches that come back.
-pub const VERSION_LOG: Mechanism = Mechanism::Missing("the relay's log of versions");
+pub const VERSIONS: Mechanism = Mechanism::File("crates/distribution/src/worker_list.rs");
 /// Which relay a manager goes to.
-pub const RELAY_CHOICE: Mechanism = Mechanism::Missing("the choice of a relay");
-/// The whole list read entry by entry.
-pub const LIST_READER: Mechanism = Mechanism::Missing("a list that is read entry by entry");
+pub const RELAY_CHOICE: Mechanism = Mechanism::File("crates/distribution/src/relay_choice.rs");
+/// A list read entry by entry.
+pub const LIST_READER: Mechanism = Mechanism::File("crates/distribution/src/list_reader.rs");
+/// What a manager keeps at most of one list.
+pub const LIST_ASSEMBLER: Mechanism = Mechanism::File("crates/manager/src/list_assembler.rs");
 /// The manager's watch of the list.
 pub const WATCH: Mechanism = Mechanism::File("crates/manager/src/discovery.rs");
 /// The workers by name.
--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -7,6 +7,11 @@
 use crate::capacity::series_measured as series;
 use crate::capacity::{letter, quantity::Unit, traffic, wire};
 
+/// Subscribers that a relay takes.
+const MOST_SUBSCRIBERS: f64 = 1_024.0;
+/// Versions from which a relay can tell a subscriber the difference.
+const MOST_VERSIONS: f64 = 65_536.0;
+
 pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
     let mut table = Table::new(Role::ControlMachine);
     kept(inputs, &mut table);
@@ -20,8 +25,11 @@
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
     let subscribers = sizes.managers_per_control_machine();
     let when = When::Kept;
-    let descriptors = Limit::descriptors();
-    table.judge(when, "managers that watch it", count(subscribers), descriptors, paths::RELAY);
+    let most = Limit::program(MOST_SUBSCRIBERS, Unit::Count);
+    table.judge(when, "managers that watch it", count(subscribers), most, paths::RELAY);
+    let needed = count(letter::MANAGERS / MOST_SUBSCRIBERS);
+    let machines = Limit::letter(letter::CONTROL_MACHINES, Unit::Count);
+    table.judge(when, "machines that could take all managers", needed, machines, paths::RELAY);
     table.tell(when, "the whole list, as sent", bytes(sizes.list_bytes()), paths::RELAY);
     let memory = series::RELAY_MEMORY.figure(measured);
     table.tell(when, "memory with the whole list and its managers", memory, paths::RELAY);
@@ -68,9 +76,10 @@
     }
     let when = When::Worst(Failure::RegionCut);
     let behind = sizes.entries_per_second() * letter::REGION_CUT_SECONDS;
-    table.tell(when, "there: versions behind, at most", count(behind), paths::VERSION_LOG);
+    let remembered = Limit::program(MOST_VERSIONS, Unit::Count);
+    table.judge(when, "there: versions behind, at most", count(behind), remembered, paths::VERSIONS);
     let difference = bytes(sizes.entries_bytes(behind));
-    table.tell(when, "there: the difference", difference, paths::VERSION_LOG);
+    table.tell(when, "there: the difference", difference, paths::VERSIONS);
     table.tell(when, "there: a whole list instead", bytes(sizes.list_bytes()), paths::RELAY);
     regions_not_heeded(table);
 }
--- a/crates/lab/src/capacity/roles/discovery.rs
+++ b/crates/lab/src/capacity/roles/discovery.rs
@@ -2,15 +2,9 @@
 
 use super::{bytes, bytes_per_second, count, Inputs, Table};
 use crate::capacity::paths;
-use crate::capacity::quantity::Unit;
-use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
+use crate::capacity::row::{Failure, Role, Row, When};
 use crate::capacity::{letter, traffic};
 
-/// The longest line of a watch that a manager takes.
-const LONGEST_LINE_BYTES: f64 = 16.0 * 1024.0 * 1024.0;
-
-const WHOLE_LIST: &str = "the whole list, one line of a watch";
-
 pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
     let sizes = &inputs.sizes;
     let mut table = Table::new(Role::Discovery);
@@ -18,11 +12,7 @@
     table.tell(kept, "watches, one a manager", count(letter::MANAGERS), paths::WATCH);
     table.tell(kept, "watches, one a control machine", count(letter::CONTROL_MACHINES), paths::RELAY);
     let line = bytes(sizes.list_bytes());
-    let longest = Limit::program(LONGEST_LINE_BYTES, Unit::Bytes);
-    match paths::LIST_READER {
-        Mechanism::Missing(_) => table.judge(kept, WHOLE_LIST, line, longest, paths::LIST_READER),
-        Mechanism::File(_) | Mechanism::None => table.tell(kept, WHOLE_LIST, line, paths::LIST_READER),
-    }
+    table.tell(kept, "the whole list, one line of a watch", line, paths::LIST_READER);
 
     let day = When::OrdinaryDay;
     let watch = traffic::whole_list(sizes) + traffic::heartbeats();
--- a/crates/lab/src/capacity/roles/manager.rs
+++ b/crates/lab/src/capacity/roles/manager.rs
@@ -9,6 +9,9 @@
 use crate::capacity::series_measured as series;
 use crate::capacity::{letter, quantity::Unit, traffic, wire};
 
+/// Bytes of entries that a manager takes of one list.
+const MOST_KEPT_BYTES: f64 = 16.0 * 1024.0 * 1024.0;
+
 fn memory_limit() -> Limit {
     Limit::letter(letter::MANAGER_MEMORY_BYTES, Unit::Bytes)
 }
@@ -36,6 +39,9 @@
 }
 
 fn kept_of_whole_list(inputs: &Inputs<'_>, table: &mut Table) {
+    let entries = bytes(inputs.sizes.list_bytes());
+    let most = Limit::program(MOST_KEPT_BYTES, Unit::Bytes);
+    table.judge(When::Kept, "entries taken without a scope", entries, most, paths::LIST_ASSEMBLER);
     let memory = series::MANAGER_MEMORY.at(inputs.measured, letter::WORKERS);
     table.judge(When::Kept, "memory with the whole list", memory, memory_limit(), paths::ROSTER);
     let most = series::MANAGER_MEMORY.reaches(inputs.measured, letter::MANAGER_MEMORY_BYTES);
@@ -54,13 +60,19 @@
 
 fn kept_of_services(inputs: &Inputs<'_>, table: &mut Table) {
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
-    table.tell(When::Kept, "workers of its services", count(sizes.workers_in_scope()), paths::SCOPE);
-    table.tell(When::Kept, "their entries, as sent", bytes(sizes.snapshot_bytes()), paths::SCOPE);
+    table.tell(When::Kept, "workers of its services", count(sizes.workers_in_scope()), paths::MANAGER_SCOPE);
+    table.tell(When::Kept, "their entries, as sent", bytes(sizes.snapshot_bytes()), paths::MANAGER_SCOPE);
     let by_zone = series::MANAGER_MEMORY.at(measured, sizes.workers_per_zone());
-    table.judge(When::Kept, "memory with its zone's workers", by_zone, memory_limit(), paths::SCOPE);
+    table.judge(When::Kept, "memory with its zone's workers", by_zone, memory_limit(), paths::MANAGER_SCOPE);
     let scoped = series::SCOPED_MEMORY.figure(measured);
     let scoped = scoped.or(series::MANAGER_MEMORY.at(measured, sizes.workers_in_scope()));
-    table.judge(When::Kept, "memory with its services' workers", scoped, memory_limit(), paths::SCOPE);
+    table.judge(
+        When::Kept,
+        "memory with its services' workers",
+        scoped,
+        memory_limit(),
+        paths::MANAGER_SCOPE,
+    );
     // Measured with more workers than a service has, so that its proxies and operations alone are added.
     let by_proxies = series::MANAGER_MEMORY_BY_PROXIES.at(measured, sizes.proxies_per_manager());
     let by_operations = series::MANAGER_MEMORY_BY_OPERATIONS.growth(measured, sizes.operations_per_manager());
@@ -79,10 +91,22 @@
     let all = Limit::reached(letter::WORKERS);
     table.judge(when, "workers listed that 1.3% of a core bears", most, all, paths::ROSTER);
     let by_zone = processor(sizes.workers_per_zone());
-    table.judge(when, "processor time with its zone's workers", by_zone, processor_limit(), paths::SCOPE);
+    table.judge(
+        when,
+        "processor time with its zone's workers",
+        by_zone,
+        processor_limit(),
+        paths::MANAGER_SCOPE,
+    );
     let scoped = series::SCOPED_PROCESSOR.figure(measured);
     let scoped = scoped.or(processor(sizes.workers_in_scope()));
-    table.judge(when, "processor time with its services' workers", scoped, processor_limit(), paths::SCOPE);
+    table.judge(
+        when,
+        "processor time with its services' workers",
+        scoped,
+        processor_limit(),
+        paths::MANAGER_SCOPE,
+    );
 }
 
 fn processor_time_together(inputs: &Inputs<'_>, table: &mut Table) {
@@ -111,10 +135,10 @@
     let whole = watch(changes, traffic::whole_list(sizes));
     table.judge(when, "watch of the whole list", whole, traffic_limit(), paths::WATCH);
     let entries = per_second(changes * sizes.scope_share());
-    table.tell(when, "entries of its services that change", entries, paths::SCOPE);
+    table.tell(when, "entries of its services that change", entries, paths::MANAGER_SCOPE);
     let scoped = series::SCOPED_BYTES_IN.figure(measured);
     let scoped = scoped.or(watch(changes * sizes.scope_share(), traffic::scope(sizes)));
-    table.judge(when, "watch of its services", scoped.clone(), traffic_limit(), paths::SCOPE);
+    table.judge(when, "watch of its services", scoped.clone(), traffic_limit(), paths::MANAGER_SCOPE);
     let configuration = bytes_per_second(traffic::configuration(sizes));
     let read = scoped.plus(configuration).plus(sums_read(inputs));
     let budget = Mechanism::Missing("a byte budget");
@@ -135,13 +159,13 @@
     let entries = |workers: f64| bytes(sizes.entries_bytes(workers));
     let rack = sizes.assumed(Assumption::RackMachines) * sizes.assumed(Assumption::WorkersPerMachine);
     let name = "entries, were all its workers of one service of this manager";
-    table.tell(When::Worst(Failure::Rack), name, entries(rack), paths::SCOPE);
+    table.tell(When::Worst(Failure::Rack), name, entries(rack), paths::MANAGER_SCOPE);
     let zone = sizes.workers_per_zone();
     let back = When::Worst(Failure::ZoneBack);
     let name = "entries, one a worker, where it watches that zone or all";
     table.tell(back, name, entries(zone), paths::WATCH);
     let of_services = entries(zone * sizes.scope_share());
-    table.tell(back, "entries, one a worker, of its services", of_services, paths::SCOPE);
+    table.tell(back, "entries, one a worker, of its services", of_services, paths::MANAGER_SCOPE);
 }
 
 fn region_cut(inputs: &Inputs<'_>, table: &mut Table) {
@@ -149,11 +173,11 @@
     let when = When::Worst(Failure::RegionCut);
     let behind = sizes.entries_per_second() * letter::REGION_CUT_SECONDS;
     let entries = |workers: f64| bytes(sizes.entries_bytes(workers * sizes.scope_share()));
-    table.tell(when, "there: entries missed of its services", entries(behind), paths::VERSION_LOG);
+    table.tell(when, "there: entries missed of its services", entries(behind), paths::VERSIONS);
     let snapshot = bytes(sizes.snapshot_bytes());
-    table.tell(when, "there: a snapshot of its services instead", snapshot, paths::SCOPE);
+    table.tell(when, "there: a snapshot of its services instead", snapshot, paths::MANAGER_SCOPE);
     let region = entries(sizes.workers_per_region());
-    table.tell(when, "elsewhere: its services' workers of that region", region, paths::SCOPE);
+    table.tell(when, "elsewhere: its services' workers of that region", region, paths::MANAGER_SCOPE);
 }
 
 fn list_taken_anew(inputs: &Inputs<'_>, table: &mut Table) {
@@ -162,7 +186,7 @@
     let unnoticed = seconds(wire::SILENT_AFTER_SECONDS);
     table.tell(dead, "until a watch that went silent is dialled again", unnoticed, paths::WATCH);
     let snapshot = bytes(sizes.snapshot_bytes());
-    table.tell(dead, "a snapshot from another, at most", snapshot, paths::SCOPE);
+    table.tell(dead, "a snapshot from another, at most", snapshot, paths::MANAGER_SCOPE);
     let all = When::Worst(Failure::AllRestarted);
     let at_budget = |bytes: f64| seconds(bytes / letter::MANAGER_BYTES_PER_SECOND);
     table.tell(all, "the whole list at 5 KB/s", at_budget(sizes.list_bytes()), paths::WATCH);
@@ -170,5 +194,5 @@
     let named = Mechanism::Missing("entries that name their service");
     table.tell(all, "its zone's workers at 5 KB/s", zone, named);
     let services = at_budget(sizes.snapshot_bytes());
-    table.tell(all, "its services' workers at 5 KB/s", services, paths::SCOPE);
+    table.tell(all, "its services' workers at 5 KB/s", services, paths::MANAGER_SCOPE);
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -7,7 +7,6 @@
 mod council;
 mod gangs;
 mod netconf;
-mod report;
 mod schedule;
 mod town;
 mod trials;
@@ -17,8 +16,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-
-use crate::report::Report;
+use juniperrail_lab::report::{self, Report};
+use juniperrail_lab::scale;
 
 #[derive(Parser)]
 #[command(about = "Measures a juniperrail manager among stand-ins")]
@@ -79,6 +78,8 @@
         #[arg(long)]
         write: bool,
     },
+    /// Processor time, memory and bytes of real processes among hollow peers, as each size grows.
+    Scale(scale::Options),
     /// One manager, for the other experiments.
     #[command(hide = true)]
     Serve { config: PathBuf, operator_file: PathBuf },
@@ -94,6 +95,12 @@
         Experiment::Schedule { count, seconds } => schedule::run(&mut report, count, seconds),
         Experiment::Capacity { write } => capacity_command::run(&mut report, write),
         Experiment::Turns => turns::run(&mut report),
+        Experiment::Scale(options) => {
+            if let Err(why) = scale::run(&mut report, &options) {
+                eprintln!("scale: {why}");
+                return ExitCode::FAILURE;
+            }
+        }
         Experiment::Netconf { commits, rounds } => netconf::run(&mut report, commits, rounds),
         Experiment::Changes { count, seed } => changes::run(&mut report, count, seed),
     }
