--- a/crates/lab/src/capacity/roles/consensus_member.rs
+++ b/crates/lab/src/capacity/roles/consensus_member.rs
@@ -10,8 +10,6 @@
 
 /// Heartbeats of a leader to one member in a second, by the default of 250 ms.
 const HEARTBEATS_PER_SECOND: f64 = 4.0;
-/// Messages that may wait for one other member, to it and from it.
-const WAITING_PER_MEMBER: f64 = 512.0 + 256.0;
 /// Members that one member probes in a second, by the default period of 1 s.
 const PROBES_PER_SECOND: f64 = 1.0;
 
@@ -32,8 +30,6 @@
     table.tell(When::Kept, "links in all, every manager a member", links, paths::LINKS);
     let open = count(2.0 * others);
     table.judge(When::Kept, "connections at each, every manager a member", open, descriptors, LEARNERS);
-    let waiting = count(others * WAITING_PER_MEMBER);
-    table.tell(When::Kept, "messages that may wait at each", waiting, paths::LINKS);
     let heartbeats = per_second(others * HEARTBEATS_PER_SECOND);
     table.tell(When::OrdinaryDay, "heartbeats of the leader, every manager a member", heartbeats, LEARNERS);
     let quorum = count((letter::MANAGERS / 2.0).floor() + 1.0);
