--- a/crates/lab/src/scale/hollow/mod.rs
+++ b/crates/lab/src/scale/hollow/mod.rs
@@ -16,6 +16,7 @@
 pub use forwarder::Forwarder;
 pub use proxies::Proxies;
 pub use subscribers::{Arrival, Subscribers};
+pub use watch::Watch;
 pub use workers::Workers;
 
 /// Bytes as a hollow peer counts them.
--- a/crates/lab/src/scale/letter.rs
+++ b/crates/lab/src/scale/letter.rs
@@ -22,19 +22,28 @@
     pub unscoped_workers: usize,
     /// On an ordinary day.
     pub changes_per_second: f64,
+    /// How many windows a relay's ordinary day lasts, for enough timed changes.
+    pub relay_windows: u32,
 }
 
-const WHOLE: Letter = Letter {
+pub const WHOLE: Letter = Letter {
     workers: 200_000,
     zones: 73,
     services: 4_400,
     subscribers: 333,
     unscoped_workers: 10_000,
     changes_per_second: 1.2,
+    relay_windows: 6,
 };
 
-const SMALL: Letter =
-    Letter { workers: 9_000, services: 200, subscribers: 40, unscoped_workers: 2_000, ..WHOLE };
+const SMALL: Letter = Letter {
+    workers: 9_000,
+    services: 200,
+    subscribers: 40,
+    unscoped_workers: 2_000,
+    relay_windows: 2,
+    ..WHOLE
+};
 
 impl Letter {
     pub fn of(small: bool) -> Letter {
--- a/crates/lab/src/scale/role.rs
+++ b/crates/lab/src/scale/role.rs
@@ -112,14 +112,18 @@
                 return Err(ScaleError::Ended(self.child.id(), self.last_line()));
             }
             if begun.elapsed() > WITHIN {
-                let (what, seconds) = (what.to_string(), WITHIN.as_secs());
-                return Err(ScaleError::Overdue { what, seconds, last: self.last_line() });
+                return Err(self.overdue(what));
             }
             sleep(LOOK_EVERY).await;
         }
         Ok(())
     }
 
+    /// The error of one that does not get there in time.
+    pub fn overdue(&self, what: &str) -> ScaleError {
+        ScaleError::Overdue { what: what.into(), seconds: WITHIN.as_secs(), last: self.last_line() }
+    }
+
     /// Where its log says that it serves, be it a manager or a relay.
     pub async fn address(&mut self) -> Result<SocketAddr, ScaleError> {
         let log = self.log.clone();
--- a/crates/lab/tests/fit.rs
+++ b/crates/lab/tests/fit.rs
@@ -1,6 +1,7 @@
 //! Lines through samples: what is straight, what bends, and what noise may do.
 
 use juniperrail_lab::scale::fit::{Fit, Sample};
+use juniperrail_lab::scale::judge::Growth;
 
 /// Three plays of each size, which differ by a hundredth of the value.
 fn samples(sizes: &[f64], value: impl Fn(f64) -> f64) -> Vec<Sample> {
@@ -54,3 +55,38 @@
     assert!(Fit::of(&samples(&[500.0], |size| size)).is_none());
     assert!(Fit::of(&[]).is_none());
 }
+
+/// What a figure is judged as, by its unit.
+fn judged(unit: &str, value: impl Fn(f64) -> f64) -> Growth {
+    let exact: Vec<Sample> = SIZES.iter().map(|size| Sample { size: *size, value: value(*size) }).collect();
+    Growth::of(&Fit::of(&exact).unwrap(), unit)
+}
+
+#[test]
+fn memory_that_a_worker_takes_twice_of_above_the_middle_breaks_its_bound() {
+    let fixed = 10e6;
+    let doubles = |size: f64| fixed + 1500.0 * size.min(2000.0) + 3000.0 * (size - 2000.0).max(0.0);
+    let growth = judged("B", doubles);
+    assert!(matches!(growth, Growth::Steepening(times) if (times - 2.0).abs() < 1e-6), "{growth:?}");
+    assert!(!growth.holds());
+    assert!(judged("B", |size| fixed + 1500.0 * size).holds());
+}
+
+#[test]
+fn memory_that_grows_only_above_the_middle_breaks_its_bound() {
+    let growth = judged("B", |size| 10e6 + 3000.0 * (size - 2000.0).max(0.0));
+    assert!(!growth.holds(), "{growth:?}");
+}
+
+#[test]
+fn processor_time_by_the_square_of_the_size_breaks_its_bound() {
+    let growth = judged("cores", |size| 0.003 + 1e-8 * size * size);
+    assert!(matches!(growth, Growth::BeyondExpected(_)) && !growth.holds(), "{growth:?}");
+    assert!(judged("cores", |size| 0.003 + 5e-6 * size).holds());
+}
+
+#[test]
+fn what_hardly_grows_keeps_its_bound() {
+    assert_eq!(judged("B", |size| 10e6 + 50.0 * size), Growth::None);
+    assert_eq!(judged("cores", |size| 0.03 - 1e-6 * size), Growth::None);
+}
