--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -31,6 +31,10 @@
     let machines = Limit::letter(letter::CONTROL_MACHINES, Unit::Count);
     table.judge(when, "machines that could take all managers", needed, machines, paths::RELAY);
     table.tell(when, "the whole list, as sent", bytes(sizes.list_bytes()), paths::RELAY);
+    let worker = series::RELAY_MEMORY_BY_WORKERS.each(measured);
+    table.tell(when, "memory for each worker", worker, paths::RELAY);
+    let manager = series::RELAY_MEMORY_BY_SUBSCRIBERS.each(measured);
+    table.tell(when, "memory for each manager", manager, paths::RELAY);
     let memory = series::RELAY_MEMORY.figure(measured);
     table.tell(when, "memory with the whole list and its managers", memory, paths::RELAY);
 }
@@ -51,6 +55,8 @@
     table.tell(when, "bytes out, were all to watch the whole list", bytes_per_second(whole), paths::RELAY);
     let processor = series::RELAY_PROCESSOR.figure(measured);
     table.tell(when, "processor time", processor, paths::RELAY);
+    let manager = series::RELAY_PROCESSOR_BY_SUBSCRIBERS.each(measured);
+    table.tell(when, "processor time for each manager", manager, paths::RELAY);
     let delay = series::RELAY_DELAY.figure(measured);
     let in_force = Limit::letter(letter::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
     table.judge(when, "a changed entry until the last manager has it, p99", delay, in_force, paths::RELAY);
--- a/crates/lab/src/capacity/series_measured.rs
+++ b/crates/lab/src/capacity/series_measured.rs
@@ -19,6 +19,7 @@
 const PROXIES: &str = "proxies joined";
 const OPERATIONS: &str = "operations";
 const REPORTS: &str = "reports a second";
+const SUBSCRIBERS: &str = "subscribers";
 const MEMBERS: &str = "members that agree";
 
 const fn memory(role: &'static str, against: &'static str) -> Series {
@@ -55,9 +56,9 @@
 pub const MANAGER_BYTES_IN_BY_REPORTS: Series =
     Series { role: MANAGER, figure: BYTES_IN, against: REPORTS, unit: Unit::BytesPerSecond };
 
-const SCOPED: (&str, &str) = ("scope of ", " through a relay");
-const ORDINARY_DAY: (&str, &str) = ("ordinary day", " subscribers");
-const NEIGHBOUR_DIED: (&str, &str) = ("neighbour died", " subscribers");
+const SCOPED: (&str, &str) = ("scope of ", " of 200000 workers through a relay");
+const ORDINARY_DAY: (&str, &str) = ("ordinary day, 333", " subscribers");
+const NEIGHBOUR_DIED: (&str, &str) = ("neighbour died, 666", " subscribers");
 
 const fn point(
     role: &'static str,
@@ -75,6 +76,12 @@
 /// The bytes that it reads.
 pub const SCOPED_BYTES_IN: Point = point(MANAGER, BYTES_IN, SCOPED, Unit::BytesPerSecond);
 
+/// Memory of a relay by the workers listed to it.
+pub const RELAY_MEMORY_BY_WORKERS: Series = memory(RELAY, WORKERS);
+/// Memory of a relay by the managers that watch it.
+pub const RELAY_MEMORY_BY_SUBSCRIBERS: Series = memory(RELAY, SUBSCRIBERS);
+/// Processor time of a relay by the managers that watch it.
+pub const RELAY_PROCESSOR_BY_SUBSCRIBERS: Series = processor(RELAY, SUBSCRIBERS);
 /// Memory of a relay with the letter's list and its share of managers.
 pub const RELAY_MEMORY: Point = point(RELAY, PEAK_MEMORY, ORDINARY_DAY, Unit::Bytes);
 /// Its processor time.
