--- a/crates/lab/tests/fit.rs
+++ b/crates/lab/tests/fit.rs
@@ -85,6 +85,15 @@
     assert!(judged("cores", |size| 0.003 + 5e-6 * size).holds());
 }
 
+#[test]
+fn a_change_more_in_a_window_is_no_growth_of_bytes() {
+    // One entry more than six, in half of the plays of the largest size.
+    let growth = judged("B/s", |size| if size < 8000.0 { 237.0 } else { 273.0 });
+    assert!(growth.holds(), "{growth:?}");
+    assert!(!judged("B/s", |size| 237.0 + 0.001 * size * size).holds());
+    assert!(!judged("B/s", |size| if size < 8000.0 { 0.0 } else { 1.0 }).holds());
+}
+
 #[test]
 fn what_hardly_grows_keeps_its_bound() {
     assert_eq!(judged("B", |size| 10e6 + 50.0 * size), Growth::None);
