--- a/crates/lab/src/capacity/point.rs
+++ b/crates/lab/src/capacity/point.rs
@@ -12,6 +12,8 @@
     /// How the conditions begin and end.
     pub at: (&'static str, &'static str),
     pub unit: Unit,
+    /// Whether more was done meanwhile than the figure is told for.
+    pub bound: Bound,
 }
 
 impl Point {
@@ -27,7 +29,7 @@
             return Figure::not_measured(format!("{}: {} ({})", self.role, self.figure, self.at.0));
         };
         let quantity = Some(Quantity::new(reading.value * factor(&reading.unit), self.unit));
-        let (bound, basis, slope) = (Bound::Exact, Basis::Measured, Some(reading.at.clone()));
+        let (bound, basis, slope) = (self.bound, Basis::Measured, Some(reading.at.clone()));
         Figure { quantity, bound, basis, slope }
     }
 }
--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -49,8 +49,9 @@
     let heartbeats = per_second(subscribers / wire::HEARTBEAT_PERIOD_SECONDS);
     table.tell(when, "empty lines out", heartbeats, paths::RELAY);
     let scoped = subscribers * (traffic::scope(sizes) + traffic::heartbeats());
-    let scoped = series::RELAY_BYTES_OUT.figure(measured).or(bytes_per_second(scoped));
-    table.tell(when, "bytes out by services", scoped, paths::SCOPE);
+    table.tell(when, "bytes out by services", bytes_per_second(scoped), paths::SCOPE);
+    let timed = series::RELAY_BYTES_OUT.figure(measured);
+    table.tell(when, "bytes out, and one change a second that all its managers need", timed, paths::RELAY);
     let whole = subscribers * (traffic::whole_list(sizes) + traffic::heartbeats());
     table.tell(when, "bytes out, were all to watch the whole list", bytes_per_second(whole), paths::RELAY);
     let processor = series::RELAY_PROCESSOR.figure(measured);
--- a/crates/lab/src/capacity/series_measured.rs
+++ b/crates/lab/src/capacity/series_measured.rs
@@ -1,5 +1,6 @@
 //! The slopes that the page is computed from, by the names that `docs/capacity/measured.json` has for them.
 
+use super::figure::Bound;
 use super::point::Point;
 use super::quantity::Unit;
 use super::series::Series;
@@ -66,7 +67,13 @@
     at: (&'static str, &'static str),
     unit: Unit,
 ) -> Point {
-    Point { role, figure, at, unit }
+    Point { role, figure, at, unit, bound: Bound::Exact }
+}
+
+/// A relay's figure at the letter's size. Besides the changes of an ordinary day, that run sent timed ones to every
+/// subscriber, one a second and five as the neighbour died.
+const fn relay_at_most(figure: &'static str, at: (&'static str, &'static str), unit: Unit) -> Point {
+    Point { role: RELAY, figure, at, unit, bound: Bound::AtMost }
 }
 
 /// Memory of a manager that watches one service of the letter's list through a relay.
@@ -85,10 +92,10 @@
 /// Memory of a relay with the letter's list and its share of managers.
 pub const RELAY_MEMORY: Point = point(RELAY, PEAK_MEMORY, ORDINARY_DAY, Unit::Bytes);
 /// Its processor time.
-pub const RELAY_PROCESSOR: Point = point(RELAY, PROCESSOR_TIME, ORDINARY_DAY, Unit::Cores);
+pub const RELAY_PROCESSOR: Point = relay_at_most(PROCESSOR_TIME, ORDINARY_DAY, Unit::Cores);
 /// The bytes that it reads.
-pub const RELAY_BYTES_IN: Point = point(RELAY, BYTES_IN, ORDINARY_DAY, Unit::BytesPerSecond);
-/// The bytes that it writes.
+pub const RELAY_BYTES_IN: Point = relay_at_most(BYTES_IN, ORDINARY_DAY, Unit::BytesPerSecond);
+/// The bytes that it writes, one change a second going to every subscriber.
 pub const RELAY_BYTES_OUT: Point = point(RELAY, BYTES_OUT, ORDINARY_DAY, Unit::BytesPerSecond);
 /// From a changed entry at the source until the last of its managers has it.
 pub const RELAY_DELAY: Point =
@@ -96,7 +103,7 @@
 /// Memory of a relay that takes over all managers of another.
 pub const RELAY_MEMORY_TWICE: Point = point(RELAY, PEAK_MEMORY, NEIGHBOUR_DIED, Unit::Bytes);
 /// Processor time of a relay that takes over all managers of another.
-pub const RELAY_PROCESSOR_TWICE: Point = point(RELAY, PROCESSOR_TIME, NEIGHBOUR_DIED, Unit::Cores);
+pub const RELAY_PROCESSOR_TWICE: Point = relay_at_most(PROCESSOR_TIME, NEIGHBOUR_DIED, Unit::Cores);
 /// From a relay's death until another serves the last of its managers.
 pub const RELAY_TAKEN_OVER: Point = point(
     RELAY,
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -211,8 +211,13 @@
 
 #[test]
 fn a_reading_at_the_letters_size_is_taken_as_it_is() {
-    let point =
-        Point { role: "relay", figure: "a delay", at: ("ordinary day", " subscribers"), unit: Unit::Seconds };
+    let point = Point {
+        role: "relay",
+        figure: "a delay",
+        at: ("ordinary day", " subscribers"),
+        unit: Unit::Seconds,
+        bound: Bound::Exact,
+    };
     assert_eq!(point.figure(&with_readings()).quantity, None);
     let mut measured = with_readings();
     let (role, figure, unit) = ("relay".into(), "a delay".into(), "ms".into());
