--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,12 +1,12 @@
 //! Measurements, each with its bounds: a small table, and `N passed, N failed` alone on the last line. Managers run in
 //! processes of their own, everybody else is a stand-in of ours; all stays on the loopback.
 
+mod capacity_command;
 mod changes;
 mod child;
 mod council;
 mod gangs;
 mod netconf;
-mod report;
 mod schedule;
 mod town;
 mod trials;
@@ -16,8 +16,8 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-
-use crate::report::Report;
+use juniperrail_lab::report::{self, Report};
+use juniperrail_lab::scale;
 
 #[derive(Parser)]
 #[command(about = "Measures a juniperrail manager among stand-ins")]
@@ -72,6 +72,14 @@
     },
     /// What a turn of the decisions costs as workers and proxies grow.
     Turns,
+    /// The tables of the capacity page, from the measured slopes, and whether the page holds them.
+    Capacity {
+        /// Writes the tables into docs/CAPACITY.md.
+        #[arg(long)]
+        write: bool,
+    },
+    /// Processor time, memory and bytes of real processes among hollow peers, as each size grows.
+    Scale(scale::Options),
     /// One manager, for the other experiments.
     #[command(hide = true)]
     Serve { config: PathBuf, operator_file: PathBuf },
@@ -85,7 +93,14 @@
         Experiment::Gangs { seeds } => gangs::run(&mut report, seeds),
         Experiment::Council { rounds } => council::run(&mut report, rounds),
         Experiment::Schedule { count, seconds } => schedule::run(&mut report, count, seconds),
+        Experiment::Capacity { write } => capacity_command::run(&mut report, write),
         Experiment::Turns => turns::run(&mut report),
+        Experiment::Scale(options) => {
+            if let Err(why) = scale::run(&mut report, &options) {
+                eprintln!("scale: {why}");
+                return ExitCode::FAILURE;
+            }
+        }
         Experiment::Netconf { commits, rounds } => netconf::run(&mut report, commits, rounds),
         Experiment::Changes { count, seed } => changes::run(&mut report, count, seed),
     }
