--- a/crates/lab/src/scale/hollow/subscribers.rs
+++ b/crates/lab/src/scale/hollow/subscribers.rs
@@ -27,7 +27,8 @@
     arrivals: Mutex<Vec<Arrival>>,
     /// Subscribers that have a list on an open watch.
     listed: AtomicUsize,
-    breaks: AtomicUsize,
+    /// Of these, the ones at the first of their sources.
+    listed_at_first: AtomicUsize,
     /// When the last subscriber got a line on a new watch.
     last_listed: Mutex<Option<Instant>>,
     traffic: Traffic,
@@ -67,11 +68,12 @@
         self.shared.listed.load(Ordering::Relaxed)
     }
 
-    /// How often a watch broke.
-    pub fn breaks(&self) -> usize {
-        self.shared.breaks.load(Ordering::Relaxed)
+    /// How many of these are at the first of their sources.
+    pub fn listed_at_first(&self) -> usize {
+        self.shared.listed_at_first.load(Ordering::Relaxed)
     }
 
+    /// When the last one got the first line of a new watch.
     pub fn last_listed(&self) -> Option<Instant> {
         *lock(&self.shared.last_listed)
     }
@@ -92,25 +94,23 @@
 
 impl Subscriber {
     async fn run(mut self) {
-        for source in 0.. {
-            let source = self.sources[source % self.sources.len()];
+        for attempt in 0.. {
+            let place = attempt % self.sources.len();
             let mut listed = false;
-            let Err(Broken) = self.follow(source, &mut listed).await;
-            self.shared.breaks.fetch_add(1, Ordering::Relaxed);
+            let Err(Broken) = self.follow(place, &mut listed).await;
             if listed {
                 self.shared.listed.fetch_sub(1, Ordering::Relaxed);
             }
+            if listed && place == 0 {
+                self.shared.listed_at_first.fetch_sub(1, Ordering::Relaxed);
+            }
             sleep(REDIAL.mul_f64(0.5 + fastrand::f64())).await;
         }
     }
 
-    async fn follow(
-        &mut self,
-        source: SocketAddr,
-        listed: &mut bool,
-    ) -> Result<std::convert::Infallible, Broken> {
+    async fn follow(&mut self, place: usize, listed: &mut bool) -> Result<std::convert::Infallible, Broken> {
         let index = self.held.map(|held| format!("&index={held}")).unwrap_or_default();
-        let mut watch = Watch::open(source, &format!("{index}{}", self.query)).await?;
+        let mut watch = Watch::open(self.sources[place], &format!("{index}{}", self.query)).await?;
         loop {
             let line = watch.next().await?;
             let at = Instant::now();
@@ -118,6 +118,9 @@
             self.held = Some(line.generation);
             if !std::mem::replace(listed, true) {
                 self.shared.listed.fetch_add(1, Ordering::Relaxed);
+                if place == 0 {
+                    self.shared.listed_at_first.fetch_add(1, Ordering::Relaxed);
+                }
                 *lock(&self.shared.last_listed) = Some(at);
             }
             let timed = line.instances.iter().filter(|entry| entry.started_at_ms > 0);
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -173,9 +173,8 @@
     let _watchdog = Watchdog::start(started, within)?;
     let about = run.recorder.run();
     println!("run {} of commit {}, on {}", about.id, about.commit, about.machine);
-    for experiment in experiments {
-        experiment.run(&mut run, report)?;
-    }
+    // What was found before a failure is kept too.
+    let ended = experiments.into_iter().try_for_each(|experiment| experiment.run(&mut run, report));
     print_not_measured();
     if let Some(path) = &options.samples {
         run.recorder.write_samples(path)?;
@@ -183,7 +182,7 @@
     if let Some(path) = &options.out {
         run.recorder.merge_into(path)?;
     }
-    Ok(())
+    ended
 }
 
 fn runtime() -> Result<Runtime, ScaleError> {
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -108,7 +108,7 @@
     println!("\na relay of {} workers with {} subscribers", letter.workers, letter.subscribers);
     cost_of(run, report, &format!("ordinary day, {} subscribers", letter.subscribers), &ordinary.cost);
     delays_of(run, report, "ordinary day", &ordinary.delays);
-    println!("\nits neighbour dies, and {} subscribers come too", letter.subscribers);
+    println!("\nits neighbour dies, and {} subscribers come too", found.cut_off);
     cost_of(run, report, &format!("neighbour died, {} subscribers", 2 * letter.subscribers), &death.cost);
     delays_of(run, report, "neighbour died", &death.delays);
     let back = found.all_back.as_secs_f64();
@@ -162,6 +162,8 @@
 struct Found {
     ordinary: Phase,
     at_death: Phase,
+    /// Subscribers that the neighbour had; one that is served too late at the start goes to the other relay.
+    cut_off: usize,
     /// From the neighbour's death until the last of its subscribers was served.
     all_back: Duration,
 }
@@ -196,19 +198,18 @@
     sleep(Duration::from_secs(1)).await;
     let reached = [own.take_arrivals(), others.take_arrivals()];
     let ordinary = Phase { cost: cost_ordinary?, delays: delays(&timed, &reached, letter, &timing) };
-    let (died, breaks_before) = (Instant::now(), others.breaks());
+    let (died, cut_off) = (Instant::now(), others.listed_at_first());
     neighbour.role.kill();
     let at_once = Pace { settle: Duration::ZERO, ..pace };
     let (cost_death, timed) =
         tokio::join!(cost(&relay.role, at_once, bytes), timing.changes(TIMED_PER_SECOND_AT_DEATH, at_once));
-    let moved =
-        || others.breaks() - breaks_before >= letter.subscribers && others.listed() == letter.subscribers;
+    let moved = || others.listed_at_first() == 0 && others.listed() == letter.subscribers;
     relay.role.until("the neighbour's subscribers", moved).await?;
     sleep(Duration::from_secs(1)).await;
     let reached = [own.take_arrivals(), others.take_arrivals()];
     let at_death = Phase { cost: cost_death?, delays: delays(&timed, &reached, letter, &timing) };
     let all_back = others.last_listed().unwrap_or(died).saturating_duration_since(died);
-    Ok(Found { ordinary, at_death, all_back })
+    Ok(Found { ordinary, at_death, cut_off, all_back })
 }
 
 /// Makes timed changes, each of the next worker of the common service.
