--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -98,7 +98,7 @@
         let complete = Change::after(index.unwrap_or_default().min(version));
         Cursor {
             limits,
-            places: PlaceSet::new(scope),
+            places: PlaceSet::new(&scope),
             epoch: list.epoch(),
             progress,
             complete,
--- a/crates/distribution/src/places.rs
+++ b/crates/distribution/src/places.rs
@@ -1,98 +1,139 @@
-//! The places workers stand in, each held once, and the set of those that a scope contains.
+//! The places workers stand in, each name held once, and the set of those that a scope contains.
 
+use std::collections::BTreeSet;
 use std::hash::BuildHasher;
 
 use hashbrown::{DefaultHashBuilder, HashTable};
 
 use crate::scope::{Place, Scope};
 
-/// Places one list may have.
-const MOST_PLACES: usize = 1 << 20;
+/// Zones, and services, that one list may have.
+const MOST_NAMES: usize = u16::MAX as usize;
 
-/// The number of a place.
+/// The number of the zone without a name, and of no service.
+const UNNAMED: u16 = 0;
+
+/// The numbers of a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct PlaceId(u32);
+pub(crate) struct PlaceId {
+    zone: u16,
+    service: u16,
+}
 
 impl PlaceId {
     /// The place of a worker whose entry names none that can be read: no zone, any service.
-    pub const NOWHERE: PlaceId = PlaceId(0);
+    pub const NOWHERE: PlaceId = PlaceId { zone: UNNAMED, service: UNNAMED };
 }
 
+/// Names in the order in which they came up, the first of them empty.
 #[derive(Debug)]
 struct Names {
-    zone: Box<str>,
-    service: Option<Box<str>>,
+    names: Vec<Box<str>>,
+    by_name: HashTable<u16>,
+    hasher: DefaultHashBuilder,
+}
+
+impl Default for Names {
+    fn default() -> Names {
+        Names { names: vec!["".into()], by_name: HashTable::new(), hasher: DefaultHashBuilder::default() }
+    }
 }
 
 impl Names {
-    fn place(&self) -> Place<'_> {
-        Place { zone: &self.zone, service: self.service.as_deref() }
+    /// The number of a name; `None` if it is new and there are too many.
+    fn id(&mut self, name: &str) -> Option<u16> {
+        if name.is_empty() {
+            return Some(UNNAMED);
+        }
+        let hash = self.hasher.hash_one(name);
+        let same = |id: &u16| &*self.names[usize::from(*id)] == name;
+        if let Some(id) = self.by_name.find(hash, same) {
+            return Some(*id);
+        }
+        if self.names.len() >= MOST_NAMES {
+            return None;
+        }
+        let id = u16::try_from(self.names.len()).ok()?;
+        self.names.push(name.into());
+        let (names, hasher) = (&self.names, &self.hasher);
+        self.by_name.insert_unique(hash, id, |id| hasher.hash_one(&*names[usize::from(*id)]));
+        Some(id)
     }
 }
 
-/// All places that were ever named, numbered in the order in which they were.
-#[derive(Debug)]
+/// All zones and services that were ever named.
+#[derive(Debug, Default)]
 pub(crate) struct Places {
-    names: Vec<Names>,
-    by_names: HashTable<u32>,
-    hasher: DefaultHashBuilder,
+    zones: Names,
+    services: Names,
 }
 
-impl Default for Places {
-    fn default() -> Places {
-        let mut places = Places { names: Vec::new(), by_names: HashTable::new(), hasher: Default::default() };
-        places.id(Place { zone: "", service: None });
-        places
+impl Places {
+    /// The numbers of a place; `None` if a name of it is new and there are too many.
+    pub fn id(&mut self, place: Place<'_>) -> Option<PlaceId> {
+        let zone = self.zones.id(place.zone)?;
+        // A service without a name is taken for none: the worker may serve any.
+        let service = self.services.id(place.service.unwrap_or_default())?;
+        Some(PlaceId { zone, service })
     }
 }
 
-impl Places {
-    /// The number of a place; `None` if it is new and there are too many.
-    pub fn id(&mut self, place: Place<'_>) -> Option<PlaceId> {
-        let hash_of =
-            |hasher: &DefaultHashBuilder, place: Place<'_>| hasher.hash_one((place.zone, place.service));
-        let hash = hash_of(&self.hasher, place);
-        let same = |id: &u32| self.names[*id as usize].place() == place;
-        if let Some(id) = self.by_names.find(hash, same) {
-            return Some(PlaceId(*id));
-        }
-        if self.names.len() >= MOST_PLACES {
-            return None;
+/// Which names one dimension of a scope contains, worked out for those that are known.
+///
+/// Zones and services are looked at apart: a new watch costs as many steps as there are names, and not as many as there are
+/// pairs of them, of which a large fleet has nearly one for each worker.
+#[derive(Debug)]
+struct NameSet {
+    /// `None` contains every name.
+    wanted: Option<BTreeSet<String>>,
+    /// A bit for each name that was looked at.
+    contained: Vec<u64>,
+    looked_at: usize,
+}
+
+impl NameSet {
+    fn new(wanted: &BTreeSet<String>) -> NameSet {
+        let wanted = (!wanted.is_empty()).then(|| wanted.clone());
+        NameSet { wanted, contained: Vec::new(), looked_at: 0 }
+    }
+
+    /// Looks at the names that are new.
+    fn extend(&mut self, names: &Names) {
+        let Some(wanted) = &self.wanted else { return };
+        self.contained.resize(names.names.len().div_ceil(64), 0);
+        for (id, name) in names.names.iter().enumerate().skip(self.looked_at) {
+            let bit = u64::from(wanted.contains(&**name));
+            self.contained[id / 64] |= bit << (id % 64);
         }
-        let id = self.names.len() as u32;
-        self.names.push(Names { zone: place.zone.into(), service: place.service.map(Into::into) });
-        let (names, hasher) = (&self.names, &self.hasher);
-        self.by_names.insert_unique(hash, id, |id| hash_of(hasher, names[*id as usize].place()));
-        Some(PlaceId(id))
+        self.looked_at = names.names.len();
+    }
+
+    fn contains(&self, id: u16) -> bool {
+        let id = usize::from(id);
+        self.wanted.is_none() || self.contained.get(id / 64).is_some_and(|bits| bits >> (id % 64) & 1 == 1)
     }
 }
 
 /// A scope, worked out for the places that are known.
 #[derive(Debug)]
 pub(crate) struct PlaceSet {
-    scope: Scope,
-    /// A bit for each place that was looked at.
-    contained: Vec<u64>,
-    looked_at: usize,
+    zones: NameSet,
+    services: NameSet,
 }
 
 impl PlaceSet {
-    pub fn new(scope: Scope) -> PlaceSet {
-        PlaceSet { scope, contained: Vec::new(), looked_at: 0 }
+    pub fn new(scope: &Scope) -> PlaceSet {
+        PlaceSet { zones: NameSet::new(scope.zones()), services: NameSet::new(scope.services()) }
     }
 
-    /// Looks at the places that are new.
+    /// Looks at the names that are new.
     pub fn extend(&mut self, places: &Places) {
-        self.contained.resize(places.names.len().div_ceil(64), 0);
-        for (id, names) in places.names.iter().enumerate().skip(self.looked_at) {
-            let bit = u64::from(self.scope.contains(names.place()));
-            self.contained[id / 64] |= bit << (id % 64);
-        }
-        self.looked_at = places.names.len();
+        self.zones.extend(&places.zones);
+        self.services.extend(&places.services);
     }
 
     pub fn contains(&self, place: PlaceId) -> bool {
-        let id = place.0 as usize;
-        self.contained.get(id / 64).is_some_and(|bits| bits >> (id % 64) & 1 == 1)
+        let serves = place.service == UNNAMED || self.services.contains(place.service);
+        serves && self.zones.contains(place.zone)
     }
 }
--- a/crates/distribution/src/scope.rs
+++ b/crates/distribution/src/scope.rs
@@ -60,6 +60,16 @@
         Scope { zones: zones.into_iter().collect(), services: services.into_iter().collect() }
     }
 
+    /// The zones it names; none restricts nothing.
+    pub(crate) fn zones(&self) -> &BTreeSet<String> {
+        &self.zones
+    }
+
+    /// The services it names; none restricts nothing.
+    pub(crate) fn services(&self) -> &BTreeSet<String> {
+        &self.services
+    }
+
     /// Whether it holds every worker there can be.
     pub fn is_everything(&self) -> bool {
         self.zones.is_empty() && self.services.is_empty()
--- a/crates/distribution/tests/worker_list.rs
+++ b/crates/distribution/tests/worker_list.rs
@@ -201,3 +201,33 @@
     println!("{} bytes a worker, {beside} beside its entry", list.heap_bytes() / WORKERS);
     assert!(beside <= 64, "{beside} bytes a worker beside its entry");
 }
+
+#[test]
+fn a_new_watch_costs_by_the_names_and_not_by_the_places() {
+    // As many places as workers: nearly each has a zone and service of its own.
+    let entries = |zones: usize, services: usize| {
+        let one = move |number: usize| {
+            let (zone, service) = (number % zones, number / zones % services);
+            format!(r#"{{"instanceId":"s-{number}","zone":"z-{zone}","service":"q-{service}"}}"#)
+        };
+        (0..40_000).map(one)
+    };
+    let time_of = |zones: usize, services: usize| {
+        let mut list = WorkerList::new(WorkerListLimits { tombstones: 10 });
+        entries(zones, services).for_each(|entry| list.stage(entry.as_bytes()).unwrap());
+        list.apply(1, true).unwrap();
+        let scope = Scope::new(["z-1".to_string()], ["q-1".to_string()]);
+        let begun = std::time::Instant::now();
+        for _ in 0..50 {
+            let mut cursor = Cursor::new(scope.clone(), Some(1), &list, CursorLimits::default());
+            assert_eq!(cursor.next(&list, &mut Vec::new()), Step::Send);
+        }
+        begun.elapsed()
+    };
+    // 400 names in both, 400 places in the first and 40,000 in the second.
+    let (few, many) = (time_of(1, 400), time_of(200, 200));
+    assert!(
+        many < few * 10 + std::time::Duration::from_millis(5),
+        "{few:?} with few places, {many:?} with many"
+    );
+}
