--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -327,22 +327,46 @@
         self.links.values().for_each(|link| link.set(LinkState::Open));
     }
 
-    /// The running manager that logged the highest term it leads in and nothing since that ends it.
-    pub fn leader(&self) -> Option<u16> {
-        let led = |manager: &ManagerProcess| {
-            let lines = manager.log_lines();
-            let at = lines.iter().rposition(|line| line.contains("this manager leads in term "))?;
-            let over = |line: &String| {
-                line.contains("leads no more")
-                    || line.contains("serves on")
-                    || line.contains(" leads in term ")
-            };
-            let stands = !lines[at + 1..].iter().any(over);
-            let term = lines[at].rsplit(' ').next()?.parse::<u64>().ok()?;
-            stands.then_some(term)
+    /// The leader and its term as a manager last logged them. `None` where it knows of no leader: it stepped down, or
+    /// it was restarted and heard of none yet.
+    pub fn known_leader(&self, id: MemberId) -> Option<(u16, u64)> {
+        let lines = self.managers[&id].log_lines();
+        let tells_of_leader = |line: &&String| {
+            [" leads in term ", "leads no more", "serves on"].iter().any(|part| line.contains(part))
+        };
+        let line = lines.iter().rev().find(tells_of_leader)?;
+        let (leader, term) = line.split_once("fleet: ")?.1.split_once(" leads in term ")?;
+        let leader = match leader {
+            "this manager" => id.0,
+            other => other.strip_prefix("member ")?.parse().ok()?,
         };
-        let all = self.managers.iter().filter(|(_, manager)| manager.pid().is_some());
-        all.filter_map(|(id, manager)| Some((led(manager)?, id.0))).max().map(|(_, id)| id)
+        Some((leader, term.trim().parse().ok()?))
+    }
+
+    /// The running manager that leads in the highest term, by its own log.
+    pub fn leader(&self) -> Option<u16> {
+        let running = self.managers.iter().filter(|(_, manager)| manager.pid().is_some());
+        let leading = running
+            .filter_map(|(id, _)| self.known_leader(*id).filter(|(leader, _)| *leader == id.0))
+            .map(|(leader, term)| (term, leader));
+        leading.max().map(|(_, leader)| leader)
+    }
+
+    /// Waits until all managers, the leader included, know the same leader in the same term, and that term is later
+    /// than `term`. Returns both. Panics after [`WAIT_TIMEOUT`].
+    pub fn wait_for_common_leader_after(&self, term: u64) -> (u16, u64) {
+        let begun = Instant::now();
+        loop {
+            let known: Vec<Option<(u16, u64)>> =
+                self.managers.keys().map(|id| self.known_leader(*id)).collect();
+            if let Some(common) = known[0].filter(|common| common.1 > term) {
+                if known.iter().all(|other| *other == Some(common)) {
+                    return common;
+                }
+            }
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "no common leader after term {term}: {known:?}");
+            std::thread::sleep(Duration::from_millis(10));
+        }
     }
 
     /// Waits until a manager leads. Panics after [`WAIT_TIMEOUT`].
