--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -73,7 +73,7 @@
             manager.env.insert("JUNIPERRAIL_POINTS_PASSED".into(), path);
             manager.start();
         }
-        run_workload(&mut cluster, workload);
+        run_workload(&mut cluster, workload, |_| true);
         for id in cluster.managers.keys() {
             let text = fs::read_to_string(cluster.folder.join(passed(id.0))).unwrap_or_default();
             let mut counts: BTreeMap<Point, u64> = BTreeMap::new();
@@ -147,10 +147,28 @@
     }
 }
 
-fn run_workload(cluster: &mut TestCluster, workload: Workload) {
-    match workload {
-        Workload::Schedules => run_schedules(cluster),
-        Workload::Zones => run_zones(cluster),
+/// Rounds of a workload after which a fault that is not yet injected is given up.
+///
+/// One round is not enough for every point. A manager removes an old file of its store once it has compacted its log,
+/// which it does when the log holds more than `retained_entries`, 20. The two schedules append five entries a second
+/// and a round waits for four executions of each, so that the first compaction begins just as the first round ends.
+/// The second round goes well beyond it. The third is for managers that were restarted meanwhile: they run on without
+/// the fault.
+const MAX_ROUNDS: usize = 3;
+
+/// Runs rounds of a workload until it is `done`, [`MAX_ROUNDS`] at most.
+fn run_workload(cluster: &mut TestCluster, workload: Workload, done: impl Fn(&TestCluster) -> bool) {
+    if workload == Workload::Zones {
+        cluster.start_collectors();
+    }
+    for _ in 0..MAX_ROUNDS {
+        match workload {
+            Workload::Schedules => run_schedules(cluster),
+            Workload::Zones => run_zones(cluster),
+        }
+        if done(cluster) {
+            return;
+        }
     }
 }
 
@@ -185,7 +203,6 @@
     let last_plan_contains = |cluster: &TestCluster, id: MemberId, part: &str| {
         last_plan(cluster, id).is_some_and(|plan| plan.contains(part))
     };
-    cluster.start_collectors();
     wait_until(cluster, "a leader", |cluster| cluster.leader().is_some());
     cluster.zone_faults.set_lost(&["b"]);
     wait_until(cluster, "the zone to be out", |cluster| {
@@ -223,9 +240,19 @@
         }
         manager.start();
     }
-    let ran = catch_unwind(AssertUnwindSafe(|| run_workload(&mut cluster, workload)));
     let announcement = format!("{point}: {}", fault.name());
-    let reached = cluster.managers.values().any(|manager| manager.count_log_lines(&announcement) > 0);
+    let is_reached = |cluster: &TestCluster| {
+        cluster.managers.values().any(|manager| manager.count_log_lines(&announcement) > 0)
+    };
+    let done = |cluster: &TestCluster| {
+        let reached = is_reached(cluster);
+        if !reached {
+            eprintln!("{case:?}: the round ended before the fault was injected");
+        }
+        reached
+    };
+    let ran = catch_unwind(AssertUnwindSafe(|| run_workload(&mut cluster, workload, done)));
+    let reached = is_reached(&cluster);
     let mut violations = InvariantReport::check(&cluster, &["grade"]).violations;
     if let Err(panic) = ran {
         let text = panic
