--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -369,6 +369,34 @@
         }
     }
 
+    /// Cuts off the leader together with so many followers. Returns them, the leader first, and the leader's term. Where
+    /// another manager took over just before the cut, as on a busy machine, it is tried again; panics after ten tries.
+    pub fn cut_off_leader_with(&self, followers: usize) -> (Vec<u16>, u64) {
+        for _ in 0..10 {
+            let (leader, term) = self.wait_for_common_leader_after(0);
+            let others = (1..=self.config.managers).filter(|id| *id != leader).take(followers);
+            let minority: Vec<u16> = [leader].into_iter().chain(others).collect();
+            self.set_links_across(&minority, LinkState::Silent);
+            let still_leads = self.known_leader(MemberId(leader)) == Some((leader, term));
+            if still_leads && self.leader() == Some(leader) {
+                return (minority, term);
+            }
+            self.heal_links();
+        }
+        panic!("no leader stayed until it was cut off");
+    }
+
+    /// Waits until one of these managers has refused a message that `leader` sent as the leader of `term`. Panics after
+    /// [`WAIT_TIMEOUT`].
+    pub fn wait_for_refusal(&self, by: &[u16], leader: u16, term: u64) {
+        let refusal = format!("member {leader} still takes itself for the leader of term {term}: refused");
+        let begun = Instant::now();
+        while !by.iter().any(|id| self.managers[&MemberId(*id)].count_log_lines(&refusal) > 0) {
+            assert!(begun.elapsed() < WAIT_TIMEOUT, "none of {by:?} logged {refusal:?}");
+            std::thread::sleep(Duration::from_millis(10));
+        }
+    }
+
     /// Waits until a manager leads. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_leader(&self) -> u16 {
         self.wait_for_leader_except(&[])
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -72,13 +72,16 @@
 #[test]
 fn a_leader_cut_off_is_deposed_and_its_late_word_is_refused() {
     let cluster = start_with_leader(ClusterConfig::default());
-    let leader = cluster.wait_for_leader();
-    cluster.set_links_across(&[leader], LinkState::Silent);
-    let next = cluster.wait_for_leader_except(&[leader]);
+    let (cut_off, term) = cluster.cut_off_leader_with(0);
+    let leader = cut_off[0];
+    let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
+    cluster.wait_for_leader_except(&[leader]);
     cluster.executor.wait_for_more(&BOTH, 2);
-    cluster.managers[&MemberId(leader)].wait_for_log("leads no more", 1);
+    let stepped_down = format!("this manager leads no more in term {term}:");
+    cluster.managers[&MemberId(leader)].wait_for_log(&stepped_down, 1);
     cluster.heal_links();
-    cluster.managers[&MemberId(leader)].wait_for_log(&format!("member {next} leads"), 1);
+    cluster.wait_for_refusal(&others, leader, term);
+    cluster.wait_for_common_leader_after(term);
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.assert_invariants(&["grade"]);
 }
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -2,7 +2,7 @@
 //! moment, workers that do not respond.
 
 use std::fs;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use juniperrail_council::MemberId;
 use juniperrail_trials::*;
@@ -143,32 +143,6 @@
     cluster.assert_invariants(&["grade"]);
 }
 
-/// Cuts off the leader together with one other manager. Returns these two and the leader's term. Where another manager
-/// took over just before the cut, as on a busy machine, it is tried again.
-fn cut_off_leader_and_another(cluster: &TestCluster) -> ([u16; 2], u64) {
-    for _ in 0..10 {
-        let (leader, term) = cluster.wait_for_common_leader_after(0);
-        let other = (1..=cluster.config.managers).find(|id| *id != leader).unwrap();
-        cluster.set_links_across(&[leader, other], LinkState::Silent);
-        if cluster.leader() == Some(leader) && cluster.known_leader(MemberId(leader)) == Some((leader, term))
-        {
-            return ([leader, other], term);
-        }
-        cluster.heal_links();
-    }
-    panic!("no leader stayed until it was cut off");
-}
-
-/// Waits until one of these managers has refused a message that `leader` sent as the leader of `term`.
-fn wait_for_refusal(cluster: &TestCluster, by: &[u16], leader: u16, term: u64) {
-    let refusal = format!("member {leader} still takes itself for the leader of term {term}: refused");
-    let begun = Instant::now();
-    while !by.iter().any(|id| cluster.managers[&MemberId(*id)].count_log_lines(&refusal) > 0) {
-        assert!(begun.elapsed() < WAIT_TIMEOUT, "none of {by:?} logged {refusal:?}");
-        std::thread::sleep(Duration::from_millis(10));
-    }
-}
-
 /// All three managers of the majority are needed for a quorum, so that a stall of one of them for an election timeout
 /// costs the successor its office: which manager leads after the heal is not determined.
 #[test]
@@ -177,7 +151,7 @@
         TestCluster::start(ClusterConfig { managers: 5, proxies_per_manager: 1, ..ClusterConfig::default() });
     cluster.wait_for_leader();
     cluster.executor.wait_for_more(&BOTH, 1);
-    let (minority, term) = cut_off_leader_and_another(&cluster);
+    let (minority, term) = cluster.cut_off_leader_with(1);
     let majority: Vec<u16> = (1..=5).filter(|id| !minority.contains(id)).collect();
     let old_leader = minority[0];
     cluster.wait_for_leader_except(&minority);
@@ -187,7 +161,7 @@
     cluster.managers[&MemberId(old_leader)].wait_for_log(&stepped_down, 1);
     cluster.heal_links();
     // What it sent as the leader while it was cut off arrives now.
-    wait_for_refusal(&cluster, &majority, old_leader, term);
+    cluster.wait_for_refusal(&majority, old_leader, term);
     cluster.wait_for_common_leader_after(term);
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.assert_invariants(&["grade"]);
