--- /dev/null
+++ b/examples/relays.rs
@@ -0,0 +1,147 @@
+//! A source of the worker list for two relays and two managers, each of the scope of one zone, with one proxy at each
+//! manager that prints what it is ordered. `examples/relays/README.md` tells how to try it. Everything stays on the
+//! loopback.
+
+use std::fs;
+use std::io::{BufRead, BufReader, Result, Write};
+use std::net::TcpStream;
+use std::thread::{self, sleep};
+use std::time::Duration;
+
+use juniperrail_standins::{entry, list, Discovery};
+
+const SOURCE: &str = "127.0.0.1:8502";
+const RELAYS: [&str; 2] = ["127.0.0.1:8511", "127.0.0.1:8512"];
+/// Each manager's zone, which is its scope, and where it listens.
+const MANAGERS: [(&str, &str); 2] = [("a", "127.0.0.1:5021"), ("b", "127.0.0.1:5022")];
+/// Nothing listens here: the workers of this example are only listed.
+const WORKER_ADDRESS: &str = "127.0.0.1:9";
+const FOLDER: &str = "juniperrail-relays";
+const DIAL_AGAIN: Duration = Duration::from_millis(500);
+const REPORT_PERIOD: Duration = Duration::from_secs(2);
+
+struct Worker {
+    id: &'static str,
+    zone: String,
+    lifecycle: &'static str,
+}
+
+fn main() -> Result<()> {
+    let source = Discovery::start_at(SOURCE)?;
+    let mut workers = [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b"), ("s-5", "c"), ("s-6", "c")]
+        .map(|(id, zone)| Worker { id, zone: zone.to_string(), lifecycle: "ready" });
+    source.tell(&list(1, true, &workers.each_ref().map(listed)));
+    for relay in RELAYS {
+        println!("target/release/juniperrail relay --listen {relay} --source {SOURCE}");
+    }
+    for (zone, address) in MANAGERS {
+        write_files(zone, address)?;
+        thread::spawn(move || dial_manager(zone, address));
+    }
+    follow_words(&source, &mut workers)?;
+    // Without a terminal it goes on until it is ended.
+    loop {
+        sleep(REPORT_PERIOD);
+    }
+}
+
+fn listed(worker: &Worker) -> String {
+    entry(worker.id, &worker.zone, WORKER_ADDRESS, worker.lifecycle)
+}
+
+/// The configuration and the operator's file of the manager of a zone, and the command that starts it.
+fn write_files(zone: &str, address: &str) -> Result<()> {
+    let own = std::env::temp_dir().join(FOLDER).join(zone);
+    fs::create_dir_all(&own)?;
+    fs::write(own.join("config.json"), config(zone, address))?;
+    fs::write(own.join("operator.xml"), operator(zone))?;
+    println!(
+        "PROXY_CONFIG={0}/config.json target/release/juniperrail --operator-file {0}/operator.xml",
+        own.display()
+    );
+    Ok(())
+}
+
+/// With these names each manager prefers another relay. The zone is also the last digit of the seed, since managers of
+/// one seed would wait equally long before they dial again.
+fn config(zone: &str, address: &str) -> String {
+    format!(
+        r#"{{"name":"zone-{zone}","listen":"{address}","discovery":"{SOURCE}","seed":"8c1f30d27a5be96{zone}",
+        "settings":{{"tick-ms":2,"zones":["a","b","c"],"az":"{zone}","skus":["m2"],"n-instances":1,
+        "lanes":[{{"name":"lookup","on-time-ms":500,"worth":1}}],
+        "domain":{{"channel-rate":5000,"pending-max":5000,"overhead":4,"worst-transit-ms":900,"period-ms":2000,
+        "proxy-count":4}},"rules":{{"drain-grace-ms":3000}},"allowed":{{"dial-timeout-ms":250}}}}}}"#
+    )
+}
+
+fn operator(zone: &str) -> String {
+    let relays = RELAYS.map(|relay| format!("<relay>{relay}</relay>")).concat();
+    format!(
+        "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\n\
+         <discovery xmlns=\"tag:juniperrail.example,2026:yang:manager\">{relays}\n\
+         <scope><zone>{zone}</zone></scope></discovery></config>\n"
+    )
+}
+
+/// Follows what is typed until the input ends; each change is told as the next version of the list.
+fn follow_words(source: &Discovery, workers: &mut [Worker]) -> Result<()> {
+    let mut version = 1;
+    for line in std::io::stdin().lock().lines() {
+        let line = line?;
+        let words: Vec<&str> = line.split_whitespace().collect();
+        let Some(worker) = change(&words, workers) else {
+            println!("type one of: drain s-1, ready s-1, move s-1 b (workers s-1 to s-6, zones a to c)");
+            continue;
+        };
+        version += 1;
+        println!("source: list {version}: {} is in zone {} and {}", worker.id, worker.zone, worker.lifecycle);
+        source.tell(&list(version, false, &[listed(worker)]));
+    }
+    Ok(())
+}
+
+/// Makes the change that the words ask for; nothing if they name no change or no worker.
+fn change<'a>(words: &[&str], workers: &'a mut [Worker]) -> Option<&'a Worker> {
+    let worker = workers.iter_mut().find(|worker| words.get(1) == Some(&worker.id))?;
+    match words {
+        ["drain", _] => worker.lifecycle = "draining",
+        ["ready", _] => worker.lifecycle = "ready",
+        ["move", _, zone @ ("a" | "b" | "c")] => worker.zone = zone.to_string(),
+        _ => return None,
+    }
+    Some(worker)
+}
+
+/// Dials the manager of a zone for as long as the program runs, as proxies do.
+fn dial_manager(zone: &str, address: &str) {
+    loop {
+        if let Ok(Err(why)) = TcpStream::connect(address).map(|manager| join(zone, manager)) {
+            println!("proxy of {zone}: {why}, dialling again");
+        }
+        sleep(DIAL_AGAIN);
+    }
+}
+
+/// A proxy: it prints each order, answers its mark, and reports what came to it.
+fn join(zone: &str, mut manager: TcpStream) -> Result<()> {
+    println!("proxy of {zone}: joins");
+    write!(manager, "hello node=0 locality={zone} w=60 cold=1\r\n")?;
+    let reports = manager.try_clone()?;
+    thread::spawn(move || report(reports));
+    for order in BufReader::new(manager.try_clone()?).lines() {
+        let order = order?;
+        println!("proxy of {zone}: {order}");
+        if let Some(mark) = order.split(' ').find_map(|word| word.strip_prefix("ticket=")) {
+            write!(manager, "ack node=0 nonce={mark} latency=1.0\r\n")?;
+        }
+    }
+    Ok(())
+}
+
+/// Reports the demand that came to a proxy until its connection ends.
+fn report(mut manager: TcpStream) -> Result<()> {
+    loop {
+        sleep(REPORT_PERIOD);
+        write!(manager, "demand node=0 route=lookup total=100 errors=0 interval=2000\r\n")?;
+    }
+}
