--- a/crates/council/src/council.rs
+++ b/crates/council/src/council.rs
@@ -6,52 +6,52 @@
 use juniperrail_interface::Ms;
 
 use crate::ids::{Index, MemberId, Run, Term};
-use crate::log::{Change, Entry, Log, Member, Members, Snapshot, Voice, What};
+use crate::log::{Entry, Log, Member, MemberRole, Members, MembershipChange, Payload, Snapshot};
 use crate::message::Message;
-use crate::record::{KnownRun, Record, Recovered};
-use crate::standing::{Answer, Inquiry, Standing};
+use crate::record::{KnownRun, Record, StoredState};
+use crate::standing::{Answer, Inquiry, RecoveryState};
 
 /// Messages held back until what they tell is durable; beyond it the oldest are lost, as on any link.
 const HELD: usize = 4096;
 
 /// What bounds a council, in milliseconds and counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
-    pub heartbeat: Ms,
+pub struct RaftConfig {
+    pub heartbeat_interval_ms: Ms,
     /// Nobody stands for election sooner than this after a leader's word, nor later than twice this.
-    pub election: Ms,
+    pub election_timeout_ms: Ms,
     /// By what part two members' clocks may run at different speeds.
-    pub drift: f64,
+    pub max_clock_drift_ratio: f64,
     /// Entries in one message.
-    pub batch: usize,
+    pub max_entries_per_message: usize,
     /// Entries that wait to be committed; more are refused.
-    pub waiting: usize,
+    pub max_uncommitted_entries: usize,
 }
 
 /// Why a proposal is not taken. Nothing of it was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ProposeError {
     /// Another leads, if anybody does.
-    NotLeading(Option<MemberId>),
+    NotLeader(Option<MemberId>),
     /// So much waits to be committed that no more is taken.
-    Full,
+    TooManyUncommitted,
     /// It is handing its office over.
-    Leaving,
+    TransferInProgress,
     /// Another change of members is under way, or no entry of this term is committed yet.
-    Changing,
+    MembershipChangeInProgress,
     /// The members are not as the change takes them to be.
-    NoSuchMember,
+    InvalidMembershipChange,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NotLeading(Some(leader)) => write!(f, "{leader} leads"),
-            Refused::NotLeading(None) => f.write_str("nobody leads"),
-            Refused::Full => f.write_str("too much waits to be agreed"),
-            Refused::Leaving => f.write_str("the leader is handing over"),
-            Refused::Changing => f.write_str("a change of members is under way"),
-            Refused::NoSuchMember => {
+            ProposeError::NotLeader(Some(leader)) => write!(f, "{leader} leads"),
+            ProposeError::NotLeader(None) => f.write_str("nobody leads"),
+            ProposeError::TooManyUncommitted => f.write_str("too much waits to be agreed"),
+            ProposeError::TransferInProgress => f.write_str("the leader is handing over"),
+            ProposeError::MembershipChangeInProgress => f.write_str("a change of members is under way"),
+            ProposeError::InvalidMembershipChange => {
                 f.write_str("the member is not there, or not as the change takes it to be")
             }
         }
@@ -60,7 +60,7 @@
 
 /// Where a proposal stands. It is agreed once the entry of this index has this term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Led {
+pub struct LogPosition {
     pub term: Term,
     pub index: Index,
 }
@@ -74,34 +74,34 @@
 
 /// What people on call should know.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
-    Leads(Term),
-    Follows(MemberId, Term),
+pub enum RaftEvent {
+    BecameLeader(Term),
+    LeaderChanged(MemberId, Term),
     /// It leads no more, and why.
     SteppedDown(Term, &'static str),
-    Founded(usize),
+    Bootstrapped(usize),
     /// Its store is lost or old: it votes for nobody until it has caught up.
-    Doubtful,
-    Whole,
+    RecoveryStarted,
+    RecoveryFinished,
     /// A leader's word that came too late: another term has begun.
-    Outdated(MemberId, Term),
+    StaleLeader(MemberId, Term),
 }
 
 /// What was agreed, in its order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Agreed {
+pub enum Committed {
     /// In place of all that was told before.
-    State(Snapshot),
+    Snapshot(Snapshot),
     Entry(Entry),
 }
 
 /// What is to be done, in this order: to write, to send, to take over.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Done {
-    pub writes: Vec<Record>,
-    pub sends: Vec<(MemberId, Message)>,
-    pub agreed: Vec<Agreed>,
-    pub news: Vec<News>,
+pub struct Actions {
+    pub records: Vec<Record>,
+    pub messages: Vec<(MemberId, Message)>,
+    pub committed: Vec<Committed>,
+    pub events: Vec<RaftEvent>,
 }
 
 /// What a leader knows of another member.
@@ -129,7 +129,7 @@
     },
     /// `own`: the write that its own vote waits for.
     Candidate {
-        pre: bool,
+        pre_vote: bool,
         votes: BTreeSet<MemberId>,
         own: u64,
     },
@@ -137,15 +137,15 @@
 }
 
 /// One member of the council.
-pub struct Council {
+pub struct RaftNode {
     me: MemberId,
-    figures: Figures,
+    figures: RaftConfig,
     rng: fastrand::Rng,
     /// Who is named from outside; it holds until the log names members.
     named: Members,
     run: Run,
     peers: BTreeMap<MemberId, KnownRun>,
-    standing: Standing,
+    standing: RecoveryState,
     inquiry: Inquiry,
     asks: Ms,
     /// By what its store is told from another of this member, and all those of the first hour.
@@ -167,40 +167,40 @@
     syncing: VecDeque<(u64, Index)>,
     held: VecDeque<(u64, MemberId, Message)>,
     failing: bool,
-    done: Done,
+    done: Actions,
 }
 
-impl Council {
+impl RaftNode {
     /// A member with what its store held. `named`: who is to found the council where nobody kept anything.
     pub fn start(
         me: MemberId,
-        figures: Figures,
+        figures: RaftConfig,
         named: Members,
         seed: u64,
         now: Ms,
-        kept: Recovered,
-    ) -> Council {
+        kept: StoredState,
+    ) -> RaftNode {
         let mut rng = fastrand::Rng::with_seed(seed);
         let inquiry = Inquiry::new(rng.u64(..));
-        let birth = kept.birth.unwrap_or_else(|| rng.u64(..));
+        let birth = kept.store_id.unwrap_or_else(|| rng.u64(..));
         let standing = match kept {
-            Recovered { founded: false, .. } => Standing::Fresh,
-            Recovered { doubtful: true, .. } => Standing::Doubtful { term: None },
-            _ => Standing::Settling { until: now + figures.election },
+            StoredState { bootstrapped: false, .. } => RecoveryState::Empty,
+            StoredState { recovering: true, .. } => RecoveryState::Recovering { term: None },
+            _ => RecoveryState::Verifying { until: now + figures.election_timeout_ms },
         };
-        let (commit, last) = (kept.log.snapshot.last, kept.log.last().0);
-        let mut council = Council {
+        let (commit, last) = (kept.log.snapshot.last_index, kept.log.last().0);
+        let mut council = RaftNode {
             me,
             figures,
             rng,
             named,
             run: Run(kept.run.0 + 1),
-            peers: kept.peers,
+            peers: kept.peer_runs,
             standing,
             inquiry,
             asks: now,
             birth,
-            founding: kept.founding,
+            founding: kept.bootstrap_stores,
             term: kept.term,
             vote: kept.vote,
             log: kept.log,
@@ -216,21 +216,21 @@
             syncing: VecDeque::new(),
             held: VecDeque::new(),
             failing: false,
-            done: Done::default(),
+            done: Actions::default(),
         };
         council.patience(now);
-        if kept.birth.is_none() {
-            council.write(Record::Born(birth));
+        if kept.store_id.is_none() {
+            council.write(Record::StoreId(birth));
         }
         council.write(Record::Run(council.run));
         if commit > Index(0) {
-            council.done.agreed.push(Agreed::State(council.log.snapshot.clone()));
+            council.done.committed.push(Committed::Snapshot(council.log.snapshot.clone()));
         }
         council
     }
 
     /// What is to be done since this was last asked.
-    pub fn take(&mut self) -> Done {
+    pub fn take_actions(&mut self) -> Actions {
         std::mem::take(&mut self.done)
     }
 
@@ -258,11 +258,11 @@
         self.run
     }
 
-    pub fn standing(&self) -> Standing {
+    pub fn recovery_state(&self) -> RecoveryState {
         self.standing
     }
 
-    pub fn committed(&self) -> Index {
+    pub fn commit_index(&self) -> Index {
         self.commit
     }
 
@@ -280,7 +280,7 @@
     }
 
     fn voters(&self) -> impl Iterator<Item = &MemberId> {
-        self.members().iter().filter(|(_, member)| member.voice == Voice::Voter).map(|(id, _)| id)
+        self.members().iter().filter(|(_, member)| member.role == MemberRole::Voter).map(|(id, _)| id)
     }
 
     fn others(&self) -> impl Iterator<Item = &MemberId> {
@@ -299,12 +299,12 @@
     }
 
     fn patience(&mut self, now: Ms) {
-        self.stands_at = now + self.figures.election * (1.0 + self.rng.f64());
+        self.stands_at = now + self.figures.election_timeout_ms * (1.0 + self.rng.f64());
     }
 
     fn write(&mut self, record: Record) {
         self.written += 1;
-        self.done.writes.push(record);
+        self.done.records.push(record);
     }
 
     /// Sends it once all that is written by now is durable.
@@ -313,7 +313,7 @@
             return;
         }
         if self.durable >= self.written {
-            return self.done.sends.push((to, message));
+            return self.done.messages.push((to, message));
         }
         if self.held.len() >= HELD {
             self.held.pop_front();
@@ -324,25 +324,25 @@
     /// Sends it at once: nothing that is written has to be durable for it.
     fn say(&mut self, to: MemberId, message: Message) {
         if to != self.me {
-            self.done.sends.push((to, message));
+            self.done.messages.push((to, message));
         }
     }
 
     /// When [`Council::tick`] is due next.
-    pub fn next(&self) -> Ms {
+    pub fn next_tick(&self) -> Ms {
         let stands = match &self.part {
             Part::Leader(office) => office.beat,
             _ => self.stands_at,
         };
         match self.standing {
-            Standing::Whole => stands,
-            Standing::Settling { until } => stands.min(self.asks).min(until),
+            RecoveryState::Ready => stands,
+            RecoveryState::Verifying { until } => stands.min(self.asks).min(until),
             _ => stands.min(self.asks),
         }
     }
 
     pub fn tick(&mut self, now: Ms) {
-        if self.standing != Standing::Whole {
+        if self.standing != RecoveryState::Ready {
             self.inquire(now);
         }
         match &self.part {
@@ -359,15 +359,15 @@
     }
 
     fn may_vote(&self) -> bool {
-        self.standing == Standing::Whole && !self.failing
+        self.standing == RecoveryState::Ready && !self.failing
     }
 
     // What was kept, and what others know of it.
 
     fn inquire(&mut self, now: Ms) {
         if now >= self.asks {
-            self.asks = now + self.figures.heartbeat;
-            let ask = Message::Ask { run: self.run, nonce: self.inquiry.nonce };
+            self.asks = now + self.figures.heartbeat_interval_ms;
+            let ask = Message::HandshakeRequest { run: self.run, nonce: self.inquiry.nonce };
             let others: Vec<MemberId> = self.members().keys().copied().collect();
             // Its start is durable before anybody notes it.
             others.into_iter().for_each(|other| self.tell(other, ask.clone()));
@@ -383,8 +383,8 @@
             return self.doubt(now);
         }
         match self.standing {
-            Standing::Whole => {}
-            Standing::Fresh => {
+            RecoveryState::Ready => {}
+            RecoveryState::Empty => {
                 let births = match self.inquiry.founding() {
                     // Another has founded with this very store, which had nothing to forget then.
                     Some(founding) if founding.get(&self.me) == Some(&self.birth) => Some(founding.clone()),
@@ -398,22 +398,22 @@
                     self.found(births);
                 }
             }
-            Standing::Settling { until } => {
+            RecoveryState::Verifying { until } => {
                 let answered = self.inquiry.count(self.others()) + 1;
                 if now >= until || answered > self.voters().count() / 2 {
-                    self.standing = Standing::Whole;
+                    self.standing = RecoveryState::Ready;
                 }
             }
-            Standing::Doubtful { term: None } => {
+            RecoveryState::Recovering { term: None } => {
                 if let Some(term) = self.inquiry.term(self.others()) {
                     let term = term.max(self.term);
                     // It may have voted in that term, so it votes for nobody but itself, who does not stand.
                     (self.term, self.vote) = (term, Some(self.me));
-                    self.write(Record::Term(term, self.vote));
-                    self.standing = Standing::Doubtful { term: Some(term) };
+                    self.write(Record::TermAndVote(term, self.vote));
+                    self.standing = RecoveryState::Recovering { term: Some(term) };
                 }
             }
-            Standing::Doubtful { .. } => {}
+            RecoveryState::Recovering { .. } => {}
         }
     }
 
@@ -421,45 +421,45 @@
         let snapshot = Snapshot { members: self.named.clone(), ..Snapshot::default() };
         self.log = Log::new(snapshot.clone());
         self.founding = births.clone();
-        self.write(Record::Founded(snapshot, births));
-        self.standing = Standing::Whole;
-        self.done.news.push(News::Founded(self.members().len()));
+        self.write(Record::Bootstrapped(snapshot, births));
+        self.standing = RecoveryState::Ready;
+        self.done.events.push(RaftEvent::Bootstrapped(self.members().len()));
     }
 
     fn doubt(&mut self, now: Ms) {
-        if matches!(self.standing, Standing::Doubtful { .. }) {
+        if matches!(self.standing, RecoveryState::Recovering { .. }) {
             return;
         }
         self.follow(now, self.term, None, "its store is old");
-        self.write(Record::Doubtful);
-        self.standing = Standing::Doubtful { term: None };
-        self.done.news.push(News::Doubtful);
+        self.write(Record::RecoveryStarted);
+        self.standing = RecoveryState::Recovering { term: None };
+        self.done.events.push(RaftEvent::RecoveryStarted);
     }
 
     /// Its log is the leader's up to there: that may be all that it may have forgotten.
     fn caught_up(&mut self, leader: MemberId, upto: Index) {
-        let Standing::Doubtful { term: Some(adopted) } = self.standing else { return };
+        let RecoveryState::Recovering { term: Some(adopted) } = self.standing else { return };
         let reached = self.inquiry.reached(leader, self.term);
         if self.term >= adopted && reached.is_some_and(|reached| upto >= reached) {
-            self.write(Record::Whole);
-            self.standing = Standing::Whole;
-            self.done.news.push(News::Whole);
+            self.write(Record::RecoveryFinished);
+            self.standing = RecoveryState::Ready;
+            self.done.events.push(RaftEvent::RecoveryFinished);
         }
     }
 
     // Elections.
 
-    fn stand(&mut self, now: Ms, pre: bool, handed: bool) {
+    fn stand(&mut self, now: Ms, pre_vote: bool, leadership_transfer: bool) {
         let term = Term(self.term.0 + 1);
-        if !pre {
+        if !pre_vote {
             (self.term, self.vote) = (term, Some(self.me));
-            self.write(Record::Term(term, self.vote));
+            self.write(Record::TermAndVote(term, self.vote));
         }
-        self.part = Part::Candidate { pre, votes: BTreeSet::new(), own: self.written };
-        let ask = Message::AskVote { term, last: self.log.last(), pre, handed };
+        self.part = Part::Candidate { pre_vote, votes: BTreeSet::new(), own: self.written };
+        let ask = Message::RequestVote { term, last: self.log.last(), pre_vote, leadership_transfer };
         let others: Vec<MemberId> = self.others().copied().collect();
         for other in others {
-            match pre {
+            match pre_vote {
                 true => self.say(other, ask.clone()),
                 false => self.tell(other, ask.clone()),
             }
@@ -469,16 +469,16 @@
 
     /// Whether it is elected by now. Its own vote counts once that is durable.
     fn count(&mut self, now: Ms) {
-        let Part::Candidate { pre, votes, own } = &mut self.part else { return };
-        if *pre || self.durable >= *own {
+        let Part::Candidate { pre_vote, votes, own } = &mut self.part else { return };
+        if *pre_vote || self.durable >= *own {
             votes.insert(self.me);
         }
-        let (pre, votes) = (*pre, votes.clone());
+        let (pre_vote, votes) = (*pre_vote, votes.clone());
         let voters = self.voters().count();
         if self.voters().filter(|id| votes.contains(id)).count() <= voters / 2 {
             return;
         }
-        match pre {
+        match pre_vote {
             true => self.stand(now, false, false),
             false => self.take_office(now),
         }
@@ -490,21 +490,21 @@
         let peers = self.members().keys().filter(|id| **id != self.me);
         let peers = peers.map(|id| (*id, progress)).collect();
         self.part = Part::Leader(Office { peers, opening: last.next(), beat: now, handing: None });
-        self.done.news.push(News::Leads(self.term));
-        self.append(vec![What::Opening]);
+        self.done.events.push(RaftEvent::BecameLeader(self.term));
+        self.append(vec![Payload::NoOp]);
         self.lead(now);
     }
 
     fn follow(&mut self, now: Ms, term: Term, leader: Option<MemberId>, why: &'static str) {
         if matches!(self.part, Part::Leader(_)) {
-            self.done.news.push(News::SteppedDown(self.term, why));
+            self.done.events.push(RaftEvent::SteppedDown(self.term, why));
         }
         if term > self.term {
             (self.term, self.vote) = (term, None);
-            self.write(Record::Term(term, None));
+            self.write(Record::TermAndVote(term, None));
         }
         if leader.is_some() && leader != self.leader() {
-            self.done.news.push(News::Follows(leader.unwrap_or(self.me), self.term));
+            self.done.events.push(RaftEvent::LeaderChanged(leader.unwrap_or(self.me), self.term));
         }
         if !matches!(self.part, Part::Follower { .. }) {
             self.patience(now);
@@ -513,19 +513,21 @@
     }
 
     fn asked_for_vote(&mut self, now: Ms, from: MemberId, asked: (Term, (Index, Term), bool, bool)) {
-        let (term, last, pre, handed) = asked;
+        let (term, last, pre_vote, leadership_transfer) = asked;
         // A leader that spoke within the shortest patience has a lease that counts on this (dissertation, 4.2.3, 6.4.1).
-        let led = self.leader().is_some() && now < self.led_at + self.figures.election
+        let led = self.leader().is_some() && now < self.led_at + self.figures.election_timeout_ms
             || now < self.starts_voting();
-        if led && !handed && term > self.term {
+        if led && !leadership_transfer && term > self.term {
             return;
         }
         let (own, own_term) = self.log.last();
         let whole = (last.1, last.0) >= (own_term, own);
-        if pre {
+        if pre_vote {
             let granted = term > self.term && whole && self.may_vote();
-            return self
-                .say(from, Message::Vote { term: if granted { term } else { self.term }, granted, pre });
+            return self.say(
+                from,
+                Message::RequestVoteReply { term: if granted { term } else { self.term }, granted, pre_vote },
+            );
         }
         if term > self.term {
             self.follow(now, term, None, "another stands in a later term");
@@ -534,24 +536,24 @@
         let granted = term == self.term && free && whole && self.may_vote();
         if granted && self.vote.is_none() {
             self.vote = Some(from);
-            self.write(Record::Term(self.term, self.vote));
+            self.write(Record::TermAndVote(self.term, self.vote));
             self.patience(now);
         }
-        self.tell(from, Message::Vote { term: self.term, granted, pre });
+        self.tell(from, Message::RequestVoteReply { term: self.term, granted, pre_vote });
     }
 
     /// A member that has just started may have granted a lease before: it takes a leader to be there that long.
     fn starts_voting(&self) -> Ms {
         match self.log.is_empty() && self.term == Term(0) {
             true => f64::NEG_INFINITY,
-            false => self.led_at + self.figures.election,
+            false => self.led_at + self.figures.election_timeout_ms,
         }
     }
 
-    fn voted(&mut self, now: Ms, from: MemberId, term: Term, granted: bool, pre: bool) {
-        let Part::Candidate { pre: own, votes, .. } = &mut self.part else { return };
-        let wanted = if pre { Term(self.term.0 + 1) } else { self.term };
-        if granted && *own == pre && term == wanted {
+    fn voted(&mut self, now: Ms, from: MemberId, term: Term, granted: bool, pre_vote: bool) {
+        let Part::Candidate { pre_vote: own, votes, .. } = &mut self.part else { return };
+        let wanted = if pre_vote { Term(self.term.0 + 1) } else { self.term };
+        if granted && *own == pre_vote && term == wanted {
             votes.insert(from);
             self.count(now);
         }
@@ -559,21 +561,21 @@
 
     // Leading.
 
-    fn append(&mut self, whats: Vec<What>) -> Led {
+    fn append(&mut self, payloads: Vec<Payload>) -> LogPosition {
         let (last, term) = (self.log.last().0, self.term);
-        let entry = |(index, what)| Entry { index: Index(index), term, what };
-        let entries: Vec<Entry> = (last.0 + 1..).zip(whats).map(entry).collect();
+        let entry = |(index, payload)| Entry { index: Index(index), term, payload };
+        let entries: Vec<Entry> = (last.0 + 1..).zip(payloads).map(entry).collect();
         self.keep(entries);
-        Led { term, index: self.log.last().0 }
+        LogPosition { term, index: self.log.last().0 }
     }
 
     /// Puts entries in the log and writes them down. What they replace is durable here no more.
     fn keep(&mut self, entries: Vec<Entry>) -> bool {
         let Some(first) = entries.first().map(|entry| entry.index) else { return true };
-        if !self.log.put(&entries) {
+        if !self.log.replace_from(&entries) {
             return false;
         }
-        let before = first.before();
+        let before = first.previous();
         self.kept = self.kept.min(before);
         self.syncing.iter_mut().for_each(|(_, index)| *index = (*index).min(before));
         self.write(Record::Entries(entries));
@@ -584,12 +586,12 @@
     /// A heartbeat with all that others lack, and a look at whether they are still there.
     fn lead(&mut self, now: Ms) {
         if let Part::Leader(office) = &mut self.part {
-            office.beat = now + self.figures.heartbeat;
+            office.beat = now + self.figures.heartbeat_interval_ms;
             if office.handing.is_some_and(|(_, until)| now >= until) {
                 office.handing = None;
             }
         }
-        if self.heard_by_most(now).is_none_or(|at| now > at + self.figures.election) {
+        if self.heard_by_most(now).is_none_or(|at| now > at + self.figures.election_timeout_ms) {
             return self.follow(now, self.term, None, "it has no quorum");
         }
         self.spread(now, true);
@@ -611,7 +613,8 @@
         if self.commit < office.opening || office.handing.is_some() {
             return None;
         }
-        let until = self.heard_by_most(now)? + self.figures.election * (1.0 - self.figures.drift);
+        let until = self.heard_by_most(now)?
+            + self.figures.election_timeout_ms * (1.0 - self.figures.max_clock_drift_ratio);
         (now < until).then_some(until)
     }
 
@@ -624,20 +627,26 @@
     }
 
     fn bring(&mut self, now: Ms, to: MemberId) {
-        let (term, commit, batch) = (self.term, self.commit, self.figures.batch);
+        let (term, commit, batch) = (self.term, self.commit, self.figures.max_entries_per_message);
         let Part::Leader(office) = &mut self.part else { return };
         let Some(peer) = office.peers.get_mut(&to) else { return };
-        let before = peer.next.before();
+        let before = peer.next.previous();
         let message = match self.log.term_at(before) {
             Some(at_term) => {
-                let entries = self.log.from(peer.next, batch).to_vec();
+                let entries = self.log.entries_from(peer.next, batch).to_vec();
                 peer.next = Index(peer.next.0 + entries.len() as u64);
-                Message::Append { term, at: now, before: (before, at_term), entries, commit }
+                Message::AppendEntries {
+                    term,
+                    sent_at: now,
+                    previous: (before, at_term),
+                    entries,
+                    commit_index: commit,
+                }
             }
             None => {
                 let snapshot = self.log.snapshot.clone();
-                peer.next = snapshot.last.next();
-                Message::Install { term, at: now, snapshot }
+                peer.next = snapshot.last_index.next();
+                Message::InstallSnapshot { term, sent_at: now, snapshot }
             }
         };
         self.say(to, message);
@@ -677,7 +686,7 @@
 
     /// A leader that is no member any more has seen that agreed, and steps down.
     fn left_out(&mut self, now: Ms) {
-        if !self.votes() && self.commit >= self.log.members_set() {
+        if !self.votes() && self.commit >= self.log.membership_index() {
             self.follow(now, self.term, None, "it is no voter any more");
         }
     }
@@ -686,65 +695,69 @@
         self.commit = upto.max(self.commit);
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied.next()) else { return };
-            self.done.agreed.push(Agreed::Entry(entry.clone()));
+            self.done.committed.push(Committed::Entry(entry.clone()));
             self.applied = self.applied.next();
         }
     }
 
-    fn leading(&self) -> Result<&Office, Refused> {
+    fn leading(&self) -> Result<&Office, ProposeError> {
         match &self.part {
-            Part::Leader(office) if office.handing.is_some() => Err(Refused::Leaving),
+            Part::Leader(office) if office.handing.is_some() => Err(ProposeError::TransferInProgress),
             Part::Leader(office) => Ok(office),
-            _ => Err(Refused::NotLeading(self.leader())),
+            _ => Err(ProposeError::NotLeader(self.leader())),
         }
     }
 
     /// Proposes a command, as leader.
-    pub fn propose(&mut self, now: Ms, command: Vec<u8>) -> Result<Led, Refused> {
+    pub fn propose(&mut self, now: Ms, command: Vec<u8>) -> Result<LogPosition, ProposeError> {
         self.leading()?;
-        if self.log.last().0 .0 - self.commit.0 >= self.figures.waiting as u64 {
-            return Err(Refused::Full);
+        if self.log.last().0 .0 - self.commit.0 >= self.figures.max_uncommitted_entries as u64 {
+            return Err(ProposeError::TooManyUncommitted);
         }
-        let led = self.append(vec![What::Command(command)]);
+        let led = self.append(vec![Payload::Command(command)]);
         self.spread(now, false);
         self.advance(now);
         Ok(led)
     }
 
     /// Changes the members by one step, as leader.
-    pub fn change(&mut self, now: Ms, change: &Change) -> Result<Led, Refused> {
+    pub fn change_members(
+        &mut self,
+        now: Ms,
+        change: &MembershipChange,
+    ) -> Result<LogPosition, ProposeError> {
         let office = self.leading()?;
         // Guards against two changes at once, and against the flaw in one-at-a-time changes that was found after the
         // dissertation: none before an entry of the own term is committed.
-        if self.commit < office.opening || self.commit < self.log.members_set() {
-            return Err(Refused::Changing);
+        if self.commit < office.opening || self.commit < self.log.membership_index() {
+            return Err(ProposeError::MembershipChangeInProgress);
         }
         let mut members = self.members().clone();
         match change {
-            Change::Add(id, address) => {
+            MembershipChange::Add(id, address) => {
                 if members.contains_key(id) {
-                    return Err(Refused::NoSuchMember);
+                    return Err(ProposeError::InvalidMembershipChange);
                 }
-                members.insert(*id, Member { address: address.clone(), voice: Voice::Learner });
+                members.insert(*id, Member { address: address.clone(), role: MemberRole::Learner });
             }
-            Change::Promote(id) => {
+            MembershipChange::Promote(id) => {
                 let caught_up = office.peers.get(id).is_some_and(|peer| peer.same >= self.commit);
-                let learner = members.get_mut(id).filter(|member| member.voice == Voice::Learner);
+                let learner = members.get_mut(id).filter(|member| member.role == MemberRole::Learner);
                 match learner.filter(|_| caught_up) {
-                    Some(member) => member.voice = Voice::Voter,
-                    None => return Err(Refused::NoSuchMember),
+                    Some(member) => member.role = MemberRole::Voter,
+                    None => return Err(ProposeError::InvalidMembershipChange),
                 }
             }
-            Change::Remove(id) => {
+            MembershipChange::Remove(id) => {
                 // The last voter stays: without it nothing could be agreed ever again.
                 let last = self.voters().eq([id]);
                 if last || members.remove(id).is_none() {
-                    return Err(Refused::NoSuchMember);
+                    return Err(ProposeError::InvalidMembershipChange);
                 }
             }
         }
         let (me, next) = (self.me, self.log.last().0.next());
-        let led = self.append(vec![What::Members(members.clone())]);
+        let led = self.append(vec![Payload::Membership(members.clone())]);
         if let Part::Leader(office) = &mut self.part {
             office.peers.retain(|id, _| members.contains_key(id));
             for id in members.keys().filter(|id| **id != me) {
@@ -757,12 +770,13 @@
     }
 
     /// Hands the office to whoever has most of the log, as on a planned end. False where there is nobody.
-    pub fn transfer(&mut self, now: Ms) -> bool {
-        let until = now + self.figures.election;
+    pub fn transfer_leadership(&mut self, now: Ms) -> bool {
+        let until = now + self.figures.election_timeout_ms;
         let heir = match &self.part {
             Part::Leader(office) => {
                 let voters = self.others().filter_map(|id| Some((*id, office.peers.get(id)?)));
-                let fresh = voters.filter(|(_, peer)| now <= peer.answered + self.figures.election);
+                let fresh =
+                    voters.filter(|(_, peer)| now <= peer.answered + self.figures.election_timeout_ms);
                 fresh.max_by_key(|(_, peer)| peer.same).map(|(id, _)| id)
             }
             _ => None,
@@ -778,7 +792,7 @@
         let Part::Leader(office) = &self.part else { return };
         let Some((heir, _)) = office.handing else { return };
         if office.peers.get(&heir).is_some_and(|peer| peer.same == self.log.last().0) {
-            self.say(heir, Message::TakeOver { term: self.term });
+            self.say(heir, Message::TimeoutNow { term: self.term });
         }
     }
 
@@ -786,12 +800,12 @@
 
     fn heed(&mut self, now: Ms, from: MemberId, term: Term) -> bool {
         if term < self.term {
-            self.done.news.push(News::Outdated(from, term));
+            self.done.events.push(RaftEvent::StaleLeader(from, term));
             // So that it learns that its term is over; the log has nothing to do with it.
-            self.tell(from, Message::Vote { term: self.term, granted: false, pre: false });
+            self.tell(from, Message::RequestVoteReply { term: self.term, granted: false, pre_vote: false });
             return false;
         }
-        if self.standing == Standing::Fresh {
+        if self.standing == RecoveryState::Empty {
             // Somebody leads a council whose first hour this member has no part in.
             self.doubt(now);
         }
@@ -803,12 +817,12 @@
 
     fn take_in(&mut self, from: MemberId, at: Ms, before: (Index, Term), entries: Vec<Entry>, commit: Index) {
         let (term, last) = (self.term, self.log.last().0);
-        let no = |upto: Index| Message::Appended { term, at, same: false, upto };
-        let snapshot = self.log.snapshot.last;
+        let no = |upto: Index| Message::AppendEntriesReply { term, sent_at: at, success: false, index: upto };
+        let snapshot = self.log.snapshot.last_index;
         // What the snapshot stands for was committed, so it is the same.
         let fits = before.0 < snapshot || self.log.term_at(before.0) == Some(before.1);
         if !fits {
-            let hint = before.0.before().min(last).max(snapshot);
+            let hint = before.0.previous().min(last).max(snapshot);
             return self.tell(from, no(hint));
         }
         let upto = Index(before.0 .0 + entries.len() as u64);
@@ -822,12 +836,12 @@
         }
         let upto = upto.max(snapshot);
         self.agree(commit.min(upto));
-        self.tell(from, Message::Appended { term, at, same: true, upto });
+        self.tell(from, Message::AppendEntriesReply { term, sent_at: at, success: true, index: upto });
         self.caught_up(from, upto);
     }
 
     fn install(&mut self, from: MemberId, at: Ms, snapshot: Snapshot) {
-        let (term, upto) = (self.term, snapshot.last);
+        let (term, upto) = (self.term, snapshot.last_index);
         if upto > self.commit {
             self.log = Log::new(snapshot.clone());
             (self.commit, self.applied) = (upto, upto);
@@ -835,49 +849,64 @@
             self.kept = Index(0);
             self.syncing.clear();
             self.syncing.push_back((self.written, upto));
-            self.done.agreed.push(Agreed::State(snapshot));
+            self.done.committed.push(Committed::Snapshot(snapshot));
         }
-        self.tell(from, Message::Appended { term, at, same: true, upto });
+        self.tell(from, Message::AppendEntriesReply { term, sent_at: at, success: true, index: upto });
         self.caught_up(from, upto);
     }
 
     /// What another member says.
-    pub fn heard(&mut self, now: Ms, from: MemberId, message: Message) {
+    pub fn handle_message(&mut self, now: Ms, from: MemberId, message: Message) {
         match message {
-            Message::Ask { run, nonce } => self.asked(from, run, nonce),
-            Message::Told { run, known, term, last, leading, birth, founding } => {
+            Message::HandshakeRequest { run, nonce } => self.asked(from, run, nonce),
+            Message::HandshakeReply {
+                run,
+                known_run,
+                term,
+                last_index,
+                is_leader,
+                store_id,
+                bootstrap_stores,
+            } => {
                 if run == self.run {
-                    self.inquiry.take(from, Answer { known, term, last, leading, birth, founding });
+                    self.inquiry.take(
+                        from,
+                        Answer { known_run, term, last_index, is_leader, store_id, bootstrap_stores },
+                    );
                     self.judge(now);
                 }
             }
-            Message::AskVote { term, last, pre, handed } => {
-                self.asked_for_vote(now, from, (term, last, pre, handed));
+            Message::RequestVote { term, last, pre_vote, leadership_transfer } => {
+                self.asked_for_vote(now, from, (term, last, pre_vote, leadership_transfer));
             }
             // A pre-vote that is granted names a term that has not begun.
-            Message::Vote { term, granted, pre } if term > self.term && !(granted && pre) => {
+            Message::RequestVoteReply { term, granted, pre_vote }
+                if term > self.term && !(granted && pre_vote) =>
+            {
                 self.follow(now, term, None, "another is in a later term");
             }
-            Message::Vote { term, granted, pre } => self.voted(now, from, term, granted, pre),
-            Message::Append { term, at, before, entries, commit } => {
+            Message::RequestVoteReply { term, granted, pre_vote } => {
+                self.voted(now, from, term, granted, pre_vote)
+            }
+            Message::AppendEntries { term, sent_at, previous, entries, commit_index } => {
                 if self.heed(now, from, term) {
-                    self.take_in(from, at, before, entries, commit);
+                    self.take_in(from, sent_at, previous, entries, commit_index);
                 }
             }
-            Message::Install { term, at, snapshot } => {
+            Message::InstallSnapshot { term, sent_at, snapshot } => {
                 if self.heed(now, from, term) {
-                    self.install(from, at, snapshot);
+                    self.install(from, sent_at, snapshot);
                 }
             }
-            Message::Appended { term, .. } if term > self.term => {
+            Message::AppendEntriesReply { term, .. } if term > self.term => {
                 self.follow(now, term, None, "another is in a later term");
             }
-            Message::Appended { term, at, same, upto } => {
+            Message::AppendEntriesReply { term, sent_at, success, index } => {
                 if term == self.term {
-                    self.appended(now, from, at, same, upto);
+                    self.appended(now, from, sent_at, success, index);
                 }
             }
-            Message::TakeOver { term } => {
+            Message::TimeoutNow { term } => {
                 if term == self.term && self.leader() == Some(from) && self.may_vote() && self.votes() {
                     self.stand(now, false, true);
                 }
@@ -888,9 +917,9 @@
     }
 
     fn asked(&mut self, from: MemberId, run: Run, nonce: u64) {
-        let (known, new) = self.peers.entry(from).or_default().heard(run, nonce);
+        let (known, new) = self.peers.entry(from).or_default().observe(run, nonce);
         if new {
-            self.write(Record::Peer(from, run, nonce));
+            self.write(Record::PeerRun(from, run, nonce));
             let next = self.log.last().0.next();
             if let Part::Leader(office) = &mut self.part {
                 // Guards against an answer of its last life that still counts: it may have forgotten what it held.
@@ -898,23 +927,34 @@
                 peer.into_iter().for_each(|peer| (peer.next, peer.same) = (next, Index(0)));
             }
         }
-        let founding = (self.standing != Standing::Fresh).then(|| self.founding.clone());
+        let founding = (self.standing != RecoveryState::Empty).then(|| self.founding.clone());
         let (term, last, leading) = (self.term, self.log.last().0, matches!(self.part, Part::Leader(_)));
         let birth = self.birth;
-        self.tell(from, Message::Told { run, known, term, last, leading, birth, founding });
+        self.tell(
+            from,
+            Message::HandshakeReply {
+                run,
+                known_run: known,
+                term,
+                last_index: last,
+                is_leader: leading,
+                store_id: birth,
+                bootstrap_stores: founding,
+            },
+        );
     }
 
     // The store.
 
     /// So many of the records handed out in this run are durable.
-    pub fn durable(&mut self, now: Ms, written: u64) {
+    pub fn handle_durable(&mut self, now: Ms, written: u64) {
         self.durable = self.durable.max(written);
         while self.syncing.front().is_some_and(|(write, _)| *write <= self.durable) {
             let (_, index) = self.syncing.pop_front().unwrap_or_default();
             self.kept = self.kept.max(index);
         }
         while self.held.front().is_some_and(|(write, _, _)| *write <= self.durable) {
-            self.done.sends.extend(self.held.pop_front().map(|(_, to, message)| (to, message)));
+            self.done.messages.extend(self.held.pop_front().map(|(_, to, message)| (to, message)));
         }
         self.count(now);
         self.advance(now);
@@ -922,7 +962,7 @@
 
     /// Whether the store fails. A member that cannot keep its word gives none: it leads no more and votes for nobody
     /// until the store is well.
-    pub fn failing(&mut self, now: Ms, failing: bool) {
+    pub fn set_store_failing(&mut self, now: Ms, failing: bool) {
         if failing && !self.failing && !matches!(self.part, Part::Follower { .. }) {
             self.follow(now, self.term, None, "its store fails");
         }
@@ -943,21 +983,24 @@
         let mut records = Vec::new();
         for (peer, known) in &self.peers {
             // The nonce of the one before is never compared: any start of its number is an old one now.
-            records.push(Record::Peer(*peer, known.before, 0));
-            records.push(Record::Peer(*peer, known.run, known.nonce));
+            records.push(Record::PeerRun(*peer, known.previous, 0));
+            records.push(Record::PeerRun(*peer, known.run, known.nonce));
         }
-        records.push(Record::Born(self.birth));
+        records.push(Record::StoreId(self.birth));
         records.push(Record::Run(self.run));
-        if self.standing != Standing::Fresh {
-            records.push(Record::Founded(self.log.snapshot.clone(), self.founding.clone()));
+        if self.standing != RecoveryState::Empty {
+            records.push(Record::Bootstrapped(self.log.snapshot.clone(), self.founding.clone()));
         }
-        if matches!(self.standing, Standing::Doubtful { .. }) {
-            records.push(Record::Doubtful);
+        if matches!(self.standing, RecoveryState::Recovering { .. }) {
+            records.push(Record::RecoveryStarted);
         }
-        records.push(Record::Term(self.term, self.vote));
+        records.push(Record::TermAndVote(self.term, self.vote));
         records.push(Record::Snapshot(self.log.snapshot.clone()));
-        let all = self.log.from(self.log.snapshot.last.next(), usize::MAX - 1);
-        records.extend(all.chunks(self.figures.batch.max(1)).map(|some| Record::Entries(some.to_vec())));
+        let all = self.log.entries_from(self.log.snapshot.last_index.next(), usize::MAX - 1);
+        records.extend(
+            all.chunks(self.figures.max_entries_per_message.max(1))
+                .map(|some| Record::Entries(some.to_vec())),
+        );
         records
     }
 }
--- a/crates/council/src/ids.rs
+++ b/crates/council/src/ids.rs
@@ -26,7 +26,7 @@
     }
 
     /// The one before; that of 0 is 0.
-    pub fn before(self) -> Index {
+    pub fn previous(self) -> Index {
         Index(self.0.saturating_sub(1))
     }
 }
--- a/crates/council/src/message.rs
+++ b/crates/council/src/message.rs
@@ -11,57 +11,57 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Told at each start, until enough have answered. `nonce`: by chance, other at each start.
-    Ask {
+    HandshakeRequest {
         run: Run,
         nonce: u64,
     },
     /// What another knows of the one that asks, and of itself.
-    Told {
+    HandshakeReply {
         run: Run,
         /// The asker's last run that this member has in its store from before.
-        known: Run,
+        known_run: Run,
         term: Term,
-        last: Index,
-        leading: bool,
+        last_index: Index,
+        is_leader: bool,
         /// By what its store is told from another of the same member.
-        birth: u64,
+        store_id: u64,
         /// The stores of the first hour, if it is over for this member.
-        founding: Option<BTreeMap<MemberId, u64>>,
+        bootstrap_stores: Option<BTreeMap<MemberId, u64>>,
     },
     /// `pre`: whether it would be elected; nothing changes for it. `handed`: the leader itself asked for it.
-    AskVote {
+    RequestVote {
         term: Term,
         last: (Index, Term),
-        pre: bool,
-        handed: bool,
+        pre_vote: bool,
+        leadership_transfer: bool,
     },
-    Vote {
+    RequestVoteReply {
         term: Term,
         granted: bool,
-        pre: bool,
+        pre_vote: bool,
     },
     /// `at`: the leader's clock, to be given back, so that it knows when this was sent.
-    Append {
+    AppendEntries {
         term: Term,
-        at: Ms,
-        before: (Index, Term),
+        sent_at: Ms,
+        previous: (Index, Term),
         entries: Vec<Entry>,
-        commit: Index,
+        commit_index: Index,
     },
-    Install {
+    InstallSnapshot {
         term: Term,
-        at: Ms,
+        sent_at: Ms,
         snapshot: Snapshot,
     },
     /// Up to where both logs are the same; or, where they are not, what to try next.
-    Appended {
+    AppendEntriesReply {
         term: Term,
-        at: Ms,
-        same: bool,
-        upto: Index,
+        sent_at: Ms,
+        success: bool,
+        index: Index,
     },
     /// The leader steps aside for the one that this is sent to.
-    TakeOver {
+    TimeoutNow {
         term: Term,
     },
     /// A command for the leader, from a member that does not lead.
@@ -74,27 +74,31 @@
     /// Of two messages with the same slot that wait for the same peer the newer one says all.
     pub fn slot(&self) -> Option<u8> {
         match self {
-            Message::Ask { .. } => Some(0),
-            Message::Told { .. } => Some(1),
-            Message::AskVote { .. } => Some(2),
-            Message::Vote { .. } => Some(3),
-            Message::Append { entries, .. } if entries.is_empty() => Some(4),
-            Message::Install { .. } => Some(5),
-            Message::TakeOver { .. } => Some(6),
-            Message::Append { .. } | Message::Appended { .. } | Message::Propose { .. } => None,
+            Message::HandshakeRequest { .. } => Some(0),
+            Message::HandshakeReply { .. } => Some(1),
+            Message::RequestVote { .. } => Some(2),
+            Message::RequestVoteReply { .. } => Some(3),
+            Message::AppendEntries { entries, .. } if entries.is_empty() => Some(4),
+            Message::InstallSnapshot { .. } => Some(5),
+            Message::TimeoutNow { .. } => Some(6),
+            Message::AppendEntries { .. } | Message::AppendEntriesReply { .. } | Message::Propose { .. } => {
+                None
+            }
         }
     }
 
     /// Whose leadership it speaks of.
     pub fn term(&self) -> Option<Term> {
         match self {
-            Message::AskVote { term, .. }
-            | Message::Vote { term, .. }
-            | Message::Append { term, .. }
-            | Message::Install { term, .. }
-            | Message::Appended { term, .. }
-            | Message::TakeOver { term } => Some(*term),
-            Message::Ask { .. } | Message::Told { .. } | Message::Propose { .. } => None,
+            Message::RequestVote { term, .. }
+            | Message::RequestVoteReply { term, .. }
+            | Message::AppendEntries { term, .. }
+            | Message::InstallSnapshot { term, .. }
+            | Message::AppendEntriesReply { term, .. }
+            | Message::TimeoutNow { term } => Some(*term),
+            Message::HandshakeRequest { .. } | Message::HandshakeReply { .. } | Message::Propose { .. } => {
+                None
+            }
         }
     }
 }
--- a/crates/council/src/sight.rs
+++ b/crates/council/src/sight.rs
@@ -1,7 +1,7 @@
 //! Who is there: SWIM's probing, direct and by others, with suspicion, incarnations, and Lifeguard's local health, so that
 //! a member that is slow itself blames itself first.
 //!
-//! Departures from the papers: an answer by way of others is kept apart from a direct one ([`Reach::ByOthers`]), as a
+//! Departures from the papers: an answer by way of others is kept apart from a direct one ([`Reach::Indirect`]), as a
 //! link cut one way is no death and people on call want to know which it is; and a member that left says so itself.
 
 use std::collections::BTreeMap;
@@ -27,61 +27,61 @@
     Unknown,
     Direct,
     /// It answers others and not this member: a link is cut, or half open, and no process is dead.
-    ByOthers,
-    Nobody,
+    Indirect,
+    Unreachable,
 }
 
 /// What is said of a member; of two words the one of the higher incarnation holds, and of the same one the worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
-    pub about: MemberId,
+pub struct GossipUpdate {
+    pub member: MemberId,
     pub health: Health,
     pub incarnation: u64,
     /// Who suspects first; others' suspicions count beside it.
-    pub by: MemberId,
+    pub reported_by: MemberId,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum SightMessage {
+pub enum SwimMessage {
     Ping {
-        number: u64,
-        words: Vec<Word>,
+        sequence: u64,
+        updates: Vec<GossipUpdate>,
     },
     /// `clock`: the time of day there.
     Ack {
-        number: u64,
+        sequence: u64,
         clock: Ms,
-        words: Vec<Word>,
+        updates: Vec<GossipUpdate>,
     },
     /// To ping another and pass its answer on.
-    PingFor {
-        number: u64,
+    PingRequest {
+        sequence: u64,
         target: MemberId,
-        words: Vec<Word>,
+        updates: Vec<GossipUpdate>,
     },
     /// The target did not answer the one asked; the one asked is well.
     Nack {
-        number: u64,
+        sequence: u64,
     },
 }
 
-impl SightMessage {
+impl SwimMessage {
     /// Of two messages with the same slot that wait for the same peer the newer one says all.
     pub fn slot(&self) -> Option<u8> {
-        matches!(self, SightMessage::Ping { .. }).then_some(16)
+        matches!(self, SwimMessage::Ping { .. }).then_some(16)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct SwimConfig {
     /// One member is probed a period.
-    pub period: Ms,
+    pub probe_period_ms: Ms,
     /// A direct probe's answer is waited for so long, of a healthy prober.
-    pub answer: Ms,
+    pub probe_timeout_ms: Ms,
     /// Members asked to probe in this one's place.
-    pub by_others: usize,
+    pub indirect_probe_count: usize,
     /// Words in one message.
-    pub words: usize,
+    pub max_updates_per_message: usize,
 }
 
 /// The most that local health goes up to, as in the paper.
@@ -109,7 +109,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Probe {
-    number: u64,
+    sequence: u64,
     target: MemberId,
     sent: Ms,
     asked: usize,
@@ -120,7 +120,7 @@
 /// A probe for another: whose, by which number there, and until when.
 #[derive(Clone, Copy, Debug)]
 struct Errand {
-    number: u64,
+    sequence: u64,
     for_whom: MemberId,
     their: u64,
     until: Ms,
@@ -129,30 +129,30 @@
 /// Errands that may be under way; more are not taken.
 const ERRANDS: usize = 256;
 
-pub struct Sight {
+pub struct FailureDetector {
     me: MemberId,
-    pace: Pace,
+    pace: SwimConfig,
     rng: fastrand::Rng,
     incarnation: u64,
     seen: BTreeMap<MemberId, Seen>,
     round: Vec<MemberId>,
     probe: Option<Probe>,
     errands: Vec<Errand>,
-    number: u64,
+    sequence: u64,
     due: Ms,
     /// Lifeguard's local health: 0 is well.
     own: u32,
     leaving: bool,
-    sends: Vec<(MemberId, SightMessage)>,
+    sends: Vec<(MemberId, SwimMessage)>,
     turned: Vec<(MemberId, Health)>,
 }
 
-impl Sight {
+impl FailureDetector {
     /// `incarnation`: higher than at any start before, as [`crate::Run`] is.
-    pub fn start(me: MemberId, pace: Pace, incarnation: u64, seed: u64, now: Ms) -> Sight {
+    pub fn start(me: MemberId, pace: SwimConfig, incarnation: u64, seed: u64, now: Ms) -> FailureDetector {
         let rng = fastrand::Rng::with_seed(seed);
         let incarnation = incarnation << 20;
-        Sight {
+        FailureDetector {
             me,
             pace,
             rng,
@@ -161,7 +161,7 @@
             round: Vec::new(),
             probe: None,
             errands: Vec::new(),
-            number: 0,
+            sequence: 0,
             due: now,
             own: 0,
             leaving: false,
@@ -171,7 +171,7 @@
     }
 
     /// Who is to be watched. Those already known stay as they are.
-    pub fn watch(&mut self, now: Ms, members: impl Iterator<Item = MemberId>) {
+    pub fn set_members(&mut self, now: Ms, members: impl Iterator<Item = MemberId>) {
         let members: Vec<MemberId> = members.filter(|id| *id != self.me).collect();
         self.seen.retain(|id, _| members.contains(id));
         for id in members {
@@ -190,12 +190,12 @@
     }
 
     /// What is to be sent since this was last asked.
-    pub fn sends(&mut self) -> Vec<(MemberId, SightMessage)> {
+    pub fn take_messages(&mut self) -> Vec<(MemberId, SwimMessage)> {
         std::mem::take(&mut self.sends)
     }
 
     /// Who is believed to be otherwise than before, since this was last asked.
-    pub fn turned(&mut self) -> Vec<(MemberId, Health)> {
+    pub fn take_health_changes(&mut self) -> Vec<(MemberId, Health)> {
         std::mem::take(&mut self.turned)
     }
 
@@ -219,14 +219,14 @@
         let fresh = |at: Option<Ms>| at.is_some_and(|at| now <= at + round);
         match (fresh(seen.direct), fresh(seen.by_others)) {
             (true, _) => Reach::Direct,
-            (false, true) => Reach::ByOthers,
+            (false, true) => Reach::Indirect,
             (false, false) if seen.direct.is_none() && seen.health == Health::Alive => Reach::Unknown,
-            (false, false) => Reach::Nobody,
+            (false, false) => Reach::Unreachable,
         }
     }
 
     /// How slow this member itself is: 0 is well, 8 the worst.
-    pub fn own_health(&self) -> u32 {
+    pub fn local_health(&self) -> u32 {
         self.own
     }
 
@@ -241,10 +241,10 @@
 
     /// The time in which everybody is probed once by this member.
     fn round_trip(&self) -> Ms {
-        self.pace.period * (self.seen.len().max(1) as f64 + 1.0) * f64::from(self.own + 1)
+        self.pace.probe_period_ms * (self.seen.len().max(1) as f64 + 1.0) * f64::from(self.own + 1)
     }
 
-    pub fn next(&self) -> Ms {
+    pub fn next_tick(&self) -> Ms {
         let probe = self.probe.filter(|probe| probe.asked == 0).map(|probe| probe.sent + self.answer());
         let errands = self.errands.iter().map(|errand| errand.until);
         let suspects = self.seen.values().filter(|seen| seen.health == Health::Suspect);
@@ -253,13 +253,13 @@
     }
 
     fn answer(&self) -> Ms {
-        self.pace.answer * f64::from(self.own + 1)
+        self.pace.probe_timeout_ms * f64::from(self.own + 1)
     }
 
     /// How long a suspicion lasts: the longer the worse this member is itself, the shorter the more suspect the same.
     fn suspicion(&self, seen: &Seen) -> Ms {
         let group = (self.seen.len() as f64 + 1.0).log10().max(1.0);
-        let period = self.pace.period * f64::from(self.own + 1);
+        let period = self.pace.probe_period_ms * f64::from(self.own + 1);
         let (short, long) = (SHORTEST * group * period, LONGEST * SHORTEST * group * period);
         let confirming = CONFIRMING.min(self.seen.len() as f64 - 1.0).max(1.0);
         let part = (seen.by.len().saturating_sub(1) as f64 + 1.0).ln() / (confirming + 1.0).ln();
@@ -268,9 +268,9 @@
 
     pub fn tick(&mut self, now: Ms) {
         self.errands.extract_if(.., |errand| now >= errand.until).for_each(|errand| {
-            self.sends.push((errand.for_whom, SightMessage::Nack { number: errand.their }));
+            self.sends.push((errand.for_whom, SwimMessage::Nack { sequence: errand.their }));
         });
-        let over = |seen: &Seen, of: &Sight| {
+        let over = |seen: &Seen, of: &FailureDetector| {
             seen.health == Health::Suspect && now >= seen.since + of.suspicion(seen)
         };
         let dead: Vec<(MemberId, u64)> = self
@@ -280,7 +280,10 @@
             .map(|(id, seen)| (*id, seen.incarnation))
             .collect();
         for (about, incarnation) in dead {
-            self.hear(now, Word { about, health: Health::Dead, incarnation, by: self.me });
+            self.hear(
+                now,
+                GossipUpdate { member: about, health: Health::Dead, incarnation, reported_by: self.me },
+            );
         }
         if let Some(probe) = self.probe.filter(|probe| probe.asked == 0 && now >= probe.sent + self.answer())
         {
@@ -288,9 +291,9 @@
         }
         if now >= self.due {
             // Late by itself: it was stopped or starved, and knows nothing of others from that time.
-            let late = now - self.due > self.pace.period;
+            let late = now - self.due > self.pace.probe_period_ms;
             self.conclude(now, late);
-            self.due = now + self.pace.period * f64::from(self.own + 1);
+            self.due = now + self.pace.probe_period_ms * f64::from(self.own + 1);
             self.begin(now);
         }
     }
@@ -299,11 +302,11 @@
         let mut others: Vec<MemberId> =
             self.alive().filter(|id| *id != self.me && *id != probe.target).collect();
         self.rng.shuffle(&mut others);
-        others.truncate(self.pace.by_others);
-        let (number, target) = (probe.number, probe.target);
+        others.truncate(self.pace.indirect_probe_count);
+        let (sequence, target) = (probe.sequence, probe.target);
         for other in &others {
-            let words = self.words(*other);
-            self.sends.push((*other, SightMessage::PingFor { number, target, words }));
+            let updates = self.updates(*other);
+            self.sends.push((*other, SwimMessage::PingRequest { sequence, target, updates }));
         }
         if let Some(probe) = &mut self.probe {
             probe.asked = others.len().max(1);
@@ -326,8 +329,12 @@
         let blame = if probe.asked > 1 { missed as u32 } else { 1 };
         self.own = (self.own + blame.min(2)).min(WORST);
         let Some(seen) = self.seen.get(&probe.target) else { return };
-        let word =
-            Word { about: probe.target, health: Health::Suspect, incarnation: seen.incarnation, by: self.me };
+        let word = GossipUpdate {
+            member: probe.target,
+            health: Health::Suspect,
+            incarnation: seen.incarnation,
+            reported_by: self.me,
+        };
         self.hear(now, word);
     }
 
@@ -338,22 +345,22 @@
         }
         // Also who is dead is probed, so that a heal of the network is found without being told.
         let Some(target) = self.round.pop().filter(|id| self.seen.contains_key(id)) else { return };
-        self.number += 1;
-        let number = self.number;
-        self.probe = Some(Probe { number, target, sent: now, asked: 0, nacks: 0, by_others: false });
-        let words = self.words(target);
-        self.sends.push((target, SightMessage::Ping { number, words }));
+        self.sequence += 1;
+        let sequence = self.sequence;
+        self.probe = Some(Probe { sequence, target, sent: now, asked: 0, nacks: 0, by_others: false });
+        let updates = self.updates(target);
+        self.sends.push((target, SwimMessage::Ping { sequence, updates }));
     }
 
     /// The words that go with a message, the least told first; one on the receiver itself, if it is doubted, first of
     /// all, so that it can object.
-    fn words(&mut self, to: MemberId) -> Vec<Word> {
+    fn updates(&mut self, to: MemberId) -> Vec<GossipUpdate> {
         let most = 3 * (self.seen.len() + 2).ilog2().max(1);
-        let own = Word {
-            about: self.me,
+        let own = GossipUpdate {
+            member: self.me,
             health: if self.leaving { Health::Left } else { Health::Alive },
             incarnation: self.incarnation,
-            by: self.me,
+            reported_by: self.me,
         };
         let doubted = |id: &MemberId, seen: &Seen| *id == to && seen.health != Health::Alive;
         let mut all: Vec<(u32, MemberId)> = self
@@ -363,20 +370,25 @@
             .map(|(id, seen)| (if doubted(id, seen) { 0 } else { 1 + seen.told }, *id))
             .collect();
         all.sort();
-        all.truncate(self.pace.words.saturating_sub(1));
-        let mut words = vec![own];
+        all.truncate(self.pace.max_updates_per_message.saturating_sub(1));
+        let mut updates = vec![own];
         for (_, about) in all {
             let Some(seen) = self.seen.get_mut(&about) else { continue };
             seen.told += 1;
             let by = seen.by.first().copied().unwrap_or(self.me);
-            words.push(Word { about, health: seen.health, incarnation: seen.incarnation, by });
+            updates.push(GossipUpdate {
+                member: about,
+                health: seen.health,
+                incarnation: seen.incarnation,
+                reported_by: by,
+            });
         }
-        words
+        updates
     }
 
-    fn hear(&mut self, now: Ms, word: Word) {
-        let Word { about, health, incarnation, by } = word;
-        if about == self.me {
+    fn hear(&mut self, now: Ms, word: GossipUpdate) {
+        let GossipUpdate { member, health, incarnation, reported_by } = word;
+        if member == self.me {
             if health != Health::Alive && incarnation >= self.incarnation && !self.leaving {
                 // It objects. That it had to shows that it is slow.
                 self.incarnation = incarnation + 1;
@@ -384,68 +396,68 @@
             }
             return;
         }
-        let Some(seen) = self.seen.get_mut(&about) else { return };
+        let Some(seen) = self.seen.get_mut(&member) else { return };
         let later = incarnation > seen.incarnation || incarnation == seen.incarnation && health > seen.health;
         if !later {
             let same = incarnation == seen.incarnation && health == seen.health;
             if same
                 && health == Health::Suspect
-                && !seen.by.contains(&by)
+                && !seen.by.contains(&reported_by)
                 && seen.by.len() <= CONFIRMING as usize
             {
-                seen.by.push(by);
+                seen.by.push(reported_by);
                 seen.told = 0;
             }
             return;
         }
         let turned = seen.health != health;
         (seen.health, seen.incarnation, seen.told) = (health, incarnation, 0);
-        seen.by = if health == Health::Suspect { vec![by] } else { Vec::new() };
+        seen.by = if health == Health::Suspect { vec![reported_by] } else { Vec::new() };
         if turned {
             seen.since = now;
-            self.turned.push((about, health));
+            self.turned.push((member, health));
         }
     }
 
     /// What another member says. `clock`: the time of day here.
-    pub fn heard(&mut self, now: Ms, clock: Ms, from: MemberId, message: SightMessage) {
-        let words = match &message {
-            SightMessage::Ping { words, .. }
-            | SightMessage::Ack { words, .. }
-            | SightMessage::PingFor { words, .. } => words.as_slice(),
-            SightMessage::Nack { .. } => &[],
+    pub fn handle_message(&mut self, now: Ms, clock: Ms, from: MemberId, message: SwimMessage) {
+        let updates = match &message {
+            SwimMessage::Ping { updates, .. }
+            | SwimMessage::Ack { updates, .. }
+            | SwimMessage::PingRequest { updates, .. } => updates.as_slice(),
+            SwimMessage::Nack { .. } => &[],
         };
-        words.iter().for_each(|word| self.hear(now, *word));
+        updates.iter().for_each(|word| self.hear(now, *word));
         match message {
-            SightMessage::Ping { number, .. } => {
-                let words = self.words(from);
-                self.sends.push((from, SightMessage::Ack { number, clock, words }));
+            SwimMessage::Ping { sequence, .. } => {
+                let updates = self.updates(from);
+                self.sends.push((from, SwimMessage::Ack { sequence, clock, updates }));
             }
-            SightMessage::PingFor { number: their, target, .. } => {
+            SwimMessage::PingRequest { sequence: their, target, .. } => {
                 if self.errands.len() < ERRANDS {
-                    self.number += 1;
-                    let (number, until) = (self.number, now + self.answer());
-                    self.errands.push(Errand { number, for_whom: from, their, until });
-                    let words = self.words(target);
-                    self.sends.push((target, SightMessage::Ping { number, words }));
+                    self.sequence += 1;
+                    let (sequence, until) = (self.sequence, now + self.answer());
+                    self.errands.push(Errand { sequence, for_whom: from, their, until });
+                    let updates = self.updates(target);
+                    self.sends.push((target, SwimMessage::Ping { sequence, updates }));
                 }
             }
-            SightMessage::Ack { number, clock: theirs, .. } => self.acked(now, from, number, theirs),
-            SightMessage::Nack { number } => {
-                let probe = self.probe.as_mut().filter(|probe| probe.number == number);
+            SwimMessage::Ack { sequence, clock: theirs, .. } => self.acked(now, from, sequence, theirs),
+            SwimMessage::Nack { sequence } => {
+                let probe = self.probe.as_mut().filter(|probe| probe.sequence == sequence);
                 probe.into_iter().for_each(|probe| probe.nacks += 1);
             }
         }
     }
 
-    fn acked(&mut self, now: Ms, from: MemberId, number: u64, theirs: Ms) {
-        if let Some(at) = self.errands.iter().position(|errand| errand.number == number) {
+    fn acked(&mut self, now: Ms, from: MemberId, sequence: u64, theirs: Ms) {
+        if let Some(at) = self.errands.iter().position(|errand| errand.sequence == sequence) {
             let errand = self.errands.swap_remove(at);
-            let words = self.words(errand.for_whom);
+            let updates = self.updates(errand.for_whom);
             self.sends
-                .push((errand.for_whom, SightMessage::Ack { number: errand.their, clock: theirs, words }));
+                .push((errand.for_whom, SwimMessage::Ack { sequence: errand.their, clock: theirs, updates }));
         }
-        let Some(probe) = self.probe.filter(|probe| probe.number == number) else { return };
+        let Some(probe) = self.probe.filter(|probe| probe.sequence == sequence) else { return };
         let Some(seen) = self.seen.get_mut(&probe.target) else { return };
         if from == probe.target {
             // On the way back it took half of the round at most, which is within what a period tells.
@@ -465,9 +477,9 @@
         self.incarnation += 1;
         let others: Vec<MemberId> = self.seen.keys().copied().collect();
         for other in others {
-            self.number += 1;
-            let (number, words) = (self.number, self.words(other));
-            self.sends.push((other, SightMessage::Ping { number, words }));
+            self.sequence += 1;
+            let (sequence, updates) = (self.sequence, self.updates(other));
+            self.sends.push((other, SwimMessage::Ping { sequence, updates }));
         }
     }
 }
--- a/crates/council/src/standing.rs
+++ b/crates/council/src/standing.rs
@@ -13,30 +13,30 @@
 use crate::ids::{Index, MemberId, Run, Term};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum RecoveryState {
     /// It kept nothing. Either nobody did yet, or it lost it.
-    Fresh,
+    Empty,
     /// It kept something and gives others a moment to say that this is old.
-    Settling {
+    Verifying {
         until: Ms,
     },
     /// What it kept is lost or old. `term`: what it adopted from others, once enough have answered.
-    Doubtful {
+    Recovering {
         term: Option<Term>,
     },
-    Whole,
+    Ready,
 }
 
 /// What another answered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    pub known: Run,
+    pub known_run: Run,
     pub term: Term,
-    pub last: Index,
-    pub leading: bool,
-    pub birth: u64,
+    pub last_index: Index,
+    pub is_leader: bool,
+    pub store_id: u64,
     /// `None` where it kept nothing.
-    pub founding: Option<BTreeMap<MemberId, u64>>,
+    pub bootstrap_stores: Option<BTreeMap<MemberId, u64>>,
 }
 
 /// The answers to one start's question, by who answered.
@@ -54,20 +54,23 @@
     pub fn take(&mut self, from: MemberId, answer: Answer) {
         let known = self.answers.get(&from);
         // A leader's log grows while it is caught up with: what it held when first asked is enough.
-        let same = |known: &&Answer| known.leading && answer.leading && known.term == answer.term;
-        let last = known.filter(same).map_or(answer.last, |known| known.last);
-        self.answers.insert(from, Answer { last, ..answer });
+        let same = |known: &&Answer| known.is_leader && answer.is_leader && known.term == answer.term;
+        let last = known.filter(same).map_or(answer.last_index, |known| known.last_index);
+        self.answers.insert(from, Answer { last_index: last, ..answer });
     }
 
     /// The latest start of this member that anybody else knew before.
     pub fn known(&self) -> Run {
-        self.answers.values().map(|answer| answer.known).max().unwrap_or_default()
+        self.answers.values().map(|answer| answer.known_run).max().unwrap_or_default()
     }
 
     /// The stores of the first hour, as somebody knows them who was there.
     pub fn founding(&self) -> Option<&BTreeMap<MemberId, u64>> {
         // Who came later or lost its store knows none; that there was a first hour it knows all the same.
-        self.answers.values().filter_map(|answer| answer.founding.as_ref()).max_by_key(|births| births.len())
+        self.answers
+            .values()
+            .filter_map(|answer| answer.bootstrap_stores.as_ref())
+            .max_by_key(|births| births.len())
     }
 
     /// The stores of these, if every one has answered that it kept nothing.
@@ -76,8 +79,8 @@
         mut others: impl Iterator<Item = &'a MemberId>,
     ) -> Option<BTreeMap<MemberId, u64>> {
         let fresh = |births: &mut BTreeMap<MemberId, u64>, id: &MemberId| {
-            let answer = self.answers.get(id).filter(|answer| answer.founding.is_none());
-            answer.map(|answer| _ = births.insert(*id, answer.birth)).is_some()
+            let answer = self.answers.get(id).filter(|answer| answer.bootstrap_stores.is_none());
+            answer.map(|answer| _ = births.insert(*id, answer.store_id)).is_some()
         };
         let mut births = BTreeMap::new();
         others.all(|id| fresh(&mut births, id)).then_some(births)
@@ -92,7 +95,8 @@
     pub fn term<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> Option<Term> {
         let others: Vec<&MemberId> = others.collect();
         let voters = others.len() + 1;
-        let founded = |id: &&MemberId| self.answers.get(id).filter(|answer| answer.founding.is_some());
+        let founded =
+            |id: &&MemberId| self.answers.get(id).filter(|answer| answer.bootstrap_stores.is_some());
         let terms: Vec<Term> = others.iter().filter_map(founded).map(|answer| answer.term).collect();
         (terms.len() >= voters - voters / 2).then(|| terms.into_iter().max()).flatten()
     }
@@ -100,7 +104,7 @@
     /// How far this leader's log reached when it was asked.
     pub fn reached(&self, leader: MemberId, term: Term) -> Option<Index> {
         let answer = self.answers.get(&leader)?;
-        (answer.leading && answer.term == term).then_some(answer.last)
+        (answer.is_leader && answer.term == term).then_some(answer.last_index)
     }
 
     /// The answers to an earlier question count no more.
--- a/crates/council/tests/histories.rs
+++ b/crates/council/tests/histories.rs
@@ -8,7 +8,13 @@
 use juniperrail_council::*;
 use juniperrail_interface::Ms;
 
-const FIGURES: Figures = Figures { heartbeat: 50.0, election: 300.0, drift: 0.05, batch: 8, waiting: 64 };
+const FIGURES: RaftConfig = RaftConfig {
+    heartbeat_interval_ms: 50.0,
+    election_timeout_ms: 300.0,
+    max_clock_drift_ratio: 0.05,
+    max_entries_per_message: 8,
+    max_uncommitted_entries: 64,
+};
 
 enum Event {
     Message { to: MemberId, from: MemberId, run: u64, message: Message },
@@ -26,7 +32,7 @@
 }
 
 struct Process {
-    council: Option<Council>,
+    council: Option<RaftNode>,
     disk: Disk,
     /// Which process this is, so that what is under way for one that died is dropped.
     life: u64,
@@ -71,7 +77,7 @@
     /// The part of syncs that take long.
     slow_disks: f64,
     leaders: BTreeMap<Term, MemberId>,
-    agreed: BTreeMap<Index, (Term, What)>,
+    agreed: BTreeMap<Index, (Term, Payload)>,
     acknowledged: Index,
     proposed: u64,
     leases: u64,
@@ -80,9 +86,9 @@
 impl World {
     fn new(seed: u64, members: u16) -> World {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let member = |id| (MemberId(id), Member { address: format!("m{id}"), voice: Voice::Voter });
+        let member = |id| (MemberId(id), Member { address: format!("m{id}"), role: MemberRole::Voter });
         let named: Members = (1..=members).map(member).collect();
-        let mut process = || Process::new(1.0 + (rng.f64() - 0.5) * FIGURES.drift);
+        let mut process = || Process::new(1.0 + (rng.f64() - 0.5) * FIGURES.max_clock_drift_ratio);
         let all = named.keys().map(|id| (*id, process())).collect();
         let mut world = World {
             rng,
@@ -123,12 +129,12 @@
         if process.council.is_some() {
             return;
         }
-        let bytes: Vec<Vec<u8>> = process.disk.synced.iter().map(Record::write).collect();
-        let kept = Recovered::read(bytes.iter().map(Vec::as_slice)).unwrap();
+        let bytes: Vec<Vec<u8>> = process.disk.synced.iter().map(Record::encode).collect();
+        let kept = StoredState::replay(bytes.iter().map(Vec::as_slice)).unwrap();
         (process.life, process.handed, process.stopped) = (process.life + 1, 0, false);
         (process.log, process.state) = (BTreeMap::new(), None);
         process.waiting.clear();
-        process.council = Some(Council::start(id, FIGURES, named, seed, now, kept));
+        process.council = Some(RaftNode::start(id, FIGURES, named, seed, now, kept));
         self.settle(id);
     }
 
@@ -149,18 +155,18 @@
         let (next, done, life) = {
             let process = self.all.get_mut(&id).unwrap();
             let Some(council) = &mut process.council else { return };
-            (council.next(), council.take(), process.life)
+            (council.next_tick(), council.take_actions(), process.life)
         };
         let sync = 0.5 + self.rng.f64() * if self.rng.f64() < self.slow_disks { 300.0 } else { 6.0 };
         let process = self.all.get_mut(&id).unwrap();
-        process.handed += done.writes.len() as u64;
+        process.handed += done.records.len() as u64;
         let handed = process.handed;
-        let wrote = !done.writes.is_empty();
-        process.disk.since.extend(done.writes);
+        let wrote = !done.records.is_empty();
+        process.disk.since.extend(done.records);
         if wrote {
             self.at(sync, Event::Synced(id, life, handed));
         }
-        for (to, message) in done.sends {
+        for (to, message) in done.messages {
             if self.cut.contains(&(id, to)) || self.rng.f64() < self.loss {
                 continue;
             }
@@ -170,11 +176,11 @@
                 self.at(after, Event::Message { to, from: id, run: life, message: message.clone() });
             }
         }
-        for agreed in done.agreed {
+        for agreed in done.committed {
             self.took(id, agreed);
         }
-        for news in done.news {
-            if let News::Leads(term) = news {
+        for news in done.events {
+            if let RaftEvent::BecameLeader(term) = news {
                 let other = self.leaders.insert(term, id);
                 assert!(other.is_none() || other == Some(id), "two leaders in {term}");
             }
@@ -185,16 +191,21 @@
         self.all.get_mut(&id).unwrap().due = self.number;
     }
 
-    fn took(&mut self, id: MemberId, agreed: Agreed) {
+    fn took(&mut self, id: MemberId, agreed: Committed) {
         let process = self.all.get_mut(&id).unwrap();
         match agreed {
-            Agreed::State(snapshot) => {
+            Committed::Snapshot(snapshot) => {
                 process.log.clear();
                 process.state = Some(snapshot);
             }
-            Agreed::Entry(entry) => {
-                let known = self.agreed.entry(entry.index).or_insert((entry.term, entry.what.clone()));
-                assert_eq!(*known, (entry.term, entry.what.clone()), "two agreed logs at {:?}", entry.index);
+            Committed::Entry(entry) => {
+                let known = self.agreed.entry(entry.index).or_insert((entry.term, entry.payload.clone()));
+                assert_eq!(
+                    *known,
+                    (entry.term, entry.payload.clone()),
+                    "two agreed logs at {:?}",
+                    entry.index
+                );
                 process.log.insert(entry.index, entry);
             }
         }
@@ -205,8 +216,8 @@
         let Some(council) = &self.all[&id].council else { return };
         if council.lease(now).is_some() {
             self.leases += 1;
-            assert!(council.committed() >= self.acknowledged, "a lease of one who lacks what was agreed");
-            self.acknowledged = council.committed();
+            assert!(council.commit_index() >= self.acknowledged, "a lease of one who lacks what was agreed");
+            self.acknowledged = council.commit_index();
             for (other, process) in &self.all {
                 let clock = self.now * process.rate;
                 let holds = process.council.as_ref().is_some_and(|council| council.lease(clock).is_some());
@@ -227,7 +238,7 @@
                 let now = self.clock(id);
                 for (from, _, message) in waiting {
                     if let Some(council) = &mut self.all.get_mut(&id).unwrap().council {
-                        council.heard(now, from, message);
+                        council.handle_message(now, from, message);
                     }
                 }
                 self.tick(id);
@@ -245,7 +256,7 @@
                     let synced = process.disk.since.len().saturating_sub(left);
                     let some: Vec<Record> = process.disk.since.drain(..synced).collect();
                     process.disk.synced.extend(some);
-                    council.durable(now, handed);
+                    council.handle_durable(now, handed);
                     self.settle(id);
                 }
             }
@@ -259,7 +270,7 @@
                 if process.stopped {
                     process.waiting.push((from, run, message));
                 } else if let Some(council) = &mut process.council {
-                    council.heard(now, from, message);
+                    council.handle_message(now, from, message);
                     self.settle(to);
                 }
             }
@@ -304,7 +315,8 @@
     }
 
     fn whole(&self) -> bool {
-        let whole = |p: &Process| p.council.as_ref().is_some_and(|c| c.standing() == Standing::Whole);
+        let whole =
+            |p: &Process| p.council.as_ref().is_some_and(|c| c.recovery_state() == RecoveryState::Ready);
         self.all.values().all(whole)
     }
 
@@ -352,7 +364,7 @@
             7 => {
                 if let Some(leader) = self.leader() {
                     let now = self.clock(leader);
-                    _ = self.all.get_mut(&leader).unwrap().council.as_mut().unwrap().transfer(now);
+                    _ = self.all.get_mut(&leader).unwrap().council.as_mut().unwrap().transfer_leadership(now);
                     self.settle(leader);
                 }
             }
@@ -466,7 +478,7 @@
     for other in world.all.keys().copied().collect::<Vec<_>>() {
         world.cut.extend([(leader, other), (other, leader)]);
     }
-    world.run(FIGURES.election * 1.5);
+    world.run(FIGURES.election_timeout_ms * 1.5);
     assert_ne!(world.all[&leader].council.as_ref().unwrap().role(), Role::Leader);
 }
 
@@ -485,7 +497,7 @@
         assert!(
             world.whole(),
             "{:?}",
-            world.all.values().map(|p| p.council.as_ref().map(Council::standing)).collect::<Vec<_>>()
+            world.all.values().map(|p| p.council.as_ref().map(RaftNode::recovery_state)).collect::<Vec<_>>()
         );
         assert!(world.leader().is_some());
     });
@@ -515,8 +527,8 @@
         let mut doubted = false;
         for _ in 0..200 {
             world.run(5.0);
-            let standing = world.all[&MemberId(2)].council.as_ref().unwrap().standing();
-            doubted |= matches!(standing, Standing::Doubtful { .. });
+            let standing = world.all[&MemberId(2)].council.as_ref().unwrap().recovery_state();
+            doubted |= matches!(standing, RecoveryState::Recovering { .. });
         }
         assert!(doubted, "the others know of a later start");
         world.run(1000.0);
@@ -532,7 +544,11 @@
         let (new, old) = (MemberId(4), world.any());
         world.all.insert(new, Process::new(1.0));
         world.start(new);
-        let steps = [Change::Add(new, "m4".into()), Change::Promote(new), Change::Remove(old)];
+        let steps = [
+            MembershipChange::Add(new, "m4".into()),
+            MembershipChange::Promote(new),
+            MembershipChange::Remove(old),
+        ];
         for step in steps {
             let mut tries = 0;
             loop {
@@ -542,10 +558,10 @@
                 if let Some(leader) = world.leader() {
                     let now = world.clock(leader);
                     let council = world.all.get_mut(&leader).unwrap().council.as_mut().unwrap();
-                    let taken = council.change(now, &step);
+                    let taken = council.change_members(now, &step);
                     if taken.is_ok() {
-                        let again = council.change(now, &Change::Remove(MemberId(1)));
-                        assert_eq!(again, Err(Refused::Changing), "one at a time");
+                        let again = council.change_members(now, &MembershipChange::Remove(MemberId(1)));
+                        assert_eq!(again, Err(ProposeError::MembershipChangeInProgress), "one at a time");
                         world.settle(leader);
                         break;
                     }
@@ -576,7 +592,7 @@
     world.run(1500.0);
     let leader = world.leader().unwrap();
     let now = world.clock(leader);
-    world.all.get_mut(&leader).unwrap().council.as_mut().unwrap().failing(now, true);
+    world.all.get_mut(&leader).unwrap().council.as_mut().unwrap().set_store_failing(now, true);
     world.settle(leader);
     assert_eq!(world.all[&leader].council.as_ref().unwrap().role(), Role::Follower);
     world.run(3000.0);
@@ -590,9 +606,9 @@
     world.run(1500.0);
     let (leader, term) = (world.leader().unwrap(), *world.leaders.keys().next_back().unwrap());
     let now = world.clock(leader);
-    assert!(world.all.get_mut(&leader).unwrap().council.as_mut().unwrap().transfer(now));
+    assert!(world.all.get_mut(&leader).unwrap().council.as_mut().unwrap().transfer_leadership(now));
     world.settle(leader);
-    world.run(FIGURES.election / 2.0);
+    world.run(FIGURES.election_timeout_ms / 2.0);
     let heir = world.leader().unwrap();
     assert!(heir != leader && *world.leaders.keys().next_back().unwrap() > term);
 }
--- a/crates/council/tests/sight.rs
+++ b/crates/council/tests/sight.rs
@@ -6,16 +6,21 @@
 use juniperrail_council::*;
 use juniperrail_interface::Ms;
 
-const PACE: Pace = Pace { period: 100.0, answer: 30.0, by_others: 3, words: 8 };
+const PACE: SwimConfig = SwimConfig {
+    probe_period_ms: 100.0,
+    probe_timeout_ms: 30.0,
+    indirect_probe_count: 3,
+    max_updates_per_message: 8,
+};
 
 struct Group {
     rng: fastrand::Rng,
     now: Ms,
-    all: BTreeMap<MemberId, Option<Sight>>,
+    all: BTreeMap<MemberId, Option<FailureDetector>>,
     stopped: Vec<MemberId>,
     cut: Vec<(MemberId, MemberId)>,
     loss: f64,
-    under_way: Vec<(Ms, MemberId, MemberId, SightMessage)>,
+    under_way: Vec<(Ms, MemberId, MemberId, SwimMessage)>,
     deaths: Vec<(MemberId, MemberId)>,
 }
 
@@ -23,8 +28,8 @@
     fn new(seed: u64, size: u16) -> Group {
         let ids: Vec<MemberId> = (1..=size).map(MemberId).collect();
         let sight = |id: &MemberId| {
-            let mut sight = Sight::start(*id, PACE, 1, seed + u64::from(id.0), 0.0);
-            sight.watch(0.0, ids.iter().copied());
+            let mut sight = FailureDetector::start(*id, PACE, 1, seed + u64::from(id.0), 0.0);
+            sight.set_members(0.0, ids.iter().copied());
             (*id, Some(sight))
         };
         Group {
@@ -39,7 +44,7 @@
         }
     }
 
-    fn sight(&self, id: u16) -> &Sight {
+    fn sight(&self, id: u16) -> &FailureDetector {
         self.all[&MemberId(id)].as_ref().unwrap()
     }
 
@@ -57,18 +62,19 @@
                     continue;
                 }
                 if let Some(Some(sight)) = self.all.get_mut(&to) {
-                    sight.heard(now, now + f64::from(to.0), from, message);
+                    sight.handle_message(now, now + f64::from(to.0), from, message);
                 }
             }
             let ids: Vec<MemberId> = self.all.keys().copied().filter(|id| here(self, id)).collect();
             for id in ids {
                 let Some(Some(sight)) = self.all.get_mut(&id) else { continue };
-                if now >= sight.next() {
+                if now >= sight.next_tick() {
                     sight.tick(now);
                 }
-                let dead = sight.turned().into_iter().filter(|(_, health)| *health == Health::Dead);
+                let dead =
+                    sight.take_health_changes().into_iter().filter(|(_, health)| *health == Health::Dead);
                 self.deaths.extend(dead.map(|(about, _)| (id, about)));
-                for (to, message) in sight.sends() {
+                for (to, message) in sight.take_messages() {
                     if !self.cut.contains(&(id, to)) && self.rng.f64() >= self.loss {
                         self.under_way.push((now + 0.5 + self.rng.f64() * 5.0, id, to, message));
                     }
@@ -115,7 +121,7 @@
         group.cut.extend(both.then_some((MemberId(3), MemberId(1))));
         group.run(8_000.0);
         assert_eq!(group.sight(1).health(MemberId(3)), Health::Alive);
-        assert_eq!(group.sight(1).reach(group.now, MemberId(3)), Reach::ByOthers);
+        assert_eq!(group.sight(1).reach(group.now, MemberId(3)), Reach::Indirect);
         assert_eq!(group.sight(2).reach(group.now, MemberId(3)), Reach::Direct);
         assert!(group.deaths.is_empty(), "{:?}", group.deaths);
     }
@@ -131,14 +137,14 @@
     group.deaths.clear();
     group.stopped.clear();
     group.run(20.0);
-    assert!(group.sight(4).own_health() > 0);
+    assert!(group.sight(4).local_health() > 0);
     group.run(10_000.0);
     assert!(group.deaths.iter().all(|(by, _)| by.0 != 4), "{:?}", group.deaths);
     assert!(
         group.healths(4).iter().all(|health| *health == Health::Alive),
         "it objects by a later incarnation"
     );
-    assert_eq!(group.sight(4).own_health(), 0, "and is well again");
+    assert_eq!(group.sight(4).local_health(), 0, "and is well again");
 }
 
 #[test]
--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -56,7 +56,7 @@
     /// As a snapshot has it; that of the first hour is empty.
     pub fn read(snapshot: &Snapshot) -> Option<Agreed> {
         if snapshot.state.is_empty() {
-            return Some(Agreed { at: snapshot.last, ..Agreed::default() });
+            return Some(Agreed { at: snapshot.last_index, ..Agreed::default() });
         }
         postcard::from_bytes(&snapshot.state).ok()
     }
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use juniperrail_council::{
-    median_clock, Change, Council, Done, Health, Index, Member, MemberId, Members, Message, News, Recovered,
-    Role, Run, Sight, Voice,
+    median_clock, Actions, FailureDetector, Health, Index, Member, MemberId, MemberRole, Members,
+    MembershipChange, Message, RaftEvent, RaftNode, Role, Run, StoredState,
 };
 use juniperrail_failover::{Evidence, InForce, Pilot};
 use juniperrail_faults::{Fault, Point};
@@ -37,8 +37,8 @@
 pub struct Core {
     setting: Setting,
     started: Instant,
-    council: Council,
-    sight: Sight,
+    council: RaftNode,
+    sight: FailureDetector,
     writer: Writer<Watched>,
     /// Records that the writer has not taken yet.
     behind: VecDeque<Vec<u8>>,
@@ -62,21 +62,21 @@
 impl Core {
     pub fn new(
         setting: &Setting,
-        kept: Recovered,
+        kept: StoredState,
         writer: Writer<Watched>,
         mail: Arc<Mail>,
         seen: Arc<Mutex<Seen>>,
         hand: watch::Sender<Arc<Parts>>,
     ) -> Core {
         let voter = |(id, address): (&MemberId, &String)| {
-            (*id, Member { address: address.clone(), voice: Voice::Voter })
+            (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
         let named: Members = setting.members.iter().map(voter).collect();
         // Guards against a seed that is told again at the next start: by this chance a store is told from one that was lost.
         let seed = setting.seed ^ fastrand::u64(..);
-        let council = Council::start(setting.me, setting.figures, named, seed, 0.0, kept);
+        let council = RaftNode::start(setting.me, setting.figures, named, seed, 0.0, kept);
         let run = council.run();
-        let sight = Sight::start(setting.me, setting.sight, run.0, seed ^ 1, 0.0);
+        let sight = FailureDetector::start(setting.me, setting.sight, run.0, seed ^ 1, 0.0);
         Core {
             started: Instant::now(),
             council,
@@ -125,7 +125,7 @@
         self.carry_out();
         loop {
             let now = self.now();
-            let next = self.council.next().min(self.sight.next()).min(self.look).min(now + LONGEST);
+            let next = self.council.next_tick().min(self.sight.next_tick()).min(self.look).min(now + LONGEST);
             let wait = Duration::from_secs_f64((next - now).clamp(0.0, LONGEST) / 1000.0);
             let rung = self.mail.wait(wait);
             if rung.stop {
@@ -134,10 +134,10 @@
             let now = self.now();
             self.store(now);
             self.hear(now);
-            if now >= self.council.next() {
+            if now >= self.council.next_tick() {
                 self.council.tick(now);
             }
-            if now >= self.sight.next() {
+            if now >= self.sight.next_tick() {
                 self.sight.tick(now);
             }
             if rung.leave && self.leaving.is_none() {
@@ -146,7 +146,7 @@
             self.carry_out();
             self.left();
             if now >= self.look {
-                self.look = now + self.setting.figures.heartbeat;
+                self.look = now + self.setting.figures.heartbeat_interval_ms;
                 self.reconcile(now);
                 self.schedules(now);
                 self.zones(now);
@@ -177,9 +177,9 @@
                 false => tracing::info!("fleet: the store is well again"),
             }
             self.failing = failing;
-            self.council.failing(now, failing);
+            self.council.set_store_failing(now, failing);
         }
-        self.council.durable(now, figures.durable.0);
+        self.council.handle_durable(now, figures.durable.0);
         _ = Point::COUNCIL_DURABLE.pass();
     }
 
@@ -189,8 +189,8 @@
         for (from, parcels) in came {
             for parcel in parcels {
                 match parcel {
-                    PeerMessage::Council(message) => self.council.heard(now, from, message),
-                    PeerMessage::Sight(message) => self.sight.heard(now, day, from, message),
+                    PeerMessage::Council(message) => self.council.handle_message(now, from, message),
+                    PeerMessage::Sight(message) => self.sight.handle_message(now, day, from, message),
                     PeerMessage::Evidence(word) => self.witness(now, from, word),
                 }
             }
@@ -210,7 +210,8 @@
     /// Does what the council wants, until it wants nothing more.
     fn carry_out(&mut self) {
         loop {
-            let Done { writes, sends, agreed, news } = self.council.take();
+            let Actions { records: writes, messages: sends, committed: agreed, events: news } =
+                self.council.take_actions();
             if writes.is_empty() && sends.is_empty() && agreed.is_empty() && news.is_empty() {
                 break;
             }
@@ -218,7 +219,7 @@
                 _ = Point::COUNCIL_WRITE.pass();
             }
             for record in writes {
-                let bytes = record.write();
+                let bytes = record.encode();
                 if !self.behind.is_empty() || self.writer.append(bytes.clone()).is_err() {
                     self.behind.push_back(bytes);
                 }
@@ -229,10 +230,10 @@
             news.into_iter().for_each(|news| self.told(news));
             agreed.into_iter().for_each(|agreed| self.take_over(agreed));
         }
-        for (to, message) in self.sight.sends() {
+        for (to, message) in self.sight.take_messages() {
             self.mail.of(to).send(PeerMessage::Sight(message));
         }
-        for (about, health) in self.sight.turned() {
+        for (about, health) in self.sight.take_health_changes() {
             match health {
                 Health::Alive => tracing::info!("fleet: {about} is there"),
                 Health::Suspect => tracing::info!("fleet: {about} does not answer and is suspected"),
@@ -243,32 +244,32 @@
         self.compact();
     }
 
-    fn told(&mut self, news: News) {
+    fn told(&mut self, news: RaftEvent) {
         match news {
-            News::Leads(term) => {
+            RaftEvent::BecameLeader(term) => {
                 tracing::info!("fleet: this manager leads in {term}");
                 (self.leading, self.pilot) = (Leading::default(), Pilot::default());
                 _ = Point::COUNCIL_LEADS.pass();
             }
-            News::Follows(leader, term) => tracing::info!("fleet: {leader} leads in {term}"),
-            News::SteppedDown(term, why) => {
+            RaftEvent::LeaderChanged(leader, term) => tracing::info!("fleet: {leader} leads in {term}"),
+            RaftEvent::SteppedDown(term, why) => {
                 tracing::info!("fleet: this manager leads no more in {term}: {why}")
             }
-            News::Founded(count) => tracing::info!("fleet: the council of {count} is founded"),
-            News::Doubtful => {
+            RaftEvent::Bootstrapped(count) => tracing::info!("fleet: the council of {count} is founded"),
+            RaftEvent::RecoveryStarted => {
                 tracing::warn!("fleet: the store is lost or old: nothing is voted on until others have told what it lacks");
             }
-            News::Whole => tracing::info!("fleet: the store has caught up"),
-            News::Outdated(from, term) => {
+            RaftEvent::RecoveryFinished => tracing::info!("fleet: the store has caught up"),
+            RaftEvent::StaleLeader(from, term) => {
                 tracing::info!("fleet: {from} still takes itself for the leader of {term}: refused")
             }
         }
     }
 
-    fn take_over(&mut self, agreed: juniperrail_council::Agreed) {
+    fn take_over(&mut self, agreed: juniperrail_council::Committed) {
         _ = Point::COUNCIL_APPLY.pass();
         match agreed {
-            juniperrail_council::Agreed::State(snapshot) => match Agreed::read(&snapshot) {
+            juniperrail_council::Committed::Snapshot(snapshot) => match Agreed::read(&snapshot) {
                 Some(state) => {
                     // One that was kept from before is no word on how things are now.
                     if self.council.leader().is_some() && state.plan != self.agreed.plan {
@@ -278,11 +279,11 @@
                 }
                 None => tracing::error!(
                     "fleet: what was agreed up to {} cannot be read by this program",
-                    snapshot.last.0
+                    snapshot.last_index.0
                 ),
             },
-            juniperrail_council::Agreed::Entry(entry) => {
-                if let juniperrail_council::What::Command(bytes) = &entry.what {
+            juniperrail_council::Committed::Entry(entry) => {
+                if let juniperrail_council::Payload::Command(bytes) = &entry.payload {
                     match Word::read(bytes) {
                         Some(word) => self.apply(entry.index, &word),
                         None => {
@@ -360,7 +361,7 @@
         drop(known);
         let now = self.now();
         let watched: Vec<MemberId> = self.council.members().keys().copied().collect();
-        self.sight.watch(now, watched.into_iter());
+        self.sight.set_members(now, watched.into_iter());
     }
 
     fn compact(&mut self) {
@@ -369,9 +370,9 @@
         }
         _ = Point::COUNCIL_COMPACT.pass();
         // All that is committed was taken over above.
-        let at = self.council.committed();
+        let at = self.council.commit_index();
         if let Some(records) = self.council.compact(at, self.agreed.write()) {
-            let records = records.iter().map(juniperrail_council::Record::write).collect();
+            let records = records.iter().map(juniperrail_council::Record::encode).collect();
             if !self.writer.compact(records) {
                 // The store keeps the longer form; the next time all is compacted again.
                 tracing::debug!("fleet: the store is busy and is compacted later");
@@ -419,23 +420,24 @@
             return;
         }
         let (file, members) = (&self.setting.members, self.council.members());
-        let learner = members.iter().find(|(_, member)| member.voice == Voice::Learner).map(|(id, _)| *id);
+        let learner =
+            members.iter().find(|(_, member)| member.role == MemberRole::Learner).map(|(id, _)| *id);
         let new = file.iter().find(|(id, _)| !members.contains_key(id));
         let old = members.keys().find(|id| !file.contains_key(id)).copied();
         let change = match (learner, new, old) {
-            (Some(id), _, _) => Change::Promote(id),
-            (None, Some((id, address)), _) => Change::Add(*id, address.clone()),
-            (None, None, Some(id)) => Change::Remove(id),
+            (Some(id), _, _) => MembershipChange::Promote(id),
+            (None, Some((id, address)), _) => MembershipChange::Add(*id, address.clone()),
+            (None, None, Some(id)) => MembershipChange::Remove(id),
             (None, None, None) => return self.propose(now, Word::Generation(self.setting.generation)),
         };
         // It is tried again at the next look, until it is taken.
-        if self.council.change(now, &change).is_ok() {
+        if self.council.change_members(now, &change).is_ok() {
             tracing::info!("fleet: the members change: {change:?}");
         }
     }
 
     fn schedules(&mut self, now: Ms) {
-        let again = AGAIN * self.setting.figures.election;
+        let again = AGAIN * self.setting.figures.election_timeout_ms;
         let leads = self.council.lease(now).is_some() && self.leaving.is_none();
         if leads != self.led {
             (self.led, self.leading) = (leads, Leading::default());
@@ -538,7 +540,7 @@
     fn leave(&mut self, now: Ms) {
         self.leaving = Some(now);
         self.sight.leave();
-        if self.council.transfer(now) {
+        if self.council.transfer_leadership(now) {
             _ = Point::COUNCIL_HAND_OVER.pass();
             tracing::info!("fleet: this manager hands its office over");
         }
@@ -563,13 +565,13 @@
             },
             leader: self.council.leader(),
             term: self.council.term(),
-            standing: Some(self.council.standing()),
-            committed: self.council.committed(),
+            standing: Some(self.council.recovery_state()),
+            committed: self.council.commit_index(),
             entries: self.council.log().len(),
             store_failing: self.failing,
             store_size: store.size,
             lost: self.mail.lost(),
-            own_health: self.sight.own_health(),
+            own_health: self.sight.local_health(),
             members: members.map(|id| (*id, self.sight.health(*id), self.sight.reach(now, *id))).collect(),
             plan: self.in_force.plan().clone(),
             plan_lapsed: self.in_force.parts().is_empty() && !self.in_force.plan().is_empty(),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -30,7 +30,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use juniperrail_council::Recovered;
+use juniperrail_council::StoredState;
 use juniperrail_failover::{Evidence, Zone};
 use juniperrail_store::{Opened, Pace, Refused, Store, Writer};
 use parking_lot::Mutex;
@@ -84,9 +84,9 @@
 
 /// The store, once it opens. A disk that fails is tried again; what is damaged is not guessed at: `None`, and this manager
 /// decides alone, as it does without a quorum.
-fn open(setting: &Setting, mail: &Mail) -> Option<(Store<Watched>, Recovered)> {
+fn open(setting: &Setting, mail: &Mail) -> Option<(Store<Watched>, StoredState)> {
     let shown = setting.store.display();
-    let again = Duration::from_secs_f64(setting.figures.election / 1000.0);
+    let again = Duration::from_secs_f64(setting.figures.election_timeout_ms / 1000.0);
     let mut told = false;
     let Opened { store, recovered } = loop {
         let opened = Watched::open(&setting.store).map_err(Refused::Io);
@@ -113,7 +113,7 @@
         tracing::warn!("fleet: {shown}: {} bytes of a torn tail are cut", recovered.torn);
     }
     let records = recovered.snapshot.iter().chain(recovered.records.iter().map(|(_, record)| record));
-    match Recovered::read(records.map(Vec::as_slice)) {
+    match StoredState::replay(records.map(Vec::as_slice)) {
         Ok(kept) => Some((store, kept)),
         Err(why) => {
             tracing::error!("fleet: this manager decides alone: {shown}: {why}");
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -58,7 +58,7 @@
         run: Run,
         book: Book,
     ) -> Links<'a> {
-        let patience = Duration::from_secs_f64(setting.figures.election / 1000.0);
+        let patience = Duration::from_secs_f64(setting.figures.election_timeout_ms / 1000.0);
         let (me, fleet) = (setting.me, setting.fleet.clone());
         Links { me, fleet, run, listener, mail, book, patience, seed: setting.seed }
     }
--- a/crates/fleet/src/mail.rs
+++ b/crates/fleet/src/mail.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use juniperrail_council::{Index, MemberId, Message, Run, SightMessage};
+use juniperrail_council::{Index, MemberId, Message, Run, SwimMessage};
 use juniperrail_failover::Evidence;
 use juniperrail_schedule::{Todo, Turn};
 use parking_lot::{Condvar, Mutex};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     Council(Message),
-    Sight(SightMessage),
+    Sight(SwimMessage),
     /// For the leader, beside the log: what is lost or late is told anew a period later.
     Evidence(Evidence),
 }
--- a/crates/fleet/src/seen.rs
+++ b/crates/fleet/src/seen.rs
@@ -1,6 +1,6 @@
 //! A copy of what people may read, written by the thread that decides in common.
 
-use juniperrail_council::{Health, Index, MemberId, Reach, Standing, Term};
+use juniperrail_council::{Health, Index, MemberId, Reach, RecoveryState, Term};
 use juniperrail_failover::Plan;
 use juniperrail_schedule::Ended;
 
@@ -10,7 +10,7 @@
     pub role: &'static str,
     pub leader: Option<MemberId>,
     pub term: Term,
-    pub standing: Option<Standing>,
+    pub standing: Option<RecoveryState>,
     pub committed: Index,
     pub entries: usize,
     pub store_failing: bool,
--- a/crates/fleet/src/setting.rs
+++ b/crates/fleet/src/setting.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use juniperrail_council::{Figures, MemberId, Pace};
+use juniperrail_council::{MemberId, RaftConfig, SwimConfig};
 use juniperrail_schedule::Schedule;
 use juniperrail_store::Limits;
 
@@ -22,8 +22,8 @@
     pub members: Addresses,
     /// Which version of that list this is: a leader whose file has a later one brings the council there.
     pub generation: u64,
-    pub figures: Figures,
-    pub sight: Pace,
+    pub figures: RaftConfig,
+    pub sight: SwimConfig,
     /// What failover between zones goes by, where it is on.
     pub failover: Option<juniperrail_failover::Figures>,
     pub schedules: BTreeMap<String, Schedule>,
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use juniperrail_council::{Figures, MemberId, Pace, Run};
+use juniperrail_council::{MemberId, RaftConfig, Run, SwimConfig};
 use juniperrail_fleet::{Bound, Fleet, Setting};
 use juniperrail_store::Limits;
 use serde::Serialize;
@@ -59,8 +59,19 @@
         limits: Limits::default(),
         members: others.into_iter().chain([(MemberId(1), address.to_string())]).collect(),
         generation: 0,
-        figures: Figures { heartbeat: 100.0, election: ELECTION, drift: 0.1, batch: 64, waiting: 64 },
-        sight: Pace { period: 1000.0, answer: 300.0, by_others: 3, words: 16 },
+        figures: RaftConfig {
+            heartbeat_interval_ms: 100.0,
+            election_timeout_ms: ELECTION,
+            max_clock_drift_ratio: 0.1,
+            max_entries_per_message: 64,
+            max_uncommitted_entries: 64,
+        },
+        sight: SwimConfig {
+            probe_period_ms: 1000.0,
+            probe_timeout_ms: 300.0,
+            indirect_probe_count: 3,
+            max_updates_per_message: 16,
+        },
         failover: None,
         schedules: Default::default(),
         seed: 7,
--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -6,17 +6,25 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use juniperrail_council::{Council, Figures, Member, MemberId, Members, Message, Recovered, Role, Voice};
+use juniperrail_council::{
+    Member, MemberId, MemberRole, Members, Message, RaftConfig, RaftNode, Role, StoredState,
+};
 use juniperrail_store::{sim::SimDisk, Disk, Folder, Limits, Store};
 use juniperrail_trials::{ClusterConfig, LinkState, TestCluster};
 
 use crate::report::Report;
 
-const FIGURES: Figures = Figures { heartbeat: 50.0, election: 400.0, drift: 0.05, batch: 64, waiting: 4096 };
+const FIGURES: RaftConfig = RaftConfig {
+    heartbeat_interval_ms: 50.0,
+    election_timeout_ms: 400.0,
+    max_clock_drift_ratio: 0.05,
+    max_entries_per_message: 64,
+    max_uncommitted_entries: 4096,
+};
 
 /// A member with its store; messages take no time, so that what is left is deciding and syncing.
 struct One<D> {
-    council: Council,
+    council: RaftNode,
     store: Store<D>,
     written: u64,
 }
@@ -28,14 +36,14 @@
 
 impl<D: Disk> Group<D> {
     fn new(count: u16, disk: impl Fn(u16) -> D) -> Group<D> {
-        let member = |id| (MemberId(id), Member { address: String::new(), voice: Voice::Voter });
+        let member = |id| (MemberId(id), Member { address: String::new(), role: MemberRole::Voter });
         let named: Members = (1..=count).map(member).collect();
         let one = |id: u16| {
             let store = Store::open(disk(id), Limits::default())
                 .unwrap_or_else(|why| panic!("a new store: {why}"))
                 .store;
             let council =
-                Council::start(MemberId(id), FIGURES, named.clone(), id.into(), 0.0, Recovered::default());
+                RaftNode::start(MemberId(id), FIGURES, named.clone(), id.into(), 0.0, StoredState::default());
             (MemberId(id), One { council, store, written: 0 })
         };
         let mut group = Group { all: (1..=count).map(one).collect(), now: 0.0 };
@@ -60,16 +68,16 @@
             let mut sends: Vec<(MemberId, MemberId, Message)> = Vec::new();
             let mut idle = true;
             for (id, one) in &mut self.all {
-                let done = one.council.take();
-                idle &= done.writes.is_empty() && done.sends.is_empty();
-                sends.extend(done.sends.into_iter().map(|(to, message)| (*id, to, message)));
-                for record in &done.writes {
-                    one.store.append(&record.write()).unwrap_or_else(|why| panic!("room: {why}"));
+                let done = one.council.take_actions();
+                idle &= done.records.is_empty() && done.messages.is_empty();
+                sends.extend(done.messages.into_iter().map(|(to, message)| (*id, to, message)));
+                for record in &done.records {
+                    one.store.append(&record.encode()).unwrap_or_else(|why| panic!("room: {why}"));
                     one.written += 1;
                 }
-                if !done.writes.is_empty() {
+                if !done.records.is_empty() {
                     one.store.commit().unwrap_or_else(|why| panic!("a sound disk: {why}"));
-                    one.council.durable(self.now, one.written);
+                    one.council.handle_durable(self.now, one.written);
                 }
             }
             if idle {
@@ -77,7 +85,7 @@
             }
             for (from, to, message) in sends {
                 let one = self.all.get_mut(&to).expect("a member");
-                one.council.heard(self.now, from, message);
+                one.council.handle_message(self.now, from, message);
             }
         }
     }
@@ -90,17 +98,17 @@
             let round = Instant::now();
             let leader = self.leader().expect("it leads");
             let one = self.all.get_mut(&leader).expect("a member");
-            let before = one.council.committed().0;
+            let before = one.council.commit_index().0;
             for _ in 0..together {
                 one.council.propose(self.now, vec![7; 64]).unwrap_or_else(|why| panic!("{why}"));
             }
             self.settle();
-            assert!(self.all[&leader].council.committed().0 >= before + together as u64, "all are agreed");
+            assert!(self.all[&leader].council.commit_index().0 >= before + together as u64, "all are agreed");
             took.record(round.elapsed().as_micros() as u64).expect("within an hour");
             // A log that grows without end is not what is measured.
             if self.all[&leader].council.log().len() > 4096 {
                 for one in self.all.values_mut() {
-                    let at = one.council.committed();
+                    let at = one.council.commit_index();
                     one.council.compact(at, Vec::new());
                 }
             }
@@ -108,7 +116,7 @@
             let now = self.now;
             self.all
                 .values_mut()
-                .filter(|one| now >= one.council.next())
+                .filter(|one| now >= one.council.next_tick())
                 .for_each(|one| one.council.tick(now));
             self.settle();
         }
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use juniperrail_council::{Figures, Health, MemberId, Pace, Reach, Standing};
+use juniperrail_council::{Health, MemberId, RaftConfig, Reach, RecoveryState, SwimConfig};
 use juniperrail_failover::{Evidence, Gather, Zone};
 use juniperrail_fleet::{Common, Setting};
 use juniperrail_interface::{Listed, Ms, Phase, Start};
@@ -94,8 +94,19 @@
         limits: Limits::default(),
         members,
         generation: number(&fleet, "generation"),
-        figures: Figures { heartbeat, election, drift: figure("drift"), batch: BATCH, waiting: WAITING },
-        sight: Pace { period, answer, by_others: BY_OTHERS, words: WORDS },
+        figures: RaftConfig {
+            heartbeat_interval_ms: heartbeat,
+            election_timeout_ms: election,
+            max_clock_drift_ratio: figure("drift"),
+            max_entries_per_message: BATCH,
+            max_uncommitted_entries: WAITING,
+        },
+        sight: SwimConfig {
+            probe_period_ms: period,
+            probe_timeout_ms: answer,
+            indirect_probe_count: BY_OTHERS,
+            max_updates_per_message: WORDS,
+        },
         schedules,
         seed,
         entries: number(&fleet, "entries") as usize,
@@ -171,8 +182,8 @@
     let reach = |reach: Reach| match reach {
         Reach::Unknown => "unknown",
         Reach::Direct => "direct",
-        Reach::ByOthers => "by-others",
-        Reach::Nobody => "nobody",
+        Reach::Indirect => "by-others",
+        Reach::Unreachable => "nobody",
     };
     let why = |health: juniperrail_failover::Health| match health {
         juniperrail_failover::Health::Unknown => "unknown",
@@ -189,10 +200,10 @@
         leader: seen.leader.map(|leader| leader.0),
         term: seen.term.0,
         standing: match seen.standing {
-            None | Some(Standing::Fresh) => "fresh",
-            Some(Standing::Settling { .. }) => "settling",
-            Some(Standing::Doubtful { .. }) => "doubtful",
-            Some(Standing::Whole) => "whole",
+            None | Some(RecoveryState::Empty) => "fresh",
+            Some(RecoveryState::Verifying { .. }) => "settling",
+            Some(RecoveryState::Recovering { .. }) => "doubtful",
+            Some(RecoveryState::Ready) => "whole",
         },
         committed: seen.committed.0,
         store_failing: seen.store_failing,
--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use juniperrail_council::{Entry, Index, MemberId, Message, Term, What};
+use juniperrail_council::{Entry, Index, MemberId, Message, Payload, Term};
 use juniperrail_fleet::PeerMessage;
 
 /// How a link treats the bytes sent over it.
@@ -32,7 +32,7 @@
     /// The members that sent messages only a leader sends, by term.
     pub leaders: BTreeMap<Term, Vec<MemberId>>,
     /// The log entries that leaders sent, by index and term.
-    pub entries: BTreeMap<(Index, Term), What>,
+    pub entries: BTreeMap<(Index, Term), Payload>,
     /// Entries sent with the same index and term and different content.
     pub conflicts: Vec<String>,
 }
@@ -174,18 +174,18 @@
 /// Records what a leader sends, and conflicts with what was sent before.
 fn record_message(from: MemberId, message: PeerMessage, traffic: &mut Traffic) {
     let (term, entries) = match message {
-        PeerMessage::Council(Message::Append { term, entries, .. }) => (term, entries),
-        PeerMessage::Council(Message::Install { term, .. }) => (term, Vec::new()),
+        PeerMessage::Council(Message::AppendEntries { term, entries, .. }) => (term, entries),
+        PeerMessage::Council(Message::InstallSnapshot { term, .. }) => (term, Vec::new()),
         _ => return,
     };
     let leaders = traffic.leaders.entry(term).or_default();
     if !leaders.contains(&from) {
         leaders.push(from);
     }
-    for Entry { index, term, what } in entries {
-        let known = traffic.entries.entry((index, term)).or_insert_with(|| what.clone());
-        if *known != what {
-            traffic.conflicts.push(format!("{index:?} of {term}: {known:?} and {what:?}"));
+    for Entry { index, term, payload } in entries {
+        let known = traffic.entries.entry((index, term)).or_insert_with(|| payload.clone());
+        if *known != payload {
+            traffic.conflicts.push(format!("{index:?} of {term}: {known:?} and {payload:?}"));
         }
     }
 }
