--- a/crates/council/src/council.rs
+++ b/crates/council/src/council.rs
@@ -9,7 +9,7 @@
 use crate::log::{Entry, Log, Member, MemberRole, Members, MembershipChange, Payload, Snapshot};
 use crate::message::Message;
 use crate::record::{KnownRun, Record, StoredState};
-use crate::standing::{Answer, Inquiry, RecoveryState};
+use crate::standing::{Answer, Handshake, RecoveryState};
 
 /// Messages held back until what they tell is durable; beyond it the oldest are lost, as on any link.
 const HELD: usize = 4096;
@@ -146,7 +146,7 @@
     run: Run,
     peers: BTreeMap<MemberId, KnownRun>,
     standing: RecoveryState,
-    inquiry: Inquiry,
+    inquiry: Handshake,
     asks: Ms,
     /// By what its store is told from another of this member, and all those of the first hour.
     birth: u64,
@@ -181,7 +181,7 @@
         kept: StoredState,
     ) -> RaftNode {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let inquiry = Inquiry::new(rng.u64(..));
+        let inquiry = Handshake::new(rng.u64(..));
         let birth = kept.store_id.unwrap_or_else(|| rng.u64(..));
         let standing = match kept {
             StoredState { bootstrapped: false, .. } => RecoveryState::Empty,
@@ -376,21 +376,21 @@
     }
 
     fn judge(&mut self, now: Ms) {
-        if self.inquiry.known() >= self.run {
-            self.run = Run(self.inquiry.known().0 + 1);
+        if self.inquiry.known_run() >= self.run {
+            self.run = Run(self.inquiry.known_run().0 + 1);
             self.write(Record::Run(self.run));
-            self.inquiry.anew();
+            self.inquiry.clear();
             return self.doubt(now);
         }
         match self.standing {
             RecoveryState::Ready => {}
             RecoveryState::Empty => {
-                let births = match self.inquiry.founding() {
+                let births = match self.inquiry.bootstrap_stores() {
                     // Another has founded with this very store, which had nothing to forget then.
                     Some(founding) if founding.get(&self.me) == Some(&self.birth) => Some(founding.clone()),
                     // It has founded with a store that is lost, or before this member was added.
                     Some(_) => return self.doubt(now),
-                    None if self.votes() => self.inquiry.all_fresh(self.others()),
+                    None if self.votes() => self.inquiry.empty_stores(self.others()),
                     None => None,
                 };
                 if let Some(mut births) = births {
@@ -405,7 +405,7 @@
                 }
             }
             RecoveryState::Recovering { term: None } => {
-                if let Some(term) = self.inquiry.term(self.others()) {
+                if let Some(term) = self.inquiry.highest_term(self.others()) {
                     let term = term.max(self.term);
                     // It may have voted in that term, so it votes for nobody but itself, who does not stand.
                     (self.term, self.vote) = (term, Some(self.me));
@@ -439,7 +439,7 @@
     /// Its log is the leader's up to there: that may be all that it may have forgotten.
     fn caught_up(&mut self, leader: MemberId, upto: Index) {
         let RecoveryState::Recovering { term: Some(adopted) } = self.standing else { return };
-        let reached = self.inquiry.reached(leader, self.term);
+        let reached = self.inquiry.leader_last_index(leader, self.term);
         if self.term >= adopted && reached.is_some_and(|reached| upto >= reached) {
             self.write(Record::RecoveryFinished);
             self.standing = RecoveryState::Ready;
@@ -869,7 +869,7 @@
                 bootstrap_stores,
             } => {
                 if run == self.run {
-                    self.inquiry.take(
+                    self.inquiry.record(
                         from,
                         Answer { known_run, term, last_index, is_leader, store_id, bootstrap_stores },
                     );
--- a/crates/council/src/ids.rs
+++ b/crates/council/src/ids.rs
@@ -1,31 +1,33 @@
-//! Ids, each a type of its own.
+//! Identifier types of the consensus group.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A manager by its number in the operator's file.
+/// A member's number in the operator's configuration file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// A term of office: at most one member leads in it.
+/// A Raft term. At most one member is elected leader in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// A place in the log, from 1 on; 0 is before all. The index of a committed entry is its fencing number.
+/// A position in the log. Entries start at 1; 0 is the position before the first entry. The index of a committed entry
+/// also serves as its fencing token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Index(pub u64);
 
-/// Which start of a member this is, counted in its store.
+/// The number of a member's start, counted in its store: each restart has a higher one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Run(pub u64);
 
 impl Index {
+    /// The next position.
     pub fn next(self) -> Index {
         Index(self.0 + 1)
     }
 
-    /// The one before; that of 0 is 0.
+    /// The previous position; for 0 it is 0.
     pub fn previous(self) -> Index {
         Index(self.0.saturating_sub(1))
     }
--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -1,13 +1,15 @@
-//! Who is there, and what managers agree on. All of it is decided here without I/O, clocks or threads: `now`, messages,
-//! durable acknowledgements and chance are handed in, and what comes back is what to write first, what to send after
-//! that, and what was agreed.
+//! Consensus between managers and failure detection, free of I/O, clocks and threads. The caller passes in the time,
+//! received messages, notices of durable writes and random seeds; it gets back the records to write, the messages to
+//! send after that, and the entries that are committed.
 //!
-//! [`RaftNode`] is Raft (Ongaro and Ousterhout, 2014) with what Ongaro's dissertation adds: pre-vote, the leader's check
-//! of its quorum, leases, one-at-a-time changes of members, learners, transfer. [`FailureDetector`] is SWIM (Das, Gupta and
-//! Motivala, 2002) with Lifeguard's local health (Dadgar, Phillips and Currey, 2017). [`median_clock`] is what a group
-//! takes for the time where single clocks jump. What departs from the papers is in `docs/design/council.md`.
+//! [`RaftNode`] is Raft (Ongaro and Ousterhout, 2014) with the extensions of Ongaro's dissertation: pre-vote,
+//! check-quorum, leases, one-at-a-time membership changes, learners and leadership transfer. [`FailureDetector`] is SWIM
+//! (Das, Gupta and Motivala, 2002) with Lifeguard's local health (Dadgar, Phillips and Currey, 2017). [`median_clock`]
+//! gives a group a wall-clock time that does not jump when single clocks do. `docs/design/council.md` lists the
+//! departures from the papers.
 //!
-//! A fencing number is the index of the entry that granted it: it grows over all restarts, and no two grants share one.
+//! A fencing token is the index of the log entry that granted it: tokens increase across all restarts, and no two grants
+//! share one.
 
 mod clock;
 mod council;
--- a/crates/council/src/log.rs
+++ b/crates/council/src/log.rs
@@ -1,4 +1,4 @@
-//! The log of what is to be agreed, with the members in force and the snapshot that stands for its beginning.
+//! The replicated log: a snapshot, the entries after it, and the membership in force.
 
 use std::collections::BTreeMap;
 
@@ -6,42 +6,46 @@
 
 use crate::ids::{Index, MemberId, Term};
 
-/// Whether a member's word counts.
+/// Whether a member counts towards quorums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRole {
     Voter,
-    /// It is told all and asked nothing, until it has caught up.
+    /// It receives the log and has no vote, until it has caught up and is promoted.
     Learner,
 }
 
+/// A member of the group, as the log records it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where its links listen; others learn it from here.
+    /// The address that the member listens on. Other members learn it from here.
     pub address: String,
     pub role: MemberRole,
 }
 
 pub type Members = BTreeMap<MemberId, Member>;
 
-/// One step of membership; never two at once, so that the quorums before and after have a member in common.
+/// A single membership change. Only one is in progress at a time, so that any quorum before it and any quorum after it
+/// share a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// It becomes a learner.
+    /// Adds a learner with this address.
     Add(MemberId, String),
-    /// A learner that has caught up becomes a voter.
+    /// Makes a learner that has caught up a voter.
     Promote(MemberId),
     Remove(MemberId),
 }
 
+/// What a log entry carries. Entries are encoded by position, so variants and fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// A leader's first entry: what is before it is committed with it.
+    /// The first entry of a leader's term. Once it is committed, so are all entries before it.
     NoOp,
     Membership(Members),
-    /// What the parts above agree on, in their own form.
+    /// A command of the application, in the application's own encoding.
     Command(Vec<u8>),
 }
 
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     pub index: Index,
@@ -49,101 +53,113 @@
     pub payload: Payload,
 }
 
-/// All up to `last`, as the parts above wrote it.
+/// Replaces all entries up to `last_index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub last_index: Index,
+    /// The term of the entry at `last_index`.
     pub last_term: Term,
     pub members: Members,
+    /// The application's state, in its own encoding.
     pub state: Vec<u8>,
 }
 
-/// A snapshot and the entries after it, without a gap.
+/// A snapshot and the entries that follow it without a gap.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Log {
     pub snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// Where the members in force were set, if not by the snapshot.
-    members_at: Option<usize>,
+    /// The offset in `entries` of the latest membership entry, if there is one.
+    membership_offset: Option<usize>,
 }
 
 impl Log {
+    /// A log that holds only this snapshot.
     pub fn new(snapshot: Snapshot) -> Log {
-        Log { snapshot, entries: Vec::new(), members_at: None }
+        Log { snapshot, entries: Vec::new(), membership_offset: None }
     }
 
+    /// Index and term of the last entry.
     pub fn last(&self) -> (Index, Term) {
-        self.entries.last().map_or((self.snapshot.last_index, self.snapshot.last_term), |e| (e.index, e.term))
+        self.entries
+            .last()
+            .map_or((self.snapshot.last_index, self.snapshot.last_term), |entry| (entry.index, entry.term))
     }
 
-    /// The term of what stands there; `None` where nothing does, or only the snapshot knows.
-    pub fn term_at(&self, at: Index) -> Option<Term> {
-        match at {
-            at if at == self.snapshot.last_index => Some(self.snapshot.last_term),
-            at => self.get(at).map(|entry| entry.term),
+    /// The term of the entry at this index; `None` beyond the end of the log and for entries before the snapshot's last
+    /// one.
+    pub fn term_at(&self, index: Index) -> Option<Term> {
+        match index {
+            index if index == self.snapshot.last_index => Some(self.snapshot.last_term),
+            index => self.get(index).map(|entry| entry.term),
         }
     }
 
-    pub fn get(&self, at: Index) -> Option<&Entry> {
-        self.entries.get(self.place(at)?)
+    /// The entry at this index, if it exists and is not part of the snapshot.
+    pub fn get(&self, index: Index) -> Option<&Entry> {
+        self.entries.get(self.offset(index)?)
     }
 
-    fn place(&self, at: Index) -> Option<usize> {
-        usize::try_from(at.0.checked_sub(self.snapshot.last_index.0 + 1)?).ok()
+    fn offset(&self, index: Index) -> Option<usize> {
+        usize::try_from(index.0.checked_sub(self.snapshot.last_index.0 + 1)?).ok()
     }
 
-    /// Entries from there on, `most` of them, the first at least.
-    pub fn entries_from(&self, at: Index, most: usize) -> &[Entry] {
-        let start = self.place(at).unwrap_or(0).min(self.entries.len());
-        &self.entries[start..(start + most).min(self.entries.len())]
+    /// Up to `max_count` entries from this index on; from the first entry if the index is part of the snapshot.
+    pub fn entries_from(&self, index: Index, max_count: usize) -> &[Entry] {
+        let start = self.offset(index).unwrap_or(0).min(self.entries.len());
+        &self.entries[start..(start + max_count).min(self.entries.len())]
     }
 
+    /// The number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether there are no entries after the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Who is in force: the newest word, committed or not (dissertation, 4.1).
+    /// The membership in force: the latest one in the log, committed or not (Ongaro's dissertation, 4.1).
     pub fn members(&self) -> &Members {
-        match self.members_at.map(|at| &self.entries[at].payload) {
+        match self.membership_offset.map(|offset| &self.entries[offset].payload) {
             Some(Payload::Membership(members)) => members,
             _ => &self.snapshot.members,
         }
     }
 
-    /// Where that word stands.
+    /// The index of the entry that set the membership in force, or the snapshot's last index if the snapshot did.
     pub fn membership_index(&self) -> Index {
-        self.members_at.map_or(self.snapshot.last_index, |at| self.entries[at].index)
+        self.membership_offset.map_or(self.snapshot.last_index, |offset| self.entries[offset].index)
     }
 
-    /// Puts entries in place of all from the first of them on. False where that would leave a gap.
+    /// Replaces all entries from the index of the first new one on. Returns false, and changes nothing, if that would
+    /// leave a gap or replace a part of the snapshot.
     pub fn replace_from(&mut self, entries: &[Entry]) -> bool {
         let Some(first) = entries.first() else { return true };
-        let Some(place) = self.place(first.index).filter(|place| *place <= self.entries.len()) else {
+        let Some(offset) = self.offset(first.index).filter(|offset| *offset <= self.entries.len()) else {
             return false;
         };
-        self.entries.truncate(place);
+        self.entries.truncate(offset);
         self.entries.extend_from_slice(entries);
-        self.members_at =
+        self.membership_offset =
             self.entries.iter().rposition(|entry| matches!(entry.payload, Payload::Membership(_)));
         true
     }
 
-    /// The state stands for all up to `at`. Entries after it stay where they follow it.
-    pub fn compact(&mut self, at: Index, state: Vec<u8>) -> bool {
-        let Some((place, term)) = self.place(at).zip(self.term_at(at)) else { return false };
-        let known = |entry: &Entry| match &entry.payload {
+    /// Replaces the entries up to and including `index` with a snapshot of this state. Later entries stay. Returns false,
+    /// and changes nothing, if there is no entry at that index.
+    pub fn compact(&mut self, index: Index, state: Vec<u8>) -> bool {
+        let Some((offset, term)) = self.offset(index).zip(self.term_at(index)) else { return false };
+        let membership = |entry: &Entry| match &entry.payload {
             Payload::Membership(members) => Some(members.clone()),
             _ => None,
         };
-        let told = self.entries[..=place].iter().rev().find_map(known);
-        let members = told.unwrap_or_else(|| self.snapshot.members.clone());
-        self.snapshot = Snapshot { last_index: at, last_term: term, members, state };
-        self.entries.drain(..=place);
-        self.members_at =
+        let latest = self.entries[..=offset].iter().rev().find_map(membership);
+        let members = latest.unwrap_or_else(|| self.snapshot.members.clone());
+        self.snapshot = Snapshot { last_index: index, last_term: term, members, state };
+        self.entries.drain(..=offset);
+        self.membership_offset =
             self.entries.iter().rposition(|entry| matches!(entry.payload, Payload::Membership(_)));
         true
     }
@@ -157,35 +173,39 @@
         Entry { index: Index(index), term: Term(term), payload: Payload::Command(vec![index as u8]) }
     }
 
-    fn named(ids: &[u16]) -> Members {
+    fn voters(ids: &[u16]) -> Members {
         let member = |id: &u16| (MemberId(*id), Member { address: String::new(), role: MemberRole::Voter });
         ids.iter().map(member).collect()
     }
 
     #[test]
-    fn a_later_word_replaces_the_tail_and_with_it_the_members() {
-        let mut log = Log::new(Snapshot { members: named(&[1]), ..Snapshot::default() });
+    fn replacing_the_tail_of_the_log_also_reverts_a_membership_change_in_it() {
+        let mut log = Log::new(Snapshot { members: voters(&[1]), ..Snapshot::default() });
         assert!(log.replace_from(&[entry(1, 1), entry(2, 1)]));
-        assert!(!log.replace_from(&[entry(4, 1)]), "no gaps");
-        let set = Entry { index: Index(3), term: Term(1), payload: Payload::Membership(named(&[1, 2])) };
-        assert!(log.replace_from(&[set]));
+        assert!(!log.replace_from(&[entry(4, 1)]), "a gap is refused");
+        let change = Entry { index: Index(3), term: Term(1), payload: Payload::Membership(voters(&[1, 2])) };
+        assert!(log.replace_from(&[change]));
         assert_eq!((log.members().len(), log.membership_index()), (2, Index(3)));
         assert!(log.replace_from(&[entry(2, 2)]));
-        assert_eq!((log.members().len(), log.last()), (1, (Index(2), Term(2))), "the change is taken back");
+        assert_eq!(
+            (log.members().len(), log.last()),
+            (1, (Index(2), Term(2))),
+            "the membership change is reverted"
+        );
         assert_eq!(log.term_at(Index(1)), Some(Term(1)));
         assert_eq!((log.term_at(Index(0)), log.term_at(Index(3))), (Some(Term(0)), None));
     }
 
     #[test]
-    fn a_snapshot_stands_for_the_beginning_with_its_members() {
+    fn compaction_keeps_the_membership_and_the_last_term() {
         let mut log = Log::default();
-        let set = Entry { index: Index(1), term: Term(1), payload: Payload::Membership(named(&[7])) };
-        log.replace_from(&[set, entry(2, 1), entry(3, 2)]);
+        let change = Entry { index: Index(1), term: Term(1), payload: Payload::Membership(voters(&[7])) };
+        log.replace_from(&[change, entry(2, 1), entry(3, 2)]);
         assert!(!log.compact(Index(9), Vec::new()));
         assert!(log.compact(Index(2), vec![9]));
-        assert_eq!((log.len(), log.members(), log.last()), (1, &named(&[7]), (Index(3), Term(2))));
+        assert_eq!((log.len(), log.members(), log.last()), (1, &voters(&[7]), (Index(3), Term(2))));
         assert_eq!((log.term_at(Index(2)), log.term_at(Index(1))), (Some(Term(1)), None));
         assert_eq!(log.entries_from(Index(3), 5).len(), 1);
-        assert!(!log.replace_from(&[entry(1, 9)]), "what the snapshot stands for is not replaced");
+        assert!(!log.replace_from(&[entry(1, 9)]), "entries in the snapshot are not replaced");
     }
 }
--- a/crates/council/src/message.rs
+++ b/crates/council/src/message.rs
@@ -1,4 +1,4 @@
-//! What members say to each other of the log.
+//! Messages between the members of a consensus group.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,37 @@
 use crate::ids::{Index, MemberId, Run, Term};
 use crate::log::{Entry, Snapshot};
 
+/// A message from one member to another. Messages are encoded by position, so variants and fields keep their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Told at each start, until enough have answered. `nonce`: by chance, other at each start.
+    /// Sent to all members after a start, and repeated until the sender is allowed to vote.
     HandshakeRequest {
         run: Run,
+        /// A random number drawn at each start.
         nonce: u64,
     },
-    /// What another knows of the one that asks, and of itself.
+    /// What the answering member knows of the requester, and its own state.
     HandshakeReply {
+        /// The run of the request that this answers.
         run: Run,
-        /// The asker's last run that this member has in its store from before.
+        /// The requester's last run that the answering member knew before this one.
         known_run: Run,
         term: Term,
         last_index: Index,
         is_leader: bool,
-        /// By what its store is told from another of the same member.
+        /// A random number that identifies the answering member's store: it tells a new store of the same member from
+        /// the old one.
         store_id: u64,
-        /// The stores of the first hour, if it is over for this member.
+        /// The store ids of the members that bootstrapped the group; `None` if the answering member's own store is empty.
         bootstrap_stores: Option<BTreeMap<MemberId, u64>>,
     },
-    /// `pre`: whether it would be elected; nothing changes for it. `handed`: the leader itself asked for it.
     RequestVote {
         term: Term,
+        /// Index and term of the candidate's last log entry.
         last: (Index, Term),
+        /// Asks only whether the candidate would be elected; neither side changes its term or vote.
         pre_vote: bool,
+        /// The leader itself asked the candidate to stand, so its lease is no reason to refuse.
         leadership_transfer: bool,
     },
     RequestVoteReply {
@@ -40,38 +46,44 @@
         granted: bool,
         pre_vote: bool,
     },
-    /// `at`: the leader's clock, to be given back, so that it knows when this was sent.
     AppendEntries {
         term: Term,
+        /// The leader's clock. The reply returns it, so that the leader knows when the request was sent.
         sent_at: Ms,
+        /// Index and term of the entry before the first one sent.
         previous: (Index, Term),
         entries: Vec<Entry>,
         commit_index: Index,
     },
     InstallSnapshot {
         term: Term,
+        /// As in [`Message::AppendEntries`].
         sent_at: Ms,
         snapshot: Snapshot,
     },
-    /// Up to where both logs are the same; or, where they are not, what to try next.
+    /// The reply to [`Message::AppendEntries`] and [`Message::InstallSnapshot`].
     AppendEntriesReply {
         term: Term,
+        /// The time given in the request.
         sent_at: Ms,
         success: bool,
+        /// On success the index up to which both logs match; otherwise the index that the leader is to try next as the
+        /// previous one.
         index: Index,
     },
-    /// The leader steps aside for the one that this is sent to.
+    /// Leadership transfer: the receiver is to start an election at once.
     TimeoutNow {
         term: Term,
     },
-    /// A command for the leader, from a member that does not lead.
+    /// A command that a member which does not lead forwards to the leader.
     Propose {
         command: Vec<u8>,
     },
 }
 
 impl Message {
-    /// Of two messages with the same slot that wait for the same peer the newer one says all.
+    /// The slot of a message whose newer version replaces an older one that still waits for the same peer; `None` for
+    /// messages that all have to be sent.
     pub fn slot(&self) -> Option<u8> {
         match self {
             Message::HandshakeRequest { .. } => Some(0),
@@ -87,7 +99,7 @@
         }
     }
 
-    /// Whose leadership it speaks of.
+    /// The term that the message belongs to, if it belongs to one.
     pub fn term(&self) -> Option<Term> {
         match self {
             Message::RequestVote { term, .. }
--- a/crates/council/src/record.rs
+++ b/crates/council/src/record.rs
@@ -1,4 +1,4 @@
-//! What a member writes down before anything that depends on it is told.
+//! Records that a member writes durably before it sends any message that depends on them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,80 +8,89 @@
 use crate::ids::{MemberId, Run, Term};
 use crate::log::{Entry, Log, Snapshot};
 
+/// A durable record. Records are encoded by position, so variants and fields keep their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// By what this store is told from another of the same member.
+    /// The random id of this store, which tells it from another store of the same member.
     StoreId(u64),
-    /// A start of this member, before it says anything.
+    /// The number of this start, written before the member sends anything.
     Run(Run),
-    /// The latest start of another that this member has answered.
+    /// The latest run and nonce of another member whose handshake this member has answered.
     PeerRun(MemberId, Run, u64),
-    /// The members of the first hour; all of them said that they had nothing.
+    /// The group was bootstrapped with these members and stores, all of which were empty.
     Bootstrapped(Snapshot, BTreeMap<MemberId, u64>),
-    /// What was kept is lost or old; until [`Record::RecoveryFinished`] it votes for nobody.
+    /// This store is lost or outdated. The member grants no vote until [`Record::RecoveryFinished`].
     RecoveryStarted,
     RecoveryFinished,
+    /// The current term and the candidate that got this member's vote in it.
     TermAndVote(Term, Option<MemberId>),
-    /// In place of all from the first of them on.
+    /// Log entries; they replace all entries from the index of the first one on.
     Entries(Vec<Entry>),
     Snapshot(Snapshot),
 }
 
-/// Bytes that are no record of ours.
+/// A record that cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DecodeError(String);
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a record of the council cannot be read: {}", self.0)
+        write!(f, "a consensus record cannot be decoded: {}", self.0)
     }
 }
 
 impl Record {
+    /// The record's bytes as they are stored.
     pub fn encode(&self) -> Vec<u8> {
-        // It can't fail: nothing in a record is without a form, and the bytes are as many as it takes.
+        // This cannot fail: every value in a record can be encoded, and the vector grows as needed.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
+    /// Decodes a stored record, which must use all of `bytes`.
     pub fn decode(bytes: &[u8]) -> Result<Record, DecodeError> {
         match postcard::take_from_bytes(bytes) {
             Ok((record, [])) => Ok(record),
-            Ok((_, rest)) => Err(DecodeError(format!("{} bytes too many", rest.len()))),
-            Err(why) => Err(DecodeError(why.to_string())),
+            Ok((_, rest)) => Err(DecodeError(format!("{} trailing bytes", rest.len()))),
+            Err(error) => Err(DecodeError(error.to_string())),
         }
     }
 }
 
-/// The latest start of another member, and the one before it.
+/// The latest run of another member, and the one before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KnownRun {
     pub run: Run,
+    /// The random number that the member drew at that start.
     pub nonce: u64,
     pub previous: Run,
 }
 
 impl KnownRun {
-    /// It says that it is at this start. What is known of it from before that; `true` where this start is new.
+    /// Notes the run that a member gives in its handshake. Returns the latest run known from before this one, and whether
+    /// the run is new.
     pub fn observe(&mut self, run: Run, nonce: u64) -> (Run, bool) {
         if run > self.run {
             *self = KnownRun { run, nonce, previous: self.run };
             return (self.previous, true);
         }
-        // Guards against a store that was put back: its next start has the number of one that was already there.
-        let again = run == self.run && nonce == self.nonce;
-        (if again { self.previous } else { self.run }, false)
+        // Detects a store that was restored from a copy: its next start reuses a run number, with another nonce.
+        let repeated = run == self.run && nonce == self.nonce;
+        (if repeated { self.previous } else { self.run }, false)
     }
 }
 
-/// What a store held.
+/// The state that a store's records add up to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
+    /// `None` for an empty store.
     pub store_id: Option<u64>,
+    /// The store ids of the members that bootstrapped the group, if they are known here.
     pub bootstrap_stores: BTreeMap<MemberId, u64>,
     pub run: Run,
     pub peer_runs: BTreeMap<MemberId, KnownRun>,
-    /// It is or was part of a council.
+    /// The member is or was part of a group.
     pub bootstrapped: bool,
+    /// A recovery was started and not finished.
     pub recovering: bool,
     pub term: Term,
     pub vote: Option<MemberId>,
@@ -89,31 +98,31 @@
 }
 
 impl StoredState {
-    /// Takes records in the order in which they were written.
+    /// Replays records in the order in which they were written.
     pub fn replay<'a>(records: impl IntoIterator<Item = &'a [u8]>) -> Result<StoredState, DecodeError> {
-        let mut recovered = StoredState::default();
+        let mut stored = StoredState::default();
         records.into_iter().try_for_each(|bytes| {
-            recovered.apply(Record::decode(bytes)?);
+            stored.apply(Record::decode(bytes)?);
             Ok(())
         })?;
-        Ok(recovered)
+        Ok(stored)
     }
 
     fn apply(&mut self, record: Record) {
         match record {
-            Record::StoreId(birth) => self.store_id = Some(birth),
+            Record::StoreId(store_id) => self.store_id = Some(store_id),
             Record::Run(run) => self.run = run,
             Record::PeerRun(peer, run, nonce) => {
                 self.peer_runs.entry(peer).or_default().observe(run, nonce);
             }
-            Record::Bootstrapped(snapshot, births) => {
-                (self.bootstrapped, self.log, self.bootstrap_stores) = (true, Log::new(snapshot), births);
+            Record::Bootstrapped(snapshot, stores) => {
+                (self.bootstrapped, self.log, self.bootstrap_stores) = (true, Log::new(snapshot), stores);
             }
             Record::RecoveryStarted => (self.bootstrapped, self.recovering) = (true, true),
             Record::RecoveryFinished => self.recovering = false,
             Record::TermAndVote(term, vote) => (self.term, self.vote) = (term, vote),
-            // The store keeps the order, so there is no gap unless a file of another member was put here; what
-            // follows is then left out, and the leader brings it again.
+            // The store keeps the order, so a gap means that a file of another member was put here. Entries after the
+            // gap are left out, and the leader sends them again.
             Record::Entries(entries) => _ = self.log.replace_from(&entries),
             Record::Snapshot(snapshot) => self.log = Log::new(snapshot),
         }
--- a/crates/council/src/standing.rs
+++ b/crates/council/src/standing.rs
@@ -1,10 +1,10 @@
-//! Whether a member may count itself in: what it kept may be lost, old, or whole.
+//! Whether a member may vote after a start, or has to recover first because its store is empty, lost or outdated.
 //!
-//! Raft takes it that what was synced is there after a restart. Where a store is lost or an older copy is put back, the
-//! member forgot votes and entries that others counted, and could elect a leader that lacks what was committed. So a
-//! member asks at each start what others know of it, and where that is more than it knows itself it votes for nobody
-//! until it holds all that the leader had when it asked. The thought is that of Viewstamped Replication's recovery
-//! (Liskov and Cowling, 2012).
+//! Raft assumes that what was synced is there after a restart. If a store is lost, or an older copy of it is restored,
+//! the member has forgotten votes and entries that others counted on, and could help to elect a leader that lacks
+//! committed entries. So at each start a member asks the others what they know of it. If they know of a later run than
+//! its own store does, it grants no vote until it holds all that the leader held when it was asked. The idea is that of
+//! Viewstamped Replication's recovery (Liskov and Cowling, 2012).
 
 use std::collections::BTreeMap;
 
@@ -12,22 +12,23 @@
 
 use crate::ids::{Index, MemberId, Run, Term};
 
+/// How far a member is in verifying its store. It votes only when [`RecoveryState::Ready`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RecoveryState {
-    /// It kept nothing. Either nobody did yet, or it lost it.
+    /// The store is empty: either the group is not bootstrapped yet, or the store was lost.
     Empty,
-    /// It kept something and gives others a moment to say that this is old.
+    /// The store has content; until this time the others may still report that it is outdated.
     Verifying {
         until: Ms,
     },
-    /// What it kept is lost or old. `term`: what it adopted from others, once enough have answered.
+    /// The store is lost or outdated. `term` is the term adopted from the other members, once enough have answered.
     Recovering {
         term: Option<Term>,
     },
     Ready,
 }
 
-/// What another answered.
+/// Another member's answer to a handshake; the fields are those of [`crate::Message::HandshakeReply`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     pub known_run: Run,
@@ -35,80 +36,85 @@
     pub last_index: Index,
     pub is_leader: bool,
     pub store_id: u64,
-    /// `None` where it kept nothing.
+    /// `None` if the member's store is empty.
     pub bootstrap_stores: Option<BTreeMap<MemberId, u64>>,
 }
 
-/// The answers to one start's question, by who answered.
+/// The answers to the handshake of one start, by the member that answered.
 #[derive(Clone, Debug, Default)]
-pub struct Inquiry {
+pub struct Handshake {
     pub nonce: u64,
     answers: BTreeMap<MemberId, Answer>,
 }
 
-impl Inquiry {
-    pub fn new(nonce: u64) -> Inquiry {
-        Inquiry { nonce, answers: BTreeMap::new() }
+impl Handshake {
+    pub fn new(nonce: u64) -> Handshake {
+        Handshake { nonce, answers: BTreeMap::new() }
     }
 
-    pub fn take(&mut self, from: MemberId, answer: Answer) {
-        let known = self.answers.get(&from);
-        // A leader's log grows while it is caught up with: what it held when first asked is enough.
-        let same = |known: &&Answer| known.is_leader && answer.is_leader && known.term == answer.term;
-        let last = known.filter(same).map_or(answer.last_index, |known| known.last_index);
-        self.answers.insert(from, Answer { last_index: last, ..answer });
+    /// Adds an answer, in place of an earlier one of the same member.
+    pub fn record(&mut self, from: MemberId, answer: Answer) {
+        let earlier = self.answers.get(&from);
+        // The leader's log grows while this member catches up: the index of its first answer in a term is enough.
+        let same_leadership =
+            |earlier: &&Answer| earlier.is_leader && answer.is_leader && earlier.term == answer.term;
+        let last_index =
+            earlier.filter(same_leadership).map_or(answer.last_index, |earlier| earlier.last_index);
+        self.answers.insert(from, Answer { last_index, ..answer });
     }
 
-    /// The latest start of this member that anybody else knew before.
-    pub fn known(&self) -> Run {
+    /// The latest run of this member that any other member knew before this start.
+    pub fn known_run(&self) -> Run {
         self.answers.values().map(|answer| answer.known_run).max().unwrap_or_default()
     }
 
-    /// The stores of the first hour, as somebody knows them who was there.
-    pub fn founding(&self) -> Option<&BTreeMap<MemberId, u64>> {
-        // Who came later or lost its store knows none; that there was a first hour it knows all the same.
+    /// The stores that bootstrapped the group, if any member answered that it is bootstrapped.
+    pub fn bootstrap_stores(&self) -> Option<&BTreeMap<MemberId, u64>> {
+        // A member that joined later or lost its store answers with an empty map: it knows that the group is
+        // bootstrapped and not by which stores. So the longest map is taken.
         self.answers
             .values()
             .filter_map(|answer| answer.bootstrap_stores.as_ref())
-            .max_by_key(|births| births.len())
+            .max_by_key(|stores| stores.len())
     }
 
-    /// The stores of these, if every one has answered that it kept nothing.
-    pub fn all_fresh<'a>(
+    /// The store ids of these members, if each of them has answered that its store is empty.
+    pub fn empty_stores<'a>(
         &self,
         mut others: impl Iterator<Item = &'a MemberId>,
     ) -> Option<BTreeMap<MemberId, u64>> {
-        let fresh = |births: &mut BTreeMap<MemberId, u64>, id: &MemberId| {
+        let is_empty = |stores: &mut BTreeMap<MemberId, u64>, id: &MemberId| {
             let answer = self.answers.get(id).filter(|answer| answer.bootstrap_stores.is_none());
-            answer.map(|answer| _ = births.insert(*id, answer.store_id)).is_some()
+            answer.map(|answer| _ = stores.insert(*id, answer.store_id)).is_some()
         };
-        let mut births = BTreeMap::new();
-        others.all(|id| fresh(&mut births, id)).then_some(births)
+        let mut stores = BTreeMap::new();
+        others.all(|id| is_empty(&mut stores, id)).then_some(stores)
     }
 
+    /// How many of these members have answered.
     pub fn count<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> usize {
         others.filter(|id| self.answers.contains_key(id)).count()
     }
 
-    /// The highest term among enough of the others to have somebody of every quorum that this member may have been part
-    /// of: `voters - voters / 2` of them.
-    pub fn term<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> Option<Term> {
+    /// The highest term among the other voters, once enough of them have answered: `voters - voters / 2`, so that they
+    /// include a member of every quorum that this member may have been part of.
+    pub fn highest_term<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> Option<Term> {
         let others: Vec<&MemberId> = others.collect();
         let voters = others.len() + 1;
-        let founded =
+        let bootstrapped =
             |id: &&MemberId| self.answers.get(id).filter(|answer| answer.bootstrap_stores.is_some());
-        let terms: Vec<Term> = others.iter().filter_map(founded).map(|answer| answer.term).collect();
+        let terms: Vec<Term> = others.iter().filter_map(bootstrapped).map(|answer| answer.term).collect();
         (terms.len() >= voters - voters / 2).then(|| terms.into_iter().max()).flatten()
     }
 
-    /// How far this leader's log reached when it was asked.
-    pub fn reached(&self, leader: MemberId, term: Term) -> Option<Index> {
+    /// The last index of this leader's log when it was asked.
+    pub fn leader_last_index(&self, leader: MemberId, term: Term) -> Option<Index> {
         let answer = self.answers.get(&leader)?;
         (answer.is_leader && answer.term == term).then_some(answer.last_index)
     }
 
-    /// The answers to an earlier question count no more.
-    pub fn anew(&mut self) {
+    /// Drops the answers, as the run that they answered is no longer the current one.
+    pub fn clear(&mut self) {
         self.answers.clear();
     }
 }
