--- a/crates/council/src/council.rs
+++ b/crates/council/src/council.rs
@@ -1,4 +1,4 @@
-//! One member: elections, the log's replication, leases, members, transfer.
+//! One member of a Raft group: elections, log replication, leases, membership changes and leadership transfer.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -11,60 +11,60 @@
 use crate::record::{KnownRun, Record, StoredState};
 use crate::standing::{Answer, Handshake, RecoveryState};
 
-/// Messages held back until what they tell is durable; beyond it the oldest are lost, as on any link.
-const HELD: usize = 4096;
+/// Messages held back until the records that they depend on are durable. Beyond it the oldest are dropped, as any link
+/// may lose a message.
+const MAX_DEFERRED_MESSAGES: usize = 4096;
 
-/// What bounds a council, in milliseconds and counts.
+/// Timeouts and limits of a Raft group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RaftConfig {
     pub heartbeat_interval_ms: Ms,
-    /// Nobody stands for election sooner than this after a leader's word, nor later than twice this.
+    /// The shortest time without contact to a leader after which a member stands for election. The longest is twice this.
     pub election_timeout_ms: Ms,
-    /// By what part two members' clocks may run at different speeds.
+    /// By what ratio the clocks of two members may differ in speed.
     pub max_clock_drift_ratio: f64,
-    /// Entries in one message.
     pub max_entries_per_message: usize,
-    /// Entries that wait to be committed; more are refused.
+    /// Entries that may await commitment; proposals beyond it are rejected.
     pub max_uncommitted_entries: usize,
 }
 
-/// Why a proposal is not taken. Nothing of it was written.
+/// Why a proposal is rejected. Nothing of it was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// Another leads, if anybody does.
+    /// This member is not the leader. The leader is given if it is known.
     NotLeader(Option<MemberId>),
-    /// So much waits to be committed that no more is taken.
     TooManyUncommitted,
-    /// It is handing its office over.
+    /// The leader is transferring its leadership.
     TransferInProgress,
-    /// Another change of members is under way, or no entry of this term is committed yet.
+    /// Another membership change is in progress, or no entry of the leader's own term is committed yet.
     MembershipChangeInProgress,
-    /// The members are not as the change takes them to be.
+    /// The change does not fit the current members.
     InvalidMembershipChange,
 }
 
 impl fmt::Display for ProposeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ProposeError::NotLeader(Some(leader)) => write!(f, "{leader} leads"),
-            ProposeError::NotLeader(None) => f.write_str("nobody leads"),
-            ProposeError::TooManyUncommitted => f.write_str("too much waits to be agreed"),
-            ProposeError::TransferInProgress => f.write_str("the leader is handing over"),
-            ProposeError::MembershipChangeInProgress => f.write_str("a change of members is under way"),
+            ProposeError::NotLeader(Some(leader)) => write!(f, "not the leader: {leader} leads"),
+            ProposeError::NotLeader(None) => f.write_str("not the leader, and no leader is known"),
+            ProposeError::TooManyUncommitted => f.write_str("too many entries await commitment"),
+            ProposeError::TransferInProgress => f.write_str("a leadership transfer is in progress"),
+            ProposeError::MembershipChangeInProgress => f.write_str("a membership change is in progress"),
             ProposeError::InvalidMembershipChange => {
-                f.write_str("the member is not there, or not as the change takes it to be")
+                f.write_str("the membership change does not fit the current members")
             }
         }
     }
 }
 
-/// Where a proposal stands. It is agreed once the entry of this index has this term.
+/// The position of a proposed entry. The proposal is committed once the committed entry at this index has this term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPosition {
     pub term: Term,
     pub index: Index,
 }
 
+/// A member's role in the current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Follower,
@@ -72,181 +72,192 @@
     Leader,
 }
 
-/// What people on call should know.
+/// A change of a member's state, for the operator's log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RaftEvent {
+    /// This member was elected in this term.
     BecameLeader(Term),
+    /// This member follows another leader than before.
     LeaderChanged(MemberId, Term),
-    /// It leads no more, and why.
+    /// This member no longer leads in this term, and the reason.
     SteppedDown(Term, &'static str),
+    /// The group was bootstrapped with this many members.
     Bootstrapped(usize),
-    /// Its store is lost or old: it votes for nobody until it has caught up.
+    /// This member's store is lost or outdated: it grants no vote until it has caught up.
     RecoveryStarted,
     RecoveryFinished,
-    /// A leader's word that came too late: another term has begun.
+    /// A member still sent messages as leader of a term that has ended.
     StaleLeader(MemberId, Term),
 }
 
-/// What was agreed, in its order.
+/// What was committed, in log order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Committed {
-    /// In place of all that was told before.
+    /// Replaces all that was committed before.
     Snapshot(Snapshot),
     Entry(Entry),
 }
 
-/// What is to be done, in this order: to write, to send, to take over.
+/// What the caller has to do, in this order: write the records, send the messages, apply what was committed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions {
     pub records: Vec<Record>,
+    /// Messages that may be sent without waiting for the records above.
     pub messages: Vec<(MemberId, Message)>,
     pub committed: Vec<Committed>,
     pub events: Vec<RaftEvent>,
 }
 
-/// What a leader knows of another member.
+/// What a leader knows of a follower's log.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
-    next: Index,
-    /// Up to here its log is the leader's, durably.
-    same: Index,
-    /// When what it answered last was sent, by the leader's own clock.
-    answered: Ms,
+    /// The next entry to send.
+    next_index: Index,
+    /// The follower durably holds the leader's log up to here.
+    match_index: Index,
+    /// When the latest request that the follower answered was sent, by the leader's clock.
+    acknowledged_at: Ms,
 }
 
+/// The state that a member has only as leader.
 #[derive(Clone, Debug)]
-struct Office {
+struct Leadership {
     peers: BTreeMap<MemberId, Progress>,
-    opening: Index,
-    beat: Ms,
-    handing: Option<(MemberId, Ms)>,
+    /// The index of the first entry of this leader's term.
+    first_index: Index,
+    next_heartbeat_at: Ms,
+    /// A leadership transfer in progress: to whom, and until when it is tried.
+    transfer: Option<(MemberId, Ms)>,
 }
 
 #[derive(Clone, Debug)]
-enum Part {
+enum RoleState {
     Follower {
         leader: Option<MemberId>,
     },
-    /// `own`: the write that its own vote waits for.
     Candidate {
         pre_vote: bool,
         votes: BTreeSet<MemberId>,
-        own: u64,
+        /// The candidate's own vote counts once this many records are durable.
+        own_vote_record: u64,
     },
-    Leader(Office),
+    Leader(Leadership),
 }
 
-/// One member of the council.
+/// One member of a Raft group.
 pub struct RaftNode {
-    me: MemberId,
-    figures: RaftConfig,
+    id: MemberId,
+    config: RaftConfig,
     rng: fastrand::Rng,
-    /// Who is named from outside; it holds until the log names members.
-    named: Members,
+    /// The configured members, which are used until the log has a membership.
+    configured_members: Members,
     run: Run,
-    peers: BTreeMap<MemberId, KnownRun>,
-    standing: RecoveryState,
-    inquiry: Handshake,
-    asks: Ms,
-    /// By what its store is told from another of this member, and all those of the first hour.
-    birth: u64,
-    founding: BTreeMap<MemberId, u64>,
+    peer_runs: BTreeMap<MemberId, KnownRun>,
+    recovery: RecoveryState,
+    handshake: Handshake,
+    next_handshake_at: Ms,
+    store_id: u64,
+    bootstrap_stores: BTreeMap<MemberId, u64>,
     term: Term,
-    vote: Option<MemberId>,
+    voted_for: Option<MemberId>,
     log: Log,
-    commit: Index,
-    applied: Index,
-    part: Part,
-    /// When a leader's word last came.
-    led_at: Ms,
-    stands_at: Ms,
-    written: u64,
-    durable: u64,
-    /// Up to here the log is durable here, and what will be by which write.
-    kept: Index,
-    syncing: VecDeque<(u64, Index)>,
-    held: VecDeque<(u64, MemberId, Message)>,
-    failing: bool,
-    done: Actions,
+    commit_index: Index,
+    last_applied: Index,
+    state: RoleState,
+    /// When a leader's last message arrived.
+    leader_contact_at: Ms,
+    election_due_at: Ms,
+    records_written: u64,
+    records_durable: u64,
+    /// The own log is durable up to here.
+    durable_index: Index,
+    /// The index up to which the log is durable once so many records are.
+    pending_syncs: VecDeque<(u64, Index)>,
+    /// Messages to be sent once so many records are durable.
+    deferred_messages: VecDeque<(u64, MemberId, Message)>,
+    store_failing: bool,
+    actions: Actions,
 }
 
 impl RaftNode {
-    /// A member with what its store held. `named`: who is to found the council where nobody kept anything.
+    /// Starts a member with the state that its store held. `configured_members` bootstrap the group if all of their
+    /// stores are empty.
     pub fn start(
-        me: MemberId,
-        figures: RaftConfig,
-        named: Members,
+        id: MemberId,
+        config: RaftConfig,
+        configured_members: Members,
         seed: u64,
         now: Ms,
-        kept: StoredState,
+        stored: StoredState,
     ) -> RaftNode {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let inquiry = Handshake::new(rng.u64(..));
-        let birth = kept.store_id.unwrap_or_else(|| rng.u64(..));
-        let standing = match kept {
+        let handshake = Handshake::new(rng.u64(..));
+        let store_id = stored.store_id.unwrap_or_else(|| rng.u64(..));
+        let recovery = match stored {
             StoredState { bootstrapped: false, .. } => RecoveryState::Empty,
             StoredState { recovering: true, .. } => RecoveryState::Recovering { term: None },
-            _ => RecoveryState::Verifying { until: now + figures.election_timeout_ms },
+            _ => RecoveryState::Verifying { until: now + config.election_timeout_ms },
         };
-        let (commit, last) = (kept.log.snapshot.last_index, kept.log.last().0);
-        let mut council = RaftNode {
-            me,
-            figures,
+        let (commit_index, durable_index) = (stored.log.snapshot.last_index, stored.log.last().0);
+        let mut node = RaftNode {
+            id,
+            config,
             rng,
-            named,
-            run: Run(kept.run.0 + 1),
-            peers: kept.peer_runs,
-            standing,
-            inquiry,
-            asks: now,
-            birth,
-            founding: kept.bootstrap_stores,
-            term: kept.term,
-            vote: kept.vote,
-            log: kept.log,
-            commit,
-            applied: commit,
-            part: Part::Follower { leader: None },
-            // As if a leader had just spoken: a lease that it granted before the crash may still hold.
-            led_at: now,
-            stands_at: now,
-            written: 0,
-            durable: 0,
-            kept: last,
-            syncing: VecDeque::new(),
-            held: VecDeque::new(),
-            failing: false,
-            done: Actions::default(),
+            configured_members,
+            run: Run(stored.run.0 + 1),
+            peer_runs: stored.peer_runs,
+            recovery,
+            handshake,
+            next_handshake_at: now,
+            store_id,
+            bootstrap_stores: stored.bootstrap_stores,
+            term: stored.term,
+            voted_for: stored.vote,
+            log: stored.log,
+            commit_index,
+            last_applied: commit_index,
+            state: RoleState::Follower { leader: None },
+            // Counts as contact with a leader: a lease that this member supported before a crash may still hold.
+            leader_contact_at: now,
+            election_due_at: now,
+            records_written: 0,
+            records_durable: 0,
+            durable_index,
+            pending_syncs: VecDeque::new(),
+            deferred_messages: VecDeque::new(),
+            store_failing: false,
+            actions: Actions::default(),
         };
-        council.patience(now);
-        if kept.store_id.is_none() {
-            council.write(Record::StoreId(birth));
+        node.reset_election_timer(now);
+        if stored.store_id.is_none() {
+            node.write(Record::StoreId(store_id));
         }
-        council.write(Record::Run(council.run));
-        if commit > Index(0) {
-            council.done.committed.push(Committed::Snapshot(council.log.snapshot.clone()));
+        node.write(Record::Run(node.run));
+        if commit_index > Index(0) {
+            node.actions.committed.push(Committed::Snapshot(node.log.snapshot.clone()));
         }
-        council
+        node
     }
 
-    /// What is to be done since this was last asked.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Actions {
-        std::mem::take(&mut self.done)
+        std::mem::take(&mut self.actions)
     }
 
     pub fn role(&self) -> Role {
-        match self.part {
-            Part::Follower { .. } => Role::Follower,
-            Part::Candidate { .. } => Role::Candidate,
-            Part::Leader(_) => Role::Leader,
+        match self.state {
+            RoleState::Follower { .. } => Role::Follower,
+            RoleState::Candidate { .. } => Role::Candidate,
+            RoleState::Leader(_) => Role::Leader,
         }
     }
 
+    /// The leader of the current term, if it is known.
     pub fn leader(&self) -> Option<MemberId> {
-        match self.part {
-            Part::Follower { leader } => leader,
-            Part::Candidate { .. } => None,
-            Part::Leader(_) => Some(self.me),
+        match self.state {
+            RoleState::Follower { leader } => leader,
+            RoleState::Candidate { .. } => None,
+            RoleState::Leader(_) => Some(self.id),
         }
     }
 
@@ -259,21 +270,21 @@
     }
 
     pub fn recovery_state(&self) -> RecoveryState {
-        self.standing
+        self.recovery
     }
 
     pub fn commit_index(&self) -> Index {
-        self.commit
+        self.commit_index
     }
 
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Who is in force.
+    /// The membership in force: the latest one in the log, or the configured members if the log has none.
     pub fn members(&self) -> &Members {
         if self.log.members().is_empty() {
-            &self.named
+            &self.configured_members
         } else {
             self.log.members()
         }
@@ -283,75 +294,76 @@
         self.members().iter().filter(|(_, member)| member.role == MemberRole::Voter).map(|(id, _)| id)
     }
 
-    fn others(&self) -> impl Iterator<Item = &MemberId> {
-        self.voters().filter(|id| **id != self.me)
+    fn other_voters(&self) -> impl Iterator<Item = &MemberId> {
+        self.voters().filter(|id| **id != self.id)
     }
 
-    fn votes(&self) -> bool {
-        self.voters().any(|id| *id == self.me)
+    fn is_voter(&self) -> bool {
+        self.voters().any(|id| *id == self.id)
     }
 
-    /// What a majority of the voters has reached.
+    /// The highest value that a majority of the voters has reached.
     fn majority<T: Copy + PartialOrd>(&self, reached: impl Fn(MemberId) -> T) -> Option<T> {
-        let mut all: Vec<T> = self.voters().map(|id| reached(*id)).collect();
-        all.sort_by(|a, b| b.partial_cmp(a).unwrap_or(std::cmp::Ordering::Equal));
-        all.get(all.len() / 2).copied()
+        let mut values: Vec<T> = self.voters().map(|id| reached(*id)).collect();
+        values.sort_by(|a, b| b.partial_cmp(a).unwrap_or(std::cmp::Ordering::Equal));
+        values.get(values.len() / 2).copied()
     }
 
-    fn patience(&mut self, now: Ms) {
-        self.stands_at = now + self.figures.election_timeout_ms * (1.0 + self.rng.f64());
+    fn reset_election_timer(&mut self, now: Ms) {
+        self.election_due_at = now + self.config.election_timeout_ms * (1.0 + self.rng.f64());
     }
 
     fn write(&mut self, record: Record) {
-        self.written += 1;
-        self.done.records.push(record);
+        self.records_written += 1;
+        self.actions.records.push(record);
     }
 
-    /// Sends it once all that is written by now is durable.
-    fn tell(&mut self, to: MemberId, message: Message) {
-        if to == self.me {
+    /// Sends a message once all records written so far are durable.
+    fn send_when_durable(&mut self, to: MemberId, message: Message) {
+        if to == self.id {
             return;
         }
-        if self.durable >= self.written {
-            return self.done.messages.push((to, message));
+        if self.records_durable >= self.records_written {
+            return self.actions.messages.push((to, message));
         }
-        if self.held.len() >= HELD {
-            self.held.pop_front();
+        if self.deferred_messages.len() >= MAX_DEFERRED_MESSAGES {
+            self.deferred_messages.pop_front();
         }
-        self.held.push_back((self.written, to, message));
+        self.deferred_messages.push_back((self.records_written, to, message));
     }
 
-    /// Sends it at once: nothing that is written has to be durable for it.
-    fn say(&mut self, to: MemberId, message: Message) {
-        if to != self.me {
-            self.done.messages.push((to, message));
+    /// Sends a message that depends on no record being durable.
+    fn send_now(&mut self, to: MemberId, message: Message) {
+        if to != self.id {
+            self.actions.messages.push((to, message));
         }
     }
 
-    /// When [`Council::tick`] is due next.
+    /// When [`RaftNode::tick`] is due next.
     pub fn next_tick(&self) -> Ms {
-        let stands = match &self.part {
-            Part::Leader(office) => office.beat,
-            _ => self.stands_at,
+        let role_timer = match &self.state {
+            RoleState::Leader(leadership) => leadership.next_heartbeat_at,
+            _ => self.election_due_at,
         };
-        match self.standing {
-            RecoveryState::Ready => stands,
-            RecoveryState::Verifying { until } => stands.min(self.asks).min(until),
-            _ => stands.min(self.asks),
+        match self.recovery {
+            RecoveryState::Ready => role_timer,
+            RecoveryState::Verifying { until } => role_timer.min(self.next_handshake_at).min(until),
+            _ => role_timer.min(self.next_handshake_at),
         }
     }
 
+    /// Does what is due by now: handshakes, heartbeats, elections.
     pub fn tick(&mut self, now: Ms) {
-        if self.standing != RecoveryState::Ready {
-            self.inquire(now);
-        }
-        match &self.part {
-            Part::Leader(office) if now >= office.beat => self.lead(now),
-            Part::Leader(_) => {}
-            _ if now >= self.stands_at => {
-                self.patience(now);
-                if self.may_vote() && self.votes() {
-                    self.stand(now, true, false);
+        if self.recovery != RecoveryState::Ready {
+            self.continue_handshake(now);
+        }
+        match &self.state {
+            RoleState::Leader(leadership) if now >= leadership.next_heartbeat_at => self.heartbeat(now),
+            RoleState::Leader(_) => {}
+            _ if now >= self.election_due_at => {
+                self.reset_election_timer(now);
+                if self.may_vote() && self.is_voter() {
+                    self.start_election(now, true, false);
                 }
             }
             _ => {}
@@ -359,377 +371,393 @@
     }
 
     fn may_vote(&self) -> bool {
-        self.standing == RecoveryState::Ready && !self.failing
+        self.recovery == RecoveryState::Ready && !self.store_failing
     }
 
-    // What was kept, and what others know of it.
+    // Handshake and recovery after a start.
 
-    fn inquire(&mut self, now: Ms) {
-        if now >= self.asks {
-            self.asks = now + self.figures.heartbeat_interval_ms;
-            let ask = Message::HandshakeRequest { run: self.run, nonce: self.inquiry.nonce };
+    fn continue_handshake(&mut self, now: Ms) {
+        if now >= self.next_handshake_at {
+            self.next_handshake_at = now + self.config.heartbeat_interval_ms;
+            let request = Message::HandshakeRequest { run: self.run, nonce: self.handshake.nonce };
             let others: Vec<MemberId> = self.members().keys().copied().collect();
-            // Its start is durable before anybody notes it.
-            others.into_iter().for_each(|other| self.tell(other, ask.clone()));
+            // This run's record has to be durable before another member notes the run.
+            others.into_iter().for_each(|other| self.send_when_durable(other, request.clone()));
         }
-        self.judge(now);
+        self.update_recovery(now);
     }
 
-    fn judge(&mut self, now: Ms) {
-        if self.inquiry.known_run() >= self.run {
-            self.run = Run(self.inquiry.known_run().0 + 1);
+    fn update_recovery(&mut self, now: Ms) {
+        if self.handshake.known_run() >= self.run {
+            self.run = Run(self.handshake.known_run().0 + 1);
             self.write(Record::Run(self.run));
-            self.inquiry.clear();
-            return self.doubt(now);
+            self.handshake.clear();
+            return self.start_recovery(now);
         }
-        match self.standing {
+        match self.recovery {
             RecoveryState::Ready => {}
             RecoveryState::Empty => {
-                let births = match self.inquiry.bootstrap_stores() {
-                    // Another has founded with this very store, which had nothing to forget then.
-                    Some(founding) if founding.get(&self.me) == Some(&self.birth) => Some(founding.clone()),
-                    // It has founded with a store that is lost, or before this member was added.
-                    Some(_) => return self.doubt(now),
-                    None if self.votes() => self.inquiry.empty_stores(self.others()),
+                let stores = match self.handshake.bootstrap_stores() {
+                    // Another member has bootstrapped the group with this very store, which was empty then as well.
+                    Some(stores) if stores.get(&self.id) == Some(&self.store_id) => Some(stores.clone()),
+                    // The group was bootstrapped with a store that is lost, or before this member was added.
+                    Some(_) => return self.start_recovery(now),
+                    None if self.is_voter() => self.handshake.empty_stores(self.other_voters()),
                     None => None,
                 };
-                if let Some(mut births) = births {
-                    births.insert(self.me, self.birth);
-                    self.found(births);
+                if let Some(mut stores) = stores {
+                    stores.insert(self.id, self.store_id);
+                    self.bootstrap(stores);
                 }
             }
             RecoveryState::Verifying { until } => {
-                let answered = self.inquiry.count(self.others()) + 1;
+                let answered = self.handshake.count(self.other_voters()) + 1;
                 if now >= until || answered > self.voters().count() / 2 {
-                    self.standing = RecoveryState::Ready;
+                    self.recovery = RecoveryState::Ready;
                 }
             }
             RecoveryState::Recovering { term: None } => {
-                if let Some(term) = self.inquiry.highest_term(self.others()) {
+                if let Some(term) = self.handshake.highest_term(self.other_voters()) {
                     let term = term.max(self.term);
-                    // It may have voted in that term, so it votes for nobody but itself, who does not stand.
-                    (self.term, self.vote) = (term, Some(self.me));
-                    self.write(Record::TermAndVote(term, self.vote));
-                    self.standing = RecoveryState::Recovering { term: Some(term) };
+                    // This member may have voted in that term, so its vote goes to itself: it grants none to others, and
+                    // does not stand for election either while it recovers.
+                    (self.term, self.voted_for) = (term, Some(self.id));
+                    self.write(Record::TermAndVote(term, self.voted_for));
+                    self.recovery = RecoveryState::Recovering { term: Some(term) };
                 }
             }
             RecoveryState::Recovering { .. } => {}
         }
     }
 
-    fn found(&mut self, births: BTreeMap<MemberId, u64>) {
-        let snapshot = Snapshot { members: self.named.clone(), ..Snapshot::default() };
+    fn bootstrap(&mut self, stores: BTreeMap<MemberId, u64>) {
+        let snapshot = Snapshot { members: self.configured_members.clone(), ..Snapshot::default() };
         self.log = Log::new(snapshot.clone());
-        self.founding = births.clone();
-        self.write(Record::Bootstrapped(snapshot, births));
-        self.standing = RecoveryState::Ready;
-        self.done.events.push(RaftEvent::Bootstrapped(self.members().len()));
+        self.bootstrap_stores = stores.clone();
+        self.write(Record::Bootstrapped(snapshot, stores));
+        self.recovery = RecoveryState::Ready;
+        self.actions.events.push(RaftEvent::Bootstrapped(self.members().len()));
     }
 
-    fn doubt(&mut self, now: Ms) {
-        if matches!(self.standing, RecoveryState::Recovering { .. }) {
+    fn start_recovery(&mut self, now: Ms) {
+        if matches!(self.recovery, RecoveryState::Recovering { .. }) {
             return;
         }
-        self.follow(now, self.term, None, "its store is old");
+        self.become_follower(now, self.term, None, "its store is lost or outdated");
         self.write(Record::RecoveryStarted);
-        self.standing = RecoveryState::Recovering { term: None };
-        self.done.events.push(RaftEvent::RecoveryStarted);
+        self.recovery = RecoveryState::Recovering { term: None };
+        self.actions.events.push(RaftEvent::RecoveryStarted);
     }
 
-    /// Its log is the leader's up to there: that may be all that it may have forgotten.
-    fn caught_up(&mut self, leader: MemberId, upto: Index) {
-        let RecoveryState::Recovering { term: Some(adopted) } = self.standing else { return };
-        let reached = self.inquiry.leader_last_index(leader, self.term);
-        if self.term >= adopted && reached.is_some_and(|reached| upto >= reached) {
+    /// Finishes the recovery if the own log, which matches the leader's up to `match_index`, holds all that the leader
+    /// held when it was asked: this member may not have forgotten more than that.
+    fn finish_recovery(&mut self, leader: MemberId, match_index: Index) {
+        let RecoveryState::Recovering { term: Some(adopted_term) } = self.recovery else { return };
+        let required_index = self.handshake.leader_last_index(leader, self.term);
+        if self.term >= adopted_term && required_index.is_some_and(|required| match_index >= required) {
             self.write(Record::RecoveryFinished);
-            self.standing = RecoveryState::Ready;
-            self.done.events.push(RaftEvent::RecoveryFinished);
+            self.recovery = RecoveryState::Ready;
+            self.actions.events.push(RaftEvent::RecoveryFinished);
         }
     }
 
     // Elections.
 
-    fn stand(&mut self, now: Ms, pre_vote: bool, leadership_transfer: bool) {
+    fn start_election(&mut self, now: Ms, pre_vote: bool, leadership_transfer: bool) {
         let term = Term(self.term.0 + 1);
         if !pre_vote {
-            (self.term, self.vote) = (term, Some(self.me));
-            self.write(Record::TermAndVote(term, self.vote));
+            (self.term, self.voted_for) = (term, Some(self.id));
+            self.write(Record::TermAndVote(term, self.voted_for));
         }
-        self.part = Part::Candidate { pre_vote, votes: BTreeSet::new(), own: self.written };
-        let ask = Message::RequestVote { term, last: self.log.last(), pre_vote, leadership_transfer };
-        let others: Vec<MemberId> = self.others().copied().collect();
+        self.state =
+            RoleState::Candidate { pre_vote, votes: BTreeSet::new(), own_vote_record: self.records_written };
+        let request = Message::RequestVote { term, last: self.log.last(), pre_vote, leadership_transfer };
+        let others: Vec<MemberId> = self.other_voters().copied().collect();
         for other in others {
             match pre_vote {
-                true => self.say(other, ask.clone()),
-                false => self.tell(other, ask.clone()),
+                true => self.send_now(other, request.clone()),
+                false => self.send_when_durable(other, request.clone()),
             }
         }
-        self.count(now);
+        self.count_votes(now);
     }
 
-    /// Whether it is elected by now. Its own vote counts once that is durable.
-    fn count(&mut self, now: Ms) {
-        let Part::Candidate { pre_vote, votes, own } = &mut self.part else { return };
-        if *pre_vote || self.durable >= *own {
-            votes.insert(self.me);
+    /// Becomes leader, or goes from the pre-vote to the vote, with a majority. The own vote counts once it is durable.
+    fn count_votes(&mut self, now: Ms) {
+        let RoleState::Candidate { pre_vote, votes, own_vote_record } = &mut self.state else { return };
+        if *pre_vote || self.records_durable >= *own_vote_record {
+            votes.insert(self.id);
         }
         let (pre_vote, votes) = (*pre_vote, votes.clone());
-        let voters = self.voters().count();
-        if self.voters().filter(|id| votes.contains(id)).count() <= voters / 2 {
+        let voter_count = self.voters().count();
+        if self.voters().filter(|id| votes.contains(id)).count() <= voter_count / 2 {
             return;
         }
         match pre_vote {
-            true => self.stand(now, false, false),
-            false => self.take_office(now),
+            true => self.start_election(now, false, false),
+            false => self.become_leader(now),
         }
     }
 
-    fn take_office(&mut self, now: Ms) {
-        let (last, _) = self.log.last();
-        let progress = Progress { next: last.next(), same: Index(0), answered: now };
-        let peers = self.members().keys().filter(|id| **id != self.me);
+    fn become_leader(&mut self, now: Ms) {
+        let (last_index, _) = self.log.last();
+        let progress =
+            Progress { next_index: last_index.next(), match_index: Index(0), acknowledged_at: now };
+        let peers = self.members().keys().filter(|id| **id != self.id);
         let peers = peers.map(|id| (*id, progress)).collect();
-        self.part = Part::Leader(Office { peers, opening: last.next(), beat: now, handing: None });
-        self.done.events.push(RaftEvent::BecameLeader(self.term));
-        self.append(vec![Payload::NoOp]);
-        self.lead(now);
+        self.state = RoleState::Leader(Leadership {
+            peers,
+            first_index: last_index.next(),
+            next_heartbeat_at: now,
+            transfer: None,
+        });
+        self.actions.events.push(RaftEvent::BecameLeader(self.term));
+        self.append_as_leader(vec![Payload::NoOp]);
+        self.heartbeat(now);
     }
 
-    fn follow(&mut self, now: Ms, term: Term, leader: Option<MemberId>, why: &'static str) {
-        if matches!(self.part, Part::Leader(_)) {
-            self.done.events.push(RaftEvent::SteppedDown(self.term, why));
+    fn become_follower(&mut self, now: Ms, term: Term, leader: Option<MemberId>, reason: &'static str) {
+        if matches!(self.state, RoleState::Leader(_)) {
+            self.actions.events.push(RaftEvent::SteppedDown(self.term, reason));
         }
         if term > self.term {
-            (self.term, self.vote) = (term, None);
+            (self.term, self.voted_for) = (term, None);
             self.write(Record::TermAndVote(term, None));
         }
         if leader.is_some() && leader != self.leader() {
-            self.done.events.push(RaftEvent::LeaderChanged(leader.unwrap_or(self.me), self.term));
+            self.actions.events.push(RaftEvent::LeaderChanged(leader.unwrap_or(self.id), self.term));
         }
-        if !matches!(self.part, Part::Follower { .. }) {
-            self.patience(now);
+        if !matches!(self.state, RoleState::Follower { .. }) {
+            self.reset_election_timer(now);
         }
-        self.part = Part::Follower { leader };
+        self.state = RoleState::Follower { leader };
     }
 
-    fn asked_for_vote(&mut self, now: Ms, from: MemberId, asked: (Term, (Index, Term), bool, bool)) {
-        let (term, last, pre_vote, leadership_transfer) = asked;
-        // A leader that spoke within the shortest patience has a lease that counts on this (dissertation, 4.2.3, 6.4.1).
-        let led = self.leader().is_some() && now < self.led_at + self.figures.election_timeout_ms
-            || now < self.starts_voting();
-        if led && !leadership_transfer && term > self.term {
+    fn handle_request_vote(&mut self, now: Ms, from: MemberId, request: (Term, (Index, Term), bool, bool)) {
+        let (term, last, pre_vote, leadership_transfer) = request;
+        // A leader that was heard from within the shortest election timeout may hold a lease that relies on this member
+        // granting no vote (Ongaro's dissertation, 4.2.3 and 6.4.1).
+        let lease_may_hold = self.leader().is_some()
+            && now < self.leader_contact_at + self.config.election_timeout_ms
+            || now < self.earliest_vote_at();
+        if lease_may_hold && !leadership_transfer && term > self.term {
             return;
         }
-        let (own, own_term) = self.log.last();
-        let whole = (last.1, last.0) >= (own_term, own);
+        let (own_last_index, own_last_term) = self.log.last();
+        let up_to_date = (last.1, last.0) >= (own_last_term, own_last_index);
         if pre_vote {
-            let granted = term > self.term && whole && self.may_vote();
-            return self.say(
+            let granted = term > self.term && up_to_date && self.may_vote();
+            return self.send_now(
                 from,
                 Message::RequestVoteReply { term: if granted { term } else { self.term }, granted, pre_vote },
             );
         }
         if term > self.term {
-            self.follow(now, term, None, "another stands in a later term");
+            self.become_follower(now, term, None, "another member stands for election in a later term");
         }
-        let free = self.vote.is_none_or(|vote| vote == from);
-        let granted = term == self.term && free && whole && self.may_vote();
-        if granted && self.vote.is_none() {
-            self.vote = Some(from);
-            self.write(Record::TermAndVote(self.term, self.vote));
-            self.patience(now);
+        let vote_free = self.voted_for.is_none_or(|candidate| candidate == from);
+        let granted = term == self.term && vote_free && up_to_date && self.may_vote();
+        if granted && self.voted_for.is_none() {
+            self.voted_for = Some(from);
+            self.write(Record::TermAndVote(self.term, self.voted_for));
+            self.reset_election_timer(now);
         }
-        self.tell(from, Message::RequestVoteReply { term: self.term, granted, pre_vote });
+        self.send_when_durable(from, Message::RequestVoteReply { term: self.term, granted, pre_vote });
     }
 
-    /// A member that has just started may have granted a lease before: it takes a leader to be there that long.
-    fn starts_voting(&self) -> Ms {
+    /// A member that has just started may have supported a leader's lease before, so it waits for an election timeout
+    /// before it votes. A member without any state has supported none.
+    fn earliest_vote_at(&self) -> Ms {
         match self.log.is_empty() && self.term == Term(0) {
             true => f64::NEG_INFINITY,
-            false => self.led_at + self.figures.election_timeout_ms,
+            false => self.leader_contact_at + self.config.election_timeout_ms,
         }
     }
 
-    fn voted(&mut self, now: Ms, from: MemberId, term: Term, granted: bool, pre_vote: bool) {
-        let Part::Candidate { pre_vote: own, votes, .. } = &mut self.part else { return };
-        let wanted = if pre_vote { Term(self.term.0 + 1) } else { self.term };
-        if granted && *own == pre_vote && term == wanted {
+    fn handle_vote_reply(&mut self, now: Ms, from: MemberId, term: Term, granted: bool, pre_vote: bool) {
+        let RoleState::Candidate { pre_vote: in_pre_vote, votes, .. } = &mut self.state else { return };
+        let election_term = if pre_vote { Term(self.term.0 + 1) } else { self.term };
+        if granted && *in_pre_vote == pre_vote && term == election_term {
             votes.insert(from);
-            self.count(now);
+            self.count_votes(now);
         }
     }
 
     // Leading.
 
-    fn append(&mut self, payloads: Vec<Payload>) -> LogPosition {
-        let (last, term) = (self.log.last().0, self.term);
+    fn append_as_leader(&mut self, payloads: Vec<Payload>) -> LogPosition {
+        let (last_index, term) = (self.log.last().0, self.term);
         let entry = |(index, payload)| Entry { index: Index(index), term, payload };
-        let entries: Vec<Entry> = (last.0 + 1..).zip(payloads).map(entry).collect();
-        self.keep(entries);
+        let entries: Vec<Entry> = (last_index.0 + 1..).zip(payloads).map(entry).collect();
+        self.write_entries(entries);
         LogPosition { term, index: self.log.last().0 }
     }
 
-    /// Puts entries in the log and writes them down. What they replace is durable here no more.
-    fn keep(&mut self, entries: Vec<Entry>) -> bool {
+    /// Adds entries to the log and writes them. Entries that they replace no longer count as durable.
+    fn write_entries(&mut self, entries: Vec<Entry>) -> bool {
         let Some(first) = entries.first().map(|entry| entry.index) else { return true };
         if !self.log.replace_from(&entries) {
             return false;
         }
-        let before = first.previous();
-        self.kept = self.kept.min(before);
-        self.syncing.iter_mut().for_each(|(_, index)| *index = (*index).min(before));
+        let previous = first.previous();
+        self.durable_index = self.durable_index.min(previous);
+        self.pending_syncs.iter_mut().for_each(|(_, index)| *index = (*index).min(previous));
         self.write(Record::Entries(entries));
-        self.syncing.push_back((self.written, self.log.last().0));
+        self.pending_syncs.push_back((self.records_written, self.log.last().0));
         true
     }
 
-    /// A heartbeat with all that others lack, and a look at whether they are still there.
-    fn lead(&mut self, now: Ms) {
-        if let Part::Leader(office) = &mut self.part {
-            office.beat = now + self.figures.heartbeat_interval_ms;
-            if office.handing.is_some_and(|(_, until)| now >= until) {
-                office.handing = None;
+    /// Sends each follower a heartbeat with the entries that it lacks; steps down without contact to a quorum.
+    fn heartbeat(&mut self, now: Ms) {
+        if let RoleState::Leader(leadership) = &mut self.state {
+            leadership.next_heartbeat_at = now + self.config.heartbeat_interval_ms;
+            if leadership.transfer.is_some_and(|(_, until)| now >= until) {
+                leadership.transfer = None;
             }
         }
-        if self.heard_by_most(now).is_none_or(|at| now > at + self.figures.election_timeout_ms) {
-            return self.follow(now, self.term, None, "it has no quorum");
+        if self.quorum_contact_at(now).is_none_or(|at| now > at + self.config.election_timeout_ms) {
+            return self.become_follower(now, self.term, None, "it has no quorum");
         }
-        self.spread(now, true);
-        self.advance(now);
+        self.replicate(now, true);
+        self.advance_commit_index(now);
     }
 
-    /// Since when a majority has surely taken this leader for one.
-    fn heard_by_most(&self, now: Ms) -> Option<Ms> {
-        let Part::Leader(office) = &self.part else { return None };
-        let answered = |id: MemberId| office.peers.get(&id).map_or(f64::NEG_INFINITY, |peer| peer.answered);
-        self.majority(|id| if id == self.me { now } else { answered(id) })
+    /// The latest time at which a majority of the voters is known to have accepted this leader.
+    fn quorum_contact_at(&self, now: Ms) -> Option<Ms> {
+        let RoleState::Leader(leadership) = &self.state else { return None };
+        let acknowledged_at =
+            |id: MemberId| leadership.peers.get(&id).map_or(f64::NEG_INFINITY, |peer| peer.acknowledged_at);
+        self.majority(|id| if id == self.id { now } else { acknowledged_at(id) })
     }
 
-    /// Until when nobody else can lead, by this member's own clock and the drift told; `None` where it does not lead.
-    /// What is done under it and must not be done twice needs a fencing number all the same: the one that acts may be
-    /// stopped between this look and the act.
+    /// Until when no other member can lead, by this member's own clock and the configured clock drift; `None` if this
+    /// member holds no lease. An action that must not happen twice needs a fencing token as well: the process may be
+    /// suspended between this check and the action.
     pub fn lease(&self, now: Ms) -> Option<Ms> {
-        let Part::Leader(office) = &self.part else { return None };
-        if self.commit < office.opening || office.handing.is_some() {
+        let RoleState::Leader(leadership) = &self.state else { return None };
+        if self.commit_index < leadership.first_index || leadership.transfer.is_some() {
             return None;
         }
-        let until = self.heard_by_most(now)?
-            + self.figures.election_timeout_ms * (1.0 - self.figures.max_clock_drift_ratio);
+        let until = self.quorum_contact_at(now)?
+            + self.config.election_timeout_ms * (1.0 - self.config.max_clock_drift_ratio);
         (now < until).then_some(until)
     }
 
-    fn spread(&mut self, now: Ms, all: bool) {
-        let Part::Leader(office) = &self.part else { return };
-        let last = self.log.last().0;
-        let due = |(_, peer): &(&MemberId, &Progress)| all || peer.next <= last;
-        let peers: Vec<MemberId> = office.peers.iter().filter(due).map(|(id, _)| *id).collect();
-        peers.into_iter().for_each(|peer| self.bring(now, peer));
-    }
-
-    fn bring(&mut self, now: Ms, to: MemberId) {
-        let (term, commit, batch) = (self.term, self.commit, self.figures.max_entries_per_message);
-        let Part::Leader(office) = &mut self.part else { return };
-        let Some(peer) = office.peers.get_mut(&to) else { return };
-        let before = peer.next.previous();
-        let message = match self.log.term_at(before) {
-            Some(at_term) => {
-                let entries = self.log.entries_from(peer.next, batch).to_vec();
-                peer.next = Index(peer.next.0 + entries.len() as u64);
-                Message::AppendEntries {
-                    term,
-                    sent_at: now,
-                    previous: (before, at_term),
-                    entries,
-                    commit_index: commit,
-                }
+    /// Sends entries to the followers that lack some, or a heartbeat to all followers.
+    fn replicate(&mut self, now: Ms, to_all: bool) {
+        let RoleState::Leader(leadership) = &self.state else { return };
+        let last_index = self.log.last().0;
+        let due = |(_, peer): &(&MemberId, &Progress)| to_all || peer.next_index <= last_index;
+        let peers: Vec<MemberId> = leadership.peers.iter().filter(due).map(|(id, _)| *id).collect();
+        peers.into_iter().for_each(|peer| self.replicate_to(now, peer));
+    }
+
+    /// Sends a follower the next entries, or the snapshot if the log no longer has them.
+    fn replicate_to(&mut self, now: Ms, to: MemberId) {
+        let (term, commit_index) = (self.term, self.commit_index);
+        let max_entries = self.config.max_entries_per_message;
+        let RoleState::Leader(leadership) = &mut self.state else { return };
+        let Some(peer) = leadership.peers.get_mut(&to) else { return };
+        let previous_index = peer.next_index.previous();
+        let message = match self.log.term_at(previous_index) {
+            Some(previous_term) => {
+                let entries = self.log.entries_from(peer.next_index, max_entries).to_vec();
+                peer.next_index = Index(peer.next_index.0 + entries.len() as u64);
+                let previous = (previous_index, previous_term);
+                Message::AppendEntries { term, sent_at: now, previous, entries, commit_index }
             }
             None => {
                 let snapshot = self.log.snapshot.clone();
-                peer.next = snapshot.last_index.next();
+                peer.next_index = snapshot.last_index.next();
                 Message::InstallSnapshot { term, sent_at: now, snapshot }
             }
         };
-        self.say(to, message);
+        self.send_now(to, message);
     }
 
-    fn appended(&mut self, now: Ms, from: MemberId, at: Ms, same: bool, upto: Index) {
-        let last = self.log.last().0;
-        let Part::Leader(office) = &mut self.part else { return };
-        let Some(peer) = office.peers.get_mut(&from) else { return };
-        peer.answered = peer.answered.max(at.min(now));
-        if same {
-            peer.same = peer.same.max(upto.min(last));
-            peer.next = peer.next.max(peer.same.next());
+    fn handle_append_reply(&mut self, now: Ms, from: MemberId, sent_at: Ms, success: bool, index: Index) {
+        let last_index = self.log.last().0;
+        let RoleState::Leader(leadership) = &mut self.state else { return };
+        let Some(peer) = leadership.peers.get_mut(&from) else { return };
+        peer.acknowledged_at = peer.acknowledged_at.max(sent_at.min(now));
+        if success {
+            peer.match_index = peer.match_index.max(index.min(last_index));
+            peer.next_index = peer.next_index.max(peer.match_index.next());
         } else {
-            peer.next = upto.next().min(last.next()).max(peer.same.next());
+            peer.next_index = index.next().min(last_index.next()).max(peer.match_index.next());
         }
-        if peer.next <= last {
-            self.bring(now, from);
+        if peer.next_index <= last_index {
+            self.replicate_to(now, from);
         }
-        self.advance(now);
-        self.hand_over();
+        self.advance_commit_index(now);
+        self.send_timeout_now();
     }
 
-    /// Commits what a majority holds durably. Only entries of the own term are counted; what is before them is
-    /// committed with them (Raft, 5.4.2).
-    fn advance(&mut self, now: Ms) {
-        let Part::Leader(office) = &self.part else { return };
-        let kept = |id: MemberId| office.peers.get(&id).map_or(Index(0), |peer| peer.same);
-        let most = self.majority(|id| if id == self.me { self.kept } else { kept(id) });
-        let Some(most) = most.filter(|most| *most > self.commit) else { return };
-        if self.log.term_at(most) == Some(self.term) {
-            self.agree(most);
-            self.spread(now, true);
-            self.left_out(now);
+    /// Commits what a majority holds durably. Only entries of the leader's own term are counted; those before them are
+    /// committed with them (the Raft paper, 5.4.2).
+    fn advance_commit_index(&mut self, now: Ms) {
+        let RoleState::Leader(leadership) = &self.state else { return };
+        let match_index = |id: MemberId| leadership.peers.get(&id).map_or(Index(0), |peer| peer.match_index);
+        let replicated = self.majority(|id| if id == self.id { self.durable_index } else { match_index(id) });
+        let Some(replicated) = replicated.filter(|replicated| *replicated > self.commit_index) else {
+            return;
+        };
+        if self.log.term_at(replicated) == Some(self.term) {
+            self.commit_up_to(replicated);
+            self.replicate(now, true);
+            self.step_down_if_removed(now);
         }
     }
 
-    /// A leader that is no member any more has seen that agreed, and steps down.
-    fn left_out(&mut self, now: Ms) {
-        if !self.votes() && self.commit >= self.log.membership_index() {
-            self.follow(now, self.term, None, "it is no voter any more");
+    /// A leader that was removed steps down once its removal is committed.
+    fn step_down_if_removed(&mut self, now: Ms) {
+        if !self.is_voter() && self.commit_index >= self.log.membership_index() {
+            self.become_follower(now, self.term, None, "it is no longer a voter");
         }
     }
 
-    fn agree(&mut self, upto: Index) {
-        self.commit = upto.max(self.commit);
-        while self.applied < self.commit {
-            let Some(entry) = self.log.get(self.applied.next()) else { return };
-            self.done.committed.push(Committed::Entry(entry.clone()));
-            self.applied = self.applied.next();
+    fn commit_up_to(&mut self, index: Index) {
+        self.commit_index = index.max(self.commit_index);
+        while self.last_applied < self.commit_index {
+            let Some(entry) = self.log.get(self.last_applied.next()) else { return };
+            self.actions.committed.push(Committed::Entry(entry.clone()));
+            self.last_applied = self.last_applied.next();
         }
     }
 
-    fn leading(&self) -> Result<&Office, ProposeError> {
-        match &self.part {
-            Part::Leader(office) if office.handing.is_some() => Err(ProposeError::TransferInProgress),
-            Part::Leader(office) => Ok(office),
+    /// The leadership, if this member leads and accepts proposals.
+    fn leadership(&self) -> Result<&Leadership, ProposeError> {
+        match &self.state {
+            RoleState::Leader(leadership) if leadership.transfer.is_some() => {
+                Err(ProposeError::TransferInProgress)
+            }
+            RoleState::Leader(leadership) => Ok(leadership),
             _ => Err(ProposeError::NotLeader(self.leader())),
         }
     }
 
     /// Proposes a command, as leader.
     pub fn propose(&mut self, now: Ms, command: Vec<u8>) -> Result<LogPosition, ProposeError> {
-        self.leading()?;
-        if self.log.last().0 .0 - self.commit.0 >= self.figures.max_uncommitted_entries as u64 {
+        self.leadership()?;
+        if self.log.last().0 .0 - self.commit_index.0 >= self.config.max_uncommitted_entries as u64 {
             return Err(ProposeError::TooManyUncommitted);
         }
-        let led = self.append(vec![Payload::Command(command)]);
-        self.spread(now, false);
-        self.advance(now);
-        Ok(led)
+        let position = self.append_as_leader(vec![Payload::Command(command)]);
+        self.replicate(now, false);
+        self.advance_commit_index(now);
+        Ok(position)
     }
 
-    /// Changes the members by one step, as leader.
+    /// Proposes a single membership change, as leader.
     pub fn change_members(
         &mut self,
         now: Ms,
         change: &MembershipChange,
     ) -> Result<LogPosition, ProposeError> {
-        let office = self.leading()?;
-        // Guards against two changes at once, and against the flaw in one-at-a-time changes that was found after the
-        // dissertation: none before an entry of the own term is committed.
-        if self.commit < office.opening || self.commit < self.log.membership_index() {
+        let leadership = self.leadership()?;
+        // Only one change at a time; and none before an entry of the leader's own term is committed, since without that
+        // two leaders' changes could take effect with disjoint quorums (a flaw found after the dissertation).
+        if self.commit_index < leadership.first_index || self.commit_index < self.log.membership_index() {
             return Err(ProposeError::MembershipChangeInProgress);
         }
         let mut members = self.members().clone();
@@ -741,7 +769,8 @@
                 members.insert(*id, Member { address: address.clone(), role: MemberRole::Learner });
             }
             MembershipChange::Promote(id) => {
-                let caught_up = office.peers.get(id).is_some_and(|peer| peer.same >= self.commit);
+                let caught_up =
+                    leadership.peers.get(id).is_some_and(|peer| peer.match_index >= self.commit_index);
                 let learner = members.get_mut(id).filter(|member| member.role == MemberRole::Learner);
                 match learner.filter(|_| caught_up) {
                     Some(member) => member.role = MemberRole::Voter,
@@ -749,116 +778,139 @@
                 }
             }
             MembershipChange::Remove(id) => {
-                // The last voter stays: without it nothing could be agreed ever again.
-                let last = self.voters().eq([id]);
-                if last || members.remove(id).is_none() {
+                // The last voter cannot be removed: without it nothing could ever be committed again.
+                let is_last_voter = self.voters().eq([id]);
+                if is_last_voter || members.remove(id).is_none() {
                     return Err(ProposeError::InvalidMembershipChange);
                 }
             }
         }
-        let (me, next) = (self.me, self.log.last().0.next());
-        let led = self.append(vec![Payload::Membership(members.clone())]);
-        if let Part::Leader(office) = &mut self.part {
-            office.peers.retain(|id, _| members.contains_key(id));
-            for id in members.keys().filter(|id| **id != me) {
-                office.peers.entry(*id).or_insert(Progress { next, same: Index(0), answered: now });
+        let (own_id, next_index) = (self.id, self.log.last().0.next());
+        let position = self.append_as_leader(vec![Payload::Membership(members.clone())]);
+        if let RoleState::Leader(leadership) = &mut self.state {
+            leadership.peers.retain(|id, _| members.contains_key(id));
+            for id in members.keys().filter(|id| **id != own_id) {
+                leadership.peers.entry(*id).or_insert(Progress {
+                    next_index,
+                    match_index: Index(0),
+                    acknowledged_at: now,
+                });
             }
         }
-        self.spread(now, true);
-        self.advance(now);
-        Ok(led)
+        self.replicate(now, true);
+        self.advance_commit_index(now);
+        Ok(position)
     }
 
-    /// Hands the office to whoever has most of the log, as on a planned end. False where there is nobody.
+    /// Transfers the leadership to the reachable voter whose log is the most complete, as for a planned shutdown. Returns
+    /// false if there is none.
     pub fn transfer_leadership(&mut self, now: Ms) -> bool {
-        let until = now + self.figures.election_timeout_ms;
-        let heir = match &self.part {
-            Part::Leader(office) => {
-                let voters = self.others().filter_map(|id| Some((*id, office.peers.get(id)?)));
-                let fresh =
-                    voters.filter(|(_, peer)| now <= peer.answered + self.figures.election_timeout_ms);
-                fresh.max_by_key(|(_, peer)| peer.same).map(|(id, _)| id)
+        let until = now + self.config.election_timeout_ms;
+        let target = match &self.state {
+            RoleState::Leader(leadership) => {
+                let voters = self.other_voters().filter_map(|id| Some((*id, leadership.peers.get(id)?)));
+                let reachable =
+                    voters.filter(|(_, peer)| now <= peer.acknowledged_at + self.config.election_timeout_ms);
+                reachable.max_by_key(|(_, peer)| peer.match_index).map(|(id, _)| id)
             }
             _ => None,
         };
-        if let (Some(heir), Part::Leader(office)) = (heir, &mut self.part) {
-            office.handing = Some((heir, until));
-            self.hand_over();
+        if let (Some(target), RoleState::Leader(leadership)) = (target, &mut self.state) {
+            leadership.transfer = Some((target, until));
+            self.send_timeout_now();
         }
-        heir.is_some()
+        target.is_some()
     }
 
-    fn hand_over(&mut self) {
-        let Part::Leader(office) = &self.part else { return };
-        let Some((heir, _)) = office.handing else { return };
-        if office.peers.get(&heir).is_some_and(|peer| peer.same == self.log.last().0) {
-            self.say(heir, Message::TimeoutNow { term: self.term });
+    /// Asks the target of a leadership transfer to stand for election once it holds the whole log.
+    fn send_timeout_now(&mut self) {
+        let RoleState::Leader(leadership) = &self.state else { return };
+        let Some((target, _)) = leadership.transfer else { return };
+        if leadership.peers.get(&target).is_some_and(|peer| peer.match_index == self.log.last().0) {
+            self.send_now(target, Message::TimeoutNow { term: self.term });
         }
     }
 
     // Following.
 
-    fn heed(&mut self, now: Ms, from: MemberId, term: Term) -> bool {
+    /// Accepts the sender as leader, unless its term has ended.
+    fn accept_leader(&mut self, now: Ms, from: MemberId, term: Term) -> bool {
         if term < self.term {
-            self.done.events.push(RaftEvent::StaleLeader(from, term));
-            // So that it learns that its term is over; the log has nothing to do with it.
-            self.tell(from, Message::RequestVoteReply { term: self.term, granted: false, pre_vote: false });
+            self.actions.events.push(RaftEvent::StaleLeader(from, term));
+            // Tells the sender of the later term; the reply has nothing to do with an election.
+            self.send_when_durable(
+                from,
+                Message::RequestVoteReply { term: self.term, granted: false, pre_vote: false },
+            );
             return false;
         }
-        if self.standing == RecoveryState::Empty {
-            // Somebody leads a council whose first hour this member has no part in.
-            self.doubt(now);
+        if self.recovery == RecoveryState::Empty {
+            // The group was bootstrapped without this member's store.
+            self.start_recovery(now);
         }
-        self.follow(now, term, Some(from), "another leads in a later term");
-        self.led_at = now;
-        self.patience(now);
+        self.become_follower(now, term, Some(from), "another member leads in a later term");
+        self.leader_contact_at = now;
+        self.reset_election_timer(now);
         true
     }
 
-    fn take_in(&mut self, from: MemberId, at: Ms, before: (Index, Term), entries: Vec<Entry>, commit: Index) {
-        let (term, last) = (self.term, self.log.last().0);
-        let no = |upto: Index| Message::AppendEntriesReply { term, sent_at: at, success: false, index: upto };
-        let snapshot = self.log.snapshot.last_index;
-        // What the snapshot stands for was committed, so it is the same.
-        let fits = before.0 < snapshot || self.log.term_at(before.0) == Some(before.1);
-        if !fits {
-            let hint = before.0.previous().min(last).max(snapshot);
-            return self.tell(from, no(hint));
+    fn handle_append_entries(
+        &mut self,
+        from: MemberId,
+        sent_at: Ms,
+        previous: (Index, Term),
+        entries: Vec<Entry>,
+        leader_commit: Index,
+    ) {
+        let (term, last_index) = (self.term, self.log.last().0);
+        let rejection = |index: Index| Message::AppendEntriesReply { term, sent_at, success: false, index };
+        let snapshot_index = self.log.snapshot.last_index;
+        // The entries in the snapshot were committed, so they match.
+        let matches = previous.0 < snapshot_index || self.log.term_at(previous.0) == Some(previous.1);
+        if !matches {
+            let hint = previous.0.previous().min(last_index).max(snapshot_index);
+            return self.send_when_durable(from, rejection(hint));
         }
-        let upto = Index(before.0 .0 + entries.len() as u64);
+        let match_index = Index(previous.0 .0 + entries.len() as u64);
         let differs =
-            |entry: &Entry| entry.index > snapshot && self.log.term_at(entry.index) != Some(entry.term);
+            |entry: &Entry| entry.index > snapshot_index && self.log.term_at(entry.index) != Some(entry.term);
         if let Some(first) = entries.iter().position(differs) {
-            // What is committed is never replaced; a peer that wants it is not one of ours.
-            if entries[first].index <= self.commit || !self.keep(entries[first..].to_vec()) {
+            // A committed entry is never replaced: a sender that asks for it is not a member of this group.
+            if entries[first].index <= self.commit_index || !self.write_entries(entries[first..].to_vec()) {
                 return;
             }
         }
-        let upto = upto.max(snapshot);
-        self.agree(commit.min(upto));
-        self.tell(from, Message::AppendEntriesReply { term, sent_at: at, success: true, index: upto });
-        self.caught_up(from, upto);
+        let match_index = match_index.max(snapshot_index);
+        self.commit_up_to(leader_commit.min(match_index));
+        self.send_when_durable(
+            from,
+            Message::AppendEntriesReply { term, sent_at, success: true, index: match_index },
+        );
+        self.finish_recovery(from, match_index);
     }
 
-    fn install(&mut self, from: MemberId, at: Ms, snapshot: Snapshot) {
-        let (term, upto) = (self.term, snapshot.last_index);
-        if upto > self.commit {
+    fn handle_install_snapshot(&mut self, from: MemberId, sent_at: Ms, snapshot: Snapshot) {
+        let (term, match_index) = (self.term, snapshot.last_index);
+        if match_index > self.commit_index {
             self.log = Log::new(snapshot.clone());
-            (self.commit, self.applied) = (upto, upto);
+            (self.commit_index, self.last_applied) = (match_index, match_index);
             self.write(Record::Snapshot(snapshot.clone()));
-            self.kept = Index(0);
-            self.syncing.clear();
-            self.syncing.push_back((self.written, upto));
-            self.done.committed.push(Committed::Snapshot(snapshot));
+            self.durable_index = Index(0);
+            self.pending_syncs.clear();
+            self.pending_syncs.push_back((self.records_written, match_index));
+            self.actions.committed.push(Committed::Snapshot(snapshot));
         }
-        self.tell(from, Message::AppendEntriesReply { term, sent_at: at, success: true, index: upto });
-        self.caught_up(from, upto);
+        self.send_when_durable(
+            from,
+            Message::AppendEntriesReply { term, sent_at, success: true, index: match_index },
+        );
+        self.finish_recovery(from, match_index);
     }
 
-    /// What another member says.
+    /// Handles a message from another member.
     pub fn handle_message(&mut self, now: Ms, from: MemberId, message: Message) {
         match message {
-            Message::HandshakeRequest { run, nonce } => self.asked(from, run, nonce),
+            Message::HandshakeRequest { run, nonce } => self.handle_handshake_request(from, run, nonce),
             Message::HandshakeReply {
                 run,
                 known_run,
@@ -869,138 +921,136 @@
                 bootstrap_stores,
             } => {
                 if run == self.run {
-                    self.inquiry.record(
-                        from,
-                        Answer { known_run, term, last_index, is_leader, store_id, bootstrap_stores },
-                    );
-                    self.judge(now);
+                    let answer =
+                        Answer { known_run, term, last_index, is_leader, store_id, bootstrap_stores };
+                    self.handshake.record(from, answer);
+                    self.update_recovery(now);
                 }
             }
             Message::RequestVote { term, last, pre_vote, leadership_transfer } => {
-                self.asked_for_vote(now, from, (term, last, pre_vote, leadership_transfer));
+                self.handle_request_vote(now, from, (term, last, pre_vote, leadership_transfer));
             }
-            // A pre-vote that is granted names a term that has not begun.
+            // A granted pre-vote names the next term, which has not started.
             Message::RequestVoteReply { term, granted, pre_vote }
                 if term > self.term && !(granted && pre_vote) =>
             {
-                self.follow(now, term, None, "another is in a later term");
+                self.become_follower(now, term, None, "another member is in a later term");
             }
             Message::RequestVoteReply { term, granted, pre_vote } => {
-                self.voted(now, from, term, granted, pre_vote)
+                self.handle_vote_reply(now, from, term, granted, pre_vote)
             }
             Message::AppendEntries { term, sent_at, previous, entries, commit_index } => {
-                if self.heed(now, from, term) {
-                    self.take_in(from, sent_at, previous, entries, commit_index);
+                if self.accept_leader(now, from, term) {
+                    self.handle_append_entries(from, sent_at, previous, entries, commit_index);
                 }
             }
             Message::InstallSnapshot { term, sent_at, snapshot } => {
-                if self.heed(now, from, term) {
-                    self.install(from, sent_at, snapshot);
+                if self.accept_leader(now, from, term) {
+                    self.handle_install_snapshot(from, sent_at, snapshot);
                 }
             }
             Message::AppendEntriesReply { term, .. } if term > self.term => {
-                self.follow(now, term, None, "another is in a later term");
+                self.become_follower(now, term, None, "another member is in a later term");
             }
             Message::AppendEntriesReply { term, sent_at, success, index } => {
                 if term == self.term {
-                    self.appended(now, from, sent_at, success, index);
+                    self.handle_append_reply(now, from, sent_at, success, index);
                 }
             }
             Message::TimeoutNow { term } => {
-                if term == self.term && self.leader() == Some(from) && self.may_vote() && self.votes() {
-                    self.stand(now, false, true);
+                if term == self.term && self.leader() == Some(from) && self.may_vote() && self.is_voter() {
+                    self.start_election(now, false, true);
                 }
             }
-            // Whoever proposed finds out by what is agreed, and proposes again.
+            // The proposer learns of the outcome from the committed entries, and proposes again if it was rejected.
             Message::Propose { command } => _ = self.propose(now, command),
         }
     }
 
-    fn asked(&mut self, from: MemberId, run: Run, nonce: u64) {
-        let (known, new) = self.peers.entry(from).or_default().observe(run, nonce);
-        if new {
+    fn handle_handshake_request(&mut self, from: MemberId, run: Run, nonce: u64) {
+        let (known_run, is_new) = self.peer_runs.entry(from).or_default().observe(run, nonce);
+        if is_new {
             self.write(Record::PeerRun(from, run, nonce));
-            let next = self.log.last().0.next();
-            if let Part::Leader(office) = &mut self.part {
-                // Guards against an answer of its last life that still counts: it may have forgotten what it held.
-                let peer = office.peers.get_mut(&from);
-                peer.into_iter().for_each(|peer| (peer.next, peer.same) = (next, Index(0)));
+            let next_index = self.log.last().0.next();
+            if let RoleState::Leader(leadership) = &mut self.state {
+                // Replies of the previous run no longer count: the member may have lost the entries that it confirmed.
+                let peer = leadership.peers.get_mut(&from);
+                peer.into_iter()
+                    .for_each(|peer| (peer.next_index, peer.match_index) = (next_index, Index(0)));
             }
         }
-        let founding = (self.standing != RecoveryState::Empty).then(|| self.founding.clone());
-        let (term, last, leading) = (self.term, self.log.last().0, matches!(self.part, Part::Leader(_)));
-        let birth = self.birth;
-        self.tell(
-            from,
-            Message::HandshakeReply {
-                run,
-                known_run: known,
-                term,
-                last_index: last,
-                is_leader: leading,
-                store_id: birth,
-                bootstrap_stores: founding,
-            },
-        );
+        let bootstrap_stores = (self.recovery != RecoveryState::Empty).then(|| self.bootstrap_stores.clone());
+        let (term, last_index) = (self.term, self.log.last().0);
+        let is_leader = matches!(self.state, RoleState::Leader(_));
+        let store_id = self.store_id;
+        let reply = Message::HandshakeReply {
+            run,
+            known_run,
+            term,
+            last_index,
+            is_leader,
+            store_id,
+            bootstrap_stores,
+        };
+        self.send_when_durable(from, reply);
     }
 
     // The store.
 
-    /// So many of the records handed out in this run are durable.
-    pub fn handle_durable(&mut self, now: Ms, written: u64) {
-        self.durable = self.durable.max(written);
-        while self.syncing.front().is_some_and(|(write, _)| *write <= self.durable) {
-            let (_, index) = self.syncing.pop_front().unwrap_or_default();
-            self.kept = self.kept.max(index);
+    /// Notes that the first `records_durable` of the records handed out since the start are durable.
+    pub fn handle_durable(&mut self, now: Ms, records_durable: u64) {
+        self.records_durable = self.records_durable.max(records_durable);
+        while self.pending_syncs.front().is_some_and(|(record, _)| *record <= self.records_durable) {
+            let (_, index) = self.pending_syncs.pop_front().unwrap_or_default();
+            self.durable_index = self.durable_index.max(index);
         }
-        while self.held.front().is_some_and(|(write, _, _)| *write <= self.durable) {
-            self.done.messages.extend(self.held.pop_front().map(|(_, to, message)| (to, message)));
+        while self.deferred_messages.front().is_some_and(|(record, _, _)| *record <= self.records_durable) {
+            let sendable = self.deferred_messages.pop_front().map(|(_, to, message)| (to, message));
+            self.actions.messages.extend(sendable);
         }
-        self.count(now);
-        self.advance(now);
+        self.count_votes(now);
+        self.advance_commit_index(now);
     }
 
-    /// Whether the store fails. A member that cannot keep its word gives none: it leads no more and votes for nobody
-    /// until the store is well.
+    /// Notes whether the store is failing. A member that cannot write durably steps down, and grants no vote until the
+    /// store works again.
     pub fn set_store_failing(&mut self, now: Ms, failing: bool) {
-        if failing && !self.failing && !matches!(self.part, Part::Follower { .. }) {
-            self.follow(now, self.term, None, "its store fails");
+        if failing && !self.store_failing && !matches!(self.state, RoleState::Follower { .. }) {
+            self.become_follower(now, self.term, None, "its store is failing");
         }
-        self.failing = failing;
+        self.store_failing = failing;
     }
 
-    /// The state that the parts above hold stands for all that was agreed up to `at`. The records that are now enough,
-    /// to be put in place of all that were written; `None` where that is no place in the log.
-    pub fn compact(&mut self, at: Index, state: Vec<u8>) -> Option<Vec<Record>> {
-        if at > self.applied || !self.log.compact(at, state) {
+    /// Replaces the log up to and including `index` with a snapshot of the application's `state`. Returns the records
+    /// that are to replace all records written so far; `None` if the index is not applied yet or not in the log.
+    pub fn compact(&mut self, index: Index, state: Vec<u8>) -> Option<Vec<Record>> {
+        if index > self.last_applied || !self.log.compact(index, state) {
             return None;
         }
-        Some(self.records())
+        Some(self.state_records())
     }
 
-    /// All that a store has to hold of this member.
-    fn records(&self) -> Vec<Record> {
+    /// The records that make up this member's whole durable state.
+    fn state_records(&self) -> Vec<Record> {
         let mut records = Vec::new();
-        for (peer, known) in &self.peers {
-            // The nonce of the one before is never compared: any start of its number is an old one now.
+        for (peer, known) in &self.peer_runs {
+            // The nonce of the previous run is never compared: any start with its number is outdated by now.
             records.push(Record::PeerRun(*peer, known.previous, 0));
             records.push(Record::PeerRun(*peer, known.run, known.nonce));
         }
-        records.push(Record::StoreId(self.birth));
+        records.push(Record::StoreId(self.store_id));
         records.push(Record::Run(self.run));
-        if self.standing != RecoveryState::Empty {
-            records.push(Record::Bootstrapped(self.log.snapshot.clone(), self.founding.clone()));
+        if self.recovery != RecoveryState::Empty {
+            records.push(Record::Bootstrapped(self.log.snapshot.clone(), self.bootstrap_stores.clone()));
         }
-        if matches!(self.standing, RecoveryState::Recovering { .. }) {
+        if matches!(self.recovery, RecoveryState::Recovering { .. }) {
             records.push(Record::RecoveryStarted);
         }
-        records.push(Record::TermAndVote(self.term, self.vote));
+        records.push(Record::TermAndVote(self.term, self.voted_for));
         records.push(Record::Snapshot(self.log.snapshot.clone()));
-        let all = self.log.entries_from(self.log.snapshot.last_index.next(), usize::MAX - 1);
-        records.extend(
-            all.chunks(self.figures.max_entries_per_message.max(1))
-                .map(|some| Record::Entries(some.to_vec())),
-        );
+        let entries = self.log.entries_from(self.log.snapshot.last_index.next(), usize::MAX - 1);
+        let batch_size = self.config.max_entries_per_message.max(1);
+        records.extend(entries.chunks(batch_size).map(|batch| Record::Entries(batch.to_vec())));
         records
     }
 }
