--- a/crates/council/src/sight.rs
+++ b/crates/council/src/sight.rs
@@ -1,8 +1,9 @@
-//! Who is there: SWIM's probing, direct and by others, with suspicion, incarnations, and Lifeguard's local health, so that
-//! a member that is slow itself blames itself first.
+//! Failure detector: SWIM's direct and indirect probes, suspicion and incarnation numbers, with Lifeguard's local health,
+//! so that a slow member suspects itself before it suspects others.
 //!
-//! Departures from the papers: an answer by way of others is kept apart from a direct one ([`Reach::Indirect`]), as a
-//! link cut one way is no death and people on call want to know which it is; and a member that left says so itself.
+//! Departures from the papers: an indirect answer is told apart from a direct one ([`Reach::Indirect`]), since a link that
+//! is cut in one direction is not a dead process and operators need to know which it is; and a member that leaves
+//! announces it.
 
 use std::collections::BTreeMap;
 
@@ -11,415 +12,456 @@
 
 use crate::ids::MemberId;
 
-/// What is believed of a member.
+/// The health that the group ascribes to a member. Within one incarnation a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
     Alive,
     Suspect,
     Dead,
-    /// It said itself that it ends.
+    /// The member itself announced that it leaves.
     Left,
 }
 
-/// By what way a member is seen.
+/// How this member reaches another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
+    /// No probe has been answered yet.
     Unknown,
     Direct,
-    /// It answers others and not this member: a link is cut, or half open, and no process is dead.
+    /// It answers other members and not this one: a link is cut or half-open, and no process is dead.
     Indirect,
     Unreachable,
 }
 
-/// What is said of a member; of two words the one of the higher incarnation holds, and of the same one the worse.
+/// A gossip update about a member. Of two updates the one with the higher incarnation holds; with the same incarnation
+/// the one with the worse health. Updates and messages are encoded by position, so fields and variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
     pub member: MemberId,
     pub health: Health,
     pub incarnation: u64,
-    /// Who suspects first; others' suspicions count beside it.
+    /// For a suspicion the member that raised it: independent suspicions confirm each other.
     pub reported_by: MemberId,
 }
 
+/// A message of the failure detector.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SwimMessage {
     Ping {
         sequence: u64,
         updates: Vec<GossipUpdate>,
     },
-    /// `clock`: the time of day there.
     Ack {
+        /// The sequence number of the request.
         sequence: u64,
+        /// The wall clock of the probed member.
         clock: Ms,
         updates: Vec<GossipUpdate>,
     },
-    /// To ping another and pass its answer on.
+    /// Asks the receiver to probe the target and to relay its answer.
     PingRequest {
         sequence: u64,
         target: MemberId,
         updates: Vec<GossipUpdate>,
     },
-    /// The target did not answer the one asked; the one asked is well.
+    /// The target of a ping request did not answer in time. It also shows that the sender itself works.
     Nack {
         sequence: u64,
     },
 }
 
 impl SwimMessage {
-    /// Of two messages with the same slot that wait for the same peer the newer one says all.
+    /// The slot of a message whose newer version replaces an older one that still waits for the same peer; `None` for
+    /// messages that all have to be sent.
     pub fn slot(&self) -> Option<u8> {
         matches!(self, SwimMessage::Ping { .. }).then_some(16)
     }
 }
 
+/// Intervals and limits of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwimConfig {
-    /// One member is probed a period.
+    /// One member is probed in each period.
     pub probe_period_ms: Ms,
-    /// A direct probe's answer is waited for so long, of a healthy prober.
+    /// How long a member in good local health waits for the answer to a direct probe.
     pub probe_timeout_ms: Ms,
-    /// Members asked to probe in this one's place.
+    /// How many members are asked to probe the target after a direct probe has timed out.
     pub indirect_probe_count: usize,
-    /// Words in one message.
     pub max_updates_per_message: usize,
 }
 
-/// The most that local health goes up to, as in the paper.
-const WORST: u32 = 8;
-/// Suspicion lasts `SHORTEST` to `LONGEST` times the logarithm of the group, in periods.
-const SHORTEST: f64 = 4.0;
-const LONGEST: f64 = 6.0;
-/// So many others' suspicions make it as short as it gets.
-const CONFIRMING: f64 = 3.0;
-
+/// The worst local health, as in the Lifeguard paper.
+const MAX_LOCAL_HEALTH: u32 = 8;
+/// The shortest suspicion timeout in probe periods, per decimal logarithm of the group's size (Lifeguard's alpha).
+const MIN_SUSPICION_FACTOR: f64 = 4.0;
+/// The ratio of the longest suspicion timeout to the shortest (Lifeguard's beta).
+const MAX_SUSPICION_RATIO: f64 = 6.0;
+/// The number of confirmations by other members at which the suspicion timeout is the shortest (Lifeguard's K).
+const MAX_CONFIRMATION_COUNT: f64 = 3.0;
+/// The number of probes for other members that may be in progress; further ping requests are dropped.
+const MAX_RELAYED_PROBES: usize = 256;
+
+/// What this member knows of another one.
 #[derive(Clone, Debug)]
-struct Seen {
+struct Peer {
     health: Health,
     incarnation: u64,
-    since: Ms,
-    /// Who suspects it.
-    by: Vec<MemberId>,
-    direct: Option<Ms>,
-    by_others: Option<Ms>,
-    /// Its time of day less this member's monotonic clock, which does not jump, and when that was seen.
-    clock: Option<(Ms, Ms)>,
-    /// How often its word was passed on.
-    told: u32,
+    /// When `health` last changed.
+    health_since: Ms,
+    suspected_by: Vec<MemberId>,
+    direct_ack_at: Option<Ms>,
+    indirect_ack_at: Option<Ms>,
+    /// The peer's wall clock less this member's monotonic clock, which does not jump; and when that was measured.
+    clock_offset: Option<(Ms, Ms)>,
+    /// How often the current update about the peer has been sent.
+    times_gossiped: u32,
 }
 
+/// This member's own probe in the current period.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     sequence: u64,
     target: MemberId,
-    sent: Ms,
-    asked: usize,
-    nacks: usize,
-    by_others: bool,
+    sent_at: Ms,
+    /// The number of ping requests sent after the direct probe timed out; at least 1 from then on.
+    ping_request_count: usize,
+    nack_count: usize,
+    acked_indirectly: bool,
 }
 
-/// A probe for another: whose, by which number there, and until when.
+/// A probe on behalf of another member.
 #[derive(Clone, Copy, Debug)]
-struct Errand {
+struct RelayedProbe {
     sequence: u64,
-    for_whom: MemberId,
-    their: u64,
-    until: Ms,
+    requester: MemberId,
+    /// The sequence number of the ping request.
+    requester_sequence: u64,
+    deadline: Ms,
 }
 
-/// Errands that may be under way; more are not taken.
-const ERRANDS: usize = 256;
-
+/// The failure detector of one member.
 pub struct FailureDetector {
-    me: MemberId,
-    pace: SwimConfig,
+    id: MemberId,
+    config: SwimConfig,
     rng: fastrand::Rng,
     incarnation: u64,
-    seen: BTreeMap<MemberId, Seen>,
-    round: Vec<MemberId>,
+    peers: BTreeMap<MemberId, Peer>,
+    /// The members that are still to be probed in this round, in random order.
+    probe_order: Vec<MemberId>,
     probe: Option<Probe>,
-    errands: Vec<Errand>,
-    sequence: u64,
-    due: Ms,
-    /// Lifeguard's local health: 0 is well.
-    own: u32,
+    relayed_probes: Vec<RelayedProbe>,
+    last_sequence: u64,
+    next_probe_at: Ms,
+    /// Lifeguard's local health: 0 is healthy, [`MAX_LOCAL_HEALTH`] the worst.
+    local_health: u32,
     leaving: bool,
-    sends: Vec<(MemberId, SwimMessage)>,
-    turned: Vec<(MemberId, Health)>,
+    messages: Vec<(MemberId, SwimMessage)>,
+    health_changes: Vec<(MemberId, Health)>,
 }
 
 impl FailureDetector {
-    /// `incarnation`: higher than at any start before, as [`crate::Run`] is.
-    pub fn start(me: MemberId, pace: SwimConfig, incarnation: u64, seed: u64, now: Ms) -> FailureDetector {
+    /// Starts a failure detector. `incarnation` has to be higher than at any earlier start of this member, as
+    /// [`crate::Run`] is.
+    pub fn start(id: MemberId, config: SwimConfig, incarnation: u64, seed: u64, now: Ms) -> FailureDetector {
         let rng = fastrand::Rng::with_seed(seed);
+        // Leaves room for the increments of one run below the next run's incarnation.
         let incarnation = incarnation << 20;
         FailureDetector {
-            me,
-            pace,
+            id,
+            config,
             rng,
             incarnation,
-            seen: BTreeMap::new(),
-            round: Vec::new(),
+            peers: BTreeMap::new(),
+            probe_order: Vec::new(),
             probe: None,
-            errands: Vec::new(),
-            sequence: 0,
-            due: now,
-            own: 0,
+            relayed_probes: Vec::new(),
+            last_sequence: 0,
+            next_probe_at: now,
+            local_health: 0,
             leaving: false,
-            sends: Vec::new(),
-            turned: Vec::new(),
+            messages: Vec::new(),
+            health_changes: Vec::new(),
         }
     }
 
-    /// Who is to be watched. Those already known stay as they are.
+    /// Sets the members to watch. What is known of those watched before is kept.
     pub fn set_members(&mut self, now: Ms, members: impl Iterator<Item = MemberId>) {
-        let members: Vec<MemberId> = members.filter(|id| *id != self.me).collect();
-        self.seen.retain(|id, _| members.contains(id));
+        let members: Vec<MemberId> = members.filter(|id| *id != self.id).collect();
+        self.peers.retain(|id, _| members.contains(id));
         for id in members {
-            let new = Seen {
+            let new = Peer {
                 health: Health::Alive,
                 incarnation: 0,
-                since: now,
-                by: Vec::new(),
-                direct: None,
-                by_others: None,
-                clock: None,
-                told: 0,
+                health_since: now,
+                suspected_by: Vec::new(),
+                direct_ack_at: None,
+                indirect_ack_at: None,
+                clock_offset: None,
+                times_gossiped: 0,
             };
-            self.seen.entry(id).or_insert(new);
+            self.peers.entry(id).or_insert(new);
         }
     }
 
-    /// What is to be sent since this was last asked.
+    /// Takes the messages that have to be sent since the last call.
     pub fn take_messages(&mut self) -> Vec<(MemberId, SwimMessage)> {
-        std::mem::take(&mut self.sends)
+        std::mem::take(&mut self.messages)
     }
 
-    /// Who is believed to be otherwise than before, since this was last asked.
+    /// Takes the changes of members' health since the last call.
     pub fn take_health_changes(&mut self) -> Vec<(MemberId, Health)> {
-        std::mem::take(&mut self.turned)
+        std::mem::take(&mut self.health_changes)
     }
 
+    /// The health of a member; a member that is not watched counts as dead.
     pub fn health(&self, of: MemberId) -> Health {
-        match self.seen.get(&of) {
-            _ if of == self.me => Health::Alive,
-            Some(seen) => seen.health,
+        match self.peers.get(&of) {
+            _ if of == self.id => Health::Alive,
+            Some(peer) => peer.health,
             None => Health::Dead,
         }
     }
 
-    /// Whether a member may be given work: it is not suspected, and not this one's own links alone are in doubt.
+    /// The members that may be given work: this one, and all others that are not suspected, dead or gone. A member that
+    /// only this one cannot reach directly is among them.
     pub fn alive(&self) -> impl Iterator<Item = MemberId> + '_ {
-        let others = self.seen.iter().filter(|(_, seen)| seen.health == Health::Alive);
-        std::iter::once(self.me).chain(others.map(|(id, _)| *id))
+        let others = self.peers.iter().filter(|(_, peer)| peer.health == Health::Alive);
+        std::iter::once(self.id).chain(others.map(|(id, _)| *id))
     }
 
+    /// How this member reaches another one, by the probes of the last two rounds.
     pub fn reach(&self, now: Ms, of: MemberId) -> Reach {
-        let Some(seen) = self.seen.get(&of) else { return Reach::Unknown };
-        let round = self.round_trip() * 2.0;
-        let fresh = |at: Option<Ms>| at.is_some_and(|at| now <= at + round);
-        match (fresh(seen.direct), fresh(seen.by_others)) {
+        let Some(peer) = self.peers.get(&of) else { return Reach::Unknown };
+        let max_age = self.round_duration() * 2.0;
+        let is_recent = |at: Option<Ms>| at.is_some_and(|at| now <= at + max_age);
+        match (is_recent(peer.direct_ack_at), is_recent(peer.indirect_ack_at)) {
             (true, _) => Reach::Direct,
             (false, true) => Reach::Indirect,
-            (false, false) if seen.direct.is_none() && seen.health == Health::Alive => Reach::Unknown,
+            (false, false) if peer.direct_ack_at.is_none() && peer.health == Health::Alive => Reach::Unknown,
             (false, false) => Reach::Unreachable,
         }
     }
 
-    /// How slow this member itself is: 0 is well, 8 the worst.
+    /// Lifeguard's local health: how slow this member itself is, from 0 (healthy) to 8.
     pub fn local_health(&self) -> u32 {
-        self.own
+        self.local_health
     }
 
-    /// The time of day on each clock that was seen lately, this one's among them.
-    pub fn clocks(&self, now: Ms, own: Ms) -> Vec<Ms> {
-        let fresh = |seen: &Seen| {
-            let (ahead, at) = seen.clock?;
-            (now <= at + self.round_trip() * 2.0).then_some(now + ahead)
+    /// The wall clocks of the members that were reached within the last two rounds, and this member's own one.
+    pub fn clocks(&self, now: Ms, own_clock: Ms) -> Vec<Ms> {
+        let recent = |peer: &Peer| {
+            let (offset, at) = peer.clock_offset?;
+            (now <= at + self.round_duration() * 2.0).then_some(now + offset)
         };
-        self.seen.values().filter_map(fresh).chain([own]).collect()
+        self.peers.values().filter_map(recent).chain([own_clock]).collect()
     }
 
-    /// The time in which everybody is probed once by this member.
-    fn round_trip(&self) -> Ms {
-        self.pace.probe_period_ms * (self.seen.len().max(1) as f64 + 1.0) * f64::from(self.own + 1)
+    /// The time in which this member probes every other one once.
+    fn round_duration(&self) -> Ms {
+        self.config.probe_period_ms
+            * (self.peers.len().max(1) as f64 + 1.0)
+            * f64::from(self.local_health + 1)
     }
 
+    /// When [`FailureDetector::tick`] is due next.
     pub fn next_tick(&self) -> Ms {
-        let probe = self.probe.filter(|probe| probe.asked == 0).map(|probe| probe.sent + self.answer());
-        let errands = self.errands.iter().map(|errand| errand.until);
-        let suspects = self.seen.values().filter(|seen| seen.health == Health::Suspect);
-        let ends = suspects.map(|seen| seen.since + self.suspicion(seen));
-        probe.into_iter().chain(errands).chain(ends).fold(self.due, f64::min)
+        let probe = self.probe.filter(|probe| probe.ping_request_count == 0);
+        let probe_timeout = probe.map(|probe| probe.sent_at + self.probe_timeout());
+        let relayed_deadlines = self.relayed_probes.iter().map(|relayed| relayed.deadline);
+        let suspects = self.peers.values().filter(|peer| peer.health == Health::Suspect);
+        let suspicion_ends = suspects.map(|peer| peer.health_since + self.suspicion_timeout(peer));
+        probe_timeout
+            .into_iter()
+            .chain(relayed_deadlines)
+            .chain(suspicion_ends)
+            .fold(self.next_probe_at, f64::min)
     }
 
-    fn answer(&self) -> Ms {
-        self.pace.probe_timeout_ms * f64::from(self.own + 1)
+    fn probe_timeout(&self) -> Ms {
+        self.config.probe_timeout_ms * f64::from(self.local_health + 1)
     }
 
-    /// How long a suspicion lasts: the longer the worse this member is itself, the shorter the more suspect the same.
-    fn suspicion(&self, seen: &Seen) -> Ms {
-        let group = (self.seen.len() as f64 + 1.0).log10().max(1.0);
-        let period = self.pace.probe_period_ms * f64::from(self.own + 1);
-        let (short, long) = (SHORTEST * group * period, LONGEST * SHORTEST * group * period);
-        let confirming = CONFIRMING.min(self.seen.len() as f64 - 1.0).max(1.0);
-        let part = (seen.by.len().saturating_sub(1) as f64 + 1.0).ln() / (confirming + 1.0).ln();
-        (long - (long - short) * part).max(short)
+    /// How long a member stays suspect before it counts as dead: the longer the worse this member's own health is, the
+    /// shorter the more members suspect it.
+    fn suspicion_timeout(&self, peer: &Peer) -> Ms {
+        let group_factor = (self.peers.len() as f64 + 1.0).log10().max(1.0);
+        let period = self.config.probe_period_ms * f64::from(self.local_health + 1);
+        let (shortest, longest) = (
+            MIN_SUSPICION_FACTOR * group_factor * period,
+            MAX_SUSPICION_RATIO * MIN_SUSPICION_FACTOR * group_factor * period,
+        );
+        let max_confirmations = MAX_CONFIRMATION_COUNT.min(self.peers.len() as f64 - 1.0).max(1.0);
+        let ratio =
+            (peer.suspected_by.len().saturating_sub(1) as f64 + 1.0).ln() / (max_confirmations + 1.0).ln();
+        (longest - (longest - shortest) * ratio).max(shortest)
     }
 
+    /// Does what is due by now: timeouts of probes and suspicions, and the next probe.
     pub fn tick(&mut self, now: Ms) {
-        self.errands.extract_if(.., |errand| now >= errand.until).for_each(|errand| {
-            self.sends.push((errand.for_whom, SwimMessage::Nack { sequence: errand.their }));
+        self.relayed_probes.extract_if(.., |relayed| now >= relayed.deadline).for_each(|relayed| {
+            self.messages
+                .push((relayed.requester, SwimMessage::Nack { sequence: relayed.requester_sequence }));
         });
-        let over = |seen: &Seen, of: &FailureDetector| {
-            seen.health == Health::Suspect && now >= seen.since + of.suspicion(seen)
+        let suspicion_expired = |peer: &Peer, detector: &FailureDetector| {
+            peer.health == Health::Suspect && now >= peer.health_since + detector.suspicion_timeout(peer)
         };
         let dead: Vec<(MemberId, u64)> = self
-            .seen
+            .peers
             .iter()
-            .filter(|(_, seen)| over(seen, self))
-            .map(|(id, seen)| (*id, seen.incarnation))
+            .filter(|(_, peer)| suspicion_expired(peer, self))
+            .map(|(id, peer)| (*id, peer.incarnation))
             .collect();
-        for (about, incarnation) in dead {
-            self.hear(
+        for (member, incarnation) in dead {
+            self.apply_update(
                 now,
-                GossipUpdate { member: about, health: Health::Dead, incarnation, reported_by: self.me },
+                GossipUpdate { member, health: Health::Dead, incarnation, reported_by: self.id },
             );
         }
-        if let Some(probe) = self.probe.filter(|probe| probe.asked == 0 && now >= probe.sent + self.answer())
+        if let Some(probe) = self
+            .probe
+            .filter(|probe| probe.ping_request_count == 0 && now >= probe.sent_at + self.probe_timeout())
         {
-            self.ask_others(probe);
+            self.send_ping_requests(probe);
         }
-        if now >= self.due {
-            // Late by itself: it was stopped or starved, and knows nothing of others from that time.
-            let late = now - self.due > self.pace.probe_period_ms;
-            self.conclude(now, late);
-            self.due = now + self.pace.probe_period_ms * f64::from(self.own + 1);
-            self.begin(now);
+        if now >= self.next_probe_at {
+            // This member itself was suspended or starved, so the probe says nothing about its target.
+            let late = now - self.next_probe_at > self.config.probe_period_ms;
+            self.finish_probe(now, late);
+            self.next_probe_at = now + self.config.probe_period_ms * f64::from(self.local_health + 1);
+            self.start_probe(now);
         }
     }
 
-    fn ask_others(&mut self, probe: Probe) {
-        let mut others: Vec<MemberId> =
-            self.alive().filter(|id| *id != self.me && *id != probe.target).collect();
-        self.rng.shuffle(&mut others);
-        others.truncate(self.pace.indirect_probe_count);
+    fn send_ping_requests(&mut self, probe: Probe) {
+        let mut relays: Vec<MemberId> =
+            self.alive().filter(|id| *id != self.id && *id != probe.target).collect();
+        self.rng.shuffle(&mut relays);
+        relays.truncate(self.config.indirect_probe_count);
         let (sequence, target) = (probe.sequence, probe.target);
-        for other in &others {
-            let updates = self.updates(*other);
-            self.sends.push((*other, SwimMessage::PingRequest { sequence, target, updates }));
+        for relay in &relays {
+            let updates = self.updates_for(*relay);
+            self.messages.push((*relay, SwimMessage::PingRequest { sequence, target, updates }));
         }
         if let Some(probe) = &mut self.probe {
-            probe.asked = others.len().max(1);
+            probe.ping_request_count = relays.len().max(1);
         }
     }
 
-    /// The last probe is over.
-    fn conclude(&mut self, now: Ms, late: bool) {
+    /// Ends the previous period's probe: a target that has not answered is suspected.
+    fn finish_probe(&mut self, now: Ms, late: bool) {
         let probe = self.probe.take();
         if late {
-            self.own = (self.own + 1).min(WORST);
+            self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
             return;
         }
         let Some(probe) = probe else { return };
-        if probe.by_others {
+        if probe.acked_indirectly {
             return;
         }
-        // Who was asked and did not even say no shows that this member's own links or time are at fault.
-        let missed = probe.asked.saturating_sub(probe.nacks);
-        let blame = if probe.asked > 1 { missed as u32 } else { 1 };
-        self.own = (self.own + blame.min(2)).min(WORST);
-        let Some(seen) = self.seen.get(&probe.target) else { return };
-        let word = GossipUpdate {
+        // A relay that has not even sent a nack indicates a fault of this member's own links or timing.
+        let missing_nacks = probe.ping_request_count.saturating_sub(probe.nack_count);
+        let penalty = if probe.ping_request_count > 1 { missing_nacks as u32 } else { 1 };
+        self.local_health = (self.local_health + penalty.min(2)).min(MAX_LOCAL_HEALTH);
+        let Some(peer) = self.peers.get(&probe.target) else { return };
+        let suspicion = GossipUpdate {
             member: probe.target,
             health: Health::Suspect,
-            incarnation: seen.incarnation,
-            reported_by: self.me,
+            incarnation: peer.incarnation,
+            reported_by: self.id,
         };
-        self.hear(now, word);
+        self.apply_update(now, suspicion);
     }
 
-    fn begin(&mut self, now: Ms) {
-        if self.round.is_empty() {
-            self.round = self.seen.keys().copied().collect();
-            self.rng.shuffle(&mut self.round);
+    fn start_probe(&mut self, now: Ms) {
+        if self.probe_order.is_empty() {
+            self.probe_order = self.peers.keys().copied().collect();
+            self.rng.shuffle(&mut self.probe_order);
         }
-        // Also who is dead is probed, so that a heal of the network is found without being told.
-        let Some(target) = self.round.pop().filter(|id| self.seen.contains_key(id)) else { return };
-        self.sequence += 1;
-        let sequence = self.sequence;
-        self.probe = Some(Probe { sequence, target, sent: now, asked: 0, nacks: 0, by_others: false });
-        let updates = self.updates(target);
-        self.sends.push((target, SwimMessage::Ping { sequence, updates }));
+        // Dead members are probed as well, so that a healed partition is noticed without gossip.
+        let Some(target) = self.probe_order.pop().filter(|id| self.peers.contains_key(id)) else { return };
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        self.probe = Some(Probe {
+            sequence,
+            target,
+            sent_at: now,
+            ping_request_count: 0,
+            nack_count: 0,
+            acked_indirectly: false,
+        });
+        let updates = self.updates_for(target);
+        self.messages.push((target, SwimMessage::Ping { sequence, updates }));
     }
 
-    /// The words that go with a message, the least told first; one on the receiver itself, if it is doubted, first of
-    /// all, so that it can object.
-    fn updates(&mut self, to: MemberId) -> Vec<GossipUpdate> {
-        let most = 3 * (self.seen.len() + 2).ilog2().max(1);
-        let own = GossipUpdate {
-            member: self.me,
+    /// The updates to piggyback on a message: this member's own state, then those sent least often. An update that
+    /// doubts the receiver itself precedes the others, so that the receiver can refute it.
+    fn updates_for(&mut self, to: MemberId) -> Vec<GossipUpdate> {
+        let max_times_gossiped = 3 * (self.peers.len() + 2).ilog2().max(1);
+        let own_update = GossipUpdate {
+            member: self.id,
             health: if self.leaving { Health::Left } else { Health::Alive },
             incarnation: self.incarnation,
-            reported_by: self.me,
+            reported_by: self.id,
         };
-        let doubted = |id: &MemberId, seen: &Seen| *id == to && seen.health != Health::Alive;
-        let mut all: Vec<(u32, MemberId)> = self
-            .seen
+        let doubts_receiver = |id: &MemberId, peer: &Peer| *id == to && peer.health != Health::Alive;
+        let mut candidates: Vec<(u32, MemberId)> = self
+            .peers
             .iter()
-            .filter(|(id, seen)| doubted(id, seen) || seen.told < most)
-            .map(|(id, seen)| (if doubted(id, seen) { 0 } else { 1 + seen.told }, *id))
+            .filter(|(id, peer)| doubts_receiver(id, peer) || peer.times_gossiped < max_times_gossiped)
+            .map(|(id, peer)| (if doubts_receiver(id, peer) { 0 } else { 1 + peer.times_gossiped }, *id))
             .collect();
-        all.sort();
-        all.truncate(self.pace.max_updates_per_message.saturating_sub(1));
-        let mut updates = vec![own];
-        for (_, about) in all {
-            let Some(seen) = self.seen.get_mut(&about) else { continue };
-            seen.told += 1;
-            let by = seen.by.first().copied().unwrap_or(self.me);
+        candidates.sort();
+        candidates.truncate(self.config.max_updates_per_message.saturating_sub(1));
+        let mut updates = vec![own_update];
+        for (_, member) in candidates {
+            let Some(peer) = self.peers.get_mut(&member) else { continue };
+            peer.times_gossiped += 1;
+            let reported_by = peer.suspected_by.first().copied().unwrap_or(self.id);
             updates.push(GossipUpdate {
-                member: about,
-                health: seen.health,
-                incarnation: seen.incarnation,
-                reported_by: by,
+                member,
+                health: peer.health,
+                incarnation: peer.incarnation,
+                reported_by,
             });
         }
         updates
     }
 
-    fn hear(&mut self, now: Ms, word: GossipUpdate) {
-        let GossipUpdate { member, health, incarnation, reported_by } = word;
-        if member == self.me {
+    fn apply_update(&mut self, now: Ms, update: GossipUpdate) {
+        let GossipUpdate { member, health, incarnation, reported_by } = update;
+        if member == self.id {
             if health != Health::Alive && incarnation >= self.incarnation && !self.leaving {
-                // It objects. That it had to shows that it is slow.
+                // Refutes the update. Having to do so indicates that this member is slow.
                 self.incarnation = incarnation + 1;
-                self.own = (self.own + 1).min(WORST);
+                self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
             }
             return;
         }
-        let Some(seen) = self.seen.get_mut(&member) else { return };
-        let later = incarnation > seen.incarnation || incarnation == seen.incarnation && health > seen.health;
-        if !later {
-            let same = incarnation == seen.incarnation && health == seen.health;
-            if same
+        let Some(peer) = self.peers.get_mut(&member) else { return };
+        let overrides =
+            incarnation > peer.incarnation || incarnation == peer.incarnation && health > peer.health;
+        if !overrides {
+            let is_same = incarnation == peer.incarnation && health == peer.health;
+            if is_same
                 && health == Health::Suspect
-                && !seen.by.contains(&reported_by)
-                && seen.by.len() <= CONFIRMING as usize
+                && !peer.suspected_by.contains(&reported_by)
+                && peer.suspected_by.len() <= MAX_CONFIRMATION_COUNT as usize
             {
-                seen.by.push(reported_by);
-                seen.told = 0;
+                peer.suspected_by.push(reported_by);
+                peer.times_gossiped = 0;
             }
             return;
         }
-        let turned = seen.health != health;
-        (seen.health, seen.incarnation, seen.told) = (health, incarnation, 0);
-        seen.by = if health == Health::Suspect { vec![reported_by] } else { Vec::new() };
-        if turned {
-            seen.since = now;
-            self.turned.push((member, health));
+        let health_changed = peer.health != health;
+        (peer.health, peer.incarnation, peer.times_gossiped) = (health, incarnation, 0);
+        peer.suspected_by = if health == Health::Suspect { vec![reported_by] } else { Vec::new() };
+        if health_changed {
+            peer.health_since = now;
+            self.health_changes.push((member, health));
         }
     }
 
-    /// What another member says. `clock`: the time of day here.
+    /// Handles a message from another member. `clock` is this member's wall clock.
     pub fn handle_message(&mut self, now: Ms, clock: Ms, from: MemberId, message: SwimMessage) {
         let updates = match &message {
             SwimMessage::Ping { updates, .. }
@@ -427,59 +469,67 @@
             | SwimMessage::PingRequest { updates, .. } => updates.as_slice(),
             SwimMessage::Nack { .. } => &[],
         };
-        updates.iter().for_each(|word| self.hear(now, *word));
+        updates.iter().for_each(|update| self.apply_update(now, *update));
         match message {
             SwimMessage::Ping { sequence, .. } => {
-                let updates = self.updates(from);
-                self.sends.push((from, SwimMessage::Ack { sequence, clock, updates }));
+                let updates = self.updates_for(from);
+                self.messages.push((from, SwimMessage::Ack { sequence, clock, updates }));
             }
-            SwimMessage::PingRequest { sequence: their, target, .. } => {
-                if self.errands.len() < ERRANDS {
-                    self.sequence += 1;
-                    let (sequence, until) = (self.sequence, now + self.answer());
-                    self.errands.push(Errand { sequence, for_whom: from, their, until });
-                    let updates = self.updates(target);
-                    self.sends.push((target, SwimMessage::Ping { sequence, updates }));
+            SwimMessage::PingRequest { sequence: requester_sequence, target, .. } => {
+                if self.relayed_probes.len() < MAX_RELAYED_PROBES {
+                    self.last_sequence += 1;
+                    let (sequence, deadline) = (self.last_sequence, now + self.probe_timeout());
+                    self.relayed_probes.push(RelayedProbe {
+                        sequence,
+                        requester: from,
+                        requester_sequence,
+                        deadline,
+                    });
+                    let updates = self.updates_for(target);
+                    self.messages.push((target, SwimMessage::Ping { sequence, updates }));
                 }
             }
-            SwimMessage::Ack { sequence, clock: theirs, .. } => self.acked(now, from, sequence, theirs),
+            SwimMessage::Ack { sequence, clock: target_clock, .. } => {
+                self.handle_ack(now, from, sequence, target_clock)
+            }
             SwimMessage::Nack { sequence } => {
                 let probe = self.probe.as_mut().filter(|probe| probe.sequence == sequence);
-                probe.into_iter().for_each(|probe| probe.nacks += 1);
+                probe.into_iter().for_each(|probe| probe.nack_count += 1);
             }
         }
     }
 
-    fn acked(&mut self, now: Ms, from: MemberId, sequence: u64, theirs: Ms) {
-        if let Some(at) = self.errands.iter().position(|errand| errand.sequence == sequence) {
-            let errand = self.errands.swap_remove(at);
-            let updates = self.updates(errand.for_whom);
-            self.sends
-                .push((errand.for_whom, SwimMessage::Ack { sequence: errand.their, clock: theirs, updates }));
+    fn handle_ack(&mut self, now: Ms, from: MemberId, sequence: u64, target_clock: Ms) {
+        if let Some(position) = self.relayed_probes.iter().position(|relayed| relayed.sequence == sequence) {
+            let relayed = self.relayed_probes.swap_remove(position);
+            let updates = self.updates_for(relayed.requester);
+            let sequence = relayed.requester_sequence;
+            let ack = SwimMessage::Ack { sequence, clock: target_clock, updates };
+            self.messages.push((relayed.requester, ack));
         }
         let Some(probe) = self.probe.filter(|probe| probe.sequence == sequence) else { return };
-        let Some(seen) = self.seen.get_mut(&probe.target) else { return };
+        let Some(peer) = self.peers.get_mut(&probe.target) else { return };
         if from == probe.target {
-            // On the way back it took half of the round at most, which is within what a period tells.
-            seen.direct = Some(now);
-            seen.clock = Some((theirs - now, now));
-            self.own = self.own.saturating_sub(1);
+            // The way back took at most one probe period, so the offset is exact to within that.
+            peer.direct_ack_at = Some(now);
+            peer.clock_offset = Some((target_clock - now, now));
+            self.local_health = self.local_health.saturating_sub(1);
             self.probe = None;
         } else {
-            seen.by_others = Some(now);
-            self.probe.iter_mut().for_each(|probe| probe.by_others = true);
+            peer.indirect_ack_at = Some(now);
+            self.probe.iter_mut().for_each(|probe| probe.acked_indirectly = true);
         }
     }
 
-    /// Says to some that it ends.
+    /// Announces to the other members that this one leaves.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.incarnation += 1;
-        let others: Vec<MemberId> = self.seen.keys().copied().collect();
+        let others: Vec<MemberId> = self.peers.keys().copied().collect();
         for other in others {
-            self.sequence += 1;
-            let (sequence, updates) = (self.sequence, self.updates(other));
-            self.sends.push((other, SwimMessage::Ping { sequence, updates }));
+            self.last_sequence += 1;
+            let (sequence, updates) = (self.last_sequence, self.updates_for(other));
+            self.messages.push((other, SwimMessage::Ping { sequence, updates }));
         }
     }
 }
