--- a/crates/council/tests/histories.rs
+++ b/crates/council/tests/histories.rs
@@ -1,6 +1,7 @@
-//! Random histories of a whole council on simulated links, disks and clocks. What has to hold in each: one leader a term,
-//! one lease at a time, one agreed log, nothing forgotten that a leader said was agreed, and a council that works again
-//! once the world does. A failing seed is printed; `JUNIPERRAIL_HISTORIES` sets how many are played.
+//! Random fault histories of a whole Raft group on simulated links, disks and clocks. Each history checks that there is
+//! one leader per term, one lease at a time and one committed log, that nothing reported as committed is lost, and that
+//! the group commits again once the faults are over. The seed of a failing history is printed; the environment variable
+//! `JUNIPERRAIL_HISTORIES` sets how many are run.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -8,7 +9,7 @@
 use juniperrail_council::*;
 use juniperrail_interface::Ms;
 
-const FIGURES: RaftConfig = RaftConfig {
+const CONFIG: RaftConfig = RaftConfig {
     heartbeat_interval_ms: 50.0,
     election_timeout_ms: 300.0,
     max_clock_drift_ratio: 0.05,
@@ -17,193 +18,206 @@
 };
 
 enum Event {
-    Message { to: MemberId, from: MemberId, run: u64, message: Message },
+    Message {
+        to: MemberId,
+        from: MemberId,
+        sender_generation: u64,
+        message: Message,
+    },
     Tick(MemberId),
+    /// This many of the records that this process has written are durable.
     Synced(MemberId, u64, u64),
     Start(MemberId),
-    Go(MemberId),
+    /// A suspended process continues.
+    Resume(MemberId),
 }
 
-/// A disk that keeps what was synced and some of what was written since.
+/// A disk that keeps the synced records and, at a crash, some of those written since.
 #[derive(Clone, Default)]
 struct Disk {
     synced: Vec<Record>,
-    since: Vec<Record>,
+    unsynced: Vec<Record>,
 }
 
 struct Process {
-    council: Option<RaftNode>,
+    /// `None` while the process is down.
+    node: Option<RaftNode>,
     disk: Disk,
-    /// Which process this is, so that what is under way for one that died is dropped.
-    life: u64,
-    handed: u64,
-    stopped: bool,
-    waiting: Vec<(MemberId, u64, Message)>,
-    /// The one tick that is due.
-    due: u64,
-    rate: f64,
+    /// Counts the starts, so that events of an earlier process are dropped.
+    generation: u64,
+    records_written: u64,
+    suspended: bool,
+    /// Messages that arrived while the process was suspended.
+    inbox: Vec<(MemberId, u64, Message)>,
+    /// The number of the one tick event that is valid.
+    tick_event: u64,
+    clock_rate: f64,
     log: BTreeMap<Index, Entry>,
-    state: Option<Snapshot>,
+    snapshot: Option<Snapshot>,
 }
 
 impl Process {
-    /// None runs yet, and its disk is empty. `rate`: how fast its clock runs.
-    fn new(rate: f64) -> Process {
+    /// A process that is not started yet, with an empty disk.
+    fn new(clock_rate: f64) -> Process {
         Process {
-            council: None,
+            node: None,
             disk: Disk::default(),
-            life: 0,
-            handed: 0,
-            stopped: false,
-            waiting: Vec::new(),
-            due: 0,
-            rate,
+            generation: 0,
+            records_written: 0,
+            suspended: false,
+            inbox: Vec::new(),
+            tick_event: 0,
+            clock_rate,
             log: BTreeMap::new(),
-            state: None,
+            snapshot: None,
         }
     }
 }
 
-struct World {
+struct Simulation {
     rng: fastrand::Rng,
     now: Ms,
     queue: BinaryHeap<(Reverse<u64>, Reverse<u64>)>,
     events: BTreeMap<u64, Event>,
-    number: u64,
-    all: BTreeMap<MemberId, Process>,
-    named: Members,
-    cut: Vec<(MemberId, MemberId)>,
-    loss: f64,
-    /// The part of syncs that take long.
-    slow_disks: f64,
+    last_event: u64,
+    processes: BTreeMap<MemberId, Process>,
+    configured_members: Members,
+    /// Cut links, each from a sender to a receiver.
+    cut_links: Vec<(MemberId, MemberId)>,
+    loss_ratio: f64,
+    slow_sync_ratio: f64,
     leaders: BTreeMap<Term, MemberId>,
-    agreed: BTreeMap<Index, (Term, Payload)>,
+    committed: BTreeMap<Index, (Term, Payload)>,
+    /// The highest commit index seen at a member that held a lease.
     acknowledged: Index,
-    proposed: u64,
-    leases: u64,
+    proposal_count: u64,
+    lease_count: u64,
 }
 
-impl World {
-    fn new(seed: u64, members: u16) -> World {
+impl Simulation {
+    fn new(seed: u64, member_count: u16) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let member = |id| (MemberId(id), Member { address: format!("m{id}"), role: MemberRole::Voter });
-        let named: Members = (1..=members).map(member).collect();
-        let mut process = || Process::new(1.0 + (rng.f64() - 0.5) * FIGURES.max_clock_drift_ratio);
-        let all = named.keys().map(|id| (*id, process())).collect();
-        let mut world = World {
+        let configured_members: Members = (1..=member_count).map(member).collect();
+        let mut process = || Process::new(1.0 + (rng.f64() - 0.5) * CONFIG.max_clock_drift_ratio);
+        let processes = configured_members.keys().map(|id| (*id, process())).collect();
+        let mut simulation = Simulation {
             rng,
             now: 0.0,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            number: 0,
-            all,
-            named,
-            cut: Vec::new(),
-            loss: 0.0,
-            slow_disks: 0.05,
+            last_event: 0,
+            processes,
+            configured_members,
+            cut_links: Vec::new(),
+            loss_ratio: 0.0,
+            slow_sync_ratio: 0.05,
             leaders: BTreeMap::new(),
-            agreed: BTreeMap::new(),
+            committed: BTreeMap::new(),
             acknowledged: Index(0),
-            proposed: 0,
-            leases: 0,
+            proposal_count: 0,
+            lease_count: 0,
         };
-        world.named.keys().copied().collect::<Vec<_>>().into_iter().for_each(|id| world.start(id));
-        world
+        let ids = simulation.configured_members.keys().copied().collect::<Vec<_>>();
+        ids.into_iter().for_each(|id| simulation.start(id));
+        simulation
     }
 
-    fn at(&mut self, after: Ms, event: Event) {
-        self.number += 1;
-        // Microseconds order the queue.
-        self.queue.push((Reverse(((self.now + after) * 1000.0) as u64), Reverse(self.number)));
-        self.events.insert(self.number, event);
+    fn schedule(&mut self, delay: Ms, event: Event) {
+        self.last_event += 1;
+        // The queue is ordered by microseconds.
+        self.queue.push((Reverse(((self.now + delay) * 1000.0) as u64), Reverse(self.last_event)));
+        self.events.insert(self.last_event, event);
     }
 
     fn clock(&self, id: MemberId) -> Ms {
-        self.now * self.all[&id].rate
+        self.now * self.processes[&id].clock_rate
     }
 
     fn start(&mut self, id: MemberId) {
         let (seed, now) = (self.rng.u64(..), self.clock(id));
-        let named = self.named.clone();
-        let process = self.all.get_mut(&id).unwrap();
-        if process.council.is_some() {
+        let configured_members = self.configured_members.clone();
+        let process = self.processes.get_mut(&id).unwrap();
+        if process.node.is_some() {
             return;
         }
         let bytes: Vec<Vec<u8>> = process.disk.synced.iter().map(Record::encode).collect();
-        let kept = StoredState::replay(bytes.iter().map(Vec::as_slice)).unwrap();
-        (process.life, process.handed, process.stopped) = (process.life + 1, 0, false);
-        (process.log, process.state) = (BTreeMap::new(), None);
-        process.waiting.clear();
-        process.council = Some(RaftNode::start(id, FIGURES, named, seed, now, kept));
+        let stored = StoredState::replay(bytes.iter().map(Vec::as_slice)).unwrap();
+        (process.generation, process.records_written, process.suspended) = (process.generation + 1, 0, false);
+        (process.log, process.snapshot) = (BTreeMap::new(), None);
+        process.inbox.clear();
+        process.node = Some(RaftNode::start(id, CONFIG, configured_members, seed, now, stored));
         self.settle(id);
     }
 
     fn crash(&mut self, id: MemberId) {
-        let keep = self.rng.f64();
-        let process = self.all.get_mut(&id).unwrap();
-        process.council = None;
-        let some = (process.disk.since.len() as f64 * keep) as usize;
-        let since = std::mem::take(&mut process.disk.since);
-        process.disk.synced.extend(since.into_iter().take(some));
-        let after = 50.0 + self.rng.f64() * 600.0;
-        self.at(after, Event::Start(id));
+        let kept_ratio = self.rng.f64();
+        let process = self.processes.get_mut(&id).unwrap();
+        process.node = None;
+        let kept_count = (process.disk.unsynced.len() as f64 * kept_ratio) as usize;
+        let unsynced = std::mem::take(&mut process.disk.unsynced);
+        process.disk.synced.extend(unsynced.into_iter().take(kept_count));
+        let delay = 50.0 + self.rng.f64() * 600.0;
+        self.schedule(delay, Event::Start(id));
     }
 
-    /// Does what a member wants done, and looks at all that has to hold.
+    /// Carries out a member's actions and checks the invariants.
     fn settle(&mut self, id: MemberId) {
         let now = self.clock(id);
-        let (next, done, life) = {
-            let process = self.all.get_mut(&id).unwrap();
-            let Some(council) = &mut process.council else { return };
-            (council.next_tick(), council.take_actions(), process.life)
+        let (next_tick, actions, generation) = {
+            let process = self.processes.get_mut(&id).unwrap();
+            let Some(node) = &mut process.node else { return };
+            (node.next_tick(), node.take_actions(), process.generation)
         };
-        let sync = 0.5 + self.rng.f64() * if self.rng.f64() < self.slow_disks { 300.0 } else { 6.0 };
-        let process = self.all.get_mut(&id).unwrap();
-        process.handed += done.records.len() as u64;
-        let handed = process.handed;
-        let wrote = !done.records.is_empty();
-        process.disk.since.extend(done.records);
+        let sync_time =
+            0.5 + self.rng.f64() * if self.rng.f64() < self.slow_sync_ratio { 300.0 } else { 6.0 };
+        let process = self.processes.get_mut(&id).unwrap();
+        process.records_written += actions.records.len() as u64;
+        let records_written = process.records_written;
+        let wrote = !actions.records.is_empty();
+        process.disk.unsynced.extend(actions.records);
         if wrote {
-            self.at(sync, Event::Synced(id, life, handed));
+            self.schedule(sync_time, Event::Synced(id, generation, records_written));
         }
-        for (to, message) in done.messages {
-            if self.cut.contains(&(id, to)) || self.rng.f64() < self.loss {
+        for (to, message) in actions.messages {
+            if self.cut_links.contains(&(id, to)) || self.rng.f64() < self.loss_ratio {
                 continue;
             }
             let copies = if self.rng.u8(..40) == 0 { 2 } else { 1 };
             for _ in 0..copies {
-                let after = 0.2 + self.rng.f64() * if self.rng.u8(..30) == 0 { 200.0 } else { 8.0 };
-                self.at(after, Event::Message { to, from: id, run: life, message: message.clone() });
+                let delay = 0.2 + self.rng.f64() * if self.rng.u8(..30) == 0 { 200.0 } else { 8.0 };
+                let message = message.clone();
+                self.schedule(delay, Event::Message { to, from: id, sender_generation: generation, message });
             }
         }
-        for agreed in done.committed {
-            self.took(id, agreed);
+        for committed in actions.committed {
+            self.apply(id, committed);
         }
-        for news in done.events {
-            if let RaftEvent::BecameLeader(term) = news {
+        for event in actions.events {
+            if let RaftEvent::BecameLeader(term) = event {
                 let other = self.leaders.insert(term, id);
                 assert!(other.is_none() || other == Some(id), "two leaders in {term}");
             }
         }
-        self.leases(id, now);
-        let rate = self.all[&id].rate;
-        self.at(((next - now) / rate).max(0.1), Event::Tick(id));
-        self.all.get_mut(&id).unwrap().due = self.number;
+        self.check_leases(id, now);
+        let clock_rate = self.processes[&id].clock_rate;
+        self.schedule(((next_tick - now) / clock_rate).max(0.1), Event::Tick(id));
+        self.processes.get_mut(&id).unwrap().tick_event = self.last_event;
     }
 
-    fn took(&mut self, id: MemberId, agreed: Committed) {
-        let process = self.all.get_mut(&id).unwrap();
-        match agreed {
+    fn apply(&mut self, id: MemberId, committed: Committed) {
+        let process = self.processes.get_mut(&id).unwrap();
+        match committed {
             Committed::Snapshot(snapshot) => {
                 process.log.clear();
-                process.state = Some(snapshot);
+                process.snapshot = Some(snapshot);
             }
             Committed::Entry(entry) => {
-                let known = self.agreed.entry(entry.index).or_insert((entry.term, entry.payload.clone()));
+                let known = self.committed.entry(entry.index).or_insert((entry.term, entry.payload.clone()));
                 assert_eq!(
                     *known,
                     (entry.term, entry.payload.clone()),
-                    "two agreed logs at {:?}",
+                    "different entries committed at {:?}",
                     entry.index
                 );
                 process.log.insert(entry.index, entry);
@@ -211,66 +225,69 @@
         }
     }
 
-    /// Who holds a lease holds it alone, and knows all that was ever said to be agreed: a read there is linearizable.
-    fn leases(&mut self, id: MemberId, now: Ms) {
-        let Some(council) = &self.all[&id].council else { return };
-        if council.lease(now).is_some() {
-            self.leases += 1;
-            assert!(council.commit_index() >= self.acknowledged, "a lease of one who lacks what was agreed");
-            self.acknowledged = council.commit_index();
-            for (other, process) in &self.all {
-                let clock = self.now * process.rate;
-                let holds = process.council.as_ref().is_some_and(|council| council.lease(clock).is_some());
-                assert!(*other == id || !holds, "two leases: {id} and {other}");
+    /// A member that holds a lease is the only one that does, and knows all that was ever acknowledged as committed, so
+    /// that its reads are linearizable.
+    fn check_leases(&mut self, id: MemberId, now: Ms) {
+        let Some(node) = &self.processes[&id].node else { return };
+        if node.lease(now).is_some() {
+            self.lease_count += 1;
+            assert!(node.commit_index() >= self.acknowledged, "a lease holder lacks committed entries");
+            self.acknowledged = node.commit_index();
+            for (other, process) in &self.processes {
+                let clock = self.now * process.clock_rate;
+                let holds_lease = process.node.as_ref().is_some_and(|node| node.lease(clock).is_some());
+                assert!(*other == id || !holds_lease, "two leases: {id} and {other}");
             }
         }
     }
 
     fn step(&mut self) -> bool {
-        let Some((Reverse(at), Reverse(number))) = self.queue.pop() else { return false };
+        let Some((Reverse(at), Reverse(event_number))) = self.queue.pop() else { return false };
         self.now = self.now.max(at as f64 / 1000.0);
-        match self.events.remove(&number).unwrap() {
+        match self.events.remove(&event_number).unwrap() {
             Event::Start(id) => self.start(id),
-            Event::Go(id) => {
-                let process = self.all.get_mut(&id).unwrap();
-                process.stopped = false;
-                let waiting = std::mem::take(&mut process.waiting);
+            Event::Resume(id) => {
+                let process = self.processes.get_mut(&id).unwrap();
+                process.suspended = false;
+                let inbox = std::mem::take(&mut process.inbox);
                 let now = self.clock(id);
-                for (from, _, message) in waiting {
-                    if let Some(council) = &mut self.all.get_mut(&id).unwrap().council {
-                        council.handle_message(now, from, message);
+                for (from, _, message) in inbox {
+                    if let Some(node) = &mut self.processes.get_mut(&id).unwrap().node {
+                        node.handle_message(now, from, message);
                     }
                 }
                 self.tick(id);
             }
             Event::Tick(id) => {
-                if self.all[&id].due == number {
+                if self.processes[&id].tick_event == event_number {
                     self.tick(id);
                 }
             }
-            Event::Synced(id, life, handed) => {
+            Event::Synced(id, generation, records_written) => {
                 let now = self.clock(id);
-                let process = self.all.get_mut(&id).unwrap();
-                if let Some(council) = process.council.as_mut().filter(|_| process.life == life) {
-                    let left = (process.handed - handed) as usize;
-                    let synced = process.disk.since.len().saturating_sub(left);
-                    let some: Vec<Record> = process.disk.since.drain(..synced).collect();
-                    process.disk.synced.extend(some);
-                    council.handle_durable(now, handed);
+                let process = self.processes.get_mut(&id).unwrap();
+                if let Some(node) = process.node.as_mut().filter(|_| process.generation == generation) {
+                    let written_since = (process.records_written - records_written) as usize;
+                    let synced_count = process.disk.unsynced.len().saturating_sub(written_since);
+                    let synced: Vec<Record> = process.disk.unsynced.drain(..synced_count).collect();
+                    process.disk.synced.extend(synced);
+                    node.handle_durable(now, records_written);
                     self.settle(id);
                 }
             }
-            Event::Message { to, from, run, message } => {
-                // A link's connection ends with the process behind it.
-                if self.cut.contains(&(from, to)) || self.all[&from].life != run {
+            Event::Message { to, from, sender_generation, message } => {
+                // A connection ends with the process that opened it.
+                if self.cut_links.contains(&(from, to))
+                    || self.processes[&from].generation != sender_generation
+                {
                     return true;
                 }
                 let now = self.clock(to);
-                let process = self.all.get_mut(&to).unwrap();
-                if process.stopped {
-                    process.waiting.push((from, run, message));
-                } else if let Some(council) = &mut process.council {
-                    council.handle_message(now, from, message);
+                let process = self.processes.get_mut(&to).unwrap();
+                if process.suspended {
+                    process.inbox.push((from, sender_generation, message));
+                } else if let Some(node) = &mut process.node {
+                    node.handle_message(now, from, message);
                     self.settle(to);
                 }
             }
@@ -280,108 +297,116 @@
 
     fn tick(&mut self, id: MemberId) {
         let now = self.clock(id);
-        let process = self.all.get_mut(&id).unwrap();
-        if process.stopped {
+        let process = self.processes.get_mut(&id).unwrap();
+        if process.suspended {
             return;
         }
-        if let Some(council) = &mut process.council {
-            council.tick(now);
+        if let Some(node) = &mut process.node {
+            node.tick(now);
             self.settle(id);
         }
     }
 
-    fn run(&mut self, span: Ms) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Ms) {
+        let until = self.now + duration;
         while self.queue.peek().is_some_and(|(Reverse(at), _)| (*at as f64) < until * 1000.0) && self.step() {
         }
         self.now = until;
     }
 
+    /// The running leader with the highest term.
     fn leader(&self) -> Option<MemberId> {
-        let leads = |p: &Process| p.council.as_ref().is_some_and(|c| c.role() == Role::Leader) && !p.stopped;
-        let mut all: Vec<(Term, MemberId)> = Vec::new();
-        for (id, process) in self.all.iter().filter(|(_, p)| leads(p)) {
-            all.extend(process.council.as_ref().map(|council| (council.term(), *id)));
+        let leads = |process: &Process| {
+            process.node.as_ref().is_some_and(|node| node.role() == Role::Leader) && !process.suspended
+        };
+        let mut leaders: Vec<(Term, MemberId)> = Vec::new();
+        for (id, process) in self.processes.iter().filter(|(_, process)| leads(process)) {
+            leaders.extend(process.node.as_ref().map(|node| (node.term(), *id)));
         }
-        all.into_iter().max().map(|(_, id)| id)
+        leaders.into_iter().max().map(|(_, id)| id)
     }
 
     fn propose(&mut self) {
         let Some(leader) = self.leader() else { return };
-        self.proposed += 1;
-        let (now, command) = (self.clock(leader), self.proposed.to_be_bytes().to_vec());
-        _ = self.all.get_mut(&leader).unwrap().council.as_mut().unwrap().propose(now, command);
+        self.proposal_count += 1;
+        let (now, command) = (self.clock(leader), self.proposal_count.to_be_bytes().to_vec());
+        _ = self.processes.get_mut(&leader).unwrap().node.as_mut().unwrap().propose(now, command);
         self.settle(leader);
     }
 
-    fn whole(&self) -> bool {
-        let whole =
-            |p: &Process| p.council.as_ref().is_some_and(|c| c.recovery_state() == RecoveryState::Ready);
-        self.all.values().all(whole)
+    fn all_ready(&self) -> bool {
+        let is_ready = |process: &Process| {
+            process.node.as_ref().is_some_and(|node| node.recovery_state() == RecoveryState::Ready)
+        };
+        self.processes.values().all(is_ready)
     }
 
+    /// Ends all link faults and resumes suspended processes.
     fn heal(&mut self) {
-        (self.cut, self.loss) = (Vec::new(), 0.0);
-        let stopped: Vec<MemberId> = self.all.iter().filter(|(_, p)| p.stopped).map(|(id, _)| *id).collect();
-        stopped.into_iter().for_each(|id| self.at(0.0, Event::Go(id)));
+        (self.cut_links, self.loss_ratio) = (Vec::new(), 0.0);
+        let suspended: Vec<MemberId> =
+            self.processes.iter().filter(|(_, process)| process.suspended).map(|(id, _)| *id).collect();
+        suspended.into_iter().for_each(|id| self.schedule(0.0, Event::Resume(id)));
     }
 
-    fn any(&mut self) -> MemberId {
-        MemberId(self.rng.u16(1..=self.all.len() as u16))
+    fn random_member(&mut self) -> MemberId {
+        MemberId(self.rng.u16(1..=self.processes.len() as u16))
     }
 
-    fn trouble(&mut self) {
-        let one = self.any();
+    fn inject_fault(&mut self) {
+        let member = self.random_member();
         match self.rng.u8(..12) {
-            0 | 1 => self.crash(one),
+            0 | 1 => self.crash(member),
             2 => {
-                let all: Vec<MemberId> = self.all.keys().copied().collect();
+                let all: Vec<MemberId> = self.processes.keys().copied().collect();
                 all.into_iter().for_each(|id| self.crash(id));
             }
             3 => {
-                self.all.get_mut(&one).unwrap().stopped = true;
-                let after = 100.0 + self.rng.f64() * 900.0;
-                self.at(after, Event::Go(one));
+                self.processes.get_mut(&member).unwrap().suspended = true;
+                let delay = 100.0 + self.rng.f64() * 900.0;
+                self.schedule(delay, Event::Resume(member));
             }
             4 => {
-                // One side of a cut, by chance; half of the time it is cut one way only.
-                let some: Vec<MemberId> = self.all.keys().copied().filter(|_| self.rng.bool()).collect();
-                let both = self.rng.bool();
-                for a in self.all.keys() {
-                    for b in some.iter().filter(|_| !some.contains(a)) {
-                        self.cut.push((*a, *b));
-                        self.cut.extend(both.then_some((*b, *a)));
+                // A random partition; half of the time it cuts one direction only.
+                let side: Vec<MemberId> =
+                    self.processes.keys().copied().filter(|_| self.rng.bool()).collect();
+                let both_ways = self.rng.bool();
+                for a in self.processes.keys() {
+                    for b in side.iter().filter(|_| !side.contains(a)) {
+                        self.cut_links.push((*a, *b));
+                        self.cut_links.extend(both_ways.then_some((*b, *a)));
                     }
                 }
             }
             5 => {
-                let other = self.any();
-                let both = self.rng.bool();
-                self.cut.push((one, other));
-                self.cut.extend(both.then_some((other, one)));
+                let other = self.random_member();
+                let both_ways = self.rng.bool();
+                self.cut_links.push((member, other));
+                self.cut_links.extend(both_ways.then_some((other, member)));
             }
-            6 => self.loss = self.rng.f64() * 0.4,
+            6 => self.loss_ratio = self.rng.f64() * 0.4,
             7 => {
                 if let Some(leader) = self.leader() {
                     let now = self.clock(leader);
-                    _ = self.all.get_mut(&leader).unwrap().council.as_mut().unwrap().transfer_leadership(now);
+                    let node = self.processes.get_mut(&leader).unwrap().node.as_mut().unwrap();
+                    _ = node.transfer_leadership(now);
                     self.settle(leader);
                 }
             }
             8 => {
-                // A store is lost. What is promised holds while no second one is.
-                if self.whole() {
-                    self.crash(one);
-                    self.all.get_mut(&one).unwrap().disk = Disk::default();
+                // A store is lost. The guarantees hold as long as only one is lost or recovering at a time.
+                if self.all_ready() {
+                    self.crash(member);
+                    self.processes.get_mut(&member).unwrap().disk = Disk::default();
                 }
             }
             9 => {
-                let process = self.all.get_mut(&one).unwrap();
-                let at = process.log.keys().next_back().copied();
-                if let (Some(at), Some(council)) = (at, &mut process.council) {
-                    if let Some(records) = council.compact(at, b"all before".to_vec()) {
-                        // Replaced whole, as a store's compaction does; what was under way is in the new records.
-                        process.disk = Disk { synced: records, since: Vec::new() };
+                let process = self.processes.get_mut(&member).unwrap();
+                let last_applied = process.log.keys().next_back().copied();
+                if let (Some(index), Some(node)) = (last_applied, &mut process.node) {
+                    if let Some(records) = node.compact(index, b"all before".to_vec()) {
+                        // A store's compaction replaces all records at once; the new ones cover those not yet synced.
+                        process.disk = Disk { synced: records, unsynced: Vec::new() };
                     }
                 }
             }
@@ -390,225 +415,241 @@
     }
 }
 
-fn histories() -> u64 {
+fn history_count() -> u64 {
     std::env::var("JUNIPERRAIL_HISTORIES").ok().and_then(|count| count.parse().ok()).unwrap_or(300)
 }
 
-/// Names the seed where a history fails.
-fn each(first: u64, history: impl Fn(u64) + std::panic::RefUnwindSafe) {
-    for seed in first..first + histories() {
-        if let Err(why) = std::panic::catch_unwind(|| history(seed)) {
+/// Runs a history for each seed, and prints the seed of one that fails.
+fn for_each_seed(first: u64, history: impl Fn(u64) + std::panic::RefUnwindSafe) {
+    for seed in first..first + history_count() {
+        if let Err(panic) = std::panic::catch_unwind(|| history(seed)) {
             eprintln!("seed {seed} fails");
-            std::panic::resume_unwind(why);
+            std::panic::resume_unwind(panic);
         }
     }
 }
 
 #[test]
-fn one_leader_one_lease_one_log_and_nothing_agreed_is_forgotten() {
-    each(1, |seed| {
-        let mut world = World::new(seed, if seed % 3 == 0 { 5 } else { 3 });
-        world.run(800.0);
+fn random_faults_never_lead_to_two_leaders_two_leases_or_lost_commits() {
+    for_each_seed(1, |seed| {
+        let mut simulation = Simulation::new(seed, if seed % 3 == 0 { 5 } else { 3 });
+        simulation.run(800.0);
         for _ in 0..25 {
-            world.propose();
-            if world.rng.u8(..3) == 0 {
-                world.trouble();
+            simulation.propose();
+            if simulation.rng.u8(..3) == 0 {
+                simulation.inject_fault();
             }
-            let span = world.rng.f64() * 200.0;
-            world.run(span);
+            let duration = simulation.rng.f64() * 200.0;
+            simulation.run(duration);
         }
-        // Whoever is down comes back; then it has to work again.
-        world.heal();
-        world.run(2500.0);
-        world.heal();
-        world.run(2000.0);
-        let before = world.acknowledged;
-        world.propose();
-        world.run(500.0);
-        assert!(world.whole(), "all are whole again");
-        assert!(world.acknowledged > before, "it agrees again: {:?}", world.leader());
-        assert!(world.leases > 0);
+        // Crashed members restart by themselves; after that the group has to commit again.
+        simulation.heal();
+        simulation.run(2500.0);
+        simulation.heal();
+        simulation.run(2000.0);
+        let before = simulation.acknowledged;
+        simulation.propose();
+        simulation.run(500.0);
+        assert!(simulation.all_ready(), "all members have recovered");
+        assert!(simulation.acknowledged > before, "the group commits again: {:?}", simulation.leader());
+        assert!(simulation.lease_count > 0);
     });
 }
 
+/// Leaders crash, or are cut off while they append entries that no other member has, so that many terms leave
+/// uncommitted entries behind. None of them may replace a committed one.
 #[test]
-fn offices_that_change_hands_all_the_time_lose_nothing_agreed() {
-    each(4_000_000, |seed| {
-        let mut world = World::new(seed, if seed % 2 == 0 { 5 } else { 3 });
-        world.run(900.0);
-        world.slow_disks = world.rng.f64() * 0.6;
+fn frequent_leader_changes_lose_no_committed_entry() {
+    for_each_seed(4_000_000, |seed| {
+        let mut simulation = Simulation::new(seed, if seed % 2 == 0 { 5 } else { 3 });
+        simulation.run(900.0);
+        simulation.slow_sync_ratio = simulation.rng.f64() * 0.6;
         for _ in 0..60 {
-            world.propose();
-            let one = world.leader().unwrap_or(MemberId(1));
-            match world.rng.u8(..10) {
-                0 | 1 => world.crash(one),
-                // It writes entries that it alone has.
+            simulation.propose();
+            let leader = simulation.leader().unwrap_or(MemberId(1));
+            match simulation.rng.u8(..10) {
+                0 | 1 => simulation.crash(leader),
+                // The leader goes on appending entries that no other member receives.
                 2 | 3 => {
-                    let others: Vec<MemberId> = world.all.keys().copied().filter(|id| *id != one).collect();
-                    let mut chance = world.rng.fork();
-                    let some = others.into_iter().filter(|_| chance.u8(..4) > 0);
-                    let cuts: Vec<(MemberId, MemberId)> = some.flat_map(|b| [(one, b), (b, one)]).collect();
-                    world.cut.extend(cuts);
+                    let others: Vec<MemberId> =
+                        simulation.processes.keys().copied().filter(|id| *id != leader).collect();
+                    let mut cut_rng = simulation.rng.fork();
+                    let cut_off = others.into_iter().filter(|_| cut_rng.u8(..4) > 0);
+                    let cut_links: Vec<(MemberId, MemberId)> =
+                        cut_off.flat_map(|other| [(leader, other), (other, leader)]).collect();
+                    simulation.cut_links.extend(cut_links);
                 }
-                4 | 5 => world.heal(),
+                4 | 5 => simulation.heal(),
                 6 => {
-                    let any = world.any();
-                    world.crash(any);
+                    let member = simulation.random_member();
+                    simulation.crash(member);
                 }
                 _ => {}
             }
-            let span = world.rng.f64() * 250.0;
-            world.run(span);
+            let duration = simulation.rng.f64() * 250.0;
+            simulation.run(duration);
         }
-        world.heal();
-        world.run(3000.0);
-        let before = world.acknowledged;
-        world.propose();
-        world.run(1000.0);
-        assert!(world.acknowledged > before, "it agrees again");
+        simulation.heal();
+        simulation.run(3000.0);
+        let before = simulation.acknowledged;
+        simulation.propose();
+        simulation.run(1000.0);
+        assert!(simulation.acknowledged > before, "the group commits again");
     });
 }
 
+/// Guards against a leader that stays leader because no message of a later term can reach it.
 #[test]
-fn a_leader_without_a_quorum_leads_no_more() {
-    let mut world = World::new(11, 3);
-    world.run(1500.0);
-    let leader = world.leader().unwrap();
-    // It hears all and nobody hears it: no word of a later term has to reach it.
-    for other in world.all.keys().copied().collect::<Vec<_>>() {
-        world.cut.extend([(leader, other), (other, leader)]);
+fn a_leader_without_a_quorum_steps_down() {
+    let mut simulation = Simulation::new(11, 3);
+    simulation.run(1500.0);
+    let leader = simulation.leader().unwrap();
+    // It is cut off in both directions, so it has to notice by itself.
+    for other in simulation.processes.keys().copied().collect::<Vec<_>>() {
+        simulation.cut_links.extend([(leader, other), (other, leader)]);
     }
-    world.run(FIGURES.election_timeout_ms * 1.5);
-    assert_ne!(world.all[&leader].council.as_ref().unwrap().role(), Role::Leader);
+    simulation.run(CONFIG.election_timeout_ms * 1.5);
+    assert_ne!(simulation.processes[&leader].node.as_ref().unwrap().role(), Role::Leader);
 }
 
+/// Members crash while the group bootstraps. A member that restarts between another's bootstrap and its own still has the
+/// same store, so it joins without a recovery.
 #[test]
-fn the_first_hour_survives_restarts_at_any_time() {
-    each(1_000_000, |seed| {
-        let mut world = World::new(seed, 3);
+fn bootstrap_survives_restarts_at_any_time() {
+    for_each_seed(1_000_000, |seed| {
+        let mut simulation = Simulation::new(seed, 3);
         for _ in 0..3 {
-            let span = world.rng.f64() * 30.0;
-            world.run(span);
-            let one = world.any();
-            world.crash(one);
+            let duration = simulation.rng.f64() * 30.0;
+            simulation.run(duration);
+            let member = simulation.random_member();
+            simulation.crash(member);
         }
-        world.run(3000.0);
-        // Where two restart between the first one's founding and theirs nothing is lost, as their stores are kept.
+        simulation.run(3000.0);
         assert!(
-            world.whole(),
+            simulation.all_ready(),
             "{:?}",
-            world.all.values().map(|p| p.council.as_ref().map(RaftNode::recovery_state)).collect::<Vec<_>>()
+            simulation
+                .processes
+                .values()
+                .map(|process| process.node.as_ref().map(RaftNode::recovery_state))
+                .collect::<Vec<_>>()
         );
-        assert!(world.leader().is_some());
+        assert!(simulation.leader().is_some());
     });
 }
 
+/// Guards against a member that votes with a store restored from an old copy, which lacks entries that it has confirmed.
 #[test]
-fn an_old_store_that_is_put_back_votes_for_nobody_until_it_has_caught_up() {
-    each(2_000_000, |seed| {
-        let mut world = World::new(seed, 3);
-        world.run(1500.0);
-        let old = world.all[&MemberId(2)].disk.clone();
+fn a_member_with_a_restored_old_store_recovers_before_it_votes() {
+    for_each_seed(2_000_000, |seed| {
+        let mut simulation = Simulation::new(seed, 3);
+        simulation.run(1500.0);
+        let old_disk = simulation.processes[&MemberId(2)].disk.clone();
         for _ in 0..10 {
-            world.propose();
-            world.run(30.0);
+            simulation.propose();
+            simulation.run(30.0);
         }
-        world.crash(MemberId(2));
-        world.run(900.0);
-        world.propose();
-        world.run(100.0);
-        world.crash(MemberId(2));
-        world.all.get_mut(&MemberId(2)).unwrap().disk = old.clone();
-        world.run(60.0);
-        let starts = |world: &World| world.all[&MemberId(2)].council.is_some();
-        while !starts(&world) {
-            world.run(10.0);
+        simulation.crash(MemberId(2));
+        simulation.run(900.0);
+        simulation.propose();
+        simulation.run(100.0);
+        simulation.crash(MemberId(2));
+        simulation.processes.get_mut(&MemberId(2)).unwrap().disk = old_disk.clone();
+        simulation.run(60.0);
+        let is_running = |simulation: &Simulation| simulation.processes[&MemberId(2)].node.is_some();
+        while !is_running(&simulation) {
+            simulation.run(10.0);
         }
-        let mut doubted = false;
+        let mut recovered = false;
         for _ in 0..200 {
-            world.run(5.0);
-            let standing = world.all[&MemberId(2)].council.as_ref().unwrap().recovery_state();
-            doubted |= matches!(standing, RecoveryState::Recovering { .. });
+            simulation.run(5.0);
+            let recovery = simulation.processes[&MemberId(2)].node.as_ref().unwrap().recovery_state();
+            recovered |= matches!(recovery, RecoveryState::Recovering { .. });
         }
-        assert!(doubted, "the others know of a later start");
-        world.run(1000.0);
-        assert!(world.whole());
+        assert!(recovered, "the others know of a later run");
+        simulation.run(1000.0);
+        assert!(simulation.all_ready());
     });
 }
 
 #[test]
-fn members_are_added_and_removed_one_at_a_time_while_it_works() {
-    each(3_000_000, |seed| {
-        let mut world = World::new(seed, 3);
-        world.run(1500.0);
-        let (new, old) = (MemberId(4), world.any());
-        world.all.insert(new, Process::new(1.0));
-        world.start(new);
-        let steps = [
-            MembershipChange::Add(new, "m4".into()),
-            MembershipChange::Promote(new),
-            MembershipChange::Remove(old),
+fn members_are_added_and_removed_one_at_a_time_while_the_group_commits() {
+    for_each_seed(3_000_000, |seed| {
+        let mut simulation = Simulation::new(seed, 3);
+        simulation.run(1500.0);
+        let (added, removed) = (MemberId(4), simulation.random_member());
+        simulation.processes.insert(added, Process::new(1.0));
+        simulation.start(added);
+        let changes = [
+            MembershipChange::Add(added, "m4".into()),
+            MembershipChange::Promote(added),
+            MembershipChange::Remove(removed),
         ];
-        for step in steps {
-            let mut tries = 0;
+        for change in changes {
+            let mut attempts = 0;
             loop {
-                tries += 1;
-                assert!(tries < 200, "{step:?} is never taken");
-                world.propose();
-                if let Some(leader) = world.leader() {
-                    let now = world.clock(leader);
-                    let council = world.all.get_mut(&leader).unwrap().council.as_mut().unwrap();
-                    let taken = council.change_members(now, &step);
-                    if taken.is_ok() {
-                        let again = council.change_members(now, &MembershipChange::Remove(MemberId(1)));
-                        assert_eq!(again, Err(ProposeError::MembershipChangeInProgress), "one at a time");
-                        world.settle(leader);
+                attempts += 1;
+                assert!(attempts < 200, "{change:?} is never accepted");
+                simulation.propose();
+                if let Some(leader) = simulation.leader() {
+                    let now = simulation.clock(leader);
+                    let node = simulation.processes.get_mut(&leader).unwrap().node.as_mut().unwrap();
+                    let result = node.change_members(now, &change);
+                    if result.is_ok() {
+                        let second = node.change_members(now, &MembershipChange::Remove(MemberId(1)));
+                        assert_eq!(
+                            second,
+                            Err(ProposeError::MembershipChangeInProgress),
+                            "one change at a time"
+                        );
+                        simulation.settle(leader);
                         break;
                     }
                 }
-                if world.rng.u8(..8) == 0 {
-                    let one = world.any();
-                    world.crash(one);
+                if simulation.rng.u8(..8) == 0 {
+                    let member = simulation.random_member();
+                    simulation.crash(member);
                 }
-                world.run(60.0);
+                simulation.run(60.0);
             }
-            world.run(400.0);
+            simulation.run(400.0);
         }
-        world.run(3000.0);
-        let before = world.acknowledged;
-        world.propose();
-        world.run(400.0);
-        assert!(world.acknowledged > before);
-        let leader = world.leader().expect("three are left");
+        simulation.run(3000.0);
+        let before = simulation.acknowledged;
+        simulation.propose();
+        simulation.run(400.0);
+        assert!(simulation.acknowledged > before);
+        let leader = simulation.leader().expect("a leader of the three remaining members");
         let members: Vec<MemberId> =
-            world.all[&leader].council.as_ref().unwrap().members().keys().copied().collect();
-        assert!(!members.contains(&old) && members.contains(&new) && members.len() == 3, "{members:?}");
+            simulation.processes[&leader].node.as_ref().unwrap().members().keys().copied().collect();
+        assert!(!members.contains(&removed) && members.contains(&added) && members.len() == 3, "{members:?}");
     });
 }
 
 #[test]
-fn a_member_whose_store_fails_steps_down_and_votes_for_nobody() {
-    let mut world = World::new(7, 3);
-    world.run(1500.0);
-    let leader = world.leader().unwrap();
-    let now = world.clock(leader);
-    world.all.get_mut(&leader).unwrap().council.as_mut().unwrap().set_store_failing(now, true);
-    world.settle(leader);
-    assert_eq!(world.all[&leader].council.as_ref().unwrap().role(), Role::Follower);
-    world.run(3000.0);
-    assert!(world.leader().is_some_and(|new| new != leader), "another took over");
-    assert_eq!(world.all[&leader].council.as_ref().unwrap().role(), Role::Follower);
+fn a_member_with_a_failing_store_steps_down_and_is_not_elected() {
+    let mut simulation = Simulation::new(7, 3);
+    simulation.run(1500.0);
+    let leader = simulation.leader().unwrap();
+    let now = simulation.clock(leader);
+    simulation.processes.get_mut(&leader).unwrap().node.as_mut().unwrap().set_store_failing(now, true);
+    simulation.settle(leader);
+    assert_eq!(simulation.processes[&leader].node.as_ref().unwrap().role(), Role::Follower);
+    simulation.run(3000.0);
+    assert!(simulation.leader().is_some_and(|new| new != leader), "another member was elected");
+    assert_eq!(simulation.processes[&leader].node.as_ref().unwrap().role(), Role::Follower);
 }
 
 #[test]
-fn an_office_that_is_handed_over_leaves_no_gap_of_an_election() {
-    let mut world = World::new(9, 3);
-    world.run(1500.0);
-    let (leader, term) = (world.leader().unwrap(), *world.leaders.keys().next_back().unwrap());
-    let now = world.clock(leader);
-    assert!(world.all.get_mut(&leader).unwrap().council.as_mut().unwrap().transfer_leadership(now));
-    world.settle(leader);
-    world.run(FIGURES.election_timeout_ms / 2.0);
-    let heir = world.leader().unwrap();
-    assert!(heir != leader && *world.leaders.keys().next_back().unwrap() > term);
+fn a_leadership_transfer_takes_less_than_an_election_timeout() {
+    let mut simulation = Simulation::new(9, 3);
+    simulation.run(1500.0);
+    let (leader, term) = (simulation.leader().unwrap(), *simulation.leaders.keys().next_back().unwrap());
+    let now = simulation.clock(leader);
+    let node = simulation.processes.get_mut(&leader).unwrap().node.as_mut().unwrap();
+    assert!(node.transfer_leadership(now));
+    simulation.settle(leader);
+    simulation.run(CONFIG.election_timeout_ms / 2.0);
+    let new_leader = simulation.leader().unwrap();
+    assert!(new_leader != leader && *simulation.leaders.keys().next_back().unwrap() > term);
 }
--- a/crates/council/tests/sight.rs
+++ b/crates/council/tests/sight.rs
@@ -1,12 +1,12 @@
-//! Who is believed to be there, in groups on simulated links: deaths are found by all, and cuts one way, slow members,
-//! loss and partitions are not taken for deaths for longer than they have to be.
+//! The failure detector in groups on simulated links: all members find a death, and links cut in one direction, slow
+//! members, loss and partitions are not mistaken for a death for longer than necessary.
 
 use std::collections::BTreeMap;
 
 use juniperrail_council::*;
 use juniperrail_interface::Ms;
 
-const PACE: SwimConfig = SwimConfig {
+const CONFIG: SwimConfig = SwimConfig {
     probe_period_ms: 100.0,
     probe_timeout_ms: 30.0,
     indirect_probe_count: 3,
@@ -16,167 +16,178 @@
 struct Group {
     rng: fastrand::Rng,
     now: Ms,
-    all: BTreeMap<MemberId, Option<FailureDetector>>,
-    stopped: Vec<MemberId>,
-    cut: Vec<(MemberId, MemberId)>,
-    loss: f64,
-    under_way: Vec<(Ms, MemberId, MemberId, SwimMessage)>,
+    /// `None` for a member that is dead.
+    detectors: BTreeMap<MemberId, Option<FailureDetector>>,
+    suspended: Vec<MemberId>,
+    /// Cut links, each from a sender to a receiver.
+    cut_links: Vec<(MemberId, MemberId)>,
+    loss_ratio: f64,
+    /// Messages in flight, by their arrival time.
+    in_flight: Vec<(Ms, MemberId, MemberId, SwimMessage)>,
+    /// The deaths declared so far: by which member, and of which.
     deaths: Vec<(MemberId, MemberId)>,
 }
 
 impl Group {
     fn new(seed: u64, size: u16) -> Group {
         let ids: Vec<MemberId> = (1..=size).map(MemberId).collect();
-        let sight = |id: &MemberId| {
-            let mut sight = FailureDetector::start(*id, PACE, 1, seed + u64::from(id.0), 0.0);
-            sight.set_members(0.0, ids.iter().copied());
-            (*id, Some(sight))
+        let detector = |id: &MemberId| {
+            let mut detector = FailureDetector::start(*id, CONFIG, 1, seed + u64::from(id.0), 0.0);
+            detector.set_members(0.0, ids.iter().copied());
+            (*id, Some(detector))
         };
         Group {
             rng: fastrand::Rng::with_seed(seed),
             now: 0.0,
-            all: ids.iter().map(sight).collect(),
-            stopped: Vec::new(),
-            cut: Vec::new(),
-            loss: 0.0,
-            under_way: Vec::new(),
+            detectors: ids.iter().map(detector).collect(),
+            suspended: Vec::new(),
+            cut_links: Vec::new(),
+            loss_ratio: 0.0,
+            in_flight: Vec::new(),
             deaths: Vec::new(),
         }
     }
 
-    fn sight(&self, id: u16) -> &FailureDetector {
-        self.all[&MemberId(id)].as_ref().unwrap()
+    fn detector(&self, id: u16) -> &FailureDetector {
+        self.detectors[&MemberId(id)].as_ref().unwrap()
     }
 
-    fn run(&mut self, span: Ms) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Ms) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += 1.0;
             let now = self.now;
-            let here = |of: &Group, to: &MemberId| !of.stopped.contains(to);
-            let due: Vec<_> = self.under_way.extract_if(.., |(at, ..)| *at <= now).collect();
+            let is_running = |group: &Group, id: &MemberId| !group.suspended.contains(id);
+            let due: Vec<_> = self.in_flight.extract_if(.., |(at, ..)| *at <= now).collect();
             for (_, from, to, message) in due {
-                if !here(self, &to) {
-                    // A process that is stopped finds it in its socket later.
-                    self.under_way.push((now + 1.0, from, to, message));
+                if !is_running(self, &to) {
+                    // A suspended process finds the message in its socket later.
+                    self.in_flight.push((now + 1.0, from, to, message));
                     continue;
                 }
-                if let Some(Some(sight)) = self.all.get_mut(&to) {
-                    sight.handle_message(now, now + f64::from(to.0), from, message);
+                if let Some(Some(detector)) = self.detectors.get_mut(&to) {
+                    detector.handle_message(now, now + f64::from(to.0), from, message);
                 }
             }
-            let ids: Vec<MemberId> = self.all.keys().copied().filter(|id| here(self, id)).collect();
+            let ids: Vec<MemberId> =
+                self.detectors.keys().copied().filter(|id| is_running(self, id)).collect();
             for id in ids {
-                let Some(Some(sight)) = self.all.get_mut(&id) else { continue };
-                if now >= sight.next_tick() {
-                    sight.tick(now);
+                let Some(Some(detector)) = self.detectors.get_mut(&id) else { continue };
+                if now >= detector.next_tick() {
+                    detector.tick(now);
                 }
                 let dead =
-                    sight.take_health_changes().into_iter().filter(|(_, health)| *health == Health::Dead);
-                self.deaths.extend(dead.map(|(about, _)| (id, about)));
-                for (to, message) in sight.take_messages() {
-                    if !self.cut.contains(&(id, to)) && self.rng.f64() >= self.loss {
-                        self.under_way.push((now + 0.5 + self.rng.f64() * 5.0, id, to, message));
+                    detector.take_health_changes().into_iter().filter(|(_, health)| *health == Health::Dead);
+                self.deaths.extend(dead.map(|(member, _)| (id, member)));
+                for (to, message) in detector.take_messages() {
+                    if !self.cut_links.contains(&(id, to)) && self.rng.f64() >= self.loss_ratio {
+                        self.in_flight.push((now + 0.5 + self.rng.f64() * 5.0, id, to, message));
                     }
                 }
             }
         }
     }
 
+    /// A member's health as each of the other live members sees it.
     fn healths(&self, of: u16) -> Vec<Health> {
-        let others = self.all.iter().filter(|(id, sight)| id.0 != of && sight.is_some());
-        others.map(|(_, sight)| sight.as_ref().unwrap().health(MemberId(of))).collect()
+        let others = self.detectors.iter().filter(|(id, detector)| id.0 != of && detector.is_some());
+        others.map(|(_, detector)| detector.as_ref().unwrap().health(MemberId(of))).collect()
     }
 }
 
 #[test]
-fn a_death_is_found_by_all_and_nobody_else_is_blamed() {
+fn all_members_find_a_death_and_suspect_no_other_member() {
     for seed in 0..20 {
         let mut group = Group::new(seed, 3 + seed as u16 % 5);
         group.run(2_000.0);
         assert!(group.deaths.is_empty());
-        group.all.insert(MemberId(2), None);
+        group.detectors.insert(MemberId(2), None);
         group.run(9_000.0);
         assert!(group.healths(2).iter().all(|health| *health == Health::Dead), "seed {seed}");
-        assert!(group.deaths.iter().all(|(_, about)| about.0 == 2), "seed {seed}: {:?}", group.deaths);
+        assert!(group.deaths.iter().all(|(_, member)| member.0 == 2), "seed {seed}: {:?}", group.deaths);
     }
 }
 
 #[test]
-fn loss_alone_kills_nobody() {
+fn message_loss_alone_is_not_taken_for_a_death() {
     for seed in 0..6 {
         let mut group = Group::new(seed, 5);
-        group.loss = 0.1;
+        group.loss_ratio = 0.1;
         group.run(60_000.0);
         assert!(group.deaths.is_empty(), "seed {seed}: {:?}", group.deaths);
     }
 }
 
 #[test]
-fn a_link_cut_one_way_or_both_is_told_apart_from_a_death() {
-    for both in [false, true] {
+fn a_link_cut_in_one_or_both_directions_is_told_apart_from_a_death() {
+    for both_ways in [false, true] {
         let mut group = Group::new(5, 4);
         group.run(1_000.0);
-        group.cut.push((MemberId(1), MemberId(3)));
-        group.cut.extend(both.then_some((MemberId(3), MemberId(1))));
+        group.cut_links.push((MemberId(1), MemberId(3)));
+        group.cut_links.extend(both_ways.then_some((MemberId(3), MemberId(1))));
         group.run(8_000.0);
-        assert_eq!(group.sight(1).health(MemberId(3)), Health::Alive);
-        assert_eq!(group.sight(1).reach(group.now, MemberId(3)), Reach::Indirect);
-        assert_eq!(group.sight(2).reach(group.now, MemberId(3)), Reach::Direct);
+        assert_eq!(group.detector(1).health(MemberId(3)), Health::Alive);
+        assert_eq!(group.detector(1).reach(group.now, MemberId(3)), Reach::Indirect);
+        assert_eq!(group.detector(2).reach(group.now, MemberId(3)), Reach::Direct);
         assert!(group.deaths.is_empty(), "{:?}", group.deaths);
     }
 }
 
+/// Guards against a member that was suspended declaring the others dead when it resumes, because their answers seem
+/// overdue to it.
 #[test]
-fn who_was_stopped_blames_itself_first() {
+fn a_suspended_member_lowers_its_own_health_before_it_suspects_others() {
     let mut group = Group::new(3, 5);
     group.run(1_000.0);
-    group.stopped.push(MemberId(4));
+    group.suspended.push(MemberId(4));
     group.run(15_000.0);
     assert!(group.healths(4).iter().all(|health| *health == Health::Dead));
     group.deaths.clear();
-    group.stopped.clear();
+    group.suspended.clear();
     group.run(20.0);
-    assert!(group.sight(4).local_health() > 0);
+    assert!(group.detector(4).local_health() > 0);
     group.run(10_000.0);
-    assert!(group.deaths.iter().all(|(by, _)| by.0 != 4), "{:?}", group.deaths);
+    assert!(group.deaths.iter().all(|(reporter, _)| reporter.0 != 4), "{:?}", group.deaths);
     assert!(
         group.healths(4).iter().all(|health| *health == Health::Alive),
-        "it objects by a later incarnation"
+        "it refutes its death with a higher incarnation"
     );
-    assert_eq!(group.sight(4).local_health(), 0, "and is well again");
+    assert_eq!(group.detector(4).local_health(), 0, "its local health is good again");
 }
 
 #[test]
-fn a_partition_is_found_and_its_heal_too() {
+fn a_partition_and_its_end_are_detected() {
     let mut group = Group::new(8, 5);
     group.run(1_000.0);
     for a in 1..=2 {
         for b in 3..=5 {
-            group.cut.extend([(MemberId(a), MemberId(b)), (MemberId(b), MemberId(a))]);
+            group.cut_links.extend([(MemberId(a), MemberId(b)), (MemberId(b), MemberId(a))]);
         }
     }
     group.run(20_000.0);
-    assert_eq!(group.sight(5).alive().collect::<Vec<_>>(), [MemberId(5), MemberId(3), MemberId(4)]);
-    group.cut.clear();
+    assert_eq!(group.detector(5).alive().collect::<Vec<_>>(), [MemberId(5), MemberId(3), MemberId(4)]);
+    group.cut_links.clear();
     group.run(15_000.0);
     assert!((1..=5).all(|id| group.healths(id).iter().all(|health| *health == Health::Alive)));
-    let clocks = group.sight(5).clocks(group.now, group.now + 5.0);
+    let clocks = group.detector(5).clocks(group.now, group.now + 5.0);
     assert_eq!(clocks.len(), 5);
-    let shown = median_clock(clocks).unwrap() - group.now;
-    // One that jumps itself sees the others where they were.
-    let jumped = group.sight(5).clocks(group.now, group.now + 3_600_000.0);
-    assert!(median_clock(jumped).unwrap() - group.now < 20.0);
-    assert!((shown - 3.0).abs() < 6.0, "clocks are seen to within a message's way: {shown}");
+    let median_offset = median_clock(clocks).unwrap() - group.now;
+    // A member whose own clock jumps still sees the other clocks where they were.
+    let after_jump = group.detector(5).clocks(group.now, group.now + 3_600_000.0);
+    assert!(median_clock(after_jump).unwrap() - group.now < 20.0);
+    assert!(
+        (median_offset - 3.0).abs() < 6.0,
+        "clocks are known to within a message's delay: {median_offset}"
+    );
 }
 
 #[test]
-fn who_leaves_by_itself_is_not_taken_for_dead() {
+fn a_member_that_leaves_is_not_taken_for_dead() {
     let mut group = Group::new(2, 4);
     group.run(1_000.0);
-    group.all.get_mut(&MemberId(3)).unwrap().as_mut().unwrap().leave();
+    group.detectors.get_mut(&MemberId(3)).unwrap().as_mut().unwrap().leave();
     group.run(50.0);
-    group.all.insert(MemberId(3), None);
+    group.detectors.insert(MemberId(3), None);
     group.run(6_000.0);
     assert!(group.deaths.is_empty());
     assert!(group.healths(3).iter().all(|health| *health == Health::Left));
