--- a/crates/council/src/council.rs
+++ b/crates/council/src/council.rs
@@ -19,7 +19,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RaftConfig {
     pub heartbeat_interval_ms: Ms,
-    /// The shortest time without contact to a leader after which a member stands for election. The longest is twice this.
+    /// The shortest time without contact to a leader after which a member stands for election. The longest is twice
+    /// this.
     pub election_timeout_ms: Ms,
     /// By what ratio the clocks of two members may differ in speed.
     pub max_clock_drift_ratio: f64,
@@ -419,8 +420,8 @@
             RecoveryState::Recovering { term: None } => {
                 if let Some(term) = self.handshake.highest_term(self.other_voters()) {
                     let term = term.max(self.term);
-                    // This member may have voted in that term, so its vote goes to itself: it grants none to others, and
-                    // does not stand for election either while it recovers.
+                    // This member may have voted in that term, so its vote goes to itself: it grants none to others,
+                    // and does not stand for election either while it recovers.
                     (self.term, self.voted_for) = (term, Some(self.id));
                     self.write(Record::TermAndVote(term, self.voted_for));
                     self.recovery = RecoveryState::Recovering { term: Some(term) };
@@ -802,8 +803,8 @@
         Ok(position)
     }
 
-    /// Transfers the leadership to the reachable voter whose log is the most complete, as for a planned shutdown. Returns
-    /// false if there is none.
+    /// Transfers the leadership to the reachable voter whose log is the most complete, as for a planned shutdown.
+    /// Returns false if there is none.
     pub fn transfer_leadership(&mut self, now: Ms) -> bool {
         let until = now + self.config.election_timeout_ms;
         let target = match &self.state {
--- a/crates/council/src/log.rs
+++ b/crates/council/src/log.rs
@@ -147,8 +147,8 @@
         true
     }
 
-    /// Replaces the entries up to and including `index` with a snapshot of this state. Later entries stay. Returns false,
-    /// and changes nothing, if there is no entry at that index.
+    /// Replaces the entries up to and including `index` with a snapshot of this state. Later entries stay. Returns
+    /// false, and changes nothing, if there is no entry at that index.
     pub fn compact(&mut self, index: Index, state: Vec<u8>) -> bool {
         let Some((offset, term)) = self.offset(index).zip(self.term_at(index)) else { return false };
         let membership = |entry: &Entry| match &entry.payload {
--- a/crates/council/src/message.rs
+++ b/crates/council/src/message.rs
@@ -29,7 +29,8 @@
         /// A random number that identifies the answering member's store: it tells a new store of the same member from
         /// the old one.
         store_id: u64,
-        /// The store ids of the members that bootstrapped the group; `None` if the answering member's own store is empty.
+        /// The store ids of the members that bootstrapped the group; `None` if the answering member's own store is
+        /// empty.
         bootstrap_stores: Option<BTreeMap<MemberId, u64>>,
     },
     RequestVote {
--- a/crates/council/src/record.rs
+++ b/crates/council/src/record.rs
@@ -66,8 +66,8 @@
 }
 
 impl KnownRun {
-    /// Notes the run that a member gives in its handshake. Returns the latest run known from before this one, and whether
-    /// the run is new.
+    /// Notes the run that a member gives in its handshake. Returns the latest run known from before this one, and
+    /// whether the run is new.
     pub fn observe(&mut self, run: Run, nonce: u64) -> (Run, bool) {
         if run > self.run {
             *self = KnownRun { run, nonce, previous: self.run };
--- a/crates/council/src/sight.rs
+++ b/crates/council/src/sight.rs
@@ -1,8 +1,8 @@
-//! Failure detector: SWIM's direct and indirect probes, suspicion and incarnation numbers, with Lifeguard's local health,
-//! so that a slow member suspects itself before it suspects others.
+//! Failure detector: SWIM's direct and indirect probes, suspicion and incarnation numbers, with Lifeguard's local
+//! health, so that a slow member suspects itself before it suspects others.
 //!
-//! Departures from the papers: an indirect answer is told apart from a direct one ([`Reach::Indirect`]), since a link that
-//! is cut in one direction is not a dead process and operators need to know which it is; and a member that leaves
+//! Departures from the papers: an indirect answer is told apart from a direct one ([`Reach::Indirect`]), since a link
+//! that is cut in one direction is not a dead process and operators need to know which it is; and a member that leaves
 //! announces it.
 
 use std::collections::BTreeMap;
@@ -34,7 +34,8 @@
 }
 
 /// A gossip update about a member. Of two updates the one with the higher incarnation holds; with the same incarnation
-/// the one with the worse health. Updates and messages are encoded by position, so fields and variants keep their order.
+/// the one with the worse health. Updates and messages are encoded by position, so fields and variants keep their
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
     pub member: MemberId,
--- a/crates/council/tests/histories.rs
+++ b/crates/council/tests/histories.rs
@@ -512,8 +512,8 @@
     assert_ne!(simulation.processes[&leader].node.as_ref().unwrap().role(), Role::Leader);
 }
 
-/// Members crash while the group bootstraps. A member that restarts between another's bootstrap and its own still has the
-/// same store, so it joins without a recovery.
+/// Members crash while the group bootstraps. A member that restarts between another's bootstrap and its own still has
+/// the same store, so it joins without a recovery.
 #[test]
 fn bootstrap_survives_restarts_at_any_time() {
     for_each_seed(1_000_000, |seed| {
@@ -538,7 +538,8 @@
     });
 }
 
-/// Guards against a member that votes with a store restored from an old copy, which lacks entries that it has confirmed.
+/// Guards against a member that votes with a store restored from an old copy, which lacks entries that it has
+/// confirmed.
 #[test]
 fn a_member_with_a_restored_old_store_recovers_before_it_votes() {
     for_each_seed(2_000_000, |seed| {
