--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -61,3 +61,6 @@
         postcard::from_bytes(&snapshot.state).ok()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/fleet/src/agreed/tests.rs
@@ -0,0 +1,20 @@
+//! The state in a snapshot that an earlier build wrote. `tests/formats.rs` checks each value in it; here it is read and
+//! written as the type that the fleet itself uses, so that a reordered field is found.
+
+use juniperrail_schedule::Books;
+
+use super::*;
+
+const STORED: &str = include_str!("../../tests/formats/snapshot-state.txt");
+
+#[test]
+fn a_snapshot_state_of_an_earlier_build_is_read_and_written_unchanged() {
+    let (_, digits) = STORED.trim_end().split_once(' ').unwrap();
+    let digit_pairs = (0..digits.len()).step_by(2).map(|at| &digits[at..at + 2]);
+    let state: Vec<u8> = digit_pairs.map(|pair| u8::from_str_radix(pair, 16).unwrap()).collect();
+    let (books, plan, generation, at): (Books, Plan, u64, Index) = postcard::from_bytes(&state).unwrap();
+    let read = Agreed::read(&Snapshot { state: state.clone(), ..Snapshot::default() }).unwrap();
+    assert_eq!(read, Agreed { books, plan, generation, at });
+    assert_eq!(read.write(), state);
+    assert_eq!((read.generation, read.at), (12, Index(131)));
+}
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -288,3 +288,6 @@
         timeout(self.patience * 4, socket.write_all(bytes)).await?
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/recovery/tests/formats.rs
@@ -0,0 +1,42 @@
+//! Records of the ledger that an earlier build wrote are read as the same values and written as the same bytes. Guards
+//! against renames and reordered fields that make a stored ledger unreadable after an upgrade. Each line of the file in
+//! `formats/` is a record's name and its bytes in hexadecimal digits.
+
+use juniperrail_interface::{ProxyId, TableId};
+use juniperrail_recovery::{Authorised, Moment, Record, Right};
+
+const STORED: &str = include_str!("formats/ledger-records.txt");
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(digits: &str) -> Vec<u8> {
+    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+}
+
+fn records() -> Vec<(&'static str, Record)> {
+    let right = || Right::new("grade", TableId(300), ProxyId(7));
+    let from = Moment { run: 3, mark: 130 };
+    let to = Moment { run: 4, mark: 2 };
+    let ended = Authorised { from, since: 12.5, to: Some((to, 99.25)) };
+    let open = Authorised { from, since: 12.5, to: None };
+    vec![
+        ("opened", Record::Opened { right: right(), from, since: 12.5 }),
+        ("closed", Record::Closed { right: right(), to, at: 99.25 }),
+        ("snapshot-ended", Record::Kept { right: right(), authorised: ended }),
+        ("snapshot-open", Record::Kept { right: right(), authorised: open }),
+    ]
+}
+
+#[test]
+fn records_of_an_earlier_build() {
+    let stored: Vec<(&str, &str)> = STORED.lines().filter_map(|line| line.split_once(' ')).collect();
+    let records = records();
+    assert_eq!(stored.len(), records.len());
+    for ((stored_name, digits), (name, record)) in stored.iter().zip(&records) {
+        assert_eq!(stored_name, name);
+        assert_eq!(&Record::read(&bytes(digits)).unwrap(), record, "{name} is read as another record");
+        assert_eq!(&hexadecimal(&record.write()), digits, "{name} is written as other bytes");
+    }
+}
