--- a/crates/lab/src/turns.rs
+++ b/crates/lab/src/turns.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_interface::*;
 
 use crate::report::Report;
@@ -53,7 +53,7 @@
 /// Milliseconds of each turn: a start, then reports and answers, a release of half the workers in the midst.
 fn day(workers: u32, proxies: u16, seed: u64) -> Vec<f64> {
     let (mut rng, mut now) = (fastrand::Rng::with_seed(seed), 1000.0);
-    let mut brain = Brain::new(now, seed, start(proxies));
+    let mut planner = Planner::new(now, seed, start(proxies));
     let all = |phase| (0..workers).map(|worker| listed(worker, phase, None)).collect();
     let mut events = vec![Event::List { kind: ListKind::Remembered, version: 1, workers: all(Phase::Ready) }];
     for proxy in 0..proxies {
@@ -69,7 +69,7 @@
             events.push(Event::List { kind: ListKind::Changes, version: 2, workers });
         }
         let started = Instant::now();
-        let orders = brain.turn(now, &events);
+        let orders = planner.process_events(now, &events);
         took.push(started.elapsed().as_secs_f64() * 1000.0);
         events.clear();
         marks.extend(orders.iter().filter_map(|order| match order {
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_fleet::{Common, Parts};
 use juniperrail_intent::{Intent, Progress};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Start, WorkerId};
@@ -54,7 +54,7 @@
 /// The decision module with all that it goes by, and the books on what it has ordered.
 pub struct Decider {
     name: String,
-    brain: Brain,
+    planner: Planner,
     /// As the settings gave it; what operators changed is told to the module beside it.
     start: Start,
     operations: Vec<String>,
@@ -103,7 +103,7 @@
         let operation = |op| names.ops.name(op as u32).to_string();
         let mut decider = Decider {
             name: launch.fixed.name,
-            brain: Brain::new(clock.now(), launch.seed, start.clone()),
+            planner: Planner::new(clock.now(), launch.seed, start.clone()),
             operations: (0..start.operations.len()).map(operation).collect(),
             start,
             intent: Intent::default(),
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -22,7 +22,7 @@
         let open: Vec<(u64, BTreeSet<WorkerId>)> =
             self.progress.open().map(|c| (c.number, self.ids(c))).collect();
         for (number, workers) in open {
-            let holding = self.brain.holding(&workers);
+            let holding = self.planner.synced_proxy_count(&workers);
             if self.progress.found(now, number, holding, joined) {
                 let after =
                     self.progress.all().find(|change| change.number == number).map_or(0.0, |c| now - c.at);
@@ -68,7 +68,7 @@
             workers: self.roster.composed(None, &self.names).into_iter().map(worker).collect(),
             tables: self.plane.table_states(&self.names),
             proxies: self.plane.proxy_states(&self.names, &self.presence, now),
-            lines_waiting: self.brain.waiting(),
+            lines_waiting: self.planner.unacknowledged_lines(),
             lines_waiting_most: self.start.lines_waiting_most,
             changes: self.progress.all().map(change).collect(),
             fleet: self.fleet.as_ref().map(|(common, _)| fleet::state(common)),
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -36,9 +36,9 @@
 
     fn turn(&mut self) -> Vec<Event> {
         let mut heard = Vec::new();
-        self.0.turn_by(|brain, now, events| {
+        self.0.turn_by(|planner, now, events| {
             heard = events.to_vec();
-            brain.turn(now, events)
+            planner.process_events(now, events)
         });
         heard
     }
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_intent::Intent;
 use juniperrail_interface::{Ending, Event, Load, Ms, Order, WorkerId};
 use tower::ServiceExt;
@@ -17,11 +17,11 @@
 impl Decider {
     /// Lets the module decide on what came in.
     pub(super) fn turn(&mut self) {
-        self.turn_by(Brain::turn);
+        self.turn_by(Planner::process_events);
     }
 
     /// The same with another decision in its place, as tests need it.
-    pub(super) fn turn_by(&mut self, decide: impl FnOnce(&mut Brain, Ms, &[Event]) -> Vec<Order>) {
+    pub(super) fn turn_by(&mut self, decide: impl FnOnce(&mut Planner, Ms, &[Event]) -> Vec<Order>) {
         let (now, events) = (self.clock.now(), std::mem::take(&mut self.events));
         let _turn = tracing::debug_span!("turn", events = events.len()).entered();
         self.tally.joined += events.iter().filter(|event| matches!(event, Event::Joined { .. })).count();
@@ -31,7 +31,7 @@
             self.limit_warnings(now).iter().for_each(|warning| tracing::warn!("{warning}"));
         }
         let turn = AssertUnwindSafe(|| {
-            let mut orders = decide(&mut self.brain, now, &events);
+            let mut orders = decide(&mut self.planner, now, &events);
             for order in &mut orders {
                 if let Order::Mark { number, .. } = order {
                     number.0 = number.0.wrapping_add(self.marks.0);
@@ -51,7 +51,7 @@
 
     /// What is near a limit, as people on call should know it.
     pub(super) fn limit_warnings(&mut self, now: Ms) -> Vec<String> {
-        let (waiting, most) = (self.brain.waiting(), self.start.lines_waiting_most);
+        let (waiting, most) = (self.planner.unacknowledged_lines(), self.start.lines_waiting_most);
         let full = (waiting >= NEAR.0 * most && most > 0.0)
             .then(|| format!("{waiting:.0} of {most:.0} lines wait in the channel"));
         let grace = self.intent.figures(&self.start, &self.operations).drain_grace;
@@ -63,7 +63,7 @@
             .map(|(id, at)| (*id, *at))
             .collect();
         let (joined, holding) =
-            (self.presence.here().count(), self.brain.holding(&owed.keys().copied().collect()));
+            (self.presence.here().count(), self.planner.synced_proxy_count(&owed.keys().copied().collect()));
         let oldest = owed.iter().min_by(|a, b| a.1.total_cmp(b.1)).filter(|_| holding < joined);
         let late = oldest.map(|(id, told)| {
             let (name, since) = (self.names.workers.get(id.0).unwrap_or("one forgotten"), now - told);
@@ -83,7 +83,7 @@
         let rest = self.tick.as_secs_f64() * 1000.0 * f64::from(2u32.pow(failed.min(16)) - 1);
         self.failed = (failed + 1, now + rest.min(self.start.report_period));
         tracing::error!("the decisions failed and start anew with {} proxies", self.presence.streams.len());
-        self.brain = Brain::new(now, self.rng.u64(..), self.start.clone());
+        self.planner = Planner::new(now, self.rng.u64(..), self.start.clone());
         self.marks.0 = self.marks.1;
         self.plane.restart();
         self.wakes.clear();
--- a/crates/manager/src/plane.rs
+++ b/crates/manager/src/plane.rs
@@ -488,7 +488,7 @@
     /// orders, break off and answer late. What waits by the module's reckoning is never less than what was written.
     #[test]
     fn the_module_never_reckons_with_less_than_is_written() {
-        use juniperrail::Brain;
+        use juniperrail::Planner;
         let op = Operation {
             latency_objective: 500.0,
             billed_value: 1.0,
@@ -518,7 +518,7 @@
         for seed in 0..60 {
             let (mut rng, mut now) = (fastrand::Rng::with_seed(seed), 1000.0);
             let mut names = names();
-            let mut brain = Brain::new(now, seed, start.clone());
+            let mut planner = Planner::new(now, seed, start.clone());
             let mut plane = Plane::default();
             let mut waits: BTreeMap<(u64, ProxyId), f64> = BTreeMap::new();
             let (mut mark, mut here) = (0_u64, BTreeSet::new());
@@ -579,7 +579,7 @@
                         }
                     }
                 }
-                let orders = brain.turn(now, &std::mem::take(&mut events));
+                let orders = planner.process_events(now, &std::mem::take(&mut events));
                 let messages = plane.messages(&orders, &names);
                 mark += u64::from(!messages.is_empty());
                 for OutboundMessage { proxy, bytes, lines, .. } in messages {
@@ -595,7 +595,11 @@
                     }
                 }
                 let written = waits.values().sum::<f64>();
-                assert!(brain.waiting() >= written - 1e-6, "seed {seed}: {} < {written}", brain.waiting());
+                assert!(
+                    planner.unacknowledged_lines() >= written - 1e-6,
+                    "seed {seed}: {} < {written}",
+                    planner.unacknowledged_lines()
+                );
             }
         }
         assert!(whole > 1000 && backs > 500, "{whole} tables, {backs} messages that let back");
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts decision modules on the simulator's text wire: one isolated brain for each instance.
+//! Hosts decision modules on the simulator's text wire: one isolated planner for each instance.
 
 mod wire;
 
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_interface::{Event, Ms};
 use juniperrail_start::Names;
 use wire::{Fault, Line};
@@ -14,7 +14,7 @@
 struct Instance {
     names: Names,
     /// `None` once killed: what still arrives for it is no longer its duty.
-    brain: Option<Brain>,
+    planner: Option<Planner>,
     heard: Vec<Event>,
     /// It had an event in this batch, so it may act.
     called: bool,
@@ -51,9 +51,9 @@
                 continue;
             }
             let heard = std::mem::take(&mut instance.heard);
-            let Some(brain) = &mut instance.brain else { continue };
+            let Some(planner) = &mut instance.planner else { continue };
             reply.push_str(&format!("BY {number}\n"));
-            match catch_unwind(AssertUnwindSafe(|| brain.turn(now, &heard))) {
+            match catch_unwind(AssertUnwindSafe(|| planner.process_events(now, &heard))) {
                 Ok(orders) => orders.iter().for_each(|order| wire::write(&mut reply, order, &instance.names)),
                 Err(panic) => reply.push_str(&format!("BUG {}\n", reason(&*panic))),
             }
@@ -95,8 +95,9 @@
             let info = serde_json::from_str(line.rest("info")?);
             let info = info.map_err(|err| line.fault(format!("info is no JSON: {err}")))?;
             let (start, names) = juniperrail_start::decode(&info).map_err(|why| line.fault(why))?;
-            let brain = Brain::new(now, seed, start);
-            instances.insert(number, Instance { names, brain: Some(brain), heard: Vec::new(), called: true });
+            let planner = Planner::new(now, seed, start);
+            instances
+                .insert(number, Instance { names, planner: Some(planner), heard: Vec::new(), called: true });
             continue;
         }
         let instance = instances
@@ -104,7 +105,7 @@
             .ok_or_else(|| line.fault(format!("is for instance {number}, which was never born")))?;
         if name == "DETACH" {
             line.finish()?;
-            instance.brain = None;
+            instance.planner = None;
             instance.heard.clear();
             continue;
         }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,4 +1,4 @@
-//! All decisions of a juniperrail manager. A host calls [`Brain::turn`] with what happened; the orders that
+//! All decisions of a juniperrail manager. A host calls [`Planner::process_events`] with what happened; the orders that
 //! come back take effect as written. Their types: `crates/interface`; the mechanism: `docs/design.md`.
 
 use juniperrail_interface::*;
@@ -100,7 +100,7 @@
 }
 
 #[derive(Default)]
-pub struct Brain {
+pub struct Planner {
     start: Start,
     rng: fastrand::Rng,
     now: Ms,
@@ -131,9 +131,9 @@
     orders: Vec<Order>,
 }
 
-impl Brain {
+impl Planner {
     pub fn new(now: Ms, seed: u64, start: Start) -> Self {
-        let mut brain = Brain {
+        let mut planner = Planner {
             rng: fastrand::Rng::with_seed(seed),
             now,
             let_in: 1.0,
@@ -142,13 +142,13 @@
             wake: true,
             ask_at: start.list_asked.then_some(now),
             start,
-            ..Brain::default()
+            ..Planner::default()
         };
-        brain.lay(None, None);
-        brain
+        planner.lay(None, None);
+        planner
     }
 
-    pub fn turn(&mut self, now: Ms, events: &[Event]) -> Vec<Order> {
+    pub fn process_events(&mut self, now: Ms, events: &[Event]) -> Vec<Order> {
         self.now = now;
         events.iter().for_each(|event| self.hear(event));
         if events.is_empty() || events.iter().any(|event| !matches!(event, Event::Answered { .. })) {
@@ -166,7 +166,7 @@
     }
 
     /// How many joined proxies hold all that is wanted of these workers, by their answers.
-    pub fn holding(&self, of: &BTreeSet<WorkerId>) -> usize {
+    pub fn synced_proxy_count(&self, of: &BTreeSet<WorkerId>) -> usize {
         // A removal changes nothing where its worker is held back already.
         let about = |key: &&Key| match key {
             Key::Hold(id) => of.contains(id),
@@ -184,7 +184,7 @@
     }
 
     /// Lines written that no answer has proven to have left the channel.
-    pub fn waiting(&self) -> f64 {
+    pub fn unacknowledged_lines(&self) -> f64 {
         self.waits.values().sum()
     }
 
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,13 +1,13 @@
-//! One tiny host: it hands events to a brain and keeps what the orders would have made of the proxies.
+//! One tiny host: it hands events to a planner and keeps what the orders would have made of the proxies.
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const T: TableId = TableId(0);
 
 pub struct Host {
-    pub brain: Brain,
+    pub planner: Planner,
     pub now: Ms,
     pub weights: BTreeMap<(TableId, WorkerId), f64>,
     pub held: BTreeSet<WorkerId>,
@@ -86,7 +86,7 @@
 impl Host {
     pub fn with(start: Start) -> Self {
         Host {
-            brain: Brain::new(1000.0, 7, start),
+            planner: Planner::new(1000.0, 7, start),
             now: 1000.0,
             weights: BTreeMap::new(),
             held: BTreeSet::new(),
@@ -109,7 +109,7 @@
     }
 
     pub fn turn(&mut self, events: &[Event]) -> Vec<Order> {
-        let orders = self.brain.turn(self.now, events);
+        let orders = self.planner.process_events(self.now, events);
         for order in &orders {
             match order {
                 Order::SetLine { table, worker, weight } if *weight == 0.0 => {
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -339,7 +339,7 @@
 fn a_restarted_manager_binds_everyone_again() {
     let mut host = Host::running(start(), 4, 3);
     let seen = host.binds.len();
-    host.brain = juniperrail::Brain::new(host.now, 8, start());
+    host.planner = juniperrail::Planner::new(host.now, 8, start());
     host.binds.clear();
     host.turn(&[list(ListKind::Remembered, (0..4).map(|worker| listed(worker, Phase::Ready)).collect())]);
     host.after(50.0, &(0..3).map(joined).collect::<Vec<_>>());
@@ -803,25 +803,25 @@
 fn who_holds_a_change_is_told_by_answers_alone() {
     let of = std::collections::BTreeSet::from([WorkerId(1)]);
     let mut host = Host::running(start(), 4, 3);
-    assert_eq!(host.brain.holding(&of), 3, "nothing is under way");
+    assert_eq!(host.planner.synced_proxy_count(&of), 3, "nothing is under way");
     host.after(600.0, &[change(vec![listed(1, Phase::Draining)])]);
-    assert_eq!(host.brain.holding(&of), 0, "told and not answered");
+    assert_eq!(host.planner.synced_proxy_count(&of), 0, "told and not answered");
     let mark = *host.marks.last().unwrap();
     let answer = |proxy| Event::Answered { mark, took: 1.0, proxy: ProxyId(proxy) };
     host.after(50.0, &[answer(0), answer(2)]);
     host.after(600.0, &[]);
-    assert!(host.brain.holding(&of) < 3, "one is slow");
+    assert!(host.planner.synced_proxy_count(&of) < 3, "one is slow");
     host.answer(3);
     host.after(600.0, &[]);
     host.answer(3);
-    assert_eq!(host.brain.holding(&of), 3);
+    assert_eq!(host.planner.synced_proxy_count(&of), 3);
     host.after(600.0, &[heavier(1, 2.0), joined(7)]);
-    assert_eq!(host.brain.holding(&of), 0, "the newcomer and the others, until they answer");
+    assert_eq!(host.planner.synced_proxy_count(&of), 0, "the newcomer and the others, until they answer");
     host.answer(8);
     host.after(600.0, &[]);
     host.answer(8);
     host.after(600.0, &[]);
     host.answer(8);
-    assert_eq!(host.brain.holding(&of), 4);
-    assert_eq!(host.brain.waiting(), 0.0);
+    assert_eq!(host.planner.synced_proxy_count(&of), 4);
+    assert_eq!(host.planner.unacknowledged_lines(), 0.0);
 }
