--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -9,12 +9,12 @@
 
 use juniperrail_council::{
     Change, Entry, Health as MemberHealth, Index, Member, MemberId, Members, Message, Record, Run,
-    SightMessage, Snapshot, Term, Voice, What, Word as MemberWord,
+    SwimMessage, Snapshot, Term, MemberRole, What, Word as MemberWord,
 };
 use juniperrail_failover::{Cell, Evidence, Health, Plan, Share, Zone};
 use juniperrail_fleet::{PeerMessage, Word};
 use juniperrail_schedule::{
-    Act, Book, Books, Claim, Due, End, Ended, Open, Overlap, Passed, Turn, Word as ScheduleWord,
+    Action, Book, Ledger, Claim, Occurrence, End, EndedOccurrence, Open, Overlap, Passed, TryOutcome, Word as ScheduleWord,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -54,8 +54,8 @@
 }
 
 fn members() -> Members {
-    let voter = Member { address: "10.0.0.4:5001".into(), voice: Voice::Voter };
-    let learner = Member { address: "10.0.0.5:5001".into(), voice: Voice::Learner };
+    let voter = Member { address: "10.0.0.4:5001".into(), role: MemberRole::Voter };
+    let learner = Member { address: "10.0.0.5:5001".into(), role: MemberRole::Learner };
     BTreeMap::from([(MemberId(1), voter), (MemberId(300), learner)])
 }
 
@@ -127,7 +127,7 @@
         ("vote-reply", Message::Vote { term: Term(8), granted: true, pre: false }),
         (
             "append-request",
-            Message::Append {
+            Message::AppendEntries {
                 term: Term(8),
                 at: 1234.5,
                 before: (Index(127), Term(6)),
@@ -135,7 +135,7 @@
                 commit: Index(126),
             },
         ),
-        ("install-snapshot", Message::Install { term: Term(8), at: 2234.25, snapshot: snapshot() }),
+        ("install-snapshot", Message::InstallSnapshot { term: Term(8), at: 2234.25, snapshot: snapshot() }),
         ("append-reply", Message::Appended { term: Term(8), at: 1235.5, same: true, upto: Index(130) }),
         ("timeout-now", Message::TakeOver { term: Term(8) }),
         ("propose", Message::Propose { command: vec![1, 2, 3] }),
@@ -155,10 +155,10 @@
         })
         .collect();
     let messages = [
-        ("ping", SightMessage::Ping { number: 5, words: updates.clone() }),
-        ("ack", SightMessage::Ack { number: 5, clock: 1_700_000_000_000.0, words: updates.clone() }),
-        ("ping-request", SightMessage::PingFor { number: 6, target: MemberId(3), words: updates }),
-        ("nack", SightMessage::Nack { number: 6 }),
+        ("ping", SwimMessage::Ping { number: 5, words: updates.clone() }),
+        ("ack", SwimMessage::Ack { number: 5, clock: 1_700_000_000_000.0, words: updates.clone() }),
+        ("ping-request", SwimMessage::PingFor { number: 6, target: MemberId(3), words: updates }),
+        ("nack", SwimMessage::Nack { number: 6 }),
     ];
     messages.into_iter().map(|(name, message)| (name, PeerMessage::Sight(message))).collect()
 }
@@ -203,12 +203,12 @@
     Plan { version: 3, beat: 400, shares: (0..).zip(states).map(share).collect(), lease: 6000.0 }
 }
 
-fn occurrence(due: i64) -> Due {
-    Due { schedule: "nightly".into(), due }
+fn occurrence(due: i64) -> Occurrence {
+    Occurrence { schedule: "nightly".into(), due }
 }
 
-fn act() -> Act {
-    Act {
+fn act() -> Action {
+    Action {
         address: "10.0.1.9:8080".into(),
         path: "/run".into(),
         idempotent: true,
@@ -232,11 +232,11 @@
         ("claim-queue", claim(Overlap::Queue)),
         ("claim-replace", claim(Overlap::Replace)),
         ("begun", ScheduleWord::Begun { due: due(), fence: Index(130), run: Run(4) }),
-        ("try-succeeded", turned(Turn::Succeeded)),
-        ("try-failed", turned(Turn::Failed)),
-        ("try-unsent", turned(Turn::Unsent)),
-        ("try-unanswered", turned(Turn::Unanswered)),
-        ("try-overtaken", turned(Turn::Overtaken)),
+        ("try-succeeded", turned(TryOutcome::Succeeded)),
+        ("try-failed", turned(TryOutcome::Failed)),
+        ("try-unsent", turned(TryOutcome::Unsent)),
+        ("try-unanswered", turned(TryOutcome::Unanswered)),
+        ("try-overtaken", turned(TryOutcome::Overtaken)),
         ("lapsed", ScheduleWord::Lapsed { due: due(), fence: Index(130), at: 78.5 }),
         ("closed", ScheduleWord::Closed { schedule: "nightly".into() }),
     ]
@@ -254,20 +254,20 @@
     check("log-commands.txt", &commands);
 }
 
-fn books() -> Books {
+fn books() -> Ledger {
     let claim = Claim { owner: MemberId(2), fence: Index(130), begun: Some(Run(4)) };
     let open = Open { act: act(), tries: 1, claim: Some(claim), ended: 77.5 };
     let unclaimed = Open { act: act(), tries: 0, claim: None, ended: 0.0 };
     let ends = [End::Succeeded, End::Failed, End::GivenUp, End::Unknown, End::Replaced];
-    let ended = |(due, end): (i64, End)| Ended { due, end, tries: 2, fence: Index(90), owner: MemberId(1) };
+    let ended = |(due, end): (i64, End)| EndedOccurrence { due, end, tries: 2, fence: Index(90), owner: MemberId(1) };
     let book = Book {
         through: 1_700_000_060_000,
         open: BTreeMap::from([(1_700_000_060_000, open), (1_700_000_120_000, unclaimed)]),
-        ended: (10..).zip(ends).map(ended).collect::<VecDeque<Ended>>(),
+        ended: (10..).zip(ends).map(ended).collect::<VecDeque<EndedOccurrence>>(),
         passed: BTreeMap::from([(Passed::Missed, 1), (Passed::Quiet, 2), (Passed::Overlap, 3)]),
         ends: 5,
     };
-    Books { books: BTreeMap::from([("nightly".to_string(), book)]) }
+    Ledger { books: BTreeMap::from([("nightly".to_string(), book)]) }
 }
 
 /// The fields of the state in a snapshot, in their order; what the fleet reads it as is private to that crate.
