--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -11,33 +11,33 @@
 
 /// What the proxies of one zone met at the workers of another, or of their own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Cell {
+pub struct ZonePairStats {
     pub tries: f64,
-    pub bad: f64,
+    pub failed: f64,
     /// The sum of the times of those that were not bad, in milliseconds.
-    pub took: Ms,
+    pub success_time_sum: Ms,
 }
 
-impl Cell {
-    pub fn add(&mut self, other: &Cell) {
+impl ZonePairStats {
+    pub fn add(&mut self, other: &ZonePairStats) {
         self.tries += other.tries;
-        self.bad += other.bad;
-        self.took += other.took;
+        self.failed += other.failed;
+        self.success_time_sum += other.success_time_sum;
     }
 
     /// The mean time of those that were not bad.
-    pub fn mean(&self) -> Option<Ms> {
-        let good = self.tries - self.bad;
-        (good > 0.0).then(|| self.took / good)
+    pub fn mean_success_time(&self) -> Option<Ms> {
+        let good = self.tries - self.failed;
+        (good > 0.0).then(|| self.success_time_sum / good)
     }
 
     /// Bounds of the part that is bad, 95 times in 100 (Wilson's score interval, 1927): few tries tell little.
-    pub fn bad_part(&self) -> (f64, f64) {
+    pub fn failure_ratio_bounds(&self) -> (f64, f64) {
         if self.tries <= 0.0 {
             return (0.0, 1.0);
         }
         let (n, z) = (self.tries, 1.96f64);
-        let p = (self.bad / n).clamp(0.0, 1.0);
+        let p = (self.failed / n).clamp(0.0, 1.0);
         let centre = p + z * z / (2.0 * n);
         let half = z * (p * (1.0 - p) / n + z * z / (4.0 * n * n)).sqrt();
         let scale = 1.0 + z * z / n;
@@ -49,31 +49,31 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// By the zone of the proxies and the zone of the workers.
-    pub cells: BTreeMap<(Zone, Zone), Cell>,
+    pub pair_stats: BTreeMap<(Zone, Zone), ZonePairStats>,
     /// The weight of the workers that are listed as ready, each by its warmth.
-    pub weight: BTreeMap<Zone, f64>,
+    pub ready_weight: BTreeMap<Zone, f64>,
     /// How busy the workers said they were, on the mean.
-    pub busy: BTreeMap<Zone, f64>,
+    pub utilization: BTreeMap<Zone, f64>,
     /// Proxies joined here, and those of them that owe an answer and are silent.
     pub proxies: BTreeMap<Zone, (u32, u32)>,
     /// The stretch of time.
-    pub over: Ms,
+    pub duration: Ms,
 }
 
 /// Adds up what comes until it is told.
 #[derive(Clone, Debug, Default)]
-pub struct Gather {
-    cells: BTreeMap<(Zone, Zone), Cell>,
+pub struct EvidenceAccumulator {
+    pair_stats: BTreeMap<(Zone, Zone), ZonePairStats>,
     busy: BTreeMap<Zone, (f64, f64)>,
     since: Ms,
 }
 
-impl Gather {
+impl EvidenceAccumulator {
     /// What proxies of `from` met at a worker of `to`. `mean`: the time of those that were not bad.
-    pub fn met(&mut self, from: &Zone, to: &Zone, tries: f64, bad: f64, mean: Ms, busy: Option<f64>) {
+    pub fn record(&mut self, from: &Zone, to: &Zone, tries: f64, bad: f64, mean: Ms, busy: Option<f64>) {
         let bad = bad.clamp(0.0, tries);
-        let cell = Cell { tries, bad, took: (tries - bad) * mean };
-        self.cells.entry((from.clone(), to.clone())).or_default().add(&cell);
+        let cell = ZonePairStats { tries, failed: bad, success_time_sum: (tries - bad) * mean };
+        self.pair_stats.entry((from.clone(), to.clone())).or_default().add(&cell);
         if let Some(busy) = busy.filter(|busy| busy.is_finite()) {
             let sum = self.busy.entry(to.clone()).or_default();
             (sum.0, sum.1) = (sum.0 + busy, sum.1 + 1.0);
@@ -81,7 +81,7 @@
     }
 
     /// All since it was last told, with what holds now.
-    pub fn tell(
+    pub fn take_evidence(
         &mut self,
         now: Ms,
         weight: BTreeMap<Zone, f64>,
@@ -91,6 +91,12 @@
         let busy = busy.into_iter().map(|(zone, (sum, count))| (zone, sum / count)).collect();
         let over = (now - self.since).max(0.0);
         self.since = now;
-        Evidence { cells: std::mem::take(&mut self.cells), weight, busy, proxies, over }
+        Evidence {
+            pair_stats: std::mem::take(&mut self.pair_stats),
+            ready_weight: weight,
+            utilization: busy,
+            proxies,
+            duration: over,
+        }
     }
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,6 +1,6 @@
-//! Failover between zones, decided in common. No I/O, clock or thread: each manager's [`Gather`] turns what its proxies met
-//! into [`Evidence`], which goes to the leader beside the log, late and lossy; the leader's [`Pilot`] judges each zone by
-//! all of it and says what [`Plan`] to agree on; and [`InForce`] is what a member goes by, for as long as its lease lasts.
+//! Failover between zones, decided in common. No I/O, clock or thread: each manager's [`EvidenceAccumulator`] turns what its proxies met
+//! into [`Evidence`], which goes to the leader beside the log, late and lossy; the leader's [`FailoverController`] judges each zone by
+//! all of it and says what [`Plan`] to agree on; and [`ActivePlan`] is what a member goes by, for as long as its lease lasts.
 //!
 //! A plan narrows: it takes part of a zone's weight away and gives it back, and that is all. What proxies then do with
 //! the weights left, and what is turned away where too few are left, stays with the decisions that each manager takes
@@ -15,7 +15,7 @@
 mod pilot;
 mod plan;
 
-pub use evidence::{Cell, Evidence, Gather, Zone};
-pub use health::{judge, Health, World, ENOUGH};
-pub use pilot::{Figures, Pilot};
-pub use plan::{InForce, Plan, Share};
+pub use evidence::{Evidence, EvidenceAccumulator, Zone, ZonePairStats};
+pub use health::{assess_zone, FleetView, ZoneHealth, MIN_TRIES};
+pub use pilot::{FailoverConfig, FailoverController};
+pub use plan::{ActivePlan, Plan, ZoneShare};
--- a/crates/failover/src/pilot.rs
+++ b/crates/failover/src/pilot.rs
@@ -7,23 +7,23 @@
 use juniperrail_interface::Ms;
 
 use crate::evidence::{Evidence, Zone};
-use crate::health::{judge, Health, World};
-use crate::plan::{Plan, Share};
+use crate::health::{assess_zone, FleetView, ZoneHealth};
+use crate::plan::{Plan, ZoneShare};
 
 /// What the settings say, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct FailoverConfig {
     /// Proxies' sums come so often, and so late at the worst.
-    pub period: Ms,
-    pub transit: Ms,
+    pub report_period: Ms,
+    pub max_transit: Ms,
     /// How long a plan lasts without the leader's word.
-    pub lease: Ms,
+    pub plan_lease: Ms,
 }
 
-impl Figures {
+impl FailoverConfig {
     /// The time after which what was changed shows in what is heard.
     fn settled(&self) -> Ms {
-        self.period + self.transit
+        self.report_period + self.max_transit
     }
 }
 
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Course {
     part: f64,
-    why: Health,
+    why: ZoneHealth,
     /// When it was last changed, by the leader's clock.
     changed: Ms,
     relapses: u32,
@@ -51,15 +51,15 @@
 
 /// The leader's memory. A new leader begins with the plan that is agreed and waits as if it had just been changed.
 #[derive(Clone, Debug, Default)]
-pub struct Pilot {
+pub struct FailoverController {
     words: BTreeMap<MemberId, Vec<(Ms, Evidence)>>,
     courses: BTreeMap<Zone, Course>,
     told: Option<(Ms, Plan)>,
 }
 
-impl Pilot {
+impl FailoverController {
     /// A member's word came. At most the words of the span that counts are kept.
-    pub fn hear(&mut self, now: Ms, from: MemberId, word: Evidence, figures: &Figures) {
+    pub fn record_evidence(&mut self, now: Ms, from: MemberId, word: Evidence, figures: &FailoverConfig) {
         let words = self.words.entry(from).or_default();
         words.retain(|(at, _)| now <= at + figures.settled());
         // A flood of words from one member pushes out its own.
@@ -70,20 +70,20 @@
     }
 
     /// Forgets who is no member any more.
-    pub fn keep(&mut self, members: &[MemberId]) {
+    pub fn retain_members(&mut self, members: &[MemberId]) {
         self.words.retain(|id, _| members.contains(id));
     }
 
-    fn world(&self, now: Ms, figures: &Figures, since: Ms) -> World {
+    fn world(&self, now: Ms, figures: &FailoverConfig, since: Ms) -> FleetView {
         let all = self.words.iter().flat_map(|(id, words)| words.iter().map(|(at, word)| (*id, *at, word)));
         let fresh = all.filter(|(_, at, _)| *at > since).map(|(id, at, word)| (id, now - at, word));
-        World::of(fresh, figures.settled())
+        FleetView::from_evidence(fresh, figures.settled())
     }
 
     /// The plan to be proposed now, if another than the one agreed is due, or the same is to be said again.
-    pub fn look(&mut self, now: Ms, figures: &Figures, agreed: &Plan) -> Option<Plan> {
+    pub fn next_plan(&mut self, now: Ms, figures: &FailoverConfig, agreed: &Plan) -> Option<Plan> {
         for (zone, share) in &agreed.shares {
-            let course = Course { part: share.part, why: share.why, changed: now, relapses: 0 };
+            let course = Course { part: share.weight_ratio, why: share.reason, changed: now, relapses: 0 };
             self.courses.entry(zone.clone()).or_insert(course);
         }
         let whole = self.world(now, figures, f64::NEG_INFINITY);
@@ -91,12 +91,12 @@
         for zone in &zones {
             let course = self.courses.entry(zone.clone()).or_insert(Course {
                 part: 1.0,
-                why: Health::Unknown,
+                why: ZoneHealth::Unknown,
                 changed: f64::NEG_INFINITY,
                 relapses: 0,
             });
             // What came before a change, or was on its way then, says nothing of what it brought.
-            let since = course.changed + if course.part < 1.0 { figures.transit } else { 0.0 };
+            let since = course.changed + if course.part < 1.0 { figures.max_transit } else { 0.0 };
             let course = *course;
             let world = self.world(now, figures, since);
             let next = step(now, figures, &world, zone, course);
@@ -104,24 +104,25 @@
         }
         self.courses.retain(|zone, course| zones.contains(zone) || course.part < 1.0);
         self.spare(&whole);
-        let shares: BTreeMap<Zone, Share> = self
+        let shares: BTreeMap<Zone, ZoneShare> = self
             .courses
             .iter()
             .filter(|(_, course)| course.part < 1.0)
-            .map(|(zone, course)| (zone.clone(), Share { part: course.part, why: course.why }))
+            .map(|(zone, course)| (zone.clone(), ZoneShare { weight_ratio: course.part, reason: course.why }))
             .collect();
-        let parts = |shares: &BTreeMap<Zone, Share>| {
-            shares.iter().map(|(z, s)| (z.clone(), s.part)).collect::<Vec<_>>()
+        let parts = |shares: &BTreeMap<Zone, ZoneShare>| {
+            shares.iter().map(|(z, s)| (z.clone(), s.weight_ratio)).collect::<Vec<_>>()
         };
         let plan = if parts(&shares) != parts(&agreed.shares) {
-            Plan { version: agreed.version + 1, beat: 0, shares, lease: figures.lease }
+            Plan { version: agreed.version + 1, renewal: 0, shares, lease: figures.plan_lease }
         } else if !agreed.is_empty() {
-            Plan { beat: agreed.beat + 1, ..agreed.clone() }
+            Plan { renewal: agreed.renewal + 1, ..agreed.clone() }
         } else {
             return None;
         };
         // Renewed thrice a lease; what is proposed has its time to be agreed.
-        let again = if plan.version > agreed.version { figures.settled() / 2.0 } else { figures.lease / 3.0 };
+        let again =
+            if plan.version > agreed.version { figures.settled() / 2.0 } else { figures.plan_lease / 3.0 };
         let waits = |(at, told): &(Ms, Plan)| told.version == plan.version && now < at + again;
         if self.told.as_ref().is_some_and(waits) {
             return None;
@@ -131,9 +132,9 @@
     }
 
     /// Somebody stays: of zones that are all to be taken out the one with the most weight keeps its own.
-    fn spare(&mut self, world: &World) {
-        let weight = |zone: &Zone| world.weight.get(zone).copied().unwrap_or(0.0);
-        if world.weight.values().sum::<f64>() <= 0.0 {
+    fn spare(&mut self, world: &FleetView) {
+        let weight = |zone: &Zone| world.ready_weight.get(zone).copied().unwrap_or(0.0);
+        if world.ready_weight.values().sum::<f64>() <= 0.0 {
             // Nothing is heard yet, or nobody is left to be spared.
             return;
         }
@@ -148,14 +149,14 @@
     }
 }
 
-fn step(now: Ms, figures: &Figures, world: &World, zone: &Zone, course: Course) -> Course {
+fn step(now: Ms, figures: &FailoverConfig, world: &FleetView, zone: &Zone, course: Course) -> Course {
     let settled = figures.settled();
-    let health = judge(world, zone);
+    let health = assess_zone(world, zone);
     let Course { part, changed, relapses, .. } = course;
     let to = |part: f64, relapses: u32| Course { part, why: health, changed: now, relapses };
     let lost = match health {
-        Health::Lost => true,
-        Health::CutOff => {
+        ZoneHealth::Lost => true,
+        ZoneHealth::CutOff => {
             let inside = world.demand.get(zone).copied().unwrap_or(0.0);
             let outside = world.demand.values().sum::<f64>() - inside;
             outside > OUTWEIGHS * inside
@@ -170,10 +171,10 @@
     }
     if lost {
         // Discovery says that nobody is left: it is not tried, and the wait begins as it lists somebody again.
-        let gone = world.weight.get(zone).is_some_and(|weight| *weight <= 0.0);
+        let gone = world.ready_weight.get(zone).is_some_and(|weight| *weight <= 0.0);
         return if gone { to(0.0, relapses) } else { course };
     }
-    if health == Health::Overloaded && part > 0.0 && now >= changed + 2.0 * settled {
+    if health == ZoneHealth::Overloaded && part > 0.0 && now >= changed + 2.0 * settled {
         let load = world.load.get(zone).copied().unwrap_or(0.0);
         let moved = (free(world, zone) / load.max(1e-9)).min(MOVED);
         // Less than a twentieth is within what is uncertain about the load.
@@ -188,7 +189,10 @@
     let due = match part {
         0.0 => now >= changed + wait,
         // It is watched: only tries that went well bring the next step.
-        _ => now >= changed + 2.0 * settled && matches!(health, Health::Well | Health::Slow | Health::Silent),
+        _ => {
+            now >= changed + 2.0 * settled
+                && matches!(health, ZoneHealth::Well | ZoneHealth::Slow | ZoneHealth::Silent)
+        }
     };
     let next = STEPS.into_iter().find(|step| *step > part + 1e-9);
     match next.filter(|_| due) {
@@ -198,10 +202,10 @@
 }
 
 /// What the other zones are known to bear beside their own, in tries a second.
-fn free(world: &World, but: &Zone) -> f64 {
+fn free(world: &FleetView, but: &Zone) -> f64 {
     let others = world.load.iter().filter(|(zone, _)| *zone != but);
     let free = |(zone, load): (&Zone, &f64)| {
-        let busy = world.busy.get(zone)?;
+        let busy = world.utilization.get(zone)?;
         // Who does not say how busy it is is known to bear what it bears now, and no more.
         Some(load * (1.0 / busy.max(0.05) - 1.0).max(0.0) * COUNTED)
     };
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -5,7 +5,8 @@
 use juniperrail_council::MemberId;
 use juniperrail_failover::*;
 
-const FIGURES: Figures = Figures { period: 1000.0, transit: 500.0, lease: 9000.0 };
+const FIGURES: FailoverConfig =
+    FailoverConfig { report_period: 1000.0, max_transit: 500.0, plan_lease: 9000.0 };
 
 fn zone(name: &str) -> Zone {
     Zone(name.into())
@@ -15,35 +16,35 @@
 type Between<'a> = &'a dyn Fn(&str, &str) -> (f64, f64);
 
 fn word(zones: &[&str], between: Between<'_>, part_of: &dyn Fn(&str) -> f64) -> Evidence {
-    let mut gather = Gather::default();
-    gather.tell(0.0, BTreeMap::new(), BTreeMap::new());
+    let mut gather = EvidenceAccumulator::default();
+    gather.take_evidence(0.0, BTreeMap::new(), BTreeMap::new());
     for from in zones {
         for to in zones {
             let (bad, mean) = between(from, to);
             let tries = 100.0 * part_of(to);
             if tries > 0.0 {
-                gather.met(&zone(from), &zone(to), tries, tries * bad, mean, Some(0.5));
+                gather.record(&zone(from), &zone(to), tries, tries * bad, mean, Some(0.5));
             }
         }
     }
     let weight = zones.iter().map(|of| (zone(of), 10.0)).collect();
     let proxies = zones.iter().map(|of| (zone(of), (10, 0))).collect();
-    gather.tell(1000.0, weight, proxies)
+    gather.take_evidence(1000.0, weight, proxies)
 }
 
-fn world(between: Between<'_>) -> World {
+fn world(between: Between<'_>) -> FleetView {
     let word = word(&["a", "b", "c"], between, &|_| 1.0);
-    World::of([(MemberId(1), 0.0, &word), (MemberId(2), 100.0, &word)].into_iter(), 3000.0)
+    FleetView::from_evidence([(MemberId(1), 0.0, &word), (MemberId(2), 100.0, &word)].into_iter(), 3000.0)
 }
 
-fn healths(between: Between<'_>) -> [Health; 3] {
+fn healths(between: Between<'_>) -> [ZoneHealth; 3] {
     let world = world(between);
-    ["a", "b", "c"].map(|of| judge(&world, &zone(of)))
+    ["a", "b", "c"].map(|of| assess_zone(&world, &zone(of)))
 }
 
 #[test]
 fn what_ails_a_zone_is_told_apart() {
-    use Health::*;
+    use ZoneHealth::*;
     assert_eq!(healths(&|_, _| (0.0, 50.0)), [Well; 3]);
     assert_eq!(healths(&|_, to| (f64::from(u8::from(to == "b")), 50.0)), [Well, Lost, Well]);
     // Nobody gets in or out of b; inside it all is well.
@@ -63,34 +64,38 @@
         "some failures are the module's"
     );
     let mut busy = world(&|_, to| (if to == "c" { 0.2 } else { 0.0 }, 50.0));
-    busy.busy.insert(zone("c"), 0.97);
-    assert_eq!(judge(&busy, &zone("c")), Overloaded);
+    busy.utilization.insert(zone("c"), 0.97);
+    assert_eq!(assess_zone(&busy, &zone("c")), Overloaded);
     let mut silent = world(&|_, _| (0.0, 50.0));
-    silent.cells.retain(|(from, _), _| *from != zone("b"));
-    assert_eq!(judge(&silent, &zone("b")), Silent);
+    silent.pair_stats.retain(|(from, _), _| *from != zone("b"));
+    assert_eq!(assess_zone(&silent, &zone("b")), Silent);
     let mut gone = world(&|_, _| (0.0, 50.0));
-    gone.weight.insert(zone("b"), 0.0);
-    assert_eq!(judge(&gone, &zone("b")), Lost, "discovery says so");
-    assert_eq!(judge(&World::default(), &zone("b")), Unknown);
+    gone.ready_weight.insert(zone("b"), 0.0);
+    assert_eq!(assess_zone(&gone, &zone("b")), Lost, "discovery says so");
+    assert_eq!(assess_zone(&FleetView::default(), &zone("b")), Unknown);
 }
 
 #[test]
 fn of_two_zones_that_do_not_see_each_other_neither_is_lost() {
     let word = word(&["a", "b"], &|from, to| (f64::from(u8::from(from != to)), 50.0), &|_| 1.0);
-    let world = World::of([(MemberId(1), 0.0, &word)].into_iter(), 3000.0);
-    assert_eq!(judge(&world, &zone("a")), Health::CutOff);
-    assert_eq!(judge(&world, &zone("b")), Health::CutOff);
-    let mut pilot = Pilot::default();
-    pilot.hear(10.0, MemberId(1), word, &FIGURES);
-    assert_eq!(pilot.look(20.0, &FIGURES, &Plan::default()), None, "as much is asked for on either side");
+    let world = FleetView::from_evidence([(MemberId(1), 0.0, &word)].into_iter(), 3000.0);
+    assert_eq!(assess_zone(&world, &zone("a")), ZoneHealth::CutOff);
+    assert_eq!(assess_zone(&world, &zone("b")), ZoneHealth::CutOff);
+    let mut pilot = FailoverController::default();
+    pilot.record_evidence(10.0, MemberId(1), word, &FIGURES);
+    assert_eq!(
+        pilot.next_plan(20.0, &FIGURES, &Plan::default()),
+        None,
+        "as much is asked for on either side"
+    );
 }
 
 /// A fleet under one pilot: what zones have of their weight shows in what is tried, a transit late.
 struct Fleet {
     now: f64,
-    pilot: Pilot,
+    pilot: FailoverController,
     plan: Plan,
-    force: InForce,
+    force: ActivePlan,
     changes: Vec<(f64, BTreeMap<Zone, f64>)>,
 }
 
@@ -98,15 +103,15 @@
     fn new() -> Fleet {
         Fleet {
             now: 0.0,
-            pilot: Pilot::default(),
+            pilot: FailoverController::default(),
             plan: Plan::default(),
-            force: InForce::default(),
+            force: ActivePlan::default(),
             changes: vec![],
         }
     }
 
     fn part(&self, of: &str) -> f64 {
-        self.force.parts().get(&zone(of)).copied().unwrap_or(1.0)
+        self.force.weight_ratios().get(&zone(of)).copied().unwrap_or(1.0)
     }
 
     /// Runs so long; each second three managers tell what was met.
@@ -117,17 +122,19 @@
             if self.now % 1000.0 == 0.0 {
                 let parts = |of: &str| self.part(of);
                 let word = word(&["a", "b", "c"], between, &parts);
-                (1..=3).for_each(|id| self.pilot.hear(self.now, MemberId(id), word.clone(), &FIGURES));
+                (1..=3).for_each(|id| {
+                    self.pilot.record_evidence(self.now, MemberId(id), word.clone(), &FIGURES)
+                });
             }
-            if let Some(plan) = self.pilot.look(self.now, &FIGURES, &self.plan) {
-                assert!(self.plan.agree(&plan), "a later plan");
-                let before = self.force.parts();
-                self.force.take(self.now, &self.plan);
-                if self.force.parts() != before {
-                    self.changes.push((self.now, self.force.parts()));
+            if let Some(plan) = self.pilot.next_plan(self.now, &FIGURES, &self.plan) {
+                assert!(self.plan.adopt_if_newer(&plan), "a later plan");
+                let before = self.force.weight_ratios();
+                self.force.activate(self.now, &self.plan);
+                if self.force.weight_ratios() != before {
+                    self.changes.push((self.now, self.force.weight_ratios()));
                 }
             }
-            assert!(!self.force.lapse(self.now), "it is renewed in time");
+            assert!(!self.force.expire(self.now), "it is renewed in time");
         }
     }
 }
@@ -143,14 +150,17 @@
     fleet.run(3_000.0, B_LOST);
     assert_eq!((fleet.part("b"), fleet.changes.len()), (0.0, 1));
     let out = fleet.changes[0].0 - 5_000.0;
-    assert!(out <= 2.0 * FIGURES.period, "out after {out} ms");
+    assert!(out <= 2.0 * FIGURES.report_period, "out after {out} ms");
     fleet.run(40_000.0, WELL);
     assert_eq!(fleet.part("b"), 1.0);
     let parts: Vec<f64> =
         fleet.changes.iter().map(|(_, parts)| parts.get(&zone("b")).copied().unwrap_or(1.0)).collect();
     assert_eq!(parts, [0.0, 0.1, 0.3, 0.6, 1.0]);
     let apart: Vec<f64> = fleet.changes.windows(2).map(|pair| pair[1].0 - pair[0].0).collect();
-    assert!(apart.iter().all(|apart| *apart >= 2.0 * (FIGURES.period + FIGURES.transit)), "{apart:?}");
+    assert!(
+        apart.iter().all(|apart| *apart >= 2.0 * (FIGURES.report_period + FIGURES.max_transit)),
+        "{apart:?}"
+    );
 }
 
 #[test]
@@ -194,19 +204,19 @@
 #[test]
 fn an_overloaded_zone_gives_what_others_are_known_to_bear() {
     let mut word = word(&["a", "b", "c"], &|_, to| (if to == "c" { 0.2 } else { 0.0 }, 50.0), &|_| 1.0);
-    word.busy = [("a", 0.85), ("b", 0.85), ("c", 0.99)].map(|(of, busy)| (zone(of), busy)).into();
-    let mut pilot = Pilot::default();
-    pilot.hear(10_000.0, MemberId(1), word.clone(), &FIGURES);
-    let plan = pilot.look(10_010.0, &FIGURES, &Plan::default()).expect("a plan");
-    let part = plan.shares[&zone("c")].part;
+    word.utilization = [("a", 0.85), ("b", 0.85), ("c", 0.99)].map(|(of, busy)| (zone(of), busy)).into();
+    let mut pilot = FailoverController::default();
+    pilot.record_evidence(10_000.0, MemberId(1), word.clone(), &FIGURES);
+    let plan = pilot.next_plan(10_010.0, &FIGURES, &Plan::default()).expect("a plan");
+    let part = plan.shares[&zone("c")].weight_ratio;
     // a and b have 300 tries a second each and 0.15 / 0.85 of that free, of which 0.8 is counted on.
     let free = 2.0 * 300.0 * (1.0 / 0.85 - 1.0) * 0.8;
     assert!((part - (1.0 - free / 300.0)).abs() < 0.01, "{part}");
-    word.busy = [("a", 0.99), ("b", 0.99), ("c", 0.99)].map(|(of, busy)| (zone(of), busy)).into();
-    let mut full = Pilot::default();
-    full.hear(10_000.0, MemberId(1), word, &FIGURES);
+    word.utilization = [("a", 0.99), ("b", 0.99), ("c", 0.99)].map(|(of, busy)| (zone(of), busy)).into();
+    let mut full = FailoverController::default();
+    full.record_evidence(10_000.0, MemberId(1), word, &FIGURES);
     assert_eq!(
-        full.look(10_010.0, &FIGURES, &Plan::default()),
+        full.next_plan(10_010.0, &FIGURES, &Plan::default()),
         None,
         "nobody bears it: that is for levels to shed"
     );
@@ -214,25 +224,28 @@
 
 #[test]
 fn a_member_without_a_council_goes_home_as_the_lease_ends() {
-    let mut force = InForce::default();
-    let shares = [(zone("b"), Share { part: 0.0, why: Health::Lost })].into();
-    let plan = Plan { version: 3, beat: 1, shares, lease: 9000.0 };
-    force.take(100.0, &plan);
-    assert!(!force.lapse(9099.0));
-    assert_eq!(force.parts()[&zone("b")], 0.0);
-    assert!(force.lapse(9100.0));
-    assert!(force.parts().is_empty() && !force.lapse(9200.0), "told once");
+    let mut force = ActivePlan::default();
+    let shares = [(zone("b"), ZoneShare { weight_ratio: 0.0, reason: ZoneHealth::Lost })].into();
+    let plan = Plan { version: 3, renewal: 1, shares, lease: 9000.0 };
+    force.activate(100.0, &plan);
+    assert!(!force.expire(9099.0));
+    assert_eq!(force.weight_ratios()[&zone("b")], 0.0);
+    assert!(force.expire(9100.0));
+    assert!(force.weight_ratios().is_empty() && !force.expire(9200.0), "told once");
     let mut agreed = plan.clone();
-    assert!(!agreed.agree(&Plan { version: 2, beat: 9, ..plan.clone() }), "a deposed leader's plan");
-    assert!(agreed.agree(&Plan { beat: 2, ..plan }));
+    assert!(
+        !agreed.adopt_if_newer(&Plan { version: 2, renewal: 9, ..plan.clone() }),
+        "a deposed leader's plan"
+    );
+    assert!(agreed.adopt_if_newer(&Plan { renewal: 2, ..plan }));
 }
 
 #[test]
 fn a_new_leader_goes_on_from_the_plan_that_is_agreed() {
-    let shares = [(zone("b"), Share { part: 0.3, why: Health::Well })].into();
-    let plan = Plan { version: 7, beat: 2, shares, lease: 9000.0 };
-    let mut pilot = Pilot::default();
-    let next = pilot.look(50_000.0, &FIGURES, &plan).expect("it renews at once");
-    assert_eq!((next.version, next.beat, next.shares), (7, 3, plan.shares.clone()));
-    assert_eq!(pilot.look(50_100.0, &FIGURES, &plan), None);
+    let shares = [(zone("b"), ZoneShare { weight_ratio: 0.3, reason: ZoneHealth::Well })].into();
+    let plan = Plan { version: 7, renewal: 2, shares, lease: 9000.0 };
+    let mut pilot = FailoverController::default();
+    let next = pilot.next_plan(50_000.0, &FIGURES, &plan).expect("it renews at once");
+    assert_eq!((next.version, next.renewal, next.shares), (7, 3, plan.shares.clone()));
+    assert_eq!(pilot.next_plan(50_100.0, &FIGURES, &plan), None);
 }
--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -2,13 +2,13 @@
 
 use juniperrail_council::{Index, Snapshot};
 use juniperrail_failover::Plan;
-use juniperrail_schedule::Books;
+use juniperrail_schedule::Ledger;
 use serde::{Deserialize, Serialize};
 
 /// One word, an entry's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
-    Schedule(juniperrail_schedule::Word),
+    Schedule(juniperrail_schedule::Command),
     Plan(Plan),
     /// The members are as that version of the operator's file has them.
     Generation(u64),
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Agreed {
-    pub books: Books,
+    pub books: Ledger,
     pub plan: Plan,
     pub generation: u64,
     pub at: Index,
@@ -40,7 +40,7 @@
         self.at = at;
         match word {
             Word::Schedule(word) => self.books.apply(at, word),
-            Word::Plan(plan) => self.plan.agree(plan),
+            Word::Plan(plan) => self.plan.adopt_if_newer(plan),
             Word::Generation(generation) => {
                 let later = *generation > self.generation;
                 self.generation = self.generation.max(*generation);
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -9,10 +9,10 @@
     median_clock, Change, Council, Done, Health, Index, Member, MemberId, Members, Message, News, Recovered,
     Role, Run, Sight, Voice,
 };
-use juniperrail_failover::{Evidence, InForce, Pilot};
+use juniperrail_failover::{ActivePlan, Evidence, FailoverController};
 use juniperrail_faults::{Fault, Point};
 use juniperrail_interface::Ms;
-use juniperrail_schedule::{self as schedule, Duties, Leading, Todo, Turn};
+use juniperrail_schedule::{self as schedule, ClaimTask, ClaimTracker, LeaderState, TryOutcome};
 use juniperrail_store::Writer;
 use parking_lot::Mutex;
 use tokio::sync::watch;
@@ -47,11 +47,11 @@
     seen: Arc<Mutex<Seen>>,
     book: Book,
     agreed: Agreed,
-    leading: Leading,
+    leading: LeaderState,
     led: bool,
-    duties: Duties,
-    pilot: Pilot,
-    in_force: InForce,
+    duties: ClaimTracker,
+    pilot: FailoverController,
+    in_force: ActivePlan,
     hand: watch::Sender<Arc<Parts>>,
     /// When schedules are looked at next, and members.
     look: Ms,
@@ -88,11 +88,11 @@
             seen,
             book: Arc::new(Mutex::new(setting.members.clone())),
             agreed: Agreed::default(),
-            leading: Leading::default(),
+            leading: LeaderState::default(),
             led: false,
-            duties: Duties::new(setting.me, run),
-            pilot: Pilot::default(),
-            in_force: InForce::default(),
+            duties: ClaimTracker::new(setting.me, run),
+            pilot: FailoverController::default(),
+            in_force: ActivePlan::default(),
             hand,
             look: 0.0,
             shown: f64::NEG_INFINITY,
@@ -196,7 +196,7 @@
             }
         }
         for acted in self.mail.ended() {
-            let word = self.duties.acted(acted.fence, acted.turn, now, day);
+            let word = self.duties.record_outcome(acted.fence, acted.turn, now, day);
             word.into_iter().for_each(|word| self.tell_end(now, word));
         }
         if let Some(word) = self.mail.evidence() {
@@ -247,7 +247,7 @@
         match news {
             News::Leads(term) => {
                 tracing::info!("fleet: this manager leads in {term}");
-                (self.leading, self.pilot) = (Leading::default(), Pilot::default());
+                (self.leading, self.pilot) = (LeaderState::default(), FailoverController::default());
                 _ = Point::COUNCIL_LEADS.pass();
             }
             News::Follows(leader, term) => tracing::info!("fleet: {leader} leads in {term}"),
@@ -272,7 +272,7 @@
                 Some(state) => {
                     // One that was kept from before is no word on how things are now.
                     if self.council.leader().is_some() && state.plan != self.agreed.plan {
-                        self.in_force.take(self.now(), &state.plan);
+                        self.in_force.activate(self.now(), &state.plan);
                     }
                     self.agreed = state;
                 }
@@ -302,12 +302,11 @@
         let changed = self.agreed.apply(at, word);
         if let (true, Word::Plan(plan)) = (changed, word) {
             _ = Point::PLAN_TAKEN.pass();
-            self.in_force.take(self.now(), plan);
+            self.in_force.activate(self.now(), plan);
             if plan.version != before {
-                let shares = plan
-                    .shares
-                    .iter()
-                    .map(|(zone, share)| format!("{} {:.2} ({:?})", zone.0, share.part, share.why));
+                let shares = plan.shares.iter().map(|(zone, share)| {
+                    format!("{} {:.2} ({:?})", zone.0, share.weight_ratio, share.reason)
+                });
                 let shares = shares.collect::<Vec<_>>().join(", ");
                 let shares = if shares.is_empty() { "all zones whole".into() } else { shares };
                 tracing::info!("fleet: plan {}: {shares}", plan.version);
@@ -315,31 +314,41 @@
         }
         if let (true, Word::Schedule(word)) = (changed, word) {
             match word {
-                schedule::Word::Claim { due, owner, .. } => {
-                    tracing::info!("fleet: {} of {} is {owner}'s under {}", due.schedule, due.due, at.0);
+                schedule::Command::Claim { occurrence, owner, .. } => {
+                    tracing::info!(
+                        "fleet: {} of {} is {owner}'s under {}",
+                        occurrence.schedule,
+                        occurrence.due_ms,
+                        at.0
+                    );
                 }
-                schedule::Word::Passed { due, why, count } => {
+                schedule::Command::Skip { occurrence, reason, count } => {
                     tracing::info!(
-                        "fleet: {count} of {} up to {} are passed over: {why:?}",
-                        due.schedule,
-                        due.due
+                        "fleet: {count} of {} up to {} are passed over: {reason:?}",
+                        occurrence.schedule,
+                        occurrence.due_ms
                     );
                 }
-                schedule::Word::Turned { due, fence, turn, .. } => {
+                schedule::Command::FinishTry { occurrence, fence, outcome, .. } => {
                     tracing::info!(
-                        "fleet: {} of {} under {} came to {turn:?}",
-                        due.schedule,
-                        due.due,
+                        "fleet: {} of {} under {} came to {outcome:?}",
+                        occurrence.schedule,
+                        occurrence.due_ms,
                         fence.0
                     );
                     _ = Point::SCHEDULE_ENDED.pass();
                 }
-                schedule::Word::Lapsed { due, fence, .. } => {
-                    tracing::warn!("fleet: the claim {} of {} of {} lapsed", fence.0, due.schedule, due.due);
+                schedule::Command::ExpireClaim { occurrence, fence, .. } => {
+                    tracing::warn!(
+                        "fleet: the claim {} of {} of {} lapsed",
+                        fence.0,
+                        occurrence.schedule,
+                        occurrence.due_ms
+                    );
                 }
-                schedule::Word::Begun { .. }
-                | schedule::Word::Opened { .. }
-                | schedule::Word::Closed { .. } => {}
+                schedule::Command::Start { .. }
+                | schedule::Command::AddSchedule { .. }
+                | schedule::Command::RemoveSchedule { .. } => {}
             }
         }
     }
@@ -408,7 +417,7 @@
         (0..times).for_each(|_| self.propose(now, word.clone()));
     }
 
-    fn tell_end(&mut self, now: Ms, word: schedule::Word) {
+    fn tell_end(&mut self, now: Ms, word: schedule::Command) {
         self.propose_at(now, Point::SCHEDULE_END, Word::Schedule(word));
     }
 
@@ -438,15 +447,17 @@
         let again = AGAIN * self.setting.figures.election;
         let leads = self.council.lease(now).is_some() && self.leaving.is_none();
         if leads != self.led {
-            (self.led, self.leading) = (leads, Leading::default());
+            (self.led, self.leading) = (leads, LeaderState::default());
         }
         let clocks = self.sight.clocks(now, Core::day());
         let enough = clocks.len() > self.council.members().len() / 2;
         if let Some(day) = median_clock(clocks).filter(|_| leads && enough) {
             let alive: Vec<MemberId> = self.sight.alive().collect();
             let (schedules, books) = (&self.setting.schedules, &self.agreed.books);
-            for word in schedule::due(schedules, books, &mut self.leading, now, day, again, &alive) {
-                let claim = matches!(word, schedule::Word::Claim { .. });
+            for word in
+                schedule::propose_commands(schedules, books, &mut self.leading, now, day, again, &alive)
+            {
+                let claim = matches!(word, schedule::Command::Claim { .. });
                 match claim {
                     true => self.propose_at(now, Point::SCHEDULE_CLAIM, Word::Schedule(word)),
                     false => self.propose(now, Word::Schedule(word)),
@@ -456,24 +467,24 @@
                 }
             }
         }
-        for todo in self.duties.look(&self.agreed.books, now, Core::day(), again) {
+        for todo in self.duties.next_tasks(&self.agreed.books, now, Core::day(), again) {
             self.do_duty(now, todo);
         }
     }
 
-    fn do_duty(&mut self, now: Ms, todo: Todo) {
+    fn do_duty(&mut self, now: Ms, todo: ClaimTask) {
         match todo {
-            Todo::Propose(word @ schedule::Word::Begun { .. }) => {
+            ClaimTask::Propose(word @ schedule::Command::Start { .. }) => {
                 self.propose_at(now, Point::SCHEDULE_BEGIN, Word::Schedule(word));
             }
-            Todo::Propose(word) => self.tell_end(now, word),
-            act @ Todo::Act { .. } => {
+            ClaimTask::Propose(word) => self.tell_end(now, word),
+            act @ ClaimTask::Execute { .. } => {
                 _ = Point::SCHEDULE_BEGUN.pass();
-                let Todo::Act { fence, .. } = &act else { return };
+                let ClaimTask::Execute { fence, .. } = &act else { return };
                 let fence = *fence;
                 if !self.mail.act(act) {
                     // Too many wait: nothing was sent, so another may take it.
-                    let word = self.duties.acted(fence, Turn::Unsent, now, Core::day());
+                    let word = self.duties.record_outcome(fence, TryOutcome::Unsent, now, Core::day());
                     word.into_iter().for_each(|word| self.tell_end(now, word));
                 }
             }
@@ -500,7 +511,7 @@
 
     fn witness(&mut self, now: Ms, from: MemberId, word: Evidence) {
         if let Some(figures) = self.setting.failover {
-            self.pilot.hear(now, from, word, &figures);
+            self.pilot.record_evidence(now, from, word, &figures);
         }
     }
 
@@ -511,22 +522,22 @@
             return;
         }
         let members: Vec<MemberId> = self.council.members().keys().copied().collect();
-        self.pilot.keep(&members);
-        if let Some(plan) = self.pilot.look(now, &figures, &self.agreed.plan) {
+        self.pilot.retain_members(&members);
+        if let Some(plan) = self.pilot.next_plan(now, &figures, &self.agreed.plan) {
             self.propose_at(now, Point::PLAN_PROPOSE, Word::Plan(plan));
         }
     }
 
     /// Hands what is in force to the one that decides for proxies, if that is something else than before.
     fn hand_out(&mut self, now: Ms) {
-        if self.in_force.lapse(now) {
+        if self.in_force.expire(now) {
             _ = Point::PLAN_LAPSED.pass();
             tracing::warn!(
                 "fleet: the lease of plan {} is over: all zones whole",
                 self.in_force.plan().version
             );
         }
-        let parts = self.in_force.parts();
+        let parts = self.in_force.weight_ratios();
         if **self.hand.borrow() != parts {
             match Point::PLAN_HANDED.pass() {
                 Some(Fault::Lose) => {}
@@ -572,18 +583,18 @@
             own_health: self.sight.own_health(),
             members: members.map(|id| (*id, self.sight.health(*id), self.sight.reach(now, *id))).collect(),
             plan: self.in_force.plan().clone(),
-            plan_lapsed: self.in_force.parts().is_empty() && !self.in_force.plan().is_empty(),
+            plan_lapsed: self.in_force.weight_ratios().is_empty() && !self.in_force.plan().is_empty(),
             schedules: self
                 .agreed
                 .books
-                .books
+                .schedules
                 .iter()
                 .map(|(name, book)| ScheduleSeen {
                     name: name.clone(),
-                    through: book.through,
+                    through: book.decided_through,
                     open: book.open.len(),
-                    ends: book.ends,
-                    passed: book.passed.values().sum(),
+                    ends: book.ended_count,
+                    passed: book.skipped.values().sum(),
                     last: book.ended.back().cloned(),
                 })
                 .collect(),
--- a/crates/fleet/src/mail.rs
+++ b/crates/fleet/src/mail.rs
@@ -7,7 +7,7 @@
 
 use juniperrail_council::{Index, MemberId, Message, Run, SightMessage};
 use juniperrail_failover::Evidence;
-use juniperrail_schedule::{Todo, Turn};
+use juniperrail_schedule::{ClaimTask, TryOutcome};
 use parking_lot::{Condvar, Mutex};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{watch, Notify};
@@ -149,7 +149,7 @@
 /// What has come to its end outside.
 pub struct Acted {
     pub fence: Index,
-    pub turn: Turn,
+    pub turn: TryOutcome,
 }
 
 pub struct Mail {
@@ -159,7 +159,7 @@
     pub stopped: Notify,
     /// Members or their addresses are others than before.
     pub moved: Notify,
-    effects: Mutex<VecDeque<Todo>>,
+    effects: Mutex<VecDeque<ClaimTask>>,
     pub effect: Notify,
     acted: Mutex<Vec<Acted>>,
     /// What the one that decides for proxies has seen last; a newer word takes its place.
@@ -256,7 +256,7 @@
     }
 
     /// An effect to be sent; `false` where too many wait.
-    pub fn act(&self, todo: Todo) -> bool {
+    pub fn act(&self, todo: ClaimTask) -> bool {
         let mut effects = self.effects.lock();
         let room = effects.len() < EFFECTS;
         if room {
@@ -267,11 +267,11 @@
         room
     }
 
-    pub fn to_act(&self) -> Option<Todo> {
+    pub fn to_act(&self) -> Option<ClaimTask> {
         self.effects.lock().pop_front()
     }
 
-    pub fn acted(&self, fence: Index, turn: Turn) {
+    pub fn acted(&self, fence: Index, turn: TryOutcome) {
         self.acted.lock().push(Acted { fence, turn });
         self.wake();
     }
--- a/crates/fleet/src/seen.rs
+++ b/crates/fleet/src/seen.rs
@@ -2,7 +2,7 @@
 
 use juniperrail_council::{Health, Index, MemberId, Reach, Standing, Term};
 use juniperrail_failover::Plan;
-use juniperrail_schedule::Ended;
+use juniperrail_schedule::EndedOccurrence;
 
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
@@ -33,5 +33,5 @@
     pub open: usize,
     pub ends: u64,
     pub passed: u64,
-    pub last: Option<Ended>,
+    pub last: Option<EndedOccurrence>,
 }
--- a/crates/fleet/src/setting.rs
+++ b/crates/fleet/src/setting.rs
@@ -25,7 +25,7 @@
     pub figures: Figures,
     pub sight: Pace,
     /// What failover between zones goes by, where it is on.
-    pub failover: Option<juniperrail_failover::Figures>,
+    pub failover: Option<juniperrail_failover::FailoverConfig>,
     pub schedules: BTreeMap<String, Schedule>,
     pub seed: u64,
     /// Entries in the log after which it is compacted.
--- a/crates/gangs/src/gang.rs
+++ b/crates/gangs/src/gang.rs
@@ -4,7 +4,7 @@
 
 use juniperrail_interface::{Ms, WorkerId, ZoneId};
 
-use crate::progress::{median, PartId, Sum, Track};
+use crate::progress::{median, Attempt, PartId, ProgressReport};
 
 /// What a straggler's rate is taken to be against its peers' where it is tested for. What speaks for it and against it is
 /// even at the root of that, two thirds: half speed is surely under it, and what workers of one kind differ by above it.
@@ -40,7 +40,7 @@
     ZoneSilent,
     /// It is done and waits for others.
     AtBarrier,
-    Well,
+    Healthy,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -49,11 +49,11 @@
     pub worker: WorkerId,
     pub cause: Cause,
     /// Its rate against its peers', where both are known.
-    pub ratio: Option<f64>,
+    pub rate_ratio: Option<f64>,
     /// 0 to 1: how far the evidence has come towards calling it a straggler.
-    pub sure: f64,
+    pub confidence: f64,
     /// So many more sums like the last ones would make it sure; `None` where they speak against it.
-    pub wants: Option<u32>,
+    pub reports_needed: Option<u32>,
 }
 
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
     period: Ms,
     pub idempotent: bool,
     /// Attempts at each part, the first one first.
-    parts: BTreeMap<PartId, Vec<Track>>,
+    parts: BTreeMap<PartId, Vec<Attempt>>,
 }
 
 /// What is usual among peers: the middle logarithm of their rates, and how far they scatter.
@@ -79,21 +79,21 @@
     }
 
     /// Attempts that are under way or over, with their parts.
-    pub fn tracks(&self) -> impl Iterator<Item = (PartId, &Track)> {
+    pub fn attempts(&self) -> impl Iterator<Item = (PartId, &Attempt)> {
         self.parts.iter().flat_map(|(part, tracks)| tracks.iter().map(|track| (*part, track)))
     }
 
-    pub fn attempts(&self, part: PartId) -> usize {
+    pub fn attempt_count(&self, part: PartId) -> usize {
         self.parts.get(&part).map_or(0, Vec::len)
     }
 
     /// Whether every part of the round is done by some attempt.
-    pub fn is_over(&self) -> bool {
-        !self.parts.is_empty() && self.parts.values().all(|tracks| tracks.iter().any(Track::is_over))
+    pub fn is_finished(&self) -> bool {
+        !self.parts.is_empty() && self.parts.values().all(|tracks| tracks.iter().any(Attempt::is_finished))
     }
 
     /// Takes a word. One of an earlier round was overtaken; one of a later round begins that.
-    pub fn hear(&mut self, sum: &Sum) {
+    pub fn record(&mut self, sum: &ProgressReport) {
         if sum.round < self.round || sum.size.is_nan() || sum.size <= 0.0 {
             return;
         }
@@ -103,19 +103,19 @@
         }
         let tracks = self.parts.entry(sum.part).or_default();
         let Some(track) = tracks.iter_mut().find(|track| track.worker == sum.worker) else {
-            tracks.push(Track::new(sum));
+            tracks.push(Attempt::new(sum));
             return;
         };
-        if !track.hear(sum) {
+        if !track.record(sum) {
             return;
         }
-        let step = track.step();
+        let step = track.latest_rate();
         let (part, worker) = (sum.part, sum.worker);
         if let Some(step) = step.filter(|_| sum.done < 1.0) {
             let usual = self.usual(part, worker);
             let track = self.parts.get_mut(&part).and_then(|all| all.iter_mut().find(|t| t.worker == worker));
             if let (Some(usual), Some(track)) = (usual, track) {
-                track.heard += 1;
+                track.scored_reports += 1;
                 track.score = (track.score + evidence(step, usual)).clamp(0.0, 2.0 * bound());
             }
         }
@@ -123,11 +123,11 @@
 
     /// What is usual among like peers of an attempt, by their rates over all that is kept of them.
     fn usual(&self, part: PartId, worker: WorkerId) -> Option<Usual> {
-        let own = self.tracks().find(|(of, track)| *of == part && track.worker == worker)?.1;
-        let others = || self.tracks().map(|(_, track)| track).filter(|track| track.worker != worker);
+        let own = self.attempts().find(|(of, track)| *of == part && track.worker == worker)?.1;
+        let others = || self.attempts().map(|(_, track)| track).filter(|track| track.worker != worker);
         let like =
-            |track: &&Track| track.kind.machine == own.kind.machine && track.kind.warm == own.kind.warm;
-        let logs = |tracks: &mut dyn Iterator<Item = &Track>| -> Vec<f64> {
+            |track: &&Attempt| track.kind.machine == own.kind.machine && track.kind.warm == own.kind.warm;
+        let logs = |tracks: &mut dyn Iterator<Item = &Attempt>| -> Vec<f64> {
             tracks.filter_map(|track| track.rate()).filter(|rate| *rate > 0.0).map(f64::ln).collect()
         };
         let mut peers = logs(&mut others().filter(like));
@@ -139,7 +139,8 @@
             return None;
         }
         let middle = median(&mut peers)?;
-        let steps = others().filter(like).filter_map(Track::step).filter(|step| *step > 0.0).map(f64::ln);
+        let steps =
+            others().filter(like).filter_map(Attempt::latest_rate).filter(|step| *step > 0.0).map(f64::ln);
         let mut off: Vec<f64> = steps.map(|log| (log - middle).abs()).collect();
         if off.len() < PEERS {
             off = peers.iter().map(|log| (log - middle).abs()).collect();
@@ -152,27 +153,27 @@
 
     /// How every attempt that is not over stands.
     pub fn verdicts(&self, now: Ms) -> Vec<Verdict> {
-        let mut sizes: Vec<f64> = self.tracks().map(|(_, track)| track.size).collect();
+        let mut sizes: Vec<f64> = self.attempts().map(|(_, track)| track.size).collect();
         let middle_size = median(&mut sizes).unwrap_or(1.0);
         let mut heard: BTreeMap<ZoneId, (usize, usize)> = BTreeMap::new();
-        for (_, track) in self.tracks().filter(|(_, track)| !track.is_over()) {
+        for (_, track) in self.attempts().filter(|(_, track)| !track.is_finished()) {
             let zone = heard.entry(track.kind.zone).or_default();
             (zone.0, zone.1) = (zone.0 + 1, zone.1 + usize::from(self.silent(track, now)));
         }
         let zones = heard.len();
-        let verdict = |(part, track): (PartId, &Track)| {
+        let verdict = |(part, track): (PartId, &Attempt)| {
             let usual = self.usual(part, track.worker);
             let rate = track.rate();
             let ratio = rate.zip(usual).map(|(rate, usual)| rate / usual.middle.exp());
             let sure = (track.score / bound()).min(1.0);
-            let step = track.step().zip(usual).map(|(step, usual)| evidence(step, usual));
+            let step = track.latest_rate().zip(usual).map(|(step, usual)| evidence(step, usual));
             let more = step
                 .filter(|step| *step > 0.0)
                 .map(|step| ((bound() - track.score) / step).ceil().max(0.0) as u32);
             let zone_silent = heard
                 .get(&track.kind.zone)
                 .is_some_and(|(all, silent)| all == silent && *all > 1 && zones > 1);
-            let cause = if track.is_over() {
+            let cause = if track.is_finished() {
                 Cause::AtBarrier
             } else if self.silent(track, now) {
                 if zone_silent {
@@ -191,24 +192,31 @@
             } else if track.size > LARGE * middle_size {
                 Cause::LargePart
             } else {
-                Cause::Well
+                Cause::Healthy
             };
-            Verdict { part, worker: track.worker, cause, ratio, sure, wants: more }
+            Verdict {
+                part,
+                worker: track.worker,
+                cause,
+                rate_ratio: ratio,
+                confidence: sure,
+                reports_needed: more,
+            }
         };
-        self.tracks().map(verdict).collect()
+        self.attempts().map(verdict).collect()
     }
 
-    fn silent(&self, track: &Track, now: Ms) -> bool {
-        now > track.last() + SILENT * self.period
+    fn silent(&self, track: &Attempt, now: Ms) -> bool {
+        now > track.last_report_time() + SILENT * self.period
     }
 
     /// Whether all of its kind are slow against the others.
-    fn kind_slow(&self, own: &Track) -> bool {
+    fn kind_slow(&self, own: &Attempt) -> bool {
         let rates = |like: bool| -> Vec<f64> {
-            let all = self.tracks().map(|(_, track)| track);
+            let all = self.attempts().map(|(_, track)| track);
             let some =
                 all.filter(|t| (t.kind.machine == own.kind.machine && t.kind.warm == own.kind.warm) == like);
-            some.filter_map(Track::rate).filter(|rate| *rate > 0.0).collect()
+            some.filter_map(Attempt::rate).filter(|rate| *rate > 0.0).collect()
         };
         let (like, others) = (median(&mut rates(true)), median(&mut rates(false)));
         like.zip(others).is_some_and(|(like, others)| like < SLOW * others)
--- a/crates/gangs/src/lib.rs
+++ b/crates/gangs/src/lib.rs
@@ -5,7 +5,7 @@
 //! kind (machine, warm or cold), in the logarithm, by median and median deviation, so that neither a slow kind of machine
 //! nor a few stragglers move what is usual. Each new sum adds to what speaks for a straggler and against it (Wald's
 //! sequential test, 1945, as Page's cumulative sum, 1954, so that one that is well again is let off); a [`Verdict`]
-//! says how sure it is and how many more sums it would take. What is done about it ([`Answer`]) follows the cause and a
+//! says how sure it is and how many more sums it would take. What is done about it ([`Mitigation`]) follows the cause and a
 //! budget of extra work: the thoughts are those published of LATE (progress rates), Mantri (answers by cause, only where
 //! they save time) and Dolly (clones within a budget).
 
@@ -13,6 +13,6 @@
 mod gang;
 mod progress;
 
-pub use answer::{Answer, Budget};
+pub use answer::{Budget, Mitigation};
 pub use gang::{Cause, Gang, Verdict};
-pub use progress::{Kind, PartId, Sum, Track};
+pub use progress::{Attempt, PartId, ProgressReport, WorkerKind};
--- a/crates/gangs/src/progress.rs
+++ b/crates/gangs/src/progress.rs
@@ -10,7 +10,7 @@
 
 /// What a worker is like: rates are held against those of like ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
+pub struct WorkerKind {
     pub machine: MachineId,
     pub cell: CellId,
     pub zone: ZoneId,
@@ -19,11 +19,11 @@
 
 /// One word on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sum {
+pub struct ProgressReport {
     pub round: u32,
     pub part: PartId,
     pub worker: WorkerId,
-    pub kind: Kind,
+    pub kind: WorkerKind,
     /// The work of the whole part, in any unit that is the same for all parts.
     pub size: f64,
     /// What is done of it, 0 to 1.
@@ -36,9 +36,9 @@
 const KEPT: usize = 8;
 
 #[derive(Clone, Debug)]
-pub struct Track {
+pub struct Attempt {
     pub worker: WorkerId,
-    pub kind: Kind,
+    pub kind: WorkerKind,
     pub size: f64,
     points: VecDeque<(Ms, f64)>,
     /// Work a millisecond over all points kept.
@@ -46,17 +46,25 @@
     /// What speaks for a straggler less what speaks against it; not below 0.
     pub score: f64,
     /// Sums that added to it.
-    pub heard: u32,
+    pub scored_reports: u32,
 }
 
-impl Track {
-    pub fn new(sum: &Sum) -> Track {
+impl Attempt {
+    pub fn new(sum: &ProgressReport) -> Attempt {
         let points = VecDeque::from([(sum.at, sum.done)]);
-        Track { worker: sum.worker, kind: sum.kind, size: sum.size, points, rate: None, score: 0.0, heard: 0 }
+        Attempt {
+            worker: sum.worker,
+            kind: sum.kind,
+            size: sum.size,
+            points,
+            rate: None,
+            score: 0.0,
+            scored_reports: 0,
+        }
     }
 
     /// Takes a later word; an older one, or one that goes back, was overtaken on its way. Whether it was later.
-    pub fn hear(&mut self, sum: &Sum) -> bool {
+    pub fn record(&mut self, sum: &ProgressReport) -> bool {
         let Some((at, done)) = self.points.back().copied() else { return false };
         if sum.at <= at || sum.done < done || !sum.done.is_finite() {
             return false;
@@ -74,16 +82,16 @@
         self.points.back().map_or(0.0, |(_, done)| *done)
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.done() >= 1.0
     }
 
-    pub fn last(&self) -> Ms {
+    pub fn last_report_time(&self) -> Ms {
         self.points.back().map_or(f64::NEG_INFINITY, |(at, _)| *at)
     }
 
     /// Work a millisecond between the last two words.
-    pub fn step(&self) -> Option<f64> {
+    pub fn latest_rate(&self) -> Option<f64> {
         let (last, before) = (self.points.back()?, self.points.iter().rev().nth(1)?);
         let rate = (last.1 - before.1) * self.size / (last.0 - before.0);
         rate.is_finite().then_some(rate)
@@ -104,7 +112,7 @@
     }
 
     /// The time that what is left takes at this rate.
-    pub fn left(&self) -> Option<Ms> {
+    pub fn remaining_time(&self) -> Option<Ms> {
         let rate = self.rate().filter(|rate| *rate > 0.0)?;
         Some((1.0 - self.done()) * self.size / rate)
     }
--- a/crates/gangs/tests/gangs.rs
+++ b/crates/gangs/tests/gangs.rs
@@ -7,7 +7,7 @@
 
 #[derive(Clone, Copy)]
 struct One {
-    kind: Kind,
+    kind: WorkerKind,
     size: f64,
     /// Work a millisecond, without chance.
     speed: f64,
@@ -20,11 +20,11 @@
     all: Vec<One>,
     done: Vec<f64>,
     now: f64,
-    under_way: Vec<(f64, Sum)>,
+    under_way: Vec<(f64, ProgressReport)>,
 }
 
-fn warm(machine: u16, zone: u16) -> Kind {
-    Kind { machine: MachineId(machine), cell: CellId(0), zone: ZoneId(zone), warm: true }
+fn warm(machine: u16, zone: u16) -> WorkerKind {
+    WorkerKind { machine: MachineId(machine), cell: CellId(0), zone: ZoneId(zone), warm: true }
 }
 
 impl Town {
@@ -56,7 +56,7 @@
             // Twelve sums of chance are close to a normal one.
             let normal = (0..12).map(|_| self.rng.f64()).sum::<f64>() - 6.0;
             self.done[n] = (self.done[n] + one.speed * (0.15 * normal).exp() * PERIOD / one.size).min(1.0);
-            let sum = Sum {
+            let sum = ProgressReport {
                 round: 1,
                 part: PartId(n as u32),
                 worker: WorkerId(n as u32),
@@ -71,8 +71,8 @@
             }
         }
         let now = self.now;
-        let due: Vec<(f64, Sum)> = self.under_way.extract_if(.., |(at, _)| *at <= now).collect();
-        due.iter().for_each(|(_, sum)| self.gang.hear(sum));
+        let due: Vec<(f64, ProgressReport)> = self.under_way.extract_if(.., |(at, _)| *at <= now).collect();
+        due.iter().for_each(|(_, sum)| self.gang.record(sum));
     }
 
     fn of(&self, cause: Cause) -> Vec<u32> {
@@ -150,7 +150,7 @@
 #[test]
 fn words_that_are_old_go_back_or_are_spoilt_change_nothing() {
     let mut gang = Gang::new(PERIOD, true);
-    let sum = |round, done, at| Sum {
+    let sum = |round, done, at| ProgressReport {
         round,
         part: PartId(0),
         worker: WorkerId(0),
@@ -159,7 +159,7 @@
         done,
         at,
     };
-    gang.hear(&sum(2, 0.5, 1000.0));
+    gang.record(&sum(2, 0.5, 1000.0));
     for spoilt in [
         sum(1, 0.9, 5000.0),
         sum(2, 0.7, 900.0),
@@ -167,16 +167,16 @@
         sum(2, f64::NAN, 2000.0),
         sum(2, 0.6, 1000.0),
     ] {
-        gang.hear(&spoilt);
-        assert_eq!(gang.tracks().next().unwrap().1.done(), 0.5, "{spoilt:?}");
+        gang.record(&spoilt);
+        assert_eq!(gang.attempts().next().unwrap().1.done(), 0.5, "{spoilt:?}");
     }
-    gang.hear(&Sum { size: f64::NAN, ..sum(3, 0.1, 1.0) });
+    gang.record(&ProgressReport { size: f64::NAN, ..sum(3, 0.1, 1.0) });
     assert_eq!(gang.round, 2);
-    gang.hear(&sum(3, 0.1, 10.0));
-    assert_eq!((gang.round, gang.tracks().next().unwrap().1.done()), (3, 0.1), "a later round begins anew");
-    assert!(!gang.is_over());
-    gang.hear(&sum(3, 1.0, 3000.0));
-    assert!(gang.is_over());
+    gang.record(&sum(3, 0.1, 10.0));
+    assert_eq!((gang.round, gang.attempts().next().unwrap().1.done()), (3, 0.1), "a later round begins anew");
+    assert!(!gang.is_finished());
+    gang.record(&sum(3, 1.0, 3000.0));
+    assert!(gang.is_finished());
 }
 
 #[test]
@@ -189,19 +189,25 @@
     assert_eq!(slow.len(), 2);
     let spare = Some(WorkerId(99));
     // Room for one part of sixteen.
-    let mut budget = Budget::of(town.gang.work(), 1.1 / 16.0);
-    let first = town.gang.answer(slow[0], spare, &mut budget);
-    assert_eq!(first, Answer::Second { part: slow[0].part, at: WorkerId(99) });
-    assert_eq!(town.gang.answer(slow[1], spare, &mut budget), Answer::LeanAway(slow[1].worker));
-    budget.free(100_000.0);
-    assert!(matches!(town.gang.answer(slow[1], spare, &mut budget), Answer::Second { .. }));
-    assert_eq!(town.gang.answer(slow[1], None, &mut budget), Answer::LeanAway(slow[1].worker));
-    let well = verdicts.iter().find(|v| v.cause == Cause::Well).unwrap();
-    assert_eq!(town.gang.answer(well, spare, &mut budget), Answer::Wait);
+    let mut budget = Budget::from_ratio(town.gang.total_work(), 1.1 / 16.0);
+    let first = town.gang.choose_mitigation(slow[0], spare, &mut budget);
+    assert_eq!(first, Mitigation::Speculate { part: slow[0].part, worker: WorkerId(99) });
+    assert_eq!(
+        town.gang.choose_mitigation(slow[1], spare, &mut budget),
+        Mitigation::ReduceWeight(slow[1].worker)
+    );
+    budget.release(100_000.0);
+    assert!(matches!(town.gang.choose_mitigation(slow[1], spare, &mut budget), Mitigation::Speculate { .. }));
+    assert_eq!(
+        town.gang.choose_mitigation(slow[1], None, &mut budget),
+        Mitigation::ReduceWeight(slow[1].worker)
+    );
+    let well = verdicts.iter().find(|v| v.cause == Cause::Healthy).unwrap();
+    assert_eq!(town.gang.choose_mitigation(well, spare, &mut budget), Mitigation::Wait);
     town.gang.idempotent = false;
-    let ended = Answer::EndFirst { part: slow[0].part, of: slow[0].worker };
+    let ended = Mitigation::CancelThenRestart { part: slow[0].part, worker: slow[0].worker };
     assert_eq!(
-        town.gang.answer(slow[0], spare, &mut budget),
+        town.gang.choose_mitigation(slow[0], spare, &mut budget),
         ended,
         "never two at once of what takes effect"
     );
@@ -212,6 +218,6 @@
     (0..3).for_each(|_| town.period());
     let verdicts = town.gang.verdicts(town.now);
     let near = verdicts.iter().find(|v| v.worker == WorkerId(1)).unwrap();
-    let mut much = Budget::of(1e9, 1.0);
-    assert!(!matches!(town.gang.answer(near, spare, &mut much), Answer::Second { .. }));
+    let mut much = Budget::from_ratio(1e9, 1.0);
+    assert!(!matches!(town.gang.choose_mitigation(near, spare, &mut much), Mitigation::Speculate { .. }));
 }
--- a/crates/lab/src/gangs.rs
+++ b/crates/lab/src/gangs.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use juniperrail_fleet::Shards;
-use juniperrail_gangs::{Answer, Budget, Cause, Gang, Kind, PartId, Sum};
+use juniperrail_gangs::{Budget, Cause, Gang, Mitigation, PartId, ProgressReport, WorkerKind};
 use juniperrail_interface::{CellId, MachineId, WorkerId, ZoneId};
 
 use crate::report::Report;
@@ -17,7 +17,7 @@
 
 /// One drawn run: how fast each worker really is, and who is a straggler.
 struct Drawn {
-    kinds: Vec<Kind>,
+    kinds: Vec<WorkerKind>,
     speeds: Vec<f64>,
     sizes: Vec<f64>,
     slow: Vec<bool>,
@@ -30,8 +30,8 @@
 
 impl Drawn {
     fn new(rng: &mut fastrand::Rng, count: usize, whole: f64) -> Drawn {
-        let kinds: Vec<Kind> = (0..count)
-            .map(|n| Kind {
+        let kinds: Vec<WorkerKind> = (0..count)
+            .map(|n| WorkerKind {
                 machine: MachineId(rng.u16(..2)),
                 cell: CellId(0),
                 zone: ZoneId((n % 3) as u16),
@@ -75,12 +75,12 @@
     let count = drawn.speeds.len();
     let mut gang = Gang::new(PERIOD, true);
     let work: f64 = drawn.sizes.iter().sum();
-    let mut budget = Budget::of(work, EXTRA);
+    let mut budget = Budget::from_ratio(work, EXTRA);
     let (mut done, mut second) = (vec![0.0f64; count], vec![None::<f64>; count]);
     let mut ran = Ran { called: vec![false; count], after: vec![0; count], ..Ran::default() };
     let mut over = vec![false; count];
     let mut now = 0.0;
-    let mut under_way: Vec<(f64, Sum)> = Vec::new();
+    let mut under_way: Vec<(f64, ProgressReport)> = Vec::new();
     if way == Way::TrueSight {
         (0..count).filter(|n| drawn.slow[*n]).for_each(|n| second[n] = Some(0.0));
     }
@@ -105,12 +105,12 @@
                 let (kind, size, done) = (drawn.kinds[n], drawn.sizes[n], done[n]);
                 under_way.push((
                     now + rng.f64() * late,
-                    Sum { round: 1, part, worker, kind, size, done, at: now },
+                    ProgressReport { round: 1, part, worker, kind, size, done, at: now },
                 ));
             }
         }
         for (_, sum) in under_way.extract_if(.., |(at, _)| *at <= now) {
-            gang.hear(&sum);
+            gang.record(&sum);
         }
         let called: Vec<usize> = match way {
             Way::Ours => {
@@ -123,7 +123,8 @@
                         ran.after[n] = (now / PERIOD) as u32;
                     }
                     let spare = Some(WorkerId(u32::MAX)).filter(|_| second[n].is_none() && !over[n]);
-                    if let Answer::Second { .. } = gang.answer(verdict, spare, &mut budget) {
+                    if let Mitigation::Speculate { .. } = gang.choose_mitigation(verdict, spare, &mut budget)
+                    {
                         second[n] = Some(0.0);
                     }
                 }
@@ -227,7 +228,7 @@
                             shards.with(gang.into(), |all| {
                                 let own = all.entry(gang).or_insert_with(|| Gang::new(PERIOD, true));
                                 for worker in 0..EACH {
-                                    let kind = Kind {
+                                    let kind = WorkerKind {
                                         machine: MachineId(0),
                                         cell: CellId(0),
                                         zone: ZoneId(0),
@@ -236,7 +237,15 @@
                                     let done = f64::from(word) / f64::from(WORDS + 1);
                                     let (part, worker, at) =
                                         (PartId(worker), WorkerId(worker), f64::from(word) * PERIOD);
-                                    own.hear(&Sum { round: 1, part, worker, kind, size: 1000.0, done, at });
+                                    own.record(&ProgressReport {
+                                        round: 1,
+                                        part,
+                                        worker,
+                                        kind,
+                                        size: 1000.0,
+                                        done,
+                                        at,
+                                    });
                                 }
                             });
                         }
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -93,16 +93,16 @@
     }
     for ((name, due), at) in firsts {
         // As every manager reckons it.
-        let timing = Timing::read(name, CRON, "UTC").map(|timing| timing.jitter(JITTER));
+        let timing = Timing::parse(name, CRON, "UTC").map(|timing| timing.with_jitter(JITTER));
         let Some(when) = timing.ok().and_then(|timing| timing.after(due as f64 - 1.0).next()) else {
             continue;
         };
-        late.record((at - when.at).max(0.0) as u64).expect("within an hour");
+        late.record((at - when.run_at).max(0.0) as u64).expect("within an hour");
         // Of a minute that was cut short the late tenths are missing.
         if !whole.contains(&due) {
             continue;
         }
-        tenths[(((when.at - when.due) * 10.0 / JITTER) as usize).min(9)] += 1;
+        tenths[(((when.run_at - when.due) * 10.0 / JITTER) as usize).min(9)] += 1;
     }
     report.figure("schedules, replicas, leaders lost", format!("{count}, 5, {lost}"));
     report.figure("occurrences with an effect, effects", format!("{}, {}", by_due.len(), ran.len()));
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -5,12 +5,14 @@
 use std::net::SocketAddr;
 
 use juniperrail_council::{Figures, Health, MemberId, Pace, Reach, Standing};
-use juniperrail_failover::{Evidence, Gather, Zone};
+use juniperrail_failover::{Evidence, EvidenceAccumulator, Zone};
 use juniperrail_fleet::{Common, Setting};
 use juniperrail_interface::{Listed, Ms, Phase, Start};
 use juniperrail_model::{Data, Schema, View};
 use juniperrail_north::{FleetState, OperatorFile, ScheduleState};
-use juniperrail_schedule::{Act, CatchUp, End, Fold, Gap, Overlap, Quiet, Schedule, Timing};
+use juniperrail_schedule::{
+    Action, CatchUp, FoldPolicy, GapPolicy, OccurrenceOutcome, OverlapPolicy, QuietPolicy, Schedule, Timing,
+};
 use juniperrail_store::Limits;
 
 /// Entries in one message, and those that may wait to be agreed.
@@ -86,7 +88,11 @@
         return Err(at("/failover/plan-lease", &why));
     }
     Ok(Some(Setting {
-        failover: failover.is_there().then_some(juniperrail_failover::Figures { period, transit, lease }),
+        failover: failover.is_there().then_some(juniperrail_failover::FailoverConfig {
+            report_period: period,
+            max_transit: transit,
+            plan_lease: lease,
+        }),
         me,
         fleet: fleet.text("name").unwrap_or_default().to_string(),
         listen,
@@ -106,20 +112,20 @@
     let text = |name: &str| view.text(name).unwrap_or_default();
     let figure = |name: &str| view.figure(name).unwrap_or_default();
     let count = |name: &str| view.leaf(name).and_then(|leaf| leaf.as_u64()).unwrap_or_default() as u32;
-    let gap = if text("left-out") == "skip" { Gap::Skip } else { Gap::After };
+    let gap = if text("left-out") == "skip" { GapPolicy::Skip } else { GapPolicy::AtGapEnd };
     let fold = match text("repeated") {
-        "second" => Fold::Second,
-        "both" => Fold::Both,
-        _ => Fold::First,
+        "second" => FoldPolicy::Second,
+        "both" => FoldPolicy::Both,
+        _ => FoldPolicy::First,
     };
-    let in_quiet = if text("in-quiet") == "defer" { Quiet::Defer } else { Quiet::Skip };
+    let in_quiet = if text("in-quiet") == "defer" { QuietPolicy::Defer } else { QuietPolicy::Skip };
     let quiets = view.entries("quiet");
     let quiets = quiets
         .iter()
         .map(|quiet| (quiet.text("from").unwrap_or_default(), quiet.text("until").unwrap_or_default()));
-    let timing = Timing::read(name, text("cron"), text("time-zone"))
-        .and_then(|timing| timing.within(view.text("from"), view.text("until")))
-        .and_then(|timing| timing.quiet(quiets, in_quiet))
+    let timing = Timing::parse(name, text("cron"), text("time-zone"))
+        .and_then(|timing| timing.with_window(view.text("from"), view.text("until")))
+        .and_then(|timing| timing.with_quiet_times(quiets, in_quiet))
         .map_err(|fault| fault.to_string())?;
     if text("worker").parse::<SocketAddr>().is_err() {
         return Err(format!("worker: {:?} is no address", text("worker")));
@@ -129,25 +135,25 @@
         return Err(format!("lease: {lease} ms are shorter than two elections of {election} ms"));
     }
     Ok(Schedule {
-        timing: timing.at_changes(gap, fold).jitter(figure("jitter")),
-        act: Act {
+        timing: timing.with_clock_changes(gap, fold).with_jitter(figure("jitter")),
+        action: Action {
             address: text("worker").into(),
             path: text("path").into(),
             idempotent: text("effect") == "idempotent",
-            tries: count("tries"),
+            max_tries: count("tries"),
             backoff: figure("backoff"),
-            lease,
+            claim_lease: lease,
         },
         deadline: figure("deadline"),
         catch_up: match count("catch-up") {
             0 => CatchUp::None,
             1 => CatchUp::Last,
-            most => CatchUp::All(most),
+            most => CatchUp::LastCount(most),
         },
         overlap: match text("overlap") {
-            "queue" => Overlap::Queue,
-            "replace" => Overlap::Replace,
-            _ => Overlap::Skip,
+            "queue" => OverlapPolicy::Queue,
+            "replace" => OverlapPolicy::Replace,
+            _ => OverlapPolicy::Skip,
         },
     })
 }
@@ -155,12 +161,12 @@
 /// As the model words it.
 pub fn state(common: &Common) -> FleetState {
     let seen = common.seen();
-    let end = |end: End| match end {
-        End::Succeeded => "succeeded",
-        End::Failed => "failed",
-        End::GivenUp => "given-up",
-        End::Unknown => "unknown",
-        End::Replaced => "replaced",
+    let end = |end: OccurrenceOutcome| match end {
+        OccurrenceOutcome::Succeeded => "succeeded",
+        OccurrenceOutcome::Failed => "failed",
+        OccurrenceOutcome::GivenUp => "given-up",
+        OccurrenceOutcome::Unknown => "unknown",
+        OccurrenceOutcome::Replaced => "replaced",
     };
     let health = |health: Health| match health {
         Health::Alive => "alive",
@@ -174,14 +180,14 @@
         Reach::ByOthers => "by-others",
         Reach::Nobody => "nobody",
     };
-    let why = |health: juniperrail_failover::Health| match health {
-        juniperrail_failover::Health::Unknown => "unknown",
-        juniperrail_failover::Health::Well => "well",
-        juniperrail_failover::Health::Silent => "silent",
-        juniperrail_failover::Health::Slow => "slow",
-        juniperrail_failover::Health::Overloaded => "overloaded",
-        juniperrail_failover::Health::CutOff => "cut-off",
-        juniperrail_failover::Health::Lost => "lost",
+    let why = |health: juniperrail_failover::ZoneHealth| match health {
+        juniperrail_failover::ZoneHealth::Unknown => "unknown",
+        juniperrail_failover::ZoneHealth::Well => "well",
+        juniperrail_failover::ZoneHealth::Silent => "silent",
+        juniperrail_failover::ZoneHealth::Slow => "slow",
+        juniperrail_failover::ZoneHealth::Overloaded => "overloaded",
+        juniperrail_failover::ZoneHealth::CutOff => "cut-off",
+        juniperrail_failover::ZoneHealth::Lost => "lost",
     };
     FleetState {
         member: seen.me.0,
@@ -203,7 +209,7 @@
             .plan
             .shares
             .iter()
-            .map(|(zone, share)| (zone.0.clone(), share.part, why(share.why)))
+            .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, why(share.reason)))
             .collect(),
         messages_lost: seen.lost,
         own_health: seen.own_health,
@@ -217,7 +223,7 @@
                 open: told.open,
                 ended: told.ends,
                 passed: told.passed,
-                last: told.last.as_ref().map(|ended| (ended.due, end(ended.end), ended.owner.0)),
+                last: told.last.as_ref().map(|ended| (ended.due_ms, end(ended.outcome), ended.owner.0)),
             })
             .collect(),
     }
@@ -226,14 +232,14 @@
 /// What the proxies of this manager have met since it last reported, and when that was.
 #[derive(Default)]
 pub struct EvidenceCollector {
-    gather: Gather,
+    gather: EvidenceAccumulator,
     told: Ms,
 }
 
 impl EvidenceCollector {
     /// What proxies of one zone met at a worker of another, or of their own.
     pub fn record(&mut self, from: &str, to: &str, tries: f64, bad: f64, mean: Ms, busy: Option<f64>) {
-        self.gather.met(&Zone(from.into()), &Zone(to.into()), tries, bad, mean, busy);
+        self.gather.record(&Zone(from.into()), &Zone(to.into()), tries, bad, mean, busy);
     }
 
     /// One report a period: `warmth` tells what part of its weight a worker has by now, `proxies` the zone of each that is
@@ -259,6 +265,6 @@
             let count = all.entry(Zone(zone.into())).or_default();
             (count.0, count.1) = (count.0 + 1, count.1 + u32::from(silent));
         }
-        Some(self.gather.tell(now, weight, all))
+        Some(self.gather.take_evidence(now, weight, all))
     }
 }
--- a/crates/schedule/src/duty.rs
+++ b/crates/schedule/src/duty.rs
@@ -6,52 +6,52 @@
 use juniperrail_council::{Index, MemberId, Run};
 use juniperrail_interface::Ms;
 
-use crate::books::{Act, Books, Due, Turn, Word};
+use crate::books::{Action, Command, Ledger, Occurrence, TryOutcome};
 
 /// What is to be done for a claim.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Todo {
-    Propose(Word),
+pub enum ClaimTask {
+    Propose(Command),
     /// The effect, at once and once. It gives up within that time.
-    Act {
-        due: Due,
+    Execute {
+        occurrence: Occurrence,
         fence: Index,
         tries: u32,
-        act: Act,
-        within: Ms,
+        action: Action,
+        time_limit: Ms,
     },
 }
 
 /// How far a claim has come here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Did {
+pub enum ClaimProgress {
     /// The beginning is proposed, and when last.
-    Beginning(Ms),
-    Acting,
+    Starting(Ms),
+    Executing,
     /// It is over, and when that was proposed last.
-    Over(Turn, Ms, Ms),
+    Finished(TryOutcome, Ms, Ms),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Duty {
-    due: Due,
-    did: Did,
+    occurrence: Occurrence,
+    did: ClaimProgress,
     /// When this member learned of the claim, by its monotonic clock.
     since: Ms,
 }
 
 /// The claims of one member, by their fencing numbers.
 #[derive(Clone, Debug)]
-pub struct Duties {
+pub struct ClaimTracker {
     me: MemberId,
     run: Run,
     all: BTreeMap<Index, Duty>,
 }
 
-impl Duties {
+impl ClaimTracker {
     /// `run`: which start of the member this is, as the council counts them.
-    pub fn new(me: MemberId, run: Run) -> Duties {
-        Duties { me, run, all: BTreeMap::new() }
+    pub fn new(me: MemberId, run: Run) -> ClaimTracker {
+        ClaimTracker { me, run, all: BTreeMap::new() }
     }
 
     pub fn len(&self) -> usize {
@@ -63,71 +63,92 @@
     }
 
     /// Looks at the books. `now`: the monotonic clock; `day`: the time of day; `again`: how long a proposal may take.
-    pub fn look(&mut self, books: &Books, now: Ms, day: Ms, again: Ms) -> Vec<Todo> {
+    pub fn next_tasks(&mut self, books: &Ledger, now: Ms, day: Ms, again: Ms) -> Vec<ClaimTask> {
         let mut todo = Vec::new();
-        let mut open = BTreeSet::new();
-        for (due, occurrence, claim) in books.claims(self.me) {
-            open.insert(claim.fence);
-            let act = &occurrence.act;
-            let propose = |word| Todo::Propose(word);
-            let over = |turn, at| Word::Turned { due: due.clone(), fence: claim.fence, turn, at };
+        let mut open_fences = BTreeSet::new();
+        for (occurrence, open, claim) in books.claims(self.me) {
+            open_fences.insert(claim.fence);
+            let action = &open.action;
+            let propose = |word| ClaimTask::Propose(word);
+            let over = |outcome, at| Command::FinishTry {
+                occurrence: occurrence.clone(),
+                fence: claim.fence,
+                outcome,
+                at,
+            };
             let Some(duty) = self.all.get_mut(&claim.fence) else {
                 // What is begun and not known here was begun before this start: whether it took effect nobody knows.
-                let did = match (claim.begun.is_some(), act.idempotent) {
+                let did = match (claim.started_by.is_some(), action.idempotent) {
                     (true, _) => {
-                        todo.push(propose(over(Turn::Unanswered, day)));
-                        Did::Over(Turn::Unanswered, day, now)
+                        todo.push(propose(over(TryOutcome::Unanswered, day)));
+                        ClaimProgress::Finished(TryOutcome::Unanswered, day, now)
                     }
                     (false, true) => {
-                        let (due, act, tries) = (due.clone(), act.clone(), occurrence.tries);
-                        todo.push(Todo::Act { due, fence: claim.fence, tries, within: act.lease / 2.0, act });
-                        Did::Acting
+                        let (occurrence, action, tries) = (occurrence.clone(), action.clone(), open.tries);
+                        todo.push(ClaimTask::Execute {
+                            occurrence,
+                            fence: claim.fence,
+                            tries,
+                            time_limit: action.claim_lease / 2.0,
+                            action,
+                        });
+                        ClaimProgress::Executing
                     }
                     (false, false) => {
-                        todo.push(propose(Word::Begun {
-                            due: due.clone(),
+                        todo.push(propose(Command::Start {
+                            occurrence: occurrence.clone(),
                             fence: claim.fence,
                             run: self.run,
                         }));
-                        Did::Beginning(now)
+                        ClaimProgress::Starting(now)
                     }
                 };
-                self.all.insert(claim.fence, Duty { due: due.clone(), did, since: now });
+                self.all.insert(claim.fence, Duty { occurrence: occurrence.clone(), did, since: now });
                 continue;
             };
             match duty.did {
-                Did::Beginning(_) if claim.begun == Some(self.run) => {
+                ClaimProgress::Starting(_) if claim.started_by == Some(self.run) => {
                     // Guards against a beginning that was agreed late: the lease may be over, and another told of it.
-                    let left = duty.since + act.lease / 2.0 - now;
+                    let left = duty.since + action.claim_lease / 2.0 - now;
                     if left <= 0.0 {
                         // Nothing was sent, so whoever is told that it is unknown is told too much and not too little.
-                        duty.did = Did::Over(Turn::Unsent, day, now);
-                        todo.push(propose(over(Turn::Unsent, day)));
+                        duty.did = ClaimProgress::Finished(TryOutcome::Unsent, day, now);
+                        todo.push(propose(over(TryOutcome::Unsent, day)));
                     } else {
-                        let (due, act, tries) = (due.clone(), act.clone(), occurrence.tries);
-                        todo.push(Todo::Act { due, fence: claim.fence, tries, act, within: left });
-                        duty.did = Did::Acting;
+                        let (occurrence, action, tries) = (occurrence.clone(), action.clone(), open.tries);
+                        todo.push(ClaimTask::Execute {
+                            occurrence,
+                            fence: claim.fence,
+                            tries,
+                            action,
+                            time_limit: left,
+                        });
+                        duty.did = ClaimProgress::Executing;
                     }
                 }
-                Did::Beginning(at) if now >= at + again => {
-                    duty.did = Did::Beginning(now);
-                    todo.push(propose(Word::Begun { due: due.clone(), fence: claim.fence, run: self.run }));
+                ClaimProgress::Starting(at) if now >= at + again => {
+                    duty.did = ClaimProgress::Starting(now);
+                    todo.push(propose(Command::Start {
+                        occurrence: occurrence.clone(),
+                        fence: claim.fence,
+                        run: self.run,
+                    }));
                 }
-                Did::Over(turn, at, proposed) if now >= proposed + again => {
-                    duty.did = Did::Over(turn, at, now);
+                ClaimProgress::Finished(turn, at, proposed) if now >= proposed + again => {
+                    duty.did = ClaimProgress::Finished(turn, at, now);
                     todo.push(propose(over(turn, at)));
                 }
                 _ => {}
             }
         }
-        self.all.retain(|fence, duty| duty.did == Did::Acting || open.contains(fence));
+        self.all.retain(|fence, duty| duty.did == ClaimProgress::Executing || open_fences.contains(fence));
         todo
     }
 
     /// An effect came to an end.
-    pub fn acted(&mut self, fence: Index, turn: Turn, now: Ms, day: Ms) -> Option<Word> {
+    pub fn record_outcome(&mut self, fence: Index, outcome: TryOutcome, now: Ms, day: Ms) -> Option<Command> {
         let duty = self.all.get_mut(&fence)?;
-        duty.did = Did::Over(turn, day, now);
-        Some(Word::Turned { due: duty.due.clone(), fence, turn, at: day })
+        duty.did = ClaimProgress::Finished(outcome, day, now);
+        Some(Command::FinishTry { occurrence: duty.occurrence.clone(), fence, outcome, at: day })
     }
 }
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -1,6 +1,6 @@
 //! When something has to happen, and that it happens once, whichever manager is up. No I/O, clock or thread: [`Timing`]
-//! says when a schedule is due, [`Books`] is what managers have agreed of every occurrence, [`due`] is what the leader
-//! proposes, and [`Duties`] what the owner of a claim does.
+//! says when a schedule is due, [`Ledger`] is what managers have agreed of every occurrence, [`due`] is what the leader
+//! proposes, and [`ClaimTracker`] what the owner of a claim does.
 //!
 //! What is promised, by the kind of a run. A side-effecting one is begun at most once: after a crash between its
 //! beginning and its end it is told as unknown and never begun again. An idempotent one is begun again, under a higher
@@ -13,7 +13,10 @@
 mod duty;
 mod timing;
 
-pub use books::{Act, Book, Books, Claim, Due, End, Ended, Open, Overlap, Passed, Turn, Word};
-pub use decide::{due, CatchUp, Leading, Schedule, AT_ONCE};
-pub use duty::{Did, Duties, Todo};
-pub use timing::{Fault, Fold, Gap, Quiet, Timing, When};
+pub use books::{
+    Action, Claim, Command, EndedOccurrence, Ledger, Occurrence, OccurrenceOutcome, OpenOccurrence,
+    OverlapPolicy, ScheduleRecord, SkipReason, TryOutcome,
+};
+pub use decide::{propose_commands, CatchUp, LeaderState, Schedule, MAX_COMMANDS_PER_PASS};
+pub use duty::{ClaimProgress, ClaimTask, ClaimTracker};
+pub use timing::{FoldPolicy, GapPolicy, QuietPolicy, ScheduledTime, Timing, TimingError};
--- a/crates/schedule/src/timing.rs
+++ b/crates/schedule/src/timing.rs
@@ -15,16 +15,16 @@
 
 /// What becomes of a civil time that the clock jumps over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Gap {
+pub enum GapPolicy {
     /// It is due as the gap ends.
     #[default]
-    After,
+    AtGapEnd,
     Skip,
 }
 
 /// What becomes of a civil time that comes twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Fold {
+pub enum FoldPolicy {
     #[default]
     First,
     Second,
@@ -33,7 +33,7 @@
 
 /// What becomes of what is due in a quiet time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Quiet {
+pub enum QuietPolicy {
     /// It is passed over.
     #[default]
     Skip,
@@ -43,25 +43,25 @@
 
 /// One time at which a schedule is due, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct When {
+pub struct ScheduledTime {
     /// By the fields: it names the occurrence.
     pub due: Ms,
     /// With what quiet times and jitter add.
-    pub at: Ms,
+    pub run_at: Ms,
     /// It falls in a quiet time and is passed over.
-    pub quiet: bool,
+    pub in_quiet_time: bool,
 }
 
 /// Why a timing cannot be read: the part, and the way out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct TimingError {
     pub part: &'static str,
-    pub why: String,
+    pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for TimingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.part, self.why)
+        write!(f, "{}: {}", self.part, self.reason)
     }
 }
 
@@ -70,18 +70,18 @@
     name: String,
     cron: Cron,
     zone: TimeZone,
-    gap: Gap,
-    fold: Fold,
+    gap: GapPolicy,
+    fold: FoldPolicy,
     jitter: Ms,
     /// Civil times from and up to which it is due at all.
     window: (Option<DateTime>, Option<DateTime>),
     quiet: Vec<(DateTime, DateTime)>,
-    in_quiet: Quiet,
+    in_quiet: QuietPolicy,
 }
 
 /// Further than this nothing is looked for: what is due once in a leap year is found.
 const AHEAD: SignedDuration = SignedDuration::from_hours(24 * 366 * 5);
-/// Quiet times may follow on each other so often.
+/// QuietPolicy times may follow on each other so often.
 const CHAINED: usize = 64;
 
 fn millis(at: Timestamp) -> Ms {
@@ -90,8 +90,8 @@
 
 impl Timing {
     /// `name` is that of the schedule: jitter spreads by it. `cron` has five fields, or six with seconds first.
-    pub fn read(name: &str, cron: &str, zone: &str) -> Result<Timing, Fault> {
-        let fault = |part, why: String| Fault { part, why };
+    pub fn parse(name: &str, cron: &str, zone: &str) -> Result<Timing, TimingError> {
+        let fault = |part, why: String| TimingError { part, reason: why };
         let parser = CronParser::builder().seconds(Seconds::Optional).build();
         let read =
             parser.parse(cron).map_err(|why| fault("cron", format!("{cron:?} is no cron pattern: {why}")))?;
@@ -102,49 +102,49 @@
             name: name.into(),
             cron: read,
             zone,
-            gap: Gap::default(),
-            fold: Fold::default(),
+            gap: GapPolicy::default(),
+            fold: FoldPolicy::default(),
             jitter: 0.0,
             window: (None, None),
             quiet: Vec::new(),
-            in_quiet: Quiet::default(),
+            in_quiet: QuietPolicy::default(),
         })
     }
 
-    pub fn at_changes(self, gap: Gap, fold: Fold) -> Timing {
+    pub fn with_clock_changes(self, gap: GapPolicy, fold: FoldPolicy) -> Timing {
         Timing { gap, fold, ..self }
     }
 
     /// At most so many milliseconds later, by chance that is the same at every manager.
-    pub fn jitter(self, jitter: Ms) -> Timing {
+    pub fn with_jitter(self, jitter: Ms) -> Timing {
         Timing { jitter: jitter.max(0.0), ..self }
     }
 
     /// Civil times as `2027-02-01T08:00`, from and up to which it is due.
-    pub fn within(self, from: Option<&str>, until: Option<&str>) -> Result<Timing, Fault> {
+    pub fn with_window(self, from: Option<&str>, until: Option<&str>) -> Result<Timing, TimingError> {
         let window = (from.map(civil).transpose()?, until.map(civil).transpose()?);
         Ok(Timing { window, ..self })
     }
 
     /// Civil times, each from and up to which it is quiet.
-    pub fn quiet<'a>(
+    pub fn with_quiet_times<'a>(
         self,
         times: impl IntoIterator<Item = (&'a str, &'a str)>,
-        in_quiet: Quiet,
-    ) -> Result<Timing, Fault> {
+        in_quiet: QuietPolicy,
+    ) -> Result<Timing, TimingError> {
         let read = |(from, until): (&str, &str)| {
             let (from, until) = (civil(from)?, civil(until)?);
             match from < until {
                 true => Ok((from, until)),
-                false => Err(Fault { part: "quiet", why: format!("{from} is not before {until}") }),
+                false => Err(TimingError { part: "quiet", reason: format!("{from} is not before {until}") }),
             }
         };
-        let quiet = times.into_iter().map(read).collect::<Result<Vec<_>, Fault>>()?;
+        let quiet = times.into_iter().map(read).collect::<Result<Vec<_>, TimingError>>()?;
         Ok(Timing { quiet, in_quiet, ..self })
     }
 
     /// The times due after one, in their order. They end where nothing is due for five years.
-    pub fn after(&self, after: Ms) -> impl Iterator<Item = When> + '_ {
+    pub fn after(&self, after: Ms) -> impl Iterator<Item = ScheduledTime> + '_ {
         let start = Timestamp::from_millisecond(after as i64).unwrap_or(Timestamp::MIN);
         let here = self.zone.to_datetime(start);
         // In a time that comes twice, one that the clock has shown already may come again.
@@ -187,9 +187,9 @@
         match ambiguous.offset() {
             AmbiguousOffset::Unambiguous { .. } => ambiguous.compatible().into_iter().collect(),
             AmbiguousOffset::Gap { before, .. } => match self.gap {
-                Gap::Skip => Vec::new(),
+                GapPolicy::Skip => Vec::new(),
                 // The gap ends at the change: the first moment after it that the clock shows.
-                Gap::After => {
+                GapPolicy::AtGapEnd => {
                     let inside = before.to_timestamp(civil).ok();
                     let change = inside.and_then(|at| {
                         let at = at.saturating_add(SignedDuration::from_nanos(1)).unwrap_or(at);
@@ -201,15 +201,15 @@
             AmbiguousOffset::Fold { before, after } => {
                 let (first, second) = (before.to_timestamp(civil).ok(), after.to_timestamp(civil).ok());
                 match self.fold {
-                    Fold::First => first.into_iter().collect(),
-                    Fold::Second => second.into_iter().collect(),
-                    Fold::Both => first.into_iter().chain(second).collect(),
+                    FoldPolicy::First => first.into_iter().collect(),
+                    FoldPolicy::Second => second.into_iter().collect(),
+                    FoldPolicy::Both => first.into_iter().chain(second).collect(),
                 }
             }
         }
     }
 
-    fn when(&self, due: Timestamp, next: Option<Timestamp>) -> When {
+    fn when(&self, due: Timestamp, next: Option<Timestamp>) -> ScheduledTime {
         let mut at = due;
         for _ in 0..CHAINED {
             let civil = self.zone.to_datetime(at);
@@ -217,8 +217,8 @@
             else {
                 break;
             };
-            if self.in_quiet == Quiet::Skip {
-                return When { due: millis(due), at: millis(due), quiet: true };
+            if self.in_quiet == QuietPolicy::Skip {
+                return ScheduledTime { due: millis(due), run_at: millis(due), in_quiet_time: true };
             }
             at = self.zone.to_ambiguous_timestamp(*until).compatible().unwrap_or(at).max(at);
         }
@@ -231,7 +231,7 @@
             .filter_map(|(from, _)| self.zone.to_ambiguous_timestamp(*from).compatible().ok());
         let bounds = next.into_iter().chain(end).chain(quiets).map(millis).filter(|bound| *bound > at);
         let room = bounds.fold(self.jitter, |room, bound| room.min(bound - at - 1.0)).max(0.0);
-        When { due, at: (at + self.spread(due) * room).floor(), quiet: false }
+        ScheduledTime { due, run_at: (at + self.spread(due) * room).floor(), in_quiet_time: false }
     }
 
     /// By chance in 0..1, the same wherever it is asked, and spread evenly over schedules and occurrences.
@@ -241,7 +241,7 @@
     }
 }
 
-fn civil(text: &str) -> Result<DateTime, Fault> {
+fn civil(text: &str) -> Result<DateTime, TimingError> {
     let why = || format!("{text:?} is no civil time; write it as \"2027-02-01T08:00\"");
-    DateTime::from_str(text).map_err(|_| Fault { part: "time", why: why() })
+    DateTime::from_str(text).map_err(|_| TimingError { part: "time", reason: why() })
 }
--- a/crates/schedule/tests/histories.rs
+++ b/crates/schedule/tests/histories.rs
@@ -13,10 +13,10 @@
 const START: Ms = 1_796_000_000_000.0;
 
 struct Replica {
-    books: Books,
+    books: Ledger,
     applied: usize,
-    leading: Leading,
-    duties: Duties,
+    leading: LeaderState,
+    duties: ClaimTracker,
     run: u64,
     down_until: Ms,
     clock: Ms,
@@ -26,7 +26,7 @@
     at: Ms,
     owner: MemberId,
     run: u64,
-    due: Due,
+    occurrence: Occurrence,
     fence: Index,
 }
 
@@ -34,15 +34,15 @@
     rng: fastrand::Rng,
     now: Ms,
     schedules: BTreeMap<String, Schedule>,
-    log: Vec<Word>,
-    coming: Vec<(Ms, Word)>,
+    log: Vec<Command>,
+    coming: Vec<(Ms, Command)>,
     effects: Vec<Effect>,
-    answers: Vec<(Ms, MemberId, u64, Index, Turn)>,
+    answers: Vec<(Ms, MemberId, u64, Index, TryOutcome)>,
     all: Vec<Replica>,
     leader: usize,
     seen: BTreeMap<String, Index>,
-    took: BTreeMap<Due, u32>,
-    ends: BTreeMap<Due, End>,
+    took: BTreeMap<Occurrence, u32>,
+    ends: BTreeMap<Occurrence, OccurrenceOutcome>,
 }
 
 fn id(place: usize) -> MemberId {
@@ -53,26 +53,26 @@
     fn new(seed: u64) -> World {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut schedule = |name: &str, idempotent| {
-            let act = Act {
+            let action = Action {
                 address: "127.0.0.1:1".into(),
                 path: "/run".into(),
                 idempotent,
-                tries: rng.u32(1..4),
+                max_tries: rng.u32(1..4),
                 backoff: rng.f64() * 300.0,
-                lease: 400.0 + rng.f64() * 400.0,
+                claim_lease: 400.0 + rng.f64() * 400.0,
             };
-            let timing = Timing::read(name, "* * * * * *", "UTC").unwrap().jitter(rng.f64() * 500.0);
-            let overlap = [Overlap::Skip, Overlap::Queue, Overlap::Replace][rng.usize(..3)];
-            let catch_up = [CatchUp::None, CatchUp::Last, CatchUp::All(3)][rng.usize(..3)];
+            let timing = Timing::parse(name, "* * * * * *", "UTC").unwrap().with_jitter(rng.f64() * 500.0);
+            let overlap = [OverlapPolicy::Skip, OverlapPolicy::Queue, OverlapPolicy::Replace][rng.usize(..3)];
+            let catch_up = [CatchUp::None, CatchUp::Last, CatchUp::LastCount(3)][rng.usize(..3)];
             let deadline = rng.f64() * 1500.0;
-            (name.to_string(), Schedule { timing, act, deadline, catch_up, overlap })
+            (name.to_string(), Schedule { timing, action, deadline, catch_up, overlap })
         };
         let schedules = [schedule("grade", false), schedule("warm", true)].into();
         let replica = |place| Replica {
-            books: Books::default(),
+            books: Ledger::default(),
             applied: 0,
-            leading: Leading::default(),
-            duties: Duties::new(id(place), Run(1)),
+            leading: LeaderState::default(),
+            duties: ClaimTracker::new(id(place), Run(1)),
             run: 1,
             down_until: 0.0,
             clock: 0.0,
@@ -97,7 +97,7 @@
         START + self.now + median_clock(self.all.iter().map(|replica| replica.clock)).unwrap()
     }
 
-    fn propose(&mut self, word: Word) {
+    fn propose(&mut self, word: Command) {
         for _ in 0..[1, 1, 1, 1, 1, 1, 2, 0][self.rng.usize(..8)] {
             let late = if self.rng.u8(..20) == 0 { 500.0 } else { 20.0 };
             let at = self.now + self.rng.f64() * late;
@@ -110,9 +110,9 @@
         let replica = &mut self.all[place];
         // It starts with what was agreed, from the log, and knows nothing of what it was about to do.
         replica.run += 1;
-        replica.duties = Duties::new(id(place), Run(replica.run));
-        replica.leading = Leading::default();
-        replica.books = Books::default();
+        replica.duties = ClaimTracker::new(id(place), Run(replica.run));
+        replica.leading = LeaderState::default();
+        replica.books = Ledger::default();
         (replica.applied, replica.down_until) = (0, down);
         // What it had not sent yet is gone with it.
         let sent = self.rng.f64();
@@ -123,7 +123,7 @@
     fn step(&mut self, troubled: bool) {
         self.now += 10.0;
         let now = self.now;
-        let coming: Vec<(Ms, Word)> = self.coming.extract_if(.., |(at, _)| *at <= now).collect();
+        let coming: Vec<(Ms, Command)> = self.coming.extract_if(.., |(at, _)| *at <= now).collect();
         self.log.extend(coming.into_iter().map(|(_, word)| word));
         let effects: Vec<Effect> = self.effects.extract_if(.., |effect| effect.at <= now).collect();
         effects.into_iter().for_each(|effect| self.execute(effect));
@@ -134,7 +134,7 @@
             }
             self.apply(place);
             let replica = &mut self.all[place];
-            for todo in replica.duties.look(&replica.books, now, day, AGAIN) {
+            for todo in replica.duties.next_tasks(&replica.books, now, day, AGAIN) {
                 self.todo(place, todo);
             }
         }
@@ -143,7 +143,7 @@
             let place = usize::from(owner.0 - 1);
             let replica = &mut self.all[place];
             if replica.run == run && replica.down_until <= now {
-                let word = replica.duties.acted(fence, turn, now, day);
+                let word = replica.duties.record_outcome(fence, turn, now, day);
                 word.into_iter().for_each(|word| self.propose(word));
             }
         }
@@ -159,7 +159,7 @@
             let alive: Vec<MemberId> =
                 (0..3).filter(|other| self.all[*other].down_until <= now).map(id).collect();
             let Replica { books, leading, .. } = &mut self.all[place];
-            let words = due(&self.schedules, books, leading, now, day, AGAIN, &alive);
+            let words = propose_commands(&self.schedules, books, leading, now, day, AGAIN, &alive);
             words.into_iter().for_each(|word| self.propose(word));
         }
     }
@@ -171,28 +171,28 @@
             let books = &mut self.all[place].books;
             books.apply(Index(at as u64 + 1), &word);
             self.all[place].applied += 1;
-            for (name, book) in &self.all[place].books.books {
+            for (name, book) in &self.all[place].books.schedules {
                 if let Some(ended) = book.ended.back() {
-                    let due = Due { schedule: name.clone(), due: ended.due };
-                    let known = self.ends.entry(due).or_insert(ended.end);
-                    assert_eq!(*known, ended.end, "an end that changes");
+                    let due = Occurrence { schedule: name.clone(), due_ms: ended.due_ms };
+                    let known = self.ends.entry(due).or_insert(ended.outcome);
+                    assert_eq!(*known, ended.outcome, "an end that changes");
                 }
             }
         }
     }
 
-    fn todo(&mut self, place: usize, todo: Todo) {
+    fn todo(&mut self, place: usize, todo: ClaimTask) {
         match todo {
-            Todo::Propose(word) => self.propose(word),
-            Todo::Act { due, fence, within, .. } => {
+            ClaimTask::Propose(word) => self.propose(word),
+            ClaimTask::Execute { occurrence, fence, time_limit, .. } => {
                 let run = self.all[place].run;
                 let slow = if self.rng.u8(..8) == 0 { 1500.0 } else { 60.0 };
                 let at = self.now + self.rng.f64() * slow;
                 if self.rng.u8(..10) == 0 {
-                    self.answers.push((at, id(place), run, fence, Turn::Unsent));
+                    self.answers.push((at, id(place), run, fence, TryOutcome::Unsent));
                 } else {
-                    self.effects.push(Effect { at, owner: id(place), run, due, fence });
-                    self.answers.push((self.now + within, id(place), run, fence, Turn::Unanswered));
+                    self.effects.push(Effect { at, owner: id(place), run, occurrence, fence });
+                    self.answers.push((self.now + time_limit, id(place), run, fence, TryOutcome::Unanswered));
                 }
             }
         }
@@ -200,17 +200,17 @@
 
     /// A worker that refuses lower numbers than it has seen of the schedule.
     fn execute(&mut self, effect: Effect) {
-        let Effect { owner, run, due, fence, .. } = effect;
-        let seen = self.seen.entry(due.schedule.clone()).or_default();
+        let Effect { owner, run, occurrence, fence, .. } = effect;
+        let seen = self.seen.entry(occurrence.schedule.clone()).or_default();
         let turn = if fence < *seen {
-            Turn::Overtaken
+            TryOutcome::Overtaken
         } else {
             *seen = fence;
-            *self.took.entry(due).or_default() += 1;
+            *self.took.entry(occurrence).or_default() += 1;
             if self.rng.u8(..12) == 0 {
-                Turn::Failed
+                TryOutcome::Failed
             } else {
-                Turn::Succeeded
+                TryOutcome::Succeeded
             }
         };
         if self.rng.u8(..8) > 0 {
@@ -224,7 +224,7 @@
             0 | 1 => self.crash(one),
             2 => {
                 self.leader = one;
-                self.all[one].leading = Leading::default();
+                self.all[one].leading = LeaderState::default();
             }
             3 => {
                 self.all.iter_mut().for_each(|replica| replica.clock = 0.0);
@@ -239,33 +239,37 @@
         self.apply(0);
         let books = &self.all[0].books;
         for (name, schedule) in &self.schedules {
-            let book = &books.books[name];
+            let book = &books.schedules[name];
             let opened = self.log.iter().find_map(|word| match word {
-                Word::Opened { schedule, through } if schedule == name => Some(*through),
+                Command::AddSchedule { schedule, decided_through } if schedule == name => {
+                    Some(*decided_through)
+                }
                 _ => None,
             });
             let all = schedule
                 .timing
                 .after(opened.unwrap() as Ms)
-                .take_while(|when| when.due <= book.through as Ms);
-            let passed: u64 = book.passed.values().sum();
+                .take_while(|when| when.due <= book.decided_through as Ms);
+            let passed: u64 = book.skipped.values().sum();
             assert_eq!(
                 all.count() as u64,
-                book.ends + passed + book.open.len() as u64,
+                book.ended_count + passed + book.open.len() as u64,
                 "{name}: each time has an end or a reason: {book:?}"
             );
         }
-        for (due, took) in &self.took {
-            if !self.schedules[&due.schedule].act.idempotent {
-                assert_eq!(*took, 1, "{due:?} took effect {took} times");
+        for (occurrence, took) in &self.took {
+            if !self.schedules[&occurrence.schedule].action.idempotent {
+                assert_eq!(*took, 1, "{occurrence:?} took effect {took} times");
             }
         }
-        for (due, end) in &self.ends {
-            let took = self.took.get(due).copied().unwrap_or_default();
+        for (occurrence, end) in &self.ends {
+            let took = self.took.get(occurrence).copied().unwrap_or_default();
             match end {
-                End::Succeeded | End::Failed => assert!(took > 0, "{due:?} ended {end:?} without effect"),
-                End::GivenUp if !self.schedules[&due.schedule].act.idempotent => {
-                    assert_eq!(took, 0, "{due:?} took effect and is told as not begun");
+                OccurrenceOutcome::Succeeded | OccurrenceOutcome::Failed => {
+                    assert!(took > 0, "{occurrence:?} ended {end:?} without effect")
+                }
+                OccurrenceOutcome::GivenUp if !self.schedules[&occurrence.schedule].action.idempotent => {
+                    assert_eq!(took, 0, "{occurrence:?} took effect and is told as not begun");
                 }
                 _ => {}
             }
@@ -297,7 +301,7 @@
             eprintln!("seed {seed} fails");
             std::panic::resume_unwind(why);
         }
-        let newest = world.ends.keys().map(|due| due.due).max().unwrap_or_default() as Ms;
+        let newest = world.ends.keys().map(|occurrence| occurrence.due_ms).max().unwrap_or_default() as Ms;
         assert!(newest >= START + 7_000.0, "seed {seed}: it works again once all are well: {newest}");
         effects += world.took.values().sum::<u32>();
         world.ends.values().for_each(|end| *ends.entry(format!("{end:?}")).or_default() += 1);
