--- a/crates/intent/src/access.rs
+++ b/crates/intent/src/access.rs
@@ -13,7 +13,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doing {
+pub enum AccessOperation {
     Read,
     Write,
 }
@@ -36,7 +36,7 @@
 
 /// Where the name of a certificate's user is taken from, RFC 7589 section 7.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NameFrom {
+pub enum CertToName {
     Specified(String),
     CommonName,
     DnsName,
@@ -44,24 +44,24 @@
 
 /// The users and rules of one configuration.
 #[derive(Clone, Debug, Default)]
-pub struct Access {
+pub struct AccessControl {
     users: BTreeMap<String, User>,
     /// By their number.
     rules: Vec<Rule>,
     /// Client certificates by fingerprint, and where the user's name is taken from.
-    certificates: BTreeMap<String, NameFrom>,
+    certificates: BTreeMap<String, CertToName>,
     /// Its part of the model that only admins may touch.
     own: Option<NodeId>,
 }
 
-impl Access {
+impl AccessControl {
     /// From the configuration; a rule whose path names nothing is a fault, told as one line.
-    pub fn read(schema: &Schema, data: &Data) -> Result<Access, String> {
+    pub fn from_data(schema: &Schema, data: &Data) -> Result<AccessControl, String> {
         let north = View::new(schema, data).inner("northbound");
         let texts = |view: &View<'_>, name: &str| -> BTreeSet<String> {
             view.leaves(name).into_iter().map(ToString::to_string).collect()
         };
-        let mut access = Access { own: schema.find(&["northbound"]), ..Access::default() };
+        let mut access = AccessControl { own: schema.find(&["northbound"]), ..AccessControl::default() };
         for user in north.entries("user") {
             let role = match user.text("role") {
                 Some("admin") => Role::Admin,
@@ -73,22 +73,22 @@
         }
         for client in north.inner("netconf").inner("tls").entries("client") {
             let from = match client.text("name-from") {
-                Some("common-name") => NameFrom::CommonName,
-                Some("dns-name") => NameFrom::DnsName,
-                _ => NameFrom::Specified(client.text("user").unwrap_or_default().to_string()),
+                Some("common-name") => CertToName::CommonName,
+                Some("dns-name") => CertToName::DnsName,
+                _ => CertToName::Specified(client.text("user").unwrap_or_default().to_string()),
             };
             let fingerprint = client.text("fingerprint").unwrap_or_default().to_string();
             access.certificates.insert(fingerprint, from);
         }
         // Entries stand in the order of their key, the number.
         for rule in north.entries("rule") {
-            let doing = texts(&rule, "access");
+            let operation = texts(&rule, "access");
             let path = rule.text("path").unwrap_or_default();
             let number = rule.leaf("number").map(ToString::to_string).unwrap_or_default();
             let path = Path::read(schema, path).map_err(|fault| {
                 format!("the rule {number} speaks of a path that does not fit the model: {fault}")
             })?;
-            let about = |what: &str| doing.is_empty() || doing.contains(what);
+            let about = |what: &str| operation.is_empty() || operation.contains(what);
             access.rules.push(Rule {
                 users: texts(&rule, "user"),
                 path,
@@ -114,31 +114,31 @@
     }
 
     /// Where the user's name is taken from for a certificate of this SHA-256, in lower-case hex.
-    pub fn certificate(&self, fingerprint: &str) -> Option<&NameFrom> {
+    pub fn cert_to_name(&self, fingerprint: &str) -> Option<&CertToName> {
         self.certificates.get(fingerprint)
     }
 
     /// Whether the user may do so at that very place.
-    pub fn may(&self, user: &str, doing: Doing, path: &Path) -> bool {
+    pub fn permits(&self, user: &str, operation: AccessOperation, path: &Path) -> bool {
         let Some(role) = self.role(user) else { return false };
         let fits = |rule: &&Rule| {
-            let about = if doing == Doing::Read { rule.reads } else { rule.writes };
+            let about = if operation == AccessOperation::Read { rule.reads } else { rule.writes };
             about && (rule.users.is_empty() || rule.users.contains(user)) && rule.path.covers(path)
         };
         if let Some(rule) = self.rules.iter().find(fits) {
             return rule.permits;
         }
         let own = path.0.first().map(|step| step.node) == self.own;
-        match (role, doing) {
+        match (role, operation) {
             (Role::Admin, _) => true,
-            (Role::Operator, Doing::Read) => true,
-            (Role::Operator, Doing::Write) | (Role::Reader, Doing::Read) => !own,
-            (Role::Reader, Doing::Write) => false,
+            (Role::Operator, AccessOperation::Read) => true,
+            (Role::Operator, AccessOperation::Write) | (Role::Reader, AccessOperation::Read) => !own,
+            (Role::Reader, AccessOperation::Write) => false,
         }
     }
 
     /// The data without what the user may not read. What is kept keeps the keys that lead to it.
-    pub fn readable(&self, schema: &Schema, user: &str, data: &Data) -> Data {
+    pub fn filter_readable(&self, schema: &Schema, user: &str, data: &Data) -> Data {
         if self.role(user) == Some(Role::Admin) && self.rules.is_empty() {
             return data.clone();
         }
@@ -146,7 +146,7 @@
     }
 
     fn readable_below(&self, schema: &Schema, user: &str, data: &Data, at: &Path) -> Data {
-        let may = |path: &Path| self.may(user, Doing::Read, path);
+        let may = |path: &Path| self.permits(user, AccessOperation::Read, path);
         let mut kept = Data::default();
         for (id, content) in data.iter() {
             let path = at.with(Step::to(id));
@@ -183,9 +183,9 @@
     }
 
     /// The first place that the change from one to the other touches and the user may not write.
-    pub fn refused(&self, schema: &Schema, user: &str, old: &Data, new: &Data) -> Option<Path> {
+    pub fn first_denied_write(&self, schema: &Schema, user: &str, old: &Data, new: &Data) -> Option<Path> {
         let touched = diff(schema, old, new).into_iter().map(|difference| difference.path);
-        touched.into_iter().find(|path| !self.may(user, Doing::Write, path))
+        touched.into_iter().find(|path| !self.permits(user, AccessOperation::Write, path))
     }
 }
 
@@ -205,16 +205,16 @@
         RULES
       </northbound></config>"#;
 
-    fn read(rules: &str) -> (Schema, Data, Access) {
+    fn read(rules: &str) -> (Schema, Data, AccessControl) {
         let schema = juniperrail_model::schema();
         let data = xml::file(&schema, FILE.replace("RULES", rules).as_bytes()).unwrap();
-        let access = Access::read(&schema, &data).unwrap();
+        let access = AccessControl::from_data(&schema, &data).unwrap();
         (schema, data, access)
     }
 
     fn seen(rules: &str, user: &str) -> String {
         let (schema, data, access) = read(rules);
-        xml::to_file(&schema, &access.readable(&schema, user, &data))
+        xml::to_file(&schema, &access.filter_readable(&schema, user, &data))
     }
 
     fn writes(rules: &str, user: &str, old: &str, new: &str) -> Option<String> {
@@ -222,7 +222,7 @@
         let changed = FILE.replace("RULES", rules).replace(old, new);
         assert_ne!(changed, FILE.replace("RULES", rules));
         let changed = xml::file(&schema, changed.as_bytes()).unwrap();
-        access.refused(&schema, user, &data, &changed).map(|path| path.spelled(&schema))
+        access.first_denied_write(&schema, user, &data, &changed).map(|path| path.spelled(&schema))
     }
 
     #[test]
@@ -275,7 +275,7 @@
         let rule = "<rule><number>7</number><path>/workers/shift</path><action>deny</action></rule>";
         let schema = juniperrail_model::schema();
         let data = xml::file(&schema, FILE.replace("RULES", rule).as_bytes()).unwrap();
-        let why = Access::read(&schema, &data).unwrap_err();
+        let why = AccessControl::from_data(&schema, &data).unwrap_err();
         assert!(why.contains("rule 7") && why.contains("there is no \"shift\""), "{why}");
     }
 }
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -16,37 +16,37 @@
 
 use juniperrail_interface::{Listed, Phase, WorkerId, ZoneId};
 
-use crate::want::{Intent, Place, Wanted, Wish};
+use crate::want::{DesiredState, Intent, Placement, WorkerIntent};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum Origin {
     Discovery,
     Operator,
     /// What managers agreed on.
     Plan,
 }
 
-impl Source {
+impl Origin {
     pub fn name(self) -> &'static str {
         match self {
-            Source::Discovery => "discovery",
-            Source::Operator => "operator",
-            Source::Plan => "plan",
+            Origin::Discovery => "discovery",
+            Origin::Operator => "operator",
+            Origin::Plan => "plan",
         }
     }
 }
 
 /// What all sources together say of a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Composed {
+pub struct ComposedWorker {
     /// As the decisions are told it. A weight of 0 means that no source gave one.
     pub listed: Listed,
     pub address: Option<SocketAddr>,
-    pub phase_from: Source,
-    pub weight_from: Option<Source>,
-    pub place_from: Source,
+    pub phase_origin: Origin,
+    pub weight_origin: Option<Origin>,
+    pub placement_origin: Origin,
     /// Discovery's last word.
-    pub discovery: Option<Phase>,
+    pub discovery_phase: Option<Phase>,
 }
 
 /// What discovery said last, and when each field took its value.
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Debug)]
 struct Wished {
-    wish: Wish,
+    wish: WorkerIntent,
     wanted_at: u64,
     weight_at: u64,
     /// Discovery said that it is gone and has forgotten it since.
@@ -81,7 +81,7 @@
 
 impl Composer {
     /// Discovery's word on one worker. The same word again is no later one.
-    pub fn tell(&mut self, name: &str, listed: Listed, address: Option<SocketAddr>) {
+    pub fn update_discovery(&mut self, name: &str, listed: Listed, address: Option<SocketAddr>) {
         self.last += 1;
         let (mut phase_at, mut weight_at) = (self.last, self.last);
         if let Some(known) = self.told.get(name) {
@@ -102,23 +102,23 @@
 
     /// Discovery's word on the phase alone; what else it said of the worker holds. It brings nobody back: false, and
     /// nothing changes, where discovery names no such worker or said that it is gone.
-    pub fn tell_phase(&mut self, name: &str, phase: Phase) -> bool {
+    pub fn update_discovery_phase(&mut self, name: &str, phase: Phase) -> bool {
         let told = self.told.get(name).filter(|told| told.listed.phase != Phase::Gone);
         let Some(told) = told.cloned() else { return false };
         let address = told.address.filter(|_| phase != Phase::Gone);
-        self.tell(name, Listed { phase, ..told.listed }, address);
+        self.update_discovery(name, Listed { phase, ..told.listed }, address);
         true
     }
 
     /// A whole list came: those that it does not name are gone, as if it had said so. Their names are returned.
-    pub fn only(&mut self, named: &dyn Fn(&str) -> bool) -> Vec<String> {
+    pub fn mark_unlisted_gone(&mut self, named: &dyn Fn(&str) -> bool) -> Vec<String> {
         let gone = |(name, told): (&String, &Told)| {
             (told.listed.phase != Phase::Gone && !named(name)).then(|| name.clone())
         };
         let gone: Vec<String> = self.told.iter().filter_map(gone).collect();
         for name in &gone {
             let told = self.told[name].clone();
-            self.tell(name, Listed { phase: Phase::Gone, ..told.listed }, None);
+            self.update_discovery(name, Listed { phase: Phase::Gone, ..told.listed }, None);
         }
         gone
     }
@@ -137,13 +137,13 @@
     }
 
     /// A worker that was forgotten goes by another id from now on.
-    pub fn renumber(&mut self, name: &str, worker: WorkerId) {
+    pub fn reassign_id(&mut self, name: &str, worker: WorkerId) {
         self.told.get_mut(name).into_iter().for_each(|told| told.listed.worker = worker);
     }
 
     /// The operator's word on all workers takes the place of the one before. What is worded alike is no later
     /// word. The names of which something else is wanted are returned.
-    pub fn wish(&mut self, intent: &Intent) -> Vec<String> {
+    pub fn update_intent(&mut self, intent: &Intent) -> Vec<String> {
         self.last += 1;
         let mut changed = Vec::new();
         let before = std::mem::take(&mut self.wished);
@@ -151,7 +151,8 @@
             let known = before.get(name);
             let later = |same: bool, at: u64| if same { at } else { self.last };
             let wished = Wished {
-                wanted_at: known.map_or(self.last, |k| later(k.wish.wanted == wish.wanted, k.wanted_at)),
+                wanted_at: known
+                    .map_or(self.last, |k| later(k.wish.desired_state == wish.desired_state, k.wanted_at)),
                 weight_at: known.map_or(self.last, |k| later(k.wish.weight == wish.weight, k.weight_at)),
                 gone: match self.told.get(name) {
                     Some(told) => told.listed.phase == Phase::Gone,
@@ -169,21 +170,21 @@
     }
 
     /// The plan in common takes the place of the one before. Whether it says anything else.
-    pub fn lean(&mut self, parts: BTreeMap<ZoneId, f64>) -> bool {
+    pub fn update_plan(&mut self, parts: BTreeMap<ZoneId, f64>) -> bool {
         let changed = self.parts != parts;
         self.parts = parts;
         changed
     }
 
     /// Lays the plan's word under those of the others.
-    fn lean_on(&self, composed: &mut Composed, wanted: Option<Wanted>) {
+    fn lean_on(&self, composed: &mut ComposedWorker, wanted: Option<DesiredState>) {
         let listed = &mut composed.listed;
         let Some(part) = self.parts.get(&listed.zone).filter(|part| **part < 1.0) else { return };
-        if listed.phase != Phase::Ready || wanted == Some(Wanted::Ready) {
+        if listed.phase != Phase::Ready || wanted == Some(DesiredState::Ready) {
             return;
         }
         if *part <= 0.0 {
-            (listed.phase, composed.phase_from) = (Phase::Draining, Source::Plan);
+            (listed.phase, composed.phase_origin) = (Phase::Draining, Origin::Plan);
             return;
         }
         // Where nobody gave a weight the decisions take the mean of the others, so that is what it is a part of.
@@ -194,75 +195,79 @@
         } else {
             Some(mean()).filter(|m| *m > 0.0).unwrap_or(1.0)
         };
-        (listed.weight, composed.weight_from) = (whole * part, Some(Source::Plan));
+        (listed.weight, composed.weight_origin) = (whole * part, Some(Origin::Plan));
     }
 
     /// Every worker that some source places somewhere.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
-        self.told.keys().map(String::as_str).chain(self.placed().map(|(name, _)| name))
+    pub fn worker_names(&self) -> impl Iterator<Item = &str> {
+        self.told.keys().map(String::as_str).chain(self.operator_placed().map(|(name, _)| name))
     }
 
     /// Workers that the operator alone places, and where.
-    pub fn placed(&self) -> impl Iterator<Item = (&str, &Place)> {
+    pub fn operator_placed(&self) -> impl Iterator<Item = (&str, &Placement)> {
         let here = self.wished.iter().filter(|(name, _)| !self.told.contains_key(*name));
-        here.filter_map(|(name, wished)| Some((name.as_str(), wished.wish.place.as_ref()?)))
+        here.filter_map(|(name, wished)| Some((name.as_str(), wished.wish.placement.as_ref()?)))
     }
 
     /// What all sources together say; `None` where none says where the worker is. `listed` makes the entry of a
     /// worker that only the operator placed, with ids in place of names.
-    pub fn composed(&self, name: &str, listed: impl FnOnce(&Wish) -> Option<Listed>) -> Option<Composed> {
+    pub fn compose(
+        &self,
+        name: &str,
+        listed: impl FnOnce(&WorkerIntent) -> Option<Listed>,
+    ) -> Option<ComposedWorker> {
         let (told, wished) = (self.told.get(name), self.wished.get(name));
         let Some(told) = told else {
             let wished = wished?;
-            let place = wished.wish.place.as_ref()?;
+            let place = wished.wish.placement.as_ref()?;
             let listed = listed(&wished.wish)?;
-            let mut composed = Composed {
+            let mut composed = ComposedWorker {
                 listed: Listed { phase: Phase::Ready, ..listed },
                 address: place.address,
-                phase_from: Source::Operator,
-                weight_from: None,
-                place_from: Source::Operator,
-                discovery: None,
+                phase_origin: Origin::Operator,
+                weight_origin: None,
+                placement_origin: Origin::Operator,
+                discovery_phase: None,
             };
             if wished.gone {
                 // Guards against a worker that comes back by the operator's old word on where it once was.
-                (composed.listed.phase, composed.phase_from) = (Phase::Gone, Source::Discovery);
+                (composed.listed.phase, composed.phase_origin) = (Phase::Gone, Origin::Discovery);
             }
             wished.apply(&mut composed, 0, 0);
-            self.lean_on(&mut composed, Some(wished.wish.wanted));
+            self.lean_on(&mut composed, Some(wished.wish.desired_state));
             return Some(composed);
         };
-        let mut composed = Composed {
+        let mut composed = ComposedWorker {
             listed: told.listed.clone(),
             address: told.address,
-            phase_from: Source::Discovery,
-            weight_from: (told.listed.weight > 0.0).then_some(Source::Discovery),
-            place_from: Source::Discovery,
-            discovery: Some(told.listed.phase),
+            phase_origin: Origin::Discovery,
+            weight_origin: (told.listed.weight > 0.0).then_some(Origin::Discovery),
+            placement_origin: Origin::Discovery,
+            discovery_phase: Some(told.listed.phase),
         };
         if let Some(wished) = wished {
             wished.apply(&mut composed, told.phase_at, told.weight_at);
         }
-        self.lean_on(&mut composed, wished.map(|wished| wished.wish.wanted));
+        self.lean_on(&mut composed, wished.map(|wished| wished.wish.desired_state));
         Some(composed)
     }
 }
 
 impl Wished {
     /// Lays the operator's word over what was said at the given times.
-    fn apply(&self, onto: &mut Composed, phase_at: u64, weight_at: u64) {
+    fn apply(&self, onto: &mut ComposedWorker, phase_at: u64, weight_at: u64) {
         if let Some(weight) =
             self.wish.weight.filter(|_| self.weight_at > weight_at || !onto.listed.weight.gt(&0.0))
         {
-            (onto.listed.weight, onto.weight_from) = (weight, Some(Source::Operator));
+            (onto.listed.weight, onto.weight_origin) = (weight, Some(Origin::Operator));
         }
         let drained = self.wish.weight == Some(0.0);
-        let wanted = match self.wish.wanted {
-            Wanted::Out => Some(Phase::Gone),
-            Wanted::Draining => Some(Phase::Draining),
+        let wanted = match self.wish.desired_state {
+            DesiredState::Out => Some(Phase::Gone),
+            DesiredState::Draining => Some(Phase::Draining),
             _ if drained => Some(Phase::Draining),
-            Wanted::Ready if self.wanted_at > phase_at => Some(Phase::Ready),
-            Wanted::Ready | Wanted::Follow => None,
+            DesiredState::Ready if self.wanted_at > phase_at => Some(Phase::Ready),
+            DesiredState::Ready | DesiredState::Follow => None,
         };
         let rank = |phase: Phase| match phase {
             Phase::Ready => 0,
@@ -272,11 +277,11 @@
         let Some(wanted) = wanted else { return };
         let later_ready = wanted == Phase::Ready && onto.listed.phase == Phase::Draining;
         if later_ready || rank(wanted) > rank(onto.listed.phase) {
-            (onto.listed.phase, onto.phase_from) = (wanted, Source::Operator);
+            (onto.listed.phase, onto.phase_origin) = (wanted, Origin::Operator);
         }
         // Weight 0 is what the decisions read as "none given"; such a worker drains and has no line anyway.
         if drained && onto.listed.weight == 0.0 {
-            onto.weight_from = Some(Source::Operator);
+            onto.weight_origin = Some(Origin::Operator);
         }
     }
 }
@@ -291,69 +296,69 @@
         Listed { worker: WorkerId(1), phase, booted, zone, machine, cell, weight }
     }
 
-    fn intent(wish: Wish) -> Intent {
+    fn intent(wish: WorkerIntent) -> Intent {
         Intent { workers: BTreeMap::from([("s-1".to_string(), wish)]), ..Intent::default() }
     }
 
-    fn wants(wanted: Wanted, weight: Option<f64>) -> Intent {
-        intent(Wish { wanted, weight, place: None })
+    fn wants(wanted: DesiredState, weight: Option<f64>) -> Intent {
+        intent(WorkerIntent { desired_state: wanted, weight, placement: None })
     }
 
     struct Town(Composer);
 
     impl Town {
         fn tell(&mut self, phase: Phase, weight: f64) {
-            self.0.tell("s-1", listed(phase, weight, None), None);
+            self.0.update_discovery("s-1", listed(phase, weight, None), None);
         }
 
-        fn phase(&self) -> (Phase, Source) {
-            let composed = self.0.composed("s-1", |_| Some(listed(Phase::Ready, 0.0, None))).unwrap();
-            (composed.listed.phase, composed.phase_from)
+        fn phase(&self) -> (Phase, Origin) {
+            let composed = self.0.compose("s-1", |_| Some(listed(Phase::Ready, 0.0, None))).unwrap();
+            (composed.listed.phase, composed.phase_origin)
         }
 
-        fn weight(&self) -> (f64, Option<Source>) {
-            let composed = self.0.composed("s-1", |_| Some(listed(Phase::Ready, 0.0, None))).unwrap();
-            (composed.listed.weight, composed.weight_from)
+        fn weight(&self) -> (f64, Option<Origin>) {
+            let composed = self.0.compose("s-1", |_| Some(listed(Phase::Ready, 0.0, None))).unwrap();
+            (composed.listed.weight, composed.weight_origin)
         }
     }
 
+    use Origin::{Discovery, Operator};
     use Phase::*;
-    use Source::{Discovery, Operator};
 
     #[test]
     fn the_later_word_on_the_state_wins_and_a_departure_beats_all_before() {
         let mut town = Town(Composer::default());
         town.tell(Draining, 1.0);
-        town.0.wish(&wants(Wanted::Ready, None));
+        town.0.update_intent(&wants(DesiredState::Ready, None));
         assert_eq!(town.phase(), (Ready, Operator));
         town.tell(Draining, 1.0);
         assert_eq!(town.phase(), (Ready, Operator), "the same word again is no later one");
         town.tell(Ready, 1.0);
         town.tell(Draining, 1.0);
         assert_eq!(town.phase(), (Draining, Discovery), "a departure after it beats it");
-        assert!(town.0.wish(&wants(Wanted::Ready, None)).is_empty());
+        assert!(town.0.update_intent(&wants(DesiredState::Ready, None)).is_empty());
         assert_eq!(town.phase(), (Draining, Discovery), "the same wish again is no later one");
-        town.0.wish(&wants(Wanted::Follow, None));
-        town.0.wish(&wants(Wanted::Ready, None));
+        town.0.update_intent(&wants(DesiredState::Follow, None));
+        town.0.update_intent(&wants(DesiredState::Ready, None));
         assert_eq!(town.phase(), (Ready, Operator));
     }
 
     #[test]
     fn what_discovery_says_is_gone_stays_gone_until_it_lists_it_again() {
         let mut town = Town(Composer::default());
-        town.0.wish(&wants(Wanted::Ready, None));
+        town.0.update_intent(&wants(DesiredState::Ready, None));
         town.tell(Ready, 1.0);
         town.tell(Gone, 1.0);
         assert_eq!(town.phase(), (Gone, Discovery));
-        town.0.wish(&wants(Wanted::Follow, None));
-        town.0.wish(&wants(Wanted::Ready, None));
+        town.0.update_intent(&wants(DesiredState::Follow, None));
+        town.0.update_intent(&wants(DesiredState::Ready, None));
         assert_eq!(town.phase(), (Gone, Discovery), "a later wish does not bring it back");
         town.tell(Draining, 1.0);
         assert_eq!(town.phase(), (Draining, Discovery), "listed again, its word is a new one");
         town.tell(Ready, 1.0);
         assert_eq!(town.phase(), (Ready, Discovery));
-        assert!(town.0.only(&|_| false) == ["s-1"] && town.phase() == (Gone, Discovery));
-        assert!(town.0.only(&|_| false).is_empty(), "told once");
+        assert!(town.0.mark_unlisted_gone(&|_| false) == ["s-1"] && town.phase() == (Gone, Discovery));
+        assert!(town.0.mark_unlisted_gone(&|_| false).is_empty(), "told once");
     }
 
     #[test]
@@ -361,22 +366,22 @@
         let mut town = Town(Composer::default());
         let parts = |part: f64| BTreeMap::from([(ZoneId(0), part)]);
         town.tell(Ready, 2.0);
-        assert!(town.0.lean(parts(0.25)) && !town.0.lean(parts(0.25)));
-        assert_eq!((town.phase(), town.weight()), ((Ready, Discovery), (0.5, Some(Source::Plan))));
-        town.0.lean(parts(0.0));
-        assert_eq!(town.phase(), (Draining, Source::Plan));
+        assert!(town.0.update_plan(parts(0.25)) && !town.0.update_plan(parts(0.25)));
+        assert_eq!((town.phase(), town.weight()), ((Ready, Discovery), (0.5, Some(Origin::Plan))));
+        town.0.update_plan(parts(0.0));
+        assert_eq!(town.phase(), (Draining, Origin::Plan));
         town.tell(Gone, 2.0);
         assert_eq!(town.phase(), (Gone, Discovery), "it brings nobody back");
         town.tell(Ready, 2.0);
-        town.0.wish(&wants(Wanted::Out, None));
+        town.0.update_intent(&wants(DesiredState::Out, None));
         assert_eq!(town.phase(), (Gone, Operator));
-        town.0.wish(&wants(Wanted::Ready, None));
+        town.0.update_intent(&wants(DesiredState::Ready, None));
         assert_eq!(town.phase(), (Ready, Discovery), "whom the operator wants ready stays");
-        town.0.wish(&Intent::default());
+        town.0.update_intent(&Intent::default());
         town.tell(Ready, 0.0);
-        town.0.lean(parts(0.25));
-        assert_eq!(town.weight(), (0.25, Some(Source::Plan)), "nobody gave a weight");
-        town.0.lean(BTreeMap::new());
+        town.0.update_plan(parts(0.25));
+        assert_eq!(town.weight(), (0.25, Some(Origin::Plan)), "nobody gave a weight");
+        town.0.update_plan(BTreeMap::new());
         assert_eq!((town.phase(), town.weight()), ((Ready, Discovery), (0.0, None)));
     }
 
@@ -384,19 +389,19 @@
     fn an_operators_departure_stands_until_the_operator_takes_it_back() {
         let mut town = Town(Composer::default());
         town.tell(Ready, 1.0);
-        for wanted in [wants(Wanted::Draining, None), wants(Wanted::Follow, Some(0.0))] {
-            assert_eq!(town.0.wish(&wanted), ["s-1"]);
+        for wanted in [wants(DesiredState::Draining, None), wants(DesiredState::Follow, Some(0.0))] {
+            assert_eq!(town.0.update_intent(&wanted), ["s-1"]);
             assert_eq!(town.phase(), (Draining, Operator));
             town.tell(Draining, 1.0);
             town.tell(Ready, 1.0);
-            town.0.tell("s-1", listed(Ready, 1.0, Some(5.0)), None);
+            town.0.update_discovery("s-1", listed(Ready, 1.0, Some(5.0)), None);
             assert_eq!(town.phase(), (Draining, Operator), "not even a new start undoes it");
         }
-        town.0.wish(&wants(Wanted::Out, None));
+        town.0.update_intent(&wants(DesiredState::Out, None));
         assert_eq!(town.phase(), (Gone, Operator));
         town.tell(Draining, 1.0);
         assert_eq!(town.phase(), (Gone, Operator));
-        assert_eq!(town.0.wish(&Intent::default()), ["s-1"]);
+        assert_eq!(town.0.update_intent(&Intent::default()), ["s-1"]);
         assert_eq!(town.phase(), (Draining, Discovery), "its silence leaves discovery's word");
     }
 
@@ -404,40 +409,40 @@
     fn the_later_weight_wins_and_silence_erases_nothing() {
         let mut town = Town(Composer::default());
         town.tell(Ready, 2.0);
-        town.0.wish(&wants(Wanted::Follow, Some(0.5)));
+        town.0.update_intent(&wants(DesiredState::Follow, Some(0.5)));
         assert_eq!(town.weight(), (0.5, Some(Operator)));
         town.tell(Draining, 2.0);
         assert_eq!(town.weight(), (0.5, Some(Operator)), "another field's word says nothing of it");
         town.tell(Ready, 3.0);
         assert_eq!(town.weight(), (3.0, Some(Discovery)));
-        town.0.wish(&wants(Wanted::Follow, Some(0.25)));
+        town.0.update_intent(&wants(DesiredState::Follow, Some(0.25)));
         town.tell(Ready, 0.0);
         assert_eq!(town.weight(), (0.25, Some(Operator)), "discovery says none");
-        town.0.wish(&wants(Wanted::Draining, None));
+        town.0.update_intent(&wants(DesiredState::Draining, None));
         assert_eq!(town.weight(), (0.0, None));
     }
 
     #[test]
     fn a_worker_that_only_the_operator_places_is_there_until_discovery_says_gone() {
-        let place = Place { zone: "a".into(), machine: String::new(), cell: None, address: None };
-        let placed = intent(Wish { place: Some(place), ..Wish::default() });
+        let place = Placement { zone: "a".into(), machine: String::new(), cell: None, address: None };
+        let placed = intent(WorkerIntent { placement: Some(place), ..WorkerIntent::default() });
         let mut town = Town(Composer::default());
-        assert!(town.0.composed("s-1", |_| None).is_none());
-        town.0.wish(&placed);
-        assert_eq!((town.phase(), town.0.names().count()), ((Ready, Operator), 1));
+        assert!(town.0.compose("s-1", |_| None).is_none());
+        town.0.update_intent(&placed);
+        assert_eq!((town.phase(), town.0.worker_names().count()), ((Ready, Operator), 1));
         town.tell(Draining, 1.0);
-        assert_eq!((town.phase(), town.0.names().count()), ((Draining, Discovery), 1));
+        assert_eq!((town.phase(), town.0.worker_names().count()), ((Draining, Discovery), 1));
         town.tell(Gone, 1.0);
         town.0.forget("s-1");
         assert_eq!(town.phase(), (Gone, Discovery), "its old place does not bring it back");
-        town.0.wish(&placed);
+        town.0.update_intent(&placed);
         assert_eq!(town.phase(), (Gone, Discovery));
         town.tell(Ready, 1.0);
         assert_eq!(town.phase(), (Ready, Discovery));
-        town.0.wish(&Intent::default());
+        town.0.update_intent(&Intent::default());
         assert!(town.0.forget("s-1"), "discovery still names it");
         town.tell(Gone, 1.0);
         assert!(!town.0.forget("s-1"));
-        assert!(town.0.names().next().is_none(), "nothing is kept of who nobody names");
+        assert!(town.0.worker_names().next().is_none(), "nothing is kept of who nobody names");
     }
 }
--- a/crates/intent/src/edit.rs
+++ b/crates/intent/src/edit.rs
@@ -4,7 +4,7 @@
 
 /// What is done with nodes that say nothing themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum DefaultOp {
+pub enum DefaultOperation {
     #[default]
     Merge,
     Replace,
@@ -14,13 +14,13 @@
 
 /// What a fault in one node means for the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Errors {
+pub enum ErrorOption {
     /// The edit as a whole changes nothing. RFC 6241's `stop-on-error` and `rollback-on-error` are the same here,
     /// since an edit is taken whole or not at all.
     #[default]
-    Refuse,
+    RollbackOnError,
     /// What is sound is done, and every fault is told.
-    Continue,
+    ContinueOnError,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -31,31 +31,31 @@
 
 struct Editor<'a> {
     schema: &'a Schema,
-    errors: Errors,
+    errors: ErrorOption,
     faults: Vec<Fault>,
 }
 
-/// The data after the edit, and all that was wrong with it. With [`Errors::Refuse`], a fault leaves the data as it
+/// The data after the edit, and all that was wrong with it. With [`ErrorOption::RollbackOnError`], a fault leaves the data as it
 /// was.
-pub fn edit(
+pub fn edit_config(
     schema: &Schema,
     data: &Data,
     drafts: &[Draft],
-    default: DefaultOp,
-    errors: Errors,
+    default: DefaultOperation,
+    errors: ErrorOption,
 ) -> (Data, Vec<Fault>) {
     let mut editor = Editor { schema, errors, faults: Vec::new() };
     let doing = match default {
-        DefaultOp::Merge => Doing::Op(Op::Merge),
-        DefaultOp::Replace => Doing::Op(Op::Replace),
-        DefaultOp::None => Doing::None,
+        DefaultOperation::Merge => Doing::Op(Op::Merge),
+        DefaultOperation::Replace => Doing::Op(Op::Replace),
+        DefaultOperation::None => Doing::None,
     };
     // Replacing by default replaces the datastore, not just the nodes that are named (section 7.2).
-    let mut edited = if default == DefaultOp::Replace { Data::default() } else { data.clone() };
-    let doing = if default == DefaultOp::Replace { Doing::Op(Op::Merge) } else { doing };
+    let mut edited = if default == DefaultOperation::Replace { Data::default() } else { data.clone() };
+    let doing = if default == DefaultOperation::Replace { Doing::Op(Op::Merge) } else { doing };
     editor.all(&mut edited, drafts, &Path::default(), doing);
     edited.tidy(schema);
-    if errors == Errors::Refuse && !editor.faults.is_empty() {
+    if errors == ErrorOption::RollbackOnError && !editor.faults.is_empty() {
         return (data.clone(), editor.faults);
     }
     (edited, editor.faults)
@@ -66,7 +66,7 @@
         for draft in drafts {
             if let Err(fault) = self.one(data, draft, at, doing) {
                 self.faults.push(fault);
-                if self.errors == Errors::Refuse {
+                if self.errors == ErrorOption::RollbackOnError {
                     return;
                 }
             }
@@ -199,9 +199,10 @@
     const TWO: &str = "<worker><name>a</name><weight>1</weight></worker>\
                        <worker><name>b</name><wanted>out</wanted></worker>";
 
-    fn edited(body: &str, default: DefaultOp) -> Result<Data, Fault> {
+    fn edited(body: &str, default: DefaultOperation) -> Result<Data, Fault> {
         let before = data(TWO);
-        let (after, mut faults) = edit(&schema(), &before, &drafts(body), default, Errors::Refuse);
+        let (after, mut faults) =
+            edit_config(&schema(), &before, &drafts(body), default, ErrorOption::RollbackOnError);
         if let Some(fault) = faults.pop() {
             assert_eq!((after, faults.len()), (before, 0), "nothing is changed, the first fault is told");
             return Err(fault);
@@ -211,7 +212,7 @@
 
     #[test]
     fn each_operation_does_what_the_protocol_says() {
-        use DefaultOp::*;
+        use DefaultOperation::*;
         let a = |rest: &str| format!("<worker><name>a</name>{rest}</worker>");
         let op = |op: &str, name: &str, rest: &str| {
             format!("<worker n:operation=\"{op}\"><name>{name}</name>{rest}</worker>")
@@ -244,7 +245,7 @@
 
     #[test]
     fn what_cannot_be_done_is_refused_whole() {
-        use DefaultOp::*;
+        use DefaultOperation::*;
         let create = "<worker n:operation=\"create\"><name>a</name></worker>";
         let sound = "<worker><name>a</name><weight>9</weight></worker>";
         for (body, default, rule) in [
@@ -264,7 +265,13 @@
         let body = "<worker n:operation=\"create\"><name>a</name></worker>\
                     <worker><name>a</name><weight>9</weight></worker>\
                     <worker n:operation=\"delete\"><name>c</name></worker>";
-        let (after, faults) = edit(&schema(), &data(TWO), &drafts(body), DefaultOp::Merge, Errors::Continue);
+        let (after, faults) = edit_config(
+            &schema(),
+            &data(TWO),
+            &drafts(body),
+            DefaultOperation::Merge,
+            ErrorOption::ContinueOnError,
+        );
         assert_eq!(
             faults.iter().map(|fault| fault.rule).collect::<Vec<_>>(),
             [Rule::DataExists, Rule::DataMissing]
--- a/crates/intent/src/judge.rs
+++ b/crates/intent/src/judge.rs
@@ -6,7 +6,7 @@
 
 use juniperrail_interface::{Ms, Operation, Phase, Start, WorkerId, ZoneId};
 
-use crate::compose::Composed;
+use crate::compose::ComposedWorker;
 use crate::want::Intent;
 
 /// What of the drain grace may go into telling the proxies; the decisions may use the rest to wait for answers
@@ -18,17 +18,17 @@
 const MOST_WORKERS: usize = 4096;
 
 /// The world a change is judged in.
-pub struct World<'a> {
+pub struct AdmissionContext<'a> {
     pub now: Ms,
     /// As the settings gave the figures: the bounds of what an operator may say.
     pub settings: &'a Start,
     /// The operations' names, in the settings' order.
-    pub operations: &'a [String],
+    pub operation_names: &'a [String],
     pub zone_name: &'a dyn Fn(ZoneId) -> String,
-    pub zone_known: &'a dyn Fn(&str) -> bool,
-    pub joined: usize,
+    pub is_known_zone: &'a dyn Fn(&str) -> bool,
+    pub joined_proxies: usize,
     /// How many joined proxies hold a line of the worker.
-    pub readers: &'a dyn Fn(WorkerId) -> usize,
+    pub proxies_with_line: &'a dyn Fn(WorkerId) -> usize,
 }
 
 /// One reason for which a change is refused.
@@ -43,22 +43,22 @@
     /// A figure that is looser than the settings'.
     Looser {
         figure: String,
-        asked: f64,
+        requested: f64,
         bound: f64,
     },
     /// A grace in which the channel cannot tell all proxies of a departure.
     GraceTooShort {
-        asked: Ms,
-        least: Ms,
+        requested: Ms,
+        min: Ms,
     },
     /// More lines than the channel can carry twice in the time there is.
     TooManyLines {
         lines: f64,
-        most: f64,
+        max_lines: f64,
     },
     /// A proxy may not be sent a second message in time.
     NoSecondMessage {
-        most: f64,
+        max_messages: f64,
     },
     UnknownZone {
         worker: String,
@@ -68,7 +68,7 @@
         operation: String,
     },
     TooManyWorkers {
-        asked: usize,
+        requested: usize,
     },
     BadWeight {
         worker: String,
@@ -93,7 +93,7 @@
     }
 
     /// A short word for programs, RFC 6241's `error-app-tag`.
-    pub fn tag(&self) -> &'static str {
+    pub fn error_app_tag(&self) -> &'static str {
         match self {
             Refusal::NoReadyWorker { .. } => "no-ready-worker",
             Refusal::Looser { .. } => "looser-than-settings",
@@ -116,19 +116,19 @@
                 zone.iter().try_for_each(|zone| write!(f, " for its proxies in zone {zone}"))?;
                 write!(f, " once {} gives way; make another ready first", few(left))
             }
-            Refusal::Looser { figure, asked, bound } => {
-                write!(f, "{figure} {asked} is looser than the settings' {bound}, which proxies are promised")
+            Refusal::Looser { figure, requested, bound } => {
+                write!(f, "{figure} {requested} is looser than the settings' {bound}, which proxies are promised")
             }
-            Refusal::GraceTooShort { asked, least } => write!(
+            Refusal::GraceTooShort { requested, min } => write!(
                 f,
-                "a drain grace of {asked} ms is too short: telling all proxies at the channel's pace takes {least:.0} ms of it"
+                "a drain grace of {requested} ms is too short: telling all proxies at the channel's pace takes {min:.0} ms of it"
             ),
-            Refusal::TooManyLines { lines, most } => write!(
+            Refusal::TooManyLines { lines, max_lines } => write!(
                 f,
-                "the change takes {lines:.0} lines to tell twice and the channel carries {most:.0} in time; split it"
+                "the change takes {lines:.0} lines to tell twice and the channel carries {max_lines:.0} in time; split it"
             ),
-            Refusal::NoSecondMessage { most } => {
-                write!(f, "a proxy may be sent {most} messages in the time counted, too few to tell it twice")
+            Refusal::NoSecondMessage { max_messages } => {
+                write!(f, "a proxy may be sent {max_messages} messages in the time counted, too few to tell it twice")
             }
             Refusal::UnknownZone { worker, zone } => {
                 write!(f, "{worker} cannot be placed in zone {zone}, which the settings don't name")
@@ -136,8 +136,8 @@
             Refusal::UnknownOperation { operation } => {
                 write!(f, "there is no operation {operation}; the settings name them")
             }
-            Refusal::TooManyWorkers { asked } => {
-                write!(f, "{asked} workers are named and at most {MOST_WORKERS} may be")
+            Refusal::TooManyWorkers { requested } => {
+                write!(f, "{requested} workers are named and at most {MOST_WORKERS} may be")
             }
             Refusal::BadWeight { worker, weight } => write!(f, "{worker} cannot have the weight {weight}"),
         }
@@ -155,52 +155,54 @@
 
 /// Why a change may not be made; nothing where it may. `before` and `after` are the workers as composed without
 /// and with it.
-pub fn judge(
-    world: &World<'_>,
-    before: &BTreeMap<String, Composed>,
-    after: &BTreeMap<String, Composed>,
+pub fn check_change(
+    world: &AdmissionContext<'_>,
+    before: &BTreeMap<String, ComposedWorker>,
+    after: &BTreeMap<String, ComposedWorker>,
     intent: &Intent,
 ) -> Vec<Refusal> {
-    let mut refusals = judge_alone(world, intent);
+    let mut refusals = check_against_settings(world, intent);
     refusals.extend(bare(world, before, after, intent));
     refusals.extend(lines(world, before, after, intent));
     refusals
 }
 
 /// Why an intent may not hold in any world of these settings, whoever the workers are.
-pub fn judge_alone(world: &World<'_>, intent: &Intent) -> Vec<Refusal> {
+pub fn check_against_settings(world: &AdmissionContext<'_>, intent: &Intent) -> Vec<Refusal> {
     let mut refusals = worded(world, intent);
     refusals.extend(figures(world, intent));
     refusals
 }
 
 /// What is wrong by itself, in whatever world.
-fn worded(world: &World<'_>, intent: &Intent) -> Vec<Refusal> {
+fn worded(world: &AdmissionContext<'_>, intent: &Intent) -> Vec<Refusal> {
     let mut refusals = Vec::new();
     if intent.workers.len() > MOST_WORKERS {
-        refusals.push(Refusal::TooManyWorkers { asked: intent.workers.len() });
+        refusals.push(Refusal::TooManyWorkers { requested: intent.workers.len() });
     }
     for (worker, wish) in &intent.workers {
         let worker = worker.clone();
         if let Some(weight) = wish.weight.filter(|weight| !weight.is_finite() || *weight < 0.0) {
             refusals.push(Refusal::BadWeight { worker, weight });
-        } else if let Some(place) = wish.place.as_ref().filter(|place| !(world.zone_known)(&place.zone)) {
+        } else if let Some(place) =
+            wish.placement.as_ref().filter(|place| !(world.is_known_zone)(&place.zone))
+        {
             refusals.push(Refusal::UnknownZone { worker, zone: place.zone.clone() });
         }
     }
-    let unknown = intent.operations.keys().filter(|name| !world.operations.contains(name));
+    let unknown = intent.operations.keys().filter(|name| !world.operation_names.contains(name));
     refusals.extend(unknown.map(|operation| Refusal::UnknownOperation { operation: operation.clone() }));
     refusals
 }
 
 /// The settings' figures are what proxies and clients are promised: an operator may be stricter, never looser.
-fn figures(world: &World<'_>, intent: &Intent) -> Vec<Refusal> {
+fn figures(world: &AdmissionContext<'_>, intent: &Intent) -> Vec<Refusal> {
     let settings = world.settings;
     let mut refusals = Vec::new();
     let mut bounded = |figure: &str, asked: Option<f64>, bound: f64, most: bool| {
         let looser = |asked: &f64| if most { *asked > bound } else { *asked < bound };
         if let Some(asked) = asked.filter(looser) {
-            refusals.push(Refusal::Looser { figure: figure.into(), asked, bound });
+            refusals.push(Refusal::Looser { figure: figure.into(), requested: asked, bound });
         }
     };
     bounded("drain-grace", intent.drain_grace, settings.drain_grace, true);
@@ -209,14 +211,14 @@
     bounded("overload-factor", intent.overload_factor, settings.overload_factor, true);
     let least = least_grace(world);
     if let Some(asked) = intent.drain_grace.filter(|asked| *asked < least) {
-        refusals.push(Refusal::GraceTooShort { asked, least });
+        refusals.push(Refusal::GraceTooShort { requested: asked, min: least });
     }
     refusals
 }
 
 /// The time that one departure takes to tell to all proxies, as the channel's pace has it, over what of the
 /// grace may go into that. The settings' own grace is never too short, as nobody can choose another.
-fn least_grace(world: &World<'_>) -> Ms {
+fn least_grace(world: &AdmissionContext<'_>) -> Ms {
     let settings = world.settings;
     if settings.channel_rate <= 0.0 {
         return 0.0;
@@ -227,17 +229,17 @@
     (told / TELLING).min(settings.drain_grace)
 }
 
-fn proxies(world: &World<'_>) -> f64 {
-    (world.settings.proxies / world.settings.managers.max(1.0)).max(world.joined as f64)
+fn proxies(world: &AdmissionContext<'_>) -> f64 {
+    (world.settings.proxies / world.settings.managers.max(1.0)).max(world.joined_proxies as f64)
 }
 
-fn sound(world: &World<'_>, intent: &Intent, composed: &Composed) -> bool {
+fn sound(world: &AdmissionContext<'_>, intent: &Intent, composed: &ComposedWorker) -> bool {
     let warm_up = intent.warm_up.unwrap_or(world.settings.warm_up);
     let warm = composed.listed.booted.is_none_or(|booted| world.now >= booted + warm_up);
     composed.listed.phase == Phase::Ready && warm
 }
 
-fn open(operation: &Operation, zone: Option<ZoneId>, composed: &Composed) -> bool {
+fn open(operation: &Operation, zone: Option<ZoneId>, composed: &ComposedWorker) -> bool {
     operation.zones.as_ref().is_none_or(|zones| zones.contains(&composed.listed.zone))
         && operation.machines.as_ref().is_none_or(|machines| machines.contains(&composed.listed.machine))
         && zone.is_none_or(|zone| zone == composed.listed.zone)
@@ -246,22 +248,22 @@
 /// Guards against an operation that loses its last ready, warm worker. Where it has none already, a change may not
 /// take away one that is on its way to be that.
 fn bare(
-    world: &World<'_>,
-    before: &BTreeMap<String, Composed>,
-    after: &BTreeMap<String, Composed>,
+    world: &AdmissionContext<'_>,
+    before: &BTreeMap<String, ComposedWorker>,
+    after: &BTreeMap<String, ComposedWorker>,
     intent: &Intent,
 ) -> Vec<Refusal> {
     let mut refusals = Vec::new();
-    for (operation, name) in world.settings.operations.iter().zip(world.operations) {
+    for (operation, name) in world.settings.operations.iter().zip(world.operation_names) {
         let zones: Vec<Option<ZoneId>> = match operation.own_zone {
             true => world.settings.zones.iter().copied().map(Some).collect(),
             false => vec![None],
         };
         for zone in zones {
-            let ready = |composed: &Composed| {
+            let ready = |composed: &ComposedWorker| {
                 composed.listed.phase == Phase::Ready && open(operation, zone, composed)
             };
-            let left_ready = |all: &BTreeMap<String, Composed>| {
+            let left_ready = |all: &BTreeMap<String, ComposedWorker>| {
                 all.values().any(|composed| ready(composed) && sound(world, intent, composed))
             };
             let gives_way = |name: &String| !after.get(name).is_some_and(ready);
@@ -281,17 +283,18 @@
 
 /// Guards against a change that fills the channel: drains that come then would not be told in time.
 fn lines(
-    world: &World<'_>,
-    before: &BTreeMap<String, Composed>,
-    after: &BTreeMap<String, Composed>,
+    world: &AdmissionContext<'_>,
+    before: &BTreeMap<String, ComposedWorker>,
+    after: &BTreeMap<String, ComposedWorker>,
     intent: &Intent,
 ) -> Vec<Refusal> {
     let settings = world.settings;
     let (mut lines, mut readers, mut departs) = (0.0, 0.0f64, false);
     for (name, now) in after {
         let was = before.get(name);
-        let phase =
-            |composed: Option<&Composed>| composed.map_or(Phase::Gone, |composed| composed.listed.phase);
+        let phase = |composed: Option<&ComposedWorker>| {
+            composed.map_or(Phase::Gone, |composed| composed.listed.phase)
+        };
         let moved = (phase(was) == Phase::Ready) != (now.listed.phase == Phase::Ready);
         let weighed = was.is_some_and(|was| was.listed.weight != now.listed.weight);
         if !(moved || weighed && now.listed.phase == Phase::Ready) {
@@ -300,7 +303,11 @@
         let departed = moved && now.listed.phase != Phase::Ready;
         departs |= departed;
         // Whoever comes is written to all; who changes, to those that hold it.
-        let to = if moved && !departed { proxies(world) } else { (world.readers)(now.listed.worker) as f64 };
+        let to = if moved && !departed {
+            proxies(world)
+        } else {
+            (world.proxies_with_line)(now.listed.worker) as f64
+        };
         readers = readers.max(to);
         lines += to * if moved { 2.0 } else { 1.0 };
     }
@@ -314,10 +321,10 @@
         if departs { (grace - settings.transit_worst).max(0.0) } else { settings.messages_over.max(grace) };
     let most = settings.channel_rate * within / 1000.0;
     if lines > most {
-        refusals.push(Refusal::TooManyLines { lines, most });
+        refusals.push(Refusal::TooManyLines { lines, max_lines: most });
     }
     if settings.messages_most < TOLD {
-        refusals.push(Refusal::NoSecondMessage { most: settings.messages_most });
+        refusals.push(Refusal::NoSecondMessage { max_messages: settings.messages_most });
     }
     refusals
 }
@@ -326,7 +333,7 @@
 mod tests {
     use super::*;
     use crate::compose::Composer;
-    use crate::want::{Place, Wanted, Wish};
+    use crate::want::{DesiredState, Placement, WorkerIntent};
     use juniperrail_interface::{CellId, Listed, MachineId};
 
     const NOW: Ms = 1_000_000.0;
@@ -374,64 +381,66 @@
             let zone = ZoneId((worker % 2) as u16);
             let (machine, cell) = (MachineId(0), CellId(0));
             let listed = Listed { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 };
-            self.composer.tell(&format!("s-{worker}"), listed, None);
+            self.composer.update_discovery(&format!("s-{worker}"), listed, None);
         }
 
-        fn all(&self, composer: &Composer) -> BTreeMap<String, Composed> {
-            let placed = |wish: &Wish| {
-                let zone = ZoneId(u16::from(wish.place.as_ref()?.zone == "b"));
+        fn all(&self, composer: &Composer) -> BTreeMap<String, ComposedWorker> {
+            let placed = |wish: &WorkerIntent| {
+                let zone = ZoneId(u16::from(wish.placement.as_ref()?.zone == "b"));
                 let (worker, machine, cell) = (WorkerId(9), MachineId(0), CellId(0));
                 Some(Listed { worker, phase: Phase::Ready, booted: None, zone, machine, cell, weight: 0.0 })
             };
-            let names = composer.names().map(str::to_string);
-            names.filter_map(|name| Some((name.clone(), composer.composed(&name, placed)?))).collect()
+            let names = composer.worker_names().map(str::to_string);
+            names.filter_map(|name| Some((name.clone(), composer.compose(&name, placed)?))).collect()
         }
 
         fn judged(&self, intent: &Intent) -> Vec<Refusal> {
             let mut composer = self.composer.clone();
-            composer.wish(intent);
-            let world = World {
+            composer.update_intent(intent);
+            let world = AdmissionContext {
                 now: NOW,
                 settings: &self.settings,
-                operations: &["lookup".to_string(), "order".to_string()],
+                operation_names: &["lookup".to_string(), "order".to_string()],
                 zone_name: &|zone| ["a", "b"][usize::from(zone.0)].to_string(),
-                zone_known: &|zone| ["a", "b"].contains(&zone),
-                joined: 75,
-                readers: &|_| 75,
+                is_known_zone: &|zone| ["a", "b"].contains(&zone),
+                joined_proxies: 75,
+                proxies_with_line: &|_| 75,
             };
-            judge(&world, &self.all(&self.composer), &self.all(&composer), intent)
+            check_change(&world, &self.all(&self.composer), &self.all(&composer), intent)
         }
 
         /// Commits it if it may be.
         fn commit(&mut self, intent: Intent) -> Vec<Refusal> {
             let refusals = self.judged(&intent);
             if refusals.is_empty() {
-                self.composer.wish(&intent);
+                self.composer.update_intent(&intent);
                 self.running = intent;
             }
             refusals
         }
 
-        fn wish(&self, worker: &str, wish: Wish) -> Intent {
+        fn wish(&self, worker: &str, wish: WorkerIntent) -> Intent {
             let mut intent = self.running.clone();
             intent.workers.insert(worker.into(), wish);
             intent
         }
     }
 
-    fn wanted(wanted: Wanted) -> Wish {
-        Wish { wanted, ..Wish::default() }
+    fn wanted(wanted: DesiredState) -> WorkerIntent {
+        WorkerIntent { desired_state: wanted, ..WorkerIntent::default() }
     }
 
     fn tags(refusals: &[Refusal]) -> Vec<&'static str> {
-        refusals.iter().map(Refusal::tag).collect()
+        refusals.iter().map(Refusal::error_app_tag).collect()
     }
 
     #[test]
     fn no_operation_may_lose_its_last_ready_worker_however_that_is_asked_for() {
-        for wish in
-            [wanted(Wanted::Draining), wanted(Wanted::Out), Wish { weight: Some(0.0), ..Wish::default() }]
-        {
+        for wish in [
+            wanted(DesiredState::Draining),
+            wanted(DesiredState::Out),
+            WorkerIntent { weight: Some(0.0), ..WorkerIntent::default() },
+        ] {
             let mut town = Town::new();
             assert!(town.commit(town.wish("s-1", wish.clone())).is_empty(), "fine alone");
             let refusals = town.commit(town.wish("s-3", wish.clone()));
@@ -442,24 +451,25 @@
             assert!(town.commit(town.wish("s-2", wish)).is_empty(), "lookup has others");
         }
         let town = Town::new();
-        let mut both = town.wish("s-1", wanted(Wanted::Out));
-        both.workers.insert("s-3".into(), wanted(Wanted::Draining));
+        let mut both = town.wish("s-1", wanted(DesiredState::Out));
+        both.workers.insert("s-3".into(), wanted(DesiredState::Draining));
         let refusals = town.judged(&both);
         assert!(refusals[0].to_string().contains("once s-1 and s-3 gives way"), "{}", refusals[0]);
-        both.workers.insert("s-9".into(), Wish { place: Some(place("b")), ..Wish::default() });
+        both.workers
+            .insert("s-9".into(), WorkerIntent { placement: Some(place("b")), ..WorkerIntent::default() });
         assert!(town.judged(&both).is_empty(), "a replacement comes with the same change");
     }
 
-    fn place(zone: &str) -> Place {
-        Place { zone: zone.into(), machine: String::new(), cell: None, address: None }
+    fn place(zone: &str) -> Placement {
+        Placement { zone: zone.into(), machine: String::new(), cell: None, address: None }
     }
 
     #[test]
     fn an_operation_of_each_zone_needs_a_worker_in_each() {
         let mut town = Town::new();
         town.settings.operations = vec![operation(None, true), operation(None, false)];
-        assert!(town.commit(town.wish("s-0", wanted(Wanted::Draining))).is_empty());
-        let refusals = town.commit(town.wish("s-2", wanted(Wanted::Draining)));
+        assert!(town.commit(town.wish("s-0", wanted(DesiredState::Draining))).is_empty());
+        let refusals = town.commit(town.wish("s-2", wanted(DesiredState::Draining)));
         assert!(refusals[0]
             .to_string()
             .starts_with("lookup would have no ready, warm worker for its proxies in zone a"));
@@ -469,16 +479,19 @@
     fn who_is_cold_or_drained_by_discovery_replaces_nobody() {
         let mut town = Town::new();
         town.tell(3, Phase::Ready, Some(NOW - 10_000.0));
-        assert_eq!(tags(&town.judged(&town.wish("s-1", wanted(Wanted::Draining)))), ["no-ready-worker"]);
+        assert_eq!(
+            tags(&town.judged(&town.wish("s-1", wanted(DesiredState::Draining)))),
+            ["no-ready-worker"]
+        );
         town.tell(3, Phase::Ready, Some(NOW - 20_000.0));
-        assert!(town.judged(&town.wish("s-1", wanted(Wanted::Draining))).is_empty(), "warm by now");
+        assert!(town.judged(&town.wish("s-1", wanted(DesiredState::Draining))).is_empty(), "warm by now");
         town.tell(3, Phase::Draining, None);
-        let refusals = town.judged(&town.wish("s-1", wanted(Wanted::Draining)));
+        let refusals = town.judged(&town.wish("s-1", wanted(DesiredState::Draining)));
         assert_eq!(tags(&refusals), ["no-ready-worker"]);
         // With nobody left, what asks for nothing less is still taken.
         town.tell(1, Phase::Gone, None);
-        assert!(town.judged(&town.wish("s-0", wanted(Wanted::Draining))).is_empty());
-        assert!(town.judged(&town.wish("s-3", wanted(Wanted::Ready))).is_empty());
+        assert!(town.judged(&town.wish("s-0", wanted(DesiredState::Draining))).is_empty());
+        assert!(town.judged(&town.wish("s-3", wanted(DesiredState::Ready))).is_empty());
     }
 
     #[test]
@@ -525,14 +538,14 @@
         let mut town = Town::new();
         (4..90).for_each(|worker| town.tell(worker, Phase::Ready, None));
         let drains = |count: u32| {
-            let names = (4..4 + count).map(|worker| (format!("s-{worker}"), wanted(Wanted::Draining)));
+            let names = (4..4 + count).map(|worker| (format!("s-{worker}"), wanted(DesiredState::Draining)));
             Intent { workers: names.collect(), ..Intent::default() }
         };
         // Twice 75 proxies, two lines a worker and five for the head, in 2.5 s of 5,000 lines.
         assert!(town.judged(&drains(39)).is_empty());
         assert_eq!(tags(&town.judged(&drains(40))), ["too-many-lines"]);
         let weights = |count: u32| {
-            let wish = Wish { weight: Some(2.0), ..Wish::default() };
+            let wish = WorkerIntent { weight: Some(2.0), ..WorkerIntent::default() };
             let names = (4..4 + count).map(|worker| (format!("s-{worker}"), wish.clone()));
             Intent { workers: names.collect(), ..Intent::default() }
         };
@@ -544,16 +557,22 @@
     #[test]
     fn what_names_nothing_or_is_no_weight_is_refused_by_itself() {
         let town = Town::new();
-        let mut intent = town.wish("s-9", Wish { place: Some(place("nowhere")), ..Wish::default() });
+        let mut intent =
+            town.wish("s-9", WorkerIntent { placement: Some(place("nowhere")), ..WorkerIntent::default() });
         intent.operations.insert("shout".into(), (None, None));
         for (name, weight) in [("s-0", f64::NAN), ("s-1", -1.0), ("s-2", f64::INFINITY)] {
-            intent.workers.insert(name.into(), Wish { weight: Some(weight), ..Wish::default() });
+            intent
+                .workers
+                .insert(name.into(), WorkerIntent { weight: Some(weight), ..WorkerIntent::default() });
         }
         let refusals = town.judged(&intent);
         let tags = tags(&refusals);
         assert_eq!(tags.iter().filter(|tag| **tag == "bad-weight").count(), 3);
         assert!(tags.contains(&"unknown-zone") && tags.contains(&"unknown-operation"));
-        let many = (0..=MOST_WORKERS).map(|n| (format!("x-{n}"), Wish::default())).collect();
-        assert_eq!(town.judged(&Intent { workers: many, ..Intent::default() })[0].tag(), "too-many-workers");
+        let many = (0..=MOST_WORKERS).map(|n| (format!("x-{n}"), WorkerIntent::default())).collect();
+        assert_eq!(
+            town.judged(&Intent { workers: many, ..Intent::default() })[0].error_app_tag(),
+            "too-many-workers"
+        );
     }
 }
--- a/crates/intent/src/lib.rs
+++ b/crates/intent/src/lib.rs
@@ -1,7 +1,7 @@
 //! What operators want, and what becomes of it. All of it is decided here without I/O and without a clock: the
 //! datastores with their locks, versions and confirmed commits ([`Datastores`]), how the words of discovery and
 //! of the operator compose ([`Composer`]), what a commit is refused for ([`judge`]), who may read and write
-//! what ([`Access`]), and how far a change has come ([`Progress`]).
+//! what ([`AccessControl`]), and how far a change has come ([`ChangeTracker`]).
 
 mod access;
 mod compose;
@@ -11,10 +11,10 @@
 mod stores;
 mod want;
 
-pub use access::{Access, Doing, NameFrom, Role};
-pub use compose::{Composed, Composer, Source};
-pub use edit::{edit, DefaultOp, Errors};
-pub use judge::{judge, judge_alone, Refusal, World};
-pub use progress::{Change, Progress, Stage};
-pub use stores::{Commit, Concluded, Datastores, Proposal, Refused, Session, Store, Version};
-pub use want::{Intent, Place, Wanted, Wish};
+pub use access::{AccessControl, AccessOperation, CertToName, Role};
+pub use compose::{ComposedWorker, Composer, Origin};
+pub use edit::{edit_config, DefaultOperation, ErrorOption};
+pub use judge::{check_against_settings, check_change, AdmissionContext, Refusal};
+pub use progress::{Change, ChangeTracker, Stage};
+pub use stores::{Commit, CommitOutcome, Datastore, DatastoreError, Datastores, Proposal, Session, Version};
+pub use want::{DesiredState, Intent, Placement, WorkerIntent};
--- a/crates/intent/src/stores.rs
+++ b/crates/intent/src/stores.rs
@@ -9,8 +9,8 @@
 use juniperrail_interface::Ms;
 use juniperrail_model::{Data, Draft, Fault, Schema, View};
 
-use crate::access::Access;
-use crate::edit::{edit, DefaultOp, Errors};
+use crate::access::AccessControl;
+use crate::edit::{edit_config, DefaultOperation, ErrorOption};
 use crate::judge::Refusal;
 use crate::want::Intent;
 
@@ -27,7 +27,7 @@
 pub struct Session(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Store {
+pub enum Datastore {
     Running,
     Candidate,
     Startup,
@@ -35,11 +35,11 @@
 
 /// Why something is not done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Refused {
+pub enum DatastoreError {
     /// It does not fit the model.
     Faults(Vec<Fault>),
     /// The world does not bear it.
-    Judged(Vec<Refusal>),
+    NotAdmitted(Vec<Refusal>),
     /// Another session holds the lock.
     LockDenied(Session),
     InUse(Session),
@@ -47,16 +47,16 @@
     CandidateChanged,
     NotLocked,
     /// Another session's confirmed commit waits for its confirmation.
-    Unconfirmed(Session),
-    NothingUnconfirmed,
+    ConfirmedCommitPending(Session),
+    NoConfirmedCommitPending,
     WrongPersistId,
-    NoVersion(u64),
+    UnknownVersion(u64),
     /// The user may not touch this place.
-    Denied(String),
+    AccessDenied(String),
     Unsupported(&'static str),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for DatastoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let each = |f: &mut fmt::Formatter<'_>, all: &[&dyn fmt::Display]| {
             all.iter().enumerate().try_for_each(|(place, one)| {
@@ -67,28 +67,28 @@
             })
         };
         match self {
-            Refused::Faults(faults) => {
+            DatastoreError::Faults(faults) => {
                 each(f, &faults.iter().map(|one| one as &dyn fmt::Display).collect::<Vec<_>>())
             }
-            Refused::Judged(why) => {
+            DatastoreError::NotAdmitted(why) => {
                 each(f, &why.iter().map(|one| one as &dyn fmt::Display).collect::<Vec<_>>())
             }
-            Refused::LockDenied(by) => write!(f, "session {} holds the lock", by.0),
-            Refused::InUse(by) => write!(f, "session {} has it locked", by.0),
-            Refused::CandidateChanged => {
+            DatastoreError::LockDenied(by) => write!(f, "session {} holds the lock", by.0),
+            DatastoreError::InUse(by) => write!(f, "session {} has it locked", by.0),
+            DatastoreError::CandidateChanged => {
                 f.write_str("the candidate holds changes: commit or discard them first")
             }
-            Refused::NotLocked => f.write_str("this session does not hold that lock"),
-            Refused::Unconfirmed(by) => {
+            DatastoreError::NotLocked => f.write_str("this session does not hold that lock"),
+            DatastoreError::ConfirmedCommitPending(by) => {
                 write!(f, "a confirmed commit of session {} waits for its confirmation", by.0)
             }
-            Refused::NothingUnconfirmed => f.write_str("no confirmed commit waits"),
-            Refused::WrongPersistId => {
+            DatastoreError::NoConfirmedCommitPending => f.write_str("no confirmed commit waits"),
+            DatastoreError::WrongPersistId => {
                 f.write_str("the persist-id is not that of the confirmed commit that waits")
             }
-            Refused::NoVersion(number) => write!(f, "version {number} is not known, or no more"),
-            Refused::Denied(path) => write!(f, "this user may not touch {path}"),
-            Refused::Unsupported(what) => f.write_str(what),
+            DatastoreError::UnknownVersion(number) => write!(f, "version {number} is not known, or no more"),
+            DatastoreError::AccessDenied(path) => write!(f, "this user may not touch {path}"),
+            DatastoreError::Unsupported(what) => f.write_str(what),
         }
     }
 }
@@ -98,7 +98,7 @@
 pub struct Commit {
     /// It is undone unless it is confirmed in time.
     pub confirmed: bool,
-    pub within: Option<Ms>,
+    pub confirm_timeout: Option<Ms>,
     /// The name under which any session may confirm or cancel it.
     pub persist: Option<String>,
     /// The name of the confirmed commit that this one confirms or carries on.
@@ -117,7 +117,7 @@
 pub struct Proposal {
     kind: Kind,
     session: Session,
-    pub by: String,
+    pub author: String,
     /// The version that running would have.
     pub number: u64,
     pub data: Data,
@@ -126,17 +126,17 @@
 
 /// What a proposal became.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Concluded {
+pub struct CommitOutcome {
     pub number: u64,
     /// Its confirmation is waited for until then.
-    pub unconfirmed_until: Option<Ms>,
+    pub confirm_deadline: Option<Ms>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Version {
     pub number: u64,
     pub at: Ms,
-    pub by: String,
+    pub author: String,
     pub data: Data,
 }
 
@@ -158,16 +158,16 @@
     /// `None` while it is as running.
     candidate: Option<Data>,
     startup: Data,
-    locks: BTreeMap<Store, Session>,
+    locks: BTreeMap<Datastore, Session>,
     unconfirmed: Option<Unconfirmed>,
     versions: VecDeque<Version>,
 }
 
 impl Datastores {
     /// Running starts as startup is.
-    pub fn new(schema: Arc<Schema>, now: Ms, startup: Data) -> Result<Datastores, Refused> {
+    pub fn new(schema: Arc<Schema>, now: Ms, startup: Data) -> Result<Datastores, DatastoreError> {
         check(&schema, &startup)?;
-        let first = Version { number: 1, at: now, by: "startup".into(), data: startup.clone() };
+        let first = Version { number: 1, at: now, author: "startup".into(), data: startup.clone() };
         Ok(Datastores {
             schema,
             running: startup.clone(),
@@ -179,11 +179,11 @@
         })
     }
 
-    pub fn get(&self, store: Store) -> &Data {
+    pub fn get(&self, store: Datastore) -> &Data {
         match store {
-            Store::Running => &self.running,
-            Store::Candidate => self.candidate.as_ref().unwrap_or(&self.running),
-            Store::Startup => &self.startup,
+            Datastore::Running => &self.running,
+            Datastore::Candidate => self.candidate.as_ref().unwrap_or(&self.running),
+            Datastore::Startup => &self.startup,
         }
     }
 
@@ -195,132 +195,144 @@
         self.versions.back().map_or(0, |version| version.number)
     }
 
-    pub fn holder(&self, store: Store) -> Option<Session> {
+    pub fn lock_holder(&self, store: Datastore) -> Option<Session> {
         self.locks.get(&store).copied()
     }
 
     /// Until when a confirmed commit waits, and why its roll-back is not made if that is overdue.
-    pub fn waits(&self) -> Option<(Ms, Option<&str>)> {
+    pub fn pending_confirmation(&self) -> Option<(Ms, Option<&str>)> {
         self.unconfirmed.as_ref().map(|waits| (waits.until, waits.overdue.as_deref()))
     }
 
-    fn free(&self, store: Store, session: Session) -> Result<(), Refused> {
-        match self.holder(store) {
-            Some(holder) if holder != session => Err(Refused::InUse(holder)),
+    fn free(&self, store: Datastore, session: Session) -> Result<(), DatastoreError> {
+        match self.lock_holder(store) {
+            Some(holder) if holder != session => Err(DatastoreError::InUse(holder)),
             _ => Ok(()),
         }
     }
 
     /// Section 7.5. A lock is not given on a changed candidate, nor on running while another session's confirmed
     /// commit waits.
-    pub fn lock(&mut self, store: Store, session: Session) -> Result<(), Refused> {
-        if let Some(holder) = self.holder(store) {
-            return Err(Refused::LockDenied(holder));
+    pub fn lock(&mut self, store: Datastore, session: Session) -> Result<(), DatastoreError> {
+        if let Some(holder) = self.lock_holder(store) {
+            return Err(DatastoreError::LockDenied(holder));
         }
         let changed = self.candidate.as_ref().is_some_and(|candidate| *candidate != self.running);
-        if store == Store::Candidate && changed {
-            return Err(Refused::CandidateChanged);
+        if store == Datastore::Candidate && changed {
+            return Err(DatastoreError::CandidateChanged);
         }
         if let Some(waits) =
-            self.unconfirmed.as_ref().filter(|w| store == Store::Running && w.session != session)
+            self.unconfirmed.as_ref().filter(|w| store == Datastore::Running && w.session != session)
         {
-            return Err(Refused::LockDenied(waits.session));
+            return Err(DatastoreError::LockDenied(waits.session));
         }
         self.locks.insert(store, session);
         Ok(())
     }
 
     /// Section 7.6. With its lock, the candidate's changes go as well (8.3.5.2).
-    pub fn unlock(&mut self, store: Store, session: Session) -> Result<(), Refused> {
-        if self.holder(store) != Some(session) {
-            return Err(Refused::NotLocked);
+    pub fn unlock(&mut self, store: Datastore, session: Session) -> Result<(), DatastoreError> {
+        if self.lock_holder(store) != Some(session) {
+            return Err(DatastoreError::NotLocked);
         }
         self.locks.remove(&store);
-        if store == Store::Candidate {
+        if store == Datastore::Candidate {
             self.candidate = None;
         }
         Ok(())
     }
 
     /// What the candidate would be after an edit; nothing is changed yet.
-    pub fn edited(
+    pub fn edit_candidate(
         &self,
         session: Session,
         drafts: &[Draft],
-        default: DefaultOp,
-        errors: Errors,
-    ) -> Result<(Data, Vec<Fault>), Refused> {
-        self.free(Store::Candidate, session)?;
-        let (edited, faults) = edit(&self.schema, self.get(Store::Candidate), drafts, default, errors);
+        default: DefaultOperation,
+        errors: ErrorOption,
+    ) -> Result<(Data, Vec<Fault>), DatastoreError> {
+        self.free(Datastore::Candidate, session)?;
+        let (edited, faults) =
+            edit_config(&self.schema, self.get(Datastore::Candidate), drafts, default, errors);
         match errors {
-            Errors::Refuse if !faults.is_empty() => Err(Refused::Faults(faults)),
+            ErrorOption::RollbackOnError if !faults.is_empty() => Err(DatastoreError::Faults(faults)),
             _ => Ok((edited, faults)),
         }
     }
 
     /// Puts whole data into the candidate or startup.
-    pub fn put(&mut self, session: Session, store: Store, data: Data) -> Result<(), Refused> {
+    pub fn put(&mut self, session: Session, store: Datastore, data: Data) -> Result<(), DatastoreError> {
         self.free(store, session)?;
         match store {
-            Store::Candidate => self.candidate = Some(data),
-            Store::Startup => {
+            Datastore::Candidate => self.candidate = Some(data),
+            Datastore::Startup => {
                 check(&self.schema, &data)?;
                 self.startup = data;
             }
-            Store::Running => return Err(Refused::Unsupported("running changes by commits alone")),
+            Datastore::Running => {
+                return Err(DatastoreError::Unsupported("running changes by commits alone"))
+            }
         }
         Ok(())
     }
 
-    pub fn discard(&mut self, session: Session) -> Result<(), Refused> {
-        self.free(Store::Candidate, session)?;
+    pub fn discard(&mut self, session: Session) -> Result<(), DatastoreError> {
+        self.free(Datastore::Candidate, session)?;
         self.candidate = None;
         Ok(())
     }
 
-    pub fn validate(&self, data: &Data) -> Result<(), Refused> {
+    pub fn validate(&self, data: &Data) -> Result<(), DatastoreError> {
         check(&self.schema, data)
     }
 
     /// The data of an older version, to be put into the candidate.
-    pub fn at_version(&self, number: u64) -> Result<&Data, Refused> {
+    pub fn version_data(&self, number: u64) -> Result<&Data, DatastoreError> {
         let found = self.versions.iter().find(|version| version.number == number);
-        found.map(|version| &version.data).ok_or(Refused::NoVersion(number))
+        found.map(|version| &version.data).ok_or(DatastoreError::UnknownVersion(number))
     }
 
     /// What the candidate would make of running, as far as that can be said without the world.
-    pub fn propose(&self, session: Session, by: &str, commit: Commit) -> Result<Proposal, Refused> {
-        self.free(Store::Running, session)?;
-        self.free(Store::Candidate, session)?;
+    pub fn propose_commit(
+        &self,
+        session: Session,
+        by: &str,
+        commit: Commit,
+    ) -> Result<Proposal, DatastoreError> {
+        self.free(Datastore::Running, session)?;
+        self.free(Datastore::Candidate, session)?;
         match (&self.unconfirmed, &commit.persist_id) {
-            (None, Some(_)) => return Err(Refused::NothingUnconfirmed),
+            (None, Some(_)) => return Err(DatastoreError::NoConfirmedCommitPending),
             (Some(waits), told) => waits.answers(session, told.as_deref())?,
             (None, None) => {}
         }
-        let data = self.get(Store::Candidate).clone();
+        let data = self.get(Datastore::Candidate).clone();
         check(&self.schema, &data)?;
         Ok(self.proposal(Kind::Commit(commit), session, by, data))
     }
 
     fn proposal(&self, kind: Kind, session: Session, by: &str, data: Data) -> Proposal {
-        let intent = Intent::read(&self.schema, &data);
-        Proposal { kind, session, by: by.to_string(), number: self.version() + 1, data, intent }
+        let intent = Intent::from_data(&self.schema, &data);
+        Proposal { kind, session, author: by.to_string(), number: self.version() + 1, data, intent }
     }
 
     /// Takes back a confirmed commit that waits, section 8.4.4.1.
-    pub fn cancel(&self, session: Session, persist_id: Option<&str>) -> Result<Proposal, Refused> {
-        let waits = self.unconfirmed.as_ref().ok_or(Refused::NothingUnconfirmed)?;
+    pub fn propose_cancel(
+        &self,
+        session: Session,
+        persist_id: Option<&str>,
+    ) -> Result<Proposal, DatastoreError> {
+        let waits = self.unconfirmed.as_ref().ok_or(DatastoreError::NoConfirmedCommitPending)?;
         waits.answers(session, persist_id)?;
         Ok(self.proposal(Kind::RollBack, session, &waits.by, waits.before.clone()))
     }
 
     /// Makes a proposal running, now that it was judged and taken over.
-    pub fn conclude(&mut self, now: Ms, proposal: Proposal) -> Concluded {
-        let Proposal { kind, session, by, number, data, .. } = proposal;
+    pub fn apply(&mut self, now: Ms, proposal: Proposal) -> CommitOutcome {
+        let Proposal { kind, session, author: by, number, data, .. } = proposal;
         let before = std::mem::replace(&mut self.running, data.clone());
         let known = self.unconfirmed.take();
-        if let Kind::Commit(Commit { confirmed: true, within, persist, .. }) = &kind {
-            let within = within.unwrap_or(CONFIRM_WITHIN).clamp(1.0, LONGEST_CONFIRM);
+        if let Kind::Commit(Commit { confirmed: true, confirm_timeout, persist, .. }) = &kind {
+            let within = confirm_timeout.unwrap_or(CONFIRM_WITHIN).clamp(1.0, LONGEST_CONFIRM);
             // A confirmed commit that carries another on is undone together with it.
             let (before, named) = match known {
                 Some(known) => (known.before, known.persist),
@@ -337,24 +349,24 @@
             self.versions.pop_front();
         }
         let by = if kind == Kind::RollBack { format!("roll-back of {by}") } else { by };
-        self.versions.push_back(Version { number, at: now, by, data });
-        Concluded { number, unconfirmed_until: self.unconfirmed.as_ref().map(|waits| waits.until) }
+        self.versions.push_back(Version { number, at: now, author: by, data });
+        CommitOutcome { number, confirm_deadline: self.unconfirmed.as_ref().map(|waits| waits.until) }
     }
 
-    /// When [`Datastores::due`] has to be asked next.
-    pub fn next_due(&self) -> Option<Ms> {
+    /// When [`Datastores::due_rollback`] has to be asked next.
+    pub fn next_deadline(&self) -> Option<Ms> {
         self.unconfirmed.as_ref().map(|waits| waits.until)
     }
 
     /// The roll-back that is due, whoever holds locks: nobody confirmed in time.
-    pub fn due(&self, now: Ms) -> Option<Proposal> {
+    pub fn due_rollback(&self, now: Ms) -> Option<Proposal> {
         let waits = self.unconfirmed.as_ref().filter(|waits| now >= waits.until)?;
         Some(self.proposal(Kind::RollBack, waits.session, &waits.by, waits.before.clone()))
     }
 
     /// The world does not bear the roll-back that is due, as it would leave an operation bare by now: it is tried
     /// again until it does, or until the commit is confirmed after all.
-    pub fn postpone(&mut self, now: Ms, why: String) {
+    pub fn postpone_rollback(&mut self, now: Ms, why: String) {
         if let Some(waits) = &mut self.unconfirmed {
             (waits.until, waits.overdue) = (now + AGAIN, Some(why));
         }
@@ -362,8 +374,8 @@
 
     /// A session is over: its locks go, with the changes of a candidate that it had locked, and its confirmed
     /// commit without a name falls due at once (section 8.4.1).
-    pub fn ended(&mut self, now: Ms, session: Session) {
-        if self.holder(Store::Candidate) == Some(session) {
+    pub fn end_session(&mut self, now: Ms, session: Session) {
+        if self.lock_holder(Datastore::Candidate) == Some(session) {
             self.candidate = None;
         }
         self.locks.retain(|_, holder| *holder != session);
@@ -376,26 +388,26 @@
 
 impl Unconfirmed {
     /// Whether this session, or whoever names it, may confirm, carry on or cancel.
-    fn answers(&self, session: Session, persist_id: Option<&str>) -> Result<(), Refused> {
+    fn answers(&self, session: Session, persist_id: Option<&str>) -> Result<(), DatastoreError> {
         match (&self.persist, persist_id) {
             (Some(name), Some(told)) if name == told => Ok(()),
             (Some(_), None) | (None, None) if self.session != session => {
-                Err(Refused::Unconfirmed(self.session))
+                Err(DatastoreError::ConfirmedCommitPending(self.session))
             }
             (None, None) => Ok(()),
-            _ => Err(Refused::WrongPersistId),
+            _ => Err(DatastoreError::WrongPersistId),
         }
     }
 }
 
 /// What the model's types cannot say by themselves.
-fn check(schema: &Schema, data: &Data) -> Result<(), Refused> {
+fn check(schema: &Schema, data: &Data) -> Result<(), DatastoreError> {
     use juniperrail_model::Rule;
     let refused = |path: &str, name: &str, what: String| {
-        Err(Refused::Faults(vec![Fault::new(Rule::BadValue, path, name, what)]))
+        Err(DatastoreError::Faults(vec![Fault::new(Rule::BadValue, path, name, what)]))
     };
-    data.complete(schema).map_err(|fault| Refused::Faults(vec![fault]))?;
-    let access = match Access::read(schema, data) {
+    data.complete(schema).map_err(|fault| DatastoreError::Faults(vec![fault]))?;
+    let access = match AccessControl::from_data(schema, data) {
         Ok(access) => access,
         Err(why) => return refused("/jrm:northbound/rule", "path", why),
     };
@@ -436,25 +448,35 @@
     }
 
     impl Datastores {
-        fn set(&mut self, session: Session, weight: u32) -> Result<(), Refused> {
-            let (data, _) = self.edited(session, &drafts(weight), DefaultOp::Merge, Errors::Refuse)?;
-            self.put(session, Store::Candidate, data)
+        fn set(&mut self, session: Session, weight: u32) -> Result<(), DatastoreError> {
+            let (data, _) = self.edit_candidate(
+                session,
+                &drafts(weight),
+                DefaultOperation::Merge,
+                ErrorOption::RollbackOnError,
+            )?;
+            self.put(session, Datastore::Candidate, data)
         }
 
-        fn take(&mut self, now: Ms, session: Session, commit: Commit) -> Result<Concluded, Refused> {
-            let proposal = self.propose(session, "ann", commit)?;
-            Ok(self.conclude(now, proposal))
+        fn take(
+            &mut self,
+            now: Ms,
+            session: Session,
+            commit: Commit,
+        ) -> Result<CommitOutcome, DatastoreError> {
+            let proposal = self.propose_commit(session, "ann", commit)?;
+            Ok(self.apply(now, proposal))
         }
 
-        fn weight(&self, store: Store) -> Option<f64> {
-            Intent::read(&self.schema, self.get(store)).workers.get("s-1").and_then(|wish| wish.weight)
+        fn weight(&self, store: Datastore) -> Option<f64> {
+            Intent::from_data(&self.schema, self.get(store)).workers.get("s-1").and_then(|wish| wish.weight)
         }
     }
 
     fn confirmed(persist: Option<&str>) -> Commit {
         Commit {
             confirmed: true,
-            within: Some(1000.0),
+            confirm_timeout: Some(1000.0),
             persist: persist.map(str::to_string),
             persist_id: None,
         }
@@ -468,20 +490,26 @@
     fn a_commit_makes_the_candidate_running_and_a_refused_one_changes_nothing() {
         let mut stores = stores();
         stores.set(ANN, 2).unwrap();
-        assert_eq!((stores.weight(Store::Candidate), stores.weight(Store::Running)), (Some(2.0), None));
-        let dropped = stores.propose(ANN, "ann", Commit::default()).unwrap();
+        assert_eq!(
+            (stores.weight(Datastore::Candidate), stores.weight(Datastore::Running)),
+            (Some(2.0), None)
+        );
+        let dropped = stores.propose_commit(ANN, "ann", Commit::default()).unwrap();
         drop(dropped);
-        assert_eq!((stores.weight(Store::Candidate), stores.version()), (Some(2.0), 1));
+        assert_eq!((stores.weight(Datastore::Candidate), stores.version()), (Some(2.0), 1));
         assert_eq!(stores.take(5.0, ANN, Commit::default()).unwrap().number, 2);
         stores.set(ANN, 3).unwrap();
         stores.discard(ANN).unwrap();
-        assert_eq!(stores.weight(Store::Candidate), Some(2.0));
-        assert!(matches!(stores.put(ANN, Store::Running, Data::default()), Err(Refused::Unsupported(_))));
-        let first = stores.at_version(1).unwrap().clone();
-        stores.put(ANN, Store::Candidate, first).unwrap();
+        assert_eq!(stores.weight(Datastore::Candidate), Some(2.0));
+        assert!(matches!(
+            stores.put(ANN, Datastore::Running, Data::default()),
+            Err(DatastoreError::Unsupported(_))
+        ));
+        let first = stores.version_data(1).unwrap().clone();
+        stores.put(ANN, Datastore::Candidate, first).unwrap();
         stores.take(6.0, ANN, Commit::default()).unwrap();
-        assert_eq!((stores.weight(Store::Running), stores.version()), (None, 3));
-        assert_eq!(stores.at_version(9), Err(Refused::NoVersion(9)));
+        assert_eq!((stores.weight(Datastore::Running), stores.version()), (None, 3));
+        assert_eq!(stores.version_data(9), Err(DatastoreError::UnknownVersion(9)));
         (0..100).for_each(|_| _ = stores.take(7.0, ANN, Commit::default()));
         assert_eq!((stores.versions().count(), stores.version()), (KEPT, 103));
     }
@@ -489,26 +517,37 @@
     #[test]
     fn locks_keep_others_out_and_tell_who_holds_them() {
         let mut stores = stores();
-        stores.lock(Store::Candidate, ANN).unwrap();
-        stores.lock(Store::Running, ANN).unwrap();
-        assert_eq!(stores.lock(Store::Candidate, BOB), Err(Refused::LockDenied(ANN)));
-        assert_eq!(stores.lock(Store::Candidate, ANN), Err(Refused::LockDenied(ANN)), "even by itself");
-        assert_eq!(stores.set(BOB, 1), Err(Refused::InUse(ANN)));
-        assert_eq!(stores.discard(BOB), Err(Refused::InUse(ANN)));
-        assert_eq!(stores.propose(BOB, "bob", Commit::default()), Err(Refused::InUse(ANN)));
-        assert_eq!(stores.unlock(Store::Candidate, BOB), Err(Refused::NotLocked));
+        stores.lock(Datastore::Candidate, ANN).unwrap();
+        stores.lock(Datastore::Running, ANN).unwrap();
+        assert_eq!(stores.lock(Datastore::Candidate, BOB), Err(DatastoreError::LockDenied(ANN)));
+        assert_eq!(
+            stores.lock(Datastore::Candidate, ANN),
+            Err(DatastoreError::LockDenied(ANN)),
+            "even by itself"
+        );
+        assert_eq!(stores.set(BOB, 1), Err(DatastoreError::InUse(ANN)));
+        assert_eq!(stores.discard(BOB), Err(DatastoreError::InUse(ANN)));
+        assert_eq!(stores.propose_commit(BOB, "bob", Commit::default()), Err(DatastoreError::InUse(ANN)));
+        assert_eq!(stores.unlock(Datastore::Candidate, BOB), Err(DatastoreError::NotLocked));
         stores.set(ANN, 1).unwrap();
-        stores.unlock(Store::Candidate, ANN).unwrap();
-        assert_eq!(stores.weight(Store::Candidate), None, "its changes go with the lock");
+        stores.unlock(Datastore::Candidate, ANN).unwrap();
+        assert_eq!(stores.weight(Datastore::Candidate), None, "its changes go with the lock");
         stores.set(BOB, 4).unwrap();
-        assert_eq!(stores.lock(Store::Candidate, ANN), Err(Refused::CandidateChanged));
-        assert_eq!(stores.take(0.0, BOB, Commit::default()), Err(Refused::InUse(ANN)), "running is locked");
-        stores.ended(0.0, ANN);
+        assert_eq!(stores.lock(Datastore::Candidate, ANN), Err(DatastoreError::CandidateChanged));
+        assert_eq!(
+            stores.take(0.0, BOB, Commit::default()),
+            Err(DatastoreError::InUse(ANN)),
+            "running is locked"
+        );
+        stores.end_session(0.0, ANN);
         stores.take(0.0, BOB, Commit::default()).unwrap();
-        stores.lock(Store::Candidate, ANN).unwrap();
+        stores.lock(Datastore::Candidate, ANN).unwrap();
         stores.set(ANN, 9).unwrap();
-        stores.ended(1.0, ANN);
-        assert_eq!((stores.holder(Store::Candidate), stores.weight(Store::Candidate)), (None, Some(4.0)));
+        stores.end_session(1.0, ANN);
+        assert_eq!(
+            (stores.lock_holder(Datastore::Candidate), stores.weight(Datastore::Candidate)),
+            (None, Some(4.0))
+        );
     }
 
     #[test]
@@ -517,9 +556,9 @@
         stores.set(ANN, 1).unwrap();
         stores.set(BOB, 2).unwrap();
         stores.take(0.0, ANN, Commit::default()).unwrap();
-        assert_eq!(stores.weight(Store::Running), Some(2.0), "the later edit of the one candidate wins");
-        let proposal = stores.propose(BOB, "bob", Commit::default()).unwrap();
-        assert_eq!(proposal.data, *stores.get(Store::Running), "nothing is left to commit");
+        assert_eq!(stores.weight(Datastore::Running), Some(2.0), "the later edit of the one candidate wins");
+        let proposal = stores.propose_commit(BOB, "bob", Commit::default()).unwrap();
+        assert_eq!(proposal.data, *stores.get(Datastore::Running), "nothing is left to commit");
     }
 
     #[test]
@@ -528,21 +567,25 @@
         stores.set(ANN, 1).unwrap();
         stores.take(0.0, ANN, Commit::default()).unwrap();
         stores.set(ANN, 2).unwrap();
-        assert_eq!(stores.take(10.0, ANN, confirmed(None)).unwrap().unconfirmed_until, Some(1010.0));
-        assert_eq!((stores.weight(Store::Running), stores.due(1009.0)), (Some(2.0), None));
+        assert_eq!(stores.take(10.0, ANN, confirmed(None)).unwrap().confirm_deadline, Some(1010.0));
+        assert_eq!((stores.weight(Datastore::Running), stores.due_rollback(1009.0)), (Some(2.0), None));
         // It is carried on: the time starts anew, and it still goes back to before the first.
         stores.set(ANN, 3).unwrap();
         stores.take(500.0, ANN, confirmed(None)).unwrap();
-        assert_eq!(stores.next_due(), Some(1500.0));
-        stores.lock(Store::Running, ANN).unwrap();
-        let due = stores.due(1500.0).unwrap();
-        stores.conclude(1500.0, due);
-        assert_eq!((stores.weight(Store::Running), stores.waits()), (Some(1.0), None), "locked or not");
-        assert!(stores.versions().last().unwrap().by.contains("roll-back of ann"));
+        assert_eq!(stores.next_deadline(), Some(1500.0));
+        stores.lock(Datastore::Running, ANN).unwrap();
+        let due = stores.due_rollback(1500.0).unwrap();
+        stores.apply(1500.0, due);
+        assert_eq!(
+            (stores.weight(Datastore::Running), stores.pending_confirmation()),
+            (Some(1.0), None),
+            "locked or not"
+        );
+        assert!(stores.versions().last().unwrap().author.contains("roll-back of ann"));
         stores.set(ANN, 4).unwrap();
         stores.take(2000.0, ANN, confirmed(None)).unwrap();
         stores.take(2500.0, ANN, Commit::default()).unwrap();
-        assert_eq!((stores.due(99_999.0), stores.weight(Store::Running)), (None, Some(4.0)));
+        assert_eq!((stores.due_rollback(99_999.0), stores.weight(Datastore::Running)), (None, Some(4.0)));
     }
 
     #[test]
@@ -550,25 +593,43 @@
         let mut stores = stores();
         stores.set(ANN, 2).unwrap();
         stores.take(0.0, ANN, confirmed(None)).unwrap();
-        assert_eq!(stores.propose(BOB, "bob", Commit::default()), Err(Refused::Unconfirmed(ANN)));
-        assert_eq!(stores.propose(BOB, "bob", confirming(Some("x"))), Err(Refused::WrongPersistId));
-        assert_eq!(stores.lock(Store::Running, BOB), Err(Refused::LockDenied(ANN)));
-        assert_eq!(stores.cancel(BOB, None).unwrap_err(), Refused::Unconfirmed(ANN));
-        let back = stores.cancel(ANN, None).unwrap();
-        stores.conclude(1.0, back);
         assert_eq!(
-            (stores.weight(Store::Running), stores.cancel(ANN, None)),
-            (None, Err(Refused::NothingUnconfirmed))
+            stores.propose_commit(BOB, "bob", Commit::default()),
+            Err(DatastoreError::ConfirmedCommitPending(ANN))
+        );
+        assert_eq!(
+            stores.propose_commit(BOB, "bob", confirming(Some("x"))),
+            Err(DatastoreError::WrongPersistId)
+        );
+        assert_eq!(stores.lock(Datastore::Running, BOB), Err(DatastoreError::LockDenied(ANN)));
+        assert_eq!(
+            stores.propose_cancel(BOB, None).unwrap_err(),
+            DatastoreError::ConfirmedCommitPending(ANN)
+        );
+        let back = stores.propose_cancel(ANN, None).unwrap();
+        stores.apply(1.0, back);
+        assert_eq!(
+            (stores.weight(Datastore::Running), stores.propose_cancel(ANN, None)),
+            (None, Err(DatastoreError::NoConfirmedCommitPending))
+        );
+        assert_eq!(
+            stores.propose_commit(BOB, "bob", confirming(Some("x"))),
+            Err(DatastoreError::NoConfirmedCommitPending)
         );
-        assert_eq!(stores.propose(BOB, "bob", confirming(Some("x"))), Err(Refused::NothingUnconfirmed));
         stores.set(ANN, 3).unwrap();
         stores.take(2.0, ANN, confirmed(Some("night"))).unwrap();
-        stores.ended(3.0, ANN);
-        assert_eq!(stores.due(4.0), None, "one with a name outlives its session");
-        assert_eq!(stores.propose(BOB, "bob", Commit::default()), Err(Refused::Unconfirmed(ANN)));
-        assert_eq!(stores.propose(BOB, "bob", confirming(Some("day"))), Err(Refused::WrongPersistId));
+        stores.end_session(3.0, ANN);
+        assert_eq!(stores.due_rollback(4.0), None, "one with a name outlives its session");
+        assert_eq!(
+            stores.propose_commit(BOB, "bob", Commit::default()),
+            Err(DatastoreError::ConfirmedCommitPending(ANN))
+        );
+        assert_eq!(
+            stores.propose_commit(BOB, "bob", confirming(Some("day"))),
+            Err(DatastoreError::WrongPersistId)
+        );
         stores.take(5.0, BOB, confirming(Some("night"))).unwrap();
-        assert_eq!((stores.weight(Store::Running), stores.waits()), (Some(3.0), None));
+        assert_eq!((stores.weight(Datastore::Running), stores.pending_confirmation()), (Some(3.0), None));
     }
 
     #[test]
@@ -576,11 +637,14 @@
         let mut stores = stores();
         stores.set(ANN, 2).unwrap();
         stores.take(0.0, ANN, confirmed(None)).unwrap();
-        stores.lock(Store::Candidate, BOB).unwrap();
-        stores.ended(10.0, ANN);
-        let due = stores.due(10.0).expect("due at once, whoever holds the candidate");
-        stores.conclude(10.0, due);
-        assert_eq!((stores.weight(Store::Running), stores.holder(Store::Candidate)), (None, Some(BOB)));
+        stores.lock(Datastore::Candidate, BOB).unwrap();
+        stores.end_session(10.0, ANN);
+        let due = stores.due_rollback(10.0).expect("due at once, whoever holds the candidate");
+        stores.apply(10.0, due);
+        assert_eq!(
+            (stores.weight(Datastore::Running), stores.lock_holder(Datastore::Candidate)),
+            (None, Some(BOB))
+        );
     }
 
     #[test]
@@ -588,13 +652,13 @@
         let mut stores = stores();
         stores.set(ANN, 2).unwrap();
         stores.take(0.0, ANN, confirmed(Some("x"))).unwrap();
-        assert!(stores.due(1000.0).is_some());
-        stores.postpone(1000.0, "lookup would have no ready, warm worker".into());
-        assert!(stores.due(1500.0).is_none() && stores.due(2000.0).is_some());
-        assert!(stores.waits().unwrap().1.unwrap().contains("lookup"));
+        assert!(stores.due_rollback(1000.0).is_some());
+        stores.postpone_rollback(1000.0, "lookup would have no ready, warm worker".into());
+        assert!(stores.due_rollback(1500.0).is_none() && stores.due_rollback(2000.0).is_some());
+        assert!(stores.pending_confirmation().unwrap().1.unwrap().contains("lookup"));
         stores.take(2100.0, BOB, confirming(Some("x"))).unwrap();
         assert_eq!(
-            (stores.due(9e9), stores.weight(Store::Running)),
+            (stores.due_rollback(9e9), stores.weight(Datastore::Running)),
             (None, Some(2.0)),
             "confirmed after all"
         );
@@ -605,12 +669,12 @@
         let mut stores = stores();
         stores.set(ANN, 2).unwrap();
         stores.take(0.0, ANN, Commit::default()).unwrap();
-        let running = stores.get(Store::Running).clone();
-        stores.put(ANN, Store::Startup, running).unwrap();
+        let running = stores.get(Datastore::Running).clone();
+        stores.put(ANN, Datastore::Startup, running).unwrap();
         stores.set(ANN, 3).unwrap();
         stores.take(0.0, ANN, confirmed(Some("x"))).unwrap();
-        let again = Datastores::new(Arc::new(schema()), 9.0, stores.get(Store::Startup).clone()).unwrap();
-        assert_eq!((again.weight(Store::Running), again.waits()), (Some(2.0), None));
+        let again = Datastores::new(Arc::new(schema()), 9.0, stores.get(Datastore::Startup).clone()).unwrap();
+        assert_eq!((again.weight(Datastore::Running), again.pending_confirmation()), (Some(2.0), None));
     }
 
     #[test]
@@ -637,9 +701,11 @@
             (rule, "there is no \"nothing\""),
             (&client, "is to be specified"),
         ] {
-            let (data, _) = stores.edited(ANN, &north(body), DefaultOp::Merge, Errors::Refuse).unwrap();
-            stores.put(ANN, Store::Candidate, data).unwrap();
-            let refused = stores.propose(ANN, "ann", Commit::default()).unwrap_err();
+            let (data, _) = stores
+                .edit_candidate(ANN, &north(body), DefaultOperation::Merge, ErrorOption::RollbackOnError)
+                .unwrap();
+            stores.put(ANN, Datastore::Candidate, data).unwrap();
+            let refused = stores.propose_commit(ANN, "ann", Commit::default()).unwrap_err();
             assert!(refused.to_string().contains(why), "{refused}");
             stores.discard(ANN).unwrap();
         }
--- a/crates/intent/src/want.rs
+++ b/crates/intent/src/want.rs
@@ -8,7 +8,7 @@
 
 /// The state that the operator wants of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Wanted {
+pub enum DesiredState {
     #[default]
     Follow,
     Ready,
@@ -18,7 +18,7 @@
 
 /// Where a worker is that no discovery names.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct Placement {
     pub zone: String,
     pub machine: String,
     pub cell: Option<u32>,
@@ -26,16 +26,16 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wish {
-    pub wanted: Wanted,
+pub struct WorkerIntent {
+    pub desired_state: DesiredState,
     pub weight: Option<f64>,
-    pub place: Option<Place>,
+    pub placement: Option<Placement>,
 }
 
 /// All that the running configuration wants of the decisions. What is `None` stays as the settings say.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Intent {
-    pub workers: BTreeMap<String, Wish>,
+    pub workers: BTreeMap<String, WorkerIntent>,
     pub drain_grace: Option<Ms>,
     pub warm_up: Option<Ms>,
     pub cold_share: Option<f64>,
@@ -46,26 +46,26 @@
 
 impl Intent {
     /// From data of the schema, which has checked each value by itself.
-    pub fn read(schema: &Schema, data: &Data) -> Intent {
+    pub fn from_data(schema: &Schema, data: &Data) -> Intent {
         let top = View::new(schema, data);
         let figures = top.inner("figures");
         let text = |view: &View<'_>, name: &str| view.text(name).unwrap_or_default().to_string();
-        let place = |view: View<'_>| Place {
+        let place = |view: View<'_>| Placement {
             zone: text(&view, "zone"),
             machine: text(&view, "machine"),
             cell: view.leaf("cell").and_then(|cell| cell.as_u64()).and_then(|cell| u32::try_from(cell).ok()),
             // The pattern lets figures through that are no address, as 300.1.1.1; those are never probed.
             address: view.text("address").and_then(|address| address.parse().ok()),
         };
-        let wish = |view: &View<'_>| Wish {
-            wanted: match view.text("wanted") {
-                Some("ready") => Wanted::Ready,
-                Some("draining") => Wanted::Draining,
-                Some("out") => Wanted::Out,
-                _ => Wanted::Follow,
+        let wish = |view: &View<'_>| WorkerIntent {
+            desired_state: match view.text("wanted") {
+                Some("ready") => DesiredState::Ready,
+                Some("draining") => DesiredState::Draining,
+                Some("out") => DesiredState::Out,
+                _ => DesiredState::Follow,
             },
             weight: view.figure("weight"),
-            place: Some(view.inner("place")).filter(View::is_there).map(place),
+            placement: Some(view.inner("place")).filter(View::is_there).map(place),
         };
         let workers = top.inner("workers").entries("worker");
         let operations = figures.entries("operation");
@@ -99,7 +99,7 @@
     }
 
     /// The workers of which two intents want something else.
-    pub fn differing<'a>(&'a self, other: &'a Intent) -> impl Iterator<Item = &'a str> {
+    pub fn changed_workers<'a>(&'a self, other: &'a Intent) -> impl Iterator<Item = &'a str> {
         let gone = self.workers.keys().filter(|name| !other.workers.contains_key(*name));
         let new = other.workers.iter().filter(|(name, wish)| self.workers.get(*name) != Some(wish));
         gone.chain(new.map(|(name, _)| name)).map(String::as_str)
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -23,13 +23,13 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// Session, worker, operation, weight, default operation.
-    Edit(u32, usize, Option<Op>, Option<u32>, DefaultOp),
+    Edit(u32, usize, Option<Op>, Option<u32>, DefaultOperation),
     Discard(u32),
     /// Whether it is confirmed, and by what name.
     Commit(u32, bool, Option<u8>, Option<u8>),
     Cancel(u32, Option<u8>),
-    Lock(u32, Store),
-    Unlock(u32, Store),
+    Lock(u32, Datastore),
+    Unlock(u32, Datastore),
     Version(u32, usize),
     End(u32),
     Wait(u32),
@@ -44,8 +44,12 @@
         Just(Some(Op::Delete)),
         Just(Some(Op::Remove))
     ];
-    let default = prop_oneof![Just(DefaultOp::Merge), Just(DefaultOp::None), Just(DefaultOp::Replace)];
-    let store = prop_oneof![Just(Store::Running), Just(Store::Candidate)];
+    let default = prop_oneof![
+        Just(DefaultOperation::Merge),
+        Just(DefaultOperation::None),
+        Just(DefaultOperation::Replace)
+    ];
+    let store = prop_oneof![Just(Datastore::Running), Just(Datastore::Candidate)];
     let session = 1u32..4;
     let named = proptest::option::of(0u8..2);
     prop_oneof![
@@ -71,14 +75,14 @@
 struct Model {
     running: Plain,
     candidate: Option<Plain>,
-    locks: BTreeMap<Store, u32>,
+    locks: BTreeMap<Datastore, u32>,
     /// Before, session, name, until.
     waits: Option<(Plain, u32, Option<u8>, f64)>,
     versions: Vec<Plain>,
 }
 
 impl Model {
-    fn free(&self, store: Store, session: u32) -> bool {
+    fn free(&self, store: Datastore, session: u32) -> bool {
         self.locks.get(&store).is_none_or(|holder| *holder == session)
     }
 
@@ -102,13 +106,13 @@
         worker: &'static str,
         op: Option<Op>,
         weight: Option<u32>,
-        default: DefaultOp,
+        default: DefaultOperation,
     ) -> bool {
-        if !self.free(Store::Candidate, session) {
+        if !self.free(Datastore::Candidate, session) {
             return false;
         }
         let mut plain = match default {
-            DefaultOp::Replace => Plain::new(),
+            DefaultOperation::Replace => Plain::new(),
             _ => self.candidate.clone().unwrap_or_else(|| self.running.clone()),
         };
         let there = plain.contains_key(worker);
@@ -117,8 +121,8 @@
             (Some(Op::Delete | Op::Remove), _) => _ = plain.remove(worker),
             (Some(Op::Create), _) if there => return false,
             (Some(Op::Create | Op::Replace), _) => _ = plain.insert(worker, weight),
-            (None, DefaultOp::None) if !there => return false,
-            (None, DefaultOp::None) => {}
+            (None, DefaultOperation::None) if !there => return false,
+            (None, DefaultOperation::None) => {}
             _ => {
                 let entry = plain.entry(worker).or_default();
                 *entry = weight.or(*entry);
@@ -144,8 +148,8 @@
     Draft::at(schema, &path, op, None, below.into_iter().collect())
 }
 
-fn plain(schema: &Schema, stores: &Datastores, store: Store) -> Plain {
-    let intent = Intent::read(schema, stores.get(store));
+fn plain(schema: &Schema, stores: &Datastores, store: Datastore) -> Plain {
+    let intent = Intent::from_data(schema, stores.get(store));
     let known = |name: &String| WORKERS.into_iter().find(|worker| worker == name).unwrap();
     intent.workers.iter().map(|(name, wish)| (known(name), wish.weight.map(|weight| weight as u32))).collect()
 }
@@ -165,13 +169,18 @@
                 Step::Edit(session, worker, op, weight, default) => {
                     let worker = WORKERS[worker];
                     let drafts = drafts(&schema, worker, op, weight);
-                    let edited = stores.edited(Session(session), &drafts, default, Errors::Refuse);
+                    let edited = stores.edit_candidate(
+                        Session(session),
+                        &drafts,
+                        default,
+                        ErrorOption::RollbackOnError,
+                    );
                     let did =
-                        edited.and_then(|(data, _)| stores.put(Session(session), Store::Candidate, data));
+                        edited.and_then(|(data, _)| stores.put(Session(session), Datastore::Candidate, data));
                     (did.is_ok(), model.edit(session, worker, op, weight, default))
                 }
                 Step::Discard(session) => {
-                    let free = model.free(Store::Candidate, session);
+                    let free = model.free(Datastore::Candidate, session);
                     if free {
                         model.candidate = None;
                     }
@@ -180,14 +189,14 @@
                 Step::Commit(session, confirmed, persist, id) => {
                     let commit = Commit {
                         confirmed,
-                        within: Some(500.0),
+                        confirm_timeout: Some(500.0),
                         persist: name(persist),
                         persist_id: name(id),
                     };
-                    let did = stores.propose(Session(session), "x", commit);
-                    let did = did.map(|proposal| stores.conclude(now, proposal)).is_ok();
-                    let may = model.free(Store::Running, session)
-                        && model.free(Store::Candidate, session)
+                    let did = stores.propose_commit(Session(session), "x", commit);
+                    let did = did.map(|proposal| stores.apply(now, proposal)).is_ok();
+                    let may = model.free(Datastore::Running, session)
+                        && model.free(Datastore::Candidate, session)
                         && model.answers(session, id);
                     if may {
                         let before = model.running.clone();
@@ -202,8 +211,8 @@
                     (did, may)
                 }
                 Step::Cancel(session, id) => {
-                    let did = stores.cancel(Session(session), name(id).as_deref());
-                    let did = did.map(|proposal| stores.conclude(now, proposal)).is_ok();
+                    let did = stores.propose_cancel(Session(session), name(id).as_deref());
+                    let did = did.map(|proposal| stores.apply(now, proposal)).is_ok();
                     let may = model.waits.is_some() && model.answers(session, id);
                     if may {
                         let before = model.waits.take().unwrap().0;
@@ -215,7 +224,7 @@
                     let changed = model.candidate.as_ref().is_some_and(|plain| *plain != model.running);
                     let waits = model.waits.as_ref().is_some_and(|(_, own, ..)| *own != session);
                     let taken = model.locks.contains_key(&store);
-                    let barred = if store == Store::Candidate { changed } else { waits };
+                    let barred = if store == Datastore::Candidate { changed } else { waits };
                     let may = !(taken || barred);
                     if may {
                         model.locks.insert(store, session);
@@ -226,7 +235,7 @@
                     let may = model.locks.get(&store) == Some(&session);
                     if may {
                         model.locks.remove(&store);
-                        if store == Store::Candidate {
+                        if store == Datastore::Candidate {
                             model.candidate = None;
                         }
                     }
@@ -234,19 +243,20 @@
                 }
                 Step::Version(session, back) => {
                     let number = model.versions.len().saturating_sub(back) as u64;
-                    let found = stores.at_version(number).cloned();
-                    let did =
-                        found.and_then(|data| stores.put(Session(session), Store::Candidate, data)).is_ok();
+                    let found = stores.version_data(number).cloned();
+                    let did = found
+                        .and_then(|data| stores.put(Session(session), Datastore::Candidate, data))
+                        .is_ok();
                     let kept = number >= 1 && model.versions.len() as u64 - number < 32;
-                    let may = kept && model.free(Store::Candidate, session);
+                    let may = kept && model.free(Datastore::Candidate, session);
                     if may {
                         model.candidate = Some(model.versions[number as usize - 1].clone());
                     }
                     (did, may)
                 }
                 Step::End(session) => {
-                    stores.ended(now, Session(session));
-                    if model.locks.get(&Store::Candidate) == Some(&session) {
+                    stores.end_session(now, Session(session));
+                    if model.locks.get(&Datastore::Candidate) == Some(&session) {
                         model.candidate = None;
                     }
                     model.locks.retain(|_, holder| *holder != session);
@@ -261,8 +271,8 @@
                 }
             };
             prop_assert_eq!(did, should, "{}", told);
-            if let Some(due) = stores.due(now) {
-                stores.conclude(now, due);
+            if let Some(due) = stores.due_rollback(now) {
+                stores.apply(now, due);
             }
             if model.waits.as_ref().is_some_and(|(.., until)| now >= *until) {
                 let before = model.waits.take().unwrap().0;
@@ -270,14 +280,19 @@
             }
             let candidate = model.candidate.clone().unwrap_or_else(|| model.running.clone());
             prop_assert_eq!(
-                plain(&schema, &stores, Store::Running),
+                plain(&schema, &stores, Datastore::Running),
                 model.running.clone(),
                 "running after {}",
                 told
             );
-            prop_assert_eq!(plain(&schema, &stores, Store::Candidate), candidate, "candidate after {}", told);
+            prop_assert_eq!(
+                plain(&schema, &stores, Datastore::Candidate),
+                candidate,
+                "candidate after {}",
+                told
+            );
             prop_assert_eq!(stores.version(), model.versions.len() as u64);
-            prop_assert_eq!(stores.waits().is_some(), model.waits.is_some());
+            prop_assert_eq!(stores.pending_confirmation().is_some(), model.waits.is_some());
         }
         Ok(())
     };
@@ -288,15 +303,19 @@
 #[derive(Clone, Copy, Debug)]
 enum Word {
     Told(Phase, u8),
-    Wished(Wanted, Option<u8>),
+    Wished(DesiredState, Option<u8>),
     Forgotten,
 }
 
 #[test]
 fn composition_never_brings_back_the_gone_nor_undoes_an_operators_departure() {
     let phase = prop_oneof![Just(Phase::Ready), Just(Phase::Draining), Just(Phase::Gone)];
-    let wanted =
-        prop_oneof![Just(Wanted::Follow), Just(Wanted::Ready), Just(Wanted::Draining), Just(Wanted::Out)];
+    let wanted = prop_oneof![
+        Just(DesiredState::Follow),
+        Just(DesiredState::Ready),
+        Just(DesiredState::Draining),
+        Just(DesiredState::Out)
+    ];
     let word = prop_oneof![
         4 => (phase, 0u8..3).prop_map(|(phase, weight)| Word::Told(phase, weight)),
         4 => (wanted, proptest::option::of(0u8..3)).prop_map(|(wanted, weight)| Word::Wished(wanted, weight)),
@@ -305,12 +324,12 @@
     let (zone, machine, cell, worker) = (ZoneId(0), MachineId(0), CellId(0), WorkerId(0));
     let played = |words: Vec<Word>| -> Result<(), TestCaseError> {
         let mut composer = Composer::default();
-        let (mut told, mut wish) = (None, Wish::default());
+        let (mut told, mut wish) = (None, WorkerIntent::default());
         for word in words {
             match word {
                 Word::Told(phase, weight) => {
                     let weight = f64::from(weight);
-                    composer.tell(
+                    composer.update_discovery(
                         "w",
                         Listed { worker, phase, booted: None, zone, machine, cell, weight },
                         None,
@@ -318,9 +337,13 @@
                     told = Some(phase);
                 }
                 Word::Wished(wanted, weight) => {
-                    wish = Wish { wanted, weight: weight.map(f64::from), place: None };
+                    wish = WorkerIntent {
+                        desired_state: wanted,
+                        weight: weight.map(f64::from),
+                        placement: None,
+                    };
                     let workers = BTreeMap::from([("w".to_string(), wish.clone())]);
-                    composer.wish(&Intent { workers, ..Intent::default() });
+                    composer.update_intent(&Intent { workers, ..Intent::default() });
                 }
                 Word::Forgotten if told == Some(Phase::Gone) => {
                     composer.forget("w");
@@ -328,17 +351,19 @@
                 }
                 Word::Forgotten => {}
             }
-            let composed = composer.composed("w", |_| None);
+            let composed = composer.compose("w", |_| None);
             prop_assert_eq!(composed.is_some(), told.is_some());
             let Some(composed) = composed else { continue };
             let phase = composed.listed.phase;
-            let departs = matches!(wish.wanted, Wanted::Draining | Wanted::Out) || wish.weight == Some(0.0);
+            let departs = matches!(wish.desired_state, DesiredState::Draining | DesiredState::Out)
+                || wish.weight == Some(0.0);
             prop_assert!(told != Some(Phase::Gone) || phase == Phase::Gone, "{:?}", word);
             prop_assert!(!departs || phase != Phase::Ready, "{:?}", word);
-            prop_assert!(wish.wanted != Wanted::Out || phase == Phase::Gone, "{:?}", word);
+            prop_assert!(wish.desired_state != DesiredState::Out || phase == Phase::Gone, "{:?}", word);
             // Nobody departs whom no source sends away.
             prop_assert!(told != Some(Phase::Ready) || departs || phase == Phase::Ready, "{:?}", word);
-            let sources = [Some(composed.phase_from), composed.weight_from, Some(composed.place_from)];
+            let sources =
+                [Some(composed.phase_origin), composed.weight_origin, Some(composed.placement_origin)];
             prop_assert!(sources
                 .iter()
                 .flatten()
@@ -364,18 +389,19 @@
                 drafts(&schema, WORKERS[rng.usize(..3)], ops[rng.usize(..6)], weight)
             })
             .collect();
-        let before = stores.get(Store::Candidate).clone();
-        match stores.edited(Session(1), &many, DefaultOp::Merge, Errors::Refuse) {
+        let before = stores.get(Datastore::Candidate).clone();
+        match stores.edit_candidate(Session(1), &many, DefaultOperation::Merge, ErrorOption::RollbackOnError)
+        {
             Ok((data, faults)) => {
                 assert!(faults.is_empty());
-                stores.put(Session(1), Store::Candidate, data).unwrap();
+                stores.put(Session(1), Datastore::Candidate, data).unwrap();
                 taken += 1;
             }
-            Err(Refused::Faults(faults)) => {
+            Err(DatastoreError::Faults(faults)) => {
                 assert!(faults
                     .iter()
                     .all(|fault| matches!(fault.rule, Rule::DataExists | Rule::DataMissing)));
-                assert_eq!(*stores.get(Store::Candidate), before);
+                assert_eq!(*stores.get(Datastore::Candidate), before);
                 refused += 1;
             }
             Err(other) => panic!("{other}"),
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -13,7 +13,7 @@
 
 use juniperrail::Brain;
 use juniperrail_fleet::{Common, Parts};
-use juniperrail_intent::{Intent, Progress};
+use juniperrail_intent::{ChangeTracker, Intent};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Start, WorkerId};
 use juniperrail_north::{Ask, Notice};
 use juniperrail_start::Names;
@@ -66,7 +66,7 @@
     plane: Plane,
     presence: Presence,
     roster: Roster,
-    progress: Progress,
+    progress: ChangeTracker,
     progress_checked_at: Ms,
     wakes: Vec<(Ms, String)>,
     /// What the next turn is told.
@@ -114,7 +114,7 @@
             plane: Plane::default(),
             presence: Presence::new(launch.patience),
             roster: Roster::default(),
-            progress: Progress::default(),
+            progress: ChangeTracker::default(),
             progress_checked_at: 0.0,
             wakes: Vec::new(),
             events: Vec::new(),
@@ -152,7 +152,8 @@
         let mut last = Instant::now();
         loop {
             let wakes = self.wakes.iter().map(|(at, _)| *at).chain(self.presence.next());
-            let look = self.progress.open().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
+            let look =
+                self.progress.distributing().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
             let rested = Some(self.failed.1).filter(|_| !self.events.is_empty());
             let wake = wakes.chain(look).chain(rested).fold(self.clock.now() + LONGEST_SLEEP, f64::min);
             let (mut first, mut asked, mut agreed) = (None, None, None);
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use juniperrail_fleet::Parts;
-use juniperrail_intent::{judge, Composed, Intent, Refusal, World};
+use juniperrail_intent::{check_change, AdmissionContext, ComposedWorker, Intent, Refusal};
 use juniperrail_interface::{Event, ZoneId};
 use juniperrail_north::{Ask, Verdict};
 
@@ -23,9 +23,9 @@
                 match &judged {
                     Ok(()) => {
                         let workers: BTreeSet<String> =
-                            self.intent.differing(&intent).map(str::to_string).collect();
+                            self.intent.changed_workers(&intent).map(str::to_string).collect();
                         tracing::info!("change {number} by {by} is taken over: {} workers", workers.len());
-                        self.progress.taken(self.clock.now(), number, &by, workers);
+                        self.progress.record(self.clock.now(), number, &by, workers);
                         self.apply_intent(*intent);
                     }
                     Err(why) => {
@@ -54,18 +54,24 @@
     }
 
     /// What speaks against workers being composed otherwise than now.
-    pub(super) fn check_composed(&self, after: &BTreeMap<String, Composed>, intent: &Intent) -> Vec<Refusal> {
+    pub(super) fn check_composed(
+        &self,
+        after: &BTreeMap<String, ComposedWorker>,
+        intent: &Intent,
+    ) -> Vec<Refusal> {
         let (names, plane) = (&self.names, &self.plane);
-        let world = World {
+        let world = AdmissionContext {
             now: self.clock.now(),
             settings: &self.start,
-            operations: &self.operations,
+            operation_names: &self.operations,
             zone_name: &|zone| names.zones.name(zone.0.into()).to_string(),
-            zone_known: &|zone| self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone),
-            joined: self.presence.here().count(),
-            readers: &|worker| plane.readers(worker),
+            is_known_zone: &|zone| {
+                self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone)
+            },
+            joined_proxies: self.presence.here().count(),
+            proxies_with_line: &|worker| plane.readers(worker),
         };
-        judge(&world, &self.roster.composed(None, names), after, intent)
+        check_change(&world, &self.roster.composed(None, names), after, intent)
     }
 
     /// An intent that was judged, or that the file had at the start, holds from this turn on.
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use juniperrail_intent::{Change, Composed};
+use juniperrail_intent::{Change, ComposedWorker};
 use juniperrail_interface::{Ms, WorkerId};
 use juniperrail_north::{ChangeState, Notice, State, WorkerState};
 
@@ -12,18 +12,18 @@
 impl Decider {
     /// How far the changes that are under way have come.
     pub(super) fn check_progress(&mut self, now: Ms) {
-        let due =
-            now >= self.progress_checked_at + PROGRESS_CHECK_EVERY && self.progress.open().next().is_some();
+        let due = now >= self.progress_checked_at + PROGRESS_CHECK_EVERY
+            && self.progress.distributing().next().is_some();
         if !due {
             return;
         }
         self.progress_checked_at = now;
         let joined = self.presence.here().count();
         let open: Vec<(u64, BTreeSet<WorkerId>)> =
-            self.progress.open().map(|c| (c.number, self.ids(c))).collect();
+            self.progress.distributing().map(|c| (c.number, self.ids(c))).collect();
         for (number, workers) in open {
             let holding = self.brain.holding(&workers);
-            if self.progress.found(now, number, holding, joined) {
+            if self.progress.update(now, number, holding, joined) {
                 let after =
                     self.progress.all().find(|change| change.number == number).map_or(0.0, |c| now - c.at);
                 tracing::info!("change {number} is held by all {joined} proxies after {after:.0} ms");
@@ -44,7 +44,7 @@
     pub(super) fn state(&self) -> State {
         let now = self.clock.now();
         let warm_up = self.intent.figures(&self.start, &self.operations).warm_up;
-        let worker = |(name, composed): (String, Composed)| {
+        let worker = |(name, composed): (String, ComposedWorker)| {
             let spelled = |name: Option<&str>| name.unwrap_or_default().to_string();
             WorkerState {
                 name,
@@ -56,11 +56,11 @@
         };
         let change = |change: &Change| ChangeState {
             number: change.number,
-            by: change.by.clone(),
+            by: change.author.clone(),
             age: now - change.at,
             stage: change.stage,
-            held_by: change.held_by,
-            joined: change.joined,
+            held_by: change.applied_proxies,
+            joined: change.joined_proxies,
         };
         State {
             manager: self.name.clone(),
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -2,7 +2,7 @@
 use crate::inbound::{Hello, Outbox, StreamId};
 use crate::text::Report;
 use bytes::Bytes;
-use juniperrail_intent::{Wanted, Wish};
+use juniperrail_intent::{DesiredState, WorkerIntent};
 use juniperrail_interface::{MarkId, Order, ProxyId};
 use juniperrail_north::{Verdict, WorkerState};
 use tokio::sync::oneshot;
@@ -257,9 +257,10 @@
         self.0.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
     }
 
-    fn ask(&mut self, number: u64, wishes: &[(&str, Wanted)]) -> Verdict {
-        let wish =
-            |(name, wanted): &(&str, Wanted)| (name.to_string(), Wish { wanted: *wanted, ..Wish::default() });
+    fn ask(&mut self, number: u64, wishes: &[(&str, DesiredState)]) -> Verdict {
+        let wish = |(name, wanted): &(&str, DesiredState)| {
+            (name.to_string(), WorkerIntent { desired_state: *wanted, ..WorkerIntent::default() })
+        };
         let workers = wishes.iter().map(wish).collect();
         let intent = Box::new(Intent { workers, drain_grace: Some(2500.0), ..Intent::default() });
         let (verdict, mut told) = oneshot::channel();
@@ -284,7 +285,8 @@
 
     fn phases(&self) -> Vec<(String, Phase, &'static str)> {
         let state = self.0.state();
-        let phase = |w: &WorkerState| (w.name.clone(), w.composed.listed.phase, w.composed.phase_from.name());
+        let phase =
+            |w: &WorkerState| (w.name.clone(), w.composed.listed.phase, w.composed.phase_origin.name());
         state.workers.iter().map(phase).collect()
     }
 }
@@ -295,10 +297,10 @@
     let stream = cluster.join(true);
     cluster.list(5, &[("s-2", "ready")]);
     cluster.settle(stream);
-    let refused = cluster.ask(2, &[("s-1", Wanted::Out), ("s-2", Wanted::Draining)]).unwrap_err();
-    assert_eq!(refused[0].tag(), "no-ready-worker");
+    let refused = cluster.ask(2, &[("s-1", DesiredState::Out), ("s-2", DesiredState::Draining)]).unwrap_err();
+    assert_eq!(refused[0].error_app_tag(), "no-ready-worker");
     assert!(cluster.0.events.is_empty() && cluster.0.progress.all().next().is_none());
-    assert_eq!(cluster.ask(2, &[("s-1", Wanted::Draining)]), Ok(()));
+    assert_eq!(cluster.ask(2, &[("s-1", DesiredState::Draining)]), Ok(()));
     let heard = cluster.turn();
     assert!(
         matches!(&heard[..], [Event::Figures(of), Event::List { kind: ListKind::Changes, workers, .. }]
@@ -314,7 +316,7 @@
     cluster.settle(stream);
     cluster.0.check_progress(2e18);
     let change = &cluster.0.state().changes[0];
-    assert!(matches!(change.stage, juniperrail_intent::Stage::Held { .. }), "{change:?}");
+    assert!(matches!(change.stage, juniperrail_intent::Stage::Applied { .. }), "{change:?}");
     assert_eq!((change.number, change.held_by, change.joined), (2, 1, 1));
     let told = &cluster.0.state().proxies[0];
     assert_eq!(
@@ -335,7 +337,7 @@
     cluster.turn();
     cluster.list(5, &[("s-2", "ready"), ("s-3", "draining")]);
     cluster.turn();
-    assert_eq!(cluster.ask(2, &[("s-3", Wanted::Ready), ("s-9", Wanted::Ready)]), Ok(()));
+    assert_eq!(cluster.ask(2, &[("s-3", DesiredState::Ready), ("s-9", DesiredState::Ready)]), Ok(()));
     let phase = |cluster: &TestCluster, name: &str| {
         cluster.phases().into_iter().find(|w| w.0 == name).map(|w| (w.1, w.2))
     };
@@ -344,8 +346,8 @@
     cluster.list(6, &[("s-3", "gone")]);
     cluster.turn();
     assert_eq!(phase(&cluster, "s-3"), Some((Phase::Gone, "discovery")));
-    assert_eq!(cluster.ask(3, &[("s-3", Wanted::Follow)]), Ok(()));
-    assert_eq!(cluster.ask(4, &[("s-3", Wanted::Ready)]), Ok(()));
+    assert_eq!(cluster.ask(3, &[("s-3", DesiredState::Follow)]), Ok(()));
+    assert_eq!(cluster.ask(4, &[("s-3", DesiredState::Ready)]), Ok(()));
     assert_eq!(phase(&cluster, "s-3"), Some((Phase::Gone, "discovery")), "gone stays gone");
     cluster.list(7, &[("s-3", "ready"), ("s-9", "draining")]);
     assert_eq!(phase(&cluster, "s-3"), Some((Phase::Ready, "discovery")));
@@ -358,7 +360,7 @@
     let stream = cluster.join(true);
     cluster.list(5, &[("s-2", "ready")]);
     cluster.settle(stream);
-    assert_eq!(cluster.ask(2, &[("s-2", Wanted::Out)]), Ok(()));
+    assert_eq!(cluster.ask(2, &[("s-2", DesiredState::Out)]), Ok(()));
     assert!(cluster.settle(stream).contains("out=s-2"));
     let id = cluster.0.names.workers.known("s-2").unwrap();
     cluster.0.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id) }]);
@@ -386,7 +388,7 @@
     let stream = cluster.join(true);
     cluster.list(5, &[("s-2", "ready")]);
     cluster.settle(stream);
-    assert_eq!(cluster.ask(2, &[("s-1", Wanted::Draining)]), Ok(()));
+    assert_eq!(cluster.ask(2, &[("s-1", DesiredState::Draining)]), Ok(()));
     cluster.settle(stream);
     cluster.0.turn_by(|_, _, _| panic!("out of range"));
     let heard = cluster.turn();
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_intent::{judge_alone, Datastores, Intent, World};
+use juniperrail_intent::{check_against_settings, AdmissionContext, Datastores, Intent};
 use juniperrail_interface::Start;
 use juniperrail_model::{Data, Schema};
 use juniperrail_north::OperatorFile;
@@ -200,20 +200,20 @@
         Launch::check_operator_data(&data).map_err(|why| format!("{shown}: {why}"))?;
         let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.start);
         let fleet = fleet.map_err(|why| format!("{shown}: {why}"))?;
-        let intent = Intent::read(&schema, &data);
+        let intent = Intent::from_data(&schema, &data);
         let names = &self.names;
         let operation = |op| names.ops.name(op as u32).to_string();
         let operations: Vec<String> = (0..self.fixed.start.operations.len()).map(operation).collect();
-        let world = World {
+        let world = AdmissionContext {
             now: 0.0,
             settings: &self.fixed.start,
-            operations: &operations,
+            operation_names: &operations,
             zone_name: &|_| String::new(),
-            zone_known: &|zone| self.zones.iter().any(|known| known == zone),
-            joined: 0,
-            readers: &|_| 0,
+            is_known_zone: &|zone| self.zones.iter().any(|known| known == zone),
+            joined_proxies: 0,
+            proxies_with_line: &|_| 0,
         };
-        if let Some(refusal) = judge_alone(&world, &intent).first() {
+        if let Some(refusal) = check_against_settings(&world, &intent).first() {
             return Err(format!("{shown}: {}: {refusal}", refusal.path()));
         }
         let subscription = Subscription::read(&schema, &data).map_err(|why| format!("{shown}: {why}"))?;
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use juniperrail_intent::{Composed, Composer, Intent, Wish};
+use juniperrail_intent::{ComposedWorker, Composer, Intent, WorkerIntent};
 use juniperrail_interface::*;
 use juniperrail_start::Names;
 
@@ -38,12 +38,12 @@
             let name = match entry {
                 ReadEntry::Listed { listed, address } => {
                     let name = names.workers.name(listed.worker.0).to_string();
-                    self.composer.tell(&name, listed, address);
+                    self.composer.update_discovery(&name, listed, address);
                     name
                 }
                 ReadEntry::Departure(Departure { worker, phase }) => {
                     // Whom discovery does not name here any more can't leave either.
-                    if !self.composer.tell_phase(&worker, phase) {
+                    if !self.composer.update_discovery_phase(&worker, phase) {
                         continue;
                     }
                     worker
@@ -60,10 +60,11 @@
                 workers.extend(self.recompose(&name, names));
                 named.insert(name);
             }
-            self.composer.only(&|name| named.contains(name));
+            self.composer.mark_unlisted_gone(&|name| named.contains(name));
             // Who stands in no list of discovery's at all is not gone for that.
             self.assign_ids(names);
-            let placed: Vec<String> = self.composer.placed().map(|(name, _)| name.to_string()).collect();
+            let placed: Vec<String> =
+                self.composer.operator_placed().map(|(name, _)| name.to_string()).collect();
             workers.extend(placed.iter().filter_map(|name| self.recompose(name, names)));
         }
         Event::List { kind, version: listing.version, workers }
@@ -71,7 +72,7 @@
 
     /// Takes over what the operator wants; the decisions are to be told the event, if anything is new to them.
     pub fn apply_intent(&mut self, intent: &Intent, names: &mut Names) -> Option<Event> {
-        let changed = self.composer.wish(intent);
+        let changed = self.composer.update_intent(intent);
         self.assign_ids(names);
         let mut workers = Vec::new();
         for name in changed {
@@ -95,10 +96,10 @@
 
     /// Takes over what managers agreed on; the decisions are to be told the event, if anything is new to them.
     pub fn apply_plan(&mut self, parts: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
-        if !self.composer.lean(parts) {
+        if !self.composer.update_plan(parts) {
             return None;
         }
-        let all: Vec<String> = self.composer.names().map(str::to_string).collect();
+        let all: Vec<String> = self.composer.worker_names().map(str::to_string).collect();
         let mut workers = Vec::new();
         for name in all {
             let before = names.workers.known(&name).and_then(|id| self.listed.get(&WorkerId(id)).cloned());
@@ -114,11 +115,11 @@
         &self,
         parts: &BTreeMap<ZoneId, f64>,
         names: &Names,
-    ) -> BTreeMap<String, Composed> {
+    ) -> BTreeMap<String, ComposedWorker> {
         let mut composer = self.composer.clone();
-        composer.lean(parts.clone());
+        composer.update_plan(parts.clone());
         let one = |name: &str| Some((name.to_string(), compose(&composer, name, names)?));
-        composer.names().filter_map(one).collect()
+        composer.worker_names().filter_map(one).collect()
     }
 
     /// Where a worker is, and its weight, as the decisions were last told.
@@ -133,7 +134,7 @@
 
     /// Gives ids to what the operator alone places.
     fn assign_ids(&self, names: &mut Names) {
-        for (name, place) in self.composer.placed() {
+        for (name, place) in self.composer.operator_placed() {
             names.worker(name);
             names.zone(&place.zone);
             names.machine(&place.machine);
@@ -142,7 +143,7 @@
 
     /// One worker as the decisions are told it from now on.
     fn recompose(&mut self, name: &str, names: &Names) -> Option<Listed> {
-        let Composed { listed, address, .. } = compose(&self.composer, name, names)?;
+        let ComposedWorker { listed, address, .. } = compose(&self.composer, name, names)?;
         self.addresses.remove(&listed.worker);
         if listed.phase == Phase::Gone {
             self.listed.remove(&listed.worker);
@@ -154,16 +155,16 @@
     }
 
     /// All workers as they are, and as they would be with another intent.
-    pub fn composed(&self, intent: Option<&Intent>, names: &Names) -> BTreeMap<String, Composed> {
+    pub fn composed(&self, intent: Option<&Intent>, names: &Names) -> BTreeMap<String, ComposedWorker> {
         let every = |composer: &Composer| {
             let one = |name: &str| Some((name.to_string(), compose(composer, name, names)?));
-            composer.names().filter_map(one).collect()
+            composer.worker_names().filter_map(one).collect()
         };
         match intent {
             None => every(&self.composer),
             Some(intent) => {
                 let mut composer = self.composer.clone();
-                composer.wish(intent);
+                composer.update_intent(intent);
                 every(&composer)
             }
         }
@@ -188,7 +189,7 @@
         self.listed.remove(&worker);
         self.addresses.remove(&worker);
         if self.composer.forget(&name) {
-            self.composer.renumber(&name, names.worker(&name));
+            self.composer.reassign_id(&name, names.worker(&name));
         }
     }
 
@@ -198,10 +199,10 @@
     }
 }
 
-fn compose(composer: &Composer, name: &str, names: &Names) -> Option<Composed> {
+fn compose(composer: &Composer, name: &str, names: &Names) -> Option<ComposedWorker> {
     // A change that is only judged may place workers that have no id yet: they are nobody's readers.
-    let placed = |wish: &Wish| {
-        let place = wish.place.as_ref()?;
+    let placed = |wish: &WorkerIntent| {
+        let place = wish.placement.as_ref()?;
         let small = |known: Option<u32>| known.map_or(u16::MAX, |id| id as u16);
         Some(Listed {
             worker: WorkerId(names.workers.known(name).unwrap_or(u32::MAX)),
@@ -213,5 +214,5 @@
             weight: 0.0,
         })
     };
-    composer.composed(name, placed)
+    composer.compose(name, placed)
 }
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -1,6 +1,6 @@
 //! `rpc-error`, exact as RFC 6241 section 4.3 and appendix A have it, and what of ours becomes which.
 
-use juniperrail_intent::{Refusal, Refused, Session};
+use juniperrail_intent::{DatastoreError, Refusal, Session};
 use juniperrail_model::xml::{Attr, Element, NETCONF, XML};
 use juniperrail_model::{Fault, Rule};
 
@@ -106,30 +106,32 @@
 
 fn of_refusal(refusal: &Refusal) -> RpcError {
     let error = RpcError::new(Kind::Application, "operation-failed", refusal.to_string()).at(refusal.path());
-    RpcError { app_tag: Some(refusal.tag()), ..error }
+    RpcError { app_tag: Some(refusal.error_app_tag()), ..error }
 }
 
-fn of_holder(kind: Kind, tag: &'static str, refused: &Refused, holder: Session) -> RpcError {
+fn of_holder(kind: Kind, tag: &'static str, refused: &DatastoreError, holder: Session) -> RpcError {
     RpcError::new(kind, tag, refused.to_string()).about("session-id", holder.0.to_string())
 }
 
 /// Why something is not done, as one or more errors.
-pub fn of_refused(refused: &Refused) -> Vec<RpcError> {
+pub fn of_refused(refused: &DatastoreError) -> Vec<RpcError> {
     let one = |kind, tag| RpcError::new(kind, tag, refused.to_string());
     vec![match refused {
-        Refused::Faults(faults) => return faults.iter().map(of_fault).collect(),
-        Refused::Judged(refusals) => return refusals.iter().map(of_refusal).collect(),
-        Refused::LockDenied(holder) => of_holder(Kind::Protocol, "lock-denied", refused, *holder),
+        DatastoreError::Faults(faults) => return faults.iter().map(of_fault).collect(),
+        DatastoreError::NotAdmitted(refusals) => return refusals.iter().map(of_refusal).collect(),
+        DatastoreError::LockDenied(holder) => of_holder(Kind::Protocol, "lock-denied", refused, *holder),
         // Section 7.5: held by no session of NETCONF.
-        Refused::CandidateChanged => of_holder(Kind::Protocol, "lock-denied", refused, Session(0)),
-        Refused::InUse(_) | Refused::Unconfirmed(_) => one(Kind::Protocol, "in-use"),
-        Refused::NotLocked => one(Kind::Protocol, "operation-failed"),
-        Refused::NothingUnconfirmed => one(Kind::Protocol, "operation-failed"),
-        Refused::WrongPersistId => one(Kind::Protocol, "invalid-value"),
-        Refused::NoVersion(_) => one(Kind::Application, "invalid-value"),
-        Refused::Denied(path) if path.starts_with('/') => one(Kind::Application, "access-denied").at(&**path),
-        Refused::Denied(_) => one(Kind::Application, "access-denied"),
-        Refused::Unsupported(_) => one(Kind::Application, "operation-not-supported"),
+        DatastoreError::CandidateChanged => of_holder(Kind::Protocol, "lock-denied", refused, Session(0)),
+        DatastoreError::InUse(_) | DatastoreError::ConfirmedCommitPending(_) => one(Kind::Protocol, "in-use"),
+        DatastoreError::NotLocked => one(Kind::Protocol, "operation-failed"),
+        DatastoreError::NoConfirmedCommitPending => one(Kind::Protocol, "operation-failed"),
+        DatastoreError::WrongPersistId => one(Kind::Protocol, "invalid-value"),
+        DatastoreError::UnknownVersion(_) => one(Kind::Application, "invalid-value"),
+        DatastoreError::AccessDenied(path) if path.starts_with('/') => {
+            one(Kind::Application, "access-denied").at(&**path)
+        }
+        DatastoreError::AccessDenied(_) => one(Kind::Application, "access-denied"),
+        DatastoreError::Unsupported(_) => one(Kind::Application, "operation-not-supported"),
     }]
 }
 
@@ -167,14 +169,16 @@
 
     #[test]
     fn a_lock_that_is_held_tells_by_whom() {
-        let errors = of_refused(&Refused::LockDenied(Session(7)));
+        let errors = of_refused(&DatastoreError::LockDenied(Session(7)));
         assert_eq!(
             (errors[0].tag, errors[0].info.clone()),
             ("lock-denied", vec![("session-id", "7".to_string())])
         );
-        assert_eq!(of_refused(&Refused::CandidateChanged)[0].info[0].1, "0");
-        let refusals = vec![Refusal::TooManyWorkers { asked: 5000 }, Refusal::NoSecondMessage { most: 1.0 }];
-        let tags: Vec<_> = of_refused(&Refused::Judged(refusals)).iter().map(|error| error.app_tag).collect();
+        assert_eq!(of_refused(&DatastoreError::CandidateChanged)[0].info[0].1, "0");
+        let refusals =
+            vec![Refusal::TooManyWorkers { requested: 5000 }, Refusal::NoSecondMessage { max_messages: 1.0 }];
+        let tags: Vec<_> =
+            of_refused(&DatastoreError::NotAdmitted(refusals)).iter().map(|error| error.app_tag).collect();
         assert_eq!(tags, [Some("too-many-workers"), Some("no-second-message")]);
     }
 }
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use juniperrail_intent::{Commit, DefaultOp, Errors, Refused, Session, Store};
+use juniperrail_intent::{Commit, Datastore, DatastoreError, DefaultOperation, ErrorOption, Session};
 use juniperrail_model::xml::{self, Element, NETCONF};
 use juniperrail_model::{Data, Kind as NodeKind, Path, Schema};
 use juniperrail_north::{Caller, Check, Keeper, Source};
@@ -76,7 +76,7 @@
 
 type Replied = Result<(Answer, Then), Vec<RpcError>>;
 
-fn refused(refused: Refused) -> Vec<RpcError> {
+fn refused(refused: DatastoreError) -> Vec<RpcError> {
     of_refused(&refused)
 }
 
@@ -103,13 +103,13 @@
 }
 
 /// The datastore that an element such as `<target>` names.
-fn store(operation: &Element, name: &str) -> Result<Store, Vec<RpcError>> {
+fn store(operation: &Element, name: &str) -> Result<Datastore, Vec<RpcError>> {
     let around = operation.get(&operation.ns, name).ok_or_else(|| missing(name, &operation.name))?;
     let [named] = &around.children[..] else { return Err(missing("a datastore", name)) };
     match (&*named.ns == NETCONF, named.name.as_str()) {
-        (true, "running") => Ok(Store::Running),
-        (true, "candidate") => Ok(Store::Candidate),
-        (true, "startup") => Ok(Store::Startup),
+        (true, "running") => Ok(Datastore::Running),
+        (true, "candidate") => Ok(Datastore::Candidate),
+        (true, "startup") => Ok(Datastore::Startup),
         (true, "url") => Err(fault(Kind::Protocol, "operation-not-supported", "URLs are not supported")),
         _ => Err(unknown(named)),
     }
@@ -270,7 +270,7 @@
     async fn get(&self, operation: &Element) -> Replied {
         only(operation, &["filter", "with-defaults"])?;
         let (filter, defaults) = (self.filter(operation, "filter")?, self.defaults(operation)?);
-        let running = self.shared.keeper.get(&self.caller, Store::Running).await;
+        let running = self.shared.keeper.get(&self.caller, Datastore::Running).await;
         let mut all = self.elements(&running, defaults);
         all.extend(self.state(filter).await?);
         done(self.data(NETCONF, self.shared.selected(filter, all)))
@@ -302,7 +302,7 @@
         let leaf = |name: &str, text: &str| Element::with_text(MONITORING, name, text);
         let capabilities = self.shared.capabilities.iter().map(|of| leaf("capability", of));
         let locks = keeper.locks().await;
-        let datastore = |(store, name): (Store, &str)| {
+        let datastore = |(store, name): (Datastore, &str)| {
             let held = locks.iter().find(|(of, _)| *of == store);
             let lock = held.map(|(_, by)| {
                 let by = leaf("locked-by-session", &by.0.to_string());
@@ -310,8 +310,11 @@
             });
             new("datastore").with(leaf("name", name)).with_all(lock)
         };
-        let stores =
-            [(Store::Running, "running"), (Store::Candidate, "candidate"), (Store::Startup, "startup")];
+        let stores = [
+            (Datastore::Running, "running"),
+            (Datastore::Candidate, "candidate"),
+            (Datastore::Startup, "startup"),
+        ];
         let module = |of: &juniperrail_model::Module| {
             new("schema")
                 .with(leaf("identifier", &of.name))
@@ -389,13 +392,13 @@
         let configured =
             |store| async move { self.elements(&keeper.get(&self.caller, store).await, defaults) };
         let mut all = match told.rsplit(':').next() {
-            Some("running") => configured(Store::Running).await,
-            Some("candidate") => configured(Store::Candidate).await,
-            Some("startup") => configured(Store::Startup).await,
+            Some("running") => configured(Datastore::Running).await,
+            Some("candidate") => configured(Datastore::Candidate).await,
+            Some("startup") => configured(Datastore::Startup).await,
             Some("operational") => {
                 let mut all = match config {
                     Some(false) => Vec::new(),
-                    _ => configured(Store::Running).await,
+                    _ => configured(Datastore::Running).await,
                 };
                 if config != Some(true) {
                     all.extend(self.state(filter).await?);
@@ -415,32 +418,35 @@
     async fn edit_config(&self, operation: &Element) -> Replied {
         only(operation, &["target", "default-operation", "test-option", "error-option", "config"])?;
         match store(operation, "target")? {
-            Store::Candidate => {}
+            Datastore::Candidate => {}
             _ => {
                 let what = "edits go to the candidate, and from there by a commit";
                 return Err(fault(Kind::Protocol, "operation-not-supported", what));
             }
         }
-        let default =
-            [("merge", DefaultOp::Merge), ("replace", DefaultOp::Replace), ("none", DefaultOp::None)];
-        let default = choice(operation, "default-operation", DefaultOp::Merge, &default)?;
+        let default = [
+            ("merge", DefaultOperation::Merge),
+            ("replace", DefaultOperation::Replace),
+            ("none", DefaultOperation::None),
+        ];
+        let default = choice(operation, "default-operation", DefaultOperation::Merge, &default)?;
         let check =
             [("test-then-set", Check::TestThenSet), ("set", Check::Set), ("test-only", Check::TestOnly)];
         let check = choice(operation, "test-option", Check::TestThenSet, &check)?;
         let errors = [
-            ("stop-on-error", Errors::Refuse),
-            ("rollback-on-error", Errors::Refuse),
-            ("continue-on-error", Errors::Continue),
+            ("stop-on-error", ErrorOption::RollbackOnError),
+            ("rollback-on-error", ErrorOption::RollbackOnError),
+            ("continue-on-error", ErrorOption::ContinueOnError),
         ];
-        let errors = choice(operation, "error-option", Errors::Refuse, &errors)?;
+        let errors = choice(operation, "error-option", ErrorOption::RollbackOnError, &errors)?;
         let config = operation.get(NETCONF, "config").ok_or_else(|| missing("config", "edit-config"))?;
         let keeper = &self.shared.keeper;
         let drafts = xml::drafts(keeper.schema(), &config.children, true);
-        let drafts = drafts.map_err(|fault| refused(Refused::Faults(vec![fault])))?;
+        let drafts = drafts.map_err(|fault| refused(DatastoreError::Faults(vec![fault])))?;
         let faults = keeper.edit(&self.caller, &drafts, default, errors, check).await.map_err(refused)?;
         match faults.is_empty() {
             true => done(Answer::Ok),
-            false => Err(refused(Refused::Faults(faults))),
+            false => Err(refused(DatastoreError::Faults(faults))),
         }
     }
 
@@ -451,7 +457,7 @@
             return store(operation, "source").map(Source::Store);
         };
         let drafts = xml::drafts(self.shared.keeper.schema(), &config.children, false);
-        drafts.map(Source::Given).map_err(|fault| refused(Refused::Faults(vec![fault])))
+        drafts.map(Source::Given).map_err(|fault| refused(DatastoreError::Faults(vec![fault])))
     }
 
     async fn copy_config(&self, operation: &Element) -> Replied {
@@ -498,11 +504,11 @@
         };
         let commit = Commit {
             confirmed: operation.get(NETCONF, "confirmed").is_some(),
-            within,
+            confirm_timeout: within,
             persist: named("persist"),
             persist_id: named("persist-id"),
         };
-        if !commit.confirmed && (commit.within.is_some() || commit.persist.is_some()) {
+        if !commit.confirmed && (commit.confirm_timeout.is_some() || commit.persist.is_some()) {
             return Err(missing("confirmed", "commit"));
         }
         self.shared.keeper.commit(&self.caller, commit).await.map_err(refused)?;
@@ -522,7 +528,7 @@
         let session = u32::try_from(id).map_err(|_| invalid("session-id", "there is no such session"))?;
         let killed = self.shared.keeper.kill(&self.caller, Session(session)).await;
         killed.map_err(|why| match why {
-            Refused::Unsupported(what) => invalid("session-id", what),
+            DatastoreError::Unsupported(what) => invalid("session-id", what),
             other => refused(other),
         })?;
         done(Answer::Ok)
--- a/crates/netconf/src/ssh.rs
+++ b/crates/netconf/src/ssh.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_intent::Access;
+use juniperrail_intent::AccessControl;
 use russh::keys::{PrivateKey, PublicKey};
 use russh::server::{run_stream, Auth, ChannelOpenHandle, Config, Handler, Msg, Session, VerifiedPublicKey};
 use russh::{Channel, ChannelId, MethodKind, MethodSet};
@@ -42,7 +42,7 @@
 struct Connection {
     from: SocketAddr,
     shared: Arc<Shared>,
-    access: watch::Receiver<Access>,
+    access: watch::Receiver<AccessControl>,
     limits: Limits,
     places: Places,
     /// The stranger's place, until there is a session.
--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_intent::{Access, NameFrom};
+use juniperrail_intent::{AccessControl, CertToName};
 use juniperrail_model::View;
 use juniperrail_north::Keeper;
 use rustls::pki_types::pem::PemObject;
@@ -190,19 +190,19 @@
 }
 
 /// The user whom a client's chain of certificates stands for, RFC 7589 section 7. The chain is verified.
-fn user_of(access: &Access, chain: &[CertificateDer<'_>]) -> Result<String, String> {
+fn user_of(access: &AccessControl, chain: &[CertificateDer<'_>]) -> Result<String, String> {
     let client = chain.first().ok_or("no certificate came")?;
-    let mapped = chain.iter().find_map(|certificate| access.certificate(&fingerprint(certificate)));
+    let mapped = chain.iter().find_map(|certificate| access.cert_to_name(&fingerprint(certificate)));
     let unknown = || format!("its certificate {} stands for nobody", fingerprint(client));
     let parsed = || x509_parser::parse_x509_certificate(client).map_err(|why| why.to_string());
     let name = match mapped.ok_or_else(unknown)? {
-        NameFrom::Specified(user) => Some(user.clone()),
-        NameFrom::CommonName => {
+        CertToName::Specified(user) => Some(user.clone()),
+        CertToName::CommonName => {
             let (_, parsed) = parsed()?;
             let mut names = parsed.subject().iter_common_name().filter_map(|name| name.as_str().ok());
             names.next().map(str::to_string)
         }
-        NameFrom::DnsName => {
+        CertToName::DnsName => {
             let (_, parsed) = parsed()?;
             let names = parsed.subject_alternative_name().map_err(|why| why.to_string())?;
             let names = names.into_iter().flat_map(|names| &names.value.general_names);
@@ -228,7 +228,7 @@
     from: SocketAddr,
     acceptor: tokio_rustls::TlsAcceptor,
     shared: Arc<Shared>,
-    access: watch::Receiver<Access>,
+    access: watch::Receiver<AccessControl>,
     limits: Limits,
     places: Places,
     place: OwnedSemaphorePermit,
--- a/crates/north/src/keeper.rs
+++ b/crates/north/src/keeper.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use juniperrail_intent::{
-    Access, Commit, Concluded, Datastores, DefaultOp, Doing, Errors, Proposal, Refused, Role, Session, Store,
+    AccessControl, AccessOperation, Commit, CommitOutcome, Datastore, DatastoreError, Datastores,
+    DefaultOperation, ErrorOption, Proposal, Role, Session,
 };
 use juniperrail_interface::Ms;
 use juniperrail_model::{Data, Draft, Fault, Schema};
@@ -67,7 +68,7 @@
 
 /// Data that an operation takes: a datastore's, or what came with it.
 pub enum Source {
-    Store(Store),
+    Store(Datastore),
     Given(Vec<Draft>),
 }
 
@@ -80,7 +81,7 @@
 
 struct Inner {
     stores: Datastores,
-    access: Access,
+    access: AccessControl,
     speakers: BTreeMap<Session, Speaker>,
     last: u32,
     state: Option<(Instant, Arc<State>)>,
@@ -98,7 +99,7 @@
     unix: Ms,
     inner: Mutex<Inner>,
     /// The access rules in force, for fronts that have to know who may come before there is a session.
-    access: watch::Sender<Access>,
+    access: watch::Sender<AccessControl>,
     told: broadcast::Sender<Arc<Told>>,
     /// The next roll-back may be due at another time.
     rescheduled: Notify,
@@ -112,9 +113,9 @@
         startup: Data,
         file: Option<OperatorFile>,
         asks: mpsc::Sender<Ask>,
-    ) -> Result<Keeper, Refused> {
+    ) -> Result<Keeper, DatastoreError> {
         let stores = Datastores::new(schema.clone(), unix, startup)?;
-        let access = Access::read(&schema, stores.get(Store::Running)).unwrap_or_default();
+        let access = AccessControl::from_data(&schema, stores.get(Datastore::Running)).unwrap_or_default();
         let (speakers, state) = (BTreeMap::new(), None);
         let inner = Mutex::new(Inner { stores, access: access.clone(), speakers, last: 0, state });
         let (access, told) = (watch::Sender::new(access), broadcast::Sender::new(NOTICES));
@@ -131,7 +132,7 @@
         self.0.unix + self.0.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    pub fn access(&self) -> watch::Receiver<Access> {
+    pub fn access(&self) -> watch::Receiver<AccessControl> {
         self.0.access.subscribe()
     }
 
@@ -148,7 +149,7 @@
     /// Does what is due by time, and passes on what the decisions tell. Ends with them.
     pub async fn run(&self, mut notices: mpsc::Receiver<Notice>) {
         loop {
-            let due = self.0.inner.lock().await.stores.next_due();
+            let due = self.0.inner.lock().await.stores.next_deadline();
             let wait = due.map(|due| Duration::from_secs_f64(((due - self.now()) / 1000.0).clamp(0.0, 1e6)));
             let wait = wait.map(tokio::time::sleep);
             let timer = async {
@@ -176,7 +177,7 @@
     /// Takes back the confirmed commit that nobody confirmed in time.
     async fn roll_back(&self) {
         let mut inner = self.0.inner.lock().await;
-        let Some(proposal) = inner.stores.due(self.now()) else { return };
+        let Some(proposal) = inner.stores.due_rollback(self.now()) else { return };
         let number = proposal.number;
         match self.settle(&mut inner, None, proposal).await {
             Ok(_) => {
@@ -187,7 +188,7 @@
             }
             Err(why) => {
                 tracing::error!("a confirmed commit cannot be taken back yet: {why}");
-                inner.stores.postpone(self.now(), why.to_string());
+                inner.stores.postpone_rollback(self.now(), why.to_string());
             }
         }
     }
@@ -198,23 +199,23 @@
         inner: &mut Inner,
         session: Option<Session>,
         proposal: Proposal,
-    ) -> Result<Concluded, Refused> {
+    ) -> Result<CommitOutcome, DatastoreError> {
         let (tell, verdict) = oneshot::channel();
-        let (number, by) = (proposal.number, proposal.by.clone());
+        let (number, by) = (proposal.number, proposal.author.clone());
         let intent = Box::new(proposal.intent.clone());
         let ask = Ask::Change { number, by: by.clone(), intent, verdict: tell };
         self.judged(ask, verdict).await?;
-        let before = inner.stores.get(Store::Running).clone();
-        let concluded = inner.stores.conclude(self.now(), proposal);
+        let before = inner.stores.get(Datastore::Running).clone();
+        let concluded = inner.stores.apply(self.now(), proposal);
         inner.state = None;
-        let running = inner.stores.get(Store::Running);
+        let running = inner.stores.get(Datastore::Running);
         // Its rules were read when it was checked.
-        inner.access = Access::read(&self.0.schema, running).unwrap_or_default();
+        inner.access = AccessControl::from_data(&self.0.schema, running).unwrap_or_default();
         self.0.access.send_replace(inner.access.clone());
         self.0.rescheduled.notify_one();
         tracing::info!("version {number} of the configuration is running, by {by}");
         let edits = self.edits(&before, running);
-        let unconfirmed = concluded.unconfirmed_until.is_some();
+        let unconfirmed = concluded.confirm_deadline.is_some();
         self.tell(Told::Changed { number, by, session, unconfirmed, edits });
         Ok(concluded)
     }
@@ -232,10 +233,10 @@
         found.into_iter().map(edit).collect()
     }
 
-    async fn judged(&self, ask: Ask, verdict: oneshot::Receiver<Verdict>) -> Result<(), Refused> {
-        let gone = Refused::Unsupported("the decisions are not there any more");
+    async fn judged(&self, ask: Ask, verdict: oneshot::Receiver<Verdict>) -> Result<(), DatastoreError> {
+        let gone = DatastoreError::Unsupported("the decisions are not there any more");
         self.0.asks.send(ask).await.map_err(|_| gone.clone())?;
-        verdict.await.map_err(|_| gone)?.map_err(Refused::Judged)
+        verdict.await.map_err(|_| gone)?.map_err(DatastoreError::NotAdmitted)
     }
 
     /// Somebody speaks, as the user that the front found it to be. `None`: that user is not known here.
@@ -257,7 +258,7 @@
     pub async fn closed(&self, caller: &Caller, how: Ended) {
         let mut inner = self.0.inner.lock().await;
         let Some(speaker) = inner.speakers.remove(&caller.session) else { return };
-        inner.stores.ended(self.now(), caller.session);
+        inner.stores.end_session(self.now(), caller.session);
         drop(inner);
         let how = speaker.killed.map_or(how, Ended::Killed);
         tracing::info!(
@@ -271,14 +272,14 @@
     }
 
     /// Ends another's session; only admins may, or the same user.
-    pub async fn kill(&self, caller: &Caller, session: Session) -> Result<(), Refused> {
+    pub async fn kill(&self, caller: &Caller, session: Session) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let admin = inner.access.role(&caller.user) == Some(Role::Admin);
         let Some(speaker) = inner.speakers.get_mut(&session).filter(|_| session != caller.session) else {
-            return Err(Refused::Unsupported("there is no other session of that number"));
+            return Err(DatastoreError::Unsupported("there is no other session of that number"));
         };
         if !admin && speaker.user != caller.user {
-            return Err(Refused::Denied(format!("session {}", session.0)));
+            return Err(DatastoreError::AccessDenied(format!("session {}", session.0)));
         }
         speaker.killed = Some(caller.session);
         speaker.end.notify_one();
@@ -292,46 +293,46 @@
     }
 
     /// Who holds which lock.
-    pub async fn locks(&self) -> Vec<(Store, Session)> {
+    pub async fn locks(&self) -> Vec<(Datastore, Session)> {
         let inner = self.0.inner.lock().await;
-        let stores = [Store::Running, Store::Candidate, Store::Startup];
-        stores.into_iter().filter_map(|store| Some((store, inner.stores.holder(store)?))).collect()
+        let stores = [Datastore::Running, Datastore::Candidate, Datastore::Startup];
+        stores.into_iter().filter_map(|store| Some((store, inner.stores.lock_holder(store)?))).collect()
     }
 
     /// A datastore as the user may read it.
-    pub async fn get(&self, caller: &Caller, store: Store) -> Data {
+    pub async fn get(&self, caller: &Caller, store: Datastore) -> Data {
         let inner = self.0.inner.lock().await;
-        inner.access.readable(&self.0.schema, &caller.user, inner.stores.get(store))
+        inner.access.filter_readable(&self.0.schema, &caller.user, inner.stores.get(store))
     }
 
     /// The state as the user may read it: what the proxies were really told, at most 100 ms ago.
-    pub async fn state(&self, caller: &Caller) -> Result<Data, Refused> {
+    pub async fn state(&self, caller: &Caller) -> Result<Data, DatastoreError> {
         let state = self.snapshot().await?;
         let inner = self.0.inner.lock().await;
         let now = self.now();
         let versions = inner.stores.versions().map(|version| VersionState {
             number: version.number,
-            by: version.by.clone(),
+            by: version.author.clone(),
             age: now - version.at,
         });
-        let waits = inner.stores.waits();
+        let waits = inner.stores.pending_confirmation();
         let versions = VersionsState {
             unconfirmed_for: waits.map(|(until, _)| until - now),
             overdue: waits.and_then(|(_, why)| why.map(str::to_string)),
             versions: versions.collect(),
         };
         let data = state.data(&self.0.schema, &versions);
-        Ok(inner.access.readable(&self.0.schema, &caller.user, &data))
+        Ok(inner.access.filter_readable(&self.0.schema, &caller.user, &data))
     }
 
-    async fn snapshot(&self) -> Result<Arc<State>, Refused> {
+    async fn snapshot(&self) -> Result<Arc<State>, DatastoreError> {
         // The lock is held meanwhile, so that however many ask, one is asked for.
         let mut inner = self.0.inner.lock().await;
         if let Some((_, state)) = inner.state.as_ref().filter(|(at, _)| at.elapsed() < STATE_AGE) {
             return Ok(state.clone());
         }
         let (tell, told) = oneshot::channel();
-        let gone = Refused::Unsupported("the decisions are not there any more");
+        let gone = DatastoreError::Unsupported("the decisions are not there any more");
         self.0.asks.send(Ask::State(tell)).await.map_err(|_| gone.clone())?;
         let state = told.await.map_err(|_| gone)?;
         inner.state = Some((Instant::now(), state.clone()));
@@ -343,43 +344,45 @@
         &self,
         caller: &Caller,
         drafts: &[Draft],
-        default: DefaultOp,
-        errors: Errors,
+        default: DefaultOperation,
+        errors: ErrorOption,
         check: Check,
-    ) -> Result<Vec<Fault>, Refused> {
+    ) -> Result<Vec<Fault>, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let (data, faults) = inner.stores.edited(caller.session, drafts, default, errors)?;
-        self.allowed(&inner, caller, inner.stores.get(Store::Candidate), &data)?;
+        let (data, faults) = inner.stores.edit_candidate(caller.session, drafts, default, errors)?;
+        self.allowed(&inner, caller, inner.stores.get(Datastore::Candidate), &data)?;
         if check != Check::Set {
             inner.stores.validate(&data)?;
         }
         if check != Check::TestOnly {
-            inner.stores.put(caller.session, Store::Candidate, data)?;
+            inner.stores.put(caller.session, Datastore::Candidate, data)?;
         }
         Ok(faults)
     }
 
-    fn allowed(&self, inner: &Inner, caller: &Caller, old: &Data, new: &Data) -> Result<(), Refused> {
-        match inner.access.refused(&self.0.schema, &caller.user, old, new) {
-            Some(path) => Err(Refused::Denied(path.spelled(&self.0.schema))),
+    fn allowed(&self, inner: &Inner, caller: &Caller, old: &Data, new: &Data) -> Result<(), DatastoreError> {
+        match inner.access.first_denied_write(&self.0.schema, &caller.user, old, new) {
+            Some(path) => Err(DatastoreError::AccessDenied(path.spelled(&self.0.schema))),
             None => Ok(()),
         }
     }
 
-    fn taken(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, Refused> {
+    fn taken(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, DatastoreError> {
         Ok(match source {
             // Nobody copies what he may not read, and with it writes what he doesn't see.
             Source::Store(store) => {
                 let data = inner.stores.get(store);
-                let seen = inner.access.readable(&self.0.schema, &caller.user, data);
+                let seen = inner.access.filter_readable(&self.0.schema, &caller.user, data);
                 if seen != *data {
-                    return Err(Refused::Denied("what this user may not read of the source".into()));
+                    return Err(DatastoreError::AccessDenied(
+                        "what this user may not read of the source".into(),
+                    ));
                 }
                 seen
             }
             Source::Given(drafts) => {
-                let mut data =
-                    Data::from_drafts(&self.0.schema, &drafts).map_err(|f| Refused::Faults(vec![f]))?;
+                let mut data = Data::from_drafts(&self.0.schema, &drafts)
+                    .map_err(|f| DatastoreError::Faults(vec![f]))?;
                 data.tidy(&self.0.schema);
                 data
             }
@@ -387,85 +390,96 @@
     }
 
     /// Puts whole data into the candidate or startup; startup goes to the operator's file first.
-    pub async fn copy(&self, caller: &Caller, source: Source, target: Store) -> Result<(), Refused> {
+    pub async fn copy(
+        &self,
+        caller: &Caller,
+        source: Source,
+        target: Datastore,
+    ) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let data = self.taken(&inner, caller, source)?;
         self.put(&mut inner, caller, target, data)
     }
 
-    fn put(&self, inner: &mut Inner, caller: &Caller, target: Store, data: Data) -> Result<(), Refused> {
+    fn put(
+        &self,
+        inner: &mut Inner,
+        caller: &Caller,
+        target: Datastore,
+        data: Data,
+    ) -> Result<(), DatastoreError> {
         self.allowed(inner, caller, inner.stores.get(target), &data)?;
-        if target == Store::Startup {
+        if target == Datastore::Startup {
             inner.stores.validate(&data)?;
             if let Some(holder) =
-                inner.stores.holder(Store::Startup).filter(|holder| *holder != caller.session)
+                inner.stores.lock_holder(Datastore::Startup).filter(|holder| *holder != caller.session)
             {
-                return Err(Refused::InUse(holder));
+                return Err(DatastoreError::InUse(holder));
             }
             let file = self
                 .0
                 .file
                 .as_ref()
-                .ok_or(Refused::Unsupported("there is no operator's file to hold startup"))?;
+                .ok_or(DatastoreError::Unsupported("there is no operator's file to hold startup"))?;
             file.write(&self.0.schema, &data).map_err(|why| {
                 tracing::error!("{} cannot be written: {why}", file.path().display());
-                Refused::Unsupported("the operator's file cannot be written; the log says why")
+                DatastoreError::Unsupported("the operator's file cannot be written; the log says why")
             })?;
         }
         inner.stores.put(caller.session, target, data)
     }
 
     /// Empties startup.
-    pub async fn delete(&self, caller: &Caller, target: Store) -> Result<(), Refused> {
-        if target != Store::Startup {
-            return Err(Refused::Unsupported("only startup can be deleted"));
+    pub async fn delete(&self, caller: &Caller, target: Datastore) -> Result<(), DatastoreError> {
+        if target != Datastore::Startup {
+            return Err(DatastoreError::Unsupported("only startup can be deleted"));
         }
         let mut inner = self.0.inner.lock().await;
         self.put(&mut inner, caller, target, Data::default())
     }
 
     /// Guards against somebody who may change nothing and keeps others from it all the same.
-    fn writer(inner: &Inner, caller: &Caller, what: &str) -> Result<(), Refused> {
+    fn writer(inner: &Inner, caller: &Caller, what: &str) -> Result<(), DatastoreError> {
         match inner.access.role(&caller.user) {
             Some(Role::Operator | Role::Admin) => Ok(()),
-            Some(Role::Reader) | None => Err(Refused::Denied(what.into())),
+            Some(Role::Reader) | None => Err(DatastoreError::AccessDenied(what.into())),
         }
     }
 
-    pub async fn lock(&self, caller: &Caller, store: Store) -> Result<(), Refused> {
+    pub async fn lock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         Keeper::writer(&inner, caller, "a lock")?;
         inner.stores.lock(store, caller.session)
     }
 
-    pub async fn unlock(&self, caller: &Caller, store: Store) -> Result<(), Refused> {
+    pub async fn unlock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
         self.0.inner.lock().await.stores.unlock(store, caller.session)
     }
 
-    pub async fn discard(&self, caller: &Caller) -> Result<(), Refused> {
+    pub async fn discard(&self, caller: &Caller) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         Keeper::writer(&inner, caller, "the candidate")?;
         inner.stores.discard(caller.session)
     }
 
     /// Whether it fits the model and the world would bear it now.
-    pub async fn validate(&self, caller: &Caller, source: Source) -> Result<(), Refused> {
+    pub async fn validate(&self, caller: &Caller, source: Source) -> Result<(), DatastoreError> {
         let inner = self.0.inner.lock().await;
         let data = self.taken(&inner, caller, source)?;
         inner.stores.validate(&data)?;
         let (tell, verdict) = oneshot::channel();
-        let intent = Box::new(juniperrail_intent::Intent::read(&self.0.schema, &data));
+        let intent = Box::new(juniperrail_intent::Intent::from_data(&self.0.schema, &data));
         self.judged(Ask::Judge { intent, verdict: tell }, verdict).await
     }
 
     /// Makes the candidate running, whole, or says why not.
-    pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<Concluded, Refused> {
+    pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<CommitOutcome, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let (confirmed, waited) = (commit.confirmed, inner.stores.waits().is_some());
+        let (confirmed, waited) = (commit.confirmed, inner.stores.pending_confirmation().is_some());
         Keeper::writer(&inner, caller, "running")?;
-        let proposal = inner.stores.propose(caller.session, &caller.user, commit)?;
+        let proposal = inner.stores.propose_commit(caller.session, &caller.user, commit)?;
         // Edits of others may stand in the candidate: who commits answers for all of it.
-        self.allowed(&inner, caller, inner.stores.get(Store::Running), &proposal.data)?;
+        self.allowed(&inner, caller, inner.stores.get(Datastore::Running), &proposal.data)?;
         let concluded = self.settle(&mut inner, Some(caller.session), proposal).await?;
         if waited && !confirmed {
             self.tell(Told::Confirmed { how: "complete" });
@@ -474,25 +488,25 @@
     }
 
     /// Takes back a confirmed commit that waits.
-    pub async fn cancel(&self, caller: &Caller, persist_id: Option<&str>) -> Result<(), Refused> {
+    pub async fn cancel(&self, caller: &Caller, persist_id: Option<&str>) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         Keeper::writer(&inner, caller, "running")?;
-        let proposal = inner.stores.cancel(caller.session, persist_id)?;
+        let proposal = inner.stores.propose_cancel(caller.session, persist_id)?;
         self.settle(&mut inner, Some(caller.session), proposal).await?;
         self.tell(Told::Confirmed { how: "cancel" });
         Ok(())
     }
 
     /// Puts an older version of running into the candidate.
-    pub async fn version(&self, caller: &Caller, number: u64) -> Result<(), Refused> {
+    pub async fn version(&self, caller: &Caller, number: u64) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let data = inner.stores.at_version(number)?.clone();
-        self.put(&mut inner, caller, Store::Candidate, data)
+        let data = inner.stores.version_data(number)?.clone();
+        self.put(&mut inner, caller, Datastore::Candidate, data)
     }
 
     /// Whether the user may do something with all there is, as getting schemas or being told notifications.
     pub async fn may_read(&self, caller: &Caller, path: &juniperrail_model::Path) -> bool {
-        self.0.inner.lock().await.access.may(&caller.user, Doing::Read, path)
+        self.0.inner.lock().await.access.permits(&caller.user, AccessOperation::Read, path)
     }
 }
 
--- a/crates/north/src/state.rs
+++ b/crates/north/src/state.rs
@@ -1,13 +1,13 @@
 //! The state that can be read: typed as the task that owns the decisions knows it, and as data of the model.
 
-use juniperrail_intent::{Composed, Source, Stage};
+use juniperrail_intent::{ComposedWorker, Origin, Stage};
 use juniperrail_interface::{Ms, Phase, Retry};
 use juniperrail_model::{Content, Data, NodeId, Schema, Value};
 
 #[derive(Clone, Debug)]
 pub struct WorkerState {
     pub name: String,
-    pub composed: Composed,
+    pub composed: ComposedWorker,
     pub zone: String,
     pub machine: String,
     pub warm: bool,
@@ -205,15 +205,16 @@
 
 impl WorkerState {
     fn write(&self, all: &mut Writer<'_>) {
-        let Composed { listed, phase_from, weight_from, place_from, discovery, .. } = &self.composed;
+        let ComposedWorker { listed, phase_origin, weight_origin, placement_origin, discovery_phase, .. } =
+            &self.composed;
         all.entry("worker", &[Value::text(&*self.name)], |worker| {
-            worker.text("phase", phase(listed.phase)).text("phase-from", phase_from.name());
-            if let Some(from) = weight_from {
+            worker.text("phase", phase(listed.phase)).text("phase-from", phase_origin.name());
+            if let Some(from) = weight_origin {
                 worker.figure("weight", listed.weight, 4).text("weight-from", from.name());
             }
             worker.text("zone", &self.zone).text("machine", &self.machine);
-            worker.text("place-from", Source::name(*place_from)).set("warm", Value::Boolean(self.warm));
-            if let Some(word) = discovery {
+            worker.text("place-from", Origin::name(*placement_origin)).set("warm", Value::Boolean(self.warm));
+            if let Some(word) = discovery_phase {
                 worker.text("discovery-phase", phase(*word));
             }
         });
@@ -310,9 +311,9 @@
             change.text("by", &self.by).figure("age", self.age, 3);
             change.whole("held-by", self.held_by as u64).whole("joined", self.joined as u64);
             match self.stage {
-                Stage::GoingOut => change.text("progress", "going-out"),
+                Stage::Distributing => change.text("progress", "going-out"),
                 Stage::Superseded => change.text("progress", "superseded"),
-                Stage::Held { after } => change.text("progress", "held").figure("held-after", after, 3),
+                Stage::Applied { after } => change.text("progress", "held").figure("held-after", after, 3),
             };
         });
     }
@@ -355,13 +356,13 @@
             cell,
             weight: 0.123456,
         };
-        let composed = Composed {
+        let composed = ComposedWorker {
             listed,
             address: None,
-            phase_from: Source::Operator,
-            weight_from: Some(Source::Discovery),
-            place_from: Source::Discovery,
-            discovery: Some(Phase::Gone),
+            phase_origin: Origin::Operator,
+            weight_origin: Some(Origin::Discovery),
+            placement_origin: Origin::Discovery,
+            discovery_phase: Some(Phase::Gone),
         };
         let (zone, machine) = ("a".to_string(), String::new());
         let operations = [None, Some((1e6, Retry::IfUnrun)), Some((0.1, Retry::TwiceOnFailure))];
@@ -398,9 +399,9 @@
             lines_waiting: f64::NAN,
             lines_waiting_most: 5000.0,
             changes: vec![
-                change(1, Stage::GoingOut),
+                change(1, Stage::Distributing),
                 change(2, Stage::Superseded),
-                change(3, Stage::Held { after: 12.5 }),
+                change(3, Stage::Applied { after: 12.5 }),
             ],
             fleet: Some(FleetState {
                 member: 2,
--- a/crates/north/tests/keeper.rs
+++ b/crates/north/tests/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use juniperrail_intent::{Commit, DefaultOp, Errors, Store};
+use juniperrail_intent::{Commit, Datastore, DefaultOperation, ErrorOption};
 use juniperrail_model::{schema, xml, Data};
 use juniperrail_north::{Ask, Check, Keeper, Notice, Told, ASKS, NOTICES};
 use tokio::sync::mpsc;
@@ -48,7 +48,13 @@
     let mut told = keeper.subscribe();
     for number in 2..30 {
         keeper
-            .edit(&ann, &weight(&keeper, number), DefaultOp::Merge, Errors::Refuse, Check::TestThenSet)
+            .edit(
+                &ann,
+                &weight(&keeper, number),
+                DefaultOperation::Merge,
+                ErrorOption::RollbackOnError,
+                Check::TestThenSet,
+            )
             .await
             .unwrap();
         keeper.commit(&ann, Commit::default()).await.unwrap();
@@ -65,9 +71,9 @@
 async fn a_change_that_the_decisions_refuse_or_never_answer_leaves_running_as_it_was() {
     let (keeper, mut asked) = keeper();
     let (ann, _end) = keeper.opened("ann", "test").await.unwrap();
-    let before = keeper.get(&ann, Store::Running).await;
+    let before = keeper.get(&ann, Datastore::Running).await;
     let refusing = tokio::spawn(async move {
-        let refusal = juniperrail_intent::Refusal::NoSecondMessage { most: 1.0 };
+        let refusal = juniperrail_intent::Refusal::NoSecondMessage { max_messages: 1.0 };
         match asked.recv().await {
             Some(Ask::Change { verdict, .. }) => verdict.send(Err(vec![refusal])).unwrap(),
             _ => panic!("a change is asked for"),
@@ -76,11 +82,14 @@
         drop(asked.recv().await);
     });
     let drafts = weight(&keeper, 2);
-    keeper.edit(&ann, &drafts, DefaultOp::Merge, Errors::Refuse, Check::TestThenSet).await.unwrap();
+    keeper
+        .edit(&ann, &drafts, DefaultOperation::Merge, ErrorOption::RollbackOnError, Check::TestThenSet)
+        .await
+        .unwrap();
     for why in ["too few to tell it twice", "not there any more", "not there any more"] {
         let refused = keeper.commit(&ann, Commit::default()).await.unwrap_err();
         assert!(refused.to_string().contains(why), "{refused}");
-        assert_eq!(keeper.get(&ann, Store::Running).await, before);
+        assert_eq!(keeper.get(&ann, Datastore::Running).await, before);
     }
     refusing.await.unwrap();
     assert!(keeper.state(&ann).await.is_err(), "nor is there a state to tell");
@@ -92,9 +101,10 @@
     assert!(keeper.opened("mallory", "test").await.is_none());
     let (eve, _end) = keeper.opened("eve", "test").await.unwrap();
     let (ann, _end) = keeper.opened("ann", "test").await.unwrap();
-    assert!(keeper.lock(&eve, Store::Candidate).await.is_err());
-    let refused = keeper.copy(&ann, juniperrail_north::Source::Store(Store::Running), Store::Startup).await;
+    assert!(keeper.lock(&eve, Datastore::Candidate).await.is_err());
+    let refused =
+        keeper.copy(&ann, juniperrail_north::Source::Store(Datastore::Running), Datastore::Startup).await;
     assert!(refused.unwrap_err().to_string().contains("no operator's file"));
     assert!(keeper.kill(&eve, ann.session).await.is_err() && keeper.kill(&ann, eve.session).await.is_ok());
-    assert_eq!(keeper.get(&eve, Store::Running).await, Data::default(), "northbound is not for readers");
+    assert_eq!(keeper.get(&eve, Datastore::Running).await, Data::default(), "northbound is not for readers");
 }
