--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -9,10 +9,10 @@
     median_clock, Actions, FailureDetector, Health, Index, Member, MemberId, MemberRole, Members,
     MembershipChange, Message, RaftEvent, RaftNode, Role, Run, StoredState,
 };
-use juniperrail_failover::{Evidence, ActivePlan, FailoverController};
+use juniperrail_failover::{ActivePlan, Evidence, FailoverController};
 use juniperrail_faults::{Fault, Point};
 use juniperrail_interface::Ms;
-use juniperrail_schedule::{self as schedule, ClaimTracker, LeaderState, ClaimTask, TryOutcome};
+use juniperrail_schedule::{self as schedule, ClaimTask, ClaimTracker, LeaderState, TryOutcome};
 use juniperrail_store::Writer;
 use parking_lot::Mutex;
 use tokio::sync::watch;
@@ -305,10 +305,9 @@
             _ = Point::PLAN_APPLY.pass();
             self.in_force.activate(self.now(), plan);
             if plan.version != before {
-                let shares = plan
-                    .shares
-                    .iter()
-                    .map(|(zone, share)| format!("{} {:.2} ({:?})", zone.0, share.weight_ratio, share.reason));
+                let shares = plan.shares.iter().map(|(zone, share)| {
+                    format!("{} {:.2} ({:?})", zone.0, share.weight_ratio, share.reason)
+                });
                 let shares = shares.collect::<Vec<_>>().join(", ");
                 let shares = if shares.is_empty() { "all zones whole".into() } else { shares };
                 tracing::info!("fleet: plan {}: {shares}", plan.version);
@@ -317,7 +316,12 @@
         if let (true, Word::Schedule(word)) = (changed, word) {
             match word {
                 schedule::Command::Claim { occurrence, owner, .. } => {
-                    tracing::info!("fleet: {} of {} is {owner}'s under {}", occurrence.schedule, occurrence.due_ms, at.0);
+                    tracing::info!(
+                        "fleet: {} of {} is {owner}'s under {}",
+                        occurrence.schedule,
+                        occurrence.due_ms,
+                        at.0
+                    );
                 }
                 schedule::Command::Skip { occurrence, reason, count } => {
                     tracing::info!(
@@ -336,7 +340,12 @@
                     _ = Point::SCHEDULE_FINISHED.pass();
                 }
                 schedule::Command::ExpireClaim { occurrence, fence, .. } => {
-                    tracing::warn!("fleet: the claim {} of {} of {} lapsed", fence.0, occurrence.schedule, occurrence.due_ms);
+                    tracing::warn!(
+                        "fleet: the claim {} of {} of {} lapsed",
+                        fence.0,
+                        occurrence.schedule,
+                        occurrence.due_ms
+                    );
                 }
                 schedule::Command::Start { .. }
                 | schedule::Command::AddSchedule { .. }
@@ -447,7 +456,9 @@
         if let Some(day) = median_clock(clocks).filter(|_| leads && enough) {
             let alive: Vec<MemberId> = self.sight.alive().collect();
             let (schedules, books) = (&self.setting.schedules, &self.agreed.books);
-            for word in schedule::propose_commands(schedules, books, &mut self.leading, now, day, again, &alive) {
+            for word in
+                schedule::propose_commands(schedules, books, &mut self.leading, now, day, again, &alive)
+            {
                 let claim = matches!(word, schedule::Command::Claim { .. });
                 match claim {
                     true => self.propose_at(now, Point::SCHEDULE_CLAIM, Word::Schedule(word)),
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use juniperrail_council::Index;
 use juniperrail_faults::Point;
-use juniperrail_schedule::{Action, Occurrence, ClaimTask, TryOutcome};
+use juniperrail_schedule::{Action, ClaimTask, Occurrence, TryOutcome};
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
@@ -35,7 +35,12 @@
         tokio::spawn(async move {
             let within = Duration::from_secs_f64(time_limit.max(1.0) / 1000.0);
             let turn = effect(&occurrence, fence, tries, &action, within).await;
-            tracing::info!("fleet: {} of {} under {}: {turn:?}", occurrence.schedule, occurrence.due_ms, fence.0);
+            tracing::info!(
+                "fleet: {} of {} under {}: {turn:?}",
+                occurrence.schedule,
+                occurrence.due_ms,
+                fence.0
+            );
             if Point::EFFECT_ANSWERED.pass().is_none() {
                 mail.acted(fence, turn);
             }
@@ -44,7 +49,13 @@
     }
 }
 
-async fn effect(occurrence: &Occurrence, fence: Index, tries: u32, action: &Action, within: Duration) -> TryOutcome {
+async fn effect(
+    occurrence: &Occurrence,
+    fence: Index,
+    tries: u32,
+    action: &Action,
+    within: Duration,
+) -> TryOutcome {
     let Ok(address) = action.address.parse::<SocketAddr>() else { return TryOutcome::Failed };
     if Point::EFFECT_DIAL.pass().is_some() {
         return TryOutcome::Unsent;
@@ -54,7 +65,9 @@
         hyper::client::conn::http1::handshake(TokioIo::new(socket)).await.ok()
     };
     let begun = tokio::time::Instant::now();
-    let Ok(Some((mut sender, connection))) = timeout(within, dialled).await else { return TryOutcome::Unsent };
+    let Ok(Some((mut sender, connection))) = timeout(within, dialled).await else {
+        return TryOutcome::Unsent;
+    };
     tokio::spawn(connection);
     let request = Request::post(&*action.path)
         .header(header::HOST, &*action.address)
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -8,13 +8,14 @@
 use std::path::Path;
 
 use juniperrail_council::{
-    Change, Entry, Health as MemberHealth, Index, Member, MemberId, Members, Message, Record, Run,
-    SwimMessage, Snapshot, Term, MemberRole, What, Word as MemberWord,
+    Entry, GossipUpdate, Health as MemberHealth, Index, Member, MemberId, MemberRole, Members,
+    MembershipChange, Message, Payload, Record, Run, Snapshot, SwimMessage, Term,
 };
-use juniperrail_failover::{Cell, Evidence, Health, Plan, Share, Zone};
+use juniperrail_failover::{Evidence, Plan, Zone, ZoneHealth, ZonePairStats, ZoneShare};
 use juniperrail_fleet::{PeerMessage, Word};
 use juniperrail_schedule::{
-    Action, Book, Ledger, Claim, Occurrence, End, EndedOccurrence, Open, Overlap, Passed, TryOutcome, Word as ScheduleWord,
+    Action, Claim, Command, EndedOccurrence, Ledger, Occurrence, OccurrenceOutcome, OpenOccurrence,
+    OverlapPolicy, ScheduleRecord, SkipReason, TryOutcome,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -60,16 +61,16 @@
 }
 
 fn entries() -> Vec<Entry> {
-    let entry = |index: u64, what: What| Entry { index: Index(index), term: Term(7), what };
+    let entry = |index: u64, payload: Payload| Entry { index: Index(index), term: Term(7), payload };
     vec![
-        entry(128, What::Opening),
-        entry(129, What::Members(members())),
-        entry(130, What::Command(vec![1, 255])),
+        entry(128, Payload::NoOp),
+        entry(129, Payload::Membership(members())),
+        entry(130, Payload::Command(vec![1, 255])),
     ]
 }
 
 fn snapshot() -> Snapshot {
-    Snapshot { last: Index(127), term: Term(6), members: members(), state: vec![9, 8, 7] }
+    Snapshot { last_index: Index(127), last_term: Term(6), members: members(), state: vec![9, 8, 7] }
 }
 
 #[test]
@@ -78,14 +79,14 @@
     check(
         "consensus-records.txt",
         &[
-            ("birth", Record::Born(0x0123_4567_89ab_cdef)),
+            ("birth", Record::StoreId(0x0123_4567_89ab_cdef)),
             ("run", Record::Run(Run(42))),
-            ("peer", Record::Peer(MemberId(2), Run(5), 99)),
-            ("bootstrap", Record::Founded(snapshot(), born)),
-            ("store-lost", Record::Doubtful),
-            ("store-caught-up", Record::Whole),
-            ("term-with-vote", Record::Term(Term(8), Some(MemberId(2)))),
-            ("term-without-vote", Record::Term(Term(9), None)),
+            ("peer", Record::PeerRun(MemberId(2), Run(5), 99)),
+            ("bootstrap", Record::Bootstrapped(snapshot(), born)),
+            ("store-lost", Record::RecoveryStarted),
+            ("store-caught-up", Record::RecoveryFinished),
+            ("term-with-vote", Record::TermAndVote(Term(8), Some(MemberId(2)))),
+            ("term-without-vote", Record::TermAndVote(Term(9), None)),
             ("entries", Record::Entries(entries())),
             ("snapshot", Record::Snapshot(snapshot())),
         ],
@@ -97,47 +98,58 @@
     check(
         "membership-changes.txt",
         &[
-            ("add", Change::Add(MemberId(4), "10.0.0.7:5001".into())),
-            ("promote", Change::Promote(MemberId(4))),
-            ("remove", Change::Remove(MemberId(2))),
+            ("add", MembershipChange::Add(MemberId(4), "10.0.0.7:5001".into())),
+            ("promote", MembershipChange::Promote(MemberId(4))),
+            ("remove", MembershipChange::Remove(MemberId(2))),
         ],
     );
 }
 
 fn consensus_messages() -> Vec<(&'static str, PeerMessage)> {
-    let founding = Some(BTreeMap::from([(MemberId(1), 11), (MemberId(3), 33)]));
+    let bootstrap_stores = Some(BTreeMap::from([(MemberId(1), 11), (MemberId(3), 33)]));
     let messages = [
-        ("hello-request", Message::Ask { run: Run(3), nonce: 77 }),
+        ("hello-request", Message::HandshakeRequest { run: Run(3), nonce: 77 }),
         (
             "hello-reply",
-            Message::Told {
+            Message::HandshakeReply {
                 run: Run(3),
-                known: Run(2),
+                known_run: Run(2),
                 term: Term(8),
-                last: Index(130),
-                leading: true,
-                birth: 12,
-                founding,
+                last_index: Index(130),
+                is_leader: true,
+                store_id: 12,
+                bootstrap_stores,
             },
         ),
         (
             "vote-request",
-            Message::AskVote { term: Term(8), last: (Index(130), Term(7)), pre: true, handed: false },
+            Message::RequestVote {
+                term: Term(8),
+                last: (Index(130), Term(7)),
+                pre_vote: true,
+                leadership_transfer: false,
+            },
         ),
-        ("vote-reply", Message::Vote { term: Term(8), granted: true, pre: false }),
+        ("vote-reply", Message::RequestVoteReply { term: Term(8), granted: true, pre_vote: false }),
         (
             "append-request",
             Message::AppendEntries {
                 term: Term(8),
-                at: 1234.5,
-                before: (Index(127), Term(6)),
+                sent_at: 1234.5,
+                previous: (Index(127), Term(6)),
                 entries: entries(),
-                commit: Index(126),
+                commit_index: Index(126),
             },
         ),
-        ("install-snapshot", Message::InstallSnapshot { term: Term(8), at: 2234.25, snapshot: snapshot() }),
-        ("append-reply", Message::Appended { term: Term(8), at: 1235.5, same: true, upto: Index(130) }),
-        ("timeout-now", Message::TakeOver { term: Term(8) }),
+        (
+            "install-snapshot",
+            Message::InstallSnapshot { term: Term(8), sent_at: 2234.25, snapshot: snapshot() },
+        ),
+        (
+            "append-reply",
+            Message::AppendEntriesReply { term: Term(8), sent_at: 1235.5, success: true, index: Index(130) },
+        ),
+        ("timeout-now", Message::TimeoutNow { term: Term(8) }),
         ("propose", Message::Propose { command: vec![1, 2, 3] }),
     ];
     messages.into_iter().map(|(name, message)| (name, PeerMessage::Council(message))).collect()
@@ -145,20 +157,20 @@
 
 fn membership_messages() -> Vec<(&'static str, PeerMessage)> {
     let states = [MemberHealth::Alive, MemberHealth::Suspect, MemberHealth::Dead, MemberHealth::Left];
-    let updates: Vec<MemberWord> = (1..)
+    let updates: Vec<GossipUpdate> = (1..)
         .zip(states)
-        .map(|(id, health)| MemberWord {
-            about: MemberId(id),
+        .map(|(id, health)| GossipUpdate {
+            member: MemberId(id),
             health,
             incarnation: 20 + u64::from(id),
-            by: MemberId(9),
+            reported_by: MemberId(9),
         })
         .collect();
     let messages = [
-        ("ping", SwimMessage::Ping { number: 5, words: updates.clone() }),
-        ("ack", SwimMessage::Ack { number: 5, clock: 1_700_000_000_000.0, words: updates.clone() }),
-        ("ping-request", SwimMessage::PingFor { number: 6, target: MemberId(3), words: updates }),
-        ("nack", SwimMessage::Nack { number: 6 }),
+        ("ping", SwimMessage::Ping { sequence: 5, updates: updates.clone() }),
+        ("ack", SwimMessage::Ack { sequence: 5, clock: 1_700_000_000_000.0, updates: updates.clone() }),
+        ("ping-request", SwimMessage::PingRequest { sequence: 6, target: MemberId(3), updates }),
+        ("nack", SwimMessage::Nack { sequence: 6 }),
     ];
     messages.into_iter().map(|(name, message)| (name, PeerMessage::Sight(message))).collect()
 }
@@ -169,14 +181,14 @@
 
 fn evidence() -> Evidence {
     Evidence {
-        cells: BTreeMap::from([
-            ((zone("a"), zone("a")), Cell { tries: 100.0, bad: 2.5, took: 4000.0 }),
-            ((zone("a"), zone("b")), Cell { tries: 10.0, bad: 10.0, took: 0.0 }),
+        pair_stats: BTreeMap::from([
+            ((zone("a"), zone("a")), ZonePairStats { tries: 100.0, failed: 2.5, success_time_sum: 4000.0 }),
+            ((zone("a"), zone("b")), ZonePairStats { tries: 10.0, failed: 10.0, success_time_sum: 0.0 }),
         ]),
-        weight: BTreeMap::from([(zone("a"), 12.5)]),
-        busy: BTreeMap::from([(zone("b"), 0.75)]),
+        ready_weight: BTreeMap::from([(zone("a"), 12.5)]),
+        utilization: BTreeMap::from([(zone("b"), 0.75)]),
         proxies: BTreeMap::from([(zone("a"), (30, 2))]),
-        over: 500.0,
+        duration: 500.0,
     }
 }
 
@@ -190,55 +202,58 @@
 
 fn plan() -> Plan {
     let states = [
-        Health::Unknown,
-        Health::Well,
-        Health::Silent,
-        Health::Slow,
-        Health::Overloaded,
-        Health::CutOff,
-        Health::Lost,
+        ZoneHealth::Unknown,
+        ZoneHealth::Well,
+        ZoneHealth::Silent,
+        ZoneHealth::Slow,
+        ZoneHealth::Overloaded,
+        ZoneHealth::CutOff,
+        ZoneHealth::Lost,
     ];
-    let share =
-        |(part, why): (u8, Health)| (zone(&format!("z{part}")), Share { part: f64::from(part) / 8.0, why });
-    Plan { version: 3, beat: 400, shares: (0..).zip(states).map(share).collect(), lease: 6000.0 }
+    let share = |(part, reason): (u8, ZoneHealth)| {
+        (zone(&format!("z{part}")), ZoneShare { weight_ratio: f64::from(part) / 8.0, reason })
+    };
+    Plan { version: 3, renewal: 400, shares: (0..).zip(states).map(share).collect(), lease: 6000.0 }
 }
 
 fn occurrence(due: i64) -> Occurrence {
-    Occurrence { schedule: "nightly".into(), due }
+    Occurrence { schedule: "nightly".into(), due_ms: due }
 }
 
-fn act() -> Action {
+fn action() -> Action {
     Action {
         address: "10.0.1.9:8080".into(),
         path: "/run".into(),
         idempotent: true,
-        tries: 3,
+        max_tries: 3,
         backoff: 250.0,
-        lease: 30_000.0,
+        claim_lease: 30_000.0,
     }
 }
 
-fn schedule_commands() -> Vec<(&'static str, ScheduleWord)> {
-    let due = || occurrence(1_700_000_060_000);
-    let passed = |why| ScheduleWord::Passed { due: due(), why, count: 300 };
-    let claim = |overlap| ScheduleWord::Claim { due: due(), owner: MemberId(2), act: act(), overlap };
-    let turned = |turn| ScheduleWord::Turned { due: due(), fence: Index(130), turn, at: 77.5 };
+fn schedule_commands() -> Vec<(&'static str, Command)> {
+    let occurrence = || occurrence(1_700_000_060_000);
+    let skipped = |reason| Command::Skip { occurrence: occurrence(), reason, count: 300 };
+    let claim =
+        |overlap| Command::Claim { occurrence: occurrence(), owner: MemberId(2), action: action(), overlap };
+    let finished =
+        |outcome| Command::FinishTry { occurrence: occurrence(), fence: Index(130), outcome, at: 77.5 };
     vec![
-        ("opened", ScheduleWord::Opened { schedule: "nightly".into(), through: -5 }),
-        ("skipped-missed", passed(Passed::Missed)),
-        ("skipped-quiet", passed(Passed::Quiet)),
-        ("skipped-overlap", passed(Passed::Overlap)),
-        ("claim-skip", claim(Overlap::Skip)),
-        ("claim-queue", claim(Overlap::Queue)),
-        ("claim-replace", claim(Overlap::Replace)),
-        ("begun", ScheduleWord::Begun { due: due(), fence: Index(130), run: Run(4) }),
-        ("try-succeeded", turned(TryOutcome::Succeeded)),
-        ("try-failed", turned(TryOutcome::Failed)),
-        ("try-unsent", turned(TryOutcome::Unsent)),
-        ("try-unanswered", turned(TryOutcome::Unanswered)),
-        ("try-overtaken", turned(TryOutcome::Overtaken)),
-        ("lapsed", ScheduleWord::Lapsed { due: due(), fence: Index(130), at: 78.5 }),
-        ("closed", ScheduleWord::Closed { schedule: "nightly".into() }),
+        ("opened", Command::AddSchedule { schedule: "nightly".into(), decided_through: -5 }),
+        ("skipped-missed", skipped(SkipReason::Missed)),
+        ("skipped-quiet", skipped(SkipReason::Quiet)),
+        ("skipped-overlap", skipped(SkipReason::Overlap)),
+        ("claim-skip", claim(OverlapPolicy::Skip)),
+        ("claim-queue", claim(OverlapPolicy::Queue)),
+        ("claim-replace", claim(OverlapPolicy::Replace)),
+        ("begun", Command::Start { occurrence: occurrence(), fence: Index(130), run: Run(4) }),
+        ("try-succeeded", finished(TryOutcome::Succeeded)),
+        ("try-failed", finished(TryOutcome::Failed)),
+        ("try-unsent", finished(TryOutcome::Unsent)),
+        ("try-unanswered", finished(TryOutcome::Unanswered)),
+        ("try-overtaken", finished(TryOutcome::Overtaken)),
+        ("lapsed", Command::ExpireClaim { occurrence: occurrence(), fence: Index(130), at: 78.5 }),
+        ("closed", Command::RemoveSchedule { schedule: "nightly".into() }),
     ]
 }
 
@@ -254,26 +269,38 @@
     check("log-commands.txt", &commands);
 }
 
-fn books() -> Ledger {
-    let claim = Claim { owner: MemberId(2), fence: Index(130), begun: Some(Run(4)) };
-    let open = Open { act: act(), tries: 1, claim: Some(claim), ended: 77.5 };
-    let unclaimed = Open { act: act(), tries: 0, claim: None, ended: 0.0 };
-    let ends = [End::Succeeded, End::Failed, End::GivenUp, End::Unknown, End::Replaced];
-    let ended = |(due, end): (i64, End)| EndedOccurrence { due, end, tries: 2, fence: Index(90), owner: MemberId(1) };
-    let book = Book {
-        through: 1_700_000_060_000,
+fn ledger() -> Ledger {
+    let claim = Claim { owner: MemberId(2), fence: Index(130), started_by: Some(Run(4)) };
+    let open = OpenOccurrence { action: action(), tries: 1, claim: Some(claim), last_try_ended: 77.5 };
+    let unclaimed = OpenOccurrence { action: action(), tries: 0, claim: None, last_try_ended: 0.0 };
+    let ends = [
+        OccurrenceOutcome::Succeeded,
+        OccurrenceOutcome::Failed,
+        OccurrenceOutcome::GivenUp,
+        OccurrenceOutcome::Unknown,
+        OccurrenceOutcome::Replaced,
+    ];
+    let ended = |(due_ms, outcome): (i64, OccurrenceOutcome)| EndedOccurrence {
+        due_ms,
+        outcome,
+        tries: 2,
+        fence: Index(90),
+        owner: MemberId(1),
+    };
+    let record = ScheduleRecord {
+        decided_through: 1_700_000_060_000,
         open: BTreeMap::from([(1_700_000_060_000, open), (1_700_000_120_000, unclaimed)]),
         ended: (10..).zip(ends).map(ended).collect::<VecDeque<EndedOccurrence>>(),
-        passed: BTreeMap::from([(Passed::Missed, 1), (Passed::Quiet, 2), (Passed::Overlap, 3)]),
-        ends: 5,
+        skipped: BTreeMap::from([(SkipReason::Missed, 1), (SkipReason::Quiet, 2), (SkipReason::Overlap, 3)]),
+        ended_count: 5,
     };
-    Ledger { books: BTreeMap::from([("nightly".to_string(), book)]) }
+    Ledger { schedules: BTreeMap::from([("nightly".to_string(), record)]) }
 }
 
 /// The fields of the state in a snapshot, in their order; what the fleet reads it as is private to that crate.
 #[test]
 fn state_of_a_snapshot() {
-    check("snapshot-state.txt", &[("state", (books(), plan(), 12_u64, Index(131)))]);
+    check("snapshot-state.txt", &[("state", (ledger(), plan(), 12_u64, Index(131)))]);
 }
 
 /// The first message on a link, in the order of its fields.
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -81,7 +81,7 @@
 
 impl Composer {
     /// Discovery's word on one worker. The same word again is no later one.
-    pub fn tell(&mut self, name: &str, listed: WorkerEntry, address: Option<SocketAddr>) {
+    pub fn update_discovery(&mut self, name: &str, listed: WorkerEntry, address: Option<SocketAddr>) {
         self.last += 1;
         let (mut phase_at, mut weight_at) = (self.last, self.last);
         if let Some(known) = self.told.get(name) {
@@ -106,7 +106,7 @@
         let told = self.told.get(name).filter(|told| told.listed.phase != Phase::Gone);
         let Some(told) = told.cloned() else { return false };
         let address = told.address.filter(|_| phase != Phase::Gone);
-        self.tell(name, WorkerEntry { phase, ..told.listed }, address);
+        self.update_discovery(name, WorkerEntry { phase, ..told.listed }, address);
         true
     }
 
@@ -118,7 +118,7 @@
         let gone: Vec<String> = self.told.iter().filter_map(gone).collect();
         for name in &gone {
             let told = self.told[name].clone();
-            self.tell(name, WorkerEntry { phase: Phase::Gone, ..told.listed }, None);
+            self.update_discovery(name, WorkerEntry { phase: Phase::Gone, ..told.listed }, None);
         }
         gone
     }
@@ -211,17 +211,17 @@
 
     /// What all sources together say; `None` where none says where the worker is. `listed` makes the entry of a
     /// worker that only the operator placed, with ids in place of names.
-    pub fn composed(
+    pub fn compose(
         &self,
         name: &str,
-        listed: impl FnOnce(&Wish) -> Option<WorkerEntry>,
-    ) -> Option<Composed> {
+        listed: impl FnOnce(&WorkerIntent) -> Option<WorkerEntry>,
+    ) -> Option<ComposedWorker> {
         let (told, wished) = (self.told.get(name), self.wished.get(name));
         let Some(told) = told else {
             let wished = wished?;
             let place = wished.wish.placement.as_ref()?;
             let listed = listed(&wished.wish)?;
-            let mut composed = Composed {
+            let mut composed = ComposedWorker {
                 listed: WorkerEntry { phase: Phase::Ready, ..listed },
                 address: place.address,
                 phase_origin: Origin::Operator,
--- a/crates/intent/src/judge.rs
+++ b/crates/intent/src/judge.rs
@@ -229,8 +229,8 @@
     (told / TELLING).min(settings.drain_grace)
 }
 
-fn proxies(world: &World<'_>) -> f64 {
-    (world.settings.proxy_count / world.settings.manager_count.max(1.0)).max(world.joined as f64)
+fn proxies(world: &AdmissionContext<'_>) -> f64 {
+    (world.settings.proxy_count / world.settings.manager_count.max(1.0)).max(world.joined_proxies as f64)
 }
 
 fn sound(world: &AdmissionContext<'_>, intent: &Intent, composed: &ComposedWorker) -> bool {
@@ -254,7 +254,7 @@
     intent: &Intent,
 ) -> Vec<Refusal> {
     let mut refusals = Vec::new();
-    for (operation, name) in world.settings.operations.iter().zip(world.operations) {
+    for (operation, name) in world.settings.operations.iter().zip(world.operation_names) {
         let zones: Vec<Option<ZoneId>> = match operation.own_zone_only {
             true => world.settings.zones.iter().copied().map(Some).collect(),
             false => vec![None],
@@ -324,7 +324,7 @@
         refusals.push(Refusal::TooManyLines { lines, max_lines: most });
     }
     if settings.max_messages_per_window < TOLD {
-        refusals.push(Refusal::NoSecondMessage { most: settings.max_messages_per_window });
+        refusals.push(Refusal::NoSecondMessage { max_messages: settings.max_messages_per_window });
     }
     refusals
 }
@@ -333,7 +333,7 @@
 mod tests {
     use super::*;
     use crate::compose::Composer;
-    use crate::want::{Place, Wanted, Wish};
+    use crate::want::{DesiredState, Placement, WorkerIntent};
     use juniperrail_interface::{CellId, MachineId, WorkerEntry};
 
     const NOW: Ms = 1_000_000.0;
@@ -382,7 +382,7 @@
             let (machine, cell) = (MachineId(0), CellId(0));
             let listed =
                 WorkerEntry { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 };
-            self.composer.tell(&format!("s-{worker}"), listed, None);
+            self.composer.update_discovery(&format!("s-{worker}"), listed, None);
         }
 
         fn all(&self, composer: &Composer) -> BTreeMap<String, ComposedWorker> {
--- a/crates/lab/src/gangs.rs
+++ b/crates/lab/src/gangs.rs
@@ -123,7 +123,8 @@
                         ran.after[n] = (now / PERIOD) as u32;
                     }
                     let spare = Some(WorkerId(u32::MAX)).filter(|_| second[n].is_none() && !over[n]);
-                    if let Mitigation::Speculate { .. } = gang.choose_mitigation(verdict, spare, &mut budget) {
+                    if let Mitigation::Speculate { .. } = gang.choose_mitigation(verdict, spare, &mut budget)
+                    {
                         second[n] = Some(0.0);
                     }
                 }
@@ -236,7 +237,15 @@
                                     let done = f64::from(word) / f64::from(WORDS + 1);
                                     let (part, worker, at) =
                                         (PartId(worker), WorkerId(worker), f64::from(word) * PERIOD);
-                                    own.record(&ProgressReport { round: 1, part, worker, kind, size: 1000.0, done, at });
+                                    own.record(&ProgressReport {
+                                        round: 1,
+                                        part,
+                                        worker,
+                                        kind,
+                                        size: 1000.0,
+                                        done,
+                                        at,
+                                    });
                                 }
                             });
                         }
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -13,7 +13,7 @@
 
 use juniperrail::Planner;
 use juniperrail_fleet::{Common, Parts};
-use juniperrail_intent::{Intent, ChangeTracker};
+use juniperrail_intent::{ChangeTracker, Intent};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Settings, WorkerId};
 use juniperrail_north::{Notice, PlannerRequest};
 use juniperrail_start::Names;
@@ -152,7 +152,8 @@
         let mut last = Instant::now();
         loop {
             let wakes = self.wakes.iter().map(|(at, _)| *at).chain(self.presence.next());
-            let look = self.progress.distributing().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
+            let look =
+                self.progress.distributing().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
             let rested = Some(self.failed.1).filter(|_| !self.events.is_empty());
             let wake = wakes.chain(look).chain(rested).fold(self.clock.now() + LONGEST_SLEEP, f64::min);
             let (mut first, mut asked, mut agreed) = (None, None, None);
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use juniperrail_fleet::Parts;
-use juniperrail_intent::{check_change, ComposedWorker, Intent, Refusal, AdmissionContext};
+use juniperrail_intent::{check_change, AdmissionContext, ComposedWorker, Intent, Refusal};
 use juniperrail_interface::{Event, ZoneId};
 use juniperrail_north::{PlannerRequest, Verdict};
 
@@ -54,14 +54,20 @@
     }
 
     /// What speaks against workers being composed otherwise than now.
-    pub(super) fn check_composed(&self, after: &BTreeMap<String, ComposedWorker>, intent: &Intent) -> Vec<Refusal> {
+    pub(super) fn check_composed(
+        &self,
+        after: &BTreeMap<String, ComposedWorker>,
+        intent: &Intent,
+    ) -> Vec<Refusal> {
         let (names, plane) = (&self.names, &self.plane);
         let world = AdmissionContext {
             now: self.clock.now(),
             settings: &self.start,
             operation_names: &self.operations,
             zone_name: &|zone| names.zones.name(zone.0.into()).to_string(),
-            is_known_zone: &|zone| self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone),
+            is_known_zone: &|zone| {
+                self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone)
+            },
             joined_proxies: self.presence.here().count(),
             proxies_with_line: &|worker| plane.readers(worker),
         };
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -12,8 +12,8 @@
 impl Decider {
     /// How far the changes that are under way have come.
     pub(super) fn check_progress(&mut self, now: Ms) {
-        let due =
-            now >= self.progress_checked_at + PROGRESS_CHECK_EVERY && self.progress.distributing().next().is_some();
+        let due = now >= self.progress_checked_at + PROGRESS_CHECK_EVERY
+            && self.progress.distributing().next().is_some();
         if !due {
             return;
         }
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -256,8 +256,9 @@
     }
 
     fn ask(&mut self, number: u64, wishes: &[(&str, DesiredState)]) -> Verdict {
-        let wish =
-            |(name, wanted): &(&str, DesiredState)| (name.to_string(), WorkerIntent { desired_state: *wanted, ..WorkerIntent::default() });
+        let wish = |(name, wanted): &(&str, DesiredState)| {
+            (name.to_string(), WorkerIntent { desired_state: *wanted, ..WorkerIntent::default() })
+        };
         let workers = wishes.iter().map(wish).collect();
         let intent = Box::new(Intent { workers, drain_grace: Some(2500.0), ..Intent::default() });
         let (verdict, mut told) = oneshot::channel();
@@ -282,7 +283,8 @@
 
     fn phases(&self) -> Vec<(String, Phase, &'static str)> {
         let state = self.0.state();
-        let phase = |w: &WorkerState| (w.name.clone(), w.composed.listed.phase, w.composed.phase_origin.name());
+        let phase =
+            |w: &WorkerState| (w.name.clone(), w.composed.listed.phase, w.composed.phase_origin.name());
         state.workers.iter().map(phase).collect()
     }
 }
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -88,7 +88,11 @@
         return Err(at("/failover/plan-lease", &why));
     }
     Ok(Some(Setting {
-        failover: failover.is_there().then_some(juniperrail_failover::FailoverConfig { report_period: period, max_transit: transit, plan_lease: lease }),
+        failover: failover.is_there().then_some(juniperrail_failover::FailoverConfig {
+            report_period: period,
+            max_transit: transit,
+            plan_lease: lease,
+        }),
         me,
         fleet: fleet.text("name").unwrap_or_default().to_string(),
         listen,
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_intent::{check_against_settings, Datastores, Intent, AdmissionContext};
+use juniperrail_intent::{check_against_settings, AdmissionContext, Datastores, Intent};
 use juniperrail_interface::Settings;
 use juniperrail_model::{Data, Schema};
 use juniperrail_north::OperatorFile;
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -63,7 +63,8 @@
             self.composer.mark_unlisted_gone(&|name| named.contains(name));
             // Who stands in no list of discovery's at all is not gone for that.
             self.assign_ids(names);
-            let placed: Vec<String> = self.composer.operator_placed().map(|(name, _)| name.to_string()).collect();
+            let placed: Vec<String> =
+                self.composer.operator_placed().map(|(name, _)| name.to_string()).collect();
             workers.extend(placed.iter().filter_map(|name| self.recompose(name, names)));
         }
         Event::List { kind, version: listing.version, workers }
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -1,6 +1,6 @@
 //! `rpc-error`, exact as RFC 6241 section 4.3 and appendix A have it, and what of ours becomes which.
 
-use juniperrail_intent::{Refusal, DatastoreError, Session};
+use juniperrail_intent::{DatastoreError, Refusal, Session};
 use juniperrail_model::xml::{Attr, Element, NETCONF, XML};
 use juniperrail_model::{Fault, Rule};
 
@@ -127,7 +127,9 @@
         DatastoreError::NoConfirmedCommitPending => one(Kind::Protocol, "operation-failed"),
         DatastoreError::WrongPersistId => one(Kind::Protocol, "invalid-value"),
         DatastoreError::UnknownVersion(_) => one(Kind::Application, "invalid-value"),
-        DatastoreError::AccessDenied(path) if path.starts_with('/') => one(Kind::Application, "access-denied").at(&**path),
+        DatastoreError::AccessDenied(path) if path.starts_with('/') => {
+            one(Kind::Application, "access-denied").at(&**path)
+        }
         DatastoreError::AccessDenied(_) => one(Kind::Application, "access-denied"),
         DatastoreError::Unsupported(_) => one(Kind::Application, "operation-not-supported"),
     }]
@@ -173,8 +175,10 @@
             ("lock-denied", vec![("session-id", "7".to_string())])
         );
         assert_eq!(of_refused(&DatastoreError::CandidateChanged)[0].info[0].1, "0");
-        let refusals = vec![Refusal::TooManyWorkers { requested: 5000 }, Refusal::NoSecondMessage { max_messages: 1.0 }];
-        let tags: Vec<_> = of_refused(&DatastoreError::NotAdmitted(refusals)).iter().map(|error| error.app_tag).collect();
+        let refusals =
+            vec![Refusal::TooManyWorkers { requested: 5000 }, Refusal::NoSecondMessage { max_messages: 1.0 }];
+        let tags: Vec<_> =
+            of_refused(&DatastoreError::NotAdmitted(refusals)).iter().map(|error| error.app_tag).collect();
         assert_eq!(tags, [Some("too-many-workers"), Some("no-second-message")]);
     }
 }
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use juniperrail_intent::{Commit, DefaultOperation, ErrorOption, DatastoreError, Session, Datastore};
+use juniperrail_intent::{Commit, Datastore, DatastoreError, DefaultOperation, ErrorOption, Session};
 use juniperrail_model::xml::{self, Element, NETCONF};
 use juniperrail_model::{Data, Kind as NodeKind, Path, Schema};
 use juniperrail_north::{Caller, DatastoreManager, Source, TestOption};
@@ -310,8 +310,11 @@
             });
             new("datastore").with(leaf("name", name)).with_all(lock)
         };
-        let stores =
-            [(Datastore::Running, "running"), (Datastore::Candidate, "candidate"), (Datastore::Startup, "startup")];
+        let stores = [
+            (Datastore::Running, "running"),
+            (Datastore::Candidate, "candidate"),
+            (Datastore::Startup, "startup"),
+        ];
         let module = |of: &juniperrail_model::Module| {
             new("schema")
                 .with(leaf("identifier", &of.name))
@@ -421,8 +424,11 @@
                 return Err(fault(Kind::Protocol, "operation-not-supported", what));
             }
         }
-        let default =
-            [("merge", DefaultOperation::Merge), ("replace", DefaultOperation::Replace), ("none", DefaultOperation::None)];
+        let default = [
+            ("merge", DefaultOperation::Merge),
+            ("replace", DefaultOperation::Replace),
+            ("none", DefaultOperation::None),
+        ];
         let default = choice(operation, "default-operation", DefaultOperation::Merge, &default)?;
         let check = [
             ("test-then-set", TestOption::TestThenSet),
--- a/crates/north/src/keeper.rs
+++ b/crates/north/src/keeper.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use juniperrail_intent::{
-    AccessControl, Commit, CommitOutcome, Datastores, DefaultOperation, AccessOperation, ErrorOption, Proposal, DatastoreError, Role, Session, Datastore,
+    AccessControl, AccessOperation, Commit, CommitOutcome, Datastore, DatastoreError, Datastores,
+    DefaultOperation, ErrorOption, Proposal, Role, Session,
 };
 use juniperrail_interface::Ms;
 use juniperrail_model::{Data, Draft, Fault, Schema};
@@ -242,7 +243,11 @@
         found.into_iter().map(edit).collect()
     }
 
-    async fn judged(&self, ask: PlannerRequest, verdict: oneshot::Receiver<Verdict>) -> Result<(), DatastoreError> {
+    async fn judged(
+        &self,
+        ask: PlannerRequest,
+        verdict: oneshot::Receiver<Verdict>,
+    ) -> Result<(), DatastoreError> {
         let gone = DatastoreError::Unsupported("the decisions are not there any more");
         self.0.asks.send(ask).await.map_err(|_| gone.clone())?;
         verdict.await.map_err(|_| gone)?.map_err(DatastoreError::NotAdmitted)
@@ -383,13 +388,15 @@
                 let data = inner.stores.get(store);
                 let seen = inner.access.filter_readable(&self.0.schema, &caller.user, data);
                 if seen != *data {
-                    return Err(DatastoreError::AccessDenied("what this user may not read of the source".into()));
+                    return Err(DatastoreError::AccessDenied(
+                        "what this user may not read of the source".into(),
+                    ));
                 }
                 seen
             }
             Source::Inline(drafts) => {
-                let mut data =
-                    Data::from_drafts(&self.0.schema, &drafts).map_err(|f| DatastoreError::Faults(vec![f]))?;
+                let mut data = Data::from_drafts(&self.0.schema, &drafts)
+                    .map_err(|f| DatastoreError::Faults(vec![f]))?;
                 data.tidy(&self.0.schema);
                 data
             }
@@ -397,13 +404,24 @@
     }
 
     /// Puts whole data into the candidate or startup; startup goes to the operator's file first.
-    pub async fn copy(&self, caller: &Caller, source: Source, target: Datastore) -> Result<(), DatastoreError> {
+    pub async fn copy(
+        &self,
+        caller: &Caller,
+        source: Source,
+        target: Datastore,
+    ) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let data = self.taken(&inner, caller, source)?;
         self.put(&mut inner, caller, target, data)
     }
 
-    fn put(&self, inner: &mut Inner, caller: &Caller, target: Datastore, data: Data) -> Result<(), DatastoreError> {
+    fn put(
+        &self,
+        inner: &mut Inner,
+        caller: &Caller,
+        target: Datastore,
+        data: Data,
+    ) -> Result<(), DatastoreError> {
         self.allowed(inner, caller, inner.stores.get(target), &data)?;
         if target == Datastore::Startup {
             inner.stores.validate(&data)?;
@@ -484,7 +502,11 @@
     }
 
     /// Takes back a confirmed commit that waits.
-    pub async fn cancel_commit(&self, caller: &Caller, persist_id: Option<&str>) -> Result<(), DatastoreError> {
+    pub async fn cancel_commit(
+        &self,
+        caller: &Caller,
+        persist_id: Option<&str>,
+    ) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::writer(&inner, caller, "running")?;
         let proposal = inner.stores.propose_cancel(caller.session, persist_id)?;
--- a/crates/north/src/state.rs
+++ b/crates/north/src/state.rs
@@ -205,7 +205,8 @@
 
 impl WorkerState {
     fn write(&self, all: &mut Writer<'_>) {
-        let ComposedWorker { listed, phase_origin, weight_origin, placement_origin, discovery_phase, .. } = &self.composed;
+        let ComposedWorker { listed, phase_origin, weight_origin, placement_origin, discovery_phase, .. } =
+            &self.composed;
         all.entry("worker", &[Value::text(&*self.name)], |worker| {
             worker.text("phase", phase(listed.phase)).text("phase-from", phase_origin.name());
             if let Some(from) = weight_origin {
--- a/crates/north/tests/keeper.rs
+++ b/crates/north/tests/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use juniperrail_intent::{Commit, DefaultOperation, ErrorOption, Datastore};
+use juniperrail_intent::{Commit, Datastore, DefaultOperation, ErrorOption};
 use juniperrail_model::{schema, xml, Data};
 use juniperrail_north::{
     DatastoreManager, Notice, Notification, PlannerRequest, TestOption, NOTICE_QUEUE_CAPACITY,
@@ -51,7 +51,13 @@
     let mut told = keeper.subscribe();
     for number in 2..30 {
         keeper
-            .edit(&ann, &weight(&keeper, number), DefaultOperation::Merge, ErrorOption::RollbackOnError, TestOption::TestThenSet)
+            .edit(
+                &ann,
+                &weight(&keeper, number),
+                DefaultOperation::Merge,
+                ErrorOption::RollbackOnError,
+                TestOption::TestThenSet,
+            )
             .await
             .unwrap();
         keeper.commit(&ann, Commit::default()).await.unwrap();
@@ -85,7 +91,10 @@
         drop(asked.recv().await);
     });
     let drafts = weight(&keeper, 2);
-    keeper.edit(&ann, &drafts, DefaultOperation::Merge, ErrorOption::RollbackOnError, TestOption::TestThenSet).await.unwrap();
+    keeper
+        .edit(&ann, &drafts, DefaultOperation::Merge, ErrorOption::RollbackOnError, TestOption::TestThenSet)
+        .await
+        .unwrap();
     for why in ["too few to tell it twice", "not there any more", "not there any more"] {
         let refused = keeper.commit(&ann, Commit::default()).await.unwrap_err();
         assert!(refused.to_string().contains(why), "{refused}");
@@ -102,7 +111,8 @@
     let (eve, _end) = keeper.open_session("eve", "test").await.unwrap();
     let (ann, _end) = keeper.open_session("ann", "test").await.unwrap();
     assert!(keeper.lock(&eve, Datastore::Candidate).await.is_err());
-    let refused = keeper.copy(&ann, juniperrail_north::Source::Store(Datastore::Running), Datastore::Startup).await;
+    let refused =
+        keeper.copy(&ann, juniperrail_north::Source::Store(Datastore::Running), Datastore::Startup).await;
     assert!(refused.unwrap_err().to_string().contains("no operator's file"));
     assert!(
         keeper.kill_session(&eve, ann.session).await.is_err()
