--- /dev/null
+++ b/crates/fleet/tests/formats.rs
@@ -0,0 +1,310 @@
+//! Bytes that an earlier build wrote, to its store and to other managers, are read as the same values and written as the
+//! same bytes. Guards against renames and reordered fields that make a store unreadable after an upgrade, or managers
+//! of two builds misread each other. Each file in `formats/` holds one encoded value a line: its name, then its bytes in
+//! hexadecimal digits.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::fmt::Debug;
+use std::path::Path;
+
+use juniperrail_council::{
+    Entry, GossipUpdate, Health as MemberHealth, Index, Member, MemberId, MemberRole, Members,
+    MembershipChange, Message, Payload, Record, Run, Snapshot, SwimMessage, Term,
+};
+use juniperrail_failover::{Evidence, Plan, Zone, ZoneHealth, ZonePairStats, ZoneShare};
+use juniperrail_fleet::{PeerMessage, Word};
+use juniperrail_schedule::{
+    Action, Claim, Command, EndedOccurrence, Ledger, Occurrence, OccurrenceOutcome, OpenOccurrence,
+    OverlapPolicy, ScheduleRecord, SkipReason, TryOutcome,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The stored lines of a file, name and bytes in hexadecimal digits.
+fn stored(file: &str) -> Vec<(String, String)> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/formats").join(file);
+    let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let pair = |line: &str| line.split_once(' ').map(|(name, bytes)| (name.to_string(), bytes.to_string()));
+    text.lines()
+        .map(|line| pair(line).unwrap_or_else(|| panic!("{file}: no name and bytes: {line}")))
+        .collect()
+}
+
+fn decoded<T: DeserializeOwned>(digits: &str) -> T {
+    let bytes: Vec<u8> =
+        (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect();
+    let (value, rest) = postcard::take_from_bytes(&bytes).unwrap();
+    assert!(rest.is_empty(), "{} bytes were not read", rest.len());
+    value
+}
+
+/// Compares each value with its stored bytes in both directions.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
+    let stored = stored(file);
+    let names: Vec<&str> = stored.iter().map(|(name, _)| name.as_str()).collect();
+    assert_eq!(names, values.iter().map(|(name, _)| *name).collect::<Vec<_>>(), "{file}");
+    for ((name, digits), (_, value)) in stored.iter().zip(values) {
+        assert_eq!(&decoded::<T>(digits), value, "{file}: {name} is read as another value");
+        let written = hexadecimal(&postcard::to_stdvec(value).unwrap());
+        assert_eq!(&written, digits, "{file}: {name} is written as other bytes");
+    }
+}
+
+fn members() -> Members {
+    let voter = Member { address: "10.0.0.4:5001".into(), role: MemberRole::Voter };
+    let learner = Member { address: "10.0.0.5:5001".into(), role: MemberRole::Learner };
+    BTreeMap::from([(MemberId(1), voter), (MemberId(300), learner)])
+}
+
+fn entries() -> Vec<Entry> {
+    let entry = |index: u64, payload: Payload| Entry { index: Index(index), term: Term(7), payload };
+    vec![
+        entry(128, Payload::NoOp),
+        entry(129, Payload::Membership(members())),
+        entry(130, Payload::Command(vec![1, 255])),
+    ]
+}
+
+fn snapshot() -> Snapshot {
+    Snapshot { last_index: Index(127), last_term: Term(6), members: members(), state: vec![9, 8, 7] }
+}
+
+#[test]
+fn consensus_records_of_the_store() {
+    let born = BTreeMap::from([(MemberId(1), 11), (MemberId(2), 1 << 40)]);
+    check(
+        "consensus-records.txt",
+        &[
+            ("birth", Record::StoreId(0x0123_4567_89ab_cdef)),
+            ("run", Record::Run(Run(42))),
+            ("peer", Record::PeerRun(MemberId(2), Run(5), 99)),
+            ("bootstrap", Record::Bootstrapped(snapshot(), born)),
+            ("store-lost", Record::RecoveryStarted),
+            ("store-caught-up", Record::RecoveryFinished),
+            ("term-with-vote", Record::TermAndVote(Term(8), Some(MemberId(2)))),
+            ("term-without-vote", Record::TermAndVote(Term(9), None)),
+            ("entries", Record::Entries(entries())),
+            ("snapshot", Record::Snapshot(snapshot())),
+        ],
+    );
+}
+
+#[test]
+fn membership_changes() {
+    check(
+        "membership-changes.txt",
+        &[
+            ("add", MembershipChange::Add(MemberId(4), "10.0.0.7:5001".into())),
+            ("promote", MembershipChange::Promote(MemberId(4))),
+            ("remove", MembershipChange::Remove(MemberId(2))),
+        ],
+    );
+}
+
+fn consensus_messages() -> Vec<(&'static str, PeerMessage)> {
+    let bootstrap_stores = Some(BTreeMap::from([(MemberId(1), 11), (MemberId(3), 33)]));
+    let messages = [
+        ("hello-request", Message::HandshakeRequest { run: Run(3), nonce: 77 }),
+        (
+            "hello-reply",
+            Message::HandshakeReply {
+                run: Run(3),
+                known_run: Run(2),
+                term: Term(8),
+                last_index: Index(130),
+                is_leader: true,
+                store_id: 12,
+                bootstrap_stores,
+            },
+        ),
+        (
+            "vote-request",
+            Message::RequestVote {
+                term: Term(8),
+                last: (Index(130), Term(7)),
+                pre_vote: true,
+                leadership_transfer: false,
+            },
+        ),
+        ("vote-reply", Message::RequestVoteReply { term: Term(8), granted: true, pre_vote: false }),
+        (
+            "append-request",
+            Message::AppendEntries {
+                term: Term(8),
+                sent_at: 1234.5,
+                previous: (Index(127), Term(6)),
+                entries: entries(),
+                commit_index: Index(126),
+            },
+        ),
+        (
+            "install-snapshot",
+            Message::InstallSnapshot { term: Term(8), sent_at: 2234.25, snapshot: snapshot() },
+        ),
+        (
+            "append-reply",
+            Message::AppendEntriesReply { term: Term(8), sent_at: 1235.5, success: true, index: Index(130) },
+        ),
+        ("timeout-now", Message::TimeoutNow { term: Term(8) }),
+        ("propose", Message::Propose { command: vec![1, 2, 3] }),
+    ];
+    messages.into_iter().map(|(name, message)| (name, PeerMessage::Council(message))).collect()
+}
+
+fn membership_messages() -> Vec<(&'static str, PeerMessage)> {
+    let states = [MemberHealth::Alive, MemberHealth::Suspect, MemberHealth::Dead, MemberHealth::Left];
+    let updates: Vec<GossipUpdate> = (1..)
+        .zip(states)
+        .map(|(id, health)| GossipUpdate {
+            member: MemberId(id),
+            health,
+            incarnation: 20 + u64::from(id),
+            reported_by: MemberId(9),
+        })
+        .collect();
+    let messages = [
+        ("ping", SwimMessage::Ping { sequence: 5, updates: updates.clone() }),
+        ("ack", SwimMessage::Ack { sequence: 5, clock: 1_700_000_000_000.0, updates: updates.clone() }),
+        ("ping-request", SwimMessage::PingRequest { sequence: 6, target: MemberId(3), updates }),
+        ("nack", SwimMessage::Nack { sequence: 6 }),
+    ];
+    messages.into_iter().map(|(name, message)| (name, PeerMessage::Sight(message))).collect()
+}
+
+fn zone(name: &str) -> Zone {
+    Zone(name.into())
+}
+
+fn evidence() -> Evidence {
+    Evidence {
+        pair_stats: BTreeMap::from([
+            ((zone("a"), zone("a")), ZonePairStats { tries: 100.0, failed: 2.5, success_time_sum: 4000.0 }),
+            ((zone("a"), zone("b")), ZonePairStats { tries: 10.0, failed: 10.0, success_time_sum: 0.0 }),
+        ]),
+        ready_weight: BTreeMap::from([(zone("a"), 12.5)]),
+        utilization: BTreeMap::from([(zone("b"), 0.75)]),
+        proxies: BTreeMap::from([(zone("a"), (30, 2))]),
+        duration: 500.0,
+    }
+}
+
+#[test]
+fn messages_between_managers() {
+    let mut messages = consensus_messages();
+    messages.extend(membership_messages());
+    messages.push(("evidence", PeerMessage::Evidence(evidence())));
+    check("peer-messages.txt", &messages);
+}
+
+fn plan() -> Plan {
+    let states = [
+        ZoneHealth::Unknown,
+        ZoneHealth::Well,
+        ZoneHealth::Silent,
+        ZoneHealth::Slow,
+        ZoneHealth::Overloaded,
+        ZoneHealth::CutOff,
+        ZoneHealth::Lost,
+    ];
+    let share = |(part, reason): (u8, ZoneHealth)| {
+        (zone(&format!("z{part}")), ZoneShare { weight_ratio: f64::from(part) / 8.0, reason })
+    };
+    Plan { version: 3, renewal: 400, shares: (0..).zip(states).map(share).collect(), lease: 6000.0 }
+}
+
+fn occurrence(due: i64) -> Occurrence {
+    Occurrence { schedule: "nightly".into(), due_ms: due }
+}
+
+fn action() -> Action {
+    Action {
+        address: "10.0.1.9:8080".into(),
+        path: "/run".into(),
+        idempotent: true,
+        max_tries: 3,
+        backoff: 250.0,
+        claim_lease: 30_000.0,
+    }
+}
+
+fn schedule_commands() -> Vec<(&'static str, Command)> {
+    let occurrence = || occurrence(1_700_000_060_000);
+    let skipped = |reason| Command::Skip { occurrence: occurrence(), reason, count: 300 };
+    let claim =
+        |overlap| Command::Claim { occurrence: occurrence(), owner: MemberId(2), action: action(), overlap };
+    let finished =
+        |outcome| Command::FinishTry { occurrence: occurrence(), fence: Index(130), outcome, at: 77.5 };
+    vec![
+        ("opened", Command::AddSchedule { schedule: "nightly".into(), decided_through: -5 }),
+        ("skipped-missed", skipped(SkipReason::Missed)),
+        ("skipped-quiet", skipped(SkipReason::Quiet)),
+        ("skipped-overlap", skipped(SkipReason::Overlap)),
+        ("claim-skip", claim(OverlapPolicy::Skip)),
+        ("claim-queue", claim(OverlapPolicy::Queue)),
+        ("claim-replace", claim(OverlapPolicy::Replace)),
+        ("begun", Command::Start { occurrence: occurrence(), fence: Index(130), run: Run(4) }),
+        ("try-succeeded", finished(TryOutcome::Succeeded)),
+        ("try-failed", finished(TryOutcome::Failed)),
+        ("try-unsent", finished(TryOutcome::Unsent)),
+        ("try-unanswered", finished(TryOutcome::Unanswered)),
+        ("try-overtaken", finished(TryOutcome::Overtaken)),
+        ("lapsed", Command::ExpireClaim { occurrence: occurrence(), fence: Index(130), at: 78.5 }),
+        ("closed", Command::RemoveSchedule { schedule: "nightly".into() }),
+    ]
+}
+
+#[test]
+fn commands_of_log_entries() {
+    let schedules = schedule_commands().into_iter().map(|(name, command)| (name, Word::Schedule(command)));
+    let mut commands: Vec<(&str, Word)> = schedules.collect();
+    commands.push(("plan", Word::Plan(plan())));
+    commands.push(("generation", Word::Generation(12)));
+    for (name, command) in &commands {
+        assert_eq!(Word::read(&command.write()).as_ref(), Some(command), "{name}");
+    }
+    check("log-commands.txt", &commands);
+}
+
+fn ledger() -> Ledger {
+    let claim = Claim { owner: MemberId(2), fence: Index(130), started_by: Some(Run(4)) };
+    let open = OpenOccurrence { action: action(), tries: 1, claim: Some(claim), last_try_ended: 77.5 };
+    let unclaimed = OpenOccurrence { action: action(), tries: 0, claim: None, last_try_ended: 0.0 };
+    let ends = [
+        OccurrenceOutcome::Succeeded,
+        OccurrenceOutcome::Failed,
+        OccurrenceOutcome::GivenUp,
+        OccurrenceOutcome::Unknown,
+        OccurrenceOutcome::Replaced,
+    ];
+    let ended = |(due_ms, outcome): (i64, OccurrenceOutcome)| EndedOccurrence {
+        due_ms,
+        outcome,
+        tries: 2,
+        fence: Index(90),
+        owner: MemberId(1),
+    };
+    let record = ScheduleRecord {
+        decided_through: 1_700_000_060_000,
+        open: BTreeMap::from([(1_700_000_060_000, open), (1_700_000_120_000, unclaimed)]),
+        ended: (10..).zip(ends).map(ended).collect::<VecDeque<EndedOccurrence>>(),
+        skipped: BTreeMap::from([(SkipReason::Missed, 1), (SkipReason::Quiet, 2), (SkipReason::Overlap, 3)]),
+        ended_count: 5,
+    };
+    Ledger { schedules: BTreeMap::from([("nightly".to_string(), record)]) }
+}
+
+/// The fields of the state in a snapshot, in their order; what the fleet reads it as is private to that crate.
+#[test]
+fn state_of_a_snapshot() {
+    check("snapshot-state.txt", &[("state", (ledger(), plan(), 12_u64, Index(131)))]);
+}
+
+/// The first message on a link, in the order of its fields.
+#[test]
+fn first_message_of_a_link() {
+    check("hello.txt", &[("hello", (MemberId(1), MemberId(300), "exams".to_string(), Run(9)))]);
+}
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -4,28 +4,28 @@
 use std::sync::Arc;
 
 use juniperrail_fleet::Parts;
-use juniperrail_intent::{judge, Composed, Intent, Refusal, World};
+use juniperrail_intent::{check_change, AdmissionContext, ComposedWorker, Intent, Refusal};
 use juniperrail_interface::{Event, ZoneId};
-use juniperrail_north::{Ask, Verdict};
+use juniperrail_north::{PlannerRequest, Verdict};
 
 use super::Decider;
 
 impl Decider {
     /// What the north asks, answered in this turn.
-    pub(super) fn answer_request(&mut self, ask: Ask) {
+    pub(super) fn answer_request(&mut self, ask: PlannerRequest) {
         // Whoever asked may be gone.
         match ask {
-            Ask::State(tell) => _ = tell.send(Arc::new(self.state())),
-            Ask::Judge { intent, verdict } => _ = verdict.send(self.verdict(&intent)),
-            Ask::Change { number, by, intent, verdict } => {
+            PlannerRequest::State(tell) => _ = tell.send(Arc::new(self.state())),
+            PlannerRequest::Validate { intent, verdict } => _ = verdict.send(self.verdict(&intent)),
+            PlannerRequest::Apply { number, by, intent, verdict } => {
                 let _change = tracing::info_span!("change", number, by).entered();
                 let judged = self.verdict(&intent);
                 match &judged {
                     Ok(()) => {
                         let workers: BTreeSet<String> =
-                            self.intent.differing(&intent).map(str::to_string).collect();
+                            self.intent.changed_workers(&intent).map(str::to_string).collect();
                         tracing::info!("change {number} by {by} is taken over: {} workers", workers.len());
-                        self.progress.taken(self.clock.now(), number, &by, workers);
+                        self.progress.record(self.clock.now(), number, &by, workers);
                         self.apply_intent(*intent);
                     }
                     Err(why) => {
@@ -54,25 +54,31 @@
     }
 
     /// What speaks against workers being composed otherwise than now.
-    pub(super) fn check_composed(&self, after: &BTreeMap<String, Composed>, intent: &Intent) -> Vec<Refusal> {
+    pub(super) fn check_composed(
+        &self,
+        after: &BTreeMap<String, ComposedWorker>,
+        intent: &Intent,
+    ) -> Vec<Refusal> {
         let (names, plane) = (&self.names, &self.plane);
-        let world = World {
+        let world = AdmissionContext {
             now: self.clock.now(),
             settings: &self.start,
-            operations: &self.operations,
+            operation_names: &self.operations,
             zone_name: &|zone| names.zones.name(zone.0.into()).to_string(),
-            zone_known: &|zone| self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone),
-            joined: self.presence.here().count(),
-            readers: &|worker| plane.readers(worker),
+            is_known_zone: &|zone| {
+                self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone)
+            },
+            joined_proxies: self.presence.here().count(),
+            proxies_with_line: &|worker| plane.readers(worker),
         };
-        judge(&world, &self.roster.composed(None, names), after, intent)
+        check_change(&world, &self.roster.composed(None, names), after, intent)
     }
 
     /// An intent that was judged, or that the file had at the start, holds from this turn on.
     pub(super) fn apply_intent(&mut self, intent: Intent) {
         let figures = intent.figures(&self.start, &self.operations);
         if figures != self.intent.figures(&self.start, &self.operations) {
-            self.events.push(Event::Figures(figures));
+            self.events.push(Event::SettingsChanged(figures));
         }
         if let Some(event) = self.roster.apply_intent(&intent, &mut self.names) {
             if let Event::List { workers, .. } = &event {
@@ -86,7 +92,7 @@
 
     /// What managers agreed on holds from this turn on, unless an operation would have nobody left by it.
     pub(super) fn apply_plan(&mut self, parts: &Parts) {
-        let id = |zone: &str| self.names.zones.known(zone).map(|id| ZoneId(id as u16));
+        let id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
         let parts: BTreeMap<ZoneId, f64> =
             parts.iter().filter_map(|(zone, part)| Some((id(&zone.0)?, *part))).collect();
         let refusals =
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use juniperrail_intent::{Composed, Composer, Intent, Wish};
+use juniperrail_intent::{ComposedWorker, Composer, Intent, WorkerIntent};
 use juniperrail_interface::*;
 use juniperrail_start::Names;
 
@@ -14,7 +14,7 @@
 pub struct Roster {
     composer: Composer,
     /// As the decisions were last told; who is gone is not kept.
-    listed: BTreeMap<WorkerId, Listed>,
+    listed: BTreeMap<WorkerId, WorkerEntry>,
     addresses: BTreeMap<WorkerId, SocketAddr>,
     /// Of the last list.
     pub version: u64,
@@ -38,12 +38,12 @@
             let name = match entry {
                 ReadEntry::Listed { listed, address } => {
                     let name = names.workers.name(listed.worker.0).to_string();
-                    self.composer.tell(&name, listed, address);
+                    self.composer.update_discovery(&name, listed, address);
                     name
                 }
                 ReadEntry::Departure(Departure { worker, phase }) => {
                     // Whom discovery does not name here any more can't leave either.
-                    if !self.composer.tell_phase(&worker, phase) {
+                    if !self.composer.update_discovery_phase(&worker, phase) {
                         continue;
                     }
                     worker
@@ -60,10 +60,11 @@
                 workers.extend(self.recompose(&name, names));
                 named.insert(name);
             }
-            self.composer.only(&|name| named.contains(name));
+            self.composer.mark_unlisted_gone(&|name| named.contains(name));
             // Who stands in no list of discovery's at all is not gone for that.
             self.assign_ids(names);
-            let placed: Vec<String> = self.composer.placed().map(|(name, _)| name.to_string()).collect();
+            let placed: Vec<String> =
+                self.composer.operator_placed().map(|(name, _)| name.to_string()).collect();
             workers.extend(placed.iter().filter_map(|name| self.recompose(name, names)));
         }
         Event::List { kind, version: listing.version, workers }
@@ -71,11 +72,11 @@
 
     /// Takes over what the operator wants; the decisions are to be told the event, if anything is new to them.
     pub fn apply_intent(&mut self, intent: &Intent, names: &mut Names) -> Option<Event> {
-        let changed = self.composer.wish(intent);
+        let changed = self.composer.update_intent(intent);
         self.assign_ids(names);
         let mut workers = Vec::new();
         for name in changed {
-            let Some(id) = names.workers.known(&name).map(WorkerId) else { continue };
+            let Some(id) = names.workers.find_id(&name).map(WorkerId) else { continue };
             let before = self.listed.get(&id).cloned();
             match self.recompose(&name, names) {
                 Some(listed) if before.as_ref() == Some(&listed) => {}
@@ -85,7 +86,7 @@
                 None => workers.extend(before.map(|listed| {
                     self.listed.remove(&id);
                     self.addresses.remove(&id);
-                    Listed { phase: Phase::Gone, ..listed }
+                    WorkerEntry { phase: Phase::Gone, ..listed }
                 })),
             }
         }
@@ -95,13 +96,13 @@
 
     /// Takes over what managers agreed on; the decisions are to be told the event, if anything is new to them.
     pub fn apply_plan(&mut self, parts: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
-        if !self.composer.lean(parts) {
+        if !self.composer.update_plan(parts) {
             return None;
         }
-        let all: Vec<String> = self.composer.names().map(str::to_string).collect();
+        let all: Vec<String> = self.composer.worker_names().map(str::to_string).collect();
         let mut workers = Vec::new();
         for name in all {
-            let before = names.workers.known(&name).and_then(|id| self.listed.get(&WorkerId(id)).cloned());
+            let before = names.workers.find_id(&name).and_then(|id| self.listed.get(&WorkerId(id)).cloned());
             let Some(before) = before else { continue };
             workers.extend(self.recompose(&name, names).filter(|listed| *listed != before));
         }
@@ -114,26 +115,26 @@
         &self,
         parts: &BTreeMap<ZoneId, f64>,
         names: &Names,
-    ) -> BTreeMap<String, Composed> {
+    ) -> BTreeMap<String, ComposedWorker> {
         let mut composer = self.composer.clone();
-        composer.lean(parts.clone());
+        composer.update_plan(parts.clone());
         let one = |name: &str| Some((name.to_string(), compose(&composer, name, names)?));
-        composer.names().filter_map(one).collect()
+        composer.worker_names().filter_map(one).collect()
     }
 
     /// Where a worker is, and its weight, as the decisions were last told.
-    pub fn worker(&self, worker: WorkerId) -> Option<&Listed> {
+    pub fn worker(&self, worker: WorkerId) -> Option<&WorkerEntry> {
         self.listed.get(&worker)
     }
 
     /// All workers as the decisions were last told.
-    pub fn workers(&self) -> impl Iterator<Item = &Listed> {
+    pub fn workers(&self) -> impl Iterator<Item = &WorkerEntry> {
         self.listed.values()
     }
 
     /// Gives ids to what the operator alone places.
     fn assign_ids(&self, names: &mut Names) {
-        for (name, place) in self.composer.placed() {
+        for (name, place) in self.composer.operator_placed() {
             names.worker(name);
             names.zone(&place.zone);
             names.machine(&place.machine);
@@ -141,8 +142,8 @@
     }
 
     /// One worker as the decisions are told it from now on.
-    fn recompose(&mut self, name: &str, names: &Names) -> Option<Listed> {
-        let Composed { listed, address, .. } = compose(&self.composer, name, names)?;
+    fn recompose(&mut self, name: &str, names: &Names) -> Option<WorkerEntry> {
+        let ComposedWorker { listed, address, .. } = compose(&self.composer, name, names)?;
         self.addresses.remove(&listed.worker);
         if listed.phase == Phase::Gone {
             self.listed.remove(&listed.worker);
@@ -154,16 +155,16 @@
     }
 
     /// All workers as they are, and as they would be with another intent.
-    pub fn composed(&self, intent: Option<&Intent>, names: &Names) -> BTreeMap<String, Composed> {
+    pub fn composed(&self, intent: Option<&Intent>, names: &Names) -> BTreeMap<String, ComposedWorker> {
         let every = |composer: &Composer| {
             let one = |name: &str| Some((name.to_string(), compose(composer, name, names)?));
-            composer.names().filter_map(one).collect()
+            composer.worker_names().filter_map(one).collect()
         };
         match intent {
             None => every(&self.composer),
             Some(intent) => {
                 let mut composer = self.composer.clone();
-                composer.wish(intent);
+                composer.update_intent(intent);
                 every(&composer)
             }
         }
@@ -172,7 +173,7 @@
     /// For decisions that start anew: the list as held.
     pub fn remembered_list(&self) -> Event {
         let workers = self.listed.values().cloned().collect();
-        Event::List { kind: ListKind::Remembered, version: 0, workers }
+        Event::List { kind: ListKind::Cached, version: 0, workers }
     }
 
     /// Where a worker is probed.
@@ -188,7 +189,7 @@
         self.listed.remove(&worker);
         self.addresses.remove(&worker);
         if self.composer.forget(&name) {
-            self.composer.renumber(&name, names.worker(&name));
+            self.composer.reassign_id(&name, names.worker(&name));
         }
     }
 
@@ -198,20 +199,20 @@
     }
 }
 
-fn compose(composer: &Composer, name: &str, names: &Names) -> Option<Composed> {
+fn compose(composer: &Composer, name: &str, names: &Names) -> Option<ComposedWorker> {
     // A change that is only judged may place workers that have no id yet: they are nobody's readers.
-    let placed = |wish: &Wish| {
-        let place = wish.place.as_ref()?;
+    let placed = |wish: &WorkerIntent| {
+        let place = wish.placement.as_ref()?;
         let small = |known: Option<u32>| known.map_or(u16::MAX, |id| id as u16);
-        Some(Listed {
-            worker: WorkerId(names.workers.known(name).unwrap_or(u32::MAX)),
+        Some(WorkerEntry {
+            worker: WorkerId(names.workers.find_id(name).unwrap_or(u32::MAX)),
             phase: Phase::Ready,
             booted: None,
-            zone: ZoneId(small(names.zones.known(&place.zone))),
-            machine: MachineId(small(names.machines.known(&place.machine))),
+            zone: ZoneId(small(names.zones.find_id(&place.zone))),
+            machine: MachineId(small(names.machines.find_id(&place.machine))),
             cell: CellId(place.cell.unwrap_or(u32::MAX)),
             weight: 0.0,
         })
     };
-    composer.composed(name, placed)
+    composer.compose(name, placed)
 }
