--- a/crates/council/src/council.rs
+++ b/crates/council/src/council.rs
@@ -9,7 +9,7 @@
 use crate::log::{Entry, Log, Member, MemberRole, Members, MembershipChange, Payload, Snapshot};
 use crate::message::Message;
 use crate::record::{KnownRun, Record, StoredState};
-use crate::standing::{Answer, Handshake, RecoveryState};
+use crate::recovery::{Answer, Handshake, RecoveryState};
 
 /// Messages held back until the records that they depend on are durable. Beyond it the oldest are dropped, as any link
 /// may lose a message.
