--- a/crates/council/src/lib.rs
+++ b/crates/council/src/lib.rs
@@ -13,18 +13,18 @@
 
 mod clock;
 mod council;
+mod failure_detector;
 mod ids;
 mod log;
 mod message;
 mod record;
 mod recovery;
-mod sight;
 
 pub use clock::median_clock;
 pub use council::{Actions, Committed, LogPosition, ProposeError, RaftConfig, RaftEvent, RaftNode, Role};
+pub use failure_detector::{FailureDetector, GossipUpdate, Health, Reach, SwimConfig, SwimMessage};
 pub use ids::{Index, MemberId, Run, Term};
 pub use log::{Entry, Log, Member, MemberRole, Members, MembershipChange, Payload, Snapshot};
 pub use message::Message;
 pub use record::{DecodeError, KnownRun, Record, StoredState};
 pub use recovery::RecoveryState;
-pub use sight::{FailureDetector, GossipUpdate, Health, Reach, SwimConfig, SwimMessage};
--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -33,6 +33,6 @@
 /// Terms, log and leases.
 pub const CONSENSUS: Mechanism = Mechanism::File("crates/council/src/council.rs");
 /// The failure detector.
-pub const FAILURE_DETECTOR: Mechanism = Mechanism::File("crates/council/src/sight.rs");
+pub const FAILURE_DETECTOR: Mechanism = Mechanism::File("crates/council/src/failure_detector.rs");
 /// The datastores and their commits.
 pub const DATASTORES: Mechanism = Mechanism::File("crates/north/src/keeper.rs");
