--- a/crates/gangs/src/gang.rs
+++ b/crates/gangs/src/gang.rs
@@ -1,4 +1,4 @@
-//! A gang: its rounds and parts, and who of it is slow against its like.
+//! A gang with its rounds and parts, and the detection of workers that are slow compared with their peers.
 
 use std::collections::BTreeMap;
 
@@ -6,70 +6,74 @@
 
 use crate::progress::{median, Attempt, PartId, ProgressReport};
 
-/// What a straggler's rate is taken to be against its peers' where it is tested for. What speaks for it and against it is
-/// even at the root of that, two thirds: half speed is surely under it, and what workers of one kind differ by above it.
-const SLOW: f64 = 4.0 / 9.0;
-/// How often one that is well may be called a straggler, and how often one is missed: a run has ten million sums, as of ten
-/// thousand workers a thousand each.
-const FALSE_ALARM: f64 = 1e-7;
-const MISSED: f64 = 0.02;
-/// Rates scatter by this much at the least, in the logarithm: less would be chance.
-const SCATTER: f64 = 0.12;
-/// It takes so many sums at the least: a stall of one period is no straggler.
-const SUMS: f64 = 4.0;
-/// Fewer peers of like kind are no measure; then all of the gang are.
-const PEERS: usize = 4;
-/// Who says nothing for so many periods is silent.
-const SILENT: f64 = 3.0;
-/// A part is large where it is so much larger than the middle one.
-const LARGE: f64 = 1.8;
-
+/// The rate ratio to the peers that the test assumes of a straggler. Evidence for and against is balanced at its square
+/// root, two thirds: half speed is clearly below that, and the usual differences among workers of one kind are above it.
+const STRAGGLER_RATE_RATIO: f64 = 4.0 / 9.0;
+/// Accepted rate of false alarms and of missed stragglers. A run has ten million reports, such as a thousand each from ten
+/// thousand workers.
+const FALSE_ALARM_RATE: f64 = 1e-7;
+const MISS_RATE: f64 = 0.02;
+/// The smallest scatter of the rates, as a standard deviation of their logarithms: a lower value would be chance.
+const MIN_SCATTER: f64 = 0.12;
+/// The fewest reports that can lead to a verdict: a stall of one period does not make a straggler.
+const MIN_REPORTS: f64 = 4.0;
+/// With fewer peers of the same kind, all workers of the gang that are equally warm or cold are compared. With fewer of
+/// those there is no baseline.
+const MIN_PEERS: usize = 4;
+/// A worker without a report for this many periods is silent.
+const SILENT_PERIODS: f64 = 3.0;
+/// A part is large if it exceeds the median size by this factor.
+const LARGE_PART_FACTOR: f64 = 1.8;
+
+/// Why an attempt is where it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// Slow against its like.
+    /// Slow compared with its peers.
     Straggler,
-    /// Slow with all of its kind of machine or its cell.
+    /// Slow together with all warm workers of its machine type.
     KindSlow,
-    /// As fast as its like, with more to do.
+    /// As fast as its peers, with more to do.
     LargePart,
-    /// Cold, and as slow as the cold are.
+    /// Cold, and as slow as the other cold workers.
     Cold,
-    /// It says nothing; that is no progress and no proof of none.
+    /// It reports nothing; that neither shows progress nor excludes it.
     Silent,
-    /// All of its zone say nothing: that is failover's matter.
+    /// All workers of its zone report nothing; failover between zones handles that.
     ZoneSilent,
-    /// It is done and waits for others.
+    /// Its part is done and it waits for the others.
     AtBarrier,
     Healthy,
 }
 
+/// The assessment of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Verdict {
     pub part: PartId,
     pub worker: WorkerId,
     pub cause: Cause,
-    /// Its rate against its peers', where both are known.
+    /// Its rate divided by the usual rate of its peers, if both are known.
     pub rate_ratio: Option<f64>,
-    /// 0 to 1: how far the evidence has come towards calling it a straggler.
+    /// 0 to 1: the evidence for a straggler, as a ratio of what a verdict takes.
     pub confidence: f64,
-    /// So many more sums like the last ones would make it sure; `None` where they speak against it.
+    /// How many more reports like the last one would complete the evidence; `None` if the last one speaks against it.
     pub reports_needed: Option<u32>,
 }
 
+/// The workers that run the parts of one job.
 #[derive(Clone, Debug)]
 pub struct Gang {
     pub round: u32,
-    /// Sums come so often from each worker.
+    /// Time between two reports of a worker.
     period: Ms,
     pub idempotent: bool,
-    /// Attempts at each part, the first one first.
+    /// Attempts at each part, in the order in which they were first reported.
     parts: BTreeMap<PartId, Vec<Attempt>>,
 }
 
-/// What is usual among peers: the middle logarithm of their rates, and how far they scatter.
+/// The usual rate among peers: the median of the logarithms of their rates, and their scatter.
 #[derive(Clone, Copy, Debug)]
-struct Usual {
-    middle: f64,
+struct Baseline {
+    median_log_rate: f64,
     scatter: f64,
 }
 
@@ -78,161 +82,172 @@
         Gang { round: 0, period, idempotent, parts: BTreeMap::new() }
     }
 
-    /// Attempts that are under way or over, with their parts.
+    /// All attempts of the round, running or finished, with their parts.
     pub fn attempts(&self) -> impl Iterator<Item = (PartId, &Attempt)> {
-        self.parts.iter().flat_map(|(part, tracks)| tracks.iter().map(|track| (*part, track)))
+        self.parts.iter().flat_map(|(part, attempts)| attempts.iter().map(|attempt| (*part, attempt)))
     }
 
     pub fn attempt_count(&self, part: PartId) -> usize {
         self.parts.get(&part).map_or(0, Vec::len)
     }
 
-    /// Whether every part of the round is done by some attempt.
+    /// Whether every part of the round was finished by some attempt.
     pub fn is_finished(&self) -> bool {
-        !self.parts.is_empty() && self.parts.values().all(|tracks| tracks.iter().any(Attempt::is_finished))
+        !self.parts.is_empty()
+            && self.parts.values().all(|attempts| attempts.iter().any(Attempt::is_finished))
     }
 
-    /// Takes a word. One of an earlier round was overtaken; one of a later round begins that.
-    pub fn record(&mut self, sum: &ProgressReport) {
-        if sum.round < self.round || sum.size.is_nan() || sum.size <= 0.0 {
+    /// Records a report. One of an earlier round is ignored; one of a later round starts that round.
+    pub fn record(&mut self, report: &ProgressReport) {
+        if report.round < self.round || report.size.is_nan() || report.size <= 0.0 {
             return;
         }
-        if sum.round > self.round {
-            self.round = sum.round;
+        if report.round > self.round {
+            self.round = report.round;
             self.parts.clear();
         }
-        let tracks = self.parts.entry(sum.part).or_default();
-        let Some(track) = tracks.iter_mut().find(|track| track.worker == sum.worker) else {
-            tracks.push(Attempt::new(sum));
+        let attempts = self.parts.entry(report.part).or_default();
+        let Some(attempt) = attempts.iter_mut().find(|attempt| attempt.worker == report.worker) else {
+            attempts.push(Attempt::new(report));
             return;
         };
-        if !track.record(sum) {
+        if !attempt.record(report) {
             return;
         }
-        let step = track.latest_rate();
-        let (part, worker) = (sum.part, sum.worker);
-        if let Some(step) = step.filter(|_| sum.done < 1.0) {
-            let usual = self.usual(part, worker);
-            let track = self.parts.get_mut(&part).and_then(|all| all.iter_mut().find(|t| t.worker == worker));
-            if let (Some(usual), Some(track)) = (usual, track) {
-                track.scored_reports += 1;
-                track.score = (track.score + evidence(step, usual)).clamp(0.0, 2.0 * bound());
+        let latest_rate = attempt.latest_rate();
+        let (part, worker) = (report.part, report.worker);
+        if let Some(latest_rate) = latest_rate.filter(|_| report.done < 1.0) {
+            let baseline = self.baseline(part, worker);
+            let attempt = self
+                .parts
+                .get_mut(&part)
+                .and_then(|attempts| attempts.iter_mut().find(|attempt| attempt.worker == worker));
+            if let (Some(baseline), Some(attempt)) = (baseline, attempt) {
+                attempt.scored_reports += 1;
+                attempt.score =
+                    (attempt.score + evidence(latest_rate, baseline)).clamp(0.0, 2.0 * score_threshold());
             }
         }
     }
 
-    /// What is usual among like peers of an attempt, by their rates over all that is kept of them.
-    fn usual(&self, part: PartId, worker: WorkerId) -> Option<Usual> {
-        let own = self.attempts().find(|(of, track)| *of == part && track.worker == worker)?.1;
-        let others = || self.attempts().map(|(_, track)| track).filter(|track| track.worker != worker);
-        let like =
-            |track: &&Attempt| track.kind.machine == own.kind.machine && track.kind.warm == own.kind.warm;
-        let logs = |tracks: &mut dyn Iterator<Item = &Attempt>| -> Vec<f64> {
-            tracks.filter_map(|track| track.rate()).filter(|rate| *rate > 0.0).map(f64::ln).collect()
+    /// The baseline of an attempt: the rates of its peers, over all points kept of them.
+    fn baseline(&self, part: PartId, worker: WorkerId) -> Option<Baseline> {
+        let own = self.attempts().find(|(of, attempt)| *of == part && attempt.worker == worker)?.1;
+        let others =
+            || self.attempts().map(|(_, attempt)| attempt).filter(|attempt| attempt.worker != worker);
+        let same_kind = |attempt: &&Attempt| {
+            attempt.kind.machine == own.kind.machine && attempt.kind.warm == own.kind.warm
+        };
+        let log_rates = |attempts: &mut dyn Iterator<Item = &Attempt>| -> Vec<f64> {
+            attempts.filter_map(|attempt| attempt.rate()).filter(|rate| *rate > 0.0).map(f64::ln).collect()
         };
-        let mut peers = logs(&mut others().filter(like));
-        if peers.len() < PEERS {
-            // The cold are no measure for the warm, nor the other way.
-            peers = logs(&mut others().filter(|track| track.kind.warm == own.kind.warm));
+        let mut peers = log_rates(&mut others().filter(same_kind));
+        if peers.len() < MIN_PEERS {
+            // Cold workers are never compared with warm ones.
+            peers = log_rates(&mut others().filter(|attempt| attempt.kind.warm == own.kind.warm));
         }
-        if peers.len() < PEERS {
+        if peers.len() < MIN_PEERS {
             return None;
         }
-        let middle = median(&mut peers)?;
-        let steps =
-            others().filter(like).filter_map(Attempt::latest_rate).filter(|step| *step > 0.0).map(f64::ln);
-        let mut off: Vec<f64> = steps.map(|log| (log - middle).abs()).collect();
-        if off.len() < PEERS {
-            off = peers.iter().map(|log| (log - middle).abs()).collect();
+        let median_log_rate = median(&mut peers)?;
+        let latest_log_rates = others()
+            .filter(same_kind)
+            .filter_map(Attempt::latest_rate)
+            .filter(|rate| *rate > 0.0)
+            .map(f64::ln);
+        let mut deviations: Vec<f64> = latest_log_rates.map(|log| (log - median_log_rate).abs()).collect();
+        if deviations.len() < MIN_PEERS {
+            deviations = peers.iter().map(|log| (log - median_log_rate).abs()).collect();
         }
-        // Steps scatter by more than rates over many of them, and it is a step that is tested. Of a normal scatter the
-        // median deviation is 0.6745 of the standard one.
-        let scatter = median(&mut off)? / 0.6745;
-        Some(Usual { middle, scatter: scatter.max(SCATTER) })
+        // The test looks at the rate between two reports, which scatters more than a rate over many. For a normal
+        // distribution the median absolute deviation is 0.6745 of the standard deviation.
+        let scatter = median(&mut deviations)? / 0.6745;
+        Some(Baseline { median_log_rate, scatter: scatter.max(MIN_SCATTER) })
     }
 
-    /// How every attempt that is not over stands.
+    /// Assesses every attempt of the round.
     pub fn verdicts(&self, now: Ms) -> Vec<Verdict> {
-        let mut sizes: Vec<f64> = self.attempts().map(|(_, track)| track.size).collect();
-        let middle_size = median(&mut sizes).unwrap_or(1.0);
-        let mut heard: BTreeMap<ZoneId, (usize, usize)> = BTreeMap::new();
-        for (_, track) in self.attempts().filter(|(_, track)| !track.is_finished()) {
-            let zone = heard.entry(track.kind.zone).or_default();
-            (zone.0, zone.1) = (zone.0 + 1, zone.1 + usize::from(self.silent(track, now)));
+        let mut sizes: Vec<f64> = self.attempts().map(|(_, attempt)| attempt.size).collect();
+        let median_size = median(&mut sizes).unwrap_or(1.0);
+        // Per zone: the attempts that are not finished, and how many of them are silent.
+        let mut zone_counts: BTreeMap<ZoneId, (usize, usize)> = BTreeMap::new();
+        for (_, attempt) in self.attempts().filter(|(_, attempt)| !attempt.is_finished()) {
+            let counts = zone_counts.entry(attempt.kind.zone).or_default();
+            (counts.0, counts.1) = (counts.0 + 1, counts.1 + usize::from(self.is_silent(attempt, now)));
         }
-        let zones = heard.len();
-        let verdict = |(part, track): (PartId, &Attempt)| {
-            let usual = self.usual(part, track.worker);
-            let rate = track.rate();
-            let ratio = rate.zip(usual).map(|(rate, usual)| rate / usual.middle.exp());
-            let sure = (track.score / bound()).min(1.0);
-            let step = track.latest_rate().zip(usual).map(|(step, usual)| evidence(step, usual));
-            let more = step
-                .filter(|step| *step > 0.0)
-                .map(|step| ((bound() - track.score) / step).ceil().max(0.0) as u32);
-            let zone_silent = heard
-                .get(&track.kind.zone)
-                .is_some_and(|(all, silent)| all == silent && *all > 1 && zones > 1);
-            let cause = if track.is_finished() {
+        let zone_count = zone_counts.len();
+        let verdict = |(part, attempt): (PartId, &Attempt)| {
+            let baseline = self.baseline(part, attempt.worker);
+            let rate = attempt.rate();
+            let rate_ratio = rate.zip(baseline).map(|(rate, baseline)| rate / baseline.median_log_rate.exp());
+            let confidence = (attempt.score / score_threshold()).min(1.0);
+            let latest_evidence =
+                attempt.latest_rate().zip(baseline).map(|(rate, baseline)| evidence(rate, baseline));
+            let reports_needed = latest_evidence
+                .filter(|evidence| *evidence > 0.0)
+                .map(|evidence| ((score_threshold() - attempt.score) / evidence).ceil().max(0.0) as u32);
+            let zone_silent = zone_counts
+                .get(&attempt.kind.zone)
+                .is_some_and(|(all, silent)| all == silent && *all > 1 && zone_count > 1);
+            let cause = if attempt.is_finished() {
                 Cause::AtBarrier
-            } else if self.silent(track, now) {
+            } else if self.is_silent(attempt, now) {
                 if zone_silent {
                     Cause::ZoneSilent
                 } else {
                     Cause::Silent
                 }
-            } else if sure >= 1.0 {
+            } else if confidence >= 1.0 {
                 Cause::Straggler
-            } else if self.kind_slow(track) {
-                if track.kind.warm {
+            } else if self.is_kind_slow(attempt) {
+                if attempt.kind.warm {
                     Cause::KindSlow
                 } else {
                     Cause::Cold
                 }
-            } else if track.size > LARGE * middle_size {
+            } else if attempt.size > LARGE_PART_FACTOR * median_size {
                 Cause::LargePart
             } else {
                 Cause::Healthy
             };
-            Verdict {
-                part,
-                worker: track.worker,
-                cause,
-                rate_ratio: ratio,
-                confidence: sure,
-                reports_needed: more,
-            }
+            Verdict { part, worker: attempt.worker, cause, rate_ratio, confidence, reports_needed }
         };
         self.attempts().map(verdict).collect()
     }
 
-    fn silent(&self, track: &Attempt, now: Ms) -> bool {
-        now > track.last_report_time() + SILENT * self.period
+    fn is_silent(&self, attempt: &Attempt, now: Ms) -> bool {
+        now > attempt.last_report_time() + SILENT_PERIODS * self.period
     }
 
-    /// Whether all of its kind are slow against the others.
-    fn kind_slow(&self, own: &Attempt) -> bool {
-        let rates = |like: bool| -> Vec<f64> {
-            let all = self.attempts().map(|(_, track)| track);
-            let some =
-                all.filter(|t| (t.kind.machine == own.kind.machine && t.kind.warm == own.kind.warm) == like);
-            some.filter_map(Attempt::rate).filter(|rate| *rate > 0.0).collect()
+    /// Whether all workers of this kind together are slow compared with the others.
+    fn is_kind_slow(&self, own: &Attempt) -> bool {
+        let rates = |same_kind: bool| -> Vec<f64> {
+            let all = self.attempts().map(|(_, attempt)| attempt);
+            let selected = all.filter(|attempt| {
+                (attempt.kind.machine == own.kind.machine && attempt.kind.warm == own.kind.warm) == same_kind
+            });
+            selected.filter_map(Attempt::rate).filter(|rate| *rate > 0.0).collect()
         };
-        let (like, others) = (median(&mut rates(true)), median(&mut rates(false)));
-        like.zip(others).is_some_and(|(like, others)| like < SLOW * others)
+        let (same_kind, others) = (median(&mut rates(true)), median(&mut rates(false)));
+        same_kind.zip(others).is_some_and(|(same_kind, others)| same_kind < STRAGGLER_RATE_RATIO * others)
     }
 }
 
-/// What one sum adds for a straggler, or takes: the logarithm of how much likelier it is of one at [`SLOW`].
-fn evidence(step: f64, usual: Usual) -> f64 {
-    let most = bound() / SUMS;
-    if step <= 0.0 {
-        return most;
+/// The evidence of one report for a straggler, or against it if negative: the log-likelihood ratio of the rate at
+/// [`STRAGGLER_RATE_RATIO`] and at the baseline.
+fn evidence(rate: f64, baseline: Baseline) -> f64 {
+    let limit = score_threshold() / MIN_REPORTS;
+    if rate <= 0.0 {
+        return limit;
     }
-    let (off, slow) = ((step.ln() - usual.middle) / usual.scatter, SLOW.ln() / usual.scatter);
-    (slow * off - slow * slow / 2.0).clamp(-most, most)
+    let (deviation, straggler_deviation) = (
+        (rate.ln() - baseline.median_log_rate) / baseline.scatter,
+        STRAGGLER_RATE_RATIO.ln() / baseline.scatter,
+    );
+    (straggler_deviation * deviation - straggler_deviation * straggler_deviation / 2.0).clamp(-limit, limit)
 }
 
-fn bound() -> f64 {
-    ((1.0 - MISSED) / FALSE_ALARM).ln()
+/// The score at which a worker is called a straggler.
+fn score_threshold() -> f64 {
+    ((1.0 - MISS_RATE) / FALSE_ALARM_RATE).ln()
 }
--- a/crates/gangs/src/lib.rs
+++ b/crates/gangs/src/lib.rs
@@ -1,13 +1,15 @@
-//! Stragglers in gangs: workers that together do one bulk run, in parts, often in rounds of which none begins before the
-//! last is over, so that one slow worker holds all. No I/O, clock or thread.
+//! Straggler detection in gangs: groups of workers that run the parts of one bulk job, often in rounds. A round starts
+//! only when the previous one has finished, so one slow worker delays all. This crate has no I/O, clock or thread.
 //!
-//! [`Gang`] takes late, lossy and reordered sums of progress. A worker's rate is held against that of its peers of like
-//! kind (machine, warm or cold), in the logarithm, by median and median deviation, so that neither a slow kind of machine
-//! nor a few stragglers move what is usual. Each new sum adds to what speaks for a straggler and against it (Wald's
-//! sequential test, 1945, as Page's cumulative sum, 1954, so that one that is well again is let off); a [`Verdict`]
-//! says how sure it is and how many more sums it would take. What is done about it ([`Mitigation`]) follows the cause and a
-//! budget of extra work: the thoughts are those published of LATE (progress rates), Mantri (answers by cause, only where
-//! they save time) and Dolly (clones within a budget).
+//! [`Gang`] takes progress reports, which may be delayed, lost and reordered. It compares a worker's rate with the rates of
+//! its peers, which are the workers of the same kind (machine type, warm or cold). The comparison uses logarithms, the
+//! median and the median absolute deviation, so that neither a slow machine type nor a few stragglers shift the baseline.
+//! Each report adds evidence for or against a straggler (Wald's sequential test, 1945, in the form of Page's cumulative
+//! sum, 1954, so that a worker that has recovered is cleared). A [`Verdict`] states the confidence and how many more
+//! reports are needed.
+//!
+//! The [`Mitigation`] depends on the cause and on a [`Budget`] of extra work. The ideas are those published for LATE
+//! (progress rates), Mantri (mitigation by cause, only where it saves time) and Dolly (clones within a budget).
 
 mod answer;
 mod gang;
