--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -19,6 +19,7 @@
 }
 
 impl ZonePairStats {
+    /// Adds the tries, failures and times of `other`.
     pub fn add(&mut self, other: &ZonePairStats) {
         self.tries += other.tries;
         self.failed += other.failed;
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Returns everything recorded since the last call, with the current weights and proxy counts, and starts anew.
+    /// Returns everything recorded since the last call, with the current weights and proxy counts, and resets the accumulator.
     pub fn take_evidence(
         &mut self,
         now: Ms,
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -19,9 +19,11 @@
 /// An agreed failover plan. Zones that it does not name keep their full weight.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
+    /// Increases with every change of the shares.
     pub version: u64,
     /// Counts the leader's renewals of this version's lease.
     pub renewal: u64,
+    /// The zones that are restricted.
     pub shares: BTreeMap<Zone, ZoneShare>,
     /// How long a member applies the plan without a renewal.
     pub lease: Ms,
@@ -79,6 +81,7 @@
         restricted.map(|(zone, share)| (zone.clone(), share.weight_ratio)).collect()
     }
 
+    /// The last plan that was activated, also after its lease has expired.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
--- a/crates/gangs/src/gang.rs
+++ b/crates/gangs/src/gang.rs
@@ -62,9 +62,11 @@
 /// The workers that run the parts of one job.
 #[derive(Clone, Debug)]
 pub struct Gang {
+    /// The round of the latest reports.
     pub round: u32,
     /// Time between two reports of a worker.
     period: Ms,
+    /// Whether a part may run twice at once.
     pub idempotent: bool,
     /// Attempts at each part, in the order in which they were first reported.
     parts: BTreeMap<PartId, Vec<Attempt>>,
@@ -78,6 +80,7 @@
 }
 
 impl Gang {
+    /// `period` is the time between two reports of a worker; `idempotent` tells whether a part may run twice at once.
     pub fn new(period: Ms, idempotent: bool) -> Gang {
         Gang { round: 0, period, idempotent, parts: BTreeMap::new() }
     }
@@ -87,6 +90,7 @@
         self.parts.iter().flat_map(|(part, attempts)| attempts.iter().map(|attempt| (*part, attempt)))
     }
 
+    /// Number of attempts at a part in this round, running or finished.
     pub fn attempt_count(&self, part: PartId) -> usize {
         self.parts.get(&part).map_or(0, Vec::len)
     }
--- a/crates/gangs/src/progress.rs
+++ b/crates/gangs/src/progress.rs
@@ -52,6 +52,7 @@
 }
 
 impl Attempt {
+    /// Starts tracking with the first report on the attempt.
     pub fn new(report: &ProgressReport) -> Attempt {
         let points = VecDeque::from([(report.at, report.done)]);
         Attempt {
@@ -81,14 +82,17 @@
         true
     }
 
+    /// The ratio of the part that is done, 0 to 1, by the last report.
     pub fn done(&self) -> f64 {
         self.points.back().map_or(0.0, |(_, done)| *done)
     }
 
+    /// Whether the last report says that the whole part is done.
     pub fn is_finished(&self) -> bool {
         self.done() >= 1.0
     }
 
+    /// When the worker made the last report, by the reporter's clock.
     pub fn last_report_time(&self) -> Ms {
         self.points.back().map_or(f64::NEG_INFINITY, |(at, _)| *at)
     }
--- a/crates/schedule/src/books.rs
+++ b/crates/schedule/src/books.rs
@@ -112,9 +112,12 @@
 pub struct ScheduleRecord {
     /// Every occurrence due up to this time has been claimed or skipped.
     pub decided_through: i64,
+    /// Claimed occurrences that have not ended, by their due time.
     pub open: BTreeMap<i64, OpenOccurrence>,
+    /// The latest occurrences that ended, oldest first.
     pub ended: VecDeque<EndedOccurrence>,
     pub skipped: BTreeMap<SkipReason, u64>,
+    /// Number of all occurrences that ended.
     pub ended_count: u64,
 }
 
--- a/crates/schedule/src/duty.rs
+++ b/crates/schedule/src/duty.rs
@@ -54,6 +54,7 @@
         ClaimTracker { me, run, claims: BTreeMap::new() }
     }
 
+    /// Number of tracked claims, including those whose outcome is not agreed yet.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
