--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -11,11 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_fleet::{Common, Parts};
-use juniperrail_intent::{Intent, Progress};
-use juniperrail_interface::{Event, ListKind, Ms, Phase, Start, WorkerId};
-use juniperrail_north::{Ask, Notice};
+use juniperrail_intent::{ChangeTracker, Intent};
+use juniperrail_interface::{Event, ListKind, Ms, Phase, Settings, WorkerId};
+use juniperrail_north::{Notice, PlannerRequest};
 use juniperrail_start::Names;
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep_until, Instant};
@@ -46,7 +46,7 @@
 /// The ways to and from the north, where there is one.
 pub struct North {
     /// Requests that are answered in the turn in which they are taken.
-    pub asks: mpsc::Receiver<Ask>,
+    pub asks: mpsc::Receiver<PlannerRequest>,
     /// What is told without being asked for.
     pub notices: mpsc::Sender<Notice>,
 }
@@ -54,9 +54,9 @@
 /// The decision module with all that it goes by, and the books on what it has ordered.
 pub struct Decider {
     name: String,
-    brain: Brain,
+    planner: Planner,
     /// As the settings gave it; what operators changed is told to the module beside it.
-    start: Start,
+    start: Settings,
     operations: Vec<String>,
     intent: Intent,
     names: Names,
@@ -66,7 +66,7 @@
     plane: Plane,
     presence: Presence,
     roster: Roster,
-    progress: Progress,
+    progress: ChangeTracker,
     progress_checked_at: Ms,
     wakes: Vec<(Ms, String)>,
     /// What the next turn is told.
@@ -103,7 +103,7 @@
         let operation = |op| names.ops.name(op as u32).to_string();
         let mut decider = Decider {
             name: launch.fixed.name,
-            brain: Brain::new(clock.now(), launch.seed, start.clone()),
+            planner: Planner::new(clock.now(), launch.seed, start.clone()),
             operations: (0..start.operations.len()).map(operation).collect(),
             start,
             intent: Intent::default(),
@@ -114,7 +114,7 @@
             plane: Plane::default(),
             presence: Presence::new(launch.patience),
             roster: Roster::default(),
-            progress: Progress::default(),
+            progress: ChangeTracker::default(),
             progress_checked_at: 0.0,
             wakes: Vec::new(),
             events: Vec::new(),
@@ -130,7 +130,7 @@
             fleet: None,
         };
         let known = launch.known.unwrap_or_default();
-        let event = decider.roster.apply_list(&known, ListKind::Remembered, &mut decider.names);
+        let event = decider.roster.apply_list(&known, ListKind::Cached, &mut decider.names);
         decider.apply_list(event);
         let wanted = launch.operator.map(|operator| operator.intent).unwrap_or_default();
         // The list may be old: what it would not bear is said, and the decisions bear it as they bear any loss.
@@ -152,7 +152,8 @@
         let mut last = Instant::now();
         loop {
             let wakes = self.wakes.iter().map(|(at, _)| *at).chain(self.presence.next());
-            let look = self.progress.open().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
+            let look =
+                self.progress.distributing().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
             let rested = Some(self.failed.1).filter(|_| !self.events.is_empty());
             let wake = wakes.chain(look).chain(rested).fold(self.clock.now() + LONGEST_SLEEP, f64::min);
             let (mut first, mut asked, mut agreed) = (None, None, None);
@@ -176,7 +177,7 @@
             if let Some(at) = due.iter().map(|(at, _)| *at).reduce(f64::min) {
                 tracing::trace!(target: TURN_TARGET, late = now - at);
             }
-            self.events.extend(due.into_iter().map(|(_, handle)| Event::Woken { handle }));
+            self.events.extend(due.into_iter().map(|(_, handle)| Event::TimerFired { handle }));
             last = Instant::now();
             asked.into_iter().for_each(|ask| self.answer_request(ask));
             agreed.into_iter().for_each(|parts| self.apply_plan(&parts));
@@ -211,7 +212,7 @@
             },
             Inbound::Rejected(why) => self.tally.away.add(why),
             Inbound::Probed(worker, Found { ending, took, load }) => {
-                self.events.push(Event::Probed { worker, ending, took, load });
+                self.events.push(Event::Probed { worker, outcome: ending, took, load });
             }
         }
     }
@@ -234,7 +235,7 @@
 }
 
 /// The north's next ask; never where there is no north, or none any more.
-async fn next_ask(north: &mut Option<North>) -> Ask {
+async fn next_ask(north: &mut Option<North>) -> PlannerRequest {
     let Some(known) = north else { return std::future::pending().await };
     match known.asks.recv().await {
         Some(ask) => ask,
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_intent::Intent;
-use juniperrail_interface::{Ending, Event, Load, Ms, Order, WorkerId};
+use juniperrail_interface::{Event, Load, Ms, Order, ProbeOutcome, WorkerId};
 use tower::ServiceExt;
 
 use super::{Decider, NEAR};
@@ -17,11 +17,11 @@
 impl Decider {
     /// Lets the module decide on what came in.
     pub(super) fn turn(&mut self) {
-        self.turn_by(Brain::turn);
+        self.turn_by(Planner::process_events);
     }
 
     /// The same with another decision in its place, as tests need it.
-    pub(super) fn turn_by(&mut self, decide: impl FnOnce(&mut Brain, Ms, &[Event]) -> Vec<Order>) {
+    pub(super) fn turn_by(&mut self, decide: impl FnOnce(&mut Planner, Ms, &[Event]) -> Vec<Order>) {
         let (now, events) = (self.clock.now(), std::mem::take(&mut self.events));
         let _turn = tracing::debug_span!("turn", events = events.len()).entered();
         self.tally.joined += events.iter().filter(|event| matches!(event, Event::Joined { .. })).count();
@@ -31,7 +31,7 @@
             self.limit_warnings(now).iter().for_each(|warning| tracing::warn!("{warning}"));
         }
         let turn = AssertUnwindSafe(|| {
-            let mut orders = decide(&mut self.brain, now, &events);
+            let mut orders = decide(&mut self.planner, now, &events);
             for order in &mut orders {
                 if let Order::Mark { number, .. } = order {
                     number.0 = number.0.wrapping_add(self.marks.0);
@@ -51,7 +51,7 @@
 
     /// What is near a limit, as people on call should know it.
     pub(super) fn limit_warnings(&mut self, now: Ms) -> Vec<String> {
-        let (waiting, most) = (self.brain.waiting(), self.start.lines_waiting_most);
+        let (waiting, most) = (self.planner.unacknowledged_lines(), self.start.max_pending_lines);
         let full = (waiting >= NEAR.0 * most && most > 0.0)
             .then(|| format!("{waiting:.0} of {most:.0} lines wait in the channel"));
         let grace = self.intent.figures(&self.start, &self.operations).drain_grace;
@@ -63,7 +63,7 @@
             .map(|(id, at)| (*id, *at))
             .collect();
         let (joined, holding) =
-            (self.presence.here().count(), self.brain.holding(&owed.keys().copied().collect()));
+            (self.presence.here().count(), self.planner.synced_proxy_count(&owed.keys().copied().collect()));
         let oldest = owed.iter().min_by(|a, b| a.1.total_cmp(b.1)).filter(|_| holding < joined);
         let late = oldest.map(|(id, told)| {
             let (name, since) = (self.names.workers.get(id.0).unwrap_or("one forgotten"), now - told);
@@ -83,14 +83,14 @@
         let rest = self.tick.as_secs_f64() * 1000.0 * f64::from(2u32.pow(failed.min(16)) - 1);
         self.failed = (failed + 1, now + rest.min(self.start.report_period));
         tracing::error!("the decisions failed and start anew with {} proxies", self.presence.streams.len());
-        self.brain = Brain::new(now, self.rng.u64(..), self.start.clone());
+        self.planner = Planner::new(now, self.rng.u64(..), self.start.clone());
         self.marks.0 = self.marks.1;
         self.plane.restart();
         self.wakes.clear();
         self.events.push(self.roster.remembered_list());
         let figures = self.intent.figures(&self.start, &self.operations);
         if figures != Intent::default().figures(&self.start, &self.operations) {
-            self.events.push(Event::Figures(figures));
+            self.events.push(Event::SettingsChanged(figures));
         }
         let here = self.presence.streams.iter_mut().filter(|(_, stream)| stream.silent.is_none());
         for (proxy, stream) in here {
@@ -106,14 +106,14 @@
         self.presence.next_turn();
         for OutboundMessage { proxy, bytes, lines, mark } in messages {
             tracing::trace!("to {}: {lines} lines, {bytes:?}", proxy.0);
-            if !self.presence.send(proxy, now, self.start.messages_over, mark, bytes) {
+            if !self.presence.send(proxy, now, self.start.message_window, mark, bytes) {
                 tracing::warn!("proxy {} does not read: its stream is given up", proxy.0);
                 self.leave(proxy);
             }
         }
         for order in orders {
             match order {
-                Order::Wake { after, handle } => self.wakes.push((now + after, handle)),
+                Order::SetTimer { after, handle } => self.wakes.push((now + after, handle)),
                 Order::Log { about: Some(id), text } => {
                     tracing::info!("{} {text}", self.names.workers.name(id.0));
                 }
@@ -125,7 +125,7 @@
                     self.roster.forget(worker, &mut self.names);
                 }
                 // The watch follows the list from the start on; there is no way to other managers.
-                Order::FollowList(_) | Order::Tell { .. } => {}
+                Order::SubscribeToList(_) | Order::SendMessage { .. } => {}
                 // Handed out above.
                 _ => {}
             }
@@ -135,7 +135,7 @@
     /// Probes a worker; what is found comes in like anything else.
     pub(super) fn probe(&mut self, worker: WorkerId) {
         let Some(address) = self.roster.address(worker) else {
-            let found = Found { ending: Ending::Unreachable, took: 0.0, load: Load::default() };
+            let found = Found { ending: ProbeOutcome::Unreachable, took: 0.0, load: Load::default() };
             return self.receive(Inbound::Probed(worker, found));
         };
         let (probes, inbound) = (self.probes.clone(), self.inbound.clone());
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use juniperrail_council::{Figures, Health, MemberId, Pace, Reach, Standing};
+use juniperrail_council::{Health, MemberId, RaftConfig, Reach, RecoveryState, SwimConfig};
 use juniperrail_failover::{Evidence, EvidenceAccumulator, Zone};
 use juniperrail_fleet::{Common, Setting};
-use juniperrail_interface::{Listed, Ms, Phase, Start};
+use juniperrail_interface::{Ms, Phase, Settings, WorkerEntry};
 use juniperrail_model::{Data, Schema, View};
 use juniperrail_north::{FleetState, OperatorFile, ScheduleState};
 use juniperrail_schedule::{
@@ -29,7 +29,7 @@
     schema: &Schema,
     data: &Data,
     seed: u64,
-    start: &Start,
+    start: &Settings,
 ) -> Result<Option<Setting>, String> {
     let data = data.with_defaults(schema);
     let fleet = View::new(schema, &data).inner("fleet");
@@ -81,7 +81,7 @@
     }
     let failover = fleet.inner("failover");
     let lease = failover.figure("plan-lease").unwrap_or_default();
-    let (period, transit) = (start.report_period, start.transit_worst);
+    let (period, transit) = (start.report_period, start.max_transit);
     // A plan whose lease is shorter than what it goes by is old would come and go.
     if failover.is_there() && lease < 3.0 * (period + transit) {
         let why = format!("{lease} ms are shorter than thrice what sums are late, {} ms", period + transit);
@@ -96,12 +96,23 @@
         me,
         fleet: fleet.text("name").unwrap_or_default().to_string(),
         listen,
-        store: file.beside(fleet.text("store").unwrap_or_default()),
+        store: file.resolve(fleet.text("store").unwrap_or_default()),
         limits: Limits::default(),
         members,
         generation: number(&fleet, "generation"),
-        figures: Figures { heartbeat, election, drift: figure("drift"), batch: BATCH, waiting: WAITING },
-        sight: Pace { period, answer, by_others: BY_OTHERS, words: WORDS },
+        figures: RaftConfig {
+            heartbeat_interval_ms: heartbeat,
+            election_timeout_ms: election,
+            max_clock_drift_ratio: figure("drift"),
+            max_entries_per_message: BATCH,
+            max_uncommitted_entries: WAITING,
+        },
+        sight: SwimConfig {
+            probe_period_ms: period,
+            probe_timeout_ms: answer,
+            indirect_probe_count: BY_OTHERS,
+            max_updates_per_message: WORDS,
+        },
         schedules,
         seed,
         entries: number(&fleet, "entries") as usize,
@@ -177,8 +188,8 @@
     let reach = |reach: Reach| match reach {
         Reach::Unknown => "unknown",
         Reach::Direct => "direct",
-        Reach::ByOthers => "by-others",
-        Reach::Nobody => "nobody",
+        Reach::Indirect => "by-others",
+        Reach::Unreachable => "nobody",
     };
     let why = |health: juniperrail_failover::ZoneHealth| match health {
         juniperrail_failover::ZoneHealth::Unknown => "unknown",
@@ -195,10 +206,10 @@
         leader: seen.leader.map(|leader| leader.0),
         term: seen.term.0,
         standing: match seen.standing {
-            None | Some(Standing::Fresh) => "fresh",
-            Some(Standing::Settling { .. }) => "settling",
-            Some(Standing::Doubtful { .. }) => "doubtful",
-            Some(Standing::Whole) => "whole",
+            None | Some(RecoveryState::Empty) => "fresh",
+            Some(RecoveryState::Verifying { .. }) => "settling",
+            Some(RecoveryState::Recovering { .. }) => "doubtful",
+            Some(RecoveryState::Ready) => "whole",
         },
         committed: seen.committed.0,
         store_failing: seen.store_failing,
@@ -248,7 +259,7 @@
         &mut self,
         now: Ms,
         period: Ms,
-        listed: impl Iterator<Item = (&'a Listed, &'a str, f64)>,
+        listed: impl Iterator<Item = (&'a WorkerEntry, &'a str, f64)>,
         proxies: impl Iterator<Item = (&'a str, bool)>,
     ) -> Option<Evidence> {
         if now < self.told + period {
