--- a/crates/intent/src/access.rs
+++ b/crates/intent/src/access.rs
@@ -1,17 +1,23 @@
-//! Who may read and write what, by user and subtree: a small NACM (RFC 8341). Of the rules that fit, the one of
-//! the lowest number holds; without one, the user's role does. Who is not named may do nothing.
+//! Access control by user and subtree, a subset of NACM (RFC 8341). Of the rules that match, the one with the
+//! lowest number decides; without a matching rule, the user's role does. A user who is not configured is denied
+//! everything.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use juniperrail_model::{diff, Content, Data, Kind, NodeId, Path, Schema, Step, View};
 
+/// What a user may do where no rule matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// Reads all but the northbound configuration.
     Reader,
+    /// Reads everything and writes all but the northbound configuration.
     Operator,
+    /// Reads and writes everything.
     Admin,
 }
 
+/// The kind of access that a rule covers (NACM's access-operations).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessOperation {
     Read,
@@ -26,15 +32,15 @@
 
 #[derive(Clone, Debug)]
 struct Rule {
-    /// Everyone if empty.
+    /// The users it applies to; all users if empty.
     users: BTreeSet<String>,
     path: Path,
-    reads: bool,
-    writes: bool,
-    permits: bool,
+    covers_read: bool,
+    covers_write: bool,
+    is_permit: bool,
 }
 
-/// Where the name of a certificate's user is taken from, RFC 7589 section 7.
+/// How a client certificate is mapped to a user name (RFC 7589 section 7).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CertToName {
     Specified(String),
@@ -46,60 +52,63 @@
 #[derive(Clone, Debug, Default)]
 pub struct AccessControl {
     users: BTreeMap<String, User>,
-    /// By their number.
+    /// In ascending order of their numbers.
     rules: Vec<Rule>,
-    /// Client certificates by fingerprint, and where the user's name is taken from.
-    certificates: BTreeMap<String, CertToName>,
-    /// Its part of the model that only admins may touch.
-    own: Option<NodeId>,
+    /// Mappings of client certificates to user names, by fingerprint.
+    cert_to_name: BTreeMap<String, CertToName>,
+    /// The `northbound` container, which by default only admins may write and readers may not read.
+    northbound_node: Option<NodeId>,
 }
 
 impl AccessControl {
-    /// From the configuration; a rule whose path names nothing is a fault, told as one line.
+    /// Reads the users and rules from a configuration. Fails with a one-line message if the path of a rule names no
+    /// node of the model.
     pub fn from_data(schema: &Schema, data: &Data) -> Result<AccessControl, String> {
-        let north = View::new(schema, data).inner("northbound");
-        let texts = |view: &View<'_>, name: &str| -> BTreeSet<String> {
+        let northbound = View::new(schema, data).inner("northbound");
+        let leaf_list = |view: &View<'_>, name: &str| -> BTreeSet<String> {
             view.leaves(name).into_iter().map(ToString::to_string).collect()
         };
-        let mut access = AccessControl { own: schema.find(&["northbound"]), ..AccessControl::default() };
-        for user in north.entries("user") {
+        let mut access =
+            AccessControl { northbound_node: schema.find(&["northbound"]), ..AccessControl::default() };
+        for user in northbound.entries("user") {
             let role = match user.text("role") {
                 Some("admin") => Role::Admin,
                 Some("operator") => Role::Operator,
                 _ => Role::Reader,
             };
             let name = user.text("name").unwrap_or_default().to_string();
-            access.users.insert(name, User { role, ssh_keys: texts(&user, "ssh-key") });
+            access.users.insert(name, User { role, ssh_keys: leaf_list(&user, "ssh-key") });
         }
-        for client in north.inner("netconf").inner("tls").entries("client") {
-            let from = match client.text("name-from") {
+        for client in northbound.inner("netconf").inner("tls").entries("client") {
+            let mapping = match client.text("name-from") {
                 Some("common-name") => CertToName::CommonName,
                 Some("dns-name") => CertToName::DnsName,
                 _ => CertToName::Specified(client.text("user").unwrap_or_default().to_string()),
             };
             let fingerprint = client.text("fingerprint").unwrap_or_default().to_string();
-            access.certificates.insert(fingerprint, from);
+            access.cert_to_name.insert(fingerprint, mapping);
         }
-        // Entries stand in the order of their key, the number.
-        for rule in north.entries("rule") {
-            let operation = texts(&rule, "access");
+        // List entries are sorted by their key, the rule's number.
+        for rule in northbound.entries("rule") {
+            let operations = leaf_list(&rule, "access");
             let path = rule.text("path").unwrap_or_default();
             let number = rule.leaf("number").map(ToString::to_string).unwrap_or_default();
             let path = Path::read(schema, path).map_err(|fault| {
-                format!("the rule {number} speaks of a path that does not fit the model: {fault}")
+                format!("the path of rule {number} does not match the data model: {fault}")
             })?;
-            let about = |what: &str| operation.is_empty() || operation.contains(what);
+            let covers = |operation: &str| operations.is_empty() || operations.contains(operation);
             access.rules.push(Rule {
-                users: texts(&rule, "user"),
+                users: leaf_list(&rule, "user"),
                 path,
-                reads: about("read"),
-                writes: about("write"),
-                permits: rule.text("action") == Some("permit"),
+                covers_read: covers("read"),
+                covers_write: covers("write"),
+                is_permit: rule.text("action") == Some("permit"),
             });
         }
         Ok(access)
     }
 
+    /// The user's role; `None` if the user is not configured.
     pub fn role(&self, user: &str) -> Option<Role> {
         self.users.get(user).map(|user| user.role)
     }
@@ -108,84 +117,88 @@
         self.users.values().any(|user| user.role == Role::Admin)
     }
 
-    /// The public keys that the user may come with, as they are configured.
+    /// The SSH public keys that authenticate the user, as configured.
     pub fn ssh_keys(&self, user: &str) -> impl Iterator<Item = &str> {
         self.users.get(user).into_iter().flat_map(|user| &user.ssh_keys).map(String::as_str)
     }
 
-    /// Where the user's name is taken from for a certificate of this SHA-256, in lower-case hex.
+    /// The mapping for the certificate with this SHA-256 fingerprint, in lower-case hex.
     pub fn cert_to_name(&self, fingerprint: &str) -> Option<&CertToName> {
-        self.certificates.get(fingerprint)
+        self.cert_to_name.get(fingerprint)
     }
 
-    /// Whether the user may do so at that very place.
+    /// Whether the user may perform the operation on the node at this path.
     pub fn permits(&self, user: &str, operation: AccessOperation, path: &Path) -> bool {
         let Some(role) = self.role(user) else { return false };
-        let fits = |rule: &&Rule| {
-            let about = if operation == AccessOperation::Read { rule.reads } else { rule.writes };
-            about && (rule.users.is_empty() || rule.users.contains(user)) && rule.path.covers(path)
+        let matches = |rule: &&Rule| {
+            let covered =
+                if operation == AccessOperation::Read { rule.covers_read } else { rule.covers_write };
+            covered && (rule.users.is_empty() || rule.users.contains(user)) && rule.path.covers(path)
         };
-        if let Some(rule) = self.rules.iter().find(fits) {
-            return rule.permits;
+        if let Some(rule) = self.rules.iter().find(matches) {
+            return rule.is_permit;
         }
-        let own = path.0.first().map(|step| step.node) == self.own;
+        let is_northbound = path.0.first().map(|step| step.node) == self.northbound_node;
         match (role, operation) {
             (Role::Admin, _) => true,
             (Role::Operator, AccessOperation::Read) => true,
-            (Role::Operator, AccessOperation::Write) | (Role::Reader, AccessOperation::Read) => !own,
+            (Role::Operator, AccessOperation::Write) | (Role::Reader, AccessOperation::Read) => {
+                !is_northbound
+            }
             (Role::Reader, AccessOperation::Write) => false,
         }
     }
 
-    /// The data without what the user may not read. What is kept keeps the keys that lead to it.
+    /// The data without what the user may not read. The list keys on the path to a readable node stay.
     pub fn filter_readable(&self, schema: &Schema, user: &str, data: &Data) -> Data {
         if self.role(user) == Some(Role::Admin) && self.rules.is_empty() {
             return data.clone();
         }
-        self.readable_below(schema, user, data, &Path::default())
+        self.filter_subtree(schema, user, data, &Path::default())
     }
 
-    fn readable_below(&self, schema: &Schema, user: &str, data: &Data, at: &Path) -> Data {
-        let may = |path: &Path| self.permits(user, AccessOperation::Read, path);
-        let mut kept = Data::default();
+    fn filter_subtree(&self, schema: &Schema, user: &str, data: &Data, parent: &Path) -> Data {
+        let may_read = |path: &Path| self.permits(user, AccessOperation::Read, path);
+        let mut readable = Data::default();
         for (id, content) in data.iter() {
-            let path = at.with(Step::to(id));
+            let path = parent.with(Step::to(id));
             match content {
-                Content::Leaf(_) if may(&path) => kept.set(id, content.clone()),
+                Content::Leaf(_) if may_read(&path) => readable.set(id, content.clone()),
                 Content::Leaf(_) => {}
                 Content::Leaves(values) => {
-                    let value = |value: &&_| may(&at.with(Step::entry(id, std::slice::from_ref(*value))));
-                    let values: BTreeSet<_> = values.iter().filter(value).cloned().collect();
+                    let may_read_value =
+                        |value: &&_| may_read(&parent.with(Step::entry(id, std::slice::from_ref(*value))));
+                    let values: BTreeSet<_> = values.iter().filter(may_read_value).cloned().collect();
                     if !values.is_empty() {
-                        kept.set(id, Content::Leaves(values));
+                        readable.set(id, Content::Leaves(values));
                     }
                 }
                 Content::Inner(inner) => {
-                    let inner = self.readable_below(schema, user, inner, &path);
+                    let inner = self.filter_subtree(schema, user, inner, &path);
                     let presence = matches!(schema.node(id).kind, Kind::Container { presence: true });
-                    if !inner.is_empty() || presence && may(&path) {
-                        kept.set(id, Content::Inner(inner));
+                    if !inner.is_empty() || presence && may_read(&path) {
+                        readable.set(id, Content::Inner(inner));
                     }
                 }
                 Content::List(entries) => {
                     for (keys, entry) in entries {
-                        let path = at.with(Step::entry(id, keys));
-                        let inner = self.readable_below(schema, user, entry, &path);
+                        let path = parent.with(Step::entry(id, keys));
+                        let inner = self.filter_subtree(schema, user, entry, &path);
                         if !inner.is_empty() {
-                            let entry = kept.entry(schema, id, keys);
+                            let entry = readable.entry(schema, id, keys);
                             *entry = std::mem::take(entry).joined(inner);
                         }
                     }
                 }
             }
         }
-        kept
+        readable
     }
 
-    /// The first place that the change from one to the other touches and the user may not write.
+    /// The first node that differs between the two configurations and that the user may not write.
     pub fn first_denied_write(&self, schema: &Schema, user: &str, old: &Data, new: &Data) -> Option<Path> {
-        let touched = diff(schema, old, new).into_iter().map(|difference| difference.path);
-        touched.into_iter().find(|path| !self.permits(user, AccessOperation::Write, path))
+        let changed_paths = diff(schema, old, new).into_iter().map(|difference| difference.path);
+        changed_paths.into_iter().find(|path| !self.permits(user, AccessOperation::Write, path))
     }
 }
 
@@ -205,20 +218,22 @@
         RULES
       </northbound></config>"#;
 
-    fn read(rules: &str) -> (Schema, Data, AccessControl) {
+    fn load(rules: &str) -> (Schema, Data, AccessControl) {
         let schema = juniperrail_model::schema();
         let data = xml::file(&schema, FILE.replace("RULES", rules).as_bytes()).unwrap();
         let access = AccessControl::from_data(&schema, &data).unwrap();
         (schema, data, access)
     }
 
-    fn seen(rules: &str, user: &str) -> String {
-        let (schema, data, access) = read(rules);
+    /// The configuration file as the user may read it.
+    fn readable_file(rules: &str, user: &str) -> String {
+        let (schema, data, access) = load(rules);
         xml::to_file(&schema, &access.filter_readable(&schema, user, &data))
     }
 
-    fn writes(rules: &str, user: &str, old: &str, new: &str) -> Option<String> {
-        let (schema, data, access) = read(rules);
+    /// The path at which the user is denied replacing `old` by `new` in the file.
+    fn denied_write(rules: &str, user: &str, old: &str, new: &str) -> Option<String> {
+        let (schema, data, access) = load(rules);
         let changed = FILE.replace("RULES", rules).replace(old, new);
         assert_ne!(changed, FILE.replace("RULES", rules));
         let changed = xml::file(&schema, changed.as_bytes()).unwrap();
@@ -226,56 +241,68 @@
     }
 
     #[test]
-    fn roles_hold_where_no_rule_speaks() {
-        assert!(seen("", "ann").contains("northbound") && seen("", "bob").contains("northbound"));
-        assert!(seen("", "eve").contains("s-2") && !seen("", "eve").contains("northbound"));
-        assert!(!seen("", "mallory").contains("worker"), "who is not named sees nothing");
+    fn the_role_decides_where_no_rule_matches() {
+        assert!(
+            readable_file("", "ann").contains("northbound")
+                && readable_file("", "bob").contains("northbound")
+        );
+        assert!(readable_file("", "eve").contains("s-2") && !readable_file("", "eve").contains("northbound"));
+        assert!(
+            !readable_file("", "mallory").contains("worker"),
+            "a user who is not configured reads nothing"
+        );
         let weight = ("<weight>1", "<weight>3");
-        assert_eq!(writes("", "bob", weight.0, weight.1), None);
+        assert_eq!(denied_write("", "bob", weight.0, weight.1), None);
         for user in ["eve", "mallory"] {
-            let refused = writes("", user, weight.0, weight.1);
-            assert_eq!(refused.as_deref(), Some("/jrm:workers/worker[name='s-1']/weight"));
+            let denied = denied_write("", user, weight.0, weight.1);
+            assert_eq!(denied.as_deref(), Some("/jrm:workers/worker[name='s-1']/weight"));
         }
-        let refused = writes("", "bob", "<role>operator", "<role>admin");
+        let denied = denied_write("", "bob", "<role>operator", "<role>admin");
         assert_eq!(
-            refused.as_deref(),
+            denied.as_deref(),
             Some("/jrm:northbound/user[name='bob']/role"),
-            "nobody raises himself"
+            "an operator can't change its own role"
         );
-        assert_eq!(writes("", "ann", "<role>operator", "<role>admin"), None);
+        assert_eq!(denied_write("", "ann", "<role>operator", "<role>admin"), None);
     }
 
     #[test]
-    fn the_lowest_rule_that_fits_holds_before_the_role() {
+    fn the_matching_rule_with_the_lowest_number_precedes_the_role() {
         let rule = |number: u32, user: &str, path: &str, access: &str, action: &str| {
             let user = if user.is_empty() { String::new() } else { format!("<user>{user}</user>") };
             let access = if access.is_empty() { String::new() } else { format!("<access>{access}</access>") };
             format!("<rule><number>{number}</number>{user}<path>{path}</path>{access}<action>{action}</action></rule>")
         };
-        let own = "/jrm:workers/worker[name='s-1']";
-        let rules = rule(1, "eve", own, "write", "permit") + &rule(2, "", "/workers", "write", "deny");
-        assert_eq!(writes(&rules, "eve", "<weight>1", "<weight>3"), None);
-        assert!(writes(&rules, "eve", "<weight>2", "<weight>3").is_some());
+        let worker = "/jrm:workers/worker[name='s-1']";
+        let rules = rule(1, "eve", worker, "write", "permit") + &rule(2, "", "/workers", "write", "deny");
+        assert_eq!(denied_write(&rules, "eve", "<weight>1", "<weight>3"), None);
+        assert!(denied_write(&rules, "eve", "<weight>2", "<weight>3").is_some());
         assert!(
-            writes(&rules, "bob", "<weight>1", "<weight>3").is_some(),
-            "a rule for everyone goes before roles"
+            denied_write(&rules, "bob", "<weight>1", "<weight>3").is_some(),
+            "a rule for all users precedes the roles"
         );
-        assert!(writes(&rules, "ann", "<weight>1", "<weight>3").is_some(), "admins too");
-        let hidden = rule(10, "", own, "read", "deny");
-        assert!(!seen(&hidden, "ann").contains("<name>s-1") && seen(&hidden, "ann").contains("<name>s-2"));
-        let only = rule(1, "bob", &format!("{own}/weight"), "read", "permit")
+        assert!(denied_write(&rules, "ann", "<weight>1", "<weight>3").is_some(), "also that of an admin");
+        let hidden = rule(10, "", worker, "read", "deny");
+        assert!(
+            !readable_file(&hidden, "ann").contains("<name>s-1")
+                && readable_file(&hidden, "ann").contains("<name>s-2")
+        );
+        let one_leaf = rule(1, "bob", &format!("{worker}/weight"), "read", "permit")
             + &rule(2, "bob", "/workers", "", "deny");
-        let sees = seen(&only, "bob");
-        assert!(sees.contains("<name>s-1</name>") && sees.contains("<weight>1.0</weight>"), "{sees}");
-        assert!(!sees.contains("s-2"), "{sees}");
+        let readable = readable_file(&one_leaf, "bob");
+        assert!(
+            readable.contains("<name>s-1</name>") && readable.contains("<weight>1.0</weight>"),
+            "{readable}"
+        );
+        assert!(!readable.contains("s-2"), "{readable}");
     }
 
     #[test]
-    fn a_rule_on_what_is_not_in_the_model_is_a_fault() {
+    fn a_rule_whose_path_is_not_in_the_model_is_an_error() {
         let rule = "<rule><number>7</number><path>/workers/shift</path><action>deny</action></rule>";
         let schema = juniperrail_model::schema();
         let data = xml::file(&schema, FILE.replace("RULES", rule).as_bytes()).unwrap();
-        let why = AccessControl::from_data(&schema, &data).unwrap_err();
-        assert!(why.contains("rule 7") && why.contains("there is no \"shift\""), "{why}");
+        let error = AccessControl::from_data(&schema, &data).unwrap_err();
+        assert!(error.contains("rule 7") && error.contains("there is no \"shift\""), "{error}");
     }
 }
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -1,15 +1,15 @@
-//! How the sources' words on a worker compose, field by field, in the spirit of the update algebra: a word holds
-//! until its source says another; of two words on one field the later wins; a departure beats every earlier
-//! word; no source's silence erases another's word; what discovery says is gone stays gone until it lists the
-//! worker again.
+//! Composes what the sources (discovery, the operator, the failover plan) say about a worker, field by field, by the
+//! rules of the update algebra: a value holds until its source replaces it; of two values for one field the later
+//! wins; a departure (draining or gone) overrides every earlier value; a source that gives no value for a field
+//! erases none; a worker that discovery reports gone stays gone until discovery lists it again.
 //!
-//! One departure from the plain rule "the later wins": an operator's departure (draining, out, weight 0) is not
-//! undone by a later word of discovery. Discovery's `ready` speaks of a process that runs, not of the reason for
-//! which somebody took it out, and the running configuration goes on saying that it is out.
+//! One exception to "the later wins": a departure set by the operator (draining, out, weight 0) is not undone by a
+//! later update from discovery. Discovery's `ready` means that the process runs; it doesn't know why the operator
+//! took the worker out, and the running configuration still takes it out.
 //!
-//! What managers agree on comes last and below all others: a plan in common takes part of the weight of a zone's workers,
-//! or all of it, which drains them. It never brings back who departed by another's word, it says nothing of whom the
-//! operator wants ready, and as it ends every word of the others stands as if it had not been.
+//! The failover plan that the managers agree on has the lowest precedence. It reduces the weight of a zone's workers,
+//! or drains them if it leaves them none. It never brings back a departed worker and doesn't apply to workers that
+//! the operator wants ready. When the plan ends, the other sources' values hold unchanged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,15 +18,17 @@
 
 use crate::want::{DesiredState, Intent, Placement, WorkerIntent};
 
+/// The source that a value comes from (the origin of NMDA, RFC 8342).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
     Discovery,
     Operator,
-    /// What managers agreed on.
+    /// The failover plan that the managers agreed on.
     Plan,
 }
 
 impl Origin {
+    /// The name of the origin in the YANG module.
     pub fn name(self) -> &'static str {
         match self {
             Origin::Discovery => "discovery",
@@ -36,252 +38,260 @@
     }
 }
 
-/// What all sources together say of a worker.
+/// A worker as composed from all sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ComposedWorker {
-    /// As the decisions are told it. A weight of 0 means that no source gave one.
+    /// The entry that the planner receives. A weight of 0 means that no source gives one.
     pub listed: Listed,
     pub address: Option<SocketAddr>,
     pub phase_origin: Origin,
     pub weight_origin: Option<Origin>,
     pub placement_origin: Origin,
-    /// Discovery's last word.
+    /// The phase that discovery last reported.
     pub discovery_phase: Option<Phase>,
 }
 
-/// What discovery said last, and when each field took its value.
+/// What discovery last reported of a worker, with the sequence number of the update that set each field.
 #[derive(Clone, Debug)]
-struct Told {
+struct DiscoveryEntry {
     listed: Listed,
     address: Option<SocketAddr>,
     phase_at: u64,
     weight_at: u64,
 }
 
+/// What the operator configured for a worker, with the sequence number of the update that set each field.
 #[derive(Clone, Debug)]
-struct Wished {
-    wish: WorkerIntent,
-    wanted_at: u64,
+struct OperatorEntry {
+    intent: WorkerIntent,
+    desired_state_at: u64,
     weight_at: u64,
-    /// Discovery said that it is gone and has forgotten it since.
+    /// Discovery reported the worker gone. Stays set after discovery's entry is removed.
     gone: bool,
 }
 
-/// The words of every source on every worker, by the worker's name. Bounded by discovery's list and the
-/// running configuration.
+/// The values of every source for every worker, by the worker's name. Its size is bounded by discovery's list and
+/// the running configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Composer {
-    told: BTreeMap<String, Told>,
-    wished: BTreeMap<String, Wished>,
-    /// What part of their weight zones keep by the plan in common; who is not named keeps all.
-    parts: BTreeMap<ZoneId, f64>,
-    /// Words are told apart in time by their number: a clock might stand still between two of them.
-    last: u64,
+    discovery: BTreeMap<String, DiscoveryEntry>,
+    operator: BTreeMap<String, OperatorEntry>,
+    /// The share of their weight that workers of a zone keep under the failover plan; all of it in zones not listed.
+    weight_ratios: BTreeMap<ZoneId, f64>,
+    /// Updates are ordered by sequence number, as two of them may have the same time.
+    last_sequence: u64,
 }
 
 impl Composer {
-    /// Discovery's word on one worker. The same word again is no later one.
+    /// Applies discovery's entry for a worker. A field that repeats its value keeps its sequence number.
     pub fn update_discovery(&mut self, name: &str, listed: Listed, address: Option<SocketAddr>) {
-        self.last += 1;
-        let (mut phase_at, mut weight_at) = (self.last, self.last);
-        if let Some(known) = self.told.get(name) {
-            // A worker that started anew says all that it says anew.
-            let anew = listed.booted > known.listed.booted || known.listed.phase == Phase::Gone;
-            if !anew && known.listed.phase == listed.phase {
+        self.last_sequence += 1;
+        let (mut phase_at, mut weight_at) = (self.last_sequence, self.last_sequence);
+        if let Some(known) = self.discovery.get(name) {
+            // The phase of a restarted worker is a new value even if it is the same.
+            let restarted = listed.booted > known.listed.booted || known.listed.phase == Phase::Gone;
+            if !restarted && known.listed.phase == listed.phase {
                 phase_at = known.phase_at;
             }
             if known.listed.weight == listed.weight {
                 weight_at = known.weight_at;
             }
         }
-        if let Some(wished) = self.wished.get_mut(name) {
-            wished.gone = listed.phase == Phase::Gone;
+        if let Some(operator) = self.operator.get_mut(name) {
+            operator.gone = listed.phase == Phase::Gone;
         }
-        self.told.insert(name.to_string(), Told { listed, address, phase_at, weight_at });
+        self.discovery.insert(name.to_string(), DiscoveryEntry { listed, address, phase_at, weight_at });
     }
 
-    /// Discovery's word on the phase alone; what else it said of the worker holds. It brings nobody back: false, and
-    /// nothing changes, where discovery names no such worker or said that it is gone.
+    /// Applies a phase alone; the other fields that discovery reported stay. Returns false and changes nothing if
+    /// discovery does not list the worker or reported it gone, so that this never brings a worker back.
     pub fn update_discovery_phase(&mut self, name: &str, phase: Phase) -> bool {
-        let told = self.told.get(name).filter(|told| told.listed.phase != Phase::Gone);
-        let Some(told) = told.cloned() else { return false };
-        let address = told.address.filter(|_| phase != Phase::Gone);
-        self.update_discovery(name, Listed { phase, ..told.listed }, address);
+        let entry = self.discovery.get(name).filter(|entry| entry.listed.phase != Phase::Gone);
+        let Some(entry) = entry.cloned() else { return false };
+        let address = entry.address.filter(|_| phase != Phase::Gone);
+        self.update_discovery(name, Listed { phase, ..entry.listed }, address);
         true
     }
 
-    /// A whole list came: those that it does not name are gone, as if it had said so. Their names are returned.
-    pub fn mark_unlisted_gone(&mut self, named: &dyn Fn(&str) -> bool) -> Vec<String> {
-        let gone = |(name, told): (&String, &Told)| {
-            (told.listed.phase != Phase::Gone && !named(name)).then(|| name.clone())
+    /// Applies a complete list: workers that it does not name are marked gone. Returns their names.
+    pub fn mark_unlisted_gone(&mut self, is_listed: &dyn Fn(&str) -> bool) -> Vec<String> {
+        let unlisted = |(name, entry): (&String, &DiscoveryEntry)| {
+            (entry.listed.phase != Phase::Gone && !is_listed(name)).then(|| name.clone())
         };
-        let gone: Vec<String> = self.told.iter().filter_map(gone).collect();
-        for name in &gone {
-            let told = self.told[name].clone();
-            self.update_discovery(name, Listed { phase: Phase::Gone, ..told.listed }, None);
+        let unlisted: Vec<String> = self.discovery.iter().filter_map(unlisted).collect();
+        for name in &unlisted {
+            let entry = self.discovery[name].clone();
+            self.update_discovery(name, Listed { phase: Phase::Gone, ..entry.listed }, None);
         }
-        gone
+        unlisted
     }
 
-    /// The decisions forgot it. Where discovery said gone nothing of its word is needed any more but that; else,
-    /// as the operator alone took it out, its word stays. Whether it does.
+    /// The planner removed the worker. If discovery still lists it, only the operator took it out: discovery's entry
+    /// stays and true is returned. Otherwise only the fact that discovery reported it gone is kept.
     pub fn forget(&mut self, name: &str) -> bool {
-        if self.told.get(name).is_some_and(|told| told.listed.phase != Phase::Gone) {
+        if self.discovery.get(name).is_some_and(|entry| entry.listed.phase != Phase::Gone) {
             return true;
         }
-        let gone = self.told.remove(name).is_some();
-        if let Some(wished) = self.wished.get_mut(name) {
-            wished.gone |= gone;
+        let gone = self.discovery.remove(name).is_some();
+        if let Some(operator) = self.operator.get_mut(name) {
+            operator.gone |= gone;
         }
         false
     }
 
-    /// A worker that was forgotten goes by another id from now on.
+    /// Gives a worker that was forgotten a new id.
     pub fn reassign_id(&mut self, name: &str, worker: WorkerId) {
-        self.told.get_mut(name).into_iter().for_each(|told| told.listed.worker = worker);
+        self.discovery.get_mut(name).into_iter().for_each(|entry| entry.listed.worker = worker);
     }
 
-    /// The operator's word on all workers takes the place of the one before. What is worded alike is no later
-    /// word. The names of which something else is wanted are returned.
+    /// Replaces the operator's intent for all workers. A field that repeats its value keeps its sequence number.
+    /// Returns the names of the workers whose intent changed.
     pub fn update_intent(&mut self, intent: &Intent) -> Vec<String> {
-        self.last += 1;
+        self.last_sequence += 1;
         let mut changed = Vec::new();
-        let before = std::mem::take(&mut self.wished);
-        for (name, wish) in &intent.workers {
+        let before = std::mem::take(&mut self.operator);
+        for (name, worker_intent) in &intent.workers {
             let known = before.get(name);
-            let later = |same: bool, at: u64| if same { at } else { self.last };
-            let wished = Wished {
-                wanted_at: known
-                    .map_or(self.last, |k| later(k.wish.desired_state == wish.desired_state, k.wanted_at)),
-                weight_at: known.map_or(self.last, |k| later(k.wish.weight == wish.weight, k.weight_at)),
-                gone: match self.told.get(name) {
-                    Some(told) => told.listed.phase == Phase::Gone,
+            let changed_at = |unchanged: bool, at: u64| if unchanged { at } else { self.last_sequence };
+            let entry = OperatorEntry {
+                desired_state_at: known.map_or(self.last_sequence, |known| {
+                    changed_at(
+                        known.intent.desired_state == worker_intent.desired_state,
+                        known.desired_state_at,
+                    )
+                }),
+                weight_at: known.map_or(self.last_sequence, |known| {
+                    changed_at(known.intent.weight == worker_intent.weight, known.weight_at)
+                }),
+                gone: match self.discovery.get(name) {
+                    Some(entry) => entry.listed.phase == Phase::Gone,
                     None => known.is_some_and(|known| known.gone),
                 },
-                wish: wish.clone(),
+                intent: worker_intent.clone(),
             };
-            if known.map(|known| &known.wish) != Some(wish) {
+            if known.map(|known| &known.intent) != Some(worker_intent) {
                 changed.push(name.clone());
             }
-            self.wished.insert(name.clone(), wished);
+            self.operator.insert(name.clone(), entry);
         }
         changed.extend(before.into_keys().filter(|name| !intent.workers.contains_key(name)));
         changed
     }
 
-    /// The plan in common takes the place of the one before. Whether it says anything else.
-    pub fn update_plan(&mut self, parts: BTreeMap<ZoneId, f64>) -> bool {
-        let changed = self.parts != parts;
-        self.parts = parts;
+    /// Replaces the failover plan: the share of their weight that workers of a zone keep. Returns whether it changed.
+    pub fn update_plan(&mut self, weight_ratios: BTreeMap<ZoneId, f64>) -> bool {
+        let changed = self.weight_ratios != weight_ratios;
+        self.weight_ratios = weight_ratios;
         changed
     }
 
-    /// Lays the plan's word under those of the others.
-    fn lean_on(&self, composed: &mut ComposedWorker, wanted: Option<DesiredState>) {
+    /// Applies the failover plan to a worker composed from the other sources.
+    fn apply_plan(&self, composed: &mut ComposedWorker, desired_state: Option<DesiredState>) {
         let listed = &mut composed.listed;
-        let Some(part) = self.parts.get(&listed.zone).filter(|part| **part < 1.0) else { return };
-        if listed.phase != Phase::Ready || wanted == Some(DesiredState::Ready) {
+        let Some(ratio) = self.weight_ratios.get(&listed.zone).filter(|ratio| **ratio < 1.0) else { return };
+        if listed.phase != Phase::Ready || desired_state == Some(DesiredState::Ready) {
             return;
         }
-        if *part <= 0.0 {
+        if *ratio <= 0.0 {
             (listed.phase, composed.phase_origin) = (Phase::Draining, Origin::Plan);
             return;
         }
-        // Where nobody gave a weight the decisions take the mean of the others, so that is what it is a part of.
-        let known = || self.told.values().map(|told| told.listed.weight).filter(|weight| *weight > 0.0);
-        let mean = || known().sum::<f64>() / (known().count() as f64);
-        let whole = if listed.weight > 0.0 {
+        // The planner gives a worker without a weight the mean of the others, so the ratio applies to that mean.
+        let known_weights =
+            || self.discovery.values().map(|entry| entry.listed.weight).filter(|weight| *weight > 0.0);
+        let mean = || known_weights().sum::<f64>() / (known_weights().count() as f64);
+        let full_weight = if listed.weight > 0.0 {
             listed.weight
         } else {
-            Some(mean()).filter(|m| *m > 0.0).unwrap_or(1.0)
+            Some(mean()).filter(|mean| *mean > 0.0).unwrap_or(1.0)
         };
-        (listed.weight, composed.weight_origin) = (whole * part, Some(Origin::Plan));
+        (listed.weight, composed.weight_origin) = (full_weight * ratio, Some(Origin::Plan));
     }
 
-    /// Every worker that some source places somewhere.
+    /// The names of all workers that discovery lists or the operator places.
     pub fn worker_names(&self) -> impl Iterator<Item = &str> {
-        self.told.keys().map(String::as_str).chain(self.operator_placed().map(|(name, _)| name))
+        self.discovery.keys().map(String::as_str).chain(self.operator_placed().map(|(name, _)| name))
     }
 
-    /// Workers that the operator alone places, and where.
+    /// The workers that only the operator places, with their placement.
     pub fn operator_placed(&self) -> impl Iterator<Item = (&str, &Placement)> {
-        let here = self.wished.iter().filter(|(name, _)| !self.told.contains_key(*name));
-        here.filter_map(|(name, wished)| Some((name.as_str(), wished.wish.placement.as_ref()?)))
+        let unlisted = self.operator.iter().filter(|(name, _)| !self.discovery.contains_key(*name));
+        unlisted.filter_map(|(name, entry)| Some((name.as_str(), entry.intent.placement.as_ref()?)))
     }
 
-    /// What all sources together say; `None` where none says where the worker is. `listed` makes the entry of a
-    /// worker that only the operator placed, with ids in place of names.
+    /// Composes one worker from all sources; `None` if no source places it. `placed_entry` makes the entry of a
+    /// worker that only the operator places, with ids for the names in its placement.
     pub fn compose(
         &self,
         name: &str,
-        listed: impl FnOnce(&WorkerIntent) -> Option<Listed>,
+        placed_entry: impl FnOnce(&WorkerIntent) -> Option<Listed>,
     ) -> Option<ComposedWorker> {
-        let (told, wished) = (self.told.get(name), self.wished.get(name));
-        let Some(told) = told else {
-            let wished = wished?;
-            let place = wished.wish.placement.as_ref()?;
-            let listed = listed(&wished.wish)?;
+        let (discovery, operator) = (self.discovery.get(name), self.operator.get(name));
+        let Some(discovery) = discovery else {
+            let operator = operator?;
+            let placement = operator.intent.placement.as_ref()?;
+            let listed = placed_entry(&operator.intent)?;
             let mut composed = ComposedWorker {
                 listed: Listed { phase: Phase::Ready, ..listed },
-                address: place.address,
+                address: placement.address,
                 phase_origin: Origin::Operator,
                 weight_origin: None,
                 placement_origin: Origin::Operator,
                 discovery_phase: None,
             };
-            if wished.gone {
-                // Guards against a worker that comes back by the operator's old word on where it once was.
+            if operator.gone {
+                // Guards against bringing back a worker by a placement that the operator configured earlier.
                 (composed.listed.phase, composed.phase_origin) = (Phase::Gone, Origin::Discovery);
             }
-            wished.apply(&mut composed, 0, 0);
-            self.lean_on(&mut composed, Some(wished.wish.desired_state));
+            operator.apply(&mut composed, 0, 0);
+            self.apply_plan(&mut composed, Some(operator.intent.desired_state));
             return Some(composed);
         };
         let mut composed = ComposedWorker {
-            listed: told.listed.clone(),
-            address: told.address,
+            listed: discovery.listed.clone(),
+            address: discovery.address,
             phase_origin: Origin::Discovery,
-            weight_origin: (told.listed.weight > 0.0).then_some(Origin::Discovery),
+            weight_origin: (discovery.listed.weight > 0.0).then_some(Origin::Discovery),
             placement_origin: Origin::Discovery,
-            discovery_phase: Some(told.listed.phase),
+            discovery_phase: Some(discovery.listed.phase),
         };
-        if let Some(wished) = wished {
-            wished.apply(&mut composed, told.phase_at, told.weight_at);
+        if let Some(operator) = operator {
+            operator.apply(&mut composed, discovery.phase_at, discovery.weight_at);
         }
-        self.lean_on(&mut composed, wished.map(|wished| wished.wish.desired_state));
+        self.apply_plan(&mut composed, operator.map(|operator| operator.intent.desired_state));
         Some(composed)
     }
 }
 
-impl Wished {
-    /// Lays the operator's word over what was said at the given times.
-    fn apply(&self, onto: &mut ComposedWorker, phase_at: u64, weight_at: u64) {
+impl OperatorEntry {
+    /// Applies the operator's intent to a worker whose phase and weight were set at the given sequence numbers.
+    fn apply(&self, composed: &mut ComposedWorker, phase_at: u64, weight_at: u64) {
         if let Some(weight) =
-            self.wish.weight.filter(|_| self.weight_at > weight_at || !onto.listed.weight.gt(&0.0))
+            self.intent.weight.filter(|_| self.weight_at > weight_at || !composed.listed.weight.gt(&0.0))
         {
-            (onto.listed.weight, onto.weight_origin) = (weight, Some(Origin::Operator));
+            (composed.listed.weight, composed.weight_origin) = (weight, Some(Origin::Operator));
         }
-        let drained = self.wish.weight == Some(0.0);
-        let wanted = match self.wish.desired_state {
+        let drained_by_weight = self.intent.weight == Some(0.0);
+        let phase = match self.intent.desired_state {
             DesiredState::Out => Some(Phase::Gone),
             DesiredState::Draining => Some(Phase::Draining),
-            _ if drained => Some(Phase::Draining),
-            DesiredState::Ready if self.wanted_at > phase_at => Some(Phase::Ready),
+            _ if drained_by_weight => Some(Phase::Draining),
+            DesiredState::Ready if self.desired_state_at > phase_at => Some(Phase::Ready),
             DesiredState::Ready | DesiredState::Follow => None,
         };
-        let rank = |phase: Phase| match phase {
+        let departure_rank = |phase: Phase| match phase {
             Phase::Ready => 0,
             Phase::Draining => 1,
             Phase::Gone => 2,
         };
-        let Some(wanted) = wanted else { return };
-        let later_ready = wanted == Phase::Ready && onto.listed.phase == Phase::Draining;
-        if later_ready || rank(wanted) > rank(onto.listed.phase) {
-            (onto.listed.phase, onto.phase_origin) = (wanted, Origin::Operator);
+        let Some(phase) = phase else { return };
+        let cancels_drain = phase == Phase::Ready && composed.listed.phase == Phase::Draining;
+        if cancels_drain || departure_rank(phase) > departure_rank(composed.listed.phase) {
+            (composed.listed.phase, composed.phase_origin) = (phase, Origin::Operator);
         }
-        // Weight 0 is what the decisions read as "none given"; such a worker drains and has no line anyway.
-        if drained && onto.listed.weight == 0.0 {
-            onto.weight_origin = Some(Origin::Operator);
+        // The planner reads weight 0 as "none given". That does no harm, as a draining worker has no line in a table.
+        if drained_by_weight && composed.listed.weight == 0.0 {
+            composed.weight_origin = Some(Origin::Operator);
         }
     }
 }
@@ -296,18 +306,19 @@
         Listed { worker: WorkerId(1), phase, booted, zone, machine, cell, weight }
     }
 
-    fn intent(wish: WorkerIntent) -> Intent {
-        Intent { workers: BTreeMap::from([("s-1".to_string(), wish)]), ..Intent::default() }
+    fn intent(worker: WorkerIntent) -> Intent {
+        Intent { workers: BTreeMap::from([("s-1".to_string(), worker)]), ..Intent::default() }
     }
 
-    fn wants(wanted: DesiredState, weight: Option<f64>) -> Intent {
-        intent(WorkerIntent { desired_state: wanted, weight, placement: None })
+    fn desired(desired_state: DesiredState, weight: Option<f64>) -> Intent {
+        intent(WorkerIntent { desired_state, weight, placement: None })
     }
 
-    struct Town(Composer);
+    /// A composer with the one worker `s-1`.
+    struct OneWorker(Composer);
 
-    impl Town {
-        fn tell(&mut self, phase: Phase, weight: f64) {
+    impl OneWorker {
+        fn discover(&mut self, phase: Phase, weight: f64) {
             self.0.update_discovery("s-1", listed(phase, weight, None), None);
         }
 
@@ -326,123 +337,127 @@
     use Phase::*;
 
     #[test]
-    fn the_later_word_on_the_state_wins_and_a_departure_beats_all_before() {
-        let mut town = Town(Composer::default());
-        town.tell(Draining, 1.0);
-        town.0.update_intent(&wants(DesiredState::Ready, None));
-        assert_eq!(town.phase(), (Ready, Operator));
-        town.tell(Draining, 1.0);
-        assert_eq!(town.phase(), (Ready, Operator), "the same word again is no later one");
-        town.tell(Ready, 1.0);
-        town.tell(Draining, 1.0);
-        assert_eq!(town.phase(), (Draining, Discovery), "a departure after it beats it");
-        assert!(town.0.update_intent(&wants(DesiredState::Ready, None)).is_empty());
-        assert_eq!(town.phase(), (Draining, Discovery), "the same wish again is no later one");
-        town.0.update_intent(&wants(DesiredState::Follow, None));
-        town.0.update_intent(&wants(DesiredState::Ready, None));
-        assert_eq!(town.phase(), (Ready, Operator));
+    fn the_later_phase_wins_and_a_departure_overrides_earlier_values() {
+        let mut worker = OneWorker(Composer::default());
+        worker.discover(Draining, 1.0);
+        worker.0.update_intent(&desired(DesiredState::Ready, None));
+        assert_eq!(worker.phase(), (Ready, Operator));
+        worker.discover(Draining, 1.0);
+        assert_eq!(worker.phase(), (Ready, Operator), "a repeated phase is no later update");
+        worker.discover(Ready, 1.0);
+        worker.discover(Draining, 1.0);
+        assert_eq!(worker.phase(), (Draining, Discovery), "a later departure overrides it");
+        assert!(worker.0.update_intent(&desired(DesiredState::Ready, None)).is_empty());
+        assert_eq!(worker.phase(), (Draining, Discovery), "a repeated intent is no later update");
+        worker.0.update_intent(&desired(DesiredState::Follow, None));
+        worker.0.update_intent(&desired(DesiredState::Ready, None));
+        assert_eq!(worker.phase(), (Ready, Operator));
     }
 
     #[test]
-    fn what_discovery_says_is_gone_stays_gone_until_it_lists_it_again() {
-        let mut town = Town(Composer::default());
-        town.0.update_intent(&wants(DesiredState::Ready, None));
-        town.tell(Ready, 1.0);
-        town.tell(Gone, 1.0);
-        assert_eq!(town.phase(), (Gone, Discovery));
-        town.0.update_intent(&wants(DesiredState::Follow, None));
-        town.0.update_intent(&wants(DesiredState::Ready, None));
-        assert_eq!(town.phase(), (Gone, Discovery), "a later wish does not bring it back");
-        town.tell(Draining, 1.0);
-        assert_eq!(town.phase(), (Draining, Discovery), "listed again, its word is a new one");
-        town.tell(Ready, 1.0);
-        assert_eq!(town.phase(), (Ready, Discovery));
-        assert!(town.0.mark_unlisted_gone(&|_| false) == ["s-1"] && town.phase() == (Gone, Discovery));
-        assert!(town.0.mark_unlisted_gone(&|_| false).is_empty(), "told once");
+    fn a_worker_that_discovery_reports_gone_stays_gone_until_listed_again() {
+        let mut worker = OneWorker(Composer::default());
+        worker.0.update_intent(&desired(DesiredState::Ready, None));
+        worker.discover(Ready, 1.0);
+        worker.discover(Gone, 1.0);
+        assert_eq!(worker.phase(), (Gone, Discovery));
+        worker.0.update_intent(&desired(DesiredState::Follow, None));
+        worker.0.update_intent(&desired(DesiredState::Ready, None));
+        assert_eq!(worker.phase(), (Gone, Discovery), "a later intent does not bring it back");
+        worker.discover(Draining, 1.0);
+        assert_eq!(worker.phase(), (Draining, Discovery), "listed again, its phase is a new value");
+        worker.discover(Ready, 1.0);
+        assert_eq!(worker.phase(), (Ready, Discovery));
+        assert!(worker.0.mark_unlisted_gone(&|_| false) == ["s-1"] && worker.phase() == (Gone, Discovery));
+        assert!(worker.0.mark_unlisted_gone(&|_| false).is_empty(), "reported once");
     }
 
     #[test]
-    fn a_plan_narrows_below_all_others_and_leaves_nothing_behind() {
-        let mut town = Town(Composer::default());
-        let parts = |part: f64| BTreeMap::from([(ZoneId(0), part)]);
-        town.tell(Ready, 2.0);
-        assert!(town.0.update_plan(parts(0.25)) && !town.0.update_plan(parts(0.25)));
-        assert_eq!((town.phase(), town.weight()), ((Ready, Discovery), (0.5, Some(Origin::Plan))));
-        town.0.update_plan(parts(0.0));
-        assert_eq!(town.phase(), (Draining, Origin::Plan));
-        town.tell(Gone, 2.0);
-        assert_eq!(town.phase(), (Gone, Discovery), "it brings nobody back");
-        town.tell(Ready, 2.0);
-        town.0.update_intent(&wants(DesiredState::Out, None));
-        assert_eq!(town.phase(), (Gone, Operator));
-        town.0.update_intent(&wants(DesiredState::Ready, None));
-        assert_eq!(town.phase(), (Ready, Discovery), "whom the operator wants ready stays");
-        town.0.update_intent(&Intent::default());
-        town.tell(Ready, 0.0);
-        town.0.update_plan(parts(0.25));
-        assert_eq!(town.weight(), (0.25, Some(Origin::Plan)), "nobody gave a weight");
-        town.0.update_plan(BTreeMap::new());
-        assert_eq!((town.phase(), town.weight()), ((Ready, Discovery), (0.0, None)));
+    fn a_plan_reduces_weights_below_other_sources_and_leaves_no_trace() {
+        let mut worker = OneWorker(Composer::default());
+        let plan = |ratio: f64| BTreeMap::from([(ZoneId(0), ratio)]);
+        worker.discover(Ready, 2.0);
+        assert!(worker.0.update_plan(plan(0.25)) && !worker.0.update_plan(plan(0.25)));
+        assert_eq!((worker.phase(), worker.weight()), ((Ready, Discovery), (0.5, Some(Origin::Plan))));
+        worker.0.update_plan(plan(0.0));
+        assert_eq!(worker.phase(), (Draining, Origin::Plan));
+        worker.discover(Gone, 2.0);
+        assert_eq!(worker.phase(), (Gone, Discovery), "it brings no worker back");
+        worker.discover(Ready, 2.0);
+        worker.0.update_intent(&desired(DesiredState::Out, None));
+        assert_eq!(worker.phase(), (Gone, Operator));
+        worker.0.update_intent(&desired(DesiredState::Ready, None));
+        assert_eq!(
+            worker.phase(),
+            (Ready, Discovery),
+            "a worker that the operator wants ready is not reduced"
+        );
+        worker.0.update_intent(&Intent::default());
+        worker.discover(Ready, 0.0);
+        worker.0.update_plan(plan(0.25));
+        assert_eq!(worker.weight(), (0.25, Some(Origin::Plan)), "no source gave a weight");
+        worker.0.update_plan(BTreeMap::new());
+        assert_eq!((worker.phase(), worker.weight()), ((Ready, Discovery), (0.0, None)));
     }
 
     #[test]
-    fn an_operators_departure_stands_until_the_operator_takes_it_back() {
-        let mut town = Town(Composer::default());
-        town.tell(Ready, 1.0);
-        for wanted in [wants(DesiredState::Draining, None), wants(DesiredState::Follow, Some(0.0))] {
-            assert_eq!(town.0.update_intent(&wanted), ["s-1"]);
-            assert_eq!(town.phase(), (Draining, Operator));
-            town.tell(Draining, 1.0);
-            town.tell(Ready, 1.0);
-            town.0.update_discovery("s-1", listed(Ready, 1.0, Some(5.0)), None);
-            assert_eq!(town.phase(), (Draining, Operator), "not even a new start undoes it");
+    fn an_operators_departure_holds_until_the_operator_reverts_it() {
+        let mut worker = OneWorker(Composer::default());
+        worker.discover(Ready, 1.0);
+        for intent in [desired(DesiredState::Draining, None), desired(DesiredState::Follow, Some(0.0))] {
+            assert_eq!(worker.0.update_intent(&intent), ["s-1"]);
+            assert_eq!(worker.phase(), (Draining, Operator));
+            worker.discover(Draining, 1.0);
+            worker.discover(Ready, 1.0);
+            worker.0.update_discovery("s-1", listed(Ready, 1.0, Some(5.0)), None);
+            assert_eq!(worker.phase(), (Draining, Operator), "not even a restart undoes it");
         }
-        town.0.update_intent(&wants(DesiredState::Out, None));
-        assert_eq!(town.phase(), (Gone, Operator));
-        town.tell(Draining, 1.0);
-        assert_eq!(town.phase(), (Gone, Operator));
-        assert_eq!(town.0.update_intent(&Intent::default()), ["s-1"]);
-        assert_eq!(town.phase(), (Draining, Discovery), "its silence leaves discovery's word");
+        worker.0.update_intent(&desired(DesiredState::Out, None));
+        assert_eq!(worker.phase(), (Gone, Operator));
+        worker.discover(Draining, 1.0);
+        assert_eq!(worker.phase(), (Gone, Operator));
+        assert_eq!(worker.0.update_intent(&Intent::default()), ["s-1"]);
+        assert_eq!(worker.phase(), (Draining, Discovery), "without an intent, discovery's phase holds");
     }
 
     #[test]
-    fn the_later_weight_wins_and_silence_erases_nothing() {
-        let mut town = Town(Composer::default());
-        town.tell(Ready, 2.0);
-        town.0.update_intent(&wants(DesiredState::Follow, Some(0.5)));
-        assert_eq!(town.weight(), (0.5, Some(Operator)));
-        town.tell(Draining, 2.0);
-        assert_eq!(town.weight(), (0.5, Some(Operator)), "another field's word says nothing of it");
-        town.tell(Ready, 3.0);
-        assert_eq!(town.weight(), (3.0, Some(Discovery)));
-        town.0.update_intent(&wants(DesiredState::Follow, Some(0.25)));
-        town.tell(Ready, 0.0);
-        assert_eq!(town.weight(), (0.25, Some(Operator)), "discovery says none");
-        town.0.update_intent(&wants(DesiredState::Draining, None));
-        assert_eq!(town.weight(), (0.0, None));
+    fn the_later_weight_wins_and_a_missing_weight_erases_none() {
+        let mut worker = OneWorker(Composer::default());
+        worker.discover(Ready, 2.0);
+        worker.0.update_intent(&desired(DesiredState::Follow, Some(0.5)));
+        assert_eq!(worker.weight(), (0.5, Some(Operator)));
+        worker.discover(Draining, 2.0);
+        assert_eq!(worker.weight(), (0.5, Some(Operator)), "an update of another field does not change it");
+        worker.discover(Ready, 3.0);
+        assert_eq!(worker.weight(), (3.0, Some(Discovery)));
+        worker.0.update_intent(&desired(DesiredState::Follow, Some(0.25)));
+        worker.discover(Ready, 0.0);
+        assert_eq!(worker.weight(), (0.25, Some(Operator)), "discovery gives none");
+        worker.0.update_intent(&desired(DesiredState::Draining, None));
+        assert_eq!(worker.weight(), (0.0, None));
     }
 
     #[test]
-    fn a_worker_that_only_the_operator_places_is_there_until_discovery_says_gone() {
-        let place = Placement { zone: "a".into(), machine: String::new(), cell: None, address: None };
-        let placed = intent(WorkerIntent { placement: Some(place), ..WorkerIntent::default() });
-        let mut town = Town(Composer::default());
-        assert!(town.0.compose("s-1", |_| None).is_none());
-        town.0.update_intent(&placed);
-        assert_eq!((town.phase(), town.0.worker_names().count()), ((Ready, Operator), 1));
-        town.tell(Draining, 1.0);
-        assert_eq!((town.phase(), town.0.worker_names().count()), ((Draining, Discovery), 1));
-        town.tell(Gone, 1.0);
-        town.0.forget("s-1");
-        assert_eq!(town.phase(), (Gone, Discovery), "its old place does not bring it back");
-        town.0.update_intent(&placed);
-        assert_eq!(town.phase(), (Gone, Discovery));
-        town.tell(Ready, 1.0);
-        assert_eq!(town.phase(), (Ready, Discovery));
-        town.0.update_intent(&Intent::default());
-        assert!(town.0.forget("s-1"), "discovery still names it");
-        town.tell(Gone, 1.0);
-        assert!(!town.0.forget("s-1"));
-        assert!(town.0.worker_names().next().is_none(), "nothing is kept of who nobody names");
+    fn a_worker_that_only_the_operator_places_exists_until_discovery_reports_it_gone() {
+        let placement = Placement { zone: "a".into(), machine: String::new(), cell: None, address: None };
+        let placed = intent(WorkerIntent { placement: Some(placement), ..WorkerIntent::default() });
+        let mut worker = OneWorker(Composer::default());
+        assert!(worker.0.compose("s-1", |_| None).is_none());
+        worker.0.update_intent(&placed);
+        assert_eq!((worker.phase(), worker.0.worker_names().count()), ((Ready, Operator), 1));
+        worker.discover(Draining, 1.0);
+        assert_eq!((worker.phase(), worker.0.worker_names().count()), ((Draining, Discovery), 1));
+        worker.discover(Gone, 1.0);
+        worker.0.forget("s-1");
+        assert_eq!(worker.phase(), (Gone, Discovery), "its earlier placement does not bring it back");
+        worker.0.update_intent(&placed);
+        assert_eq!(worker.phase(), (Gone, Discovery));
+        worker.discover(Ready, 1.0);
+        assert_eq!(worker.phase(), (Ready, Discovery));
+        worker.0.update_intent(&Intent::default());
+        assert!(worker.0.forget("s-1"), "discovery still lists it");
+        worker.discover(Gone, 1.0);
+        assert!(!worker.0.forget("s-1"));
+        assert!(worker.0.worker_names().next().is_none(), "nothing is kept of a worker that no source names");
     }
 }
--- a/crates/intent/src/lib.rs
+++ b/crates/intent/src/lib.rs
@@ -1,7 +1,7 @@
-//! What operators want, and what becomes of it. All of it is decided here without I/O and without a clock: the
-//! datastores with their locks, versions and confirmed commits ([`Datastores`]), how the words of discovery and
-//! of the operator compose ([`Composer`]), what a commit is refused for ([`judge`]), who may read and write
-//! what ([`AccessControl`]), and how far a change has come ([`ChangeTracker`]).
+//! The operators' intent and its life cycle, without I/O and without a clock: the datastores with their locks,
+//! versions and confirmed commits ([`Datastores`]), how discovery, the operator and the failover plan compose into
+//! one view of each worker ([`Composer`]), the admission checks of a commit ([`check_change`]), access control
+//! ([`AccessControl`]), and how far a change has been distributed ([`ChangeTracker`]).
 
 mod access;
 mod compose;
