--- a/crates/intent/src/edit.rs
+++ b/crates/intent/src/edit.rs
@@ -1,30 +1,31 @@
-//! Edits of a datastore as RFC 6241 section 7.2 defines them, on drafts of whatever protocol.
+//! The edit-config operation (RFC 6241 section 7.2) on drafts, independent of the protocol that they came by.
 
 use juniperrail_model::{Content, Data, Draft, Fault, Kind, Op, Path, Rule, Schema};
 
-/// What is done with nodes that say nothing themselves.
+/// What is done with nodes that name no operation (RFC 6241's `default-operation`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DefaultOperation {
     #[default]
     Merge,
     Replace,
-    /// Nothing, but the node must be there already.
+    /// Nothing is changed, but the node must exist.
     None,
 }
 
-/// What a fault in one node means for the others.
+/// How an edit with faults is handled (RFC 6241's `error-option`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ErrorOption {
-    /// The edit as a whole changes nothing. RFC 6241's `stop-on-error` and `rollback-on-error` are the same here,
-    /// since an edit is taken whole or not at all.
+    /// The edit changes nothing. RFC 6241's `stop-on-error` and `rollback-on-error` are the same here, since an edit
+    /// is applied completely or not at all.
     #[default]
     RollbackOnError,
-    /// What is sound is done, and every fault is told.
+    /// The valid parts are applied, and every fault is returned.
     ContinueOnError,
 }
 
+/// The operation in effect at a node, its own or inherited from an ancestor.
 #[derive(Clone, Copy, PartialEq)]
-enum Doing {
+enum EffectiveOperation {
     Op(Op),
     None,
 }
@@ -35,8 +36,8 @@
     faults: Vec<Fault>,
 }
 
-/// The data after the edit, and all that was wrong with it. With [`ErrorOption::RollbackOnError`], a fault leaves the data as it
-/// was.
+/// Returns the data after the edit and the faults found. With [`ErrorOption::RollbackOnError`], data with a fault is
+/// returned unchanged.
 pub fn edit_config(
     schema: &Schema,
     data: &Data,
@@ -45,15 +46,16 @@
     errors: ErrorOption,
 ) -> (Data, Vec<Fault>) {
     let mut editor = Editor { schema, errors, faults: Vec::new() };
-    let doing = match default {
-        DefaultOperation::Merge => Doing::Op(Op::Merge),
-        DefaultOperation::Replace => Doing::Op(Op::Replace),
-        DefaultOperation::None => Doing::None,
+    let operation = match default {
+        DefaultOperation::Merge => EffectiveOperation::Op(Op::Merge),
+        DefaultOperation::Replace => EffectiveOperation::Op(Op::Replace),
+        DefaultOperation::None => EffectiveOperation::None,
     };
-    // Replacing by default replaces the datastore, not just the nodes that are named (section 7.2).
+    // A default operation of replace replaces the whole datastore, not just the nodes named (section 7.2).
     let mut edited = if default == DefaultOperation::Replace { Data::default() } else { data.clone() };
-    let doing = if default == DefaultOperation::Replace { Doing::Op(Op::Merge) } else { doing };
-    editor.all(&mut edited, drafts, &Path::default(), doing);
+    let operation =
+        if default == DefaultOperation::Replace { EffectiveOperation::Op(Op::Merge) } else { operation };
+    editor.apply_all(&mut edited, drafts, &Path::default(), operation);
     edited.tidy(schema);
     if errors == ErrorOption::RollbackOnError && !editor.faults.is_empty() {
         return (data.clone(), editor.faults);
@@ -62,9 +64,9 @@
 }
 
 impl Editor<'_> {
-    fn all(&mut self, data: &mut Data, drafts: &[Draft], at: &Path, doing: Doing) {
+    fn apply_all(&mut self, data: &mut Data, drafts: &[Draft], parent: &Path, inherited: EffectiveOperation) {
         for draft in drafts {
-            if let Err(fault) = self.one(data, draft, at, doing) {
+            if let Err(fault) = self.apply_one(data, draft, parent, inherited) {
                 self.faults.push(fault);
                 if self.errors == ErrorOption::RollbackOnError {
                     return;
@@ -73,73 +75,90 @@
         }
     }
 
-    fn one(&mut self, data: &mut Data, draft: &Draft, at: &Path, around: Doing) -> Result<(), Fault> {
-        let doing = draft.op.map_or(around, Doing::Op);
-        let there = holds(data, draft);
-        match doing {
-            Doing::Op(Op::Delete) if !there => {
-                return Err(draft.fault(self.schema, at, Rule::DataMissing, "is not there to be deleted"));
+    fn apply_one(
+        &mut self,
+        data: &mut Data,
+        draft: &Draft,
+        parent: &Path,
+        inherited: EffectiveOperation,
+    ) -> Result<(), Fault> {
+        let operation = draft.op.map_or(inherited, EffectiveOperation::Op);
+        let exists = contains(data, draft);
+        match operation {
+            EffectiveOperation::Op(Op::Delete) if !exists => {
+                return Err(draft.fault(
+                    self.schema,
+                    parent,
+                    Rule::DataMissing,
+                    "does not exist and cannot be deleted",
+                ));
             }
-            Doing::Op(Op::Delete | Op::Remove) => {
-                take_out(data, draft);
+            EffectiveOperation::Op(Op::Delete | Op::Remove) => {
+                remove_node(data, draft);
                 return Ok(());
             }
-            Doing::Op(Op::Create) if there && draft.op.is_some() => {
-                return Err(draft.fault(self.schema, at, Rule::DataExists, "is there already"));
+            EffectiveOperation::Op(Op::Create) if exists && draft.op.is_some() => {
+                return Err(draft.fault(self.schema, parent, Rule::DataExists, "exists already"));
             }
             _ => {}
         }
-        let here = at.with(draft.step());
+        let path = parent.with(draft.step());
         let inner = match &self.schema.node(draft.node).kind {
             Kind::Leaf { .. } => {
-                // A key is set by its entry; with no operation nothing is changed.
-                if let (Doing::Op(_), Some(value)) = (doing, &draft.value) {
+                // The list entry sets its keys; without an operation nothing is changed.
+                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &draft.value) {
                     data.set(draft.node, Content::Leaf(value.clone()));
                 }
                 return Ok(());
             }
             Kind::LeafList { .. } => {
-                if let (Doing::Op(_), Some(value)) = (doing, &draft.value) {
+                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &draft.value) {
                     if draft.op == Some(Op::Replace) {
-                        take_out(data, draft);
+                        remove_node(data, draft);
                     }
                     data.leaves(draft.node).insert(value.clone());
                 }
                 return Ok(());
             }
-            _ if doing == Doing::None && !there => {
-                return self.absent(data, draft, at);
+            _ if operation == EffectiveOperation::None && !exists => {
+                return self.apply_below_absent(data, draft, parent);
             }
             Kind::Container { .. } => data.inner(draft.node),
             Kind::List { .. } => data.entry(self.schema, draft.node, &draft.keys),
         };
-        if draft.op == Some(Op::Replace) || doing == Doing::Op(Op::Replace) && draft.op.is_none() {
+        if draft.op == Some(Op::Replace)
+            || operation == EffectiveOperation::Op(Op::Replace) && draft.op.is_none()
+        {
             *inner = Data::default();
         }
-        // Within what was just replaced or created there is nothing to meet.
-        let below =
-            if matches!(doing, Doing::Op(Op::Replace | Op::Create)) { Doing::Op(Op::Merge) } else { doing };
-        self.all(inner, &draft.below, &here, below);
+        // A node that was just replaced or created has no existing content below it, so the rest is merged.
+        let below = if matches!(operation, EffectiveOperation::Op(Op::Replace | Op::Create)) {
+            EffectiveOperation::Op(Op::Merge)
+        } else {
+            operation
+        };
+        self.apply_all(inner, &draft.below, &path, below);
         Ok(())
     }
 
-    /// Nothing is to be done here by itself and nothing is here: what stands below may still say more.
-    fn absent(&mut self, data: &mut Data, draft: &Draft, at: &Path) -> Result<(), Fault> {
-        if !draft.below.iter().any(says_more) {
-            return Err(draft.fault(self.schema, at, Rule::DataMissing, "is not there"));
+    /// Applies the drafts below a node that has no operation and does not exist. Only a non-presence container may be
+    /// absent, and only if a descendant names an operation.
+    fn apply_below_absent(&mut self, data: &mut Data, draft: &Draft, parent: &Path) -> Result<(), Fault> {
+        if !draft.below.iter().any(names_operation) {
+            return Err(draft.fault(self.schema, parent, Rule::DataMissing, "does not exist"));
         }
-        let plain = matches!(self.schema.node(draft.node).kind, Kind::Container { presence: false });
-        if !plain {
+        let non_presence = matches!(self.schema.node(draft.node).kind, Kind::Container { presence: false });
+        if !non_presence {
             return Err(draft.fault(
                 self.schema,
-                at,
+                parent,
                 Rule::DataMissing,
-                "is not there to hold what is below it",
+                "does not exist and cannot contain the nodes below it",
             ));
         }
-        // A container that says nothing by itself is always there.
+        // A non-presence container exists implicitly.
         let mut inner = Data::default();
-        self.all(&mut inner, &draft.below, &at.with(draft.step()), Doing::None);
+        self.apply_all(&mut inner, &draft.below, &parent.with(draft.step()), EffectiveOperation::None);
         if !inner.is_empty() {
             *data.inner(draft.node) = inner;
         }
@@ -147,11 +166,12 @@
     }
 }
 
-fn says_more(draft: &Draft) -> bool {
-    draft.op.is_some() || draft.below.iter().any(says_more)
+/// Whether the draft or a descendant names an operation.
+fn names_operation(draft: &Draft) -> bool {
+    draft.op.is_some() || draft.below.iter().any(names_operation)
 }
 
-fn holds(data: &Data, draft: &Draft) -> bool {
+fn contains(data: &Data, draft: &Draft) -> bool {
     match data.get(draft.node) {
         Some(Content::List(entries)) => entries.contains_key(&draft.keys),
         Some(Content::Leaves(values)) => draft.value.as_ref().is_some_and(|value| values.contains(value)),
@@ -160,8 +180,9 @@
     }
 }
 
-fn take_out(data: &mut Data, draft: &Draft) {
-    let emptied = match data.get(draft.node) {
+/// Removes the node of the draft, and its list or leaf-list if that becomes empty.
+fn remove_node(data: &mut Data, draft: &Draft) {
+    let is_empty = match data.get(draft.node) {
         Some(Content::List(_)) => {
             let entries = data.list(draft.node);
             entries.remove(&draft.keys);
@@ -174,7 +195,7 @@
         }
         _ => true,
     };
-    if emptied {
+    if is_empty {
         data.remove(draft.node);
     }
 }
@@ -184,11 +205,11 @@
     use super::*;
     use juniperrail_model::{schema, xml};
 
-    const HEAD: &str = "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\" \
-                        xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">";
+    const START_TAG: &str = "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\" \
+                             xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">";
 
     fn drafts(body: &str) -> Vec<Draft> {
-        let text = format!("{HEAD}{body}</workers>");
+        let text = format!("{START_TAG}{body}</workers>");
         xml::drafts(&schema(), &[xml::read(text.as_bytes()).unwrap()], true).unwrap()
     }
 
@@ -196,22 +217,27 @@
         Data::from_drafts(&schema(), &drafts(body)).unwrap()
     }
 
-    const TWO: &str = "<worker><name>a</name><weight>1</weight></worker>\
-                       <worker><name>b</name><wanted>out</wanted></worker>";
+    const TWO_WORKERS: &str = "<worker><name>a</name><weight>1</weight></worker>\
+                               <worker><name>b</name><wanted>out</wanted></worker>";
 
+    /// Edits a datastore with the two workers; a fault must leave it unchanged.
     fn edited(body: &str, default: DefaultOperation) -> Result<Data, Fault> {
-        let before = data(TWO);
+        let before = data(TWO_WORKERS);
         let (after, mut faults) =
             edit_config(&schema(), &before, &drafts(body), default, ErrorOption::RollbackOnError);
         if let Some(fault) = faults.pop() {
-            assert_eq!((after, faults.len()), (before, 0), "nothing is changed, the first fault is told");
+            assert_eq!(
+                (after, faults.len()),
+                (before, 0),
+                "nothing is changed, and the first fault is returned"
+            );
             return Err(fault);
         }
         Ok(after)
     }
 
     #[test]
-    fn each_operation_does_what_the_protocol_says() {
+    fn each_operation_follows_rfc_6241() {
         use DefaultOperation::*;
         let a = |rest: &str| format!("<worker><name>a</name>{rest}</worker>");
         let op = |op: &str, name: &str, rest: &str| {
@@ -229,28 +255,28 @@
                 Merge,
                 format!("{}{b}", a("<wanted>ready</wanted>")),
             ),
-            (op("create", "c", ""), Merge, format!("{TWO}<worker><name>c</name></worker>")),
-            (op("create", "c", ""), None, format!("{TWO}<worker><name>c</name></worker>")),
+            (op("create", "c", ""), Merge, format!("{TWO_WORKERS}<worker><name>c</name></worker>")),
+            (op("create", "c", ""), None, format!("{TWO_WORKERS}<worker><name>c</name></worker>")),
             (op("delete", "a", ""), Merge, b.to_string()),
-            (op("remove", "c", ""), Merge, TWO.to_string()),
+            (op("remove", "c", ""), Merge, TWO_WORKERS.to_string()),
             (op("remove", "b", ""), None, a(old)),
             (a("<weight n:operation=\"delete\"/>"), None, format!("{}{b}", a(""))),
             (a("<weight n:operation=\"replace\">2</weight>"), None, format!("{}{b}", a(weight))),
-            (a(weight), None, TWO.to_string()),
-            (op("merge", "c", weight), None, format!("{TWO}<worker><name>c</name>{weight}</worker>")),
+            (a(weight), None, TWO_WORKERS.to_string()),
+            (op("merge", "c", weight), None, format!("{TWO_WORKERS}<worker><name>c</name>{weight}</worker>")),
         ] {
             assert_eq!(edited(&body, default), Ok(data(&expected)), "{body}");
         }
     }
 
     #[test]
-    fn what_cannot_be_done_is_refused_whole() {
+    fn an_edit_with_a_fault_is_rejected_as_a_whole() {
         use DefaultOperation::*;
         let create = "<worker n:operation=\"create\"><name>a</name></worker>";
-        let sound = "<worker><name>a</name><weight>9</weight></worker>";
+        let valid = "<worker><name>a</name><weight>9</weight></worker>";
         for (body, default, rule) in [
-            (format!("{sound}{create}"), Merge, Rule::DataExists),
-            (format!("{sound}<worker n:operation=\"delete\"><name>c</name></worker>"), Merge, Rule::DataMissing),
+            (format!("{valid}{create}"), Merge, Rule::DataExists),
+            (format!("{valid}<worker n:operation=\"delete\"><name>c</name></worker>"), Merge, Rule::DataMissing),
             ("<worker><name>b</name><weight n:operation=\"delete\"/></worker>".into(), Merge, Rule::DataMissing),
             ("<worker><name>b</name><weight n:operation=\"create\">1</weight><wanted n:operation=\"create\">out</wanted></worker>".into(), Merge, Rule::DataExists),
             ("<worker><name>c</name></worker>".into(), None, Rule::DataMissing),
@@ -261,13 +287,13 @@
     }
 
     #[test]
-    fn going_on_does_what_is_sound_and_tells_every_fault() {
+    fn continue_on_error_applies_the_valid_parts_and_returns_every_fault() {
         let body = "<worker n:operation=\"create\"><name>a</name></worker>\
                     <worker><name>a</name><weight>9</weight></worker>\
                     <worker n:operation=\"delete\"><name>c</name></worker>";
         let (after, faults) = edit_config(
             &schema(),
-            &data(TWO),
+            &data(TWO_WORKERS),
             &drafts(body),
             DefaultOperation::Merge,
             ErrorOption::ContinueOnError,
@@ -276,6 +302,6 @@
             faults.iter().map(|fault| fault.rule).collect::<Vec<_>>(),
             [Rule::DataExists, Rule::DataMissing]
         );
-        assert_eq!(after, data(&TWO.replace("<weight>1", "<weight>9")));
+        assert_eq!(after, data(&TWO_WORKERS.replace("<weight>1", "<weight>9")));
     }
 }
--- a/crates/intent/src/progress.rs
+++ b/crates/intent/src/progress.rs
@@ -1,28 +1,31 @@
-//! How far each change of the configuration has come: how many joined proxies hold it by their answers.
+//! Tracks the distribution of configuration changes: how many of the joined proxies have acknowledged each.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use juniperrail_interface::Ms;
 
-/// So many changes are remembered, the newest.
-const KEPT: usize = 64;
+/// The number of changes that are tracked; older ones are dropped.
+const MAX_TRACKED_CHANGES: usize = 64;
 
+/// How far a change has been distributed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
+    /// Some joined proxies have not acknowledged it yet.
     Distributing,
-    /// Since so long after it was taken.
-    Applied {
-        after: Ms,
-    },
-    /// A later change speaks of some of the same workers, so that what this one wanted is told no more.
+    /// Every joined proxy has applied it, this long after it was committed.
+    Applied { after: Ms },
+    /// A later change affects some of the same workers, so that the distribution of this one is no longer tracked.
     Superseded,
 }
 
+/// One commit of the configuration and the state of its distribution.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
+    /// The version of running that it made.
     pub number: u64,
     pub author: String,
     pub at: Ms,
+    /// The workers that it affects.
     pub workers: BTreeSet<String>,
     pub stage: Stage,
     pub applied_proxies: usize,
@@ -36,14 +39,14 @@
 }
 
 impl ChangeTracker {
-    /// A change was taken over by the decisions.
+    /// Starts to track a change that the planner has accepted.
     pub fn record(&mut self, now: Ms, number: u64, author: &str, workers: BTreeSet<String>) {
         for older in self.changes.iter_mut().filter(|older| older.stage == Stage::Distributing) {
             if !older.workers.is_disjoint(&workers) {
                 older.stage = Stage::Superseded;
             }
         }
-        if self.changes.len() == KEPT {
+        if self.changes.len() == MAX_TRACKED_CHANGES {
             self.changes.pop_front();
         }
         let stage = Stage::Distributing;
@@ -59,13 +62,13 @@
         });
     }
 
-    /// Those that are not yet held, to be looked at once more.
+    /// The changes that are still being distributed.
     pub fn distributing(&self) -> impl Iterator<Item = &Change> {
         self.changes.iter().filter(|change| change.stage == Stage::Distributing)
     }
 
-    /// What was found of one: how many of the joined proxies hold it. Whether that makes it held; once it is, it
-    /// stays so, as later news may lay other weights over it. With nobody joined nobody can hold it.
+    /// Records how many of the joined proxies have applied a change. Returns true if that completes it. A completed
+    /// change stays so, as later updates may replace its weights; without joined proxies none can complete.
     pub fn update(&mut self, now: Ms, number: u64, applied_proxies: usize, joined_proxies: usize) -> bool {
         let Some(change) = self.changes.iter_mut().find(|change| change.number == number) else {
             return false;
@@ -81,6 +84,7 @@
         true
     }
 
+    /// All tracked changes, oldest first.
     pub fn all(&self) -> impl Iterator<Item = &Change> {
         self.changes.iter()
     }
@@ -95,30 +99,30 @@
     }
 
     #[test]
-    fn a_change_is_held_once_every_joined_proxy_holds_it_and_stays_so() {
-        let mut progress = ChangeTracker::default();
-        progress.record(1000.0, 1, "ann", workers(&["s-1"]));
-        assert!(!progress.update(1100.0, 1, 0, 0), "nobody joined, nobody holds it");
-        assert!(!progress.update(1200.0, 1, 2, 3));
-        let open: Vec<(usize, usize)> =
-            progress.distributing().map(|change| (change.applied_proxies, change.joined_proxies)).collect();
-        assert_eq!(open, [(2, 3)], "the one that is slow shows");
-        assert!(progress.update(1500.0, 1, 3, 3));
-        assert!(!progress.update(1600.0, 1, 2, 3), "told once");
-        assert_eq!(progress.all().next().unwrap().stage, Stage::Applied { after: 500.0 });
-        assert!(!progress.update(1.0, 7, 1, 1), "nobody knows it");
+    fn a_change_is_applied_once_every_joined_proxy_applied_it_and_stays_so() {
+        let mut tracker = ChangeTracker::default();
+        tracker.record(1000.0, 1, "ann", workers(&["s-1"]));
+        assert!(!tracker.update(1100.0, 1, 0, 0), "without joined proxies it is not applied");
+        assert!(!tracker.update(1200.0, 1, 2, 3));
+        let distributing: Vec<(usize, usize)> =
+            tracker.distributing().map(|change| (change.applied_proxies, change.joined_proxies)).collect();
+        assert_eq!(distributing, [(2, 3)], "one proxy has not applied it yet");
+        assert!(tracker.update(1500.0, 1, 3, 3));
+        assert!(!tracker.update(1600.0, 1, 2, 3), "reported once");
+        assert_eq!(tracker.all().next().unwrap().stage, Stage::Applied { after: 500.0 });
+        assert!(!tracker.update(1.0, 7, 1, 1), "the number is unknown");
     }
 
     #[test]
-    fn a_later_change_of_the_same_worker_supersedes_what_is_not_held() {
-        let mut progress = ChangeTracker::default();
-        progress.record(0.0, 1, "ann", workers(&["s-1", "s-2"]));
-        progress.record(1.0, 2, "ann", workers(&["s-3"]));
-        progress.update(2.0, 2, 1, 1);
-        progress.record(3.0, 3, "bob", workers(&["s-2", "s-3"]));
-        let stages: Vec<Stage> = progress.all().map(|change| change.stage).collect();
+    fn a_later_change_of_the_same_worker_supersedes_one_not_yet_applied() {
+        let mut tracker = ChangeTracker::default();
+        tracker.record(0.0, 1, "ann", workers(&["s-1", "s-2"]));
+        tracker.record(1.0, 2, "ann", workers(&["s-3"]));
+        tracker.update(2.0, 2, 1, 1);
+        tracker.record(3.0, 3, "bob", workers(&["s-2", "s-3"]));
+        let stages: Vec<Stage> = tracker.all().map(|change| change.stage).collect();
         assert_eq!(stages, [Stage::Superseded, Stage::Applied { after: 1.0 }, Stage::Distributing]);
-        (4..200).for_each(|number| progress.record(4.0, number, "ann", workers(&["s-1"])));
-        assert_eq!((progress.all().count(), progress.distributing().count()), (KEPT, 1));
+        (4..200).for_each(|number| tracker.record(4.0, number, "ann", workers(&["s-1"])));
+        assert_eq!((tracker.all().count(), tracker.distributing().count()), (MAX_TRACKED_CHANGES, 1));
     }
 }
--- a/crates/intent/src/want.rs
+++ b/crates/intent/src/want.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as typed wishes, read from the data tree.
+//! The operators' intent as typed values, read from the data tree of a configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,9 +6,10 @@
 use juniperrail_interface::{Figures, Ms, Start};
 use juniperrail_model::{Data, Schema, View};
 
-/// The state that the operator wants of a worker.
+/// The state that the operator wants a worker to be in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DesiredState {
+    /// The phase that discovery reports.
     #[default]
     Follow,
     Ready,
@@ -16,7 +17,7 @@
     Out,
 }
 
-/// Where a worker is that no discovery names.
+/// Where a worker runs that discovery does not list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     pub zone: String,
@@ -25,6 +26,7 @@
     pub address: Option<SocketAddr>,
 }
 
+/// What the operator configures for one worker.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerIntent {
     pub desired_state: DesiredState,
@@ -32,7 +34,8 @@
     pub placement: Option<Placement>,
 }
 
-/// All that the running configuration wants of the decisions. What is `None` stays as the settings say.
+/// The part of the running configuration that the planner acts on. A field that is `None` leaves the value of the
+/// settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Intent {
     pub workers: BTreeMap<String, WorkerIntent>,
@@ -40,24 +43,24 @@
     pub warm_up: Option<Ms>,
     pub cold_share: Option<f64>,
     pub overload_factor: Option<f64>,
-    /// By operation: the latency objective and the billed value.
+    /// The latency objective and the billed value, by the operation's name.
     pub operations: BTreeMap<String, (Option<Ms>, Option<f64>)>,
 }
 
 impl Intent {
-    /// From data of the schema, which has checked each value by itself.
+    /// Reads an intent from data of the schema, which has already checked each value by itself.
     pub fn from_data(schema: &Schema, data: &Data) -> Intent {
         let top = View::new(schema, data);
         let figures = top.inner("figures");
         let text = |view: &View<'_>, name: &str| view.text(name).unwrap_or_default().to_string();
-        let place = |view: View<'_>| Placement {
+        let placement = |view: View<'_>| Placement {
             zone: text(&view, "zone"),
             machine: text(&view, "machine"),
             cell: view.leaf("cell").and_then(|cell| cell.as_u64()).and_then(|cell| u32::try_from(cell).ok()),
-            // The pattern lets figures through that are no address, as 300.1.1.1; those are never probed.
+            // The YANG pattern admits values that are no address, such as 300.1.1.1. Such a worker is never probed.
             address: view.text("address").and_then(|address| address.parse().ok()),
         };
-        let wish = |view: &View<'_>| WorkerIntent {
+        let worker_intent = |view: &View<'_>| WorkerIntent {
             desired_state: match view.text("wanted") {
                 Some("ready") => DesiredState::Ready,
                 Some("draining") => DesiredState::Draining,
@@ -65,43 +68,47 @@
                 _ => DesiredState::Follow,
             },
             weight: view.figure("weight"),
-            placement: Some(view.inner("place")).filter(View::is_there).map(place),
+            placement: Some(view.inner("place")).filter(View::is_there).map(placement),
         };
         let workers = top.inner("workers").entries("worker");
         let operations = figures.entries("operation");
-        let figured = |view: &View<'_>| (view.figure("latency-objective"), view.figure("billed-value"));
+        let overrides = |view: &View<'_>| (view.figure("latency-objective"), view.figure("billed-value"));
         Intent {
-            workers: workers.iter().map(|view| (text(view, "name"), wish(view))).collect(),
+            workers: workers.iter().map(|view| (text(view, "name"), worker_intent(view))).collect(),
             drain_grace: figures.figure("drain-grace"),
             warm_up: figures.figure("warm-up"),
             cold_share: figures.figure("cold-share"),
             overload_factor: figures.figure("overload-factor"),
-            operations: operations.iter().map(|view| (text(view, "name"), figured(view))).collect(),
+            operations: operations.iter().map(|view| (text(view, "name"), overrides(view))).collect(),
         }
     }
 
-    /// The figures that hold with this intent, over the settings' own. `operations`: their names, in order.
+    /// The figures in effect: those of this intent where given, else the settings'. `operations` are the names of the
+    /// operations in the order of the settings.
     pub fn figures(&self, settings: &Start, operations: &[String]) -> Figures {
-        let told = |name: &String| self.operations.get(name).copied().unwrap_or_default();
-        let all = settings.operations.iter().zip(operations);
+        let overrides = |name: &String| self.operations.get(name).copied().unwrap_or_default();
+        let named_operations = settings.operations.iter().zip(operations);
         Figures {
             drain_grace: self.drain_grace.unwrap_or(settings.drain_grace),
             warm_up: self.warm_up.unwrap_or(settings.warm_up),
             cold_share: self.cold_share.unwrap_or(settings.cold_share),
             overload_factor: self.overload_factor.unwrap_or(settings.overload_factor),
-            operations: all
-                .map(|(op, name)| {
-                    let (objective, value) = told(name);
-                    (objective.unwrap_or(op.latency_objective), value.unwrap_or(op.billed_value))
+            operations: named_operations
+                .map(|(operation, name)| {
+                    let (objective, value) = overrides(name);
+                    (
+                        objective.unwrap_or(operation.latency_objective),
+                        value.unwrap_or(operation.billed_value),
+                    )
                 })
                 .collect(),
         }
     }
 
-    /// The workers of which two intents want something else.
+    /// The names of the workers for which the two intents differ.
     pub fn changed_workers<'a>(&'a self, other: &'a Intent) -> impl Iterator<Item = &'a str> {
-        let gone = self.workers.keys().filter(|name| !other.workers.contains_key(*name));
-        let new = other.workers.iter().filter(|(name, wish)| self.workers.get(*name) != Some(wish));
-        gone.chain(new.map(|(name, _)| name)).map(String::as_str)
+        let removed = self.workers.keys().filter(|name| !other.workers.contains_key(*name));
+        let changed = other.workers.iter().filter(|(name, worker)| self.workers.get(*name) != Some(worker));
+        removed.chain(changed.map(|(name, _)| name)).map(String::as_str)
     }
 }
