--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use juniperrail_interface::{Listed, Phase, WorkerId, ZoneId};
+use juniperrail_interface::{Phase, WorkerEntry, WorkerId, ZoneId};
 
 use crate::want::{DesiredState, Intent, Placement, WorkerIntent};
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ComposedWorker {
     /// The entry that the planner receives. A weight of 0 means that no source gives one.
-    pub listed: Listed,
+    pub listed: WorkerEntry,
     pub address: Option<SocketAddr>,
     pub phase_origin: Origin,
     pub weight_origin: Option<Origin>,
@@ -54,7 +54,7 @@
 /// What discovery last reported of a worker, with the sequence number of the update that set each field.
 #[derive(Clone, Debug)]
 struct DiscoveryEntry {
-    listed: Listed,
+    listed: WorkerEntry,
     address: Option<SocketAddr>,
     phase_at: u64,
     weight_at: u64,
@@ -84,7 +84,7 @@
 
 impl Composer {
     /// Applies discovery's entry for a worker. A field that repeats its value keeps its sequence number.
-    pub fn update_discovery(&mut self, name: &str, listed: Listed, address: Option<SocketAddr>) {
+    pub fn update_discovery(&mut self, name: &str, listed: WorkerEntry, address: Option<SocketAddr>) {
         self.last_sequence += 1;
         let (mut phase_at, mut weight_at) = (self.last_sequence, self.last_sequence);
         if let Some(known) = self.discovery.get(name) {
@@ -109,7 +109,7 @@
         let entry = self.discovery.get(name).filter(|entry| entry.listed.phase != Phase::Gone);
         let Some(entry) = entry.cloned() else { return false };
         let address = entry.address.filter(|_| phase != Phase::Gone);
-        self.update_discovery(name, Listed { phase, ..entry.listed }, address);
+        self.update_discovery(name, WorkerEntry { phase, ..entry.listed }, address);
         true
     }
 
@@ -121,7 +121,7 @@
         let unlisted: Vec<String> = self.discovery.iter().filter_map(unlisted).collect();
         for name in &unlisted {
             let entry = self.discovery[name].clone();
-            self.update_discovery(name, Listed { phase: Phase::Gone, ..entry.listed }, None);
+            self.update_discovery(name, WorkerEntry { phase: Phase::Gone, ..entry.listed }, None);
         }
         unlisted
     }
@@ -224,7 +224,7 @@
     pub fn compose(
         &self,
         name: &str,
-        placed_entry: impl FnOnce(&WorkerIntent) -> Option<Listed>,
+        placed_entry: impl FnOnce(&WorkerIntent) -> Option<WorkerEntry>,
     ) -> Option<ComposedWorker> {
         let (discovery, operator) = (self.discovery.get(name), self.operator.get(name));
         let Some(discovery) = discovery else {
@@ -232,7 +232,7 @@
             let placement = operator.intent.placement.as_ref()?;
             let listed = placed_entry(&operator.intent)?;
             let mut composed = ComposedWorker {
-                listed: Listed { phase: Phase::Ready, ..listed },
+                listed: WorkerEntry { phase: Phase::Ready, ..listed },
                 address: placement.address,
                 phase_origin: Origin::Operator,
                 weight_origin: None,
@@ -301,9 +301,9 @@
     use super::*;
     use juniperrail_interface::{CellId, MachineId};
 
-    fn listed(phase: Phase, weight: f64, booted: Option<f64>) -> Listed {
+    fn listed(phase: Phase, weight: f64, booted: Option<f64>) -> WorkerEntry {
         let (zone, machine, cell) = (ZoneId(0), MachineId(0), CellId(0));
-        Listed { worker: WorkerId(1), phase, booted, zone, machine, cell, weight }
+        WorkerEntry { worker: WorkerId(1), phase, booted, zone, machine, cell, weight }
     }
 
     fn intent(worker: WorkerIntent) -> Intent {
--- a/crates/intent/src/judge.rs
+++ b/crates/intent/src/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use juniperrail_interface::{Ms, Operation, Phase, Start, WorkerId, ZoneId};
+use juniperrail_interface::{Ms, Operation, Phase, Settings, WorkerId, ZoneId};
 
 use crate::compose::ComposedWorker;
 use crate::want::Intent;
@@ -21,7 +21,7 @@
 pub struct AdmissionContext<'a> {
     pub now: Ms,
     /// The settings, whose figures bound what an operator may configure.
-    pub settings: &'a Start,
+    pub settings: &'a Settings,
     /// The names of the operations, in the order of the settings.
     pub operation_names: &'a [String],
     pub zone_name: &'a dyn Fn(ZoneId) -> String,
@@ -230,13 +230,14 @@
     }
     // Each proxy that may join here gets one message with two lines, the departure and its mark.
     let lines = expected_proxies(context) * (settings.message_overhead + 2.0);
-    let notify_time = lines * 1000.0 / settings.channel_rate + settings.transit_worst;
+    let notify_time = lines * 1000.0 / settings.channel_rate + settings.max_transit;
     (notify_time / NOTIFY_SHARE).min(settings.drain_grace)
 }
 
 /// The manager's share of all proxies, or the number of joined proxies if that is higher.
 fn expected_proxies(context: &AdmissionContext<'_>) -> f64 {
-    (context.settings.proxies / context.settings.managers.max(1.0)).max(context.joined_proxies as f64)
+    (context.settings.proxy_count / context.settings.manager_count.max(1.0))
+        .max(context.joined_proxies as f64)
 }
 
 fn is_ready_and_warm(context: &AdmissionContext<'_>, intent: &Intent, composed: &ComposedWorker) -> bool {
@@ -262,7 +263,7 @@
 ) -> Vec<Refusal> {
     let mut refusals = Vec::new();
     for (operation, name) in context.settings.operations.iter().zip(context.operation_names) {
-        let zones: Vec<Option<ZoneId>> = match operation.own_zone {
+        let zones: Vec<Option<ZoneId>> = match operation.own_zone_only {
             true => context.settings.zones.iter().copied().map(Some).collect(),
             false => vec![None],
         };
@@ -327,16 +328,16 @@
     let lines = SENDS_PER_CHANGE * (lines + max_receivers * (settings.message_overhead + 1.0));
     let grace = intent.drain_grace.unwrap_or(settings.drain_grace);
     let available_time = if any_departure {
-        (grace - settings.transit_worst).max(0.0)
+        (grace - settings.max_transit).max(0.0)
     } else {
-        settings.messages_over.max(grace)
+        settings.message_window.max(grace)
     };
     let max_lines = settings.channel_rate * available_time / 1000.0;
     if lines > max_lines {
         refusals.push(Refusal::TooManyLines { lines, max_lines });
     }
-    if settings.messages_most < SENDS_PER_CHANGE {
-        refusals.push(Refusal::NoSecondMessage { max_messages: settings.messages_most });
+    if settings.max_messages_per_window < SENDS_PER_CHANGE {
+        refusals.push(Refusal::NoSecondMessage { max_messages: settings.max_messages_per_window });
     }
     refusals
 }
@@ -346,37 +347,37 @@
     use super::*;
     use crate::compose::Composer;
     use crate::want::{DesiredState, Placement, WorkerIntent};
-    use juniperrail_interface::{CellId, Listed, MachineId};
+    use juniperrail_interface::{CellId, MachineId, WorkerEntry};
 
     const NOW: Ms = 1_000_000.0;
 
-    fn operation(zones: Option<Vec<ZoneId>>, own_zone: bool) -> Operation {
-        Operation { latency_objective: 500.0, billed_value: 1.0, zones, machines: None, own_zone }
+    fn operation(zones: Option<Vec<ZoneId>>, own_zone_only: bool) -> Operation {
+        Operation { latency_objective: 500.0, billed_value: 1.0, zones, machines: None, own_zone_only }
     }
 
-    fn settings() -> Start {
-        Start {
+    fn settings() -> Settings {
+        Settings {
             operations: vec![operation(None, false), operation(Some(vec![ZoneId(1)]), false)],
             zones: vec![ZoneId(0), ZoneId(1)],
             channel_rate: 5000.0,
-            lines_waiting_most: 5000.0,
+            max_pending_lines: 5000.0,
             message_overhead: 4.0,
-            messages_most: 12.0,
-            messages_over: 10_000.0,
-            transit_worst: 500.0,
+            max_messages_per_window: 12.0,
+            message_window: 10_000.0,
+            max_transit: 500.0,
             drain_grace: 3000.0,
             warm_up: 15_000.0,
             cold_share: 0.3,
             overload_factor: 4.0,
-            proxies: 150.0,
-            managers: 2.0,
-            ..Start::default()
+            proxy_count: 150.0,
+            manager_count: 2.0,
+            ..Settings::default()
         }
     }
 
     /// A manager with 75 of 150 proxies joined, the zones a and b, and the operations `lookup` and `order`.
     struct TestManager {
-        settings: Start,
+        settings: Settings,
         composer: Composer,
         running: Intent,
     }
@@ -396,7 +397,8 @@
         fn discover(&mut self, worker: u32, phase: Phase, booted: Option<Ms>) {
             let zone = ZoneId((worker % 2) as u16);
             let (machine, cell) = (MachineId(0), CellId(0));
-            let listed = Listed { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 };
+            let listed =
+                WorkerEntry { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 };
             self.composer.update_discovery(&format!("s-{worker}"), listed, None);
         }
 
@@ -404,7 +406,15 @@
             let placed_entry = |worker: &WorkerIntent| {
                 let zone = ZoneId(u16::from(worker.placement.as_ref()?.zone == "b"));
                 let (worker, machine, cell) = (WorkerId(9), MachineId(0), CellId(0));
-                Some(Listed { worker, phase: Phase::Ready, booted: None, zone, machine, cell, weight: 0.0 })
+                Some(WorkerEntry {
+                    worker,
+                    phase: Phase::Ready,
+                    booted: None,
+                    zone,
+                    machine,
+                    cell,
+                    weight: 0.0,
+                })
             };
             let names = composer.worker_names().map(str::to_string);
             names.filter_map(|name| Some((name.clone(), composer.compose(&name, placed_entry)?))).collect()
@@ -576,7 +586,7 @@
             Intent { workers: names.collect(), ..Intent::default() }
         };
         assert!(manager.check(&weights(80)).is_empty(), "no worker departs, and the time is 10 s");
-        manager.settings.messages_most = 1.0;
+        manager.settings.max_messages_per_window = 1.0;
         assert_eq!(tags(&manager.check(&drains(1))), ["no-second-message"]);
     }
 
--- a/crates/intent/src/want.rs
+++ b/crates/intent/src/want.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use juniperrail_interface::{Figures, Ms, Start};
+use juniperrail_interface::{Ms, RuntimeSettings, Settings};
 use juniperrail_model::{Data, Schema, View};
 
 /// The state that the operator wants a worker to be in.
@@ -85,10 +85,10 @@
 
     /// The figures in effect: those of this intent where given, else the settings'. `operations` are the names of the
     /// operations in the order of the settings.
-    pub fn figures(&self, settings: &Start, operations: &[String]) -> Figures {
+    pub fn figures(&self, settings: &Settings, operations: &[String]) -> RuntimeSettings {
         let overrides = |name: &String| self.operations.get(name).copied().unwrap_or_default();
         let named_operations = settings.operations.iter().zip(operations);
-        Figures {
+        RuntimeSettings {
             drain_grace: self.drain_grace.unwrap_or(settings.drain_grace),
             warm_up: self.warm_up.unwrap_or(settings.warm_up),
             cold_share: self.cold_share.unwrap_or(settings.cold_share),
