--- a/crates/intent/src/judge.rs
+++ b/crates/intent/src/judge.rs
@@ -463,14 +463,17 @@
 
     #[test]
     fn no_operation_may_lose_its_last_ready_worker_by_any_kind_of_departure() {
-        for wish in [
+        for departure in [
             desired(DesiredState::Draining),
             desired(DesiredState::Out),
             WorkerIntent { weight: Some(0.0), ..WorkerIntent::default() },
         ] {
             let mut manager = TestManager::new();
-            assert!(manager.commit(manager.with_worker("s-1", wish.clone())).is_empty(), "admitted alone");
-            let refusals = manager.commit(manager.with_worker("s-3", wish.clone()));
+            assert!(
+                manager.commit(manager.with_worker("s-1", departure.clone())).is_empty(),
+                "admitted alone"
+            );
+            let refusals = manager.commit(manager.with_worker("s-3", departure.clone()));
             assert_eq!(
                 tags(&refusals),
                 ["no-ready-worker"],
@@ -479,7 +482,7 @@
             let message = refusals[0].to_string();
             assert!(message.contains("order would have no ready, warm worker without s-3"), "{message}");
             assert_eq!(refusals[0].path(), "/jrm:workers/worker[name='s-3']");
-            assert!(manager.commit(manager.with_worker("s-2", wish)).is_empty(), "lookup has others");
+            assert!(manager.commit(manager.with_worker("s-2", departure)).is_empty(), "lookup has others");
         }
         let manager = TestManager::new();
         let mut both = manager.with_worker("s-1", desired(DesiredState::Out));
