--- a/crates/intent/src/judge.rs
+++ b/crates/intent/src/admission.rs
@@ -7,7 +7,7 @@
 use juniperrail_interface::{Ms, Operation, Phase, Settings, WorkerId, ZoneId};
 
 use crate::compose::ComposedWorker;
-use crate::want::Intent;
+use crate::intent::Intent;
 
 /// The share of the drain grace that may be spent on notifying the proxies. The planner may use the rest to wait for
 /// acknowledgements of the replacement workers.
@@ -346,7 +346,7 @@
 mod tests {
     use super::*;
     use crate::compose::Composer;
-    use crate::want::{DesiredState, Placement, WorkerIntent};
+    use crate::intent::{DesiredState, Placement, WorkerIntent};
     use juniperrail_interface::{CellId, MachineId, WorkerEntry};
 
     const NOW: Ms = 1_000_000.0;
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -16,7 +16,7 @@
 
 use juniperrail_interface::{Phase, WorkerEntry, WorkerId, ZoneId};
 
-use crate::want::{DesiredState, Intent, Placement, WorkerIntent};
+use crate::intent::{DesiredState, Intent, Placement, WorkerIntent};
 
 /// The source that a value comes from (the origin of NMDA, RFC 8342).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/intent/src/stores.rs
+++ b/crates/intent/src/datastores.rs
@@ -10,9 +10,9 @@
 use juniperrail_model::{Data, Draft, Fault, Schema, View};
 
 use crate::access::AccessControl;
+use crate::admission::Refusal;
 use crate::edit::{edit_config, DefaultOperation, ErrorOption};
-use crate::judge::Refusal;
-use crate::want::Intent;
+use crate::intent::Intent;
 
 /// The number of versions of running that are kept for a rollback.
 const MAX_VERSIONS: usize = 32;
--- a/crates/intent/src/lib.rs
+++ b/crates/intent/src/lib.rs
@@ -4,17 +4,19 @@
 //! ([`AccessControl`]), and how far a change has been distributed ([`ChangeTracker`]).
 
 mod access;
+mod admission;
 mod compose;
+mod datastores;
 mod edit;
-mod judge;
+mod intent;
 mod progress;
-mod stores;
-mod want;
 
 pub use access::{AccessControl, AccessOperation, CertToName, Role};
+pub use admission::{check_against_settings, check_change, AdmissionContext, Refusal};
 pub use compose::{ComposedWorker, Composer, Origin};
+pub use datastores::{
+    Commit, CommitOutcome, Datastore, DatastoreError, Datastores, Proposal, Session, Version,
+};
 pub use edit::{edit_config, DefaultOperation, ErrorOption};
-pub use judge::{check_against_settings, check_change, AdmissionContext, Refusal};
+pub use intent::{DesiredState, Intent, Placement, WorkerIntent};
 pub use progress::{Change, ChangeTracker, Stage};
-pub use stores::{Commit, CommitOutcome, Datastore, DatastoreError, Datastores, Proposal, Session, Version};
-pub use want::{DesiredState, Intent, Placement, WorkerIntent};
