--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -1,90 +1,110 @@
-//! What a juniperrail manager is told and what it may order, in the project's own words.
-//! There is no logic here; a protocol is put before the decisions by translating to these types.
+//! Types exchanged between a host and the planner: ids, settings, the events that the planner receives and the orders
+//! that it returns. They contain no logic and no protocol; a host translates its protocol to and from them.
 
-/// Milliseconds with fractions, both for spans and for the clock.
+/// Fractional milliseconds, used for durations and for points in time.
 pub type Ms = f64;
 
+/// A worker, numbered by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WorkerId(pub u32);
 
+/// A proxy, numbered by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProxyId(pub u16);
 
+/// A failure zone of workers and proxies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
 
+/// A machine type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachineId(pub u16);
 
-/// A small group of workers of one zone that share kept fingerprints.
+/// A small group of workers in one zone that share stored fingerprints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u32);
 
-/// An operation by its place in [`Settings::operations`].
+/// An operation, by its index in [`Settings::operations`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OpId(pub u8);
 
+/// A table of weighted workers, or a slice of the key space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TableId(pub u16);
 
+/// The number of a mark that proxies acknowledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MarkId(pub u16);
 
+/// An operation that proxies invoke on workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
-    /// The time within which an answer is wanted.
+    /// The response time to stay within.
     pub latency_objective: Ms,
     pub billed_value: f64,
-    /// The zones and machines whose workers serve it; `None` is all of them.
+    /// The zones and machine types whose workers serve it; `None` means all of them.
     pub zones: Option<Vec<ZoneId>>,
     pub machines: Option<Vec<MachineId>>,
-    /// Served only by workers of the proxy's own zone.
+    /// Served only by workers in the proxy's own zone.
     pub own_zone_only: bool,
 }
 
-/// What a level counts, if the deployment heeds levels at all.
+/// The unit of admission levels.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LevelKind {
+    /// The admitted fraction of invocations.
     Share,
+    /// Admitted invocations per second.
     PerSecond,
+    /// The deployment ignores admission levels.
     #[default]
     Unsupported,
 }
 
-/// The figures a manager is handed at its start.
+/// The settings that a manager starts with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     pub operations: Vec<Operation>,
     pub zones: Vec<ZoneId>,
-    /// Keys fall into so many slices; 0 where proxies are bound to tables instead.
+    /// The number of slices of the key space; 0 where proxies are bound to tables instead.
     pub slice_count: usize,
     pub level_kind: LevelKind,
-    /// Proxies keep away for a while from a worker that failed them several times in a row.
+    /// Proxies stop sending to a worker for some time after several consecutive failures.
     pub proxies_avoid_outliers: bool,
-    /// What crossing zones with each first try, and the whole pace of the channel, would cost.
+    /// The cost if every first try crossed zones.
     pub cross_zone_cost: f64,
+    /// The cost of using the channel to the proxies at its full rate.
     pub channel_cost: f64,
+    /// Lines per second that the channel to the proxies carries.
     pub channel_rate: f64,
+    /// The limit of lines that wait in the channel.
     pub max_pending_lines: f64,
+    /// The cost of a message besides its lines, counted in lines.
     pub message_overhead: f64,
-    /// Messages to one proxy within `message_window`; infinite where there is no limit.
+    /// The limit of messages to one proxy within `message_window`; infinite where there is none.
     pub max_messages_per_window: f64,
     pub message_window: Ms,
+    /// The longest time that a message takes to reach a proxy.
     pub max_transit: Ms,
     pub report_period: Ms,
+    /// How long a draining worker still serves.
     pub drain_grace: Ms,
+    /// How long a worker stays cold after it started.
     pub warm_up: Ms,
+    /// The fraction of a warm worker's weight that a worker has when it starts.
     pub cold_share: f64,
     pub overload_factor: f64,
-    /// All proxies, and the managers that they join.
+    /// The number of proxies in the deployment.
     pub proxy_count: f64,
+    /// The number of managers that the proxies join.
     pub manager_count: f64,
-    /// The list must be asked for.
+    /// The worker list is sent only on request.
     pub list_on_request: bool,
+    /// The time within which the list has to be requested.
     pub list_request_deadline: Ms,
 }
 
-/// Those of the start figures that may change while a manager runs.
+/// The settings that may change while a manager runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuntimeSettings {
     pub drain_grace: Ms,
@@ -95,6 +115,7 @@
     pub operations: Vec<(Ms, f64)>,
 }
 
+/// The phase of a worker's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Ready,
@@ -102,11 +123,12 @@
     Gone,
 }
 
+/// One worker in the worker list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerEntry {
     pub worker: WorkerId,
     pub phase: Phase,
-    /// When it last started; `None` is long ago.
+    /// When it last started; `None` if that was long ago.
     pub booted: Option<Ms>,
     pub zone: ZoneId,
     pub machine: MachineId,
@@ -114,30 +136,40 @@
     pub weight: f64,
 }
 
+/// How a received list relates to the complete worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
+    /// Only the entries that changed.
     Changes,
+    /// The complete list.
     Full,
-    /// The whole list as this manager last had it; it may be stale.
+    /// The complete list as this manager last stored it; it may be stale.
     Cached,
+    /// The list could not be fetched.
     Failed,
 }
 
-/// The parts of a worker's load report that came; all are absent where there was none.
+/// A worker's load report; absent values were not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
+    /// Requests in progress.
     pub in_flight: Option<f64>,
+    /// Requests waiting in the worker's queue.
     pub queued: Option<f64>,
+    /// The busy fraction of the worker.
     pub utilization: Option<f64>,
+    /// The latency of recent requests.
     pub recent_latency: Option<Ms>,
     pub requests_per_second: Option<f64>,
     pub errors_per_second: Option<f64>,
 }
 
+/// The outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     Success,
     ErrorResponse,
+    /// The worker had no capacity left.
     Rejected,
     TimedOut,
     Unreachable,
@@ -146,39 +178,30 @@
     NotApplicable,
 }
 
+/// What the host reports to the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    List {
-        kind: ListKind,
-        version: u64,
-        workers: Vec<WorkerEntry>,
-    },
-    /// Figures changed while running; all that was learned stays.
+    /// An update of the worker list.
+    List { kind: ListKind, version: u64, workers: Vec<WorkerEntry> },
+    /// Settings changed while running; learned state is kept.
     SettingsChanged(RuntimeSettings),
-    TimerFired {
-        handle: String,
-    },
-    Probed {
-        worker: WorkerId,
-        outcome: ProbeOutcome,
-        took: Ms,
-        load: Load,
-    },
-    PeerMessage {
-        from: u32,
-        content: Vec<u8>,
-    },
-    /// `fresh`: it holds only its standing tables.
+    /// A timer set with [`Order::SetTimer`] expired.
+    TimerFired { handle: String },
+    /// The result of [`Order::Probe`].
+    Probed { worker: WorkerId, outcome: ProbeOutcome, took: Ms, load: Load },
+    /// A message from another manager.
+    PeerMessage { from: u32, content: Vec<u8> },
+    /// A proxy joined this manager.
     Joined {
         proxy: ProxyId,
+        /// The proxy holds only its initial tables, and nothing from an earlier connection.
         fresh: bool,
         inv_per_second: f64,
         zone: ZoneId,
     },
-    Left {
-        proxy: ProxyId,
-    },
-    /// What the proxies of a zone met at a worker.
+    /// A proxy left this manager.
+    Left { proxy: ProxyId },
+    /// Sums over a period of the tries that the proxies of a zone made at a worker.
     WorkerSums {
         zone: ZoneId,
         worker: WorkerId,
@@ -188,113 +211,72 @@
         period: Ms,
         load: Load,
     },
-    /// What came to a proxy.
-    ProxySums {
-        proxy: ProxyId,
-        op: OpId,
-        invocations: f64,
-        unanswered: f64,
-        period: Ms,
-    },
-    /// What came for a slice.
-    SliceSums {
-        slice: TableId,
-        op: OpId,
-        invocations: f64,
-        unanswered: f64,
-        period: Ms,
-    },
-    SliceAssigned {
-        slice: TableId,
-    },
-    SliceRevoked {
-        slice: TableId,
-    },
-    SliceLine {
-        slice: TableId,
-        worker: WorkerId,
-        weight: f64,
-    },
-    MarkAcknowledged {
-        mark: MarkId,
-        took: Ms,
-        proxy: ProxyId,
-    },
+    /// Sums over a period of the invocations that a proxy received.
+    ProxySums { proxy: ProxyId, op: OpId, invocations: f64, unanswered: f64, period: Ms },
+    /// Sums over a period of the invocations for a slice.
+    SliceSums { slice: TableId, op: OpId, invocations: f64, unanswered: f64, period: Ms },
+    /// This manager became responsible for a slice.
+    SliceAssigned { slice: TableId },
+    /// This manager is no longer responsible for a slice.
+    SliceRevoked { slice: TableId },
+    /// A line that the slice's table already contains.
+    SliceLine { slice: TableId, worker: WorkerId, weight: f64 },
+    /// A proxy acknowledged a mark.
+    MarkAcknowledged { mark: MarkId, took: Ms, proxy: ProxyId },
 }
 
+/// The receiver of a message between managers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receiver {
     Peer(u32),
     All,
 }
 
+/// The proxies that an admission level applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionScope {
+    /// Those bound to the table.
     Table(TableId),
     AllProxies,
 }
 
-/// When a proxy tries again.
+/// When a proxy retries an invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retry {
     Never,
-    /// Once, elsewhere, on proof that the first try never ran.
+    /// Once, at another worker, if the first try is known not to have been executed.
     IfNotExecuted,
     OnceOnFailure,
     TwiceOnFailure,
 }
 
+/// What the planner orders the host to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    SetTimer {
-        after: Ms,
-        handle: String,
-    },
-    Probe {
-        worker: WorkerId,
-    },
-    SendMessage {
-        to: Receiver,
-        content: Vec<u8>,
-    },
-    /// A line for the people on call, about a worker if one is named.
-    Log {
-        about: Option<WorkerId>,
-        text: String,
-    },
+    /// Reports [`Event::TimerFired`] with this handle after the given time.
+    SetTimer { after: Ms, handle: String },
+    /// Asks a worker for its load.
+    Probe { worker: WorkerId },
+    /// Sends a message to other managers.
+    SendMessage { to: Receiver, content: Vec<u8> },
+    /// A log line for operators, about a worker if one is given.
+    Log { about: Option<WorkerId>, text: String },
+    /// Subscribes to updates of the worker list, or ends the subscription.
     SubscribeToList(bool),
+    /// Fetches the complete worker list.
     FetchList,
-    /// No order names this worker any more unless a list does.
-    Forget {
-        worker: WorkerId,
-    },
+    /// No later order refers to this worker unless a list contains it again.
+    Forget { worker: WorkerId },
     /// A weight of 0 removes the line.
-    SetLine {
-        table: TableId,
-        worker: WorkerId,
-        weight: f64,
-    },
-    ClearTable {
-        table: TableId,
-    },
-    ExcludeWorker {
-        worker: WorkerId,
-        excluded: bool,
-    },
-    /// Puts a joined proxy on a table for some operations (bit k is operation k).
-    Bind {
-        table: TableId,
-        ops: u32,
-        proxy: ProxyId,
-    },
-    SetAdmission {
-        scope: AdmissionScope,
-        ops: u32,
-        level: f64,
-        retry: Retry,
-    },
-    Mark {
-        number: MarkId,
-        all_proxies: bool,
-    },
+    SetLine { table: TableId, worker: WorkerId, weight: f64 },
+    /// Removes all lines of a table.
+    ClearTable { table: TableId },
+    /// Makes proxies stop sending to a worker, whatever its weights, or ends that exclusion.
+    ExcludeWorker { worker: WorkerId, excluded: bool },
+    /// Binds a joined proxy to a table for some operations (bit k stands for operation k).
+    Bind { table: TableId, ops: u32, proxy: ProxyId },
+    /// Sets the admission level and the retry policy of some operations.
+    SetAdmission { scope: AdmissionScope, ops: u32, level: f64, retry: Retry },
+    /// Sends a mark that proxies acknowledge once they have applied every order before it.
+    Mark { number: MarkId, all_proxies: bool },
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts decision modules on the simulator's text wire: one isolated brain for each instance.
+//! Runs planners on the simulator's line protocol: one isolated planner for each manager instance.
 
 mod wire;
 
@@ -11,17 +11,18 @@
 use juniperrail_start::Names;
 use wire::{Fault, Line};
 
+/// A simulated manager.
 struct Instance {
     names: Names,
-    /// `None` once killed: what still arrives for it is no longer its duty.
+    /// `None` once the instance was killed; later events for it are dropped.
     brain: Option<Brain>,
-    heard: Vec<Event>,
-    /// It had an event in this batch, so it may act.
-    called: bool,
+    events: Vec<Event>,
+    /// The current batch has an event for this instance, so its planner runs.
+    has_events: bool,
 }
 
 fn main() {
-    std::panic::set_hook(Box::new(|info| eprintln!("the decision module failed: {info}")));
+    std::panic::set_hook(Box::new(|info| eprintln!("the planner panicked: {info}")));
     let (input, output) = (io::stdin().lock(), io::stdout().lock());
     if let Err(fault) = serve(input, io::BufWriter::new(output)) {
         eprintln!("juniperrail-simhost: {fault}");
@@ -29,11 +30,12 @@
     }
 }
 
+/// Answers batches of events with the planners' orders until the input ends.
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
     let mut lines = input.lines().enumerate().map(|(at, text)| match text {
         Ok(text) => Ok((at + 1, text)),
-        Err(err) => Err(Fault::at(at + 1, format!("cannot be read: {err}"))),
+        Err(err) => Err(Fault::at(at + 1, format!("read error: {err}"))),
     });
     while let Some(first) = lines.next() {
         let (at, text) = first?;
@@ -44,31 +46,31 @@
         }
         let now = head.number("time-ms")?;
         head.finish()?;
-        batch(now, &mut lines, &mut instances)?;
+        read_batch(now, &mut lines, &mut instances)?;
         let mut reply = String::new();
         for (number, instance) in &mut instances {
-            if !std::mem::take(&mut instance.called) {
+            if !std::mem::take(&mut instance.has_events) {
                 continue;
             }
-            let heard = std::mem::take(&mut instance.heard);
+            let events = std::mem::take(&mut instance.events);
             let Some(brain) = &mut instance.brain else { continue };
             reply.push_str(&format!("BY {number}\n"));
-            match catch_unwind(AssertUnwindSafe(|| brain.turn(now, &heard))) {
+            match catch_unwind(AssertUnwindSafe(|| brain.turn(now, &events))) {
                 Ok(orders) => orders.iter().for_each(|order| wire::write(&mut reply, order, &instance.names)),
-                Err(panic) => reply.push_str(&format!("BUG {}\n", reason(&*panic))),
+                Err(panic) => reply.push_str(&format!("BUG {}\n", panic_message(&*panic))),
             }
         }
         reply.push_str("ACK\n");
         output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush())
-            .map_err(|err| Fault::at(at, format!("the reply cannot be written: {err}")))?;
+            .map_err(|err| Fault::at(at, format!("cannot write the reply: {err}")))?;
     }
     Ok(())
 }
 
-/// Reads the rest of a batch, up to its GO, into the instances it is for.
-fn batch(
+/// Reads the rest of a batch, up to its GO, and queues its events at their instances.
+fn read_batch(
     now: Ms,
     lines: &mut impl Iterator<Item = Result<(usize, String), Fault>>,
     instances: &mut BTreeMap<u32, Instance>,
@@ -89,33 +91,35 @@
             }
             _ => {}
         }
-        let number = current.ok_or_else(|| line.fault("comes before any AT"))?;
+        let number = current.ok_or_else(|| line.fault("message precedes the first AT"))?;
         if name == "BORN" {
             let seed = line.integer("init-seed")?;
             let info = serde_json::from_str(line.rest("info")?);
-            let info = info.map_err(|err| line.fault(format!("info is no JSON: {err}")))?;
-            let (start, names) = juniperrail_start::decode(&info).map_err(|why| line.fault(why))?;
-            let brain = Brain::new(now, seed, start);
-            instances.insert(number, Instance { names, brain: Some(brain), heard: Vec::new(), called: true });
+            let info = info.map_err(|err| line.fault(format!("info is not valid JSON: {err}")))?;
+            let (settings, names) = juniperrail_start::decode(&info).map_err(|why| line.fault(why))?;
+            let brain = Brain::new(now, seed, settings);
+            instances
+                .insert(number, Instance { names, brain: Some(brain), events: Vec::new(), has_events: true });
             continue;
         }
         let instance = instances
             .get_mut(&number)
-            .ok_or_else(|| line.fault(format!("is for instance {number}, which was never born")))?;
+            .ok_or_else(|| line.fault(format!("no BORN message for instance {number}")))?;
         if name == "DETACH" {
             line.finish()?;
             instance.brain = None;
-            instance.heard.clear();
+            instance.events.clear();
             continue;
         }
         let event = wire::read(name, line, &mut instance.names, lines)?;
-        instance.called = true;
-        instance.heard.push(event);
+        instance.has_events = true;
+        instance.events.push(event);
     }
-    Err(Fault::at(last + 1, "the input ends within a batch".into()))
+    Err(Fault::at(last + 1, "input ends within a batch".into()))
 }
 
-fn reason(panic: &(dyn std::any::Any + Send)) -> String {
+/// The text of a panic, on one line.
+fn panic_message(panic: &(dyn std::any::Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|text| text.to_string());
     let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
     text.unwrap_or_else(|| "the decision module panicked".into()).replace('\n', " ")
@@ -132,13 +136,16 @@
     }
 
     #[test]
-    fn a_killed_instance_is_silent_and_a_malformed_line_is_named() {
+    fn a_killed_instance_does_not_reply_and_errors_name_the_line() {
         let born = "TURN 1\nAT 0\nBORN 5 {\"new\":1}\nTOPOLOGY cached 0 1\nM 0 IN w - k z 1\nGO\n";
         assert_eq!(replies(born).unwrap(), "BY 0\nWAKE_ME 20 beat\nACK\n");
         let killed = format!("{born}TURN 2\nAT 0\nDETACH\nGO\nTURN 3\nAT 0\nSTREAM_DOWN 1\nGO\n");
         assert!(replies(&killed).unwrap().ends_with("beat\nACK\nACK\nACK\n"));
         let unknown = replies("TURN 1\nAT 3\nSTREAM_DOWN 1\nGO\n").unwrap_err();
-        assert!(unknown.contains("line 3") && unknown.contains("never born"), "{unknown}");
-        assert!(replies("TURN 1\nAT 0\n").unwrap_err().contains("ends within a batch"));
+        assert!(
+            unknown.contains("line 3") && unknown.contains("no BORN message for instance 3"),
+            "{unknown}"
+        );
+        assert!(replies("TURN 1\nAT 0\n").unwrap_err().contains("input ends within a batch"));
     }
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's lines, to events and from orders.
+//! Parses lines of the simulator's protocol into events and writes orders as lines.
 
 use std::fmt::{self, Write};
 
@@ -6,87 +6,95 @@
 use juniperrail_interface::*;
 use juniperrail_start::Names;
 
-/// What was wrong with the input, and in which line.
+/// An error in the input, with its line number.
 #[derive(Debug)]
 pub struct Fault {
     line: usize,
-    what: String,
+    message: String,
 }
 
 impl Fault {
-    pub fn at(line: usize, what: String) -> Self {
-        Fault { line, what }
+    pub fn at(line: usize, message: String) -> Self {
+        Fault { line, message }
     }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "input line {}: {}", self.line, self.what)
+        write!(f, "input line {}: {}", self.line, self.message)
     }
 }
 
-/// One line of input, taken apart value by value.
+/// One line of input, parsed value by value.
 pub struct Line<'a> {
-    at: usize,
+    number: usize,
     text: &'a str,
-    left: Option<&'a str>,
+    /// The part that is not parsed yet.
+    rest: Option<&'a str>,
 }
 
 impl<'a> Line<'a> {
-    pub fn new(at: usize, text: &'a str) -> Self {
+    pub fn new(number: usize, text: &'a str) -> Self {
         let text = text.strip_suffix('\r').unwrap_or(text);
-        Line { at, text, left: Some(text) }
+        Line { number, text, rest: Some(text) }
     }
 
-    pub fn fault(&self, what: impl Into<String>) -> Fault {
+    /// An error at this line.
+    pub fn fault(&self, message: impl Into<String>) -> Fault {
         let shown: String = self.text.chars().take(60).collect();
-        Fault::at(self.at, format!("{} (in {shown:?})", what.into()))
+        Fault::at(self.number, format!("{} (in {shown:?})", message.into()))
     }
 
+    /// Everything up to the end of the line.
     pub fn rest(&mut self, member: &str) -> Result<&'a str, Fault> {
-        self.left.take().ok_or_else(|| self.fault(format!("the value {member} is missing")))
+        self.rest.take().ok_or_else(|| self.fault(format!("value {member} is missing")))
     }
 
+    /// The next space-separated value.
     pub fn word(&mut self, member: &str) -> Result<&'a str, Fault> {
-        let left = self.rest(member)?;
-        let (word, rest) = match left.split_once(' ') {
+        let text = self.rest(member)?;
+        let (word, rest) = match text.split_once(' ') {
             Some((word, rest)) => (word, Some(rest)),
-            None => (left, None),
+            None => (text, None),
         };
-        self.left = rest;
+        self.rest = rest;
         if word.is_empty() {
-            return Err(self.fault(format!("the value {member} is empty")));
+            return Err(self.fault(format!("value {member} is empty")));
         }
         Ok(word)
     }
 
+    /// Checks that no value is left.
     pub fn finish(&self) -> Result<(), Fault> {
-        self.left.map_or(Ok(()), |left| Err(self.fault(format!("has values too many: {left:?}"))))
+        self.rest.map_or(Ok(()), |rest| Err(self.fault(format!("unexpected values: {rest:?}"))))
     }
 
-    fn maybe_number(&mut self, member: &str) -> Result<Option<f64>, Fault> {
+    /// A finite number, or `None` for `-`.
+    fn optional_number(&mut self, member: &str) -> Result<Option<f64>, Fault> {
         let word = self.word(member)?;
         if word == "-" {
             return Ok(None);
         }
         let number = word.parse().ok().filter(|number: &f64| number.is_finite());
-        number.map(Some).ok_or_else(|| self.fault(format!("{member} is no number: {word:?}")))
+        number.map(Some).ok_or_else(|| self.fault(format!("{member} is not a number: {word:?}")))
     }
 
+    /// A finite number.
     pub fn number(&mut self, member: &str) -> Result<f64, Fault> {
-        self.maybe_number(member)?.ok_or_else(|| self.fault(format!("the value {member} is absent")))
+        self.optional_number(member)?.ok_or_else(|| self.fault(format!("value {member} is absent")))
     }
 
+    /// An integer that fits the type.
     pub fn integer<T: std::str::FromStr>(&mut self, member: &str) -> Result<T, Fault> {
         let word = self.word(member)?;
-        word.parse().map_err(|_| self.fault(format!("{member} is no fitting whole number: {word:?}")))
+        word.parse().map_err(|_| self.fault(format!("{member} is not an integer in range: {word:?}")))
     }
 
     fn flag(&mut self, member: &str) -> Result<bool, Fault> {
         match self.word(member)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => Err(self.fault(format!("{member} is neither 1 nor 0: {other:?}"))),
+            other => Err(self.fault(format!("{member} is not 1 or 0: {other:?}"))),
         }
     }
 
@@ -94,7 +102,7 @@
         let mut load = Load::default();
         let text = self.word(member)?;
         for pair in text.split(',').filter(|_| text != "-") {
-            let fault = || self.fault(format!("{member} holds no name:value pair: {pair:?}"));
+            let fault = || self.fault(format!("{member} contains an invalid name:value pair: {pair:?}"));
             let (name, value) = pair.split_once(':').ok_or_else(fault)?;
             let value = Some(value.parse().ok().filter(|v: &f64| v.is_finite()).ok_or_else(fault)?);
             match name {
@@ -120,7 +128,7 @@
     }
 }
 
-/// Reads an event; a list takes the lines of its entries as well.
+/// Reads an event. A list also consumes the lines of its entries from `more`.
 pub fn read(
     name: &str,
     mut line: Line<'_>,
@@ -134,20 +142,20 @@
                 "full" => ListKind::Full,
                 "cached" => ListKind::Cached,
                 "failed" => ListKind::Failed,
-                other => return Err(line.fault(format!("unknown kind of list {other:?}"))),
+                other => return Err(line.fault(format!("unknown list kind {other:?}"))),
             };
             let version = line.word("version")?;
             let version = version.parse().ok().or((version == "-").then_some(0));
-            let version = version.ok_or_else(|| line.fault("version is no whole number"))?;
+            let version = version.ok_or_else(|| line.fault("version is not an integer"))?;
             let count = match line.word("hosts")? {
                 "-" => 0,
-                count => count.parse().map_err(|_| line.fault("hosts is no count of entries"))?,
+                count => count.parse().map_err(|_| line.fault("hosts is not an integer"))?,
             };
             let mut workers = Vec::new();
             for _ in 0..count {
-                let (at, text) =
-                    more.next().unwrap_or_else(|| Err(line.fault("has fewer entries than it says")))?;
-                workers.push(entry(Line::new(at, &text), names)?);
+                let (number, text) =
+                    more.next().unwrap_or_else(|| Err(line.fault("fewer entries than announced")))?;
+                workers.push(read_entry(Line::new(number, &text), names)?);
             }
             Event::List { kind, version, workers }
         }
@@ -165,20 +173,22 @@
                 "NOP" => ProbeOutcome::NotApplicable,
                 other => return Err(line.fault(format!("unknown reason {other:?}"))),
             },
-            took: line.maybe_number("took-ms")?.unwrap_or(0.0),
+            took: line.optional_number("took-ms")?.unwrap_or(0.0),
             load: line.load("load")?,
         },
         "PEER_DATA" => Event::PeerMessage {
             from: line.integer("from")?,
             content: match line.word("content")? {
                 "-" => Vec::new(),
-                text => BASE64_STANDARD.decode(text).map_err(|_| line.fault("content is no base64"))?,
+                text => {
+                    BASE64_STANDARD.decode(text).map_err(|_| line.fault("content is not valid base64"))?
+                }
             },
         },
         "CONNECTED" => Event::Joined {
             proxy: line.proxy()?,
             fresh: line.flag("active")?,
-            inv_per_second: line.maybe_number("size")?.unwrap_or(0.0),
+            inv_per_second: line.optional_number("size")?.unwrap_or(0.0),
             zone: names.zone(line.word("site")?),
         },
         "STREAM_DOWN" => Event::Left { proxy: line.proxy()? },
@@ -187,7 +197,7 @@
             worker: names.worker(line.word("worker")?),
             tries: line.number("number")?,
             failed: line.number("bad")?,
-            mean_latency: line.maybe_number("took-ms")?.unwrap_or(0.0),
+            mean_latency: line.optional_number("took-ms")?.unwrap_or(0.0),
             period: line.number("over-ms")?,
             load: line.load("load")?,
         },
@@ -206,9 +216,9 @@
             period: line.number("over-ms")?,
         },
         "LEASED" => {
-            let given = line.flag("active")?;
+            let assigned = line.flag("active")?;
             let slice = line.integer("tbl").map(TableId)?;
-            if given {
+            if assigned {
                 Event::SliceAssigned { slice }
             } else {
                 Event::SliceRevoked { slice }
@@ -217,11 +227,11 @@
         "IN_STORE" => Event::SliceLine {
             slice: line.integer("tbl").map(TableId)?,
             worker: names.worker(line.word("worker")?),
-            weight: line.maybe_number("size")?.unwrap_or(1.0),
+            weight: line.optional_number("size")?.unwrap_or(1.0),
         },
         "CONFIRMED" => Event::MarkAcknowledged {
             mark: line.integer("version").map(MarkId)?,
-            took: line.maybe_number("took-ms")?.unwrap_or(0.0),
+            took: line.optional_number("took-ms")?.unwrap_or(0.0),
             proxy: line.proxy()?,
         },
         other => return Err(line.fault(format!("unknown message {other:?}"))),
@@ -230,14 +240,15 @@
     Ok(event)
 }
 
-fn entry(mut line: Line<'_>, names: &mut Names) -> Result<WorkerEntry, Fault> {
+/// Reads an entry of a worker list.
+fn read_entry(mut line: Line<'_>, names: &mut Names) -> Result<WorkerEntry, Fault> {
     if line.word("message")? != "M" {
-        return Err(line.fault("expected an entry of the list"));
+        return Err(line.fault("expected a list entry"));
     }
     let cell = line.word("pod")?;
     let cell = cell.parse().ok().or((cell == "-").then_some(u32::MAX));
-    let listed = WorkerEntry {
-        cell: CellId(cell.ok_or_else(|| line.fault("pod is no whole number"))?),
+    let entry = WorkerEntry {
+        cell: CellId(cell.ok_or_else(|| line.fault("pod is not an integer"))?),
         phase: match line.word("phase")? {
             "IN" => Phase::Ready,
             "LAME" => Phase::Draining,
@@ -245,15 +256,16 @@
             other => return Err(line.fault(format!("unknown phase {other:?}"))),
         },
         worker: names.worker(line.word("worker")?),
-        booted: line.maybe_number("boot-time-ms")?.filter(|&at| at != 0.0),
+        booted: line.optional_number("boot-time-ms")?.filter(|&time| time != 0.0),
         machine: names.machine(line.word("shape")?),
         zone: names.zone(line.word("site")?),
-        weight: line.maybe_number("size")?.unwrap_or(0.0),
+        weight: line.optional_number("size")?.unwrap_or(0.0),
     };
     line.finish()?;
-    Ok(listed)
+    Ok(entry)
 }
 
+/// Appends the line of an order to the reply.
 pub fn write(reply: &mut String, order: &Order, names: &Names) {
     let worker = |id: &WorkerId| names.workers.name(id.0);
     let written = match order {
@@ -274,28 +286,28 @@
             writeln!(reply, "SET_WEIGHT {} {} {weight}", table.0, worker(id))
         }
         Order::ClearTable { table } => writeln!(reply, "DROP_LINES {}", table.0),
-        Order::ExcludeWorker { worker: id, excluded: out } => {
-            writeln!(reply, "HOLD_BACK {} {}", worker(id), u8::from(*out))
+        Order::ExcludeWorker { worker: id, excluded } => {
+            writeln!(reply, "HOLD_BACK {} {}", worker(id), u8::from(*excluded))
         }
         Order::Bind { table, ops, proxy } => writeln!(reply, "PIN {} {ops} {}", table.0, proxy.0),
-        Order::SetAdmission { scope: reach, ops, level, retry } => {
-            let table = match reach {
+        Order::SetAdmission { scope, ops, level, retry } => {
+            let table = match scope {
                 AdmissionScope::Table(table) => table.0,
                 AdmissionScope::AllProxies => u16::MAX,
             };
-            let how = match retry {
+            let retry_code = match retry {
                 Retry::Never => 0,
                 Retry::IfNotExecuted => 1,
                 Retry::OnceOnFailure => 2,
                 Retry::TwiceOnFailure => 3,
             };
-            writeln!(reply, "RATION {table} {ops} {level} {how}")
+            writeln!(reply, "RATION {table} {ops} {level} {retry_code}")
         }
-        // There a worker that was listed once stays known.
+        // The simulator never forgets a worker, so there is nothing to send.
         Order::Forget { .. } => Ok(()),
-        Order::Mark { number, all_proxies: everyone } => {
-            writeln!(reply, "STAMP {} {}", u8::from(*everyone), number.0)
+        Order::Mark { number, all_proxies } => {
+            writeln!(reply, "STAMP {} {}", u8::from(*all_proxies), number.0)
         }
     };
-    written.expect("text can always be added to a string");
+    written.expect("writing to a string cannot fail");
 }
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -1,22 +1,22 @@
-//! The settings object, as both hosts are handed it, decoded straight into the start figures, and the names
-//! that stand behind ids. Unknown keys are passed over and an absent figure is 0; a value of the wrong kind
-//! is a fault.
+//! Decodes the JSON settings object that both hosts receive, and maps names to ids. Unknown keys are ignored and an
+//! absent number is 0; a value of the wrong type is an error.
 
 use std::collections::HashMap;
 
 use juniperrail_interface::*;
 use serde_json::Value;
 
-/// Names that a protocol spells out and the decisions know by number, in order of their appearance.
+/// Maps the names of a protocol to the ids of the planner, which are assigned in order of first appearance.
 #[derive(Clone, Default)]
 pub struct IdMap {
     ids: HashMap<String, u32>,
     names: HashMap<u32, String>,
-    /// Ids are given out once, so that what was forgotten never stands for something else.
+    /// Ids are never reused, so the id of a forgotten name can't refer to another one.
     next: u32,
 }
 
 impl IdMap {
+    /// The id of a name; a new name is assigned one.
     pub fn id_for(&mut self, name: &str) -> u32 {
         if let Some(&id) = self.ids.get(name) {
             return id;
@@ -28,11 +28,13 @@
         id
     }
 
+    /// Removes an id and its name.
     pub fn forget(&mut self, id: u32) {
         let name = self.names.remove(&id);
         name.into_iter().for_each(|name| _ = self.ids.remove(&name));
     }
 
+    /// The id of a name, if it has one.
     pub fn find_id(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
@@ -41,15 +43,18 @@
         self.names.len()
     }
 
+    /// The name of an id, if it is known.
     pub fn get(&self, id: u32) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 
+    /// The name of an id. Panics if the id is unknown.
     pub fn name(&self, id: u32) -> &str {
         &self.names[&id]
     }
 }
 
+/// The names behind the planner's ids.
 #[derive(Clone, Default)]
 pub struct Names {
     pub workers: IdMap,
@@ -76,15 +81,16 @@
     }
 }
 
-fn at<'a>(from: &'a Value, path: &str) -> &'a Value {
+/// The value at a dotted path; null where it is absent.
+fn value_at<'a>(from: &'a Value, path: &str) -> &'a Value {
     path.split('.').fold(from, |value, key| &value[key])
 }
 
-/// The figure at a dotted path; 0 where it is absent.
+/// The number at a dotted path; 0 where it is absent.
 pub fn number(from: &Value, path: &str) -> Result<f64, String> {
-    match at(from, path) {
+    match value_at(from, path) {
         Value::Null => Ok(0.0),
-        value => value.as_f64().ok_or_else(|| format!("the setting {path} is no number: {value}")),
+        value => value.as_f64().ok_or_else(|| format!("setting {path} is not a number: {value}")),
     }
 }
 
@@ -93,27 +99,30 @@
 }
 
 fn text<'a>(from: &'a Value, path: &str) -> Result<&'a str, String> {
-    match at(from, path) {
+    match value_at(from, path) {
         Value::Null => Ok(""),
-        value => value.as_str().ok_or_else(|| format!("the setting {path} is no text: {value}")),
+        value => value.as_str().ok_or_else(|| format!("setting {path} is not a string: {value}")),
     }
 }
 
 fn list<'a>(from: &'a Value, path: &str) -> Result<&'a [Value], String> {
-    match at(from, path) {
+    match value_at(from, path) {
         Value::Null => Ok(&[]),
-        value => Ok(value.as_array().ok_or_else(|| format!("the setting {path} is no list: {value}"))?),
+        value => Ok(value.as_array().ok_or_else(|| format!("setting {path} is not an array: {value}"))?),
     }
 }
 
 fn texts<'a>(from: &'a Value, path: &str) -> Result<Vec<&'a str>, String> {
-    let each = |value: &'a Value| value.as_str().ok_or_else(|| format!("{path} holds no text: {value}"));
-    list(from, path)?.iter().map(each).collect()
+    let to_text = |value: &'a Value| {
+        value.as_str().ok_or_else(|| format!("setting {path} contains a value that is not a string: {value}"))
+    };
+    list(from, path)?.iter().map(to_text).collect()
 }
 
+/// Decodes the settings object.
 pub fn decode(info: &Value) -> Result<(Settings, Names), String> {
     if !info.is_object() {
-        return Err("the settings are no JSON object".into());
+        return Err("the settings are not a JSON object".into());
     }
     let mut names = Names::default();
     let zones = texts(info, "zones")?.into_iter().map(|zone| names.zone(zone)).collect();
@@ -122,7 +131,7 @@
     }
     let own_zone_only = list(info, "domain.class-own-zone")?;
     let mut operations = Vec::new();
-    for (place, lane) in list(info, "lanes")?.iter().enumerate() {
+    for (index, lane) in list(info, "lanes")?.iter().enumerate() {
         names.ops.id_for(text(lane, "name")?);
         operations.push(Operation {
             latency_objective: number(lane, "on-time-ms")?,
@@ -135,10 +144,10 @@
                 machines if machines.is_empty() => None,
                 machines => Some(machines.into_iter().map(|machine| names.machine(machine)).collect()),
             },
-            own_zone_only: own_zone_only.get(place).and_then(Value::as_bool).unwrap_or(false),
+            own_zone_only: own_zone_only.get(index).and_then(Value::as_bool).unwrap_or(false),
         });
     }
-    let start = Settings {
+    let settings = Settings {
         operations,
         zones,
         slice_count: count(info, "domain.key-ranges")?,
@@ -155,7 +164,7 @@
         message_overhead: number(info, "domain.overhead")?,
         max_messages_per_window: match number(info, "domain.messages-most")? {
             0.0 => f64::INFINITY,
-            most => most,
+            limit => limit,
         },
         message_window: number(info, "domain.counted-over-ms")?,
         max_transit: number(info, "domain.worst-transit-ms")?,
@@ -169,5 +178,5 @@
         list_on_request: text(info, "registry-mode")? == "ask",
         list_request_deadline: number(info, "rules.must-ask-in-ms")?,
     };
-    Ok((start, names))
+    Ok((settings, names))
 }
