--- a/crates/north/src/ask.rs
+++ b/crates/north/src/ask.rs
@@ -1,4 +1,4 @@
-//! What the north asks of the task that owns the decisions, and what that tells by itself.
+//! Messages between the datastore manager and the planner task.
 
 use std::sync::Arc;
 
@@ -8,33 +8,27 @@
 
 use crate::state::State;
 
-/// Asks that may wait; whoever brings more waits, in the north. At most one is taken a turn.
+/// Requests that may be queued; further senders wait. The planner handles at most one per turn.
 pub const REQUEST_QUEUE_CAPACITY: usize = 16;
-/// Notices that may wait; more are lost, and the state still tells what they would have.
+/// Notices that may be queued. Further ones are lost, but the operational state still shows their content.
 pub const NOTICE_QUEUE_CAPACITY: usize = 256;
 
-/// Whether a change was taken over, whole.
+/// Whether a change was accepted as a whole, or why it was refused.
 pub type Verdict = Result<(), Vec<Refusal>>;
 
+/// A request to the planner task.
 pub enum PlannerRequest {
-    /// To judge an intent against the world and take it over at once if that bears it.
-    Apply {
-        number: u64,
-        by: String,
-        intent: Box<Intent>,
-        verdict: oneshot::Sender<Verdict>,
-    },
-    /// To judge it only.
-    Validate {
-        intent: Box<Intent>,
-        verdict: oneshot::Sender<Verdict>,
-    },
+    /// Checks an intent against the current state of the workers and applies it at once if it is accepted.
+    Apply { number: u64, by: String, intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
+    /// Checks an intent without applying it.
+    Validate { intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
+    /// Requests the operational state.
     State(oneshot::Sender<Arc<State>>),
 }
 
-/// What the task that owns the decisions tells by itself.
+/// An unsolicited message from the planner task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// Every joined proxy holds a change, so long after it was taken.
+    /// Every joined proxy has applied a change, this long after it was accepted.
     Applied { number: u64, after: Ms },
 }
--- a/crates/north/src/file.rs
+++ b/crates/north/src/file.rs
@@ -1,4 +1,4 @@
-//! The operator's file: read at the start, replaced whole by what startup becomes.
+//! The operator's file, which stores the startup datastore: read at the start and replaced atomically on each write.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -6,10 +6,10 @@
 
 use juniperrail_model::{xml, Data, Schema};
 
-/// A larger file is none of ours.
-const LARGEST: u64 = 16 << 20;
+/// Larger files are not read.
+const MAX_FILE_BYTES: u64 = 16 << 20;
 
-/// The XML file that holds startup.
+/// The XML file that stores the startup datastore.
 #[derive(Clone, Debug)]
 pub struct OperatorFile {
     path: PathBuf,
@@ -24,28 +24,32 @@
         &self.path
     }
 
-    /// A file that it names, relative to the folder that it stands in.
-    pub fn resolve(&self, named: &str) -> PathBuf {
-        self.path.parent().unwrap_or(Path::new("")).join(named)
+    /// Resolves a path named in the file relative to the file's directory.
+    pub fn resolve(&self, path: &str) -> PathBuf {
+        self.path.parent().unwrap_or(Path::new("")).join(path)
     }
 
-    /// What it holds; `None` where there is none. The error is one line that names file, line, path and rule.
+    /// Reads the data; `None` if there is no file. The error is one line that names file, line, path and rule.
     pub fn read(&self, schema: &Schema) -> Result<Option<Data>, String> {
-        let shown = self.path.display();
-        let unread = |why: io::Error| format!("{shown} cannot be read: {why}");
+        let path = self.path.display();
+        let read_error = |why: io::Error| format!("{path} cannot be read: {why}");
         match fs::metadata(&self.path) {
             Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(why) => return Err(unread(why)),
-            Ok(known) if known.len() > LARGEST => {
-                return Err(format!("{shown} holds {} bytes and at most {LARGEST} are read", known.len()));
+            Err(why) => return Err(read_error(why)),
+            Ok(metadata) if metadata.len() > MAX_FILE_BYTES => {
+                return Err(format!(
+                    "{path} is too large: {} of at most {MAX_FILE_BYTES} bytes",
+                    metadata.len()
+                ));
             }
             Ok(_) => {}
         }
-        let text = fs::read(&self.path).map_err(unread)?;
-        xml::file(schema, &text).map(Some).map_err(|fault| format!("{shown}: {fault}"))
+        let text = fs::read(&self.path).map_err(read_error)?;
+        xml::file(schema, &text).map(Some).map_err(|fault| format!("{path}: {fault}"))
     }
 
-    /// Replaces it whole: whoever reads it meanwhile, or after a crash at any step, finds the old or the new one.
+    /// Replaces the file atomically: a concurrent reader, or one after a crash at any step, finds either the old or
+    /// the new content.
     pub fn write(&self, schema: &Schema, data: &Data) -> io::Result<()> {
         let folder = match self.path.parent() {
             Some(folder) if !folder.as_os_str().is_empty() => folder,
@@ -53,16 +57,16 @@
         };
         let mut name = self.path.file_name().unwrap_or_default().to_os_string();
         name.push(".new");
-        let new = folder.join(name);
-        let mut file = File::create(&new)?;
+        let temporary = folder.join(name);
+        let mut file = File::create(&temporary)?;
         let written = file
             .write_all(xml::to_file(schema, data).as_bytes())
             .and_then(|()| file.sync_all())
-            .and_then(|()| fs::rename(&new, &self.path))
-            // Without this the rename itself may be lost with the power.
+            .and_then(|()| fs::rename(&temporary, &self.path))
+            // Without syncing the directory, the rename may be lost in a power failure.
             .and_then(|()| File::open(folder)?.sync_all());
         if written.is_err() {
-            _ = fs::remove_file(&new);
+            _ = fs::remove_file(&temporary);
         }
         written
     }
@@ -73,7 +77,7 @@
     use super::*;
 
     #[test]
-    fn the_file_is_replaced_whole_or_stays_as_it_was() {
+    fn the_file_is_replaced_atomically_or_left_unchanged() {
         let schema = juniperrail_model::schema();
         let folder = std::env::temp_dir().join(format!("juniperrail-file-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
@@ -88,9 +92,9 @@
         assert_eq!(file.read(&schema), Ok(Some(Data::default())));
         file.write(&schema, &data).unwrap();
         assert_eq!(file.read(&schema), Ok(Some(data.clone())));
-        assert_eq!(fs::read_dir(&folder).unwrap().count(), 1, "nothing is left beside it");
+        assert_eq!(fs::read_dir(&folder).unwrap().count(), 1, "no temporary file is left");
         assert_eq!(file.resolve("host.key"), folder.join("host.key"));
-        // Something that cannot be replaced: the old file stays, and nothing beside it.
+        // The temporary file cannot be created: the old file stays unchanged.
         fs::create_dir(folder.join("operator.xml.new")).unwrap();
         assert!(file.write(&schema, &Data::default()).is_err());
         assert_eq!(file.read(&schema), Ok(Some(data)));
--- a/crates/north/src/keeper.rs
+++ b/crates/north/src/keeper.rs
@@ -1,5 +1,6 @@
-//! The keeper of the datastores and of who speaks from the north. Everything that a front may do is one function
-//! here, under one lock that is given in the order of asking, and held while the decisions answer.
+//! Manages the datastores and the sessions of the management interface. Each operation of a protocol server is one
+//! method of [`DatastoreManager`]. All operations run under one fair lock, which is also held while the planner task
+//! answers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,17 +18,17 @@
 use crate::file::OperatorFile;
 use crate::state::{State, VersionState, VersionsState};
 
-/// A state no older is told again in place of a new one, however many ask.
-const STATE_AGE: Duration = Duration::from_millis(100);
+/// A cached operational state is reused up to this age, so that frequent readers don't load the planner task.
+const STATE_CACHE_TTL: Duration = Duration::from_millis(100);
 
-/// Who asks: a session, and whom it was found to be.
+/// The session that makes a request, and its authenticated user.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Caller {
     pub session: Session,
     pub user: String,
 }
 
-/// How a session ended.
+/// Why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TerminationReason {
     Closed,
@@ -36,10 +37,10 @@
     TimedOut,
 }
 
-/// What subscribers are told.
+/// An event that subscribers are notified of.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// Running changed.
+    /// The running datastore changed.
     ConfigChanged {
         number: u64,
         by: String,
@@ -47,7 +48,7 @@
         unconfirmed: bool,
         edits: Vec<(String, &'static str)>,
     },
-    /// A confirmed commit was confirmed, undone on request, or undone as nobody confirmed it.
+    /// A confirmed commit was confirmed, cancelled, or rolled back after its timeout.
     ConfirmedCommit {
         how: &'static str,
     },
@@ -59,75 +60,90 @@
         caller: Caller,
         how: TerminationReason,
     },
+    /// Every joined proxy has applied a change.
     ChangeApplied {
         number: u64,
         after: Ms,
     },
 }
 
-/// Data that an operation takes: a datastore's, or what came with it.
+/// The configuration data that an operation uses.
 pub enum Source {
+    /// The content of a datastore.
     Store(Store),
+    /// Data sent with the request.
     Inline(Vec<Draft>),
 }
 
-struct Speaker {
+/// An open session.
+struct OpenSession {
     user: String,
     from: String,
+    /// Tells the protocol server to end the session.
     end: Arc<Notify>,
-    killed: Option<Session>,
+    killed_by: Option<Session>,
 }
 
+/// The state under the lock.
 struct Inner {
     stores: Datastores,
     access: Access,
-    speakers: BTreeMap<Session, Speaker>,
-    last: u32,
-    state: Option<(Instant, Arc<State>)>,
+    sessions: BTreeMap<Session, OpenSession>,
+    last_session: u32,
+    /// The last operational state and when it was received.
+    cached_state: Option<(Instant, Arc<State>)>,
 }
 
-/// What all fronts share.
+/// The datastore manager, shared by all protocol servers.
 #[derive(Clone)]
 pub struct DatastoreManager(Arc<Shared>);
 
 struct Shared {
     schema: Arc<Schema>,
     file: Option<OperatorFile>,
-    asks: mpsc::Sender<PlannerRequest>,
+    requests: mpsc::Sender<PlannerRequest>,
     started: Instant,
-    unix: Ms,
+    /// Unix time at `started`.
+    unix_at_start: Ms,
     inner: Mutex<Inner>,
-    /// The access rules in force, for fronts that have to know who may come before there is a session.
+    /// The current access rules, for protocol servers that authenticate users before they open a session.
     access: watch::Sender<Access>,
-    told: broadcast::Sender<Arc<Notification>>,
-    /// The next roll-back may be due at another time.
+    notifications: broadcast::Sender<Arc<Notification>>,
+    /// Signals that the time of the next rollback may have changed.
     rescheduled: Notify,
 }
 
 impl DatastoreManager {
-    /// `unix`: the time now, in Unix milliseconds.
+    /// Creates the datastores with `startup` as running. `unix` is the current time in Unix milliseconds.
     pub fn new(
         schema: Arc<Schema>,
         unix: Ms,
         startup: Data,
         file: Option<OperatorFile>,
-        asks: mpsc::Sender<PlannerRequest>,
+        requests: mpsc::Sender<PlannerRequest>,
     ) -> Result<DatastoreManager, Refused> {
         let stores = Datastores::new(schema.clone(), unix, startup)?;
         let access = Access::read(&schema, stores.get(Store::Running)).unwrap_or_default();
-        let (speakers, state) = (BTreeMap::new(), None);
-        let inner = Mutex::new(Inner { stores, access: access.clone(), speakers, last: 0, state });
-        let (access, told) = (watch::Sender::new(access), broadcast::Sender::new(NOTICE_QUEUE_CAPACITY));
-        let (started, rescheduled) = (Instant::now(), Notify::new());
+        let inner = Mutex::new(Inner {
+            stores,
+            access: access.clone(),
+            sessions: BTreeMap::new(),
+            last_session: 0,
+            cached_state: None,
+        });
+        let access = watch::Sender::new(access);
+        let notifications = broadcast::Sender::new(NOTICE_QUEUE_CAPACITY);
+        let started = Instant::now();
+        let rescheduled = Notify::new();
         Ok(DatastoreManager(Arc::new(Shared {
             schema,
             file,
-            asks,
+            requests,
             started,
-            unix,
+            unix_at_start: unix,
             inner,
             access,
-            told,
+            notifications,
             rescheduled,
         })))
     }
@@ -136,26 +152,27 @@
         &self.0.schema
     }
 
-    /// Unix time in milliseconds, which never runs back.
+    /// Unix time in milliseconds; monotonic, as later clock adjustments are ignored.
     pub fn now(&self) -> Ms {
-        self.0.unix + self.0.started.elapsed().as_secs_f64() * 1000.0
+        self.0.unix_at_start + self.0.started.elapsed().as_secs_f64() * 1000.0
     }
 
+    /// The current access rules, with a signal at each change.
     pub fn access_rules(&self) -> watch::Receiver<Access> {
         self.0.access.subscribe()
     }
 
-    /// What happens from now on. Who reads too slowly loses the oldest and is told how many.
+    /// Subscribes to notifications from now on. A slow reader loses the oldest ones and learns how many.
     pub fn subscribe(&self) -> broadcast::Receiver<Arc<Notification>> {
-        self.0.told.subscribe()
+        self.0.notifications.subscribe()
     }
 
-    fn tell(&self, told: Notification) {
-        // Nobody need listen.
-        _ = self.0.told.send(Arc::new(told));
+    fn notify(&self, notification: Notification) {
+        // Sending fails if there is no subscriber, which is fine.
+        _ = self.0.notifications.send(Arc::new(notification));
     }
 
-    /// Does what is due by time, and passes on what the decisions tell. Ends with them.
+    /// Rolls back timed-out confirmed commits and forwards notices of the planner task. Returns when that task ends.
     pub async fn run(&self, mut notices: mpsc::Receiver<Notice>) {
         loop {
             let due = self.0.inner.lock().await.stores.next_due();
@@ -172,10 +189,10 @@
                 () = self.0.rescheduled.notified() => {}
                 notice = notices.recv() => match notice {
                     Some(Notice::Applied { number, after }) => {
-                        // Guards against telling that a change is held before that there is one: who makes it running
-                        // has this lock until that is told.
-                        let _running = self.0.inner.lock().await;
-                        self.tell(Notification::ChangeApplied { number, after });
+                        // The commit holds this lock until it has notified of the change, so subscribers never learn
+                        // that a change was applied before they learn that it exists.
+                        let _committed = self.0.inner.lock().await;
+                        self.notify(Notification::ChangeApplied { number, after });
                     }
                     None => return,
                 },
@@ -183,138 +200,140 @@
         }
     }
 
-    /// Takes back the confirmed commit that nobody confirmed in time.
+    /// Rolls back the confirmed commit that was not confirmed in time.
     async fn roll_back(&self) {
         let mut inner = self.0.inner.lock().await;
         let Some(proposal) = inner.stores.due(self.now()) else { return };
         let number = proposal.number;
-        match self.settle(&mut inner, None, proposal).await {
+        match self.apply(&mut inner, None, proposal).await {
             Ok(_) => {
-                tracing::warn!(
-                    "a confirmed commit was not confirmed in time and is taken back as version {number}"
-                );
-                self.tell(Notification::ConfirmedCommit { how: "timeout" });
+                tracing::warn!("confirmed commit was not confirmed in time; rolled back as version {number}");
+                self.notify(Notification::ConfirmedCommit { how: "timeout" });
             }
             Err(why) => {
-                tracing::error!("a confirmed commit cannot be taken back yet: {why}");
+                tracing::error!("cannot roll back the confirmed commit yet: {why}");
                 inner.stores.postpone(self.now(), why.to_string());
             }
         }
     }
 
-    /// Has a proposal judged, and makes it running if the decisions took it over.
-    async fn settle(
+    /// Sends a proposal to the planner task, and makes it running if it is accepted.
+    async fn apply(
         &self,
         inner: &mut Inner,
         session: Option<Session>,
         proposal: Proposal,
     ) -> Result<Concluded, Refused> {
-        let (tell, verdict) = oneshot::channel();
-        let (number, by) = (proposal.number, proposal.by.clone());
+        let (reply, verdict) = oneshot::channel();
+        let number = proposal.number;
+        let by = proposal.by.clone();
         let intent = Box::new(proposal.intent.clone());
-        let ask = PlannerRequest::Apply { number, by: by.clone(), intent, verdict: tell };
-        self.judged(ask, verdict).await?;
+        let request = PlannerRequest::Apply { number, by: by.clone(), intent, verdict: reply };
+        self.request_verdict(request, verdict).await?;
         let before = inner.stores.get(Store::Running).clone();
         let concluded = inner.stores.conclude(self.now(), proposal);
-        inner.state = None;
+        inner.cached_state = None;
         let running = inner.stores.get(Store::Running);
-        // Its rules were read when it was checked.
+        // The validation has parsed these rules before, so the default is never used.
         inner.access = Access::read(&self.0.schema, running).unwrap_or_default();
         self.0.access.send_replace(inner.access.clone());
         self.0.rescheduled.notify_one();
         tracing::info!("version {number} of the configuration is running, by {by}");
         let edits = self.edits(&before, running);
         let unconfirmed = concluded.unconfirmed_until.is_some();
-        self.tell(Notification::ConfigChanged { number, by, session, unconfirmed, edits });
+        self.notify(Notification::ConfigChanged { number, by, session, unconfirmed, edits });
         Ok(concluded)
     }
 
+    /// The changed paths, each with its edit operation.
     fn edits(&self, before: &Data, after: &Data) -> Vec<(String, &'static str)> {
-        let found = juniperrail_model::diff(&self.0.schema, before, after);
-        let edit = |d: juniperrail_model::Difference| {
-            let what = match (d.old.is_some(), d.new.is_some()) {
+        let differences = juniperrail_model::diff(&self.0.schema, before, after);
+        let edit = |difference: juniperrail_model::Difference| {
+            let operation = match (difference.old.is_some(), difference.new.is_some()) {
                 (false, _) => "create",
                 (true, false) => "delete",
                 (true, true) => "replace",
             };
-            (d.path.spelled(&self.0.schema), what)
+            (difference.path.spelled(&self.0.schema), operation)
         };
-        found.into_iter().map(edit).collect()
+        differences.into_iter().map(edit).collect()
     }
 
-    async fn judged(&self, ask: PlannerRequest, verdict: oneshot::Receiver<Verdict>) -> Result<(), Refused> {
-        let gone = Refused::Unsupported("the decisions are not there any more");
-        self.0.asks.send(ask).await.map_err(|_| gone.clone())?;
-        verdict.await.map_err(|_| gone)?.map_err(Refused::Judged)
+    /// Sends a request to the planner task and waits for its verdict.
+    async fn request_verdict(
+        &self,
+        request: PlannerRequest,
+        verdict: oneshot::Receiver<Verdict>,
+    ) -> Result<(), Refused> {
+        let unavailable = Refused::Unsupported("the planner is not running");
+        self.0.requests.send(request).await.map_err(|_| unavailable.clone())?;
+        verdict.await.map_err(|_| unavailable)?.map_err(Refused::Judged)
     }
 
-    /// Somebody speaks, as the user that the front found it to be. `None`: that user is not known here.
+    /// Opens a session for an authenticated user. `None` if the user is not configured.
     pub async fn open_session(&self, user: &str, from: &str) -> Option<(Caller, Arc<Notify>)> {
         let mut inner = self.0.inner.lock().await;
         inner.access.role(user)?;
-        inner.last += 1;
-        let (session, end) = (Session(inner.last), Arc::new(Notify::new()));
-        let speaker = Speaker { user: user.into(), from: from.into(), end: end.clone(), killed: None };
-        inner.speakers.insert(session, speaker);
+        inner.last_session += 1;
+        let session = Session(inner.last_session);
+        let end = Arc::new(Notify::new());
+        let open = OpenSession { user: user.into(), from: from.into(), end: end.clone(), killed_by: None };
+        inner.sessions.insert(session, open);
         drop(inner);
         let caller = Caller { session, user: user.into() };
         tracing::info!("session {} of {user} from {from} is open", session.0);
-        self.tell(Notification::SessionStarted { caller: caller.clone(), from: from.into() });
+        self.notify(Notification::SessionStarted { caller: caller.clone(), from: from.into() });
         Some((caller, end))
     }
 
-    /// Its locks go, and its confirmed commit unless that has a name.
+    /// Closes a session: releases its locks, and rolls back its confirmed commit unless that has a persist name.
     pub async fn close_session(&self, caller: &Caller, how: TerminationReason) {
         let mut inner = self.0.inner.lock().await;
-        let Some(speaker) = inner.speakers.remove(&caller.session) else { return };
+        let Some(closed) = inner.sessions.remove(&caller.session) else { return };
         inner.stores.ended(self.now(), caller.session);
         drop(inner);
-        let how = speaker.killed.map_or(how, TerminationReason::Killed);
-        tracing::info!(
-            "session {} of {} from {} is over: {how:?}",
-            caller.session.0,
-            caller.user,
-            speaker.from
-        );
+        let how = closed.killed_by.map_or(how, TerminationReason::Killed);
+        tracing::info!("session {} of {} from {} ended: {how:?}", caller.session.0, caller.user, closed.from);
         self.0.rescheduled.notify_one();
-        self.tell(Notification::SessionEnded { caller: caller.clone(), how });
+        self.notify(Notification::SessionEnded { caller: caller.clone(), how });
     }
 
-    /// Ends another's session; only admins may, or the same user.
+    /// Ends another session. Only an admin may do so, or the user of that session.
     pub async fn kill_session(&self, caller: &Caller, session: Session) -> Result<(), Refused> {
         let mut inner = self.0.inner.lock().await;
         let admin = inner.access.role(&caller.user) == Some(Role::Admin);
-        let Some(speaker) = inner.speakers.get_mut(&session).filter(|_| session != caller.session) else {
-            return Err(Refused::Unsupported("there is no other session of that number"));
+        let Some(other) = inner.sessions.get_mut(&session).filter(|_| session != caller.session) else {
+            return Err(Refused::Unsupported("no other session has this number"));
         };
-        if !admin && speaker.user != caller.user {
+        if !admin && other.user != caller.user {
             return Err(Refused::Denied(format!("session {}", session.0)));
         }
-        speaker.killed = Some(caller.session);
-        speaker.end.notify_one();
+        other.killed_by = Some(caller.session);
+        other.end.notify_one();
         Ok(())
     }
 
-    /// Every session with its user and where it comes from.
+    /// Every session with its user and its origin (transport and peer address).
     pub async fn sessions(&self) -> Vec<(Session, String, String)> {
         let inner = self.0.inner.lock().await;
-        inner.speakers.iter().map(|(id, s)| (*id, s.user.clone(), s.from.clone())).collect()
+        inner.sessions.iter().map(|(id, open)| (*id, open.user.clone(), open.from.clone())).collect()
     }
 
-    /// Who holds which lock.
+    /// The locked datastores with the sessions that hold the locks.
     pub async fn locks(&self) -> Vec<(Store, Session)> {
         let inner = self.0.inner.lock().await;
         let stores = [Store::Running, Store::Candidate, Store::Startup];
         stores.into_iter().filter_map(|store| Some((store, inner.stores.holder(store)?))).collect()
     }
 
-    /// A datastore as the user may read it.
+    /// The part of a datastore that the user may read.
     pub async fn get(&self, caller: &Caller, store: Store) -> Data {
         let inner = self.0.inner.lock().await;
         inner.access.readable(&self.0.schema, &caller.user, inner.stores.get(store))
     }
 
-    /// The state as the user may read it: what the proxies were really told, at most 100 ms ago.
+    /// The part of the operational state that the user may read. It shows what was actually sent to the proxies, and is
+    /// at most [`STATE_CACHE_TTL`] old.
     pub async fn state(&self, caller: &Caller) -> Result<Data, Refused> {
         let state = self.snapshot().await?;
         let inner = self.0.inner.lock().await;
@@ -334,21 +353,24 @@
         Ok(inner.access.readable(&self.0.schema, &caller.user, &data))
     }
 
+    /// The operational state, cached or requested from the planner task.
     async fn snapshot(&self) -> Result<Arc<State>, Refused> {
-        // The lock is held meanwhile, so that however many ask, one is asked for.
+        // The lock is held during the request, so that concurrent readers share one request.
         let mut inner = self.0.inner.lock().await;
-        if let Some((_, state)) = inner.state.as_ref().filter(|(at, _)| at.elapsed() < STATE_AGE) {
+        if let Some((_, state)) = inner.cached_state.as_ref().filter(|(at, _)| at.elapsed() < STATE_CACHE_TTL)
+        {
             return Ok(state.clone());
         }
-        let (tell, told) = oneshot::channel();
-        let gone = Refused::Unsupported("the decisions are not there any more");
-        self.0.asks.send(PlannerRequest::State(tell)).await.map_err(|_| gone.clone())?;
-        let state = told.await.map_err(|_| gone)?;
-        inner.state = Some((Instant::now(), state.clone()));
+        let (reply, state) = oneshot::channel();
+        let unavailable = Refused::Unsupported("the planner is not running");
+        self.0.requests.send(PlannerRequest::State(reply)).await.map_err(|_| unavailable.clone())?;
+        let state = state.await.map_err(|_| unavailable)?;
+        inner.cached_state = Some((Instant::now(), state.clone()));
         Ok(state)
     }
 
-    /// Edits the candidate, or only says whether it could be. What the user may not write is refused whole.
+    /// Edits the candidate, or only tests whether the edit is valid. An edit that touches anything that the user may not
+    /// write is refused as a whole.
     pub async fn edit(
         &self,
         caller: &Caller,
@@ -359,7 +381,7 @@
     ) -> Result<Vec<Fault>, Refused> {
         let mut inner = self.0.inner.lock().await;
         let (data, faults) = inner.stores.edited(caller.session, drafts, default, errors)?;
-        self.allowed(&inner, caller, inner.stores.get(Store::Candidate), &data)?;
+        self.check_write_access(&inner, caller, inner.stores.get(Store::Candidate), &data)?;
         if check != TestOption::Set {
             inner.stores.validate(&data)?;
         }
@@ -369,23 +391,31 @@
         Ok(faults)
     }
 
-    fn allowed(&self, inner: &Inner, caller: &Caller, old: &Data, new: &Data) -> Result<(), Refused> {
+    /// Checks that the user may make every change between `old` and `new`.
+    fn check_write_access(
+        &self,
+        inner: &Inner,
+        caller: &Caller,
+        old: &Data,
+        new: &Data,
+    ) -> Result<(), Refused> {
         match inner.access.refused(&self.0.schema, &caller.user, old, new) {
             Some(path) => Err(Refused::Denied(path.spelled(&self.0.schema))),
             None => Ok(()),
         }
     }
 
-    fn taken(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, Refused> {
+    /// The data of a source, if the user may read all of it.
+    fn source_data(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, Refused> {
         Ok(match source {
-            // Nobody copies what he may not read, and with it writes what he doesn't see.
+            // A user who may read only a part must not copy the rest without seeing it.
             Source::Store(store) => {
                 let data = inner.stores.get(store);
-                let seen = inner.access.readable(&self.0.schema, &caller.user, data);
-                if seen != *data {
-                    return Err(Refused::Denied("what this user may not read of the source".into()));
+                let readable = inner.access.readable(&self.0.schema, &caller.user, data);
+                if readable != *data {
+                    return Err(Refused::Denied("the parts of the source that it may not read".into()));
                 }
-                seen
+                readable
             }
             Source::Inline(drafts) => {
                 let mut data =
@@ -396,15 +426,16 @@
         })
     }
 
-    /// Puts whole data into the candidate or startup; startup goes to the operator's file first.
+    /// Replaces the candidate or startup. Startup is written to the operator's file first.
     pub async fn copy(&self, caller: &Caller, source: Source, target: Store) -> Result<(), Refused> {
         let mut inner = self.0.inner.lock().await;
-        let data = self.taken(&inner, caller, source)?;
+        let data = self.source_data(&inner, caller, source)?;
         self.put(&mut inner, caller, target, data)
     }
 
+    /// Replaces a datastore if the user may make every change.
     fn put(&self, inner: &mut Inner, caller: &Caller, target: Store, data: Data) -> Result<(), Refused> {
-        self.allowed(inner, caller, inner.stores.get(target), &data)?;
+        self.check_write_access(inner, caller, inner.stores.get(target), &data)?;
         if target == Store::Startup {
             inner.stores.validate(&data)?;
             if let Some(holder) =
@@ -416,16 +447,16 @@
                 .0
                 .file
                 .as_ref()
-                .ok_or(Refused::Unsupported("there is no operator's file to hold startup"))?;
+                .ok_or(Refused::Unsupported("there is no operator's file to store startup in"))?;
             file.write(&self.0.schema, &data).map_err(|why| {
                 tracing::error!("{} cannot be written: {why}", file.path().display());
-                Refused::Unsupported("the operator's file cannot be written; the log says why")
+                Refused::Unsupported("the operator's file cannot be written; see the log for the cause")
             })?;
         }
         inner.stores.put(caller.session, target, data)
     }
 
-    /// Empties startup.
+    /// Empties startup; other datastores can't be deleted.
     pub async fn delete(&self, caller: &Caller, target: Store) -> Result<(), Refused> {
         if target != Store::Startup {
             return Err(Refused::Unsupported("only startup can be deleted"));
@@ -434,79 +465,83 @@
         self.put(&mut inner, caller, target, Data::default())
     }
 
-    /// Guards against somebody who may change nothing and keeps others from it all the same.
-    fn writer(inner: &Inner, caller: &Caller, what: &str) -> Result<(), Refused> {
+    /// Checks that the user may write anything at all. Otherwise a reader could block writers, for example with a lock.
+    fn check_writer(inner: &Inner, caller: &Caller, what: &str) -> Result<(), Refused> {
         match inner.access.role(&caller.user) {
             Some(Role::Operator | Role::Admin) => Ok(()),
             Some(Role::Reader) | None => Err(Refused::Denied(what.into())),
         }
     }
 
+    /// Locks a datastore for the session.
     pub async fn lock(&self, caller: &Caller, store: Store) -> Result<(), Refused> {
         let mut inner = self.0.inner.lock().await;
-        DatastoreManager::writer(&inner, caller, "a lock")?;
+        DatastoreManager::check_writer(&inner, caller, "a lock")?;
         inner.stores.lock(store, caller.session)
     }
 
+    /// Releases a lock of the session.
     pub async fn unlock(&self, caller: &Caller, store: Store) -> Result<(), Refused> {
         self.0.inner.lock().await.stores.unlock(store, caller.session)
     }
 
+    /// Resets the candidate to running.
     pub async fn discard(&self, caller: &Caller) -> Result<(), Refused> {
         let mut inner = self.0.inner.lock().await;
-        DatastoreManager::writer(&inner, caller, "the candidate")?;
+        DatastoreManager::check_writer(&inner, caller, "the candidate")?;
         inner.stores.discard(caller.session)
     }
 
-    /// Whether it fits the model and the world would bear it now.
+    /// Checks that the data is valid and that the planner would accept it now.
     pub async fn validate(&self, caller: &Caller, source: Source) -> Result<(), Refused> {
         let inner = self.0.inner.lock().await;
-        let data = self.taken(&inner, caller, source)?;
+        let data = self.source_data(&inner, caller, source)?;
         inner.stores.validate(&data)?;
-        let (tell, verdict) = oneshot::channel();
+        let (reply, verdict) = oneshot::channel();
         let intent = Box::new(juniperrail_intent::Intent::read(&self.0.schema, &data));
-        self.judged(PlannerRequest::Validate { intent, verdict: tell }, verdict).await
+        self.request_verdict(PlannerRequest::Validate { intent, verdict: reply }, verdict).await
     }
 
-    /// Makes the candidate running, whole, or says why not.
+    /// Makes the candidate running as a whole, or returns why it is refused.
     pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<Concluded, Refused> {
         let mut inner = self.0.inner.lock().await;
-        let (confirmed, waited) = (commit.confirmed, inner.stores.waits().is_some());
-        DatastoreManager::writer(&inner, caller, "running")?;
+        let confirmed = commit.confirmed;
+        let was_pending = inner.stores.waits().is_some();
+        DatastoreManager::check_writer(&inner, caller, "running")?;
         let proposal = inner.stores.propose(caller.session, &caller.user, commit)?;
-        // Edits of others may stand in the candidate: who commits answers for all of it.
-        self.allowed(&inner, caller, inner.stores.get(Store::Running), &proposal.data)?;
-        let concluded = self.settle(&mut inner, Some(caller.session), proposal).await?;
-        if waited && !confirmed {
-            self.tell(Notification::ConfirmedCommit { how: "complete" });
+        // The candidate may contain edits of other users; the committing user needs write access to all of them.
+        self.check_write_access(&inner, caller, inner.stores.get(Store::Running), &proposal.data)?;
+        let concluded = self.apply(&mut inner, Some(caller.session), proposal).await?;
+        if was_pending && !confirmed {
+            self.notify(Notification::ConfirmedCommit { how: "complete" });
         }
         Ok(concluded)
     }
 
-    /// Takes back a confirmed commit that waits.
+    /// Cancels a pending confirmed commit and restores the configuration before it.
     pub async fn cancel_commit(&self, caller: &Caller, persist_id: Option<&str>) -> Result<(), Refused> {
         let mut inner = self.0.inner.lock().await;
-        DatastoreManager::writer(&inner, caller, "running")?;
+        DatastoreManager::check_writer(&inner, caller, "running")?;
         let proposal = inner.stores.cancel(caller.session, persist_id)?;
-        self.settle(&mut inner, Some(caller.session), proposal).await?;
-        self.tell(Notification::ConfirmedCommit { how: "cancel" });
+        self.apply(&mut inner, Some(caller.session), proposal).await?;
+        self.notify(Notification::ConfirmedCommit { how: "cancel" });
         Ok(())
     }
 
-    /// Puts an older version of running into the candidate.
+    /// Copies an older version of running into the candidate.
     pub async fn restore_version(&self, caller: &Caller, number: u64) -> Result<(), Refused> {
         let mut inner = self.0.inner.lock().await;
         let data = inner.stores.at_version(number)?.clone();
         self.put(&mut inner, caller, Store::Candidate, data)
     }
 
-    /// Whether the user may do something with all there is, as getting schemas or being told notifications.
+    /// Whether the user may read a path, for requests outside the datastores such as schemas and notifications.
     pub async fn may_read(&self, caller: &Caller, path: &juniperrail_model::Path) -> bool {
         self.0.inner.lock().await.access.may(&caller.user, Doing::Read, path)
     }
 }
 
-/// What an edit checks, RFC 6241's `test-option`.
+/// The `test-option` of an edit (RFC 6241).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TestOption {
     TestThenSet,
--- a/crates/north/src/lib.rs
+++ b/crates/north/src/lib.rs
@@ -1,6 +1,7 @@
-//! The one way from the north into a manager, whatever protocol speaks there. A [`Keeper`] owns the datastores;
-//! what changes running is asked of the task that owns the decisions ([`Ask`]), over one bounded queue, and that
-//! task never waits for anybody here. Fronts hold a [`Keeper`] and decide nothing.
+//! The northbound management interface of a manager, independent of the protocol server in front of it. A
+//! [`DatastoreManager`] owns the datastores and the sessions. Changes to running are sent to the planner task as a
+//! [`PlannerRequest`] over one bounded queue; the planner task never waits for this crate. Protocol servers call the
+//! [`DatastoreManager`] and make no decisions of their own.
 
 mod ask;
 mod file;
