--- a/crates/north/src/state.rs
+++ b/crates/north/src/state.rs
@@ -1,9 +1,10 @@
-//! The state that can be read: typed as the task that owns the decisions knows it, and as data of the model.
+//! The operational state: as typed values from the planner task, and as data of the YANG module `juniperrail-state`.
 
 use juniperrail_intent::{Composed, Source, Stage};
 use juniperrail_interface::{Ms, Phase, Retry};
 use juniperrail_model::{Content, Data, NodeId, Schema, Value};
 
+/// A worker.
 #[derive(Clone, Debug)]
 pub struct WorkerState {
     pub name: String,
@@ -13,43 +14,54 @@
     pub warm: bool,
 }
 
-/// A table as last written to the proxies bound to it.
+/// A table as last sent to the proxies that are bound to it.
 #[derive(Clone, Debug)]
 pub struct TableState {
     pub number: u16,
+    /// Workers with their weights.
     pub lines: Vec<(String, f64)>,
 }
 
+/// What a proxy was sent about one operation.
 #[derive(Clone, Debug)]
 pub struct OperationState {
     pub name: String,
     pub table: Option<u16>,
+    /// The admission level and the retry policy.
     pub level: Option<(f64, Retry)>,
 }
 
+/// A joined proxy and what it was sent.
 #[derive(Clone, Debug)]
 pub struct ProxyState {
     pub number: u16,
     pub zone: String,
     pub mark_sent: Option<u16>,
     pub mark_acknowledged: Option<u16>,
+    /// The number of marks that the proxy has not acknowledged.
     pub unacknowledged: usize,
+    /// The age of the oldest of them.
     pub unacknowledged_for: Option<Ms>,
+    /// Messages sent within the window that their number is limited in.
     pub recent_messages: usize,
     pub excluded_workers: Vec<String>,
     pub operations: Vec<OperationState>,
 }
 
+/// The distribution of an accepted change.
 #[derive(Clone, Debug)]
 pub struct ChangeState {
     pub number: u64,
     pub by: String,
     pub age: Ms,
     pub stage: Stage,
+    /// The number of proxies that have applied it.
     pub applied_by: usize,
+    /// The number of joined proxies.
     pub joined: usize,
 }
 
+/// The operational state of a manager.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     pub manager: String,
@@ -57,14 +69,15 @@
     pub workers: Vec<WorkerState>,
     pub tables: Vec<TableState>,
     pub proxies: Vec<ProxyState>,
+    /// Lines that wait in the channel to the proxies, and their limit.
     pub pending_lines: f64,
     pub max_pending_lines: f64,
     pub changes: Vec<ChangeState>,
-    /// What is decided in common, where that is on.
+    /// The consensus with other managers, if it is configured.
     pub fleet: Option<FleetState>,
 }
 
-/// What this manager decides in common with others, as words of the module `juniperrail-state`.
+/// The consensus between managers. Texts are the enumeration values of the module `juniperrail-state`.
 #[derive(Clone, Debug, Default)]
 pub struct FleetState {
     pub member: u16,
@@ -77,27 +90,34 @@
     pub store_size: u64,
     pub messages_lost: u64,
     pub own_health: u32,
-    /// Each other manager's number, health and reach.
+    /// Each other manager's number, health and reachability.
     pub members: Vec<(u16, &'static str, &'static str)>,
     pub schedules: Vec<ScheduleState>,
-    /// The plan in common, whether its lease is over, and each zone's part with the reason.
+    /// The version of the agreed plan.
     pub plan: u64,
+    /// Whether the lease of the plan has expired.
     pub plan_lapsed: bool,
+    /// Each zone's share in the plan, with the reason.
     pub zones: Vec<(String, f64, &'static str)>,
 }
 
+/// A schedule.
 #[derive(Clone, Debug, Default)]
 pub struct ScheduleState {
     pub name: String,
+    /// The time through which occurrences have been handled.
     pub through: i64,
+    /// Occurrences in progress.
     pub open: usize,
+    /// Occurrences that finished.
     pub ended: u64,
+    /// Occurrences that were skipped.
     pub passed: u64,
-    /// When the last that ended was due, how it ended and whose it was.
+    /// The last finished occurrence: its due time, its result and its owner.
     pub last: Option<(i64, &'static str, u16)>,
 }
 
-/// A version of running that can be gone back to.
+/// A version of running that can be restored.
 #[derive(Clone, Debug)]
 pub struct VersionState {
     pub number: u64,
@@ -105,14 +125,17 @@
     pub age: Ms,
 }
 
+/// The versions of running, and the pending confirmed commit.
 #[derive(Clone, Debug, Default)]
 pub struct VersionsState {
+    /// The time left to confirm it.
     pub unconfirmed_for: Option<Ms>,
+    /// Why its rollback is delayed.
     pub overdue: Option<String>,
     pub versions: Vec<VersionState>,
 }
 
-/// Sets leaves by name at one place of the tree.
+/// Writes child nodes by name below one node of the data tree.
 struct Writer<'a> {
     schema: &'a Schema,
     at: NodeId,
@@ -122,8 +145,8 @@
 impl Writer<'_> {
     fn id(&self, name: &str) -> NodeId {
         let id = self.schema.child(Some(self.at), name, None);
-        // A test writes every name that the program writes.
-        id.unwrap_or_else(|| panic!("the modules have no {name} here"))
+        // Can't panic outside of development: a test writes every name that is used.
+        id.unwrap_or_else(|| panic!("no node {name} in the module"))
     }
 
     fn set(&mut self, name: &str, value: Value) -> &mut Self {
@@ -136,13 +159,14 @@
         self.set(name, Value::text(text))
     }
 
-    fn whole(&mut self, name: &str, number: impl TryInto<i128>) -> &mut Self {
+    fn integer(&mut self, name: &str, number: impl TryInto<i128>) -> &mut Self {
         let number = number.try_into().unwrap_or(0);
         self.set(name, Value::Integer(number))
     }
 
-    fn figure(&mut self, name: &str, figure: f64, digits: u8) -> &mut Self {
-        match Value::decimal(figure, digits) {
+    /// Writes a decimal; omits the leaf if the number has no decimal form.
+    fn decimal(&mut self, name: &str, number: f64, digits: u8) -> &mut Self {
+        match Value::decimal(number, digits) {
             Some(value) => self.set(name, value),
             None => self,
         }
@@ -159,7 +183,7 @@
     }
 }
 
-fn phase(phase: Phase) -> &'static str {
+fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::Ready => "ready",
         Phase::Draining => "draining",
@@ -167,7 +191,7 @@
     }
 }
 
-fn retry(retry: Retry) -> &'static str {
+fn retry_name(retry: Retry) -> &'static str {
     match retry {
         Retry::Never => "never",
         Retry::IfNotExecuted => "if-unrun",
@@ -176,22 +200,22 @@
     }
 }
 
-/// A span as the model bounds it: an hour at most.
-const LONGEST: Ms = 3_600_000.0;
+/// The longest duration that the module allows: one hour.
+const MAX_DURATION: Ms = 3_600_000.0;
 
 impl State {
-    /// As data of the module `juniperrail-state`.
+    /// The state as data of the module `juniperrail-state`.
     pub fn data(&self, schema: &Schema, versions: &VersionsState) -> Data {
         let mut data = Data::default();
-        let at = schema.find(&["state"]).expect("the modules have a state");
+        let at = schema.find(&["state"]).expect("the module has a state container");
         let mut top = Writer { schema, at, data: data.inner(at) };
-        top.text("manager", &self.manager).whole("list-version", self.list_version);
+        top.text("manager", &self.manager).integer("list-version", self.list_version);
         top.inner("workers", |all| self.workers.iter().for_each(|worker| worker.write(all)));
         top.inner("tables", |all| self.tables.iter().for_each(|table| table.write(all)));
         top.inner("proxies", |all| self.proxies.iter().for_each(|proxy| proxy.write(all)));
         top.inner("channel", |channel| {
-            channel.figure("lines-waiting", self.pending_lines, 3);
-            channel.figure("lines-waiting-most", self.max_pending_lines, 3);
+            channel.decimal("lines-waiting", self.pending_lines, 3);
+            channel.decimal("lines-waiting-most", self.max_pending_lines, 3);
         });
         top.inner("versions", |all| versions.write(all));
         top.inner("changes", |all| self.changes.iter().for_each(|change| change.write(all)));
@@ -207,14 +231,14 @@
     fn write(&self, all: &mut Writer<'_>) {
         let Composed { listed, phase_from, weight_from, place_from, discovery, .. } = &self.composed;
         all.entry("worker", &[Value::text(&*self.name)], |worker| {
-            worker.text("phase", phase(listed.phase)).text("phase-from", phase_from.name());
+            worker.text("phase", phase_name(listed.phase)).text("phase-from", phase_from.name());
             if let Some(from) = weight_from {
-                worker.figure("weight", listed.weight, 4).text("weight-from", from.name());
+                worker.decimal("weight", listed.weight, 4).text("weight-from", from.name());
             }
             worker.text("zone", &self.zone).text("machine", &self.machine);
             worker.text("place-from", Source::name(*place_from)).set("warm", Value::Boolean(self.warm));
-            if let Some(word) = discovery {
-                worker.text("discovery-phase", phase(*word));
+            if let Some(reported) = discovery {
+                worker.text("discovery-phase", phase_name(*reported));
             }
         });
     }
@@ -224,7 +248,7 @@
     fn write(&self, all: &mut Writer<'_>) {
         all.entry("table", &[Value::Integer(self.number.into())], |table| {
             for (worker, weight) in &self.lines {
-                table.entry("line", &[Value::text(&**worker)], |line| _ = line.figure("weight", *weight, 6));
+                table.entry("line", &[Value::text(&**worker)], |line| _ = line.decimal("weight", *weight, 6));
             }
         });
     }
@@ -233,28 +257,28 @@
 impl ProxyState {
     fn write(&self, all: &mut Writer<'_>) {
         all.entry("proxy", &[Value::Integer(self.number.into())], |proxy| {
-            proxy.text("zone", &self.zone).whole("answers-owed", self.unacknowledged as u64);
-            proxy.whole("messages-lately", self.recent_messages as u64);
+            proxy.text("zone", &self.zone).integer("answers-owed", self.unacknowledged as u64);
+            proxy.integer("messages-lately", self.recent_messages as u64);
             if let Some(mark) = self.mark_sent {
-                proxy.whole("mark-sent", mark);
+                proxy.integer("mark-sent", mark);
             }
             if let Some(mark) = self.mark_acknowledged {
-                proxy.whole("mark-answered", mark);
+                proxy.integer("mark-answered", mark);
             }
             if let Some(owed_for) = self.unacknowledged_for {
-                proxy.figure("owed-since", owed_for.clamp(0.0, LONGEST), 3);
+                proxy.decimal("owed-since", owed_for.clamp(0.0, MAX_DURATION), 3);
             }
             let shut_out = proxy.id("shut-out");
             for worker in &self.excluded_workers {
                 proxy.data.leaves(shut_out).insert(Value::text(&**worker));
             }
-            for told in &self.operations {
-                proxy.entry("operation", &[Value::text(&*told.name)], |operation| {
-                    if let Some(table) = told.table {
-                        operation.whole("table", table);
+            for state in &self.operations {
+                proxy.entry("operation", &[Value::text(&*state.name)], |operation| {
+                    if let Some(table) = state.table {
+                        operation.integer("table", table);
                     }
-                    if let Some((level, again)) = told.level {
-                        operation.figure("level", level, 6).text("retry", retry(again));
+                    if let Some((level, retry)) = state.level {
+                        operation.decimal("level", level, 6).text("retry", retry_name(retry));
                     }
                 });
             }
@@ -264,28 +288,28 @@
 
 impl FleetState {
     fn write(&self, all: &mut Writer<'_>) {
-        all.whole("member", self.member).text("role", self.role).whole("term", self.term);
-        self.leader.iter().for_each(|leader| _ = all.whole("leader", *leader));
-        all.text("standing", self.standing).whole("committed", self.committed);
-        all.set("store-failing", Value::Boolean(self.store_failing)).whole("store-size", self.store_size);
-        all.whole("messages-lost", self.messages_lost).whole("own-health", self.own_health);
+        all.integer("member", self.member).text("role", self.role).integer("term", self.term);
+        self.leader.iter().for_each(|leader| _ = all.integer("leader", *leader));
+        all.text("standing", self.standing).integer("committed", self.committed);
+        all.set("store-failing", Value::Boolean(self.store_failing)).integer("store-size", self.store_size);
+        all.integer("messages-lost", self.messages_lost).integer("own-health", self.own_health);
         for (number, health, reach) in &self.members {
             all.entry("member-of", &[Value::Integer((*number).into())], |member| {
                 member.text("health", health).text("reach", reach);
             });
         }
-        all.whole("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lapsed));
+        all.integer("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lapsed));
         for (name, part, why) in &self.zones {
             all.entry("zone", &[Value::text(&**name)], |zone| {
-                zone.figure("part", *part, 4).text("why", why);
+                zone.decimal("part", *part, 4).text("why", why);
             });
         }
-        for told in &self.schedules {
-            all.entry("schedule", &[Value::text(&*told.name)], |schedule| {
-                schedule.whole("through", told.through).whole("open", told.open as u64);
-                schedule.whole("ended", told.ended).whole("passed", told.passed);
-                if let Some((due, end, owner)) = told.last {
-                    schedule.whole("last-due", due).text("last-end", end).whole("last-owner", owner);
+        for state in &self.schedules {
+            all.entry("schedule", &[Value::text(&*state.name)], |schedule| {
+                schedule.integer("through", state.through).integer("open", state.open as u64);
+                schedule.integer("ended", state.ended).integer("passed", state.passed);
+                if let Some((due, end, owner)) = state.last {
+                    schedule.integer("last-due", due).text("last-end", end).integer("last-owner", owner);
                 }
             });
         }
@@ -294,11 +318,11 @@
 
 impl VersionsState {
     fn write(&self, all: &mut Writer<'_>) {
-        self.unconfirmed_for.iter().for_each(|left| _ = all.figure("unconfirmed-for", *left, 3));
+        self.unconfirmed_for.iter().for_each(|left| _ = all.decimal("unconfirmed-for", *left, 3));
         self.overdue.iter().for_each(|why| _ = all.text("overdue", why));
         for version in &self.versions {
             all.entry("version", &[Value::Integer(version.number.into())], |entry| {
-                entry.text("by", &version.by).figure("age", version.age, 3);
+                entry.text("by", &version.by).decimal("age", version.age, 3);
             });
         }
     }
@@ -307,12 +331,12 @@
 impl ChangeState {
     fn write(&self, all: &mut Writer<'_>) {
         all.entry("change", &[Value::Integer(self.number.into())], |change| {
-            change.text("by", &self.by).figure("age", self.age, 3);
-            change.whole("held-by", self.applied_by as u64).whole("joined", self.joined as u64);
+            change.text("by", &self.by).decimal("age", self.age, 3);
+            change.integer("held-by", self.applied_by as u64).integer("joined", self.joined as u64);
             match self.stage {
                 Stage::GoingOut => change.text("progress", "going-out"),
                 Stage::Superseded => change.text("progress", "superseded"),
-                Stage::Held { after } => change.text("progress", "held").figure("held-after", after, 3),
+                Stage::Held { after } => change.text("progress", "held").decimal("held-after", after, 3),
             };
         });
     }
@@ -324,27 +348,27 @@
     use juniperrail_interface::{CellId, MachineId, WorkerEntry, WorkerId, ZoneId};
     use juniperrail_model::{json, Kind};
 
-    /// Each leaf fits the type that the module gives it.
-    fn check(schema: &Schema, data: &Data) {
+    /// Checks that each leaf has a valid value of its type in the module.
+    fn check_types(schema: &Schema, data: &Data) {
         for (id, content) in data.iter() {
             let fits = |value: &Value| match &schema.node(id).kind {
                 Kind::Leaf { ty, .. } | Kind::LeafList { ty } => {
                     let read = ty.read(&value.to_string());
                     assert_eq!(read.as_ref(), Ok(value), "{}", schema.node(id).name);
                 }
-                _ => panic!("{} is no leaf", schema.node(id).name),
+                _ => panic!("{} is not a leaf", schema.node(id).name),
             };
             match content {
                 Content::Leaf(value) => fits(value),
                 Content::Leaves(values) => values.iter().for_each(fits),
-                Content::Inner(data) => check(schema, data),
-                Content::List(entries) => entries.values().for_each(|entry| check(schema, entry)),
+                Content::Inner(data) => check_types(schema, data),
+                Content::List(entries) => entries.values().for_each(|entry| check_types(schema, entry)),
             }
         }
     }
 
     #[test]
-    fn the_state_fits_the_module_leaf_by_leaf() {
+    fn every_leaf_of_the_state_has_a_valid_value() {
         let (zone, machine, cell) = (ZoneId(0), MachineId(0), CellId(0));
         let listed = WorkerEntry {
             worker: WorkerId(0),
@@ -432,7 +456,7 @@
             versions: vec![VersionState { number: 2, by: "ann".into(), age: 3.0 }],
         };
         let data = state.data(&schema, &versions);
-        check(&schema, &data);
+        check_types(&schema, &data);
         let json = json::write(&schema, &data);
         let state = &json["juniperrail-state:state"];
         assert_eq!(state["list-version"], u64::MAX.to_string());
@@ -440,6 +464,9 @@
         assert_eq!(state["workers"]["worker"][0]["phase-from"], "operator");
         assert_eq!(state["changes"]["change"][2]["held-after"], "12.5");
         assert_eq!(state["fleet"]["schedule"][0]["last-end"], "given-up");
-        assert!(state["channel"].get("lines-waiting").is_none(), "what is no figure is not told");
+        assert!(
+            state["channel"].get("lines-waiting").is_none(),
+            "a number without a decimal form is omitted"
+        );
     }
 }
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger of authorised repeats, and the gate before it. That a side-effecting operation may be tried again is told
-//! to a proxy only once the ledger holds it durably: after a crash at any step the ledger knows of every repeat that was
-//! ever let out, and of none that nobody asked for.
+//! The ledger of authorised retries of side-effecting operations, and the authoriser that writes to it. A proxy is
+//! allowed to retry such an operation only once the ledger holds the authorisation durably. After a crash at any step
+//! the ledger therefore contains every authorisation that was ever sent, and none that was never requested.
 //!
-//! The ledger is only added to. It is compacted by one rule: what ended longer ago than anybody could still come back
-//! with an invocation of that time is dropped, whole.
+//! The ledger is append-only. Compaction has one rule: an authorisation is removed once it ended so long ago that no
+//! proxy can still report an invocation of that time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,213 +11,224 @@
 use juniperrail_interface::{Ms, ProxyId, TableId};
 use serde::{Deserialize, Serialize};
 
-/// What may be repeated: an operation, by its name as ids change with the settings, at a proxy by a table.
+/// Identifies what may be retried: an operation at a proxy through a table. The operation is stored by name, as ids
+/// change with the settings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Right {
+pub struct RetryKey {
     pub operation: String,
     pub table: u16,
     pub proxy: u16,
 }
 
-impl Right {
-    pub fn new(operation: &str, table: TableId, proxy: ProxyId) -> Right {
-        Right { operation: operation.into(), table: table.0, proxy: proxy.0 }
+impl RetryKey {
+    pub fn new(operation: &str, table: TableId, proxy: ProxyId) -> RetryKey {
+        RetryKey { operation: operation.into(), table: table.0, proxy: proxy.0 }
     }
 }
 
-/// A point in a manager's life: which of its runs, and the mark that goes with the message.
+/// A position in a manager's message stream: the run of the manager, and the mark sent with the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Moment {
+pub struct MarkPosition {
     pub run: u64,
     pub mark: u64,
 }
 
-/// One repeat that was authorised. Without an end it may still be made.
+/// An authorisation to retry. It is still in force if it has no end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Authorised {
-    pub from: Moment,
+pub struct Authorisation {
+    pub from: MarkPosition,
     pub since: Ms,
-    /// The mark whose answer showed that the proxy repeats no more, and when that came.
-    pub to: Option<(Moment, Ms)>,
+    /// The mark whose acknowledgement showed that the proxy no longer retries, and when it arrived.
+    pub to: Option<(MarkPosition, Ms)>,
 }
 
-/// What the ledger is written as.
+/// A record of the ledger as stored on disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A repeat is authorised from that mark on.
-    Opened { right: Right, from: Moment, since: Ms },
-    /// The proxy answered that it repeats no more, or its stream is over and its table was laid anew without it.
-    Closed { right: Right, to: Moment, at: Ms },
-    /// One entry as it stands, in a snapshot.
-    Kept { right: Right, authorised: Authorised },
+    /// Retries are authorised from this mark on.
+    Authorised { key: RetryKey, from: MarkPosition, since: Ms },
+    /// The proxy acknowledged that it no longer retries, or its stream ended and its table was rebuilt without retries.
+    Revoked { key: RetryKey, to: MarkPosition, at: Ms },
+    /// One entry of a snapshot.
+    Snapshot { key: RetryKey, authorisation: Authorisation },
 }
 
-/// Bytes that are no record of ours.
+/// Bytes that are not a valid record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unread(String);
+pub struct DecodeError(String);
 
-impl fmt::Display for Unread {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a record of the ledger cannot be read: {}", self.0)
+        write!(f, "invalid ledger record: {}", self.0)
     }
 }
 
 impl Record {
-    pub fn write(&self) -> Vec<u8> {
-        // It can't fail: nothing in a record is without a form, and the bytes are as many as it takes.
+    /// The record as postcard bytes.
+    pub fn encode(&self) -> Vec<u8> {
+        // Can't fail: every type in a record is serializable, and the buffer grows as needed.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Result<Record, Unread> {
+    /// Decodes a record that takes up all the bytes.
+    pub fn decode(bytes: &[u8]) -> Result<Record, DecodeError> {
         match postcard::take_from_bytes(bytes) {
             Ok((record, [])) => Ok(record),
-            Ok((_, rest)) => Err(Unread(format!("{} bytes too many", rest.len()))),
-            Err(why) => Err(Unread(why.to_string())),
+            Ok((_, rest)) => Err(DecodeError(format!("{} trailing bytes", rest.len()))),
+            Err(why) => Err(DecodeError(why.to_string())),
         }
     }
 }
 
-/// Every repeat that was authorised, by right, oldest first.
+/// Every authorisation by key, oldest first.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ledger {
-    rights: BTreeMap<Right, Vec<Authorised>>,
+    authorisations: BTreeMap<RetryKey, Vec<Authorisation>>,
 }
 
 impl Ledger {
+    /// Applies a durable record.
     pub fn apply(&mut self, record: Record) {
         match record {
-            Record::Opened { right, from, since } => {
-                let all = self.rights.entry(right).or_default();
-                // Written again after a failure of the disk it is the same one.
+            Record::Authorised { key, from, since } => {
+                let all = self.authorisations.entry(key).or_default();
+                // A record that was rewritten after a disk failure is the same authorisation.
                 if all.last().is_none_or(|last| last.to.is_some()) {
-                    all.push(Authorised { from, since, to: None });
+                    all.push(Authorisation { from, since, to: None });
                 }
             }
-            Record::Closed { right, to, at } => {
-                let last = self.rights.get_mut(&right).and_then(|all| all.last_mut());
+            Record::Revoked { key, to, at } => {
+                let last = self.authorisations.get_mut(&key).and_then(|all| all.last_mut());
                 last.into_iter().for_each(|last| last.to = last.to.or(Some((to, at))));
             }
-            Record::Kept { right, authorised } => self.rights.entry(right).or_default().push(authorised),
+            Record::Snapshot { key, authorisation } => {
+                self.authorisations.entry(key).or_default().push(authorisation)
+            }
         }
     }
 
-    /// Whether the right is authorised and was not ended.
-    pub fn is_open(&self, right: &Right) -> bool {
-        self.rights.get(right).and_then(|all| all.last()).is_some_and(|last| last.to.is_none())
+    /// Whether an authorisation of the key is in force.
+    pub fn is_authorised(&self, key: &RetryKey) -> bool {
+        self.authorisations.get(key).and_then(|all| all.last()).is_some_and(|last| last.to.is_none())
     }
 
-    /// Whether a repeat at that moment was authorised.
-    pub fn covers(&self, right: &Right, moment: Moment) -> bool {
-        let fits = |of: &Authorised| of.from <= moment && of.to.is_none_or(|(to, _)| moment <= to);
-        self.rights.get(right).is_some_and(|all| all.iter().any(fits))
+    /// Whether a retry at that position was authorised.
+    pub fn was_authorised_at(&self, key: &RetryKey, position: MarkPosition) -> bool {
+        let covers =
+            |entry: &Authorisation| entry.from <= position && entry.to.is_none_or(|(to, _)| position <= to);
+        self.authorisations.get(key).is_some_and(|all| all.iter().any(covers))
     }
 
-    pub fn entries(&self) -> impl Iterator<Item = (&Right, &Authorised)> {
-        self.rights.iter().flat_map(|(right, all)| all.iter().map(move |authorised| (right, authorised)))
+    /// Every authorisation with its key.
+    pub fn entries(&self) -> impl Iterator<Item = (&RetryKey, &Authorisation)> {
+        self.authorisations
+            .iter()
+            .flat_map(|(key, all)| all.iter().map(move |authorisation| (key, authorisation)))
     }
 
-    /// Drops what ended before that time. What is still open stays, however old.
-    pub fn forget(&mut self, ended_before: Ms) {
-        let stays = |of: &Authorised| of.to.is_none_or(|(_, at)| at >= ended_before);
-        self.rights.values_mut().for_each(|all| all.retain(stays));
-        self.rights.retain(|_, all| !all.is_empty());
+    /// Removes authorisations that ended before that time. Those still in force stay, however old they are.
+    pub fn remove_ended_before(&mut self, time: Ms) {
+        let is_retained = |entry: &Authorisation| entry.to.is_none_or(|(_, at)| at >= time);
+        self.authorisations.values_mut().for_each(|all| all.retain(is_retained));
+        self.authorisations.retain(|_, all| !all.is_empty());
     }
 
     /// The ledger as records for a snapshot.
-    pub fn records(&self) -> Vec<Record> {
-        let kept = |(right, authorised): (&Right, &Authorised)| Record::Kept {
-            right: right.clone(),
-            authorised: authorised.clone(),
+    pub fn to_records(&self) -> Vec<Record> {
+        let to_record = |(key, authorisation): (&RetryKey, &Authorisation)| Record::Snapshot {
+            key: key.clone(),
+            authorisation: authorisation.clone(),
         };
-        self.entries().map(kept).collect()
+        self.entries().map(to_record).collect()
     }
 }
 
-/// What to do about an order that lets an operation repeat.
+/// How to handle an order that allows an operation to be retried.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
-    /// It may go out: the ledger holds it durably.
+pub enum Decision {
+    /// The order may be sent: the ledger holds the authorisation durably.
     Granted,
-    /// Write this record first; until it is durable the order goes out without the repeat.
+    /// Write this record first; until it is durable, the order is sent without the retry.
     Write(Record),
-    /// Its record is on the way to the disk.
-    Wait,
-    /// The disk takes nothing now: no new repeat is authorised, all else goes on.
-    Withheld,
+    /// The record is being written.
+    Pending,
+    /// The disk fails: no new retry is authorised, everything else continues.
+    Unavailable,
 }
 
-/// The way to a repeat. `T` tells records apart in the order in which they become durable.
+/// Authorises retries once their records are durable. `T` is the ticket of a record; tickets are ordered as records
+/// become durable.
 #[derive(Clone, Debug)]
-pub struct Gate<T> {
-    /// What is durable, as far as was told.
+pub struct RetryAuthoriser<T> {
+    /// The durable records, as far as [`RetryAuthoriser::records_durable`] reported them.
     ledger: Ledger,
-    /// Records handed over and not yet durable, in their order.
-    written: Vec<(T, Record)>,
-    /// Asked for, and not yet handed over.
-    asked: BTreeMap<Right, Record>,
-    failing: bool,
+    /// Submitted records that are not durable yet, in order.
+    submitted: Vec<(T, Record)>,
+    /// Requested records that are not submitted yet.
+    requested: BTreeMap<RetryKey, Record>,
+    disk_failing: bool,
 }
 
-impl<T: Copy + Ord> Gate<T> {
-    /// From what was recovered.
-    pub fn new(ledger: Ledger) -> Gate<T> {
-        Gate { ledger, written: Vec::new(), asked: BTreeMap::new(), failing: false }
+impl<T: Copy + Ord> RetryAuthoriser<T> {
+    /// Starts with the ledger recovered from disk.
+    pub fn new(ledger: Ledger) -> RetryAuthoriser<T> {
+        RetryAuthoriser { ledger, submitted: Vec::new(), requested: BTreeMap::new(), disk_failing: false }
     }
 
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// An order would let this be repeated from that moment on.
-    pub fn ask(&mut self, now: Ms, right: &Right, from: Moment) -> Word {
-        let under_way = self.written.iter().rev().find_map(|(_, record)| match record {
-            Record::Opened { right: of, .. } if of == right => Some(true),
-            Record::Closed { right: of, .. } if of == right => Some(false),
+    /// Decides on an order that would allow retries from that position on.
+    pub fn authorise(&mut self, now: Ms, key: &RetryKey, from: MarkPosition) -> Decision {
+        let submitted_grant = self.submitted.iter().rev().find_map(|(_, record)| match record {
+            Record::Authorised { key: other, .. } if other == key => Some(true),
+            Record::Revoked { key: other, .. } if other == key => Some(false),
             _ => None,
         });
-        match under_way {
-            Some(true) => return Word::Wait,
-            // It was ended and opens anew: that is another authorisation, with its own record.
+        match submitted_grant {
+            Some(true) => return Decision::Pending,
+            // It is being revoked, so this is a new authorisation with a record of its own.
             Some(false) => {}
-            None if self.ledger.is_open(right) => return Word::Granted,
+            None if self.ledger.is_authorised(key) => return Decision::Granted,
             None => {}
         }
-        if self.failing {
-            return Word::Withheld;
+        if self.disk_failing {
+            return Decision::Unavailable;
         }
-        let record = Record::Opened { right: right.clone(), from, since: now };
-        Word::Write(self.asked.entry(right.clone()).or_insert(record).clone())
+        let record = Record::Authorised { key: key.clone(), from, since: now };
+        Decision::Write(self.requested.entry(key.clone()).or_insert(record).clone())
     }
 
-    /// The proxy answered a mark sent after the order that ended it; what is written for it, if it was ever
-    /// authorised. Late or lost, the record makes the ledger say too much and never too little.
-    pub fn ended(&mut self, now: Ms, right: &Right, to: Moment) -> Option<Record> {
-        let opened =
-            |(_, record): &(T, Record)| matches!(record, Record::Opened { right: of, .. } if of == right);
-        let known = self.ledger.is_open(right) || self.written.iter().any(opened);
-        known.then(|| Record::Closed { right: right.clone(), to, at: now })
+    /// The proxy acknowledged a mark sent after the order that revoked the retry. Returns the record to write if the
+    /// retry was ever authorised. If the record is late or lost, the ledger contains too many authorisations, but never
+    /// too few.
+    pub fn revoke(&mut self, now: Ms, key: &RetryKey, to: MarkPosition) -> Option<Record> {
+        let authorises = |(_, record): &(T, Record)| matches!(record, Record::Authorised { key: other, .. } if other == key);
+        let known = self.ledger.is_authorised(key) || self.submitted.iter().any(authorises);
+        known.then(|| Record::Revoked { key: key.clone(), to, at: now })
     }
 
-    /// A record was handed over and will be durable as `ticket`.
-    pub fn handed_over(&mut self, ticket: T, record: Record) {
-        if let Record::Opened { right, .. } = &record {
-            self.asked.remove(right);
+    /// A record was submitted to the store and will be durable as `ticket`.
+    pub fn record_submitted(&mut self, ticket: T, record: Record) {
+        if let Record::Authorised { key, .. } = &record {
+            self.requested.remove(key);
         }
-        self.written.push((ticket, record));
+        self.submitted.push((ticket, record));
     }
 
-    /// All up to `durable` is on the disk. The rights that may now be let out.
-    pub fn settled(&mut self, durable: T, failing: bool) -> Vec<Right> {
-        self.failing = failing;
-        let count = self.written.iter().take_while(|(ticket, _)| *ticket <= durable).count();
+    /// All records up to `durable` are on disk. Returns the keys that are authorised by this.
+    pub fn records_durable(&mut self, durable: T, disk_failing: bool) -> Vec<RetryKey> {
+        self.disk_failing = disk_failing;
+        let count = self.submitted.iter().take_while(|(ticket, _)| *ticket <= durable).count();
         let mut granted = Vec::new();
-        for (_, record) in self.written.drain(..count) {
-            if let Record::Opened { right, .. } = &record {
-                granted.push(right.clone());
+        for (_, record) in self.submitted.drain(..count) {
+            if let Record::Authorised { key, .. } = &record {
+                granted.push(key.clone());
             }
             self.ledger.apply(record);
         }
-        granted.retain(|right| self.ledger.is_open(right));
+        granted.retain(|key| self.ledger.is_authorised(key));
         granted
     }
 }
@@ -226,95 +237,105 @@
 mod tests {
     use super::*;
 
-    fn right(proxy: u16) -> Right {
-        Right::new("order", TableId(0), ProxyId(proxy))
+    fn key(proxy: u16) -> RetryKey {
+        RetryKey::new("order", TableId(0), ProxyId(proxy))
     }
 
-    fn moment(mark: u64) -> Moment {
-        Moment { run: 1, mark }
+    fn position(mark: u64) -> MarkPosition {
+        MarkPosition { run: 1, mark }
     }
 
-    fn opened(proxy: u16, mark: u64, since: Ms) -> Record {
-        Record::Opened { right: right(proxy), from: moment(mark), since }
+    fn authorised(proxy: u16, mark: u64, since: Ms) -> Record {
+        Record::Authorised { key: key(proxy), from: position(mark), since }
     }
 
     #[test]
-    fn a_repeat_is_granted_only_once_its_record_is_durable() {
-        let mut gate: Gate<u64> = Gate::new(Ledger::default());
-        let Word::Write(record) = gate.ask(10.0, &right(1), moment(5)) else {
-            panic!("it has to be written")
+    fn a_retry_is_granted_only_once_its_record_is_durable() {
+        let mut authoriser: RetryAuthoriser<u64> = RetryAuthoriser::new(Ledger::default());
+        let Decision::Write(record) = authoriser.authorise(10.0, &key(1), position(5)) else {
+            panic!("expected a record to write")
         };
-        assert_eq!(record, opened(1, 5, 10.0));
+        assert_eq!(record, authorised(1, 5, 10.0));
         assert_eq!(
-            gate.ask(11.0, &right(1), moment(6)),
-            Word::Write(record.clone()),
-            "the queue was full: again"
+            authoriser.authorise(11.0, &key(1), position(6)),
+            Decision::Write(record.clone()),
+            "the record was not submitted, so it is requested again"
+        );
+        authoriser.record_submitted(1, record);
+        assert_eq!(authoriser.authorise(12.0, &key(1), position(6)), Decision::Pending);
+        assert!(authoriser.records_durable(0, false).is_empty());
+        assert_eq!(authoriser.records_durable(1, false), [key(1)]);
+        assert_eq!(authoriser.authorise(13.0, &key(1), position(7)), Decision::Granted);
+        assert!(
+            matches!(authoriser.authorise(13.0, &key(2), position(7)), Decision::Write(_)),
+            "authorisations are per proxy"
         );
-        gate.handed_over(1, record);
-        assert_eq!(gate.ask(12.0, &right(1), moment(6)), Word::Wait);
-        assert!(gate.settled(0, false).is_empty());
-        assert_eq!(gate.settled(1, false), [right(1)]);
-        assert_eq!(gate.ask(13.0, &right(1), moment(7)), Word::Granted);
-        assert!(matches!(gate.ask(13.0, &right(2), moment(7)), Word::Write(_)), "each proxy by itself");
     }
 
     #[test]
-    fn while_the_disk_fails_no_new_repeat_is_authorised_and_old_ones_hold() {
-        let mut gate: Gate<u64> = Gate::new(Ledger::default());
-        gate.handed_over(1, opened(1, 5, 10.0));
-        gate.handed_over(2, opened(2, 5, 10.0));
-        assert_eq!(gate.settled(1, true), [right(1)]);
-        assert_eq!(gate.ask(11.0, &right(1), moment(6)), Word::Granted);
-        assert_eq!(gate.ask(11.0, &right(2), moment(6)), Word::Wait);
-        assert_eq!(gate.ask(11.0, &right(3), moment(6)), Word::Withheld);
-        assert_eq!(gate.settled(2, false), [right(2)]);
-        assert!(matches!(gate.ask(12.0, &right(3), moment(6)), Word::Write(_)));
+    fn while_the_disk_fails_only_existing_authorisations_are_granted() {
+        let mut authoriser: RetryAuthoriser<u64> = RetryAuthoriser::new(Ledger::default());
+        authoriser.record_submitted(1, authorised(1, 5, 10.0));
+        authoriser.record_submitted(2, authorised(2, 5, 10.0));
+        assert_eq!(authoriser.records_durable(1, true), [key(1)]);
+        assert_eq!(authoriser.authorise(11.0, &key(1), position(6)), Decision::Granted);
+        assert_eq!(authoriser.authorise(11.0, &key(2), position(6)), Decision::Pending);
+        assert_eq!(authoriser.authorise(11.0, &key(3), position(6)), Decision::Unavailable);
+        assert_eq!(authoriser.records_durable(2, false), [key(2)]);
+        assert!(matches!(authoriser.authorise(12.0, &key(3), position(6)), Decision::Write(_)));
     }
 
     #[test]
-    fn what_ended_opens_anew_with_a_record_of_its_own() {
-        let mut gate: Gate<u64> = Gate::new(Ledger::default());
-        assert_eq!(gate.ended(1.0, &right(1), moment(1)), None, "never authorised, nothing to end");
-        gate.handed_over(1, opened(1, 5, 10.0));
-        let closed = gate.ended(20.0, &right(1), moment(9)).unwrap();
-        gate.handed_over(2, closed);
-        let Word::Write(again) = gate.ask(21.0, &right(1), moment(10)) else {
-            panic!("another authorisation")
+    fn a_revoked_retry_needs_a_new_record() {
+        let mut authoriser: RetryAuthoriser<u64> = RetryAuthoriser::new(Ledger::default());
+        assert_eq!(
+            authoriser.revoke(1.0, &key(1), position(1)),
+            None,
+            "never authorised, so there is nothing to revoke"
+        );
+        authoriser.record_submitted(1, authorised(1, 5, 10.0));
+        let revoked = authoriser.revoke(20.0, &key(1), position(9)).unwrap();
+        authoriser.record_submitted(2, revoked);
+        let Decision::Write(renewed) = authoriser.authorise(21.0, &key(1), position(10)) else {
+            panic!("expected a new record")
         };
-        gate.handed_over(3, again);
-        assert!(gate.settled(2, false).is_empty(), "opened and ended at once: nothing is let out");
-        assert_eq!(gate.settled(3, false), [right(1)]);
-        let covers = |mark| gate.ledger().covers(&right(1), moment(mark));
-        assert_eq!([4, 5, 9].map(covers), [false, true, true]);
-        assert!(covers(10) && covers(99) && gate.ledger().entries().count() == 2);
+        authoriser.record_submitted(3, renewed);
+        assert!(
+            authoriser.records_durable(2, false).is_empty(),
+            "authorised and revoked at once: nothing is granted"
+        );
+        assert_eq!(authoriser.records_durable(3, false), [key(1)]);
+        let authorised_at = |mark| authoriser.ledger().was_authorised_at(&key(1), position(mark));
+        assert_eq!([4, 5, 9].map(authorised_at), [false, true, true]);
+        assert!(authorised_at(10) && authorised_at(99) && authoriser.ledger().entries().count() == 2);
     }
 
     #[test]
-    fn only_what_ended_long_ago_is_forgotten() {
+    fn only_authorisations_that_ended_long_ago_are_removed() {
         let mut ledger = Ledger::default();
         for (proxy, end) in [(1, Some(50.0)), (2, Some(150.0)), (3, None)] {
-            ledger.apply(opened(proxy, 1, 10.0));
+            ledger.apply(authorised(proxy, 1, 10.0));
             if let Some(at) = end {
-                ledger.apply(Record::Closed { right: right(proxy), to: moment(2), at });
+                ledger.apply(Record::Revoked { key: key(proxy), to: position(2), at });
             }
         }
-        ledger.forget(100.0);
-        assert_eq!(ledger.entries().map(|(right, _)| right.proxy).collect::<Vec<_>>(), [2, 3]);
-        let mut again = Ledger::default();
-        ledger.records().into_iter().for_each(|record| again.apply(record));
-        assert_eq!(again, ledger);
+        ledger.remove_ended_before(100.0);
+        assert_eq!(ledger.entries().map(|(key, _)| key.proxy).collect::<Vec<_>>(), [2, 3]);
+        let mut restored = Ledger::default();
+        ledger.to_records().into_iter().for_each(|record| restored.apply(record));
+        assert_eq!(restored, ledger);
     }
 
     #[test]
-    fn records_are_read_as_they_were_written_and_nothing_else_is() {
-        let record = opened(7, u64::MAX, 1.5);
-        let bytes = record.write();
-        assert_eq!(Record::read(&bytes), Ok(record));
-        assert!(Record::read(&[bytes.clone(), vec![0]].concat())
+    fn records_round_trip_and_other_bytes_are_rejected() {
+        let record = authorised(7, u64::MAX, 1.5);
+        let bytes = record.encode();
+        assert_eq!(Record::decode(&bytes), Ok(record));
+        assert!(Record::decode(&[bytes.clone(), vec![0]].concat())
             .unwrap_err()
             .to_string()
-            .contains("1 bytes too many"));
-        (0..bytes.len()).for_each(|cut| assert!(Record::read(&bytes[..cut]).is_err()));
-        assert!(Record::read(&[9, 9, 9]).is_err());
+            .contains("1 trailing bytes"));
+        (0..bytes.len()).for_each(|cut| assert!(Record::decode(&bytes[..cut]).is_err()));
+        assert!(Record::decode(&[9, 9, 9]).is_err());
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,6 +1,8 @@
-//! What a manager may promise, and what it believes of its promises after a restart. Free of I/O and clocks: `now` is
-//! handed in, and what has to be written before something may be told comes back as records with the word to wait.
+//! Decides which retries a manager may authorise, and recovers the authorisations after a restart. The crate performs no
+//! I/O and reads no clock: the caller passes `now`, and writes the returned records before it sends what they authorise.
 
 mod ledger;
 
-pub use ledger::{Authorised, Gate, Ledger, Moment, Record, Right, Unread, Word};
+pub use ledger::{
+    Authorisation, Decision, DecodeError, Ledger, MarkPosition, Record, RetryAuthoriser, RetryKey,
+};
--- a/crates/recovery/tests/crashes.rs
+++ b/crates/recovery/tests/crashes.rs
@@ -1,30 +1,32 @@
-//! The gate before the store, through crashes at any step: no repeat that was ever let out is forgotten, and none is
-//! known that nobody asked for.
+//! The authoriser with a store that crashes at any step: after each restart the ledger contains every authorisation
+//! that was ever granted, and none that was never requested.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use juniperrail_interface::{ProxyId, TableId};
-use juniperrail_recovery::{Gate, Ledger, Moment, Record, Right, Word};
+use juniperrail_recovery::{Decision, Ledger, MarkPosition, Record, RetryAuthoriser, RetryKey};
 use juniperrail_store::sim::{Faults, SimDisk};
 use juniperrail_store::{Limits, Refused, Seq, Store};
 
 const LIMITS: Limits = Limits { segment: 600, all: 1 << 20, pending: 64 << 10 };
 
-fn ledger(recovered: &juniperrail_store::Recovered) -> Ledger {
+/// The ledger from the recovered snapshot and records.
+fn replay(recovered: &juniperrail_store::Recovered) -> Ledger {
     let records = recovered.records.iter().map(|(_, bytes)| bytes);
     let mut ledger = Ledger::default();
-    recovered.snapshot.iter().chain(records).for_each(|bytes| ledger.apply(Record::read(bytes).unwrap()));
+    recovered.snapshot.iter().chain(records).for_each(|bytes| ledger.apply(Record::decode(bytes).unwrap()));
     ledger
 }
 
-type Repeats = BTreeSet<(Right, Moment)>;
+type Authorisations = BTreeSet<(RetryKey, MarkPosition)>;
 
+/// Runs a manager through several crashes, all drawn from the seed.
 fn history(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let disk = Arc::new(SimDisk::new(seed));
-    // What was let out, and what was asked for, with their moments.
-    let (mut out, mut asked) = (Repeats::new(), Repeats::new());
+    let mut granted = Authorisations::new();
+    let mut requested = Authorisations::new();
     let mut now = 0.0;
     for run in 1..rng.u64(2..6) {
         let crash_at = (rng.u8(..6) > 0).then(|| rng.u64(1..80));
@@ -32,47 +34,55 @@
         let room = (rng.u8(..6) == 0).then(|| rng.u64(300..4000));
         disk.fail(Faults { crash_at, sync_fails, room });
         if let Ok(opened) = Store::open(disk.clone(), LIMITS) {
-            let (mut store, ledger) = (opened.store, ledger(&opened.recovered));
-            for (right, moment) in &out {
-                assert!(ledger.covers(right, *moment), "seed {seed}: {right:?} at {moment:?} is forgotten");
+            let (mut store, ledger) = (opened.store, replay(&opened.recovered));
+            for (key, position) in &granted {
+                assert!(
+                    ledger.was_authorised_at(key, *position),
+                    "seed {seed}: {key:?} at {position:?} is lost"
+                );
             }
-            for (right, of) in ledger.entries() {
-                assert!(asked.contains(&(right.clone(), of.from)), "seed {seed}: {right:?} is invented");
+            for (key, entry) in ledger.entries() {
+                assert!(
+                    requested.contains(&(key.clone(), entry.from)),
+                    "seed {seed}: {key:?} was never requested"
+                );
             }
-            let mut gate: Gate<Seq> = Gate::new(ledger);
+            let mut authoriser: RetryAuthoriser<Seq> = RetryAuthoriser::new(ledger);
             for mark in 1..rng.u64(2..40) {
                 if disk.is_down() {
                     break;
                 }
                 now += rng.f64() * 100.0;
-                let right =
-                    Right::new(["order", "submit"][rng.usize(..2)], TableId(0), ProxyId(rng.u16(..3)));
-                let moment = Moment { run, mark };
+                let key =
+                    RetryKey::new(["order", "submit"][rng.usize(..2)], TableId(0), ProxyId(rng.u16(..3)));
+                let position = MarkPosition { run, mark };
                 match rng.u8(..10) {
-                    0..=4 => match gate.ask(now, &right, moment) {
-                        Word::Granted => _ = out.insert((right, moment)),
-                        Word::Write(record) => {
-                            let Record::Opened { from, .. } = &record else { panic!("it opens") };
-                            asked.insert((right, *from));
-                            if let Ok(seq) = store.append(&record.write()) {
-                                gate.handed_over(seq, record);
+                    0..=4 => match authoriser.authorise(now, &key, position) {
+                        Decision::Granted => _ = granted.insert((key, position)),
+                        Decision::Write(record) => {
+                            let Record::Authorised { from, .. } = &record else {
+                                panic!("expected an authorisation")
+                            };
+                            requested.insert((key, *from));
+                            if let Ok(seq) = store.append(&record.encode()) {
+                                authoriser.record_submitted(seq, record);
                             }
                         }
-                        Word::Wait | Word::Withheld => {}
+                        Decision::Pending | Decision::Unavailable => {}
                     },
                     5 => {
-                        if let Some(record) = gate.ended(now, &right, moment) {
-                            if let Ok(seq) = store.append(&record.write()) {
-                                gate.handed_over(seq, record);
+                        if let Some(record) = authoriser.revoke(now, &key, position) {
+                            if let Ok(seq) = store.append(&record.encode()) {
+                                authoriser.record_submitted(seq, record);
                             }
                         }
                     }
                     6 => {
-                        // A snapshot holds what is durable; what is on its way comes after it.
+                        // The snapshot contains the durable records; pending ones are stored after it.
                         let Ok(mut compaction) = store.compact() else { continue };
-                        gate.settled(store.durable(), false);
+                        authoriser.records_durable(store.durable(), false);
                         let records: Vec<Vec<u8>> =
-                            gate.ledger().records().iter().map(Record::write).collect();
+                            authoriser.ledger().to_records().iter().map(Record::encode).collect();
                         if compaction.write(records.iter().map(Vec::as_slice)).is_ok() {
                             if let Ok(sealed) = compaction.seal() {
                                 _ = store.compacted(sealed);
@@ -81,7 +91,7 @@
                     }
                     _ => {
                         let failing = store.commit().is_err();
-                        gate.settled(store.durable(), failing);
+                        authoriser.records_durable(store.durable(), failing);
                     }
                 }
             }
@@ -90,11 +100,13 @@
     }
     match Store::open(disk, LIMITS) {
         Ok(opened) => {
-            let ledger = ledger(&opened.recovered);
-            out.iter().for_each(|(right, moment)| assert!(ledger.covers(right, *moment), "seed {seed}"));
-            ledger
-                .entries()
-                .for_each(|(right, of)| assert!(asked.contains(&(right.clone(), of.from)), "seed {seed}"));
+            let ledger = replay(&opened.recovered);
+            granted
+                .iter()
+                .for_each(|(key, position)| assert!(ledger.was_authorised_at(key, *position), "seed {seed}"));
+            ledger.entries().for_each(|(key, entry)| {
+                assert!(requested.contains(&(key.clone(), entry.from)), "seed {seed}")
+            });
         }
         Err(Refused::Io(why)) => panic!("seed {seed}: {why}"),
         Err(refused) => panic!("seed {seed}: {refused}"),
@@ -102,9 +114,9 @@
 }
 
 #[test]
-fn no_crash_forgets_a_repeat_that_was_let_out_or_invents_one() {
-    let told = std::env::var("JUNIPERRAIL_HISTORIES").ok().and_then(|count| count.parse().ok());
-    let count: u64 = told.unwrap_or(2_000);
+fn no_crash_loses_a_granted_authorisation_or_adds_one() {
+    let configured = std::env::var("JUNIPERRAIL_HISTORIES").ok().and_then(|count| count.parse().ok());
+    let count: u64 = configured.unwrap_or(2_000);
     println!("histories 1 to {count}, each by its seed");
     (1..=count).for_each(history);
 }
