--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,31 +1,32 @@
-//! Numbered points: every place where a failure matters, each with a name and what may happen there. A program built with
-//! the feature `points` is told by its environment at which passing of which point what happens, and writes down each
-//! passing, so that a trial can play each in turn and name those that were never reached. Without the feature
-//! [`Point::pass`] is nothing at all.
+//! Numbered fault-injection points. Each point marks a step where a failure matters, and has a name and a list of faults
+//! that can be injected there. In a program built with the feature `points`, environment variables select which fault
+//! occurs at which pass of which point, and every pass is recorded in a file. A trial can thus inject each fault in turn
+//! and name the points that were never reached. Without the feature, [`Point::pass`] does nothing.
 //!
-//! The crate `fail` was weighed: its points act by name and by chance or count, but it neither writes down what was
-//! passed nor tells a caller to lose, repeat or tear, and an abort is not among its actions.
+//! The crate `fail` does not fit: its points act by name and by probability or count, but it does not record passes, can't
+//! ask a caller to lose, repeat or tear, and has no abort action.
 
 use std::fmt;
 
-/// What happens at a point. What is not for the caller is done before [`Point::pass`] comes back.
+/// A fault to inject. [`Point::pass`] performs aborts and stalls itself; the caller performs the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is gone at once, as with SIGKILL.
+    /// The process ends at once, as with SIGKILL.
     Abort,
-    /// The caller takes it that the step failed, before anything of it was done.
+    /// The caller acts as if the step had failed, without performing any of it.
     Error,
-    /// The thread stands still for a while.
+    /// The thread is blocked for a fixed time.
     Stall,
-    /// The caller takes it that the step was done; it was not.
+    /// The caller acts as if the step had succeeded, without performing it.
     Lose,
-    /// The caller does it twice.
+    /// The caller performs the step twice.
     Repeat,
-    /// The caller does part of it and takes it for failed.
+    /// The caller performs part of the step and acts as if it had failed.
     Tear,
 }
 
 impl Fault {
+    /// Every fault with its name in the environment variable.
     pub const ALL: [(&'static str, Fault); 6] = [
         ("abort", Fault::Abort),
         ("error", Fault::Error),
@@ -35,20 +36,22 @@
         ("tear", Fault::Tear),
     ];
 
+    /// The name of the fault in the environment variable.
     pub fn name(self) -> &'static str {
         Fault::ALL.iter().find(|(_, fault)| *fault == self).map_or("", |(name, _)| name)
     }
 }
 
-/// One place, by its number.
+/// A fault-injection point, by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Point(pub u16);
 
-/// What is known of a point.
+/// The description of a point.
 #[derive(Clone, Copy, Debug)]
 pub struct PointInfo {
     pub point: Point,
     pub name: &'static str,
+    /// The faults that can be injected here.
     pub faults: &'static [Fault],
 }
 
@@ -58,7 +61,7 @@
             $(pub const $constant: Point = Point($number);)*
         }
 
-        /// Every point. Numbers stay as they are, also where one is removed.
+        /// Every point. Numbers never change and are not reused when a point is removed.
         pub const POINTS: &[PointInfo] =
             &[$(PointInfo { point: Point::$constant, name: $name, faults: &[$(Fault::$fault),*] }),*];
     };
@@ -101,32 +104,33 @@
     64 PLAN_LEASE_EXPIRED "as a plan's lease is over" [Abort];
 }
 
-/// What is known of the point of that number.
+/// The description of a point.
 pub fn info(point: Point) -> Option<&'static PointInfo> {
-    POINTS.iter().find(|told| told.point == point)
+    POINTS.iter().find(|info| info.point == point)
 }
 
 impl fmt::Display for Point {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "point {} ({})", self.0, info(*self).map_or("unknown", |told| told.name))
+        write!(f, "point {} ({})", self.0, info(*self).map_or("unknown", |info| info.name))
     }
 }
 
 impl Point {
-    /// Passes the point: what the caller is to do amiss, if anything.
+    /// Passes the point. Returns the fault that the caller has to perform, if any.
     #[cfg(not(feature = "points"))]
     #[inline(always)]
     pub fn pass(self) -> Option<Fault> {
         None
     }
 
+    /// Passes the point. Returns the fault that the caller has to perform, if any.
     #[cfg(feature = "points")]
     pub fn pass(self) -> Option<Fault> {
-        played::pass(self)
+        injection::pass(self)
     }
 }
 
-/// How far the clock that a process is told runs ahead of the machine's, in milliseconds.
+/// How far the clock of this process is ahead of the machine's, in milliseconds.
 #[cfg(not(feature = "points"))]
 #[inline(always)]
 pub fn clock_ahead() -> f64 {
@@ -134,10 +138,10 @@
 }
 
 #[cfg(feature = "points")]
-pub use played::clock_ahead;
+pub use injection::clock_ahead;
 
 #[cfg(feature = "points")]
-mod played {
+mod injection {
     use std::collections::BTreeMap;
     use std::fs::{self, File, OpenOptions};
     use std::io::Write;
@@ -146,42 +150,44 @@
 
     use super::{Fault, Point};
 
-    /// `POINT:PASSING:FAULT` words, divided by commas; a passing of `*` is each.
-    const PLAYED: &str = "JUNIPERRAIL_POINTS";
-    /// A file that only one process makes: whoever makes it plays the fault, the others go on.
-    const ONCE: &str = "JUNIPERRAIL_POINTS_ONCE";
-    /// Where each passing is written down, a number a line.
-    const PASSED: &str = "JUNIPERRAIL_POINTS_PASSED";
-    /// A file that holds how far the clock is ahead, read at each look.
-    const CLOCK: &str = "JUNIPERRAIL_CLOCK";
-    /// Passings of one point that are written down.
-    const MOST: u64 = 200;
-    /// Longer than a lease and an election of the trials, shorter than what they wait for.
+    /// The faults to inject: `POINT:PASSING:FAULT`, separated by commas. A passing of `*` means each pass.
+    const FAULTS_VARIABLE: &str = "JUNIPERRAIL_POINTS";
+    /// The path of a file that only one process can create. That process injects the fault, the others continue.
+    const ONCE_FILE_VARIABLE: &str = "JUNIPERRAIL_POINTS_ONCE";
+    /// The path of the file that passes are recorded in, one point number per line.
+    const PASSED_FILE_VARIABLE: &str = "JUNIPERRAIL_POINTS_PASSED";
+    /// The path of a file with the offset of the clock in milliseconds; it is read again at each use of the clock.
+    const CLOCK_FILE_VARIABLE: &str = "JUNIPERRAIL_CLOCK";
+    /// Only this many passes of one point are recorded.
+    const MAX_RECORDED_PASSES: u64 = 200;
+    /// Longer than a lease and an election in the trials, but shorter than their wait time-outs.
     const STALL: Duration = Duration::from_millis(2500);
 
-    struct Played {
+    struct Injector {
+        /// The point, the number of the pass (`None`: each pass) and the fault.
         faults: Vec<(Point, Option<u64>, Fault)>,
-        passed: Option<File>,
-        counts: BTreeMap<Point, u64>,
+        passed_file: Option<File>,
+        pass_counts: BTreeMap<Point, u64>,
     }
 
-    fn played() -> &'static Mutex<Played> {
-        static PLAY: OnceLock<Mutex<Played>> = OnceLock::new();
-        PLAY.get_or_init(|| {
-            let told = std::env::var(PLAYED).unwrap_or_default();
-            let words = told.split(',').filter(|word| !word.is_empty());
-            let passed = std::env::var_os(PASSED);
+    fn injector() -> &'static Mutex<Injector> {
+        static INJECTOR: OnceLock<Mutex<Injector>> = OnceLock::new();
+        INJECTOR.get_or_init(|| {
+            let selection = std::env::var(FAULTS_VARIABLE).unwrap_or_default();
+            let words = selection.split(',').filter(|word| !word.is_empty());
+            let passed_path = std::env::var_os(PASSED_FILE_VARIABLE);
             let open = |path| OpenOptions::new().append(true).create(true).open(path).ok();
-            Mutex::new(Played {
-                faults: words.map(fault).collect(),
-                passed: passed.and_then(open),
-                counts: <_>::default(),
+            Mutex::new(Injector {
+                faults: words.map(parse_fault).collect(),
+                passed_file: passed_path.and_then(open),
+                pass_counts: <_>::default(),
             })
         })
     }
 
-    fn fault(word: &str) -> (Point, Option<u64>, Fault) {
-        let read = || {
+    /// Parses `POINT:PASSING:FAULT`; exits the process if the text is invalid.
+    fn parse_fault(word: &str) -> (Point, Option<u64>, Fault) {
+        let parse = || {
             let mut parts = word.split(':');
             let point = Point(parts.next()?.parse().ok()?);
             let passing = match parts.next()? {
@@ -192,27 +198,27 @@
             let fault = Fault::ALL.iter().find(|(known, _)| *known == name)?.1;
             Some((point, passing, fault))
         };
-        // A trial that asks for what is not there would else pass for nothing.
-        read().unwrap_or_else(|| {
-            eprintln!("{PLAYED} has a word that is no POINT:PASSING:FAULT: {word:?}");
+        // Without this check, a trial that selects an unknown fault would pass without testing anything.
+        parse().unwrap_or_else(|| {
+            eprintln!("{FAULTS_VARIABLE} contains an invalid POINT:PASSING:FAULT: {word:?}");
             std::process::exit(2)
         })
     }
 
     pub fn pass(point: Point) -> Option<Fault> {
         let fault = {
-            let mut played = played().lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-            let Played { faults, passed, counts } = &mut *played;
-            let count = counts.entry(point).or_default();
+            let mut injector = injector().lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+            let Injector { faults, passed_file, pass_counts } = &mut *injector;
+            let count = pass_counts.entry(point).or_default();
             *count += 1;
-            if let Some(file) = passed.as_mut().filter(|_| *count <= MOST) {
-                // A passing that could not be written down shows as a point that was not reached.
+            if let Some(file) = passed_file.as_mut().filter(|_| *count <= MAX_RECORDED_PASSES) {
+                // If this fails, the trial reports the point as not reached.
                 _ = writeln!(file, "{}", point.0);
             }
-            let here = |(at, passing, _): &&(Point, Option<u64>, Fault)| {
+            let matches_pass = |(at, passing, _): &&(Point, Option<u64>, Fault)| {
                 *at == point && passing.is_none_or(|passing| passing == *count)
             };
-            faults.iter().find(here).map(|(_, _, fault)| *fault).filter(|_| first())
+            faults.iter().find(matches_pass).map(|(_, _, fault)| *fault).filter(|_| claim_once_file())
         };
         match fault {
             Some(Fault::Abort) => {
@@ -231,13 +237,15 @@
         }
     }
 
-    fn first() -> bool {
-        std::env::var_os(ONCE).is_none_or(|path| File::create_new(path).is_ok())
+    /// Whether this process may inject the fault: it creates the file, or no file is configured.
+    fn claim_once_file() -> bool {
+        std::env::var_os(ONCE_FILE_VARIABLE).is_none_or(|path| File::create_new(path).is_ok())
     }
 
+    /// How far the clock of this process is ahead of the machine's, in milliseconds.
     pub fn clock_ahead() -> f64 {
         static PATH: OnceLock<Option<std::ffi::OsString>> = OnceLock::new();
-        let path = PATH.get_or_init(|| std::env::var_os(CLOCK));
+        let path = PATH.get_or_init(|| std::env::var_os(CLOCK_FILE_VARIABLE));
         let text = path.as_ref().and_then(|path| fs::read_to_string(path).ok());
         text.and_then(|text| text.trim().parse().ok()).unwrap_or(0.0)
     }
@@ -248,20 +256,20 @@
     use super::*;
 
     #[test]
-    fn each_point_has_a_number_and_a_name_of_its_own_and_may_do_something() {
-        for (place, told) in POINTS.iter().enumerate() {
-            let other = |other: &&PointInfo| other.point == told.point || other.name == told.name;
-            assert_eq!(POINTS.iter().filter(other).count(), 1, "{}", told.name);
-            assert!(!told.faults.is_empty(), "{}", told.point);
-            assert!(place == 0 || POINTS[place - 1].point < told.point, "in their order");
-            assert_eq!(super::info(told.point).map(|told| told.name), Some(told.name));
+    fn points_have_unique_numbers_and_names_and_at_least_one_fault() {
+        for (index, info) in POINTS.iter().enumerate() {
+            let same = |other: &&PointInfo| other.point == info.point || other.name == info.name;
+            assert_eq!(POINTS.iter().filter(same).count(), 1, "{}", info.name);
+            assert!(!info.faults.is_empty(), "{}", info.point);
+            assert!(index == 0 || POINTS[index - 1].point < info.point, "points are sorted by number");
+            assert_eq!(super::info(info.point).map(|found| found.name), Some(info.name));
         }
     }
 
     #[test]
     #[cfg(not(feature = "points"))]
-    fn without_the_feature_nothing_happens_at_any_point() {
-        assert!(POINTS.iter().all(|told| told.point.pass().is_none()));
+    fn without_the_feature_points_do_nothing() {
+        assert!(POINTS.iter().all(|info| info.point.pass().is_none()));
         assert_eq!(clock_ahead(), 0.0);
     }
 }
