--- a/crates/north/src/keeper.rs
+++ b/crates/north/src/keeper.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use juniperrail_intent::{
-    Access, Commit, Concluded, Datastores, DefaultOp, Doing, Errors, Proposal, Refused, Role, Session, Store,
+    AccessControl, AccessOperation, Commit, CommitOutcome, Datastore, DatastoreError, Datastores,
+    DefaultOperation, ErrorOption, Proposal, Role, Session,
 };
 use juniperrail_interface::Ms;
 use juniperrail_model::{Data, Draft, Fault, Schema};
@@ -70,7 +71,7 @@
 /// The configuration data that an operation uses.
 pub enum Source {
     /// The content of a datastore.
-    Store(Store),
+    Store(Datastore),
     /// Data sent with the request.
     Inline(Vec<Draft>),
 }
@@ -87,7 +88,7 @@
 /// The state under the lock.
 struct Inner {
     stores: Datastores,
-    access: Access,
+    access: AccessControl,
     sessions: BTreeMap<Session, OpenSession>,
     last_session: u32,
     /// The last operational state and when it was received.
@@ -107,7 +108,7 @@
     unix_at_start: Ms,
     inner: Mutex<Inner>,
     /// The current access rules, for protocol servers that authenticate users before they open a session.
-    access: watch::Sender<Access>,
+    access: watch::Sender<AccessControl>,
     notifications: broadcast::Sender<Arc<Notification>>,
     /// Signals that the time of the next rollback may have changed.
     rescheduled: Notify,
@@ -121,9 +122,9 @@
         startup: Data,
         file: Option<OperatorFile>,
         requests: mpsc::Sender<PlannerRequest>,
-    ) -> Result<DatastoreManager, Refused> {
+    ) -> Result<DatastoreManager, DatastoreError> {
         let stores = Datastores::new(schema.clone(), unix, startup)?;
-        let access = Access::read(&schema, stores.get(Store::Running)).unwrap_or_default();
+        let access = AccessControl::from_data(&schema, stores.get(Datastore::Running)).unwrap_or_default();
         let inner = Mutex::new(Inner {
             stores,
             access: access.clone(),
@@ -158,7 +159,7 @@
     }
 
     /// The current access rules, with a signal at each change.
-    pub fn access_rules(&self) -> watch::Receiver<Access> {
+    pub fn access_rules(&self) -> watch::Receiver<AccessControl> {
         self.0.access.subscribe()
     }
 
@@ -175,7 +176,7 @@
     /// Rolls back timed-out confirmed commits and forwards notices of the planner task. Returns when that task ends.
     pub async fn run(&self, mut notices: mpsc::Receiver<Notice>) {
         loop {
-            let due = self.0.inner.lock().await.stores.next_due();
+            let due = self.0.inner.lock().await.stores.next_deadline();
             let wait = due.map(|due| Duration::from_secs_f64(((due - self.now()) / 1000.0).clamp(0.0, 1e6)));
             let wait = wait.map(tokio::time::sleep);
             let timer = async {
@@ -203,7 +204,7 @@
     /// Rolls back the confirmed commit that was not confirmed in time.
     async fn roll_back(&self) {
         let mut inner = self.0.inner.lock().await;
-        let Some(proposal) = inner.stores.due(self.now()) else { return };
+        let Some(proposal) = inner.stores.due_rollback(self.now()) else { return };
         let number = proposal.number;
         match self.apply(&mut inner, None, proposal).await {
             Ok(_) => {
@@ -212,7 +213,7 @@
             }
             Err(why) => {
                 tracing::error!("cannot roll back the confirmed commit yet: {why}");
-                inner.stores.postpone(self.now(), why.to_string());
+                inner.stores.postpone_rollback(self.now(), why.to_string());
             }
         }
     }
@@ -223,24 +224,24 @@
         inner: &mut Inner,
         session: Option<Session>,
         proposal: Proposal,
-    ) -> Result<Concluded, Refused> {
+    ) -> Result<CommitOutcome, DatastoreError> {
         let (reply, verdict) = oneshot::channel();
         let number = proposal.number;
-        let by = proposal.by.clone();
+        let by = proposal.author.clone();
         let intent = Box::new(proposal.intent.clone());
         let request = PlannerRequest::Apply { number, by: by.clone(), intent, verdict: reply };
         self.request_verdict(request, verdict).await?;
-        let before = inner.stores.get(Store::Running).clone();
-        let concluded = inner.stores.conclude(self.now(), proposal);
+        let before = inner.stores.get(Datastore::Running).clone();
+        let concluded = inner.stores.apply(self.now(), proposal);
         inner.cached_state = None;
-        let running = inner.stores.get(Store::Running);
+        let running = inner.stores.get(Datastore::Running);
         // The validation has parsed these rules before, so the default is never used.
-        inner.access = Access::read(&self.0.schema, running).unwrap_or_default();
+        inner.access = AccessControl::from_data(&self.0.schema, running).unwrap_or_default();
         self.0.access.send_replace(inner.access.clone());
         self.0.rescheduled.notify_one();
         tracing::info!("version {number} of the configuration is running, by {by}");
         let edits = self.edits(&before, running);
-        let unconfirmed = concluded.unconfirmed_until.is_some();
+        let unconfirmed = concluded.confirm_deadline.is_some();
         self.notify(Notification::ConfigChanged { number, by, session, unconfirmed, edits });
         Ok(concluded)
     }
@@ -264,10 +265,10 @@
         &self,
         request: PlannerRequest,
         verdict: oneshot::Receiver<Verdict>,
-    ) -> Result<(), Refused> {
-        let unavailable = Refused::Unsupported("the planner is not running");
+    ) -> Result<(), DatastoreError> {
+        let unavailable = DatastoreError::Unsupported("the planner is not running");
         self.0.requests.send(request).await.map_err(|_| unavailable.clone())?;
-        verdict.await.map_err(|_| unavailable)?.map_err(Refused::Judged)
+        verdict.await.map_err(|_| unavailable)?.map_err(DatastoreError::NotAdmitted)
     }
 
     /// Opens a session for an authenticated user. `None` if the user is not configured.
@@ -290,7 +291,7 @@
     pub async fn close_session(&self, caller: &Caller, how: TerminationReason) {
         let mut inner = self.0.inner.lock().await;
         let Some(closed) = inner.sessions.remove(&caller.session) else { return };
-        inner.stores.ended(self.now(), caller.session);
+        inner.stores.end_session(self.now(), caller.session);
         drop(inner);
         let how = closed.killed_by.map_or(how, TerminationReason::Killed);
         tracing::info!("session {} of {} from {} ended: {how:?}", caller.session.0, caller.user, closed.from);
@@ -299,14 +300,14 @@
     }
 
     /// Ends another session. Only an admin may do so, or the user of that session.
-    pub async fn kill_session(&self, caller: &Caller, session: Session) -> Result<(), Refused> {
+    pub async fn kill_session(&self, caller: &Caller, session: Session) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let admin = inner.access.role(&caller.user) == Some(Role::Admin);
         let Some(other) = inner.sessions.get_mut(&session).filter(|_| session != caller.session) else {
-            return Err(Refused::Unsupported("no other session has this number"));
+            return Err(DatastoreError::Unsupported("no other session has this number"));
         };
         if !admin && other.user != caller.user {
-            return Err(Refused::Denied(format!("session {}", session.0)));
+            return Err(DatastoreError::AccessDenied(format!("session {}", session.0)));
         }
         other.killed_by = Some(caller.session);
         other.end.notify_one();
@@ -320,41 +321,41 @@
     }
 
     /// The locked datastores with the sessions that hold the locks.
-    pub async fn locks(&self) -> Vec<(Store, Session)> {
+    pub async fn locks(&self) -> Vec<(Datastore, Session)> {
         let inner = self.0.inner.lock().await;
-        let stores = [Store::Running, Store::Candidate, Store::Startup];
-        stores.into_iter().filter_map(|store| Some((store, inner.stores.holder(store)?))).collect()
+        let stores = [Datastore::Running, Datastore::Candidate, Datastore::Startup];
+        stores.into_iter().filter_map(|store| Some((store, inner.stores.lock_holder(store)?))).collect()
     }
 
     /// The part of a datastore that the user may read.
-    pub async fn get(&self, caller: &Caller, store: Store) -> Data {
+    pub async fn get(&self, caller: &Caller, store: Datastore) -> Data {
         let inner = self.0.inner.lock().await;
-        inner.access.readable(&self.0.schema, &caller.user, inner.stores.get(store))
+        inner.access.filter_readable(&self.0.schema, &caller.user, inner.stores.get(store))
     }
 
     /// The part of the operational state that the user may read. It shows what was actually sent to the proxies, and is
     /// at most [`STATE_CACHE_TTL`] old.
-    pub async fn state(&self, caller: &Caller) -> Result<Data, Refused> {
+    pub async fn state(&self, caller: &Caller) -> Result<Data, DatastoreError> {
         let state = self.snapshot().await?;
         let inner = self.0.inner.lock().await;
         let now = self.now();
         let versions = inner.stores.versions().map(|version| VersionState {
             number: version.number,
-            by: version.by.clone(),
+            by: version.author.clone(),
             age: now - version.at,
         });
-        let waits = inner.stores.waits();
+        let waits = inner.stores.pending_confirmation();
         let versions = VersionsState {
             unconfirmed_for: waits.map(|(until, _)| until - now),
             overdue: waits.and_then(|(_, why)| why.map(str::to_string)),
             versions: versions.collect(),
         };
         let data = state.data(&self.0.schema, &versions);
-        Ok(inner.access.readable(&self.0.schema, &caller.user, &data))
+        Ok(inner.access.filter_readable(&self.0.schema, &caller.user, &data))
     }
 
     /// The operational state, cached or requested from the planner task.
-    async fn snapshot(&self) -> Result<Arc<State>, Refused> {
+    async fn snapshot(&self) -> Result<Arc<State>, DatastoreError> {
         // The lock is held during the request, so that concurrent readers share one request.
         let mut inner = self.0.inner.lock().await;
         if let Some((_, state)) = inner.cached_state.as_ref().filter(|(at, _)| at.elapsed() < STATE_CACHE_TTL)
@@ -362,7 +363,7 @@
             return Ok(state.clone());
         }
         let (reply, state) = oneshot::channel();
-        let unavailable = Refused::Unsupported("the planner is not running");
+        let unavailable = DatastoreError::Unsupported("the planner is not running");
         self.0.requests.send(PlannerRequest::State(reply)).await.map_err(|_| unavailable.clone())?;
         let state = state.await.map_err(|_| unavailable)?;
         inner.cached_state = Some((Instant::now(), state.clone()));
@@ -375,18 +376,18 @@
         &self,
         caller: &Caller,
         drafts: &[Draft],
-        default: DefaultOp,
-        errors: Errors,
+        default: DefaultOperation,
+        errors: ErrorOption,
         check: TestOption,
-    ) -> Result<Vec<Fault>, Refused> {
+    ) -> Result<Vec<Fault>, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let (data, faults) = inner.stores.edited(caller.session, drafts, default, errors)?;
-        self.check_write_access(&inner, caller, inner.stores.get(Store::Candidate), &data)?;
+        let (data, faults) = inner.stores.edit_candidate(caller.session, drafts, default, errors)?;
+        self.check_write_access(&inner, caller, inner.stores.get(Datastore::Candidate), &data)?;
         if check != TestOption::Set {
             inner.stores.validate(&data)?;
         }
         if check != TestOption::TestOnly {
-            inner.stores.put(caller.session, Store::Candidate, data)?;
+            inner.stores.put(caller.session, Datastore::Candidate, data)?;
         }
         Ok(faults)
     }
@@ -398,28 +399,30 @@
         caller: &Caller,
         old: &Data,
         new: &Data,
-    ) -> Result<(), Refused> {
-        match inner.access.refused(&self.0.schema, &caller.user, old, new) {
-            Some(path) => Err(Refused::Denied(path.spelled(&self.0.schema))),
+    ) -> Result<(), DatastoreError> {
+        match inner.access.first_denied_write(&self.0.schema, &caller.user, old, new) {
+            Some(path) => Err(DatastoreError::AccessDenied(path.spelled(&self.0.schema))),
             None => Ok(()),
         }
     }
 
     /// The data of a source, if the user may read all of it.
-    fn source_data(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, Refused> {
+    fn source_data(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, DatastoreError> {
         Ok(match source {
             // A user who may read only a part must not copy the rest without seeing it.
             Source::Store(store) => {
                 let data = inner.stores.get(store);
-                let readable = inner.access.readable(&self.0.schema, &caller.user, data);
+                let readable = inner.access.filter_readable(&self.0.schema, &caller.user, data);
                 if readable != *data {
-                    return Err(Refused::Denied("the parts of the source that it may not read".into()));
+                    return Err(DatastoreError::AccessDenied(
+                        "the parts of the source that it may not read".into(),
+                    ));
                 }
                 readable
             }
             Source::Inline(drafts) => {
-                let mut data =
-                    Data::from_drafts(&self.0.schema, &drafts).map_err(|f| Refused::Faults(vec![f]))?;
+                let mut data = Data::from_drafts(&self.0.schema, &drafts)
+                    .map_err(|f| DatastoreError::Faults(vec![f]))?;
                 data.tidy(&self.0.schema);
                 data
             }
@@ -427,90 +430,103 @@
     }
 
     /// Replaces the candidate or startup. Startup is written to the operator's file first.
-    pub async fn copy(&self, caller: &Caller, source: Source, target: Store) -> Result<(), Refused> {
+    pub async fn copy(
+        &self,
+        caller: &Caller,
+        source: Source,
+        target: Datastore,
+    ) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let data = self.source_data(&inner, caller, source)?;
         self.put(&mut inner, caller, target, data)
     }
 
     /// Replaces a datastore if the user may make every change.
-    fn put(&self, inner: &mut Inner, caller: &Caller, target: Store, data: Data) -> Result<(), Refused> {
+    fn put(
+        &self,
+        inner: &mut Inner,
+        caller: &Caller,
+        target: Datastore,
+        data: Data,
+    ) -> Result<(), DatastoreError> {
         self.check_write_access(inner, caller, inner.stores.get(target), &data)?;
-        if target == Store::Startup {
+        if target == Datastore::Startup {
             inner.stores.validate(&data)?;
             if let Some(holder) =
-                inner.stores.holder(Store::Startup).filter(|holder| *holder != caller.session)
+                inner.stores.lock_holder(Datastore::Startup).filter(|holder| *holder != caller.session)
             {
-                return Err(Refused::InUse(holder));
+                return Err(DatastoreError::InUse(holder));
             }
             let file = self
                 .0
                 .file
                 .as_ref()
-                .ok_or(Refused::Unsupported("there is no operator's file to store startup in"))?;
+                .ok_or(DatastoreError::Unsupported("there is no operator's file to store startup in"))?;
             file.write(&self.0.schema, &data).map_err(|why| {
                 tracing::error!("{} cannot be written: {why}", file.path().display());
-                Refused::Unsupported("the operator's file cannot be written; see the log for the cause")
+                DatastoreError::Unsupported(
+                    "the operator's file cannot be written; see the log for the cause",
+                )
             })?;
         }
         inner.stores.put(caller.session, target, data)
     }
 
     /// Empties startup; other datastores can't be deleted.
-    pub async fn delete(&self, caller: &Caller, target: Store) -> Result<(), Refused> {
-        if target != Store::Startup {
-            return Err(Refused::Unsupported("only startup can be deleted"));
+    pub async fn delete(&self, caller: &Caller, target: Datastore) -> Result<(), DatastoreError> {
+        if target != Datastore::Startup {
+            return Err(DatastoreError::Unsupported("only startup can be deleted"));
         }
         let mut inner = self.0.inner.lock().await;
         self.put(&mut inner, caller, target, Data::default())
     }
 
     /// Checks that the user may write anything at all. Otherwise a reader could block writers, for example with a lock.
-    fn check_writer(inner: &Inner, caller: &Caller, what: &str) -> Result<(), Refused> {
+    fn check_writer(inner: &Inner, caller: &Caller, what: &str) -> Result<(), DatastoreError> {
         match inner.access.role(&caller.user) {
             Some(Role::Operator | Role::Admin) => Ok(()),
-            Some(Role::Reader) | None => Err(Refused::Denied(what.into())),
+            Some(Role::Reader) | None => Err(DatastoreError::AccessDenied(what.into())),
         }
     }
 
     /// Locks a datastore for the session.
-    pub async fn lock(&self, caller: &Caller, store: Store) -> Result<(), Refused> {
+    pub async fn lock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::check_writer(&inner, caller, "a lock")?;
         inner.stores.lock(store, caller.session)
     }
 
     /// Releases a lock of the session.
-    pub async fn unlock(&self, caller: &Caller, store: Store) -> Result<(), Refused> {
+    pub async fn unlock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
         self.0.inner.lock().await.stores.unlock(store, caller.session)
     }
 
     /// Resets the candidate to running.
-    pub async fn discard(&self, caller: &Caller) -> Result<(), Refused> {
+    pub async fn discard(&self, caller: &Caller) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::check_writer(&inner, caller, "the candidate")?;
         inner.stores.discard(caller.session)
     }
 
     /// Checks that the data is valid and that the planner would accept it now.
-    pub async fn validate(&self, caller: &Caller, source: Source) -> Result<(), Refused> {
+    pub async fn validate(&self, caller: &Caller, source: Source) -> Result<(), DatastoreError> {
         let inner = self.0.inner.lock().await;
         let data = self.source_data(&inner, caller, source)?;
         inner.stores.validate(&data)?;
         let (reply, verdict) = oneshot::channel();
-        let intent = Box::new(juniperrail_intent::Intent::read(&self.0.schema, &data));
+        let intent = Box::new(juniperrail_intent::Intent::from_data(&self.0.schema, &data));
         self.request_verdict(PlannerRequest::Validate { intent, verdict: reply }, verdict).await
     }
 
     /// Makes the candidate running as a whole, or returns why it is refused.
-    pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<Concluded, Refused> {
+    pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<CommitOutcome, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let confirmed = commit.confirmed;
-        let was_pending = inner.stores.waits().is_some();
+        let was_pending = inner.stores.pending_confirmation().is_some();
         DatastoreManager::check_writer(&inner, caller, "running")?;
-        let proposal = inner.stores.propose(caller.session, &caller.user, commit)?;
+        let proposal = inner.stores.propose_commit(caller.session, &caller.user, commit)?;
         // The candidate may contain edits of other users; the committing user needs write access to all of them.
-        self.check_write_access(&inner, caller, inner.stores.get(Store::Running), &proposal.data)?;
+        self.check_write_access(&inner, caller, inner.stores.get(Datastore::Running), &proposal.data)?;
         let concluded = self.apply(&mut inner, Some(caller.session), proposal).await?;
         if was_pending && !confirmed {
             self.notify(Notification::ConfirmedCommit { how: "complete" });
@@ -519,25 +535,29 @@
     }
 
     /// Cancels a pending confirmed commit and restores the configuration before it.
-    pub async fn cancel_commit(&self, caller: &Caller, persist_id: Option<&str>) -> Result<(), Refused> {
+    pub async fn cancel_commit(
+        &self,
+        caller: &Caller,
+        persist_id: Option<&str>,
+    ) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::check_writer(&inner, caller, "running")?;
-        let proposal = inner.stores.cancel(caller.session, persist_id)?;
+        let proposal = inner.stores.propose_cancel(caller.session, persist_id)?;
         self.apply(&mut inner, Some(caller.session), proposal).await?;
         self.notify(Notification::ConfirmedCommit { how: "cancel" });
         Ok(())
     }
 
     /// Copies an older version of running into the candidate.
-    pub async fn restore_version(&self, caller: &Caller, number: u64) -> Result<(), Refused> {
+    pub async fn restore_version(&self, caller: &Caller, number: u64) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let data = inner.stores.at_version(number)?.clone();
-        self.put(&mut inner, caller, Store::Candidate, data)
+        let data = inner.stores.version_data(number)?.clone();
+        self.put(&mut inner, caller, Datastore::Candidate, data)
     }
 
     /// Whether the user may read a path, for requests outside the datastores such as schemas and notifications.
     pub async fn may_read(&self, caller: &Caller, path: &juniperrail_model::Path) -> bool {
-        self.0.inner.lock().await.access.may(&caller.user, Doing::Read, path)
+        self.0.inner.lock().await.access.permits(&caller.user, AccessOperation::Read, path)
     }
 }
 
--- a/crates/north/tests/keeper.rs
+++ b/crates/north/tests/keeper.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use juniperrail_intent::{Commit, DefaultOp, Errors, Store};
+use juniperrail_intent::{Commit, Datastore, DefaultOperation, ErrorOption};
 use juniperrail_model::{schema, xml, Data};
 use juniperrail_north::{
     DatastoreManager, Notice, Notification, PlannerRequest, TestOption, NOTICE_QUEUE_CAPACITY,
@@ -56,8 +56,8 @@
             .edit(
                 &ann,
                 &set_weight(&manager, number),
-                DefaultOp::Merge,
-                Errors::Refuse,
+                DefaultOperation::Merge,
+                ErrorOption::RollbackOnError,
                 TestOption::TestThenSet,
             )
             .await
@@ -82,9 +82,9 @@
 async fn running_is_unchanged_if_the_planner_refuses_or_does_not_answer() {
     let (manager, mut requests) = manager();
     let (ann, _end) = manager.open_session("ann", "test").await.unwrap();
-    let before = manager.get(&ann, Store::Running).await;
+    let before = manager.get(&ann, Datastore::Running).await;
     let refusing = tokio::spawn(async move {
-        let refusal = juniperrail_intent::Refusal::NoSecondMessage { most: 1.0 };
+        let refusal = juniperrail_intent::Refusal::NoSecondMessage { max_messages: 1.0 };
         match requests.recv().await {
             Some(PlannerRequest::Apply { verdict, .. }) => verdict.send(Err(vec![refusal])).unwrap(),
             _ => panic!("expected an apply request"),
@@ -93,11 +93,14 @@
         drop(requests.recv().await);
     });
     let drafts = set_weight(&manager, 2);
-    manager.edit(&ann, &drafts, DefaultOp::Merge, Errors::Refuse, TestOption::TestThenSet).await.unwrap();
+    manager
+        .edit(&ann, &drafts, DefaultOperation::Merge, ErrorOption::RollbackOnError, TestOption::TestThenSet)
+        .await
+        .unwrap();
     for why in ["too few to tell it twice", "the planner is not running", "the planner is not running"] {
         let refused = manager.commit(&ann, Commit::default()).await.unwrap_err();
         assert!(refused.to_string().contains(why), "{refused}");
-        assert_eq!(manager.get(&ann, Store::Running).await, before);
+        assert_eq!(manager.get(&ann, Datastore::Running).await, before);
     }
     refusing.await.unwrap();
     assert!(manager.state(&ann).await.is_err(), "there is no operational state either");
@@ -109,15 +112,16 @@
     assert!(manager.open_session("mallory", "test").await.is_none());
     let (eve, _end) = manager.open_session("eve", "test").await.unwrap();
     let (ann, _end) = manager.open_session("ann", "test").await.unwrap();
-    assert!(manager.lock(&eve, Store::Candidate).await.is_err());
-    let refused = manager.copy(&ann, juniperrail_north::Source::Store(Store::Running), Store::Startup).await;
+    assert!(manager.lock(&eve, Datastore::Candidate).await.is_err());
+    let refused =
+        manager.copy(&ann, juniperrail_north::Source::Store(Datastore::Running), Datastore::Startup).await;
     assert!(refused.unwrap_err().to_string().contains("no operator's file"));
     assert!(
         manager.kill_session(&eve, ann.session).await.is_err()
             && manager.kill_session(&ann, eve.session).await.is_ok()
     );
     assert_eq!(
-        manager.get(&eve, Store::Running).await,
+        manager.get(&eve, Datastore::Running).await,
         Data::default(),
         "a reader does not see the northbound section"
     );
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use juniperrail::Brain;
+use juniperrail::Planner;
 use juniperrail_interface::{Event, Ms};
 use juniperrail_start::Names;
 use wire::{Fault, Line};
@@ -15,7 +15,7 @@
 struct Instance {
     names: Names,
     /// `None` once the instance was killed; later events for it are dropped.
-    brain: Option<Brain>,
+    planner: Option<Planner>,
     events: Vec<Event>,
     /// The current batch has an event for this instance, so its planner runs.
     has_events: bool,
@@ -53,9 +53,9 @@
                 continue;
             }
             let events = std::mem::take(&mut instance.events);
-            let Some(brain) = &mut instance.brain else { continue };
+            let Some(planner) = &mut instance.planner else { continue };
             reply.push_str(&format!("BY {number}\n"));
-            match catch_unwind(AssertUnwindSafe(|| brain.turn(now, &events))) {
+            match catch_unwind(AssertUnwindSafe(|| planner.process_events(now, &events))) {
                 Ok(orders) => orders.iter().for_each(|order| wire::write(&mut reply, order, &instance.names)),
                 Err(panic) => reply.push_str(&format!("BUG {}\n", panic_message(&*panic))),
             }
@@ -97,9 +97,11 @@
             let info = serde_json::from_str(line.rest("info")?);
             let info = info.map_err(|err| line.fault(format!("info is not valid JSON: {err}")))?;
             let (settings, names) = juniperrail_start::decode(&info).map_err(|why| line.fault(why))?;
-            let brain = Brain::new(now, seed, settings);
-            instances
-                .insert(number, Instance { names, brain: Some(brain), events: Vec::new(), has_events: true });
+            let planner = Planner::new(now, seed, settings);
+            instances.insert(
+                number,
+                Instance { names, planner: Some(planner), events: Vec::new(), has_events: true },
+            );
             continue;
         }
         let instance = instances
@@ -107,7 +109,7 @@
             .ok_or_else(|| line.fault(format!("no BORN message for instance {number}")))?;
         if name == "DETACH" {
             line.finish()?;
-            instance.brain = None;
+            instance.planner = None;
             instance.events.clear();
             continue;
         }
