--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -4,7 +4,7 @@
 
 use juniperrail_intent::{Change, ComposedWorker};
 use juniperrail_interface::{Ms, WorkerId};
-use juniperrail_north::{ChangeState, Notice, State, WorkerState};
+use juniperrail_north::{ChangeState, Notice, OperationalState, WorkerState};
 
 use super::{Decider, PROGRESS_CHECK_EVERY};
 use crate::fleet;
@@ -41,7 +41,7 @@
     }
 
     /// The state as the model words it.
-    pub(super) fn state(&self) -> State {
+    pub(super) fn state(&self) -> OperationalState {
         let now = self.clock.now();
         let warm_up = self.intent.figures(&self.start, &self.operations).warm_up;
         let worker = |(name, composed): (String, ComposedWorker)| {
@@ -62,7 +62,7 @@
             applied_by: change.applied_proxies,
             joined: change.joined_proxies,
         };
-        State {
+        OperationalState {
             manager: self.name.clone(),
             list_version: self.roster.version,
             workers: self.roster.composed(None, &self.names).into_iter().map(worker).collect(),
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -205,7 +205,7 @@
         role: if seen.role.is_empty() { "follower" } else { seen.role },
         leader: seen.leader.map(|leader| leader.0),
         term: seen.term.0,
-        standing: match seen.standing {
+        recovery_state: match seen.standing {
             None | Some(RecoveryState::Empty) => "fresh",
             Some(RecoveryState::Verifying { .. }) => "settling",
             Some(RecoveryState::Recovering { .. }) => "doubtful",
@@ -215,7 +215,7 @@
         store_failing: seen.store_failing,
         store_size: seen.store_size,
         plan: seen.plan.version,
-        plan_lapsed: seen.plan_lapsed,
+        plan_lease_expired: seen.plan_lapsed,
         zones: seen
             .plan
             .shares
@@ -232,8 +232,8 @@
                 name: told.name.clone(),
                 through: told.through,
                 open: told.open,
-                ended: told.ends,
-                passed: told.passed,
+                finished: told.ends,
+                skipped: told.passed,
                 last: told.last.as_ref().map(|ended| (ended.due_ms, end(ended.outcome), ended.owner.0)),
             })
             .collect(),
--- a/crates/north/src/ask.rs
+++ b/crates/north/src/ask.rs
@@ -6,7 +6,7 @@
 use juniperrail_interface::Ms;
 use tokio::sync::oneshot;
 
-use crate::state::State;
+use crate::state::OperationalState;
 
 /// Requests that may be queued; further senders wait. The planner handles at most one per turn.
 pub const REQUEST_QUEUE_CAPACITY: usize = 16;
@@ -23,7 +23,7 @@
     /// Checks an intent without applying it.
     Validate { intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
     /// Requests the operational state.
-    State(oneshot::Sender<Arc<State>>),
+    State(oneshot::Sender<Arc<OperationalState>>),
 }
 
 /// An unsolicited message from the planner task.
--- a/crates/north/src/keeper.rs
+++ b/crates/north/src/keeper.rs
@@ -17,7 +17,7 @@
 
 use crate::ask::{Notice, PlannerRequest, Verdict, NOTICE_QUEUE_CAPACITY};
 use crate::file::OperatorFile;
-use crate::state::{State, VersionState, VersionsState};
+use crate::state::{OperationalState, VersionState, VersionsState};
 
 /// A cached operational state is reused up to this age, so that frequent readers don't load the planner task.
 const STATE_CACHE_TTL: Duration = Duration::from_millis(100);
@@ -87,12 +87,12 @@
 
 /// The state under the lock.
 struct Inner {
-    stores: Datastores,
+    datastores: Datastores,
     access: AccessControl,
     sessions: BTreeMap<Session, OpenSession>,
     last_session: u32,
     /// The last operational state and when it was received.
-    cached_state: Option<(Instant, Arc<State>)>,
+    cached_state: Option<(Instant, Arc<OperationalState>)>,
 }
 
 /// The datastore manager, shared by all protocol servers.
@@ -123,10 +123,11 @@
         file: Option<OperatorFile>,
         requests: mpsc::Sender<PlannerRequest>,
     ) -> Result<DatastoreManager, DatastoreError> {
-        let stores = Datastores::new(schema.clone(), unix, startup)?;
-        let access = AccessControl::from_data(&schema, stores.get(Datastore::Running)).unwrap_or_default();
+        let datastores = Datastores::new(schema.clone(), unix, startup)?;
+        let access =
+            AccessControl::from_data(&schema, datastores.get(Datastore::Running)).unwrap_or_default();
         let inner = Mutex::new(Inner {
-            stores,
+            datastores,
             access: access.clone(),
             sessions: BTreeMap::new(),
             last_session: 0,
@@ -176,7 +177,7 @@
     /// Rolls back timed-out confirmed commits and forwards notices of the planner task. Returns when that task ends.
     pub async fn run(&self, mut notices: mpsc::Receiver<Notice>) {
         loop {
-            let due = self.0.inner.lock().await.stores.next_deadline();
+            let due = self.0.inner.lock().await.datastores.next_deadline();
             let wait = due.map(|due| Duration::from_secs_f64(((due - self.now()) / 1000.0).clamp(0.0, 1e6)));
             let wait = wait.map(tokio::time::sleep);
             let timer = async {
@@ -204,7 +205,7 @@
     /// Rolls back the confirmed commit that was not confirmed in time.
     async fn roll_back(&self) {
         let mut inner = self.0.inner.lock().await;
-        let Some(proposal) = inner.stores.due_rollback(self.now()) else { return };
+        let Some(proposal) = inner.datastores.due_rollback(self.now()) else { return };
         let number = proposal.number;
         match self.apply(&mut inner, None, proposal).await {
             Ok(_) => {
@@ -213,7 +214,7 @@
             }
             Err(why) => {
                 tracing::error!("cannot roll back the confirmed commit yet: {why}");
-                inner.stores.postpone_rollback(self.now(), why.to_string());
+                inner.datastores.postpone_rollback(self.now(), why.to_string());
             }
         }
     }
@@ -231,19 +232,19 @@
         let intent = Box::new(proposal.intent.clone());
         let request = PlannerRequest::Apply { number, by: by.clone(), intent, verdict: reply };
         self.request_verdict(request, verdict).await?;
-        let before = inner.stores.get(Datastore::Running).clone();
-        let concluded = inner.stores.apply(self.now(), proposal);
+        let before = inner.datastores.get(Datastore::Running).clone();
+        let outcome = inner.datastores.apply(self.now(), proposal);
         inner.cached_state = None;
-        let running = inner.stores.get(Datastore::Running);
+        let running = inner.datastores.get(Datastore::Running);
         // The validation has parsed these rules before, so the default is never used.
         inner.access = AccessControl::from_data(&self.0.schema, running).unwrap_or_default();
         self.0.access.send_replace(inner.access.clone());
         self.0.rescheduled.notify_one();
         tracing::info!("version {number} of the configuration is running, by {by}");
         let edits = self.edits(&before, running);
-        let unconfirmed = concluded.confirm_deadline.is_some();
+        let unconfirmed = outcome.confirm_deadline.is_some();
         self.notify(Notification::ConfigChanged { number, by, session, unconfirmed, edits });
-        Ok(concluded)
+        Ok(outcome)
     }
 
     /// The changed paths, each with its edit operation.
@@ -291,7 +292,7 @@
     pub async fn close_session(&self, caller: &Caller, how: TerminationReason) {
         let mut inner = self.0.inner.lock().await;
         let Some(closed) = inner.sessions.remove(&caller.session) else { return };
-        inner.stores.end_session(self.now(), caller.session);
+        inner.datastores.end_session(self.now(), caller.session);
         drop(inner);
         let how = closed.killed_by.map_or(how, TerminationReason::Killed);
         tracing::info!("session {} of {} from {} ended: {how:?}", caller.session.0, caller.user, closed.from);
@@ -324,13 +325,13 @@
     pub async fn locks(&self) -> Vec<(Datastore, Session)> {
         let inner = self.0.inner.lock().await;
         let stores = [Datastore::Running, Datastore::Candidate, Datastore::Startup];
-        stores.into_iter().filter_map(|store| Some((store, inner.stores.lock_holder(store)?))).collect()
+        stores.into_iter().filter_map(|store| Some((store, inner.datastores.lock_holder(store)?))).collect()
     }
 
     /// The part of a datastore that the user may read.
     pub async fn get(&self, caller: &Caller, store: Datastore) -> Data {
         let inner = self.0.inner.lock().await;
-        inner.access.filter_readable(&self.0.schema, &caller.user, inner.stores.get(store))
+        inner.access.filter_readable(&self.0.schema, &caller.user, inner.datastores.get(store))
     }
 
     /// The part of the operational state that the user may read. It shows what was actually sent to the proxies, and is
@@ -339,15 +340,15 @@
         let state = self.snapshot().await?;
         let inner = self.0.inner.lock().await;
         let now = self.now();
-        let versions = inner.stores.versions().map(|version| VersionState {
+        let versions = inner.datastores.versions().map(|version| VersionState {
             number: version.number,
             by: version.author.clone(),
             age: now - version.at,
         });
-        let waits = inner.stores.pending_confirmation();
+        let pending = inner.datastores.pending_confirmation();
         let versions = VersionsState {
-            unconfirmed_for: waits.map(|(until, _)| until - now),
-            overdue: waits.and_then(|(_, why)| why.map(str::to_string)),
+            unconfirmed_for: pending.map(|(until, _)| until - now),
+            rollback_failure: pending.and_then(|(_, why)| why.map(str::to_string)),
             versions: versions.collect(),
         };
         let data = state.data(&self.0.schema, &versions);
@@ -355,7 +356,7 @@
     }
 
     /// The operational state, cached or requested from the planner task.
-    async fn snapshot(&self) -> Result<Arc<State>, DatastoreError> {
+    async fn snapshot(&self) -> Result<Arc<OperationalState>, DatastoreError> {
         // The lock is held during the request, so that concurrent readers share one request.
         let mut inner = self.0.inner.lock().await;
         if let Some((_, state)) = inner.cached_state.as_ref().filter(|(at, _)| at.elapsed() < STATE_CACHE_TTL)
@@ -376,18 +377,19 @@
         &self,
         caller: &Caller,
         drafts: &[Draft],
-        default: DefaultOperation,
-        errors: ErrorOption,
-        check: TestOption,
+        default_operation: DefaultOperation,
+        error_option: ErrorOption,
+        test_option: TestOption,
     ) -> Result<Vec<Fault>, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let (data, faults) = inner.stores.edit_candidate(caller.session, drafts, default, errors)?;
-        self.check_write_access(&inner, caller, inner.stores.get(Datastore::Candidate), &data)?;
-        if check != TestOption::Set {
-            inner.stores.validate(&data)?;
+        let (data, faults) =
+            inner.datastores.edit_candidate(caller.session, drafts, default_operation, error_option)?;
+        self.check_write_access(&inner, caller, inner.datastores.get(Datastore::Candidate), &data)?;
+        if test_option != TestOption::Set {
+            inner.datastores.validate(&data)?;
         }
-        if check != TestOption::TestOnly {
-            inner.stores.put(caller.session, Datastore::Candidate, data)?;
+        if test_option != TestOption::TestOnly {
+            inner.datastores.put(caller.session, Datastore::Candidate, data)?;
         }
         Ok(faults)
     }
@@ -411,18 +413,16 @@
         Ok(match source {
             // A user who may read only a part must not copy the rest without seeing it.
             Source::Store(store) => {
-                let data = inner.stores.get(store);
+                let data = inner.datastores.get(store);
                 let readable = inner.access.filter_readable(&self.0.schema, &caller.user, data);
                 if readable != *data {
-                    return Err(DatastoreError::AccessDenied(
-                        "the parts of the source that it may not read".into(),
-                    ));
+                    return Err(DatastoreError::AccessDenied("unreadable parts of the source".into()));
                 }
                 readable
             }
             Source::Inline(drafts) => {
                 let mut data = Data::from_drafts(&self.0.schema, &drafts)
-                    .map_err(|f| DatastoreError::Faults(vec![f]))?;
+                    .map_err(|fault| DatastoreError::Faults(vec![fault]))?;
                 data.tidy(&self.0.schema);
                 data
             }
@@ -449,11 +449,11 @@
         target: Datastore,
         data: Data,
     ) -> Result<(), DatastoreError> {
-        self.check_write_access(inner, caller, inner.stores.get(target), &data)?;
+        self.check_write_access(inner, caller, inner.datastores.get(target), &data)?;
         if target == Datastore::Startup {
-            inner.stores.validate(&data)?;
+            inner.datastores.validate(&data)?;
             if let Some(holder) =
-                inner.stores.lock_holder(Datastore::Startup).filter(|holder| *holder != caller.session)
+                inner.datastores.lock_holder(Datastore::Startup).filter(|holder| *holder != caller.session)
             {
                 return Err(DatastoreError::InUse(holder));
             }
@@ -469,7 +469,7 @@
                 )
             })?;
         }
-        inner.stores.put(caller.session, target, data)
+        inner.datastores.put(caller.session, target, data)
     }
 
     /// Empties startup; other datastores can't be deleted.
@@ -482,10 +482,10 @@
     }
 
     /// Checks that the user may write anything at all. Otherwise a reader could block writers, for example with a lock.
-    fn check_writer(inner: &Inner, caller: &Caller, what: &str) -> Result<(), DatastoreError> {
+    fn check_writer(inner: &Inner, caller: &Caller, denied: &str) -> Result<(), DatastoreError> {
         match inner.access.role(&caller.user) {
             Some(Role::Operator | Role::Admin) => Ok(()),
-            Some(Role::Reader) | None => Err(DatastoreError::AccessDenied(what.into())),
+            Some(Role::Reader) | None => Err(DatastoreError::AccessDenied(denied.into())),
         }
     }
 
@@ -493,26 +493,26 @@
     pub async fn lock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::check_writer(&inner, caller, "a lock")?;
-        inner.stores.lock(store, caller.session)
+        inner.datastores.lock(store, caller.session)
     }
 
     /// Releases a lock of the session.
     pub async fn unlock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
-        self.0.inner.lock().await.stores.unlock(store, caller.session)
+        self.0.inner.lock().await.datastores.unlock(store, caller.session)
     }
 
     /// Resets the candidate to running.
     pub async fn discard(&self, caller: &Caller) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::check_writer(&inner, caller, "the candidate")?;
-        inner.stores.discard(caller.session)
+        inner.datastores.discard(caller.session)
     }
 
     /// Checks that the data is valid and that the planner would accept it now.
     pub async fn validate(&self, caller: &Caller, source: Source) -> Result<(), DatastoreError> {
         let inner = self.0.inner.lock().await;
         let data = self.source_data(&inner, caller, source)?;
-        inner.stores.validate(&data)?;
+        inner.datastores.validate(&data)?;
         let (reply, verdict) = oneshot::channel();
         let intent = Box::new(juniperrail_intent::Intent::from_data(&self.0.schema, &data));
         self.request_verdict(PlannerRequest::Validate { intent, verdict: reply }, verdict).await
@@ -522,16 +522,16 @@
     pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<CommitOutcome, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let confirmed = commit.confirmed;
-        let was_pending = inner.stores.pending_confirmation().is_some();
+        let was_pending = inner.datastores.pending_confirmation().is_some();
         DatastoreManager::check_writer(&inner, caller, "running")?;
-        let proposal = inner.stores.propose_commit(caller.session, &caller.user, commit)?;
+        let proposal = inner.datastores.propose_commit(caller.session, &caller.user, commit)?;
         // The candidate may contain edits of other users; the committing user needs write access to all of them.
-        self.check_write_access(&inner, caller, inner.stores.get(Datastore::Running), &proposal.data)?;
-        let concluded = self.apply(&mut inner, Some(caller.session), proposal).await?;
+        self.check_write_access(&inner, caller, inner.datastores.get(Datastore::Running), &proposal.data)?;
+        let outcome = self.apply(&mut inner, Some(caller.session), proposal).await?;
         if was_pending && !confirmed {
             self.notify(Notification::ConfirmedCommit { how: "complete" });
         }
-        Ok(concluded)
+        Ok(outcome)
     }
 
     /// Cancels a pending confirmed commit and restores the configuration before it.
@@ -542,7 +542,7 @@
     ) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::check_writer(&inner, caller, "running")?;
-        let proposal = inner.stores.propose_cancel(caller.session, persist_id)?;
+        let proposal = inner.datastores.propose_cancel(caller.session, persist_id)?;
         self.apply(&mut inner, Some(caller.session), proposal).await?;
         self.notify(Notification::ConfirmedCommit { how: "cancel" });
         Ok(())
@@ -551,7 +551,7 @@
     /// Copies an older version of running into the candidate.
     pub async fn restore_version(&self, caller: &Caller, number: u64) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let data = inner.stores.version_data(number)?.clone();
+        let data = inner.datastores.version_data(number)?.clone();
         self.put(&mut inner, caller, Datastore::Candidate, data)
     }
 
--- a/crates/north/src/lib.rs
+++ b/crates/north/src/lib.rs
@@ -12,6 +12,6 @@
 pub use file::OperatorFile;
 pub use keeper::{Caller, DatastoreManager, Notification, Source, TerminationReason, TestOption};
 pub use state::{
-    ChangeState, FleetState, OperationState, ProxyState, ScheduleState, State, TableState, VersionState,
-    VersionsState, WorkerState,
+    ChangeState, FleetState, OperationState, OperationalState, ProxyState, ScheduleState, TableState,
+    VersionState, VersionsState, WorkerState,
 };
--- a/crates/north/src/state.rs
+++ b/crates/north/src/state.rs
@@ -63,7 +63,7 @@
 
 /// The operational state of a manager.
 #[derive(Clone, Debug, Default)]
-pub struct State {
+pub struct OperationalState {
     pub manager: String,
     pub list_version: u64,
     pub workers: Vec<WorkerState>,
@@ -84,7 +84,7 @@
     pub role: &'static str,
     pub leader: Option<u16>,
     pub term: u64,
-    pub standing: &'static str,
+    pub recovery_state: &'static str,
     pub committed: u64,
     pub store_failing: bool,
     pub store_size: u64,
@@ -96,7 +96,7 @@
     /// The version of the agreed plan.
     pub plan: u64,
     /// Whether the lease of the plan has expired.
-    pub plan_lapsed: bool,
+    pub plan_lease_expired: bool,
     /// Each zone's share in the plan, with the reason.
     pub zones: Vec<(String, f64, &'static str)>,
 }
@@ -110,9 +110,9 @@
     /// Occurrences in progress.
     pub open: usize,
     /// Occurrences that finished.
-    pub ended: u64,
+    pub finished: u64,
     /// Occurrences that were skipped.
-    pub passed: u64,
+    pub skipped: u64,
     /// The last finished occurrence: its due time, its result and its owner.
     pub last: Option<(i64, &'static str, u16)>,
 }
@@ -131,7 +131,7 @@
     /// The time left to confirm it.
     pub unconfirmed_for: Option<Ms>,
     /// Why its rollback is delayed.
-    pub overdue: Option<String>,
+    pub rollback_failure: Option<String>,
     pub versions: Vec<VersionState>,
 }
 
@@ -203,7 +203,7 @@
 /// The longest duration that the module allows: one hour.
 const MAX_DURATION: Ms = 3_600_000.0;
 
-impl State {
+impl OperationalState {
     /// The state as data of the module `juniperrail-state`.
     pub fn data(&self, schema: &Schema, versions: &VersionsState) -> Data {
         let mut data = Data::default();
@@ -291,7 +291,7 @@
     fn write(&self, all: &mut Writer<'_>) {
         all.integer("member", self.member).text("role", self.role).integer("term", self.term);
         self.leader.iter().for_each(|leader| _ = all.integer("leader", *leader));
-        all.text("standing", self.standing).integer("committed", self.committed);
+        all.text("standing", self.recovery_state).integer("committed", self.committed);
         all.set("store-failing", Value::Boolean(self.store_failing)).integer("store-size", self.store_size);
         all.integer("messages-lost", self.messages_lost).integer("own-health", self.own_health);
         for (number, health, reach) in &self.members {
@@ -299,7 +299,7 @@
                 member.text("health", health).text("reach", reach);
             });
         }
-        all.integer("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lapsed));
+        all.integer("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lease_expired));
         for (name, part, why) in &self.zones {
             all.entry("zone", &[Value::text(&**name)], |zone| {
                 zone.decimal("part", *part, 4).text("why", why);
@@ -308,7 +308,7 @@
         for state in &self.schedules {
             all.entry("schedule", &[Value::text(&*state.name)], |schedule| {
                 schedule.integer("through", state.through).integer("open", state.open as u64);
-                schedule.integer("ended", state.ended).integer("passed", state.passed);
+                schedule.integer("ended", state.finished).integer("passed", state.skipped);
                 if let Some((due, end, owner)) = state.last {
                     schedule.integer("last-due", due).text("last-end", end).integer("last-owner", owner);
                 }
@@ -320,7 +320,7 @@
 impl VersionsState {
     fn write(&self, all: &mut Writer<'_>) {
         self.unconfirmed_for.iter().for_each(|left| _ = all.decimal("unconfirmed-for", *left, 3));
-        self.overdue.iter().for_each(|why| _ = all.text("overdue", why));
+        self.rollback_failure.iter().for_each(|why| _ = all.text("overdue", why));
         for version in &self.versions {
             all.entry("version", &[Value::Integer(version.number.into())], |entry| {
                 entry.text("by", &version.by).decimal("age", version.age, 3);
@@ -399,7 +399,7 @@
             applied_by: 1,
             joined: 2,
         };
-        let state = State {
+        let state = OperationalState {
             manager: "n0".into(),
             list_version: u64::MAX,
             workers: vec![WorkerState {
@@ -438,7 +438,7 @@
                 role: "candidate",
                 leader: Some(1),
                 term: u64::MAX,
-                standing: "doubtful",
+                recovery_state: "doubtful",
                 members: vec![(1, "suspect", "by-others")],
                 zones: vec![("b".into(), 0.3, "cut-off")],
                 schedules: vec![ScheduleState {
@@ -453,7 +453,7 @@
         let schema = juniperrail_model::schema();
         let versions = VersionsState {
             unconfirmed_for: Some(-1.5),
-            overdue: Some("why".into()),
+            rollback_failure: Some("why".into()),
             versions: vec![VersionState { number: 2, by: "ann".into(), age: 3.0 }],
         };
         let data = state.data(&schema, &versions);
