--- a/crates/north/src/file.rs
+++ b/crates/north/src/file.rs
@@ -16,6 +16,7 @@
 }
 
 impl OperatorFile {
+    /// The file at this path; it need not exist.
     pub fn new(path: impl Into<PathBuf>) -> OperatorFile {
         OperatorFile { path: path.into() }
     }
--- a/crates/north/src/keeper.rs
+++ b/crates/north/src/keeper.rs
@@ -150,6 +150,7 @@
         })))
     }
 
+    /// The schema of the YANG modules that the datastores follow.
     pub fn schema(&self) -> &Arc<Schema> {
         &self.0.schema
     }
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -21,6 +21,7 @@
 }
 
 impl RetryKey {
+    /// The key of an operation at a proxy through a table.
     pub fn new(operation: &str, table: TableId, proxy: ProxyId) -> RetryKey {
         RetryKey { operation: operation.into(), table: table.0, proxy: proxy.0 }
     }
@@ -175,6 +176,7 @@
         RetryAuthoriser { ledger, submitted: Vec::new(), requested: BTreeMap::new(), disk_failing: false }
     }
 
+    /// The durable ledger.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -14,6 +14,7 @@
 }
 
 impl Fault {
+    /// An error at the line of that number, counted from 1.
     pub fn at(line: usize, message: String) -> Self {
         Fault { line, message }
     }
@@ -34,6 +35,7 @@
 }
 
 impl<'a> Line<'a> {
+    /// A line by its number, counted from 1, and its text.
     pub fn new(number: usize, text: &'a str) -> Self {
         let text = text.strip_suffix('\r').unwrap_or(text);
         Line { number, text, rest: Some(text) }
@@ -90,6 +92,7 @@
         word.parse().map_err(|_| self.fault(format!("{member} is not an integer in range: {word:?}")))
     }
 
+    /// A Boolean, written as 1 or 0.
     fn flag(&mut self, member: &str) -> Result<bool, Fault> {
         match self.word(member)? {
             "1" => Ok(true),
@@ -98,6 +101,7 @@
         }
     }
 
+    /// A load report: name:value pairs separated by commas, or `-`. Unknown names are ignored.
     fn load(&mut self, member: &str) -> Result<Load, Fault> {
         let mut load = Load::default();
         let text = self.word(member)?;
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -39,6 +39,7 @@
         self.ids.get(name).copied()
     }
 
+    /// The number of known names.
     pub fn count(&self) -> usize {
         self.names.len()
     }
@@ -64,18 +65,22 @@
 }
 
 impl Names {
+    /// The id of a zone; a new name is assigned one.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(self.zones.id_for(name) as u16)
     }
 
+    /// The id of a machine type; a new name is assigned one.
     pub fn machine(&mut self, name: &str) -> MachineId {
         MachineId(self.machines.id_for(name) as u16)
     }
 
+    /// The id of a worker; a new name is assigned one.
     pub fn worker(&mut self, name: &str) -> WorkerId {
         WorkerId(self.workers.id_for(name))
     }
 
+    /// The id of a configured operation.
     pub fn op(&self, name: &str) -> Option<OpId> {
         self.ops.find_id(name).map(|id| OpId(id as u8))
     }
@@ -94,10 +99,12 @@
     }
 }
 
+/// The number at a dotted path as an integer; 0 where it is absent.
 fn count(from: &Value, path: &str) -> Result<usize, String> {
     number(from, path).map(|number| number as usize)
 }
 
+/// The string at a dotted path; empty where it is absent.
 fn text<'a>(from: &'a Value, path: &str) -> Result<&'a str, String> {
     match value_at(from, path) {
         Value::Null => Ok(""),
@@ -105,6 +112,7 @@
     }
 }
 
+/// The array at a dotted path; empty where it is absent.
 fn list<'a>(from: &'a Value, path: &str) -> Result<&'a [Value], String> {
     match value_at(from, path) {
         Value::Null => Ok(&[]),
@@ -112,6 +120,7 @@
     }
 }
 
+/// The strings of the array at a dotted path; empty where it is absent.
 fn texts<'a>(from: &'a Value, path: &str) -> Result<Vec<&'a str>, String> {
     let to_text = |value: &'a Value| {
         value.as_str().ok_or_else(|| format!("setting {path} contains a value that is not a string: {value}"))
@@ -119,7 +128,7 @@
     list(from, path)?.iter().map(to_text).collect()
 }
 
-/// Decodes the settings object.
+/// Decodes the settings object to settings and the names of their ids.
 pub fn decode(info: &Value) -> Result<(Settings, Names), String> {
     if !info.is_object() {
         return Err("the settings are not a JSON object".into());
