--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -35,4 +35,4 @@
 /// The failure detector.
 pub const FAILURE_DETECTOR: Mechanism = Mechanism::File("crates/council/src/sight.rs");
 /// The datastores and their commits.
-pub const DATASTORES: Mechanism = Mechanism::File("crates/north/src/keeper.rs");
+pub const DATASTORES: Mechanism = Mechanism::File("crates/north/src/datastore_manager.rs");
--- a/crates/north/src/keeper.rs
+++ b/crates/north/src/datastore_manager.rs
@@ -15,8 +15,8 @@
 use tokio::sync::{broadcast, mpsc, oneshot, watch, Mutex, Notify};
 use tokio::time::Instant;
 
-use crate::ask::{Notice, PlannerRequest, Verdict, NOTICE_QUEUE_CAPACITY};
 use crate::file::OperatorFile;
+use crate::planner_request::{Notice, PlannerRequest, Verdict, NOTICE_QUEUE_CAPACITY};
 use crate::state::{OperationalState, VersionState, VersionsState};
 
 /// A cached operational state is reused up to this age, so that frequent readers don't load the planner task.
--- a/crates/north/src/lib.rs
+++ b/crates/north/src/lib.rs
@@ -3,14 +3,14 @@
 //! [`PlannerRequest`] over one bounded queue; the planner task never waits for this crate. Protocol servers call the
 //! [`DatastoreManager`] and make no decisions of their own.
 
-mod ask;
+mod datastore_manager;
 mod file;
-mod keeper;
+mod planner_request;
 mod state;
 
-pub use ask::{Notice, PlannerRequest, Verdict, NOTICE_QUEUE_CAPACITY, REQUEST_QUEUE_CAPACITY};
+pub use datastore_manager::{Caller, DatastoreManager, Notification, Source, TerminationReason, TestOption};
 pub use file::OperatorFile;
-pub use keeper::{Caller, DatastoreManager, Notification, Source, TerminationReason, TestOption};
+pub use planner_request::{Notice, PlannerRequest, Verdict, NOTICE_QUEUE_CAPACITY, REQUEST_QUEUE_CAPACITY};
 pub use state::{
     ChangeState, FleetState, OperationState, OperationalState, ProxyState, ScheduleState, TableState,
     VersionState, VersionsState, WorkerState,
