--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -3,7 +3,7 @@
 //! `formats/` is a record's name and its bytes in hexadecimal digits.
 
 use juniperrail_interface::{ProxyId, TableId};
-use juniperrail_recovery::{Authorised, Moment, Record, Right};
+use juniperrail_recovery::{Authorisation, MarkPosition, Record, RetryKey};
 
 const STORED: &str = include_str!("formats/ledger-records.txt");
 
@@ -16,16 +16,16 @@
 }
 
 fn records() -> Vec<(&'static str, Record)> {
-    let right = || Right::new("grade", TableId(300), ProxyId(7));
-    let from = Moment { run: 3, mark: 130 };
-    let to = Moment { run: 4, mark: 2 };
-    let ended = Authorised { from, since: 12.5, to: Some((to, 99.25)) };
-    let open = Authorised { from, since: 12.5, to: None };
+    let key = || RetryKey::new("grade", TableId(300), ProxyId(7));
+    let from = MarkPosition { run: 3, mark: 130 };
+    let to = MarkPosition { run: 4, mark: 2 };
+    let ended = Authorisation { from, since: 12.5, to: Some((to, 99.25)) };
+    let open = Authorisation { from, since: 12.5, to: None };
     vec![
-        ("opened", Record::Opened { right: right(), from, since: 12.5 }),
-        ("closed", Record::Closed { right: right(), to, at: 99.25 }),
-        ("snapshot-ended", Record::Kept { right: right(), authorised: ended }),
-        ("snapshot-open", Record::Kept { right: right(), authorised: open }),
+        ("opened", Record::Authorised { key: key(), from, since: 12.5 }),
+        ("closed", Record::Revoked { key: key(), to, at: 99.25 }),
+        ("snapshot-ended", Record::Snapshot { key: key(), authorisation: ended }),
+        ("snapshot-open", Record::Snapshot { key: key(), authorisation: open }),
     ]
 }
 
@@ -36,7 +36,7 @@
     assert_eq!(stored.len(), records.len());
     for ((stored_name, digits), (name, record)) in stored.iter().zip(&records) {
         assert_eq!(stored_name, name);
-        assert_eq!(&Record::read(&bytes(digits)).unwrap(), record, "{name} is read as another record");
-        assert_eq!(&hexadecimal(&record.write()), digits, "{name} is written as other bytes");
+        assert_eq!(&Record::decode(&bytes(digits)).unwrap(), record, "{name} is read as another record");
+        assert_eq!(&hexadecimal(&record.encode()), digits, "{name} is written as other bytes");
     }
 }
