--- a/crates/council/tests/sight.rs
+++ b/crates/consensus/tests/failure_detector.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use juniperrail_council::*;
+use juniperrail_consensus::*;
 use juniperrail_interface::Ms;
 
 const CONFIG: SwimConfig = SwimConfig {
--- a/crates/council/tests/histories.rs
+++ b/crates/consensus/tests/histories.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use juniperrail_council::*;
+use juniperrail_consensus::*;
 use juniperrail_interface::Ms;
 
 const CONFIG: RaftConfig = RaftConfig {
--- a/crates/failover/src/health.rs
+++ b/crates/failover/src/health.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperrail_council::MemberId;
+use juniperrail_consensus::MemberId;
 use juniperrail_interface::Ms;
 use serde::{Deserialize, Serialize};
 
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use juniperrail_council::MemberId;
+use juniperrail_consensus::MemberId;
 use juniperrail_failover::*;
 
 const CONFIG: FailoverConfig =
--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -1,6 +1,6 @@
 //! All that managers agree on, as one state that each applies the same words to.
 
-use juniperrail_council::{Index, Snapshot};
+use juniperrail_consensus::{Index, Snapshot};
 use juniperrail_failover::Plan;
 use juniperrail_schedule::Ledger;
 use serde::{Deserialize, Serialize};
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use juniperrail_council::{
+use juniperrail_consensus::{
     median_clock, Actions, FailureDetector, Health, Index, Member, MemberId, MemberRole, Members,
     MembershipChange, Message, RaftEvent, RaftNode, Role, Run, StoredState,
 };
@@ -266,10 +266,10 @@
         }
     }
 
-    fn take_over(&mut self, agreed: juniperrail_council::Committed) {
+    fn take_over(&mut self, agreed: juniperrail_consensus::Committed) {
         _ = Point::CONSENSUS_APPLY.pass();
         match agreed {
-            juniperrail_council::Committed::Snapshot(snapshot) => match Agreed::read(&snapshot) {
+            juniperrail_consensus::Committed::Snapshot(snapshot) => match Agreed::read(&snapshot) {
                 Some(state) => {
                     // One that was kept from before is no word on how things are now.
                     if self.council.leader().is_some() && state.plan != self.agreed.plan {
@@ -282,8 +282,8 @@
                     snapshot.last_index.0
                 ),
             },
-            juniperrail_council::Committed::Entry(entry) => {
-                if let juniperrail_council::Payload::Command(bytes) = &entry.payload {
+            juniperrail_consensus::Committed::Entry(entry) => {
+                if let juniperrail_consensus::Payload::Command(bytes) = &entry.payload {
                     match Word::read(bytes) {
                         Some(word) => self.apply(entry.index, &word),
                         None => {
@@ -381,7 +381,7 @@
         // All that is committed was taken over above.
         let at = self.council.commit_index();
         if let Some(records) = self.council.compact(at, self.agreed.write()) {
-            let records = records.iter().map(juniperrail_council::Record::encode).collect();
+            let records = records.iter().map(juniperrail_consensus::Record::encode).collect();
             if !self.writer.compact(records) {
                 // The store keeps the longer form; the next time all is compacted again.
                 tracing::debug!("fleet: the store is busy and is compacted later");
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -9,7 +9,7 @@
 use http_body_util::Empty;
 use hyper::{header, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use juniperrail_council::Index;
+use juniperrail_consensus::Index;
 use juniperrail_faults::Point;
 use juniperrail_schedule::{Action, ClaimTask, Occurrence, TryOutcome};
 use tokio::net::TcpStream;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,5 +1,5 @@
 //! The runtime of what managers decide in common. It decides nothing: messages, durable acknowledgements, time and chance
-//! go in to the crates `council` and `schedule`, and what comes back is written, sent and done here.
+//! go in to the crates `consensus` and `schedule`, and what comes back is written, sent and done here.
 //!
 //! Three threads beside the one that decides for proxies, which never waits for them: `fleet` owns the council and what is
 //! agreed; `links` moves bytes between managers and sends effects; `store` syncs. State that two threads touch is in
@@ -30,7 +30,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use juniperrail_council::StoredState;
+use juniperrail_consensus::StoredState;
 use juniperrail_failover::{Evidence, Zone};
 use juniperrail_store::{Opened, Pace, Refused, Store, Writer};
 use parking_lot::Mutex;
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_council::{MemberId, Run};
+use juniperrail_consensus::{MemberId, Run};
 use juniperrail_faults::{Fault, Point};
 use parking_lot::Mutex;
 use serde::de::DeserializeOwned;
--- a/crates/fleet/src/mail.rs
+++ b/crates/fleet/src/mail.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use juniperrail_council::{Index, MemberId, Message, Run, SwimMessage};
+use juniperrail_consensus::{Index, MemberId, Message, Run, SwimMessage};
 use juniperrail_failover::Evidence;
 use juniperrail_schedule::{ClaimTask, TryOutcome};
 use parking_lot::{Condvar, Mutex};
--- a/crates/fleet/src/seen.rs
+++ b/crates/fleet/src/seen.rs
@@ -1,6 +1,6 @@
 //! A copy of what people may read, written by the thread that decides in common.
 
-use juniperrail_council::{Health, Index, MemberId, Reach, RecoveryState, Term};
+use juniperrail_consensus::{Health, Index, MemberId, Reach, RecoveryState, Term};
 use juniperrail_failover::Plan;
 use juniperrail_schedule::EndedOccurrence;
 
--- a/crates/fleet/src/setting.rs
+++ b/crates/fleet/src/setting.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use juniperrail_council::{MemberId, RaftConfig, SwimConfig};
+use juniperrail_consensus::{MemberId, RaftConfig, SwimConfig};
 use juniperrail_schedule::Schedule;
 use juniperrail_store::Limits;
 
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -7,7 +7,7 @@
 use std::fmt::Debug;
 use std::path::Path;
 
-use juniperrail_council::{
+use juniperrail_consensus::{
     Entry, GossipUpdate, Health as MemberHealth, Index, Member, MemberId, MemberRole, Members,
     MembershipChange, Message, Payload, Record, Run, Snapshot, SwimMessage, Term,
 };
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use juniperrail_council::{MemberId, RaftConfig, Run, SwimConfig};
+use juniperrail_consensus::{MemberId, RaftConfig, Run, SwimConfig};
 use juniperrail_fleet::{Bound, Fleet, Setting};
 use juniperrail_store::Limits;
 use serde::Serialize;
--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -31,8 +31,8 @@
 /// Links between managers.
 pub const LINKS: Mechanism = Mechanism::File("crates/fleet/src/links.rs");
 /// Terms, log and leases.
-pub const CONSENSUS: Mechanism = Mechanism::File("crates/council/src/council.rs");
+pub const CONSENSUS: Mechanism = Mechanism::File("crates/consensus/src/raft_node.rs");
 /// The failure detector.
-pub const FAILURE_DETECTOR: Mechanism = Mechanism::File("crates/council/src/failure_detector.rs");
+pub const FAILURE_DETECTOR: Mechanism = Mechanism::File("crates/consensus/src/failure_detector.rs");
 /// The datastores and their commits.
 pub const DATASTORES: Mechanism = Mechanism::File("crates/north/src/datastore_manager.rs");
--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use juniperrail_council::{
+use juniperrail_consensus::{
     Member, MemberId, MemberRole, Members, Message, RaftConfig, RaftNode, Role, StoredState,
 };
 use juniperrail_store::{sim::SimDisk, Disk, Folder, Limits, Store};
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use juniperrail_council::{Health, MemberId, RaftConfig, Reach, RecoveryState, SwimConfig};
+use juniperrail_consensus::{Health, MemberId, RaftConfig, Reach, RecoveryState, SwimConfig};
 use juniperrail_failover::{Evidence, EvidenceAccumulator, Zone};
 use juniperrail_fleet::{Common, Setting};
 use juniperrail_interface::{Ms, Phase, Settings, WorkerEntry};
--- a/crates/schedule/src/books.rs
+++ b/crates/schedule/src/books.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use juniperrail_council::{Index, MemberId, Run};
+use juniperrail_consensus::{Index, MemberId, Run};
 use juniperrail_interface::Ms;
 use serde::{Deserialize, Serialize};
 
--- a/crates/schedule/src/decide.rs
+++ b/crates/schedule/src/decide.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperrail_council::{Index, MemberId};
+use juniperrail_consensus::{Index, MemberId};
 use juniperrail_interface::Ms;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/schedule/src/duty.rs
+++ b/crates/schedule/src/duty.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperrail_council::{Index, MemberId, Run};
+use juniperrail_consensus::{Index, MemberId, Run};
 use juniperrail_interface::Ms;
 
 use crate::books::{Action, Command, Ledger, Occurrence, TryOutcome};
--- a/crates/schedule/tests/histories.rs
+++ b/crates/schedule/tests/histories.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use juniperrail_council::{median_clock, Index, MemberId, Run};
+use juniperrail_consensus::{median_clock, Index, MemberId, Run};
 use juniperrail_interface::Ms;
 use juniperrail_schedule::*;
 
--- a/crates/schedule/tests/many.rs
+++ b/crates/schedule/tests/many.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperrail_council::{Index, MemberId};
+use juniperrail_consensus::{Index, MemberId};
 use juniperrail_schedule::*;
 
 #[test]
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use juniperrail_council::MemberId;
+use juniperrail_consensus::MemberId;
 use juniperrail_standins::{entry, list, Discovery, Limits, Proxies, Rules, SETTINGS};
 
 use crate::executor::Executor;
--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use juniperrail_council::{Entry, Index, MemberId, Message, Payload, Term};
+use juniperrail_consensus::{Entry, Index, MemberId, Message, Payload, Term};
 use juniperrail_fleet::PeerMessage;
 
 /// How a link treats the bytes sent over it.
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use juniperrail_council::MemberId;
+use juniperrail_consensus::MemberId;
 use juniperrail_faults::{Fault, Point, POINTS};
 
 use crate::cluster::{ClusterConfig, TestCluster};
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::time::Duration;
 
-use juniperrail_council::MemberId;
+use juniperrail_consensus::MemberId;
 use juniperrail_trials::*;
 
 const BOTH: [&str; 2] = ["warm", "grade"];
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use juniperrail_council::MemberId;
+use juniperrail_consensus::MemberId;
 use juniperrail_trials::*;
 
 const ALL: [u16; 3] = [1, 2, 3];
