--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -35,4 +35,4 @@
 /// The failure detector.
 pub const FAILURE_DETECTOR: Mechanism = Mechanism::File("crates/consensus/src/failure_detector.rs");
 /// The datastores and their commits.
-pub const DATASTORES: Mechanism = Mechanism::File("crates/north/src/datastore_manager.rs");
+pub const DATASTORES: Mechanism = Mechanism::File("crates/northbound/src/datastore_manager.rs");
--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -13,7 +13,7 @@
 use juniperrail_client::{Failed, Reason};
 use juniperrail_manager::Launch;
 use juniperrail_model::{json, schema, xsd};
-use juniperrail_north::OperatorFile;
+use juniperrail_northbound::OperatorFile;
 
 use crate::logs::Form;
 
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -15,7 +15,7 @@
 use juniperrail_fleet::{Common, Parts};
 use juniperrail_intent::{ChangeTracker, Intent};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Settings, WorkerId};
-use juniperrail_north::{Notice, PlannerRequest};
+use juniperrail_northbound::{Notice, PlannerRequest};
 use juniperrail_start::Names;
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep_until, Instant};
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -6,7 +6,7 @@
 use juniperrail_fleet::Parts;
 use juniperrail_intent::{check_change, AdmissionContext, ComposedWorker, Intent, Refusal};
 use juniperrail_interface::{Event, ZoneId};
-use juniperrail_north::{PlannerRequest, Verdict};
+use juniperrail_northbound::{PlannerRequest, Verdict};
 
 use super::Decider;
 
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -4,7 +4,7 @@
 
 use juniperrail_intent::{Change, ComposedWorker};
 use juniperrail_interface::{Ms, WorkerId};
-use juniperrail_north::{ChangeState, Notice, OperationalState, WorkerState};
+use juniperrail_northbound::{ChangeState, Notice, OperationalState, WorkerState};
 
 use super::{Decider, PROGRESS_CHECK_EVERY};
 use crate::fleet;
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use juniperrail_intent::{DesiredState, WorkerIntent};
 use juniperrail_interface::{MarkId, Order, ProxyId};
-use juniperrail_north::{Verdict, WorkerState};
+use juniperrail_northbound::{Verdict, WorkerState};
 use tokio::sync::oneshot;
 
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -9,7 +9,7 @@
 use juniperrail_fleet::{Common, Setting};
 use juniperrail_interface::{Ms, Phase, Settings, WorkerEntry};
 use juniperrail_model::{Data, Schema, View};
-use juniperrail_north::{FleetState, OperatorFile, ScheduleState};
+use juniperrail_northbound::{FleetState, OperatorFile, ScheduleState};
 use juniperrail_schedule::{
     Action, CatchUp, FoldPolicy, GapPolicy, OccurrenceOutcome, OverlapPolicy, QuietPolicy, Schedule, Timing,
 };
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -8,7 +8,7 @@
 use juniperrail_intent::{check_against_settings, AdmissionContext, Datastores, Intent};
 use juniperrail_interface::Settings;
 use juniperrail_model::{Data, Schema};
-use juniperrail_north::OperatorFile;
+use juniperrail_northbound::OperatorFile;
 use juniperrail_start::Names;
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/manager/src/north.rs
+++ b/crates/manager/src/north.rs
@@ -7,7 +7,7 @@
 
 use juniperrail_model::View;
 use juniperrail_netconf::Listeners;
-use juniperrail_north::{DatastoreManager, NOTICE_QUEUE_CAPACITY, REQUEST_QUEUE_CAPACITY};
+use juniperrail_northbound::{DatastoreManager, NOTICE_QUEUE_CAPACITY, REQUEST_QUEUE_CAPACITY};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::decider::North;
@@ -20,7 +20,7 @@
 pub struct Northbound {
     listeners: Listeners,
     keeper: DatastoreManager,
-    asks: mpsc::Receiver<juniperrail_north::PlannerRequest>,
+    asks: mpsc::Receiver<juniperrail_northbound::PlannerRequest>,
 }
 
 impl Northbound {
--- a/crates/manager/src/plane.rs
+++ b/crates/manager/src/plane.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use juniperrail_interface::*;
-use juniperrail_north::{OperationState, ProxyState, TableState};
+use juniperrail_northbound::{OperationState, ProxyState, TableState};
 use juniperrail_start::Names;
 
 use crate::presence::{Presence, Stream};
--- a/crates/netconf/src/notify.rs
+++ b/crates/netconf/src/notify.rs
@@ -3,7 +3,7 @@
 
 use juniperrail_model::xml::{Element, NETCONF};
 use juniperrail_model::Schema;
-use juniperrail_north::{Notification, TerminationReason};
+use juniperrail_northbound::{Notification, TerminationReason};
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -7,7 +7,7 @@
 use juniperrail_intent::{Commit, Datastore, DatastoreError, DefaultOperation, ErrorOption, Session};
 use juniperrail_model::xml::{self, Element, NETCONF};
 use juniperrail_model::{Data, Kind as NodeKind, Path, Schema};
-use juniperrail_north::{Caller, DatastoreManager, Source, TestOption};
+use juniperrail_northbound::{Caller, DatastoreManager, Source, TestOption};
 
 use crate::error::{of_refused, Kind, RpcError};
 use crate::filter;
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -6,7 +6,7 @@
 
 use juniperrail_framing::{around, Decoder, Framing};
 use juniperrail_model::xml::{self, Element, NETCONF};
-use juniperrail_north::{Caller, Notification, TerminationReason};
+use juniperrail_northbound::{Caller, Notification, TerminationReason};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::broadcast::{error::RecvError, Receiver};
 use tokio::sync::Notify;
--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -8,7 +8,7 @@
 
 use juniperrail_intent::{AccessControl, CertToName};
 use juniperrail_model::View;
-use juniperrail_north::DatastoreManager;
+use juniperrail_northbound::DatastoreManager;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use rustls::server::WebPkiClientVerifier;
--- a/crates/north/tests/datastore_manager.rs
+++ b/crates/northbound/tests/datastore_manager.rs
@@ -4,7 +4,7 @@
 
 use juniperrail_intent::{Commit, Datastore, DefaultOperation, ErrorOption};
 use juniperrail_model::{schema, xml, Data};
-use juniperrail_north::{
+use juniperrail_northbound::{
     DatastoreManager, Notice, Notification, PlannerRequest, TestOption, NOTICE_QUEUE_CAPACITY,
     REQUEST_QUEUE_CAPACITY,
 };
@@ -113,8 +113,9 @@
     let (eve, _end) = manager.open_session("eve", "test").await.unwrap();
     let (ann, _end) = manager.open_session("ann", "test").await.unwrap();
     assert!(manager.lock(&eve, Datastore::Candidate).await.is_err());
-    let refused =
-        manager.copy(&ann, juniperrail_north::Source::Store(Datastore::Running), Datastore::Startup).await;
+    let refused = manager
+        .copy(&ann, juniperrail_northbound::Source::Store(Datastore::Running), Datastore::Startup)
+        .await;
     assert!(refused.unwrap_err().to_string().contains("no operator's file"));
     assert!(
         manager.kill_session(&eve, ann.session).await.is_err()
