--- a/crates/intent/src/admission.rs
+++ b/crates/intent/src/admission.rs
@@ -129,7 +129,7 @@
                 "sending the change twice takes {lines:.0} lines and the channel carries {max_lines:.0} in time; split the change"
             ),
             Refusal::NoSecondMessage { max_messages } => {
-                write!(f, "a proxy may be sent {max_messages} messages in the counted period, too few to tell it twice")
+                write!(f, "a proxy may be sent {max_messages} messages in the counted period, too few to send it twice")
             }
             Refusal::UnknownZone { worker, zone } => {
                 write!(f, "{worker} cannot be placed in zone {zone}, which the settings don't name")
@@ -242,15 +242,15 @@
 
 fn is_ready_and_warm(context: &AdmissionContext<'_>, intent: &Intent, composed: &ComposedWorker) -> bool {
     let warm_up = intent.warm_up.unwrap_or(context.settings.warm_up);
-    let warm = composed.listed.booted.is_none_or(|booted| context.now >= booted + warm_up);
-    composed.listed.phase == Phase::Ready && warm
+    let warm = composed.entry.booted.is_none_or(|booted| context.now >= booted + warm_up);
+    composed.entry.phase == Phase::Ready && warm
 }
 
 /// Whether the worker serves the operation, for proxies of the zone if one is given.
 fn serves(operation: &Operation, zone: Option<ZoneId>, composed: &ComposedWorker) -> bool {
-    operation.zones.as_ref().is_none_or(|zones| zones.contains(&composed.listed.zone))
-        && operation.machines.as_ref().is_none_or(|machines| machines.contains(&composed.listed.machine))
-        && zone.is_none_or(|zone| zone == composed.listed.zone)
+    operation.zones.as_ref().is_none_or(|zones| zones.contains(&composed.entry.zone))
+        && operation.machines.as_ref().is_none_or(|machines| machines.contains(&composed.entry.machine))
+        && zone.is_none_or(|zone| zone == composed.entry.zone)
 }
 
 /// Guards against an operation that loses its last ready, warm worker. If it has none already, a change may not take
@@ -269,7 +269,7 @@
         };
         for zone in zones {
             let is_ready = |composed: &ComposedWorker| {
-                composed.listed.phase == Phase::Ready && serves(operation, zone, composed)
+                composed.entry.phase == Phase::Ready && serves(operation, zone, composed)
             };
             let any_ready_and_warm = |workers: &BTreeMap<String, ComposedWorker>| {
                 workers
@@ -302,21 +302,20 @@
     let (mut lines, mut max_receivers, mut any_departure) = (0.0, 0.0f64, false);
     for (name, current) in after {
         let previous = before.get(name);
-        let phase = |composed: Option<&ComposedWorker>| {
-            composed.map_or(Phase::Gone, |composed| composed.listed.phase)
-        };
-        let readiness_changed = (phase(previous) == Phase::Ready) != (current.listed.phase == Phase::Ready);
-        let weight_changed = previous.is_some_and(|previous| previous.listed.weight != current.listed.weight);
-        if !(readiness_changed || weight_changed && current.listed.phase == Phase::Ready) {
+        let phase =
+            |composed: Option<&ComposedWorker>| composed.map_or(Phase::Gone, |composed| composed.entry.phase);
+        let readiness_changed = (phase(previous) == Phase::Ready) != (current.entry.phase == Phase::Ready);
+        let weight_changed = previous.is_some_and(|previous| previous.entry.weight != current.entry.weight);
+        if !(readiness_changed || weight_changed && current.entry.phase == Phase::Ready) {
             continue;
         }
-        let departs = readiness_changed && current.listed.phase != Phase::Ready;
+        let departs = readiness_changed && current.entry.phase != Phase::Ready;
         any_departure |= departs;
         // An added worker is sent to all proxies, a changed one to those that have a line of it.
         let receivers = if readiness_changed && !departs {
             expected_proxies(context)
         } else {
-            (context.proxies_with_line)(current.listed.worker) as f64
+            (context.proxies_with_line)(current.entry.worker) as f64
         };
         max_receivers = max_receivers.max(receivers);
         lines += receivers * if readiness_changed { 2.0 } else { 1.0 };
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ComposedWorker {
     /// The entry that the planner receives. A weight of 0 means that no source gives one.
-    pub listed: WorkerEntry,
+    pub entry: WorkerEntry,
     pub address: Option<SocketAddr>,
     pub phase_origin: Origin,
     pub weight_origin: Option<Origin>,
@@ -54,7 +54,7 @@
 /// What discovery last reported of a worker, with the sequence number of the update that set each field.
 #[derive(Clone, Debug)]
 struct DiscoveryEntry {
-    listed: WorkerEntry,
+    entry: WorkerEntry,
     address: Option<SocketAddr>,
     phase_at: u64,
     weight_at: u64,
@@ -84,44 +84,44 @@
 
 impl Composer {
     /// Applies discovery's entry for a worker. A field that repeats its value keeps its sequence number.
-    pub fn update_discovery(&mut self, name: &str, listed: WorkerEntry, address: Option<SocketAddr>) {
+    pub fn update_discovery(&mut self, name: &str, entry: WorkerEntry, address: Option<SocketAddr>) {
         self.last_sequence += 1;
         let (mut phase_at, mut weight_at) = (self.last_sequence, self.last_sequence);
         if let Some(known) = self.discovery.get(name) {
             // The phase of a restarted worker is a new value even if it is the same.
-            let restarted = listed.booted > known.listed.booted || known.listed.phase == Phase::Gone;
-            if !restarted && known.listed.phase == listed.phase {
+            let restarted = entry.booted > known.entry.booted || known.entry.phase == Phase::Gone;
+            if !restarted && known.entry.phase == entry.phase {
                 phase_at = known.phase_at;
             }
-            if known.listed.weight == listed.weight {
+            if known.entry.weight == entry.weight {
                 weight_at = known.weight_at;
             }
         }
         if let Some(operator) = self.operator.get_mut(name) {
-            operator.gone = listed.phase == Phase::Gone;
+            operator.gone = entry.phase == Phase::Gone;
         }
-        self.discovery.insert(name.to_string(), DiscoveryEntry { listed, address, phase_at, weight_at });
+        self.discovery.insert(name.to_string(), DiscoveryEntry { entry, address, phase_at, weight_at });
     }
 
     /// Applies a phase alone; the other fields that discovery reported stay. Returns false and changes nothing if
     /// discovery does not list the worker or reported it gone, so that this never brings a worker back.
     pub fn update_discovery_phase(&mut self, name: &str, phase: Phase) -> bool {
-        let entry = self.discovery.get(name).filter(|entry| entry.listed.phase != Phase::Gone);
-        let Some(entry) = entry.cloned() else { return false };
-        let address = entry.address.filter(|_| phase != Phase::Gone);
-        self.update_discovery(name, WorkerEntry { phase, ..entry.listed }, address);
+        let discovery = self.discovery.get(name).filter(|discovery| discovery.entry.phase != Phase::Gone);
+        let Some(discovery) = discovery.cloned() else { return false };
+        let address = discovery.address.filter(|_| phase != Phase::Gone);
+        self.update_discovery(name, WorkerEntry { phase, ..discovery.entry }, address);
         true
     }
 
     /// Applies a complete list: workers that it does not name are marked gone. Returns their names.
     pub fn mark_unlisted_gone(&mut self, is_listed: &dyn Fn(&str) -> bool) -> Vec<String> {
-        let unlisted = |(name, entry): (&String, &DiscoveryEntry)| {
-            (entry.listed.phase != Phase::Gone && !is_listed(name)).then(|| name.clone())
+        let unlisted = |(name, discovery): (&String, &DiscoveryEntry)| {
+            (discovery.entry.phase != Phase::Gone && !is_listed(name)).then(|| name.clone())
         };
         let unlisted: Vec<String> = self.discovery.iter().filter_map(unlisted).collect();
         for name in &unlisted {
-            let entry = self.discovery[name].clone();
-            self.update_discovery(name, WorkerEntry { phase: Phase::Gone, ..entry.listed }, None);
+            let discovery = self.discovery[name].clone();
+            self.update_discovery(name, WorkerEntry { phase: Phase::Gone, ..discovery.entry }, None);
         }
         unlisted
     }
@@ -129,7 +129,7 @@
     /// The planner removed the worker. If discovery still lists it, only the operator took it out: discovery's entry
     /// stays and true is returned. Otherwise only the fact that discovery reported it gone is kept.
     pub fn forget(&mut self, name: &str) -> bool {
-        if self.discovery.get(name).is_some_and(|entry| entry.listed.phase != Phase::Gone) {
+        if self.discovery.get(name).is_some_and(|discovery| discovery.entry.phase != Phase::Gone) {
             return true;
         }
         let gone = self.discovery.remove(name).is_some();
@@ -141,7 +141,7 @@
 
     /// Gives a worker that was forgotten a new id.
     pub fn reassign_id(&mut self, name: &str, worker: WorkerId) {
-        self.discovery.get_mut(name).into_iter().for_each(|entry| entry.listed.worker = worker);
+        self.discovery.get_mut(name).into_iter().for_each(|discovery| discovery.entry.worker = worker);
     }
 
     /// Replaces the operator's intent for all workers. A field that repeats its value keeps its sequence number.
@@ -164,7 +164,7 @@
                     changed_at(known.intent.weight == worker_intent.weight, known.weight_at)
                 }),
                 gone: match self.discovery.get(name) {
-                    Some(entry) => entry.listed.phase == Phase::Gone,
+                    Some(discovery) => discovery.entry.phase == Phase::Gone,
                     None => known.is_some_and(|known| known.gone),
                 },
                 intent: worker_intent.clone(),
@@ -187,25 +187,25 @@
 
     /// Applies the failover plan to a worker composed from the other sources.
     fn apply_plan(&self, composed: &mut ComposedWorker, desired_state: Option<DesiredState>) {
-        let listed = &mut composed.listed;
-        let Some(ratio) = self.weight_ratios.get(&listed.zone).filter(|ratio| **ratio < 1.0) else { return };
-        if listed.phase != Phase::Ready || desired_state == Some(DesiredState::Ready) {
+        let entry = &mut composed.entry;
+        let Some(ratio) = self.weight_ratios.get(&entry.zone).filter(|ratio| **ratio < 1.0) else { return };
+        if entry.phase != Phase::Ready || desired_state == Some(DesiredState::Ready) {
             return;
         }
         if *ratio <= 0.0 {
-            (listed.phase, composed.phase_origin) = (Phase::Draining, Origin::Plan);
+            (entry.phase, composed.phase_origin) = (Phase::Draining, Origin::Plan);
             return;
         }
         // The planner gives a worker without a weight the mean of the others, so the ratio applies to that mean.
         let known_weights =
-            || self.discovery.values().map(|entry| entry.listed.weight).filter(|weight| *weight > 0.0);
+            || self.discovery.values().map(|discovery| discovery.entry.weight).filter(|weight| *weight > 0.0);
         let mean = || known_weights().sum::<f64>() / (known_weights().count() as f64);
-        let full_weight = if listed.weight > 0.0 {
-            listed.weight
+        let full_weight = if entry.weight > 0.0 {
+            entry.weight
         } else {
             Some(mean()).filter(|mean| *mean > 0.0).unwrap_or(1.0)
         };
-        (listed.weight, composed.weight_origin) = (full_weight * ratio, Some(Origin::Plan));
+        (entry.weight, composed.weight_origin) = (full_weight * ratio, Some(Origin::Plan));
     }
 
     /// The names of all workers that discovery lists or the operator places.
@@ -230,9 +230,9 @@
         let Some(discovery) = discovery else {
             let operator = operator?;
             let placement = operator.intent.placement.as_ref()?;
-            let listed = placed_entry(&operator.intent)?;
+            let entry = placed_entry(&operator.intent)?;
             let mut composed = ComposedWorker {
-                listed: WorkerEntry { phase: Phase::Ready, ..listed },
+                entry: WorkerEntry { phase: Phase::Ready, ..entry },
                 address: placement.address,
                 phase_origin: Origin::Operator,
                 weight_origin: None,
@@ -241,19 +241,19 @@
             };
             if operator.gone {
                 // Guards against bringing back a worker by a placement that the operator configured earlier.
-                (composed.listed.phase, composed.phase_origin) = (Phase::Gone, Origin::Discovery);
+                (composed.entry.phase, composed.phase_origin) = (Phase::Gone, Origin::Discovery);
             }
             operator.apply(&mut composed, 0, 0);
             self.apply_plan(&mut composed, Some(operator.intent.desired_state));
             return Some(composed);
         };
         let mut composed = ComposedWorker {
-            listed: discovery.listed.clone(),
+            entry: discovery.entry.clone(),
             address: discovery.address,
             phase_origin: Origin::Discovery,
-            weight_origin: (discovery.listed.weight > 0.0).then_some(Origin::Discovery),
+            weight_origin: (discovery.entry.weight > 0.0).then_some(Origin::Discovery),
             placement_origin: Origin::Discovery,
-            discovery_phase: Some(discovery.listed.phase),
+            discovery_phase: Some(discovery.entry.phase),
         };
         if let Some(operator) = operator {
             operator.apply(&mut composed, discovery.phase_at, discovery.weight_at);
@@ -267,9 +267,9 @@
     /// Applies the operator's intent to a worker whose phase and weight were set at the given sequence numbers.
     fn apply(&self, composed: &mut ComposedWorker, phase_at: u64, weight_at: u64) {
         if let Some(weight) =
-            self.intent.weight.filter(|_| self.weight_at > weight_at || !composed.listed.weight.gt(&0.0))
+            self.intent.weight.filter(|_| self.weight_at > weight_at || !composed.entry.weight.gt(&0.0))
         {
-            (composed.listed.weight, composed.weight_origin) = (weight, Some(Origin::Operator));
+            (composed.entry.weight, composed.weight_origin) = (weight, Some(Origin::Operator));
         }
         let drained_by_weight = self.intent.weight == Some(0.0);
         let phase = match self.intent.desired_state {
@@ -285,12 +285,12 @@
             Phase::Gone => 2,
         };
         let Some(phase) = phase else { return };
-        let cancels_drain = phase == Phase::Ready && composed.listed.phase == Phase::Draining;
-        if cancels_drain || departure_rank(phase) > departure_rank(composed.listed.phase) {
-            (composed.listed.phase, composed.phase_origin) = (phase, Origin::Operator);
+        let cancels_drain = phase == Phase::Ready && composed.entry.phase == Phase::Draining;
+        if cancels_drain || departure_rank(phase) > departure_rank(composed.entry.phase) {
+            (composed.entry.phase, composed.phase_origin) = (phase, Origin::Operator);
         }
         // The planner reads weight 0 as "none given". That does no harm, as a draining worker has no line in a table.
-        if drained_by_weight && composed.listed.weight == 0.0 {
+        if drained_by_weight && composed.entry.weight == 0.0 {
             composed.weight_origin = Some(Origin::Operator);
         }
     }
@@ -324,12 +324,12 @@
 
         fn phase(&self) -> (Phase, Origin) {
             let composed = self.0.compose("s-1", |_| Some(listed(Phase::Ready, 0.0, None))).unwrap();
-            (composed.listed.phase, composed.phase_origin)
+            (composed.entry.phase, composed.phase_origin)
         }
 
         fn weight(&self) -> (f64, Option<Origin>) {
             let composed = self.0.compose("s-1", |_| Some(listed(Phase::Ready, 0.0, None))).unwrap();
-            (composed.listed.weight, composed.weight_origin)
+            (composed.entry.weight, composed.weight_origin)
         }
     }
 
--- a/crates/intent/src/intent.rs
+++ b/crates/intent/src/intent.rs
@@ -85,7 +85,7 @@
 
     /// The runtime settings in effect: the figures of this intent where given, else those of the settings. `operations`
     /// are the names of the operations in the order of the settings.
-    pub fn figures(&self, settings: &Settings, operations: &[String]) -> RuntimeSettings {
+    pub fn runtime_settings(&self, settings: &Settings, operations: &[String]) -> RuntimeSettings {
         let overrides = |name: &String| self.operations.get(name).copied().unwrap_or_default();
         let named_operations = settings.operations.iter().zip(operations);
         RuntimeSettings {
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -360,7 +360,7 @@
             let composed = composer.compose("w", |_| None);
             prop_assert_eq!(composed.is_some(), discovered.is_some());
             let Some(composed) = composed else { continue };
-            let phase = composed.listed.phase;
+            let phase = composed.entry.phase;
             let departs = matches!(worker_intent.desired_state, DesiredState::Draining | DesiredState::Out)
                 || worker_intent.weight == Some(0.0);
             prop_assert!(discovered != Some(Phase::Gone) || phase == Phase::Gone, "{:?}", update);
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -76,8 +76,8 @@
 
     /// An intent that was judged, or that the file had at the start, holds from this turn on.
     pub(super) fn apply_intent(&mut self, intent: Intent) {
-        let figures = intent.figures(&self.start, &self.operations);
-        if figures != self.intent.figures(&self.start, &self.operations) {
+        let figures = intent.runtime_settings(&self.start, &self.operations);
+        if figures != self.intent.runtime_settings(&self.start, &self.operations) {
             self.events.push(Event::SettingsChanged(figures));
         }
         if let Some(event) = self.roster.apply_intent(&intent, &mut self.names) {
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -43,14 +43,14 @@
     /// The state as the model words it.
     pub(super) fn state(&self) -> OperationalState {
         let now = self.clock.now();
-        let warm_up = self.intent.figures(&self.start, &self.operations).warm_up;
+        let warm_up = self.intent.runtime_settings(&self.start, &self.operations).warm_up;
         let worker = |(name, composed): (String, ComposedWorker)| {
             let spelled = |name: Option<&str>| name.unwrap_or_default().to_string();
             WorkerState {
                 name,
-                zone: spelled(self.names.zones.get(composed.listed.zone.0.into())),
-                machine: spelled(self.names.machines.get(composed.listed.machine.0.into())),
-                warm: composed.listed.booted.is_none_or(|booted| now >= booted + warm_up),
+                zone: spelled(self.names.zones.get(composed.entry.zone.0.into())),
+                machine: spelled(self.names.machines.get(composed.entry.machine.0.into())),
+                warm: composed.entry.booted.is_none_or(|booted| now >= booted + warm_up),
                 composed,
             }
         };
@@ -78,7 +78,7 @@
     /// Tells what was met since, once a period.
     pub(super) fn report_evidence(&mut self, now: Ms) {
         let Some((common, evidence)) = &mut self.fleet else { return };
-        let figures = self.intent.figures(&self.start, &self.operations);
+        let figures = self.intent.runtime_settings(&self.start, &self.operations);
         let warmth = |booted: Option<Ms>| match booted {
             Some(booted) if now < booted + figures.warm_up => figures.cold_share,
             _ => 1.0,
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -284,7 +284,7 @@
     fn phases(&self) -> Vec<(String, Phase, &'static str)> {
         let state = self.0.state();
         let phase =
-            |w: &WorkerState| (w.name.clone(), w.composed.listed.phase, w.composed.phase_origin.name());
+            |w: &WorkerState| (w.name.clone(), w.composed.entry.phase, w.composed.phase_origin.name());
         state.workers.iter().map(phase).collect()
     }
 }
@@ -440,7 +440,7 @@
     let place = |cluster: &TestCluster, name: &str| {
         let state = cluster.0.state();
         let worker = state.workers.into_iter().find(|worker| worker.name == name);
-        worker.map(|worker| (worker.composed.listed.phase, worker.zone))
+        worker.map(|worker| (worker.composed.entry.phase, worker.zone))
     };
     let in_zone_a = |phase: Phase| Some((phase, "a".to_string()));
 
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -54,7 +54,7 @@
         let (waiting, most) = (self.planner.unacknowledged_lines(), self.start.max_pending_lines);
         let full = (waiting >= NEAR.0 * most && most > 0.0)
             .then(|| format!("{waiting:.0} of {most:.0} lines wait in the channel"));
-        let grace = self.intent.figures(&self.start, &self.operations).drain_grace;
+        let grace = self.intent.runtime_settings(&self.start, &self.operations).drain_grace;
         self.leaving.retain(|_, told| now - *told <= grace + self.start.report_period);
         let owed: BTreeMap<WorkerId, Ms> = self
             .leaving
@@ -88,8 +88,8 @@
         self.plane.restart();
         self.wakes.clear();
         self.events.push(self.roster.remembered_list());
-        let figures = self.intent.figures(&self.start, &self.operations);
-        if figures != Intent::default().figures(&self.start, &self.operations) {
+        let figures = self.intent.runtime_settings(&self.start, &self.operations);
+        if figures != Intent::default().runtime_settings(&self.start, &self.operations) {
             self.events.push(Event::SettingsChanged(figures));
         }
         let here = self.presence.streams.iter_mut().filter(|(_, stream)| stream.silent.is_none());
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -143,15 +143,15 @@
 
     /// One worker as the decisions are told it from now on.
     fn recompose(&mut self, name: &str, names: &Names) -> Option<WorkerEntry> {
-        let ComposedWorker { listed, address, .. } = compose(&self.composer, name, names)?;
-        self.addresses.remove(&listed.worker);
-        if listed.phase == Phase::Gone {
-            self.listed.remove(&listed.worker);
+        let ComposedWorker { entry, address, .. } = compose(&self.composer, name, names)?;
+        self.addresses.remove(&entry.worker);
+        if entry.phase == Phase::Gone {
+            self.listed.remove(&entry.worker);
         } else {
-            self.listed.insert(listed.worker, listed.clone());
-            self.addresses.extend(address.map(|address| (listed.worker, address)));
+            self.listed.insert(entry.worker, entry.clone());
+            self.addresses.extend(address.map(|address| (entry.worker, address)));
         }
-        Some(listed)
+        Some(entry)
     }
 
     /// All workers as they are, and as they would be with another intent.
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -229,12 +229,12 @@
 
 impl WorkerState {
     fn write(&self, all: &mut Writer<'_>) {
-        let ComposedWorker { listed, phase_origin, weight_origin, placement_origin, discovery_phase, .. } =
+        let ComposedWorker { entry, phase_origin, weight_origin, placement_origin, discovery_phase, .. } =
             &self.composed;
         all.entry("worker", &[Value::text(&*self.name)], |worker| {
-            worker.text("phase", phase_name(listed.phase)).text("phase-from", phase_origin.name());
+            worker.text("phase", phase_name(entry.phase)).text("phase-from", phase_origin.name());
             if let Some(from) = weight_origin {
-                worker.decimal("weight", listed.weight, 4).text("weight-from", from.name());
+                worker.decimal("weight", entry.weight, 4).text("weight-from", from.name());
             }
             worker.text("zone", &self.zone).text("machine", &self.machine);
             worker.text("place-from", Origin::name(*placement_origin)).set("warm", Value::Boolean(self.warm));
@@ -371,7 +371,7 @@
     #[test]
     fn every_leaf_of_the_state_has_a_valid_value() {
         let (zone, machine, cell) = (ZoneId(0), MachineId(0), CellId(0));
-        let listed = WorkerEntry {
+        let entry = WorkerEntry {
             worker: WorkerId(0),
             phase: Phase::Draining,
             booted: None,
@@ -381,7 +381,7 @@
             weight: 0.123456,
         };
         let composed = ComposedWorker {
-            listed,
+            entry,
             address: None,
             phase_origin: Origin::Operator,
             weight_origin: Some(Origin::Discovery),
--- a/crates/northbound/tests/datastore_manager.rs
+++ b/crates/northbound/tests/datastore_manager.rs
@@ -97,7 +97,7 @@
         .edit(&ann, &drafts, DefaultOperation::Merge, ErrorOption::RollbackOnError, TestOption::TestThenSet)
         .await
         .unwrap();
-    for why in ["too few to tell it twice", "the planner is not running", "the planner is not running"] {
+    for why in ["too few to send it twice", "the planner is not running", "the planner is not running"] {
         let refused = manager.commit(&ann, Commit::default()).await.unwrap_err();
         assert!(refused.to_string().contains(why), "{refused}");
         assert_eq!(manager.get(&ann, Datastore::Running).await, before);
