--- a/src/brain.rs
+++ b/src/brain.rs
@@ -466,7 +466,8 @@
             let factor = (worker.weight_factor * step).clamp(min_factor, max_factor);
             if factor < LOW_WEIGHT_FACTOR && !was_low {
                 low_weight += weight;
-                let text = format!("to {factor:.2} of its weight: cost {cost_ratio:.2} of its peers");
+                let text =
+                    format!("weight factor lowered to {factor:.2}: cost {cost_ratio:.2} times its peers'");
                 self.orders.push(Order::Log { about: Some(id), text });
             }
             self.workers.entry(id).and_modify(|worker| {
@@ -539,7 +540,7 @@
             self.admission_rising = next > self.admission_ratio;
             self.admission_ratio = next;
             self.admission_changed_at = now;
-            let text = format!("letting in {next:.2}: the fleet bears {step:.2} of what came");
+            let text = format!("admitting {next:.2} of demand: estimated capacity is {step:.2} of the load");
             self.orders.push(Order::Log { about: None, text });
         }
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -438,7 +438,7 @@
     for _ in 0..12 {
         let orders = host.after(1000.0, &met);
         host.answer(2);
-        let cut = |order: &Order| matches!(order, Order::Log { text, .. } if text.starts_with("letting in"));
+        let cut = |order: &Order| matches!(order, Order::Log { text, .. } if text.starts_with("admitting "));
         cuts.extend(orders.iter().any(cut).then_some(host.now));
     }
     assert!(cuts.len() > 1, "it goes on where the jam does");
@@ -639,7 +639,7 @@
     let mut host = Host::running(start(), 8, 2);
     let met = |bad: f64, mean: f64| (0..8).map(|worker| sums(worker, 20.0, bad, mean)).collect::<Vec<_>>();
     let cuts = |orders: &[Order]| {
-        let says = |o: &Order| matches!(o, Order::Log { text, .. } if text.starts_with("letting in"));
+        let says = |o: &Order| matches!(o, Order::Log { text, .. } if text.starts_with("admitting "));
         orders.iter().filter(|order| says(order)).count()
     };
     let mut first = 0;
