--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use juniperrail_council::{
-    median_clock, Change, Council, Done, Health, Index, Member, MemberId, Members, Message, News, Recovered,
-    Role, Run, Sight, Voice,
+    median_clock, Actions, FailureDetector, Health, Index, Member, MemberId, MemberRole, Members,
+    MembershipChange, Message, RaftEvent, RaftNode, Role, Run, StoredState,
 };
-use juniperrail_failover::{Evidence, InForce, Pilot};
+use juniperrail_failover::{ActivePlan, Evidence, FailoverController};
 use juniperrail_faults::{Fault, Point};
 use juniperrail_interface::Ms;
-use juniperrail_schedule::{self as schedule, Duties, Leading, Todo, Turn};
+use juniperrail_schedule::{self as schedule, ClaimTask, ClaimTracker, LeaderState, TryOutcome};
 use juniperrail_store::Writer;
 use parking_lot::Mutex;
 use tokio::sync::watch;
@@ -37,8 +37,8 @@
 pub struct Core {
     setting: Setting,
     started: Instant,
-    council: Council,
-    sight: Sight,
+    council: RaftNode,
+    sight: FailureDetector,
     writer: Writer<Watched>,
     /// Records that the writer has not taken yet.
     behind: VecDeque<Vec<u8>>,
@@ -47,11 +47,11 @@
     seen: Arc<Mutex<Seen>>,
     book: Book,
     agreed: Agreed,
-    leading: Leading,
+    leading: LeaderState,
     led: bool,
-    duties: Duties,
-    pilot: Pilot,
-    in_force: InForce,
+    duties: ClaimTracker,
+    pilot: FailoverController,
+    in_force: ActivePlan,
     hand: watch::Sender<Arc<Parts>>,
     /// When schedules are looked at next, and members.
     look: Ms,
@@ -62,21 +62,21 @@
 impl Core {
     pub fn new(
         setting: &Setting,
-        kept: Recovered,
+        kept: StoredState,
         writer: Writer<Watched>,
         mail: Arc<Mail>,
         seen: Arc<Mutex<Seen>>,
         hand: watch::Sender<Arc<Parts>>,
     ) -> Core {
         let voter = |(id, address): (&MemberId, &String)| {
-            (*id, Member { address: address.clone(), voice: Voice::Voter })
+            (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
         let named: Members = setting.members.iter().map(voter).collect();
         // Guards against a seed that is told again at the next start: by this chance a store is told from one that was lost.
         let seed = setting.seed ^ fastrand::u64(..);
-        let council = Council::start(setting.me, setting.figures, named, seed, 0.0, kept);
+        let council = RaftNode::start(setting.me, setting.figures, named, seed, 0.0, kept);
         let run = council.run();
-        let sight = Sight::start(setting.me, setting.sight, run.0, seed ^ 1, 0.0);
+        let sight = FailureDetector::start(setting.me, setting.sight, run.0, seed ^ 1, 0.0);
         Core {
             started: Instant::now(),
             council,
@@ -88,11 +88,11 @@
             seen,
             book: Arc::new(Mutex::new(setting.members.clone())),
             agreed: Agreed::default(),
-            leading: Leading::default(),
+            leading: LeaderState::default(),
             led: false,
-            duties: Duties::new(setting.me, run),
-            pilot: Pilot::default(),
-            in_force: InForce::default(),
+            duties: ClaimTracker::new(setting.me, run),
+            pilot: FailoverController::default(),
+            in_force: ActivePlan::default(),
             hand,
             look: 0.0,
             shown: f64::NEG_INFINITY,
@@ -125,7 +125,7 @@
         self.carry_out();
         loop {
             let now = self.now();
-            let next = self.council.next().min(self.sight.next()).min(self.look).min(now + LONGEST);
+            let next = self.council.next_tick().min(self.sight.next_tick()).min(self.look).min(now + LONGEST);
             let wait = Duration::from_secs_f64((next - now).clamp(0.0, LONGEST) / 1000.0);
             let rung = self.mail.wait(wait);
             if rung.stop {
@@ -134,10 +134,10 @@
             let now = self.now();
             self.store(now);
             self.hear(now);
-            if now >= self.council.next() {
+            if now >= self.council.next_tick() {
                 self.council.tick(now);
             }
-            if now >= self.sight.next() {
+            if now >= self.sight.next_tick() {
                 self.sight.tick(now);
             }
             if rung.leave && self.leaving.is_none() {
@@ -146,7 +146,7 @@
             self.carry_out();
             self.left();
             if now >= self.look {
-                self.look = now + self.setting.figures.heartbeat;
+                self.look = now + self.setting.figures.heartbeat_interval_ms;
                 self.reconcile(now);
                 self.schedules(now);
                 self.zones(now);
@@ -177,10 +177,10 @@
                 false => tracing::info!("fleet: the store is well again"),
             }
             self.failing = failing;
-            self.council.failing(now, failing);
+            self.council.set_store_failing(now, failing);
         }
-        self.council.durable(now, figures.durable.0);
-        _ = Point::COUNCIL_DURABLE.pass();
+        self.council.handle_durable(now, figures.durable.0);
+        _ = Point::CONSENSUS_DURABLE.pass();
     }
 
     fn hear(&mut self, now: Ms) {
@@ -189,14 +189,14 @@
         for (from, parcels) in came {
             for parcel in parcels {
                 match parcel {
-                    PeerMessage::Council(message) => self.council.heard(now, from, message),
-                    PeerMessage::Sight(message) => self.sight.heard(now, day, from, message),
+                    PeerMessage::Council(message) => self.council.handle_message(now, from, message),
+                    PeerMessage::Sight(message) => self.sight.handle_message(now, day, from, message),
                     PeerMessage::Evidence(word) => self.witness(now, from, word),
                 }
             }
         }
         for acted in self.mail.ended() {
-            let word = self.duties.acted(acted.fence, acted.turn, now, day);
+            let word = self.duties.record_outcome(acted.fence, acted.turn, now, day);
             word.into_iter().for_each(|word| self.tell_end(now, word));
         }
         if let Some(word) = self.mail.evidence() {
@@ -210,15 +210,16 @@
     /// Does what the council wants, until it wants nothing more.
     fn carry_out(&mut self) {
         loop {
-            let Done { writes, sends, agreed, news } = self.council.take();
+            let Actions { records: writes, messages: sends, committed: agreed, events: news } =
+                self.council.take_actions();
             if writes.is_empty() && sends.is_empty() && agreed.is_empty() && news.is_empty() {
                 break;
             }
             if !writes.is_empty() {
-                _ = Point::COUNCIL_WRITE.pass();
+                _ = Point::CONSENSUS_WRITE.pass();
             }
             for record in writes {
-                let bytes = record.write();
+                let bytes = record.encode();
                 if !self.behind.is_empty() || self.writer.append(bytes.clone()).is_err() {
                     self.behind.push_back(bytes);
                 }
@@ -229,10 +230,10 @@
             news.into_iter().for_each(|news| self.told(news));
             agreed.into_iter().for_each(|agreed| self.take_over(agreed));
         }
-        for (to, message) in self.sight.sends() {
+        for (to, message) in self.sight.take_messages() {
             self.mail.of(to).send(PeerMessage::Sight(message));
         }
-        for (about, health) in self.sight.turned() {
+        for (about, health) in self.sight.take_health_changes() {
             match health {
                 Health::Alive => tracing::info!("fleet: {about} is there"),
                 Health::Suspect => tracing::info!("fleet: {about} does not answer and is suspected"),
@@ -243,46 +244,46 @@
         self.compact();
     }
 
-    fn told(&mut self, news: News) {
+    fn told(&mut self, news: RaftEvent) {
         match news {
-            News::Leads(term) => {
+            RaftEvent::BecameLeader(term) => {
                 tracing::info!("fleet: this manager leads in {term}");
-                (self.leading, self.pilot) = (Leading::default(), Pilot::default());
-                _ = Point::COUNCIL_LEADS.pass();
+                (self.leading, self.pilot) = (LeaderState::default(), FailoverController::default());
+                _ = Point::CONSENSUS_BECOME_LEADER.pass();
             }
-            News::Follows(leader, term) => tracing::info!("fleet: {leader} leads in {term}"),
-            News::SteppedDown(term, why) => {
+            RaftEvent::LeaderChanged(leader, term) => tracing::info!("fleet: {leader} leads in {term}"),
+            RaftEvent::SteppedDown(term, why) => {
                 tracing::info!("fleet: this manager leads no more in {term}: {why}")
             }
-            News::Founded(count) => tracing::info!("fleet: the council of {count} is founded"),
-            News::Doubtful => {
+            RaftEvent::Bootstrapped(count) => tracing::info!("fleet: the council of {count} is founded"),
+            RaftEvent::RecoveryStarted => {
                 tracing::warn!("fleet: the store is lost or old: nothing is voted on until others have told what it lacks");
             }
-            News::Whole => tracing::info!("fleet: the store has caught up"),
-            News::Outdated(from, term) => {
+            RaftEvent::RecoveryFinished => tracing::info!("fleet: the store has caught up"),
+            RaftEvent::StaleLeader(from, term) => {
                 tracing::info!("fleet: {from} still takes itself for the leader of {term}: refused")
             }
         }
     }
 
-    fn take_over(&mut self, agreed: juniperrail_council::Agreed) {
-        _ = Point::COUNCIL_APPLY.pass();
+    fn take_over(&mut self, agreed: juniperrail_council::Committed) {
+        _ = Point::CONSENSUS_APPLY.pass();
         match agreed {
-            juniperrail_council::Agreed::State(snapshot) => match Agreed::read(&snapshot) {
+            juniperrail_council::Committed::Snapshot(snapshot) => match Agreed::read(&snapshot) {
                 Some(state) => {
                     // One that was kept from before is no word on how things are now.
                     if self.council.leader().is_some() && state.plan != self.agreed.plan {
-                        self.in_force.take(self.now(), &state.plan);
+                        self.in_force.activate(self.now(), &state.plan);
                     }
                     self.agreed = state;
                 }
                 None => tracing::error!(
                     "fleet: what was agreed up to {} cannot be read by this program",
-                    snapshot.last.0
+                    snapshot.last_index.0
                 ),
             },
-            juniperrail_council::Agreed::Entry(entry) => {
-                if let juniperrail_council::What::Command(bytes) = &entry.what {
+            juniperrail_council::Committed::Entry(entry) => {
+                if let juniperrail_council::Payload::Command(bytes) = &entry.payload {
                     match Word::read(bytes) {
                         Some(word) => self.apply(entry.index, &word),
                         None => {
@@ -293,7 +294,7 @@
             }
         }
         self.members();
-        _ = Point::COUNCIL_APPLIED.pass();
+        _ = Point::CONSENSUS_APPLIED.pass();
         self.look = 0.0;
     }
 
@@ -301,13 +302,12 @@
         let before = self.agreed.plan.version;
         let changed = self.agreed.apply(at, word);
         if let (true, Word::Plan(plan)) = (changed, word) {
-            _ = Point::PLAN_TAKEN.pass();
-            self.in_force.take(self.now(), plan);
+            _ = Point::PLAN_APPLY.pass();
+            self.in_force.activate(self.now(), plan);
             if plan.version != before {
-                let shares = plan
-                    .shares
-                    .iter()
-                    .map(|(zone, share)| format!("{} {:.2} ({:?})", zone.0, share.part, share.why));
+                let shares = plan.shares.iter().map(|(zone, share)| {
+                    format!("{} {:.2} ({:?})", zone.0, share.weight_ratio, share.reason)
+                });
                 let shares = shares.collect::<Vec<_>>().join(", ");
                 let shares = if shares.is_empty() { "all zones whole".into() } else { shares };
                 tracing::info!("fleet: plan {}: {shares}", plan.version);
@@ -315,31 +315,41 @@
         }
         if let (true, Word::Schedule(word)) = (changed, word) {
             match word {
-                schedule::Word::Claim { due, owner, .. } => {
-                    tracing::info!("fleet: {} of {} is {owner}'s under {}", due.schedule, due.due, at.0);
+                schedule::Command::Claim { occurrence, owner, .. } => {
+                    tracing::info!(
+                        "fleet: {} of {} is {owner}'s under {}",
+                        occurrence.schedule,
+                        occurrence.due_ms,
+                        at.0
+                    );
                 }
-                schedule::Word::Passed { due, why, count } => {
+                schedule::Command::Skip { occurrence, reason, count } => {
                     tracing::info!(
-                        "fleet: {count} of {} up to {} are passed over: {why:?}",
-                        due.schedule,
-                        due.due
+                        "fleet: {count} of {} up to {} are passed over: {reason:?}",
+                        occurrence.schedule,
+                        occurrence.due_ms
                     );
                 }
-                schedule::Word::Turned { due, fence, turn, .. } => {
+                schedule::Command::FinishTry { occurrence, fence, outcome, .. } => {
                     tracing::info!(
-                        "fleet: {} of {} under {} came to {turn:?}",
-                        due.schedule,
-                        due.due,
+                        "fleet: {} of {} under {} came to {outcome:?}",
+                        occurrence.schedule,
+                        occurrence.due_ms,
                         fence.0
                     );
-                    _ = Point::SCHEDULE_ENDED.pass();
+                    _ = Point::SCHEDULE_FINISHED.pass();
                 }
-                schedule::Word::Lapsed { due, fence, .. } => {
-                    tracing::warn!("fleet: the claim {} of {} of {} lapsed", fence.0, due.schedule, due.due);
+                schedule::Command::ExpireClaim { occurrence, fence, .. } => {
+                    tracing::warn!(
+                        "fleet: the claim {} of {} of {} lapsed",
+                        fence.0,
+                        occurrence.schedule,
+                        occurrence.due_ms
+                    );
                 }
-                schedule::Word::Begun { .. }
-                | schedule::Word::Opened { .. }
-                | schedule::Word::Closed { .. } => {}
+                schedule::Command::Start { .. }
+                | schedule::Command::AddSchedule { .. }
+                | schedule::Command::RemoveSchedule { .. } => {}
             }
         }
     }
@@ -360,18 +370,18 @@
         drop(known);
         let now = self.now();
         let watched: Vec<MemberId> = self.council.members().keys().copied().collect();
-        self.sight.watch(now, watched.into_iter());
+        self.sight.set_members(now, watched.into_iter());
     }
 
     fn compact(&mut self) {
         if self.council.log().len() <= self.setting.entries || !self.behind.is_empty() || self.failing {
             return;
         }
-        _ = Point::COUNCIL_COMPACT.pass();
+        _ = Point::CONSENSUS_COMPACT.pass();
         // All that is committed was taken over above.
-        let at = self.council.committed();
+        let at = self.council.commit_index();
         if let Some(records) = self.council.compact(at, self.agreed.write()) {
-            let records = records.iter().map(juniperrail_council::Record::write).collect();
+            let records = records.iter().map(juniperrail_council::Record::encode).collect();
             if !self.writer.compact(records) {
                 // The store keeps the longer form; the next time all is compacted again.
                 tracing::debug!("fleet: the store is busy and is compacted later");
@@ -408,8 +418,8 @@
         (0..times).for_each(|_| self.propose(now, word.clone()));
     }
 
-    fn tell_end(&mut self, now: Ms, word: schedule::Word) {
-        self.propose_at(now, Point::SCHEDULE_END, Word::Schedule(word));
+    fn tell_end(&mut self, now: Ms, word: schedule::Command) {
+        self.propose_at(now, Point::SCHEDULE_FINISH, Word::Schedule(word));
     }
 
     /// The leader brings the members to where a later version of its file has them, one step at a time.
@@ -419,34 +429,37 @@
             return;
         }
         let (file, members) = (&self.setting.members, self.council.members());
-        let learner = members.iter().find(|(_, member)| member.voice == Voice::Learner).map(|(id, _)| *id);
+        let learner =
+            members.iter().find(|(_, member)| member.role == MemberRole::Learner).map(|(id, _)| *id);
         let new = file.iter().find(|(id, _)| !members.contains_key(id));
         let old = members.keys().find(|id| !file.contains_key(id)).copied();
         let change = match (learner, new, old) {
-            (Some(id), _, _) => Change::Promote(id),
-            (None, Some((id, address)), _) => Change::Add(*id, address.clone()),
-            (None, None, Some(id)) => Change::Remove(id),
+            (Some(id), _, _) => MembershipChange::Promote(id),
+            (None, Some((id, address)), _) => MembershipChange::Add(*id, address.clone()),
+            (None, None, Some(id)) => MembershipChange::Remove(id),
             (None, None, None) => return self.propose(now, Word::Generation(self.setting.generation)),
         };
         // It is tried again at the next look, until it is taken.
-        if self.council.change(now, &change).is_ok() {
+        if self.council.change_members(now, &change).is_ok() {
             tracing::info!("fleet: the members change: {change:?}");
         }
     }
 
     fn schedules(&mut self, now: Ms) {
-        let again = AGAIN * self.setting.figures.election;
+        let again = AGAIN * self.setting.figures.election_timeout_ms;
         let leads = self.council.lease(now).is_some() && self.leaving.is_none();
         if leads != self.led {
-            (self.led, self.leading) = (leads, Leading::default());
+            (self.led, self.leading) = (leads, LeaderState::default());
         }
         let clocks = self.sight.clocks(now, Core::day());
         let enough = clocks.len() > self.council.members().len() / 2;
         if let Some(day) = median_clock(clocks).filter(|_| leads && enough) {
             let alive: Vec<MemberId> = self.sight.alive().collect();
             let (schedules, books) = (&self.setting.schedules, &self.agreed.books);
-            for word in schedule::due(schedules, books, &mut self.leading, now, day, again, &alive) {
-                let claim = matches!(word, schedule::Word::Claim { .. });
+            for word in
+                schedule::propose_commands(schedules, books, &mut self.leading, now, day, again, &alive)
+            {
+                let claim = matches!(word, schedule::Command::Claim { .. });
                 match claim {
                     true => self.propose_at(now, Point::SCHEDULE_CLAIM, Word::Schedule(word)),
                     false => self.propose(now, Word::Schedule(word)),
@@ -456,24 +469,24 @@
                 }
             }
         }
-        for todo in self.duties.look(&self.agreed.books, now, Core::day(), again) {
+        for todo in self.duties.next_tasks(&self.agreed.books, now, Core::day(), again) {
             self.do_duty(now, todo);
         }
     }
 
-    fn do_duty(&mut self, now: Ms, todo: Todo) {
+    fn do_duty(&mut self, now: Ms, todo: ClaimTask) {
         match todo {
-            Todo::Propose(word @ schedule::Word::Begun { .. }) => {
-                self.propose_at(now, Point::SCHEDULE_BEGIN, Word::Schedule(word));
+            ClaimTask::Propose(word @ schedule::Command::Start { .. }) => {
+                self.propose_at(now, Point::SCHEDULE_CLAIM_GRANTED, Word::Schedule(word));
             }
-            Todo::Propose(word) => self.tell_end(now, word),
-            act @ Todo::Act { .. } => {
-                _ = Point::SCHEDULE_BEGUN.pass();
-                let Todo::Act { fence, .. } = &act else { return };
+            ClaimTask::Propose(word) => self.tell_end(now, word),
+            act @ ClaimTask::Execute { .. } => {
+                _ = Point::SCHEDULE_STARTED.pass();
+                let ClaimTask::Execute { fence, .. } = &act else { return };
                 let fence = *fence;
                 if !self.mail.act(act) {
                     // Too many wait: nothing was sent, so another may take it.
-                    let word = self.duties.acted(fence, Turn::Unsent, now, Core::day());
+                    let word = self.duties.record_outcome(fence, TryOutcome::Unsent, now, Core::day());
                     word.into_iter().for_each(|word| self.tell_end(now, word));
                 }
             }
@@ -500,7 +513,7 @@
 
     fn witness(&mut self, now: Ms, from: MemberId, word: Evidence) {
         if let Some(figures) = self.setting.failover {
-            self.pilot.hear(now, from, word, &figures);
+            self.pilot.record_evidence(now, from, word, &figures);
         }
     }
 
@@ -511,24 +524,24 @@
             return;
         }
         let members: Vec<MemberId> = self.council.members().keys().copied().collect();
-        self.pilot.keep(&members);
-        if let Some(plan) = self.pilot.look(now, &figures, &self.agreed.plan) {
+        self.pilot.retain_members(&members);
+        if let Some(plan) = self.pilot.next_plan(now, &figures, &self.agreed.plan) {
             self.propose_at(now, Point::PLAN_PROPOSE, Word::Plan(plan));
         }
     }
 
     /// Hands what is in force to the one that decides for proxies, if that is something else than before.
     fn hand_out(&mut self, now: Ms) {
-        if self.in_force.lapse(now) {
-            _ = Point::PLAN_LAPSED.pass();
+        if self.in_force.expire(now) {
+            _ = Point::PLAN_LEASE_EXPIRED.pass();
             tracing::warn!(
                 "fleet: the lease of plan {} is over: all zones whole",
                 self.in_force.plan().version
             );
         }
-        let parts = self.in_force.parts();
+        let parts = self.in_force.weight_ratios();
         if **self.hand.borrow() != parts {
-            match Point::PLAN_HANDED.pass() {
+            match Point::PLAN_DELIVER.pass() {
                 Some(Fault::Lose) => {}
                 _ => _ = self.hand.send(Arc::new(parts)),
             }
@@ -538,8 +551,8 @@
     fn leave(&mut self, now: Ms) {
         self.leaving = Some(now);
         self.sight.leave();
-        if self.council.transfer(now) {
-            _ = Point::COUNCIL_HAND_OVER.pass();
+        if self.council.transfer_leadership(now) {
+            _ = Point::CONSENSUS_TRANSFER_LEADERSHIP.pass();
             tracing::info!("fleet: this manager hands its office over");
         }
     }
@@ -563,27 +576,27 @@
             },
             leader: self.council.leader(),
             term: self.council.term(),
-            standing: Some(self.council.standing()),
-            committed: self.council.committed(),
+            standing: Some(self.council.recovery_state()),
+            committed: self.council.commit_index(),
             entries: self.council.log().len(),
             store_failing: self.failing,
             store_size: store.size,
             lost: self.mail.lost(),
-            own_health: self.sight.own_health(),
+            own_health: self.sight.local_health(),
             members: members.map(|id| (*id, self.sight.health(*id), self.sight.reach(now, *id))).collect(),
             plan: self.in_force.plan().clone(),
-            plan_lapsed: self.in_force.parts().is_empty() && !self.in_force.plan().is_empty(),
+            plan_lapsed: self.in_force.weight_ratios().is_empty() && !self.in_force.plan().is_empty(),
             schedules: self
                 .agreed
                 .books
-                .books
+                .schedules
                 .iter()
                 .map(|(name, book)| ScheduleSeen {
                     name: name.clone(),
-                    through: book.through,
+                    through: book.decided_through,
                     open: book.open.len(),
-                    ends: book.ends,
-                    passed: book.passed.values().sum(),
+                    ends: book.ended_count,
+                    passed: book.skipped.values().sum(),
                     last: book.ended.back().cloned(),
                 })
                 .collect(),
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_intent::{judge_alone, Datastores, Intent, World};
-use juniperrail_interface::Start;
+use juniperrail_intent::{check_against_settings, AdmissionContext, Datastores, Intent};
+use juniperrail_interface::Settings;
 use juniperrail_model::{Data, Schema};
 use juniperrail_north::OperatorFile;
 use juniperrail_start::Names;
@@ -60,7 +60,7 @@
     pub listen: SocketAddr,
     /// File descriptors that this process may hold.
     pub sockets: usize,
-    pub start: Start,
+    pub start: Settings,
     pub tick: Duration,
     pub dial_within: Duration,
 }
@@ -165,8 +165,8 @@
             known: file.known,
             // An answer was due since, and if the proxy is slow a report at least.
             patience: Patience {
-                answer: fixed.start.report_period + fixed.start.transit_worst,
-                queue: fixed.start.lines_waiting_most * 1000.0 / fixed.start.channel_rate.max(1.0),
+                answer: fixed.start.report_period + fixed.start.max_transit,
+                queue: fixed.start.max_pending_lines * 1000.0 / fixed.start.channel_rate.max(1.0),
             },
             fixed,
             names,
@@ -180,7 +180,7 @@
     /// Whether an operator's data is sound by itself, whatever the settings are.
     pub fn check_operator_data(data: &Data) -> Result<(), String> {
         let schema = Arc::new(juniperrail_model::schema());
-        crate::fleet::setting(&OperatorFile::new(""), &schema, data, 0, &Start::default())?;
+        crate::fleet::setting(&OperatorFile::new(""), &schema, data, 0, &Settings::default())?;
         Subscription::read(&schema, data)?;
         Datastores::new(schema, 0.0, data.clone()).map(drop).map_err(|refused| refused.to_string())
     }
@@ -200,20 +200,20 @@
         Launch::check_operator_data(&data).map_err(|why| format!("{shown}: {why}"))?;
         let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.start);
         let fleet = fleet.map_err(|why| format!("{shown}: {why}"))?;
-        let intent = Intent::read(&schema, &data);
+        let intent = Intent::from_data(&schema, &data);
         let names = &self.names;
         let operation = |op| names.ops.name(op as u32).to_string();
         let operations: Vec<String> = (0..self.fixed.start.operations.len()).map(operation).collect();
-        let world = World {
+        let world = AdmissionContext {
             now: 0.0,
             settings: &self.fixed.start,
-            operations: &operations,
+            operation_names: &operations,
             zone_name: &|_| String::new(),
-            zone_known: &|zone| self.zones.iter().any(|known| known == zone),
-            joined: 0,
-            readers: &|_| 0,
+            is_known_zone: &|zone| self.zones.iter().any(|known| known == zone),
+            joined_proxies: 0,
+            proxies_with_line: &|_| 0,
         };
-        if let Some(refusal) = judge_alone(&world, &intent).first() {
+        if let Some(refusal) = check_against_settings(&world, &intent).first() {
             return Err(format!("{shown}: {}: {refusal}", refusal.path()));
         }
         let subscription = Subscription::read(&schema, &data).map_err(|why| format!("{shown}: {why}"))?;
--- a/crates/north/src/state.rs
+++ b/crates/north/src/state.rs
@@ -1,13 +1,13 @@
 //! The state that can be read: typed as the task that owns the decisions knows it, and as data of the model.
 
-use juniperrail_intent::{Composed, Source, Stage};
+use juniperrail_intent::{ComposedWorker, Origin, Stage};
 use juniperrail_interface::{Ms, Phase, Retry};
 use juniperrail_model::{Content, Data, NodeId, Schema, Value};
 
 #[derive(Clone, Debug)]
 pub struct WorkerState {
     pub name: String,
-    pub composed: Composed,
+    pub composed: ComposedWorker,
     pub zone: String,
     pub machine: String,
     pub warm: bool,
@@ -32,11 +32,11 @@
     pub number: u16,
     pub zone: String,
     pub mark_sent: Option<u16>,
-    pub mark_answered: Option<u16>,
-    pub owed: usize,
-    pub owed_for: Option<Ms>,
-    pub messages_lately: usize,
-    pub shut_out: Vec<String>,
+    pub mark_acknowledged: Option<u16>,
+    pub unacknowledged: usize,
+    pub unacknowledged_for: Option<Ms>,
+    pub recent_messages: usize,
+    pub excluded_workers: Vec<String>,
     pub operations: Vec<OperationState>,
 }
 
@@ -46,7 +46,7 @@
     pub by: String,
     pub age: Ms,
     pub stage: Stage,
-    pub held_by: usize,
+    pub applied_by: usize,
     pub joined: usize,
 }
 
@@ -57,8 +57,8 @@
     pub workers: Vec<WorkerState>,
     pub tables: Vec<TableState>,
     pub proxies: Vec<ProxyState>,
-    pub lines_waiting: f64,
-    pub lines_waiting_most: f64,
+    pub pending_lines: f64,
+    pub max_pending_lines: f64,
     pub changes: Vec<ChangeState>,
     /// What is decided in common, where that is on.
     pub fleet: Option<FleetState>,
@@ -170,7 +170,7 @@
 fn retry(retry: Retry) -> &'static str {
     match retry {
         Retry::Never => "never",
-        Retry::IfUnrun => "if-unrun",
+        Retry::IfNotExecuted => "if-unrun",
         Retry::OnceOnFailure => "once-on-failure",
         Retry::TwiceOnFailure => "twice-on-failure",
     }
@@ -190,8 +190,8 @@
         top.inner("tables", |all| self.tables.iter().for_each(|table| table.write(all)));
         top.inner("proxies", |all| self.proxies.iter().for_each(|proxy| proxy.write(all)));
         top.inner("channel", |channel| {
-            channel.figure("lines-waiting", self.lines_waiting, 3);
-            channel.figure("lines-waiting-most", self.lines_waiting_most, 3);
+            channel.figure("lines-waiting", self.pending_lines, 3);
+            channel.figure("lines-waiting-most", self.max_pending_lines, 3);
         });
         top.inner("versions", |all| versions.write(all));
         top.inner("changes", |all| self.changes.iter().for_each(|change| change.write(all)));
@@ -205,15 +205,16 @@
 
 impl WorkerState {
     fn write(&self, all: &mut Writer<'_>) {
-        let Composed { listed, phase_from, weight_from, place_from, discovery, .. } = &self.composed;
+        let ComposedWorker { listed, phase_origin, weight_origin, placement_origin, discovery_phase, .. } =
+            &self.composed;
         all.entry("worker", &[Value::text(&*self.name)], |worker| {
-            worker.text("phase", phase(listed.phase)).text("phase-from", phase_from.name());
-            if let Some(from) = weight_from {
+            worker.text("phase", phase(listed.phase)).text("phase-from", phase_origin.name());
+            if let Some(from) = weight_origin {
                 worker.figure("weight", listed.weight, 4).text("weight-from", from.name());
             }
             worker.text("zone", &self.zone).text("machine", &self.machine);
-            worker.text("place-from", Source::name(*place_from)).set("warm", Value::Boolean(self.warm));
-            if let Some(word) = discovery {
+            worker.text("place-from", Origin::name(*placement_origin)).set("warm", Value::Boolean(self.warm));
+            if let Some(word) = discovery_phase {
                 worker.text("discovery-phase", phase(*word));
             }
         });
@@ -233,19 +234,19 @@
 impl ProxyState {
     fn write(&self, all: &mut Writer<'_>) {
         all.entry("proxy", &[Value::Integer(self.number.into())], |proxy| {
-            proxy.text("zone", &self.zone).whole("answers-owed", self.owed as u64);
-            proxy.whole("messages-lately", self.messages_lately as u64);
+            proxy.text("zone", &self.zone).whole("answers-owed", self.unacknowledged as u64);
+            proxy.whole("messages-lately", self.recent_messages as u64);
             if let Some(mark) = self.mark_sent {
                 proxy.whole("mark-sent", mark);
             }
-            if let Some(mark) = self.mark_answered {
+            if let Some(mark) = self.mark_acknowledged {
                 proxy.whole("mark-answered", mark);
             }
-            if let Some(owed_for) = self.owed_for {
+            if let Some(owed_for) = self.unacknowledged_for {
                 proxy.figure("owed-since", owed_for.clamp(0.0, LONGEST), 3);
             }
             let shut_out = proxy.id("shut-out");
-            for worker in &self.shut_out {
+            for worker in &self.excluded_workers {
                 proxy.data.leaves(shut_out).insert(Value::text(&**worker));
             }
             for told in &self.operations {
@@ -308,11 +309,11 @@
     fn write(&self, all: &mut Writer<'_>) {
         all.entry("change", &[Value::Integer(self.number.into())], |change| {
             change.text("by", &self.by).figure("age", self.age, 3);
-            change.whole("held-by", self.held_by as u64).whole("joined", self.joined as u64);
+            change.whole("held-by", self.applied_by as u64).whole("joined", self.joined as u64);
             match self.stage {
-                Stage::GoingOut => change.text("progress", "going-out"),
+                Stage::Distributing => change.text("progress", "going-out"),
                 Stage::Superseded => change.text("progress", "superseded"),
-                Stage::Held { after } => change.text("progress", "held").figure("held-after", after, 3),
+                Stage::Applied { after } => change.text("progress", "held").figure("held-after", after, 3),
             };
         });
     }
@@ -321,7 +322,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use juniperrail_interface::{CellId, Listed, MachineId, WorkerId, ZoneId};
+    use juniperrail_interface::{CellId, MachineId, WorkerEntry, WorkerId, ZoneId};
     use juniperrail_model::{json, Kind};
 
     /// Each leaf fits the type that the module gives it.
@@ -346,7 +347,7 @@
     #[test]
     fn the_state_fits_the_module_leaf_by_leaf() {
         let (zone, machine, cell) = (ZoneId(0), MachineId(0), CellId(0));
-        let listed = Listed {
+        let listed = WorkerEntry {
             worker: WorkerId(0),
             phase: Phase::Draining,
             booted: None,
@@ -355,19 +356,25 @@
             cell,
             weight: 0.123456,
         };
-        let composed = Composed {
+        let composed = ComposedWorker {
             listed,
             address: None,
-            phase_from: Source::Operator,
-            weight_from: Some(Source::Discovery),
-            place_from: Source::Discovery,
-            discovery: Some(Phase::Gone),
+            phase_origin: Origin::Operator,
+            weight_origin: Some(Origin::Discovery),
+            placement_origin: Origin::Discovery,
+            discovery_phase: Some(Phase::Gone),
         };
         let (zone, machine) = ("a".to_string(), String::new());
-        let operations = [None, Some((1e6, Retry::IfUnrun)), Some((0.1, Retry::TwiceOnFailure))];
+        let operations = [None, Some((1e6, Retry::IfNotExecuted)), Some((0.1, Retry::TwiceOnFailure))];
         let operations = operations.into_iter().zip(["x", "y", "z"]);
-        let change =
-            |number, stage| ChangeState { number, by: "ann".into(), age: 1e9, stage, held_by: 1, joined: 2 };
+        let change = |number, stage| ChangeState {
+            number,
+            by: "ann".into(),
+            age: 1e9,
+            stage,
+            applied_by: 1,
+            joined: 2,
+        };
         let state = State {
             manager: "n0".into(),
             list_version: u64::MAX,
@@ -386,21 +393,21 @@
                 number: 7,
                 zone,
                 mark_sent: Some(65_535),
-                mark_answered: Some(1),
-                owed: 2,
-                owed_for: Some(1e12),
-                messages_lately: 4,
-                shut_out: vec!["s-1".into()],
+                mark_acknowledged: Some(1),
+                unacknowledged: 2,
+                unacknowledged_for: Some(1e12),
+                recent_messages: 4,
+                excluded_workers: vec!["s-1".into()],
                 operations: operations
                     .map(|(level, name)| OperationState { name: name.into(), table: level.map(|_| 3), level })
                     .collect(),
             }],
-            lines_waiting: f64::NAN,
-            lines_waiting_most: 5000.0,
+            pending_lines: f64::NAN,
+            max_pending_lines: 5000.0,
             changes: vec![
-                change(1, Stage::GoingOut),
+                change(1, Stage::Distributing),
                 change(2, Stage::Superseded),
-                change(3, Stage::Held { after: 12.5 }),
+                change(3, Stage::Applied { after: 12.5 }),
             ],
             fleet: Some(FleetState {
                 member: 2,
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -8,7 +8,7 @@
 use juniperrail_interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Ratio of the line backlog (`lines_waiting_most`) up to which updates are sent.
+/// Ratio of the line backlog (`max_pending_lines`) up to which updates are sent.
 const SEND_BACKLOG_RATIO: f64 = 0.5;
 /// Ratio of the line backlog up to which overdue drains, and a bind that would never fit otherwise, are sent.
 const OVERDUE_BACKLOG_RATIO: f64 = 0.8;
@@ -119,7 +119,7 @@
 }
 
 struct Worker {
-    listed: Listed,
+    listed: WorkerEntry,
     /// When it last left the phase ready, or else when it was first listed.
     drain_requested_at: Ms,
     /// Multiple of the listed weight, by what its tries cost.
@@ -166,7 +166,7 @@
                 .machines
                 .as_ref()
                 .is_none_or(|machines| machines.contains(&worker.listed.machine))
-            && (!self.operation.own_zone || self.proxy_zone == Some(worker.listed.zone))
+            && (!self.operation.own_zone_only || self.proxy_zone == Some(worker.listed.zone))
             && (self.partition.is_none() || self.partition == worker.partition)
     }
 }
@@ -174,7 +174,7 @@
 /// All state of a manager's decisions.
 #[derive(Default)]
 pub struct Planner {
-    settings: Start,
+    settings: Settings,
     rng: fastrand::Rng,
     /// Time of the current turn.
     now: Ms,
@@ -224,7 +224,7 @@
 
 impl Planner {
     /// A planner that knows no workers and no proxies yet. The seed determines all random choices.
-    pub fn new(now: Ms, seed: u64, start: Start) -> Self {
+    pub fn new(now: Ms, seed: u64, start: Settings) -> Self {
         let mut planner = Planner {
             rng: fastrand::Rng::with_seed(seed),
             now,
@@ -232,7 +232,7 @@
             overloaded_ratio: 1.0,
             exclusions_sent_at: f64::NEG_INFINITY,
             wake_due: true,
-            list_request_at: start.list_asked.then_some(now),
+            list_request_at: start.list_on_request.then_some(now),
             settings: start,
             ..Planner::default()
         };
@@ -246,7 +246,7 @@
     pub fn process_events(&mut self, now: Ms, events: &[Event]) -> Vec<Order> {
         self.now = now;
         events.iter().for_each(|event| self.handle_event(event));
-        if events.is_empty() || events.iter().any(|event| !matches!(event, Event::Answered { .. })) {
+        if events.is_empty() || events.iter().any(|event| !matches!(event, Event::MarkAcknowledged { .. })) {
             self.adjust_weights();
             self.adjust_admission();
             self.partition_fleet();
@@ -254,10 +254,11 @@
         }
         self.complete_updates();
         self.send_updates();
-        self.orders.extend(self.list_request_at.take_if(|at| now >= *at).map(|_| Order::FollowList(true)));
+        self.orders
+            .extend(self.list_request_at.take_if(|at| now >= *at).map(|_| Order::SubscribeToList(true)));
         let after = (self.settings.report_period / 8.0).max(20.0);
         let handle = "beat".into();
-        self.orders.extend(std::mem::take(&mut self.wake_due).then_some(Order::Wake { after, handle }));
+        self.orders.extend(std::mem::take(&mut self.wake_due).then_some(Order::SetTimer { after, handle }));
         std::mem::take(&mut self.orders)
     }
 
@@ -291,18 +292,18 @@
         match event {
             Event::List { kind: ListKind::Failed, .. } => {
                 // Spread, so that managers whose requests failed together do not repeat them together.
-                let delay = self.settings.ask_within / 8.0 * (0.5 + self.rng.f64());
-                self.list_request_at = self.settings.list_asked.then_some(self.now + delay);
+                let delay = self.settings.list_request_deadline / 8.0 * (0.5 + self.rng.f64());
+                self.list_request_at = self.settings.list_on_request.then_some(self.now + delay);
             }
             Event::List { kind, workers, .. } => {
                 let listed = |id| *kind == ListKind::Changes || workers.iter().any(|of| of.worker == id);
                 let missing = self.workers.values().filter(|worker| !listed(worker.listed.worker));
-                let gone = |worker: &Worker| Listed { phase: Phase::Gone, ..worker.listed.clone() };
+                let gone = |worker: &Worker| WorkerEntry { phase: Phase::Gone, ..worker.listed.clone() };
                 let gone: Vec<_> = missing.map(gone).collect();
                 let is_change = *kind == ListKind::Changes;
                 gone.iter().chain(workers).for_each(|listed| self.apply_listed(listed.clone(), is_change));
             }
-            Event::Figures(told) => {
+            Event::SettingsChanged(told) => {
                 let settings = &mut self.settings;
                 settings.drain_grace = told.drain_grace;
                 settings.warm_up = told.warm_up;
@@ -312,7 +313,7 @@
                     (op.latency_objective, op.billed_value) = *told;
                 }
             }
-            Event::Woken { .. } => self.wake_due = true,
+            Event::TimerFired { .. } => self.wake_due = true,
             Event::Joined { proxy, inv_per_second, zone, .. } => {
                 let (zone, inv_per_second) = (*zone, *inv_per_second);
                 let acknowledged_mark = self.last_mark;
@@ -331,7 +332,7 @@
                 self.proxies.remove(proxy);
                 self.tables.iter_mut().for_each(|table| _ = table.bound_proxies.remove(proxy));
             }
-            Event::Answered { mark, proxy, .. } => {
+            Event::MarkAcknowledged { mark, proxy, .. } => {
                 // The newest mark sent with these low 16 bits: numbers on the channel wrap.
                 let mark =
                     self.last_mark.saturating_sub(self.last_mark.wrapping_sub(u64::from(mark.0)) & 0xffff);
@@ -343,20 +344,20 @@
                 self.unacknowledged = self.unacknowledged.split_off(&(mark, ProxyId(0)));
                 self.unacknowledged.remove(&(mark, *proxy));
             }
-            Event::ProxySums { proxy, op, invs, over, .. } => {
+            Event::ProxySums { proxy, op, invocations: invs, period: over, .. } => {
                 let Some(known) = self.proxies.get_mut(proxy) else { return };
                 let rates = known.demand.entry(*op).or_default();
                 rates.push_front(invs * 1000.0 / over.max(1.0));
                 rates.truncate(MAX_DEMAND_SAMPLES);
             }
-            Event::WorkerSums { worker, tries, bad, mean, load, .. } => {
+            Event::WorkerSums { worker, tries, failed: bad, mean_latency: mean, load, .. } => {
                 let Some(known) = self.workers.get_mut(worker) else { return };
                 known.samples.push_front(Sample {
                     received_at: self.now,
                     tries: *tries,
                     failed_tries: *bad,
                     success_time: (tries - bad) * mean,
-                    busy: load.busy,
+                    busy: load.utilization,
                 });
                 known.samples.truncate(MAX_WORKER_SAMPLES);
             }
@@ -365,7 +366,7 @@
     }
 
     /// Takes one entry of the worker list. `is_change`: the entry is from a change of the list, not a whole list.
-    fn apply_listed(&mut self, mut listed: Listed, is_change: bool) {
+    fn apply_listed(&mut self, mut listed: WorkerEntry, is_change: bool) {
         let known_weights = self.workers.values().map(|worker| worker.listed.weight);
         listed.weight = if listed.weight > 0.0 { listed.weight } else { mean(known_weights).unwrap_or(1.0) };
         let now = self.now;
@@ -398,7 +399,7 @@
     }
 
     /// Ratio of its capacity that a worker has at this point of its warm-up, from the cold share to 1.
-    fn warm_up_ratio(&self, listed: &Listed) -> f64 {
+    fn warm_up_ratio(&self, listed: &WorkerEntry) -> f64 {
         let Some(booted) = listed.booted.filter(|_| self.settings.warm_up > 0.0) else { return 1.0 };
         let progress = ((self.now - booted) / self.settings.warm_up * WARM_UP_STEPS).floor() / WARM_UP_STEPS;
         let cold = self.settings.cold_share.clamp(0.01, 1.0);
@@ -426,7 +427,7 @@
     /// [`MAX_LOW_FLEET_RATIO`] of the fleet's weight may fall below [`LOW_WEIGHT_FACTOR`].
     fn adjust_weights(&mut self) {
         let now = self.now;
-        let report_delay = self.settings.report_period + self.settings.transit_worst;
+        let report_delay = self.settings.report_period + self.settings.max_transit;
         let objectives = self.settings.operations.iter().map(|op| op.latency_objective);
         let failure_cost = 2.0 * objectives.fold(0.0, f64::max);
         let window_start = now - 2.0 * report_delay;
@@ -508,11 +509,11 @@
     /// Lowers the admission ratio when the fleet is overloaded and raises it again as capacity returns.
     fn adjust_admission(&mut self) {
         let now = self.now;
-        let report_delay = self.settings.report_period + self.settings.transit_worst;
+        let report_delay = self.settings.report_period + self.settings.max_transit;
         // Busyness is reported late: whether cold workers are kept out goes by failed and late tries even where
         // cores seem idle.
         let Some(capacity) = self.capacity_ratio(now - report_delay, 0.0) else { return };
-        let avoiding = self.settings.proxies_avoid;
+        let avoiding = self.settings.proxies_avoid_outliers;
         self.near_overload =
             capacity < if avoiding { NEAR_OVERLOAD_AVOIDING_RATIO } else { NEAR_OVERLOAD_RATIO };
         let no_busyness =
@@ -560,8 +561,8 @@
         let lines_in_grace =
             self.settings.channel_rate * self.settings.drain_grace / 1000.0 * SEND_BACKLOG_RATIO;
         let lines_in_backlog =
-            self.settings.lines_waiting_most * SEND_BACKLOG_RATIO / self.expected_proxy_count();
-        let lines_in_grace = lines_in_grace / self.settings.proxies.max(1.0);
+            self.settings.max_pending_lines * SEND_BACKLOG_RATIO / self.expected_proxy_count();
+        let lines_in_grace = lines_in_grace / self.settings.proxy_count.max(1.0);
         let max_lines = lines_in_backlog.min(lines_in_grace) - self.settings.message_overhead;
         let partition_count =
             (proxy_lines / max_lines.max(MIN_LINES_PER_TABLE * table_count).max(1.0)) as usize;
@@ -597,7 +598,7 @@
 
     /// Proxies that this manager has to serve: its share of all, or those that have joined if they are more.
     fn expected_proxy_count(&self) -> f64 {
-        let share = self.settings.proxies / self.settings.managers.max(1.0);
+        let share = self.settings.proxy_count / self.settings.manager_count.max(1.0);
         share.max(self.proxies.len() as f64).max(1.0)
     }
 
@@ -611,7 +612,7 @@
         let rates = self.proxies.values().map(|proxy| proxy.inv_per_second);
         let max_rate =
             mean(rates).unwrap_or(0.0) * self.expected_proxy_count() / self.partition_count as f64 / 2.0;
-        let too_wide = self.workers.len() as f64 > self.settings.lines_waiting_most * SEND_BACKLOG_RATIO;
+        let too_wide = self.workers.len() as f64 > self.settings.max_pending_lines * SEND_BACKLOG_RATIO;
         for (rate, id) in unbound.iter().filter(|(rate, _)| too_wide || *rate <= max_rate) {
             let Some(least) = index_of_least(&loads) else { return };
             let proxy = self.proxies.get_mut(id).expect("a joined proxy");
@@ -666,7 +667,7 @@
     fn plan_updates(&mut self) {
         // A worker that is gone, with all its updates acknowledged, is forgotten with its exclusion: should it
         // return, what the proxies have of it is unknown.
-        let forget_before = self.now - 2.0 * (self.settings.report_period + self.settings.transit_worst);
+        let forget_before = self.now - 2.0 * (self.settings.report_period + self.settings.max_transit);
         let concerns = |key: &UpdateKey, id: &WorkerId| matches!(key, UpdateKey::Exclusion(own) | UpdateKey::Line(_, own) if own == id);
         let settled = |id: &WorkerId, worker: &Worker| {
             worker.drain_requested_at < forget_before && !self.pending.iter().any(|key| concerns(key, id))
@@ -697,8 +698,9 @@
         let width = |table: &Table| self.workers.values().filter(|worker| table.includes(worker)).count();
         // Narrow tables first; a group is the tables that differ in the zone of their proxies only.
         tables.sort_by_cached_key(|table| (width(table), table.ops.clone(), table.partition));
-        let same_group =
-            |a: &&Table, b: &&Table| a.ops == b.ops && a.partition == b.partition && !a.operation.own_zone;
+        let same_group = |a: &&Table, b: &&Table| {
+            a.ops == b.ops && a.partition == b.partition && !a.operation.own_zone_only
+        };
         for group in tables.chunk_by(same_group) {
             let workers: Vec<&Worker> = self.workers.values().filter(|w| group[0].includes(w)).collect();
             let total_weight =
@@ -779,10 +781,11 @@
         let overload_factor = self.settings.overload_factor;
         // Near overload, a cold worker gets nothing where proxies avoid workers that failed them, as it may be all
         // that is left to pick; elsewhere it gets half.
-        let kept_out = self.settings.proxies_avoid || self.partition_count > 0;
+        let kept_out = self.settings.proxies_avoid_outliers || self.partition_count > 0;
         let none = self.near_overload && kept_out && 2.0 * warm_weight > present_weight;
         let spared_ratio = if none { 0.0 } else { (overload_factor / 4.0).min(1.0) };
-        let halved = self.near_overload && (self.partition_count > 0 || !self.settings.proxies_avoid);
+        let halved =
+            self.near_overload && (self.partition_count > 0 || !self.settings.proxies_avoid_outliers);
         let near_overload_ratio = if halved { NEAR_OVERLOAD_COLD_RATIO } else { 1.0 };
         near_overload_ratio
             * spared_ratio
@@ -922,7 +925,7 @@
     /// [`SEND_BACKLOG_RATIO`] of the backlog. Overdue drains may use more.
     fn send_updates(&mut self) {
         let now = self.now;
-        let backlog = self.settings.lines_waiting_most;
+        let backlog = self.settings.max_pending_lines;
         // Lines leave the channel only by acknowledgements and at a very slow rate: this holds for slow channels,
         // stalls and lost acknowledgements.
         let assumed_left =
@@ -932,7 +935,7 @@
         // Room for a message of one line to each proxy.
         let reserve = (self.proxies.len() as f64 * (head + 1.0)).min(backlog * SEND_BACKLOG_RATIO / 4.0);
         let message_interval =
-            self.settings.messages_over / (self.settings.messages_most * ORDINARY_MESSAGE_RATIO);
+            self.settings.message_window / (self.settings.max_messages_per_window * ORDINARY_MESSAGE_RATIO);
         let overhead_interval = self.expected_proxy_count() * head * 1000.0
             / (self.settings.channel_rate * ORDINARY_OVERHEAD_RATIO);
         let overhead_interval = if self.partition_count > 0 { overhead_interval } else { 0.0 };
@@ -942,8 +945,8 @@
         let unread = |table: &TableId| self.tables[usize::from(table.0)].bound_proxies.is_empty();
         // Exclusions are gathered: sent one by one as room appears, they would take a message each until the proxies
         // may be sent no more.
-        let exclusion_interval =
-            self.settings.messages_over / (self.settings.messages_most * (1.0 - ORDINARY_MESSAGE_RATIO));
+        let exclusion_interval = self.settings.message_window
+            / (self.settings.max_messages_per_window * (1.0 - ORDINARY_MESSAGE_RATIO));
         let exclusion_interval =
             exclusion_interval.min(OVERDUE_DRAIN_GRACE_RATIO * self.settings.drain_grace);
         let exclusions_due = now >= self.exclusions_sent_at + exclusion_interval;
@@ -998,7 +1001,7 @@
             self.last_mark += 1;
             self.turn_lines = 0.0;
             self.progress_at = if self.unacknowledged.is_empty() { now } else { self.progress_at };
-            self.orders.push(Order::Mark { number: MarkId(self.last_mark as u16), everyone: false });
+            self.orders.push(Order::Mark { number: MarkId(self.last_mark as u16), all_proxies: false });
         }
         for (id, lines) in std::mem::take(&mut self.message_lines) {
             self.message_times.entry(id).or_default().push_back(now);
@@ -1010,7 +1013,7 @@
     /// gets more than `message_ratio` of its allowed messages. Returns whether they fit.
     fn reserve(&mut self, receivers: &BTreeSet<ProxyId>, lines: f64, room: f64, message_ratio: f64) -> bool {
         let now = self.now;
-        let limit_span = self.settings.messages_over;
+        let limit_span = self.settings.message_window;
         let head = self.settings.message_overhead + 1.0;
         let new: Vec<&ProxyId> = receivers.iter().filter(|id| !self.message_lines.contains_key(id)).collect();
         let cost = receivers.len() as f64 * lines + new.len() as f64 * head;
@@ -1019,7 +1022,7 @@
         for id in new {
             let times = self.message_times.entry(*id).or_default();
             times.retain(|at| now - at <= limit_span * 1.02);
-            fits &= (times.len() as f64) < (self.settings.messages_most * message_ratio).floor();
+            fits &= (times.len() as f64) < (self.settings.max_messages_per_window * message_ratio).floor();
         }
         if fits {
             self.turn_lines += cost;
@@ -1044,12 +1047,12 @@
         update.awaited_mark = (!receivers.is_empty()).then_some(self.last_mark + 1);
         let level = update.desired;
         // Any other retry multiplies an overload: a try that was given up still occupies its worker.
-        let retry = if self.admission_ratio < 1.0 { Retry::Never } else { Retry::IfUnrun };
+        let retry = if self.admission_ratio < 1.0 { Retry::Never } else { Retry::IfNotExecuted };
         self.orders.push(match key {
-            UpdateKey::Exclusion(worker) => Order::HoldBack { worker, out: level > 0.0 },
+            UpdateKey::Exclusion(worker) => Order::ExcludeWorker { worker, excluded: level > 0.0 },
             UpdateKey::Line(table, worker) => Order::SetLine { table, worker, weight: level },
             UpdateKey::Level(id, op) => {
-                Order::Admit { reach: Reach::Table(id), ops: 1 << op.0, level, retry }
+                Order::SetAdmission { scope: AdmissionScope::Table(id), ops: 1 << op.0, level, retry }
             }
         });
         !receivers.is_empty()
@@ -1114,14 +1117,14 @@
 
 /// The tables that the operations need, one for all operations with the same restrictions. Where an operation stays
 /// within the proxy's zone, or crossing zones costs more than the channel, each zone has its own.
-fn tables_of_operations(settings: &Start, zones: &[ZoneId]) -> Vec<Table> {
+fn tables_of_operations(settings: &Settings, zones: &[ZoneId]) -> Vec<Table> {
     let mut tables: Vec<Table> = Vec::new();
     // A bind names its operations by the bits of a 32-bit word. With slices, proxies are bound to no tables.
-    let max_operations = if settings.slices > 0 { 0 } else { 32 };
+    let max_operations = if settings.slice_count > 0 { 0 } else { 32 };
     for (index, op) in settings.operations.iter().enumerate().take(max_operations) {
-        let by_zone = op.own_zone || settings.crossing_price > settings.channel_price;
+        let by_zone = op.own_zone_only || settings.cross_zone_cost > settings.channel_cost;
         for proxy_zone in if by_zone { zones.iter().copied().map(Some).collect() } else { vec![None] } {
-            let restrictions = |op: &Operation| (op.zones.clone(), op.machines.clone(), op.own_zone);
+            let restrictions = |op: &Operation| (op.zones.clone(), op.machines.clone(), op.own_zone_only);
             let same = |table: &&mut Table| {
                 table.proxy_zone == proxy_zone && restrictions(&table.operation) == restrictions(op)
             };
