--- a/src/brain.rs
+++ b/src/brain.rs
@@ -56,10 +56,10 @@
 const SHEDDING_LATENCY_RATIO: f64 = 0.4;
 /// Target of the mean answer time while all demand is admitted, relative to the latency objective.
 const FULL_ADMISSION_LATENCY_RATIO: f64 = 0.47;
-/// Busyness of the workers that admission aims at.
-const TARGET_BUSY_RATIO: f64 = 0.85;
-/// Busyness below which failed and late tries are not taken for overload.
-const IDLE_BUSY_RATIO: f64 = 0.7;
+/// Mean utilization of the workers that admission aims at.
+const TARGET_UTILIZATION: f64 = 0.85;
+/// Utilization below which failed and late tries are not taken for overload.
+const IDLE_UTILIZATION: f64 = 0.7;
 /// Least capacity estimate, and so the deepest cut of the admission ratio in one step.
 const MIN_CAPACITY_RATIO: f64 = 0.4;
 /// Largest capacity estimate.
@@ -115,7 +115,7 @@
     /// Sum of the times of successful tries.
     success_time: Ms,
     /// Ratio of the worker's cores that are busy, if reported.
-    busy: Option<f64>,
+    utilization: Option<f64>,
 }
 
 struct Worker {
@@ -224,7 +224,7 @@
 
 impl Planner {
     /// A planner that knows no workers and no proxies yet. The seed determines all random choices.
-    pub fn new(now: Ms, seed: u64, start: Settings) -> Self {
+    pub fn new(now: Ms, seed: u64, settings: Settings) -> Self {
         let mut planner = Planner {
             rng: fastrand::Rng::with_seed(seed),
             now,
@@ -232,8 +232,8 @@
             overloaded_ratio: 1.0,
             exclusions_sent_at: f64::NEG_INFINITY,
             wake_due: true,
-            list_request_at: start.list_on_request.then_some(now),
-            settings: start,
+            list_request_at: settings.list_on_request.then_some(now),
+            settings,
             ..Planner::default()
         };
         planner.build_tables(None, None);
@@ -303,14 +303,14 @@
                 let is_change = *kind == ListKind::Changes;
                 gone.iter().chain(workers).for_each(|listed| self.apply_listed(listed.clone(), is_change));
             }
-            Event::SettingsChanged(told) => {
+            Event::SettingsChanged(changed) => {
                 let settings = &mut self.settings;
-                settings.drain_grace = told.drain_grace;
-                settings.warm_up = told.warm_up;
-                settings.cold_share = told.cold_share;
-                settings.overload_factor = told.overload_factor;
-                for (op, told) in settings.operations.iter_mut().zip(&told.operations) {
-                    (op.latency_objective, op.billed_value) = *told;
+                settings.drain_grace = changed.drain_grace;
+                settings.warm_up = changed.warm_up;
+                settings.cold_share = changed.cold_share;
+                settings.overload_factor = changed.overload_factor;
+                for (op, values) in settings.operations.iter_mut().zip(&changed.operations) {
+                    (op.latency_objective, op.billed_value) = *values;
                 }
             }
             Event::TimerFired { .. } => self.wake_due = true,
@@ -344,20 +344,20 @@
                 self.unacknowledged = self.unacknowledged.split_off(&(mark, ProxyId(0)));
                 self.unacknowledged.remove(&(mark, *proxy));
             }
-            Event::ProxySums { proxy, op, invocations: invs, period: over, .. } => {
+            Event::ProxySums { proxy, op, invocations, period, .. } => {
                 let Some(known) = self.proxies.get_mut(proxy) else { return };
                 let rates = known.demand.entry(*op).or_default();
-                rates.push_front(invs * 1000.0 / over.max(1.0));
+                rates.push_front(invocations * 1000.0 / period.max(1.0));
                 rates.truncate(MAX_DEMAND_SAMPLES);
             }
-            Event::WorkerSums { worker, tries, failed: bad, mean_latency: mean, load, .. } => {
+            Event::WorkerSums { worker, tries, failed, mean_latency, load, .. } => {
                 let Some(known) = self.workers.get_mut(worker) else { return };
                 known.samples.push_front(Sample {
                     received_at: self.now,
                     tries: *tries,
-                    failed_tries: *bad,
-                    success_time: (tries - bad) * mean,
-                    busy: load.utilization,
+                    failed_tries: *failed,
+                    success_time: (tries - failed) * mean_latency,
+                    utilization: load.utilization,
                 });
                 known.samples.truncate(MAX_WORKER_SAMPLES);
             }
@@ -406,17 +406,17 @@
         (cold + (1.0 - cold) * progress.clamp(0.0, 1.0)).min(1.0)
     }
 
-    /// Sums a worker's samples received after `since`; the busyness is their mean.
+    /// Sums a worker's samples received after `since`; the utilization is their mean.
     fn sum_samples(&self, worker: &Worker, since: Ms) -> Sample {
         let recent = || worker.samples.iter().filter(|sample| sample.received_at > since);
         let sum = |field: fn(&Sample) -> f64| recent().map(field).sum::<f64>();
-        let busy = mean(recent().filter_map(|sample| sample.busy));
+        let utilization = mean(recent().filter_map(|sample| sample.utilization));
         Sample {
             received_at: since,
             tries: sum(|sample| sample.tries),
             failed_tries: sum(|sample| sample.failed_tries),
             success_time: sum(|sample| sample.success_time),
-            busy,
+            utilization,
         }
     }
 
@@ -436,7 +436,7 @@
         let total_cost =
             peers.iter().map(|peer| peer.success_time + peer.failed_tries * failure_cost).sum::<f64>();
         let mean_cost = total_cost / tries;
-        let mean_busy = mean(peers.iter().filter_map(|peer| peer.busy));
+        let mean_utilization = mean(peers.iter().filter_map(|peer| peer.utilization));
         let ready = || self.workers.values().filter(|worker| worker.listed.phase == Phase::Ready);
         let fleet_weight: f64 = ready().map(|worker| worker.listed.weight).sum();
         let low = ready().filter(|worker| worker.weight_factor < LOW_WEIGHT_FACTOR);
@@ -446,8 +446,8 @@
             let own = self.sum_samples(worker, worker.weight_adjusted_at + report_delay);
             let own_tries = own.tries;
             let mut cost_ratio = (own.success_time + own.failed_tries * failure_cost) / own_tries / mean_cost;
-            if let (Some(own_busy), Some(mean_busy)) = (own.busy, mean_busy) {
-                cost_ratio = (cost_ratio * (own_busy / mean_busy.max(0.1)).max(0.2)).sqrt();
+            if let (Some(own_utilization), Some(mean_utilization)) = (own.utilization, mean_utilization) {
+                cost_ratio = (cost_ratio * (own_utilization / mean_utilization.max(0.1)).max(0.2)).sqrt();
             }
             let early = now < worker.weight_adjusted_at + 2.0 * self.settings.report_period;
             if early
@@ -480,7 +480,7 @@
 
     /// Estimates the fleet's capacity relative to the load that it now gets, by samples received after `since`.
     ///
-    /// It goes by the median worker, since a single worker in trouble is no overload. Busyness below `idle_below`
+    /// It goes by the median worker, since a single worker in trouble is no overload. Utilization below `idle_below`
     /// rules overload out. `None`: too few workers report tries.
     fn capacity_ratio(&self, since: Ms, idle_below: f64) -> Option<f64> {
         let samples = self.workers.values().map(|worker| self.sum_samples(worker, since));
@@ -493,43 +493,46 @@
         let shedding = self.admission_ratio < 1.0;
         let target = if shedding { SHEDDING_LATENCY_RATIO } else { FULL_ADMISSION_LATENCY_RATIO };
         let by_latency = (target * objectives.fold(f64::INFINITY, f64::min) / answer_time.max(1.0)).sqrt();
-        let busy = mean(samples.iter().filter_map(|sample| sample.busy));
-        let by_busyness = (TARGET_BUSY_RATIO / busy.unwrap_or(0.0).max(0.1)).powi(2);
+        let utilization = mean(samples.iter().filter_map(|sample| sample.utilization));
+        let by_utilization = (TARGET_UTILIZATION / utilization.unwrap_or(0.0).max(0.1)).powi(2);
         let tries: f64 = samples.iter().map(|sample| sample.tries).sum();
         // Failed and late tries on idle cores are no overload: answers get lost on the way, or clients leave early.
         // Idle cores raise admission by a tenth at a time, in a partitioned fleet by the largest step.
         let idle_raise = [RAISE_CAPACITY_RATIO, MAX_CAPACITY_RATIO][self.partition_count.min(1)];
-        let by_idleness = busy.filter(|busy| *busy < idle_below).map_or(0.0, |_| idle_raise);
+        let by_idleness = utilization.filter(|ratio| *ratio < idle_below).map_or(0.0, |_| idle_raise);
         let by_failures = MAX_CAPACITY_RATIO * (1.0 - failed_ratio).powi(2);
         let estimate = by_latency.min(by_failures).max(by_idleness);
         let evidence = tries / (tries + MIN_EVIDENCE_COUNT * MIN_EVIDENCE_COUNT);
-        Some(estimate.min(by_busyness).clamp(MIN_CAPACITY_RATIO, MAX_CAPACITY_RATIO).powf(evidence))
+        Some(estimate.min(by_utilization).clamp(MIN_CAPACITY_RATIO, MAX_CAPACITY_RATIO).powf(evidence))
     }
 
     /// Lowers the admission ratio when the fleet is overloaded and raises it again as capacity returns.
     fn adjust_admission(&mut self) {
         let now = self.now;
         let report_delay = self.settings.report_period + self.settings.max_transit;
-        // Busyness is reported late: whether cold workers are kept out goes by failed and late tries even where
+        // Utilization is reported late: whether cold workers are kept out goes by failed and late tries even where
         // cores seem idle.
         let Some(capacity) = self.capacity_ratio(now - report_delay, 0.0) else { return };
         let avoiding = self.settings.proxies_avoid_outliers;
         self.near_overload =
             capacity < if avoiding { NEAR_OVERLOAD_AVOIDING_RATIO } else { NEAR_OVERLOAD_RATIO };
-        let no_busyness =
-            self.workers.values().flat_map(|worker| &worker.samples).all(|sample| sample.busy.is_none());
-        // Where no report has busyness, a second cut would go by tries that began before the first one: after a cut
+        let no_utilization = self
+            .workers
+            .values()
+            .flat_map(|worker| &worker.samples)
+            .all(|sample| sample.utilization.is_none());
+        // Where no report has utilization, a second cut would go by tries that began before the first one: after a cut
         // only later reports count.
-        let after_cut = no_busyness && self.admission_ratio < 1.0 && !self.admission_rising;
+        let after_cut = no_utilization && self.admission_ratio < 1.0 && !self.admission_rising;
         let ignored_time = if after_cut { 1.75 * report_delay } else { report_delay };
         let since = (self.admission_changed_at + ignored_time).max(now - report_delay);
-        let Some(step) = self.capacity_ratio(since, IDLE_BUSY_RATIO) else { return };
+        let Some(step) = self.capacity_ratio(since, IDLE_UTILIZATION) else { return };
         let cut_floor =
             CUT_FLOOR_RATIO.min(self.admission_ratio * CUT_CAPACITY_RATIO).max(MIN_ADMISSION_RATIO);
         // Raises are large up to the neighbourhood of the last overload, and small beyond.
         let careful_raise = self.admission_ratio * RAISE_CAPACITY_RATIO;
         let raise_limit = careful_raise.max(QUICK_RAISE_RATIO * self.overloaded_ratio);
-        let change = if no_busyness { step.max(step * step) } else { step };
+        let change = if no_utilization { step.max(step * step) } else { step };
         let next = (self.admission_ratio * change).min(raise_limit).clamp(cut_floor, 1.0);
         let needs_cut = step < CUT_CAPACITY_RATIO;
         let allows_raise = step >= RAISE_CAPACITY_RATIO;
