--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -1,21 +1,27 @@
-//! One tiny host: it hands events to a planner and keeps what the orders would have made of the proxies.
+//! A minimal host: it passes events to a planner and applies its orders to the state that the proxies would have.
 
 use juniperrail::Planner;
 use juniperrail_interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const T: TableId = TableId(0);
+pub const FIRST_TABLE: TableId = TableId(0);
 
+/// A planner and what the proxies have by its orders, as if they carried each out at once.
 pub struct Host {
     pub planner: Planner,
     pub now: Ms,
+    /// The lines in the tables, without removed ones.
     pub weights: BTreeMap<(TableId, WorkerId), f64>,
-    pub held: BTreeSet<WorkerId>,
-    pub binds: BTreeMap<ProxyId, Vec<TableId>>,
-    pub admitted: Vec<(f64, Retry)>,
+    pub excluded: BTreeSet<WorkerId>,
+    /// All tables that a proxy was ever bound to, in order.
+    pub bindings: BTreeMap<ProxyId, Vec<TableId>>,
+    /// All admission levels sent, in order.
+    pub admissions: Vec<(f64, Retry)>,
+    /// The last admission level of each table and operation.
     pub levels: BTreeMap<(TableId, OpId), f64>,
     pub marks: Vec<MarkId>,
-    pub messages: Vec<Ms>,
+    /// When each mark was sent.
+    pub message_times: Vec<Ms>,
 }
 
 pub fn operation() -> Operation {
@@ -28,7 +34,8 @@
     }
 }
 
-pub fn start() -> Settings {
+/// Settings that most tests share.
+pub fn settings() -> Settings {
     Settings {
         operations: vec![operation(), operation()],
         zones: vec![ZoneId(0), ZoneId(1)],
@@ -55,7 +62,8 @@
     }
 }
 
-pub fn listed(worker: u32, phase: Phase) -> WorkerEntry {
+/// An entry of the worker list; even workers are in zone 0, odd ones in zone 1.
+pub fn entry(worker: u32, phase: Phase) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(worker),
         phase,
@@ -71,7 +79,7 @@
     Event::List { kind, version: 1, workers }
 }
 
-pub fn change(workers: Vec<WorkerEntry>) -> Event {
+pub fn list_change(workers: Vec<WorkerEntry>) -> Event {
     list(ListKind::Changes, workers)
 }
 
@@ -79,42 +87,50 @@
     Event::Joined { proxy: ProxyId(proxy), fresh: true, inv_per_second: 10.0, zone: ZoneId(proxy % 2) }
 }
 
-pub fn sums(worker: u32, tries: f64, bad: f64, mean: Ms) -> Event {
+/// A report of one second about a worker, without utilization.
+pub fn worker_report(worker: u32, tries: f64, failed: f64, mean_latency: Ms) -> Event {
     let (zone, worker, load) = (ZoneId(0), WorkerId(worker), Load::default());
-    Event::WorkerSums { zone, worker, tries, failed: bad, mean_latency: mean, period: 1000.0, load }
+    Event::WorkerSums { zone, worker, tries, failed, mean_latency, period: 1000.0, load }
 }
 
-pub fn loaded(worker: u32, tries: f64, bad: f64, mean: Ms, busy: f64) -> Event {
+pub fn worker_report_with_utilization(
+    worker: u32,
+    tries: f64,
+    failed: f64,
+    mean_latency: Ms,
+    utilization: f64,
+) -> Event {
     let (zone, worker, load) =
-        (ZoneId(0), WorkerId(worker), Load { utilization: Some(busy), ..Load::default() });
-    Event::WorkerSums { zone, worker, tries, failed: bad, mean_latency: mean, period: 1000.0, load }
+        (ZoneId(0), WorkerId(worker), Load { utilization: Some(utilization), ..Load::default() });
+    Event::WorkerSums { zone, worker, tries, failed, mean_latency, period: 1000.0, load }
 }
 
 impl Host {
-    pub fn with(start: Settings) -> Self {
+    pub fn new(settings: Settings) -> Self {
         Host {
-            planner: Planner::new(1000.0, 7, start),
+            planner: Planner::new(1000.0, 7, settings),
             now: 1000.0,
             weights: BTreeMap::new(),
-            held: BTreeSet::new(),
-            binds: BTreeMap::new(),
-            admitted: Vec::new(),
+            excluded: BTreeSet::new(),
+            bindings: BTreeMap::new(),
+            admissions: Vec::new(),
             levels: BTreeMap::new(),
             marks: Vec::new(),
-            messages: Vec::new(),
+            message_times: Vec::new(),
         }
     }
 
     /// `workers` warm workers, listed from the start, and `proxies` that have joined and answered.
-    pub fn running(start: Settings, workers: u32, proxies: u16) -> Self {
-        let mut host = Host::with(start);
-        let ready = (0..workers).map(|worker| listed(worker, Phase::Ready)).collect();
+    pub fn running(settings: Settings, workers: u32, proxies: u16) -> Self {
+        let mut host = Host::new(settings);
+        let ready = (0..workers).map(|worker| entry(worker, Phase::Ready)).collect();
         host.turn(&[list(ListKind::Cached, ready)]);
-        host.after(10.0, &(0..proxies).map(joined).collect::<Vec<_>>());
-        host.answer(proxies);
+        host.advance(10.0, &(0..proxies).map(joined).collect::<Vec<_>>());
+        host.acknowledge(proxies);
         host
     }
 
+    /// Passes events to the planner at the current time and applies its orders.
     pub fn turn(&mut self, events: &[Event]) -> Vec<Order> {
         let orders = self.planner.process_events(self.now, events);
         for order in &orders {
@@ -127,21 +143,21 @@
                     self.weights.insert((*table, *worker), *weight);
                 }
                 Order::ExcludeWorker { worker, excluded: true } => {
-                    self.held.insert(*worker);
+                    self.excluded.insert(*worker);
                 }
                 Order::ExcludeWorker { worker, excluded: false } => {
-                    self.held.remove(worker);
+                    self.excluded.remove(worker);
                 }
-                Order::Bind { table, proxy, .. } => self.binds.entry(*proxy).or_default().push(*table),
+                Order::Bind { table, proxy, .. } => self.bindings.entry(*proxy).or_default().push(*table),
                 Order::SetAdmission { scope: reach, ops, level, retry } => {
-                    self.admitted.push((*level, *retry));
+                    self.admissions.push((*level, *retry));
                     if let AdmissionScope::Table(table) = reach {
                         self.levels.insert((*table, OpId(ops.trailing_zeros() as u8)), *level);
                     }
                 }
                 Order::Mark { number, .. } => {
                     self.marks.push(*number);
-                    self.messages.push(self.now);
+                    self.message_times.push(self.now);
                 }
                 _ => {}
             }
@@ -149,30 +165,34 @@
         orders
     }
 
-    pub fn after(&mut self, wait: Ms, events: &[Event]) -> Vec<Order> {
+    /// Advances the clock by `wait`, then runs a turn.
+    pub fn advance(&mut self, wait: Ms, events: &[Event]) -> Vec<Order> {
         self.now += wait;
         self.turn(events)
     }
 
-    pub fn answer(&mut self, proxies: u16) -> Vec<Order> {
+    /// The first `proxies` proxies acknowledge the last mark, 100 ms later.
+    pub fn acknowledge(&mut self, proxies: u16) -> Vec<Order> {
         let Some(&mark) = self.marks.last() else { return Vec::new() };
         let answer = |proxy| Event::MarkAcknowledged { mark, took: 100.0, proxy: ProxyId(proxy) };
-        self.after(100.0, &(0..proxies).map(answer).collect::<Vec<_>>())
+        self.advance(100.0, &(0..proxies).map(answer).collect::<Vec<_>>())
     }
 
-    pub fn seconds(&mut self, seconds: u32, proxies: u16, events: &[Event]) {
+    /// Runs for some seconds with the same events in each, while all proxies acknowledge each mark.
+    pub fn run_seconds(&mut self, seconds: u32, proxies: u16, events: &[Event]) {
         for _ in 0..seconds {
-            self.after(500.0, events);
-            self.answer(proxies);
-            self.after(400.0, &[]);
+            self.advance(500.0, events);
+            self.acknowledge(proxies);
+            self.advance(400.0, &[]);
         }
     }
 
+    /// The worker's weight in the first table; 0 without a line.
     pub fn weight(&self, worker: u32) -> f64 {
-        self.weights.get(&(T, WorkerId(worker))).copied().unwrap_or(0.0)
+        self.weights.get(&(FIRST_TABLE, WorkerId(worker))).copied().unwrap_or(0.0)
     }
 
-    pub fn holds(&self, worker: u32) -> bool {
-        self.held.contains(&WorkerId(worker))
+    pub fn is_excluded(&self, worker: u32) -> bool {
+        self.excluded.contains(&WorkerId(worker))
     }
 }
