--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -21,7 +21,7 @@
 /// The workers by name.
 pub const ROSTER: Mechanism = Mechanism::File("crates/manager/src/roster.rs");
 /// Which worker gets what weight, and how many lines wait.
-pub const PLANNER: Mechanism = Mechanism::File("src/brain.rs");
+pub const PLANNER: Mechanism = Mechanism::File("src/lib.rs");
 /// What the joined proxies hold.
 pub const PLANE: Mechanism = Mechanism::File("crates/manager/src/plane.rs");
 /// Descriptors by who needs them.
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -123,7 +123,7 @@
     let (text, measured) = (page_text(), measured());
     let checks = checks::all(&elsewhere, &text, &Page::new(&measured), &measured);
     let faults: Vec<String> = checks.into_iter().flat_map(|check| check.faults).collect();
-    assert!(faults.contains(&"there is no src/brain.rs".to_string()), "{faults:?}");
+    assert!(faults.contains(&"there is no src/lib.rs".to_string()), "{faults:?}");
 }
 
 #[test]
--- /dev/null
+++ b/src/events.rs
@@ -0,0 +1,124 @@
+//! Handling of events: the state of workers and proxies follows what the host reports.
+
+use crate::numbers::mean;
+use crate::{Planner, Proxy, Sample, UpdateKey, UpdateState, Worker};
+use juniperrail_interface::*;
+use std::collections::VecDeque;
+
+/// Reports kept for each worker.
+const MAX_WORKER_SAMPLES: usize = 12;
+/// Demand reports kept for each proxy and operation.
+const MAX_DEMAND_SAMPLES: usize = 3;
+
+impl Planner {
+    /// Takes one event into the state; decisions follow once all events of the turn are in.
+    pub(crate) fn handle_event(&mut self, event: &Event) {
+        match event {
+            Event::List { kind: ListKind::Failed, .. } => {
+                // Spread, so that managers whose requests failed together do not repeat them together.
+                let delay = self.settings.list_request_deadline / 8.0 * (0.5 + self.rng.f64());
+                self.list_request_at = self.settings.list_on_request.then_some(self.now + delay);
+            }
+            Event::List { kind, workers, .. } => {
+                let listed = |id| *kind == ListKind::Changes || workers.iter().any(|of| of.worker == id);
+                let missing = self.workers.values().filter(|worker| !listed(worker.listed.worker));
+                let gone = |worker: &Worker| WorkerEntry { phase: Phase::Gone, ..worker.listed.clone() };
+                let gone: Vec<_> = missing.map(gone).collect();
+                let is_change = *kind == ListKind::Changes;
+                gone.iter().chain(workers).for_each(|listed| self.apply_listed(listed.clone(), is_change));
+            }
+            Event::SettingsChanged(changed) => {
+                let settings = &mut self.settings;
+                settings.drain_grace = changed.drain_grace;
+                settings.warm_up = changed.warm_up;
+                settings.cold_share = changed.cold_share;
+                settings.overload_factor = changed.overload_factor;
+                for (op, values) in settings.operations.iter_mut().zip(&changed.operations) {
+                    (op.latency_objective, op.billed_value) = *values;
+                }
+            }
+            Event::TimerFired { .. } => self.wake_due = true,
+            Event::Joined { proxy, inv_per_second, zone, .. } => {
+                let (zone, inv_per_second) = (*zone, *inv_per_second);
+                let acknowledged_mark = self.last_mark;
+                if !self.settings.zones.contains(&zone) {
+                    // A proxy of a zone that the settings do not name would have no table.
+                    self.settings.zones.push(zone);
+                    let partitions: Vec<Option<usize>> = self.partition_tables.keys().copied().collect();
+                    partitions.into_iter().for_each(|partition| self.build_tables(partition, Some(zone)));
+                }
+                let joined = Proxy { zone, inv_per_second, acknowledged_mark, ..Proxy::default() };
+                self.proxies.insert(*proxy, joined);
+            }
+            Event::Left { proxy } => {
+                // Its bindings end: updates that only it had to acknowledge become idle, and its next bind carries
+                // all values.
+                self.proxies.remove(proxy);
+                self.tables.iter_mut().for_each(|table| _ = table.bound_proxies.remove(proxy));
+            }
+            Event::MarkAcknowledged { mark, proxy, .. } => {
+                // The newest mark sent with these low 16 bits: numbers on the channel wrap.
+                let mark =
+                    self.last_mark.saturating_sub(self.last_mark.wrapping_sub(u64::from(mark.0)) & 0xffff);
+                let known = self.proxies.get_mut(proxy);
+                let Some(known) = known.filter(|known| known.acknowledged_mark < mark) else { return };
+                known.acknowledged_mark = mark;
+                self.progress_at = self.now;
+                // One proxy's acknowledgement proves that all earlier marks have left the shared channel.
+                self.unacknowledged = self.unacknowledged.split_off(&(mark, ProxyId(0)));
+                self.unacknowledged.remove(&(mark, *proxy));
+            }
+            Event::ProxySums { proxy, op, invocations, period, .. } => {
+                let Some(known) = self.proxies.get_mut(proxy) else { return };
+                let rates = known.demand.entry(*op).or_default();
+                rates.push_front(invocations * 1000.0 / period.max(1.0));
+                rates.truncate(MAX_DEMAND_SAMPLES);
+            }
+            Event::WorkerSums { worker, tries, failed, mean_latency, load, .. } => {
+                let Some(known) = self.workers.get_mut(worker) else { return };
+                known.samples.push_front(Sample {
+                    received_at: self.now,
+                    tries: *tries,
+                    failed_tries: *failed,
+                    success_time: (tries - failed) * mean_latency,
+                    utilization: load.utilization,
+                });
+                known.samples.truncate(MAX_WORKER_SAMPLES);
+            }
+            _ => {}
+        }
+    }
+
+    /// Takes one entry of the worker list. `is_change`: the entry is from a change of the list, not a whole list.
+    fn apply_listed(&mut self, mut listed: WorkerEntry, is_change: bool) {
+        let known_weights = self.workers.values().map(|worker| worker.listed.weight);
+        listed.weight = if listed.weight > 0.0 { listed.weight } else { mean(known_weights).unwrap_or(1.0) };
+        let now = self.now;
+        let new_worker = Worker {
+            listed: listed.clone(),
+            drain_requested_at: now,
+            weight_factor: 1.0,
+            weight_adjusted_at: f64::NEG_INFINITY,
+            samples: VecDeque::new(),
+            partition: None,
+            possibly_excluded: is_change,
+        };
+        let unknown = UpdateState { desired: f64::NAN, sent: f64::NAN, ..UpdateState::default() };
+        self.updates.entry(UpdateKey::Exclusion(listed.worker)).or_insert(unknown);
+        let worker = self.workers.entry(listed.worker).or_insert(new_worker);
+        if listed.booted > worker.listed.booted {
+            worker.weight_factor = 1.0;
+            worker.samples = VecDeque::new();
+        }
+        if !worker.possibly_excluded && (listed.booted.is_some() || listed.phase != Phase::Ready) {
+            worker.possibly_excluded = true;
+            let lines = self.tables.iter().map(|table| UpdateKey::Line(table.id, listed.worker));
+            lines.for_each(|line| {
+                _ = self.updates.get_mut(&line).map(|update| update.readmission_uncertain = true)
+            });
+        }
+        let left_ready = worker.listed.phase == Phase::Ready && listed.phase != Phase::Ready;
+        worker.drain_requested_at = if left_ready { now } else { worker.drain_requested_at };
+        worker.listed = listed;
+    }
+}
--- /dev/null
+++ b/src/lib.rs
@@ -0,0 +1,223 @@
+//! Planner of a juniperrail manager: decides which weight a worker has in which table, which part of the demand is
+//! admitted, whether proxies retry, and which proxy is bound to which tables.
+//!
+//! The host passes what happened to [`Planner::process_events`] and carries out the returned orders as written. The
+//! planner does no I/O and reads no clock. The types of events and orders are in `juniperrail_interface`; the
+//! mechanism is described in `docs/design.md`.
+
+mod admission;
+mod events;
+mod numbers;
+mod partitions;
+mod planning;
+mod sending;
+mod updates;
+mod weights;
+
+use juniperrail_interface::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// What an update sets. Updates of equal rank are sent in the order of the keys.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum UpdateKey {
+    /// Whether proxies may pick a worker at all: 1 excludes it, 0 readmits it.
+    Exclusion(WorkerId),
+    /// The weight of a worker in a table; 0 removes the line.
+    Line(TableId, WorkerId),
+    /// The admission level of a table and operation.
+    Level(TableId, OpId),
+}
+
+/// State of an update: idle while `desired` differs from `sent`, scheduled while a mark awaits acknowledgement, else
+/// completed.
+#[derive(Default)]
+struct UpdateState {
+    desired: f64,
+    /// NaN where it is unknown what the proxies have.
+    sent: f64,
+    /// The mark sent after the last write, until all bound proxies have acknowledged it.
+    awaited_mark: Option<u64>,
+    /// The worker became possibly excluded while this line was in force: the next write may have to readmit it.
+    readmission_uncertain: bool,
+}
+
+/// What one report, or the sum of several, says about a worker.
+struct Sample {
+    received_at: Ms,
+    tries: f64,
+    failed_tries: f64,
+    /// Sum of the times of successful tries.
+    success_time: Ms,
+    /// Ratio of the worker's cores that are busy, if reported.
+    utilization: Option<f64>,
+}
+
+struct Worker {
+    listed: WorkerEntry,
+    /// When it last left the phase ready, or else when it was first listed.
+    drain_requested_at: Ms,
+    /// Multiple of the listed weight, by what its tries cost.
+    weight_factor: f64,
+    weight_adjusted_at: Ms,
+    /// The newest first.
+    samples: VecDeque<Sample>,
+    partition: Option<usize>,
+    /// Another manager may have excluded it at a proxy, which then has to be told to readmit it.
+    possibly_excluded: bool,
+}
+
+#[derive(Default)]
+struct Proxy {
+    zone: ZoneId,
+    inv_per_second: f64,
+    partition: Option<usize>,
+    bound: bool,
+    acknowledged_mark: u64,
+    /// Invocations a second by operation, as last reported; the newest first.
+    demand: BTreeMap<OpId, VecDeque<f64>>,
+}
+
+/// A table that proxies are bound to: the workers of some operations, for proxies of one zone or of all.
+struct Table {
+    id: TableId,
+    /// Places of its operations in the settings.
+    ops: Vec<usize>,
+    /// The first of its operations; all have the same restrictions on workers.
+    operation: Operation,
+    /// The zone of its proxies; `None` is all zones.
+    proxy_zone: Option<ZoneId>,
+    /// The partition whose workers it has; `None` is the whole fleet.
+    partition: Option<usize>,
+    bound_proxies: BTreeSet<ProxyId>,
+}
+
+impl Table {
+    /// Whether a worker may have a line in this table.
+    fn includes(&self, worker: &Worker) -> bool {
+        self.operation.zones.as_ref().is_none_or(|zones| zones.contains(&worker.listed.zone))
+            && self
+                .operation
+                .machines
+                .as_ref()
+                .is_none_or(|machines| machines.contains(&worker.listed.machine))
+            && (!self.operation.own_zone_only || self.proxy_zone == Some(worker.listed.zone))
+            && (self.partition.is_none() || self.partition == worker.partition)
+    }
+}
+
+/// All state of a manager's decisions.
+#[derive(Default)]
+pub struct Planner {
+    settings: Settings,
+    rng: fastrand::Rng,
+    /// Time of the current turn.
+    now: Ms,
+    workers: BTreeMap<WorkerId, Worker>,
+    proxies: BTreeMap<ProxyId, Proxy>,
+    /// When messages were sent to each proxy, within the span of the message limit.
+    message_times: BTreeMap<ProxyId, VecDeque<Ms>>,
+    /// By table id.
+    tables: Vec<Table>,
+    /// Indices of each partition's tables, and (`None`) of those of the whole fleet.
+    partition_tables: BTreeMap<Option<usize>, Vec<usize>>,
+    updates: BTreeMap<UpdateKey, UpdateState>,
+    /// The updates that are not completed.
+    pending: BTreeSet<UpdateKey>,
+    /// 0 while the fleet is not partitioned.
+    partition_count: usize,
+    /// Pairs of pending updates of which the first has to be acknowledged before the second is sent, with the time
+    /// at which the pair was added.
+    ordered_pairs: BTreeMap<(UpdateKey, UpdateKey), Ms>,
+    last_mark: u64,
+    /// Lines sent with a mark to a proxy that no acknowledgement has proven to have left the channel.
+    unacknowledged: BTreeMap<(u64, ProxyId), f64>,
+    /// When the channel last proved progress: the last acknowledgement, or the last send into an empty channel.
+    progress_at: Ms,
+    /// Lines, with overhead, of the message to each proxy that this turn sends.
+    message_lines: BTreeMap<ProxyId, f64>,
+    /// The sum of `message_lines`.
+    turn_lines: f64,
+    /// When ordinary updates were last sent.
+    ordinary_sent_at: Ms,
+    /// When exclusions were last sent.
+    exclusions_sent_at: Ms,
+    /// Ratio of the demand that is admitted, for an operation of mean billed value.
+    admission_ratio: f64,
+    admission_changed_at: Ms,
+    /// The admission ratio at which the fleet was last overloaded after a raise.
+    overloaded_ratio: f64,
+    /// The last change of the admission ratio was a raise.
+    admission_rising: bool,
+    near_overload: bool,
+    /// A wake-up has to be ordered at the end of this turn.
+    wake_due: bool,
+    /// When the worker list is to be requested.
+    list_request_at: Option<Ms>,
+    orders: Vec<Order>,
+}
+
+impl Planner {
+    /// A planner that knows no workers and no proxies yet. The seed determines all random choices.
+    pub fn new(now: Ms, seed: u64, settings: Settings) -> Self {
+        let mut planner = Planner {
+            rng: fastrand::Rng::with_seed(seed),
+            now,
+            admission_ratio: 1.0,
+            overloaded_ratio: 1.0,
+            exclusions_sent_at: f64::NEG_INFINITY,
+            wake_due: true,
+            list_request_at: settings.list_on_request.then_some(now),
+            settings,
+            ..Planner::default()
+        };
+        planner.build_tables(None, None);
+        planner
+    }
+
+    /// Handles the events of a turn and returns the orders to carry out, in this order.
+    ///
+    /// A turn of acknowledgements alone only completes and sends updates; any other, also an empty one, plans anew.
+    pub fn process_events(&mut self, now: Ms, events: &[Event]) -> Vec<Order> {
+        self.now = now;
+        events.iter().for_each(|event| self.handle_event(event));
+        if events.is_empty() || events.iter().any(|event| !matches!(event, Event::MarkAcknowledged { .. })) {
+            self.adjust_weights();
+            self.adjust_admission();
+            self.partition_fleet();
+            self.plan_updates();
+        }
+        self.complete_updates();
+        self.send_updates();
+        self.orders
+            .extend(self.list_request_at.take_if(|at| now >= *at).map(|_| Order::SubscribeToList(true)));
+        let after = (self.settings.report_period / 8.0).max(20.0);
+        let handle = "beat".into();
+        self.orders.extend(std::mem::take(&mut self.wake_due).then_some(Order::SetTimer { after, handle }));
+        std::mem::take(&mut self.orders)
+    }
+
+    /// How many joined proxies have acknowledged all that is desired of these workers.
+    pub fn synced_proxy_count(&self, workers: &BTreeSet<WorkerId>) -> usize {
+        // The removal of a line makes no difference where the worker is excluded already.
+        let concerns = |key: &&UpdateKey| match key {
+            UpdateKey::Exclusion(id) => workers.contains(id),
+            UpdateKey::Line(_, id) => workers.contains(id) && self.updates[key].desired > 0.0,
+            UpdateKey::Level(..) => false,
+        };
+        let open = self.pending.iter().filter(concerns).map(|key| (&self.updates[key], self.receivers(*key)));
+        let open: Vec<(&UpdateState, BTreeSet<ProxyId>)> = open.collect();
+        let acknowledged = |proxy: &Proxy, update: &UpdateState| {
+            update.awaited_mark.is_none_or(|mark| proxy.acknowledged_mark >= mark)
+        };
+        let synced = |(id, proxy): &(&ProxyId, &Proxy)| {
+            let done = |update: &UpdateState| update.desired == update.sent && acknowledged(proxy, update);
+            proxy.bound && open.iter().all(|(update, receivers)| !receivers.contains(id) || done(update))
+        };
+        self.proxies.iter().filter(synced).count()
+    }
+
+    /// Lines sent that no acknowledgement has proven to have left the channel.
+    pub fn unacknowledged_lines(&self) -> f64 {
+        self.unacknowledged.values().sum()
+    }
+}
--- /dev/null
+++ b/src/sending.rs
@@ -0,0 +1,213 @@
+//! Sending of updates within the backlog and the message limits of the channel.
+
+use crate::{Planner, Table, UpdateKey, UpdateState};
+use juniperrail_interface::*;
+use std::collections::BTreeSet;
+
+/// Ratio of the line backlog (`max_pending_lines`) up to which updates are sent.
+pub(crate) const SEND_BACKLOG_RATIO: f64 = 0.5;
+/// Ratio of the line backlog up to which overdue drains, and a bind that would never fit otherwise, are sent.
+const OVERDUE_BACKLOG_RATIO: f64 = 0.8;
+/// Ratio of the channel's rate at which unacknowledged lines are assumed to leave the channel.
+const MIN_CHANNEL_RATE_RATIO: f64 = 0.1;
+/// Ratio of the messages allowed to a proxy that ordinary updates may use; the rest is left to drains and binds.
+const ORDINARY_MESSAGE_RATIO: f64 = 0.6;
+/// Ratio of the channel's rate that the overhead of ordinary messages may use.
+const ORDINARY_OVERHEAD_RATIO: f64 = 0.2;
+/// Ratio of the drain grace after which an exclusion no longer waits for acknowledgements of earlier updates.
+const OVERDUE_DRAIN_GRACE_RATIO: f64 = 0.4;
+
+impl Planner {
+    /// Sends idle updates and a mark: exclusions, then binds, then levels and the largest changes of weights, up to
+    /// [`SEND_BACKLOG_RATIO`] of the backlog. Overdue drains may use more.
+    pub(crate) fn send_updates(&mut self) {
+        let now = self.now;
+        let backlog = self.settings.max_pending_lines;
+        // Lines leave the channel only by acknowledgements and at a very slow rate: this holds for slow channels,
+        // stalls and lost acknowledgements.
+        let assumed_left =
+            (now - self.progress_at) * self.settings.channel_rate * MIN_CHANNEL_RATE_RATIO / 1000.0;
+        let waiting = (self.unacknowledged.values().sum::<f64>() - assumed_left).max(0.0);
+        let head = self.settings.message_overhead + 1.0;
+        // Room for a message of one line to each proxy.
+        let reserve = (self.proxies.len() as f64 * (head + 1.0)).min(backlog * SEND_BACKLOG_RATIO / 4.0);
+        let message_interval =
+            self.settings.message_window / (self.settings.max_messages_per_window * ORDINARY_MESSAGE_RATIO);
+        let overhead_interval = self.expected_proxy_count() * head * 1000.0
+            / (self.settings.channel_rate * ORDINARY_OVERHEAD_RATIO);
+        let overhead_interval = if self.partition_count > 0 { overhead_interval } else { 0.0 };
+        let ordinary_interval =
+            message_interval.max(self.settings.report_period / 2.0).max(overhead_interval);
+        let behind: BTreeSet<UpdateKey> = self.ordered_pairs.keys().map(|pair| pair.1).collect();
+        let unread = |table: &TableId| self.tables[usize::from(table.0)].bound_proxies.is_empty();
+        // Exclusions are gathered: sent one by one as room appears, they would take a message each until the proxies
+        // may be sent no more.
+        let exclusion_interval = self.settings.message_window
+            / (self.settings.max_messages_per_window * (1.0 - ORDINARY_MESSAGE_RATIO));
+        let exclusion_interval =
+            exclusion_interval.min(OVERDUE_DRAIN_GRACE_RATIO * self.settings.drain_grace);
+        let exclusions_due = now >= self.exclusions_sent_at + exclusion_interval;
+        let due = |key: &&UpdateKey| match key {
+            UpdateKey::Line(table, _) | UpdateKey::Level(table, _) => {
+                now >= self.ordinary_sent_at + ordinary_interval || unread(table)
+            }
+            UpdateKey::Exclusion(_) => exclusions_due || self.updates[key].desired == 0.0,
+        };
+        let is_idle = |key: &&UpdateKey| self.updates[key].desired != self.updates[key].sent;
+        let idle = self.pending.iter().filter(is_idle);
+        let mut changes = Vec::new();
+        for key in idle.filter(due).copied().collect::<Vec<UpdateKey>>() {
+            let update = &self.updates[&key];
+            let ready = !behind.contains(&key);
+            if let (UpdateKey::Exclusion(id), true) = (key, update.desired > 0.0) {
+                let overdue_after = OVERDUE_DRAIN_GRACE_RATIO * self.settings.drain_grace;
+                let overdue = now >= self.workers[&id].drain_requested_at + overdue_after;
+                let ratio = if overdue { OVERDUE_BACKLOG_RATIO } else { SEND_BACKLOG_RATIO };
+                if (ready || overdue) && self.send_update(key, backlog * ratio - waiting, 1.0) {
+                    self.exclusions_sent_at = now;
+                }
+            } else if ready {
+                // Levels go first: by size of change they would wait behind all lines of a growing fleet. The line
+                // of an excluded worker has no effect any more: its removal waits behind the lines of replacements.
+                let no_effect =
+                    matches!(key, UpdateKey::Line(_, id) if update.desired == 0.0 && self.is_excluded(id));
+                let change = if no_effect { 0.0 } else { (update.desired - update.sent).abs() };
+                changes.push((matches!(key, UpdateKey::Level(..)), change, key));
+            }
+        }
+        let room = backlog * SEND_BACKLOG_RATIO - reserve - waiting;
+        let unbound = self.proxies.iter().filter(|(_, proxy)| !proxy.bound);
+        let mut unbound: Vec<(f64, ProxyId)> =
+            unbound.map(|(id, proxy)| (proxy.inv_per_second, *id)).collect();
+        unbound.sort_by(|a, b| b.0.total_cmp(&a.0));
+        self.assign_partitions(&unbound);
+        for (_, id) in unbound {
+            // A bind that would never fit otherwise is sent alone, into an empty channel.
+            let alone = waiting == 0.0 && self.message_lines.is_empty();
+            if !self.bind_proxy(id, if alone { backlog * OVERDUE_BACKLOG_RATIO } else { room }) {
+                break;
+            }
+        }
+        changes.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
+        for (_, _, key) in changes {
+            if self.turn_lines < room && self.send_update(key, room, ORDINARY_MESSAGE_RATIO) {
+                self.ordinary_sent_at = now;
+            }
+        }
+        if !self.message_lines.is_empty() {
+            self.last_mark += 1;
+            self.turn_lines = 0.0;
+            self.progress_at = if self.unacknowledged.is_empty() { now } else { self.progress_at };
+            self.orders.push(Order::Mark { number: MarkId(self.last_mark as u16), all_proxies: false });
+        }
+        for (id, lines) in std::mem::take(&mut self.message_lines) {
+            self.message_times.entry(id).or_default().push_back(now);
+            self.unacknowledged.insert((self.last_mark, id), lines);
+        }
+    }
+
+    /// Reserves lines in this turn's message to each receiver, if they fit into `room` lines in all and no receiver
+    /// gets more than `message_ratio` of its allowed messages. Returns whether they fit.
+    fn reserve(&mut self, receivers: &BTreeSet<ProxyId>, lines: f64, room: f64, message_ratio: f64) -> bool {
+        let now = self.now;
+        let limit_span = self.settings.message_window;
+        let head = self.settings.message_overhead + 1.0;
+        let new: Vec<&ProxyId> = receivers.iter().filter(|id| !self.message_lines.contains_key(id)).collect();
+        let cost = receivers.len() as f64 * lines + new.len() as f64 * head;
+        let mut fits = self.turn_lines + cost <= room;
+        // Times are kept beyond a stream's end: a proxy that joins again may be counted as if it had never left.
+        for id in new {
+            let times = self.message_times.entry(*id).or_default();
+            times.retain(|at| now - at <= limit_span * 1.02);
+            fits &= (times.len() as f64) < (self.settings.max_messages_per_window * message_ratio).floor();
+        }
+        if fits {
+            self.turn_lines += cost;
+            receivers.iter().for_each(|id| *self.message_lines.entry(*id).or_insert(head) += lines);
+        }
+        fits
+    }
+
+    /// Sends an update if it fits. Returns whether it took part of a message: one without receivers takes none.
+    fn send_update(&mut self, key: UpdateKey, room: f64, message_ratio: f64) -> bool {
+        let receivers = self.receivers(key);
+        let lines = match key {
+            UpdateKey::Line(_, id) => self.line_cost(id, &self.updates[&key]),
+            _ => 1.0,
+        };
+        if !receivers.is_empty() && !self.reserve(&receivers, lines, room, message_ratio) {
+            return false;
+        }
+        let update = self.updates.get_mut(&key).expect("a known key");
+        update.sent = update.desired;
+        update.readmission_uncertain = false;
+        update.awaited_mark = (!receivers.is_empty()).then_some(self.last_mark + 1);
+        let level = update.desired;
+        // Any other retry multiplies an overload: a try that was given up still occupies its worker.
+        let retry = if self.admission_ratio < 1.0 { Retry::Never } else { Retry::IfNotExecuted };
+        self.orders.push(match key {
+            UpdateKey::Exclusion(worker) => Order::ExcludeWorker { worker, excluded: level > 0.0 },
+            UpdateKey::Line(table, worker) => Order::SetLine { table, worker, weight: level },
+            UpdateKey::Level(id, op) => {
+                Order::SetAdmission { scope: AdmissionScope::Table(id), ops: 1 << op.0, level, retry }
+            }
+        });
+        !receivers.is_empty()
+    }
+
+    /// Lines that writing a line costs: a second one readmits a possibly excluded worker as it enters the table.
+    fn line_cost(&self, id: WorkerId, line: &UpdateState) -> f64 {
+        let may_be_absent = line.readmission_uncertain || line.sent.is_nan() || line.sent == 0.0;
+        let enters = line.desired > 0.0 && may_be_absent;
+        1.0 + f64::from(u8::from(enters && self.workers[&id].possibly_excluded))
+    }
+
+    /// Binds a joined proxy to its tables if their lines fit; a table without usable lines waits. Returns false
+    /// where there is no room left.
+    fn bind_proxy(&mut self, id: ProxyId, room: f64) -> bool {
+        let mut cost = 0.0;
+        let mut binds = Vec::new();
+        for table in self.tables_for(&self.proxies[&id]) {
+            let lines = self.lines(table.id).filter(|(_, line)| line.sent > 0.0);
+            let (excluded, usable): (Vec<_>, Vec<_>) =
+                lines.partition(|(worker, _)| self.is_excluded(*worker));
+            if !usable.is_empty() {
+                let readmitted =
+                    usable.iter().filter(|(worker, _)| self.workers[worker].possibly_excluded).count();
+                cost += (1 + 2 * excluded.len() + usable.len() + readmitted + table.ops.len()) as f64;
+                binds.push((table.id, table.ops.iter().map(|op| 1 << op).sum()));
+            }
+        }
+        if binds.is_empty() || !self.reserve(&BTreeSet::from([id]), cost, room, 1.0) {
+            return binds.is_empty() || self.turn_lines + cost <= room;
+        }
+        // It may have been bound to the tables of the whole fleet or to those of its partition.
+        let former = [None, self.proxies[&id].partition];
+        for index in former.iter().filter_map(|partition| self.partition_tables.get(partition)).flatten() {
+            self.tables[*index].bound_proxies.remove(&id);
+        }
+        for (table, ops) in binds {
+            self.tables[usize::from(table.0)].bound_proxies.insert(id);
+            self.orders.push(Order::Bind { table, ops, proxy: id });
+        }
+        self.proxies.get_mut(&id).expect("a joined proxy").bound = true;
+        true
+    }
+
+    /// The proxies that an update is sent to. An exclusion also goes to unbound proxies, which may still have
+    /// another manager's tables.
+    pub(crate) fn receivers(&self, key: UpdateKey) -> BTreeSet<ProxyId> {
+        let id = match key {
+            UpdateKey::Line(table, _) | UpdateKey::Level(table, _) => {
+                return self.tables[usize::from(table.0)].bound_proxies.clone();
+            }
+            UpdateKey::Exclusion(id) => id,
+        };
+        let has_line = |table: &&Table| {
+            self.updates.get(&UpdateKey::Line(table.id, id)).is_some_and(|line| line.sent > 0.0)
+        };
+        let tables = self.tables.iter().filter(has_line);
+        let bound = tables.flat_map(|table| table.bound_proxies.iter().copied());
+        bound.chain(self.proxies.iter().filter(|(_, proxy)| !proxy.bound).map(|(id, _)| *id)).collect()
+    }
+}
--- /dev/null
+++ b/src/updates.rs
@@ -0,0 +1,136 @@
+//! Pending updates: composition, ordering and completion.
+
+use crate::{Planner, Table, UpdateKey, UpdateState};
+use juniperrail_interface::*;
+use std::collections::{BTreeMap, VecDeque};
+
+impl Planner {
+    /// Composes a write onto the pending updates: the later write wins, and an unacknowledged one counts as not
+    /// applied. Returns whether the value changed and has to be sent.
+    pub(crate) fn compose(&mut self, key: UpdateKey, value: f64) -> bool {
+        let update = self.updates.entry(key).or_default();
+        let changed = std::mem::replace(&mut update.desired, value) != value;
+        if changed {
+            self.pending.insert(key);
+        }
+        changed && update.sent != value
+    }
+
+    /// Whether the worker's exclusion has been sent.
+    pub(crate) fn is_excluded(&self, id: WorkerId) -> bool {
+        self.updates.get(&UpdateKey::Exclusion(id)).is_some_and(|exclusion| exclusion.sent > 0.0)
+    }
+
+    /// Adds the pairs that order an update. A line is removed after its worker's exclusion; a worker is readmitted
+    /// after the line that gives it its first weight; a worker with the last usable line of a table is excluded
+    /// after the lines of its replacements. `has_usable_line` is by table.
+    pub(crate) fn add_ordering(&mut self, key: UpdateKey, has_usable_line: &[bool]) {
+        let is_removal = self.updates[&key].desired == 0.0;
+        match key {
+            UpdateKey::Line(_, id) if is_removal => self.order_before(UpdateKey::Exclusion(id), key),
+            UpdateKey::Line(_, id) if self.is_excluded(id) => {
+                self.order_before(key, UpdateKey::Exclusion(id))
+            }
+            UpdateKey::Exclusion(id) if !is_removal => {
+                let affected = |table: &&Table| {
+                    !has_usable_line[usize::from(table.id.0)] && table.includes(&self.workers[&id])
+                };
+                let lines = self.tables.iter().filter(affected).flat_map(|table| {
+                    let lines = self.lines(table.id);
+                    let replacements = lines.filter(|(other, line)| *other != id && line.desired > 0.0);
+                    replacements.map(|(other, _)| UpdateKey::Line(table.id, other))
+                });
+                let lines = lines.collect::<Vec<UpdateKey>>();
+                lines.into_iter().for_each(|line| self.order_before(line, key));
+            }
+            _ => {}
+        }
+    }
+
+    /// The lines of a table, by worker.
+    pub(crate) fn lines(&self, table: TableId) -> impl Iterator<Item = (WorkerId, &UpdateState)> {
+        let first = UpdateKey::Line(table, WorkerId(0));
+        let last = UpdateKey::Line(table, WorkerId(u32::MAX));
+        self.updates.range(first..=last).filter_map(|(key, update)| match key {
+            UpdateKey::Line(_, id) => Some((*id, update)),
+            _ => None,
+        })
+    }
+
+    /// Adds a pair of ordered updates. Where it closes a cycle, the oldest pair of the cycle is removed, and the
+    /// predecessors of its first update are linked to the successors of its second.
+    fn order_before(&mut self, first: UpdateKey, second: UpdateKey) {
+        self.ordered_pairs.insert((first, second), self.now);
+        while let Some(cycle) = self.shortest_cycle(first) {
+            let by_age = |a: &(UpdateKey, UpdateKey), b: &(UpdateKey, UpdateKey)| {
+                self.ordered_pairs[a].total_cmp(&self.ordered_pairs[b])
+            };
+            let oldest = cycle.into_iter().min_by(by_age).expect("a cycle has pairs");
+            let since = self.ordered_pairs.remove(&oldest).expect("a known pair");
+            let pairs: Vec<(UpdateKey, UpdateKey)> = self.ordered_pairs.keys().copied().collect();
+            for (predecessor, _) in pairs.iter().filter(|pair| pair.1 == oldest.0) {
+                let successors = pairs.iter().filter(|pair| pair.0 == oldest.1 && pair.1 != *predecessor);
+                successors
+                    .for_each(|pair| _ = self.ordered_pairs.entry((*predecessor, pair.1)).or_insert(since));
+            }
+        }
+    }
+
+    /// The pairs of a shortest cycle through a key, by breadth-first search: no recursion, since its depth would grow
+    /// with the fleet.
+    fn shortest_cycle(&self, through: UpdateKey) -> Option<Vec<(UpdateKey, UpdateKey)>> {
+        let last_key = UpdateKey::Level(TableId(u16::MAX), OpId(u8::MAX));
+        let mut reached_from = BTreeMap::new();
+        let mut queue = VecDeque::from([through]);
+        while let Some(from) = queue.pop_front() {
+            let successors = (from, UpdateKey::Exclusion(WorkerId(0)))..=(from, last_key);
+            for (pair, _) in self.ordered_pairs.range(successors) {
+                if pair.1 == through {
+                    let mut cycle = vec![*pair];
+                    let mut at = from;
+                    while let Some(predecessor) = reached_from.get(&at) {
+                        cycle.push((*predecessor, at));
+                        at = *predecessor;
+                    }
+                    return Some(cycle);
+                }
+                reached_from.entry(pair.1).or_insert_with(|| {
+                    queue.push_back(pair.1);
+                    from
+                });
+            }
+        }
+        None
+    }
+
+    /// Completes each update that every proxy concerned has acknowledged, by a mark sent after it. An update that no
+    /// proxy is left to acknowledge becomes idle.
+    pub(crate) fn complete_updates(&mut self) {
+        let acknowledged = |id: &ProxyId| self.proxies[id].acknowledged_mark;
+        let by_table: Vec<_> =
+            self.tables.iter().map(|table| table.bound_proxies.iter().map(acknowledged).min()).collect();
+        let unbound = self.proxies.values().filter(|proxy| !proxy.bound);
+        let by_unbound = unbound.map(|proxy| proxy.acknowledged_mark).min();
+        self.pending.retain(|key| {
+            let acknowledged = match *key {
+                UpdateKey::Line(table, _) | UpdateKey::Level(table, _) => by_table[usize::from(table.0)],
+                UpdateKey::Exclusion(id) => {
+                    let tables = self.tables.iter().filter(|table| table.includes(&self.workers[&id]));
+                    let by_tables = tables.filter_map(|table| by_table[usize::from(table.id.0)]);
+                    by_tables.chain(by_unbound).min()
+                }
+            };
+            let update = self.updates.get_mut(key).expect("a known key");
+            match (update.awaited_mark, acknowledged) {
+                (Some(_), None) => {
+                    update.sent = f64::NAN;
+                    update.awaited_mark = None;
+                }
+                (Some(mark), Some(acknowledged)) if acknowledged >= mark => update.awaited_mark = None,
+                _ => {}
+            }
+            update.awaited_mark.is_some() || update.desired != update.sent
+        });
+        self.ordered_pairs.retain(|pair, _| self.pending.contains(&pair.0) && self.pending.contains(&pair.1));
+    }
+}
--- /dev/null
+++ b/src/weights.rs
@@ -0,0 +1,139 @@
+//! Weights of workers by the cost of their tries, their utilization and their warm-up.
+
+use crate::numbers::mean;
+use crate::{Planner, Sample, Worker};
+use juniperrail_interface::*;
+
+/// Ratio of its weight that a cold worker keeps while near overload, where it is not kept out altogether.
+const NEAR_OVERLOAD_COLD_RATIO: f64 = 0.5;
+/// Steps in which a cold worker's weight rises during its warm-up; each step costs a line at each proxy.
+const WARM_UP_STEPS: f64 = 4.0;
+/// Tries, or workers that report tries, that are enough evidence to act on.
+pub(crate) const MIN_EVIDENCE_COUNT: f64 = 4.0;
+/// Exponent by which a weight follows the worker's cost relative to its peers'.
+const WEIGHT_GAIN_EXPONENT: f64 = 0.6;
+/// Cost relative to the peers', either way, within which a weight is left as it is.
+const WEIGHT_DEADBAND_RATIO: f64 = 1.2;
+/// Largest decrease of a weight factor in one adjustment.
+const MIN_WEIGHT_STEP_RATIO: f64 = 0.2;
+/// Largest increase of a weight factor in one adjustment.
+const MAX_WEIGHT_STEP_RATIO: f64 = 1.6;
+/// Least weight factor of a worker; above 0, so that some tries still show whether the worker has recovered.
+const MIN_WEIGHT_FACTOR: f64 = 0.05;
+/// Largest weight factor of a warm worker.
+const MAX_WEIGHT_FACTOR: f64 = 2.0;
+/// Weight factor below which a worker counts as low.
+const LOW_WEIGHT_FACTOR: f64 = 0.5;
+/// Ratio of the fleet's listed weight that may belong to workers with a low weight factor.
+const MAX_LOW_FLEET_RATIO: f64 = 0.35;
+
+impl Planner {
+    /// Ratio of its capacity that a worker has at this point of its warm-up, from the cold share to 1.
+    pub(crate) fn warm_up_ratio(&self, listed: &WorkerEntry) -> f64 {
+        let Some(booted) = listed.booted.filter(|_| self.settings.warm_up > 0.0) else { return 1.0 };
+        let progress = ((self.now - booted) / self.settings.warm_up * WARM_UP_STEPS).floor() / WARM_UP_STEPS;
+        let cold = self.settings.cold_share.clamp(0.01, 1.0);
+        (cold + (1.0 - cold) * progress.clamp(0.0, 1.0)).min(1.0)
+    }
+
+    /// Sums a worker's samples received after `since`; the utilization is their mean.
+    pub(crate) fn sum_samples(&self, worker: &Worker, since: Ms) -> Sample {
+        let recent = || worker.samples.iter().filter(|sample| sample.received_at > since);
+        let sum = |field: fn(&Sample) -> f64| recent().map(field).sum::<f64>();
+        let utilization = mean(recent().filter_map(|sample| sample.utilization));
+        Sample {
+            received_at: since,
+            tries: sum(|sample| sample.tries),
+            failed_tries: sum(|sample| sample.failed_tries),
+            success_time: sum(|sample| sample.success_time),
+            utilization,
+        }
+    }
+
+    /// Adjusts the weight factor of each worker that costs more or less than its peers, or is busier or less busy,
+    /// whatever the cause.
+    ///
+    /// The cost of a try is its time; a failed one counts as twice the largest latency objective. Only
+    /// [`MAX_LOW_FLEET_RATIO`] of the fleet's weight may fall below [`LOW_WEIGHT_FACTOR`].
+    pub(crate) fn adjust_weights(&mut self) {
+        let now = self.now;
+        let report_delay = self.settings.report_period + self.settings.max_transit;
+        let objectives = self.settings.operations.iter().map(|op| op.latency_objective);
+        let failure_cost = 2.0 * objectives.fold(0.0, f64::max);
+        let window_start = now - 2.0 * report_delay;
+        let peers: Vec<_> = self.workers.values().map(|w| self.sum_samples(w, window_start)).collect();
+        let tries: f64 = peers.iter().map(|peer| peer.tries).sum();
+        let total_cost =
+            peers.iter().map(|peer| peer.success_time + peer.failed_tries * failure_cost).sum::<f64>();
+        let mean_cost = total_cost / tries;
+        let mean_utilization = mean(peers.iter().filter_map(|peer| peer.utilization));
+        let ready = || self.workers.values().filter(|worker| worker.listed.phase == Phase::Ready);
+        let fleet_weight: f64 = ready().map(|worker| worker.listed.weight).sum();
+        let low = ready().filter(|worker| worker.weight_factor < LOW_WEIGHT_FACTOR);
+        let mut low_weight: f64 = low.map(|worker| worker.listed.weight).sum();
+        for id in self.workers.keys().copied().collect::<Vec<WorkerId>>() {
+            let worker = &self.workers[&id];
+            let own = self.sum_samples(worker, worker.weight_adjusted_at + report_delay);
+            let own_tries = own.tries;
+            let mut cost_ratio = (own.success_time + own.failed_tries * failure_cost) / own_tries / mean_cost;
+            if let (Some(own_utilization), Some(mean_utilization)) = (own.utilization, mean_utilization) {
+                cost_ratio = (cost_ratio * (own_utilization / mean_utilization.max(0.1)).max(0.2)).sqrt();
+            }
+            let early = now < worker.weight_adjusted_at + 2.0 * self.settings.report_period;
+            if early
+                || own_tries.min(tries - own_tries) < MIN_EVIDENCE_COUNT
+                || cost_ratio > 1.0 / WEIGHT_DEADBAND_RATIO && cost_ratio < WEIGHT_DEADBAND_RATIO
+            {
+                continue;
+            }
+            let exponent = -WEIGHT_GAIN_EXPONENT * own_tries / (own_tries + MIN_EVIDENCE_COUNT);
+            let step =
+                cost_ratio.max(0.01).powf(exponent).clamp(MIN_WEIGHT_STEP_RATIO, MAX_WEIGHT_STEP_RATIO);
+            let max_factor = if self.warm_up_ratio(&worker.listed) < 1.0 { 1.0 } else { MAX_WEIGHT_FACTOR };
+            let was_low = worker.weight_factor < LOW_WEIGHT_FACTOR;
+            let weight = worker.listed.weight;
+            let may_be_low = was_low || low_weight + weight <= fleet_weight * MAX_LOW_FLEET_RATIO;
+            let min_factor = if may_be_low { MIN_WEIGHT_FACTOR } else { LOW_WEIGHT_FACTOR };
+            let factor = (worker.weight_factor * step).clamp(min_factor, max_factor);
+            if factor < LOW_WEIGHT_FACTOR && !was_low {
+                low_weight += weight;
+                let text =
+                    format!("weight factor lowered to {factor:.2}: cost {cost_ratio:.2} times its peers'");
+                self.orders.push(Order::Log { about: Some(id), text });
+            }
+            self.workers.entry(id).and_modify(|worker| {
+                worker.weight_factor = factor;
+                worker.weight_adjusted_at = now;
+            });
+        }
+    }
+
+    /// The listed weight by weight factor and warm-up; 0 if the worker is not ready.
+    pub(crate) fn effective_weight(&self, worker: &Worker) -> f64 {
+        let ready = f64::from(u8::from(worker.listed.phase == Phase::Ready));
+        ready * worker.listed.weight * worker.weight_factor * self.warm_up_ratio(&worker.listed)
+    }
+
+    /// Ratio of its weight that a cold worker gets in a group of tables: what overloaded workers lose would move
+    /// onto those that have just started.
+    pub(crate) fn cold_weight_ratio(&self, workers: &[&Worker], effective_weight: f64) -> f64 {
+        let present = || workers.iter().filter(|worker| worker.listed.phase != Phase::Gone);
+        let present_weight = present().map(|worker| worker.listed.weight).sum::<f64>().max(1e-9);
+        let warm = present().filter(|worker| {
+            worker.listed.phase == Phase::Ready && self.warm_up_ratio(&worker.listed) >= 1.0
+        });
+        let warm_weight = warm.map(|worker| worker.listed.weight).sum::<f64>();
+        let overload_factor = self.settings.overload_factor;
+        // Near overload, a cold worker gets nothing where proxies avoid workers that failed them, as it may be all
+        // that is left to pick; elsewhere it gets half.
+        let kept_out = self.settings.proxies_avoid_outliers || self.partition_count > 0;
+        let none = self.near_overload && kept_out && 2.0 * warm_weight > present_weight;
+        let spared_ratio = if none { 0.0 } else { (overload_factor / 4.0).min(1.0) };
+        let halved =
+            self.near_overload && (self.partition_count > 0 || !self.settings.proxies_avoid_outliers);
+        let near_overload_ratio = if halved { NEAR_OVERLOAD_COLD_RATIO } else { 1.0 };
+        near_overload_ratio
+            * spared_ratio
+            * (effective_weight / present_weight * overload_factor / 2.0).min(1.0)
+    }
+}
