--- a/crates/client/src/dial.rs
+++ b/crates/client/src/dial.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::failed::{Failed, Reached, Reason};
+use crate::failed::{ClientError, ErrorKind, Stage};
 use crate::Stream;
 
 const WITHIN: Duration = Duration::from_secs(20);
@@ -24,22 +24,22 @@
 
 /// Where a server is, and who says so to whom. Nothing is trusted that is not named here.
 #[derive(Clone, Debug)]
-pub struct Dial {
+pub struct Endpoint {
     address: String,
     way: Way,
 }
 
 type Connected = (Box<dyn Stream>, Option<Box<dyn std::any::Any + Send>>);
 
-impl Dial {
+impl Endpoint {
     /// As a user with a private key in OpenSSH form. The server's key has to be named too.
-    pub fn ssh(address: impl Into<String>, user: impl Into<String>, key: impl Into<PathBuf>) -> Dial {
+    pub fn ssh(address: impl Into<String>, user: impl Into<String>, key: impl Into<PathBuf>) -> Endpoint {
         let way = Way::Ssh { user: user.into(), key: key.into(), host: None };
-        Dial { address: address.into(), way }
+        Endpoint { address: address.into(), way }
     }
 
     /// The file of the host's public key, one line in OpenSSH form.
-    pub fn trusting_host(mut self, public: impl Into<PathBuf>) -> Dial {
+    pub fn with_host_key(mut self, public: impl Into<PathBuf>) -> Endpoint {
         if let Way::Ssh { host, .. } = &mut self.way {
             *host = Some(public.into());
         }
@@ -53,13 +53,13 @@
         authorities: impl Into<PathBuf>,
         certificate: impl Into<PathBuf>,
         key: impl Into<PathBuf>,
-    ) -> Dial {
+    ) -> Endpoint {
         let (name, authorities) = (name.into(), authorities.into());
         let way = Way::Tls { name, authorities, certificate: certificate.into(), key: key.into() };
-        Dial { address: address.into(), way }
+        Endpoint { address: address.into(), way }
     }
 
-    pub(crate) async fn connect(&self) -> Result<Connected, Failed> {
+    pub(crate) async fn connect(&self) -> Result<Connected, ClientError> {
         let dialled = async {
             let socket = TcpStream::connect(&self.address).await;
             let socket = socket.map_err(|why| lost(format!("{}: {why}", self.address)))?;
@@ -76,12 +76,12 @@
     }
 }
 
-fn lost(what: String) -> Failed {
-    Failed::new(Reached::Dialling, Reason::Lost(what))
+fn lost(what: String) -> ClientError {
+    ClientError::new(Stage::Connecting, ErrorKind::ConnectionLost(what))
 }
 
-fn unusable(what: String) -> Failed {
-    Failed::new(Reached::Nowhere, Reason::Unusable(what))
+fn unusable(what: String) -> ClientError {
+    ClientError::new(Stage::NotStarted, ErrorKind::InvalidInput(what))
 }
 
 struct Host(Option<PublicKey>);
@@ -100,7 +100,7 @@
     user: &str,
     key: &PathBuf,
     host: Option<&PathBuf>,
-) -> Result<Connected, Failed> {
+) -> Result<Connected, ClientError> {
     let unread = |path: &PathBuf, why: String| unusable(format!("{} cannot be used: {why}", path.display()));
     let private = load_secret_key(key, None).map_err(|why| unread(key, why.to_string()))?;
     let host =
@@ -108,7 +108,7 @@
     let line = std::fs::read_to_string(host).map_err(|why| unread(host, why.to_string()))?;
     let known = PublicKey::from_openssh(line.trim()).map_err(|why| unread(host, why.to_string()))?;
     let handle = connect_stream(Arc::new(Config::default()), socket, Host(Some(known))).await;
-    let not_trusted = |what: String| Failed::new(Reached::Dialling, Reason::NotTrusted(what));
+    let not_trusted = |what: String| ClientError::new(Stage::Connecting, ErrorKind::Authentication(what));
     let mut handle = handle.map_err(|why| match why {
         russh::Error::UnknownKey => not_trusted("the server's key is not the one that was named".into()),
         why => lost(why.to_string()),
@@ -130,9 +130,9 @@
     authorities: &PathBuf,
     certificate: &PathBuf,
     key: &PathBuf,
-) -> Result<Connected, Failed> {
+) -> Result<Connected, ClientError> {
     let unread = |path: &PathBuf, why: String| unusable(format!("{} cannot be used: {why}", path.display()));
-    let chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, Failed> {
+    let chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, ClientError> {
         let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
         read.map_err(|why| unread(path, why.to_string()))
     };
@@ -149,6 +149,6 @@
     let named = ServerName::try_from(name.to_string()).map_err(|why| unusable(format!("{name}: {why}")))?;
     let stream = tokio_rustls::TlsConnector::from(Arc::new(config)).connect(named, socket).await;
     let not_trusted =
-        |why: std::io::Error| Failed::new(Reached::Dialling, Reason::NotTrusted(why.to_string()));
+        |why: std::io::Error| ClientError::new(Stage::Connecting, ErrorKind::Authentication(why.to_string()));
     Ok((Box::new(stream.map_err(not_trusted)?), None))
 }
--- a/crates/client/src/failed.rs
+++ b/crates/client/src/failed.rs
@@ -5,21 +5,21 @@
 use juniperrail_model::xml::{Element, NETCONF};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reached {
+pub enum Stage {
     /// Nothing was begun: what was given cannot be used.
-    Nowhere,
+    NotStarted,
     /// Nothing was sent.
-    Dialling,
+    Connecting,
     /// The server may have acted on it; no answer came.
     Sent,
-    Reading,
+    Receiving,
     /// The server answered: it did nothing of what was asked.
-    Answered,
+    Replied,
 }
 
 /// One `rpc-error`, RFC 6241 section 4.3.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Refusal {
+pub struct RpcError {
     pub tag: String,
     pub app_tag: Option<String>,
     pub path: Option<String>,
@@ -27,66 +27,66 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reason {
+pub enum ErrorKind {
     /// A file or an address that cannot be used.
-    Unusable(String),
+    InvalidInput(String),
     /// The server is not whom it should be, or does not know who asks.
-    NotTrusted(String),
-    Lost(String),
-    Unreadable(String),
-    Refused(Vec<Refusal>),
+    Authentication(String),
+    ConnectionLost(String),
+    MalformedMessage(String),
+    RpcErrors(Vec<RpcError>),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Failed {
-    pub reached: Reached,
-    pub reason: Reason,
+pub struct ClientError {
+    pub stage: Stage,
+    pub kind: ErrorKind,
 }
 
-impl Failed {
-    pub fn new(reached: Reached, reason: Reason) -> Failed {
-        Failed { reached, reason }
+impl ClientError {
+    pub fn new(stage: Stage, kind: ErrorKind) -> ClientError {
+        ClientError { stage, kind }
     }
 
     /// The reply itself, unless it holds errors.
-    pub(crate) fn refused(reply: Element) -> Result<Element, Failed> {
+    pub(crate) fn refused(reply: Element) -> Result<Element, ClientError> {
         let errors = reply.children.iter().filter(|child| child.is(NETCONF, "rpc-error"));
         let refusal = |error: &Element| {
             let text = |name: &str| error.get(NETCONF, name).map(|of| of.word().to_string());
-            Refusal {
+            RpcError {
                 tag: text("error-tag").unwrap_or_default(),
                 app_tag: text("error-app-tag"),
                 path: text("error-path"),
                 message: text("error-message").unwrap_or_default(),
             }
         };
-        let refusals: Vec<Refusal> = errors.map(refusal).collect();
+        let refusals: Vec<RpcError> = errors.map(refusal).collect();
         match refusals.is_empty() {
             true => Ok(reply),
-            false => Err(Failed::new(Reached::Answered, Reason::Refused(refusals))),
+            false => Err(ClientError::new(Stage::Replied, ErrorKind::RpcErrors(refusals))),
         }
     }
 
     /// What the server refused it for; empty where it was not refused.
-    pub fn refusals(&self) -> &[Refusal] {
-        match &self.reason {
-            Reason::Refused(refusals) => refusals,
+    pub fn rpc_errors(&self) -> &[RpcError] {
+        match &self.kind {
+            ErrorKind::RpcErrors(refusals) => refusals,
             _ => &[],
         }
     }
 }
 
-impl fmt::Display for Failed {
+impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.reason {
-            Reason::Unusable(what) | Reason::NotTrusted(what) => f.write_str(what),
-            Reason::Lost(what) | Reason::Unreadable(what) => match self.reached {
-                Reached::Nowhere | Reached::Answered => f.write_str(what),
-                Reached::Dialling => write!(f, "{what} (while dialling)"),
-                Reached::Sent => write!(f, "{what} (once sent)"),
-                Reached::Reading => write!(f, "{what} (while reading)"),
+        match &self.kind {
+            ErrorKind::InvalidInput(what) | ErrorKind::Authentication(what) => f.write_str(what),
+            ErrorKind::ConnectionLost(what) | ErrorKind::MalformedMessage(what) => match self.stage {
+                Stage::NotStarted | Stage::Replied => f.write_str(what),
+                Stage::Connecting => write!(f, "{what} (while dialling)"),
+                Stage::Sent => write!(f, "{what} (once sent)"),
+                Stage::Receiving => write!(f, "{what} (while reading)"),
             },
-            Reason::Refused(refusals) => refusals.iter().enumerate().try_for_each(|(place, refusal)| {
+            ErrorKind::RpcErrors(refusals) => refusals.iter().enumerate().try_for_each(|(place, refusal)| {
                 let apart = if place > 0 { "; " } else { "refused: " };
                 write!(f, "{apart}{}", refusal.message)?;
                 refusal.path.iter().try_for_each(|path| write!(f, " ({path})"))
@@ -95,4 +95,4 @@
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for ClientError {}
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,15 +1,15 @@
 //! What other programs embed to speak NETCONF with a juniperrail manager, over SSH or TLS.
 //!
 //! ```no_run
-//! use juniperrail_client::{Client, Commit, Dial, Store};
+//! use juniperrail_client::{Client, Commit, Endpoint, Datastore};
 //!
-//! # async fn drained() -> Result<(), juniperrail_client::Failed> {
-//! let dial = Dial::ssh("127.0.0.1:830", "ann", "ann.key").trusting_host("host.pub");
-//! let mut client = Client::dial(&dial).await?;
+//! # async fn drained() -> Result<(), juniperrail_client::ClientError> {
+//! let dial = Endpoint::ssh("127.0.0.1:830", "ann", "ann.key").with_host_key("host.pub");
+//! let mut client = Client::connect(&dial).await?;
 //! client.edit(r#"<workers xmlns="tag:juniperrail.example,2026:yang:manager">
 //!     <worker><name>s-1</name><wanted>draining</wanted></worker></workers>"#).await?;
 //! client.commit(&Commit::default()).await?; // whole, or refused with the reasons
-//! println!("{}", client.get_config(Store::Running, None).await?.text());
+//! println!("{}", client.get_config(Datastore::Running, None).await?.text());
 //! client.close().await
 //! # }
 //! ```
@@ -23,8 +23,8 @@
 use juniperrail_model::xml::{self, Attr, Element, NETCONF};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-pub use dial::Dial;
-pub use failed::{Failed, Reached, Reason, Refusal};
+pub use dial::Endpoint;
+pub use failed::{ClientError, ErrorKind, RpcError, Stage};
 
 const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
 const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
@@ -42,18 +42,18 @@
 impl<S: AsyncRead + AsyncWrite + Unpin + Send> Stream for S {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Store {
+pub enum Datastore {
     Running,
     Candidate,
     Startup,
 }
 
-impl Store {
+impl Datastore {
     pub fn name(self) -> &'static str {
         match self {
-            Store::Running => "running",
-            Store::Candidate => "candidate",
-            Store::Startup => "startup",
+            Datastore::Running => "running",
+            Datastore::Candidate => "candidate",
+            Datastore::Startup => "startup",
         }
     }
 }
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Commit {
     /// Seconds after which it is undone unless it is confirmed.
-    pub confirm_within: Option<u32>,
+    pub confirm_timeout_s: Option<u32>,
     /// The name by which any session may confirm it.
     pub persist: Option<String>,
     /// The name of the commit that this one confirms.
@@ -97,7 +97,7 @@
     next_id: u64,
     notifications: VecDeque<Element>,
     /// The session's number, and what the server can do.
-    pub session: u32,
+    pub session_id: u32,
     pub capabilities: Vec<String>,
     /// Keeps the transport below the stream alive.
     transport: Option<Box<dyn std::any::Any + Send>>,
@@ -113,15 +113,15 @@
 
 impl Client {
     /// Dials, says who it is and exchanges hellos.
-    pub async fn dial(dial: &Dial) -> Result<Client, Failed> {
-        let (stream, transport) = dial.connect().await?;
-        let mut client = Client::over(stream).await?;
+    pub async fn connect(endpoint: &Endpoint) -> Result<Client, ClientError> {
+        let (stream, transport) = endpoint.connect().await?;
+        let mut client = Client::from_stream(stream).await?;
         client.transport = transport;
         Ok(client)
     }
 
     /// Over any stream on which a NETCONF server waits.
-    pub async fn over(stream: impl Stream + 'static) -> Result<Client, Failed> {
+    pub async fn from_stream(stream: impl Stream + 'static) -> Result<Client, ClientError> {
         let mut client = Client {
             stream: Some(Box::new(stream)),
             runtime: tokio::runtime::Handle::current(),
@@ -129,7 +129,7 @@
             framing: Framing::EndOfMessage,
             next_id: 1,
             notifications: VecDeque::new(),
-            session: 0,
+            session_id: 0,
             capabilities: Vec::new(),
             transport: None,
         };
@@ -137,12 +137,12 @@
         let hello = element("hello").with(element("capabilities").with_all(capabilities));
         client.send(&xml::write(&hello, false)).await?;
         let hello = client.receive().await?;
-        let odd = |what: &str| Failed::new(Reached::Reading, Reason::Unreadable(what.into()));
+        let odd = |what: &str| ClientError::new(Stage::Receiving, ErrorKind::MalformedMessage(what.into()));
         if !hello.is(NETCONF, "hello") {
             return Err(odd("the server says no hello"));
         }
         let number = hello.get(NETCONF, "session-id").and_then(|id| id.word().parse().ok());
-        client.session = number.ok_or_else(|| odd("the server's hello names no session"))?;
+        client.session_id = number.ok_or_else(|| odd("the server's hello names no session"))?;
         let named = hello.get(NETCONF, "capabilities").map(|of| &of.children[..]).unwrap_or_default();
         client.capabilities = named.iter().map(|of| of.word().to_string()).collect();
         if client.capabilities.iter().any(|name| name == BASE_1_1) {
@@ -152,43 +152,48 @@
         Ok(client)
     }
 
-    async fn send(&mut self, message: &str) -> Result<(), Failed> {
+    async fn send(&mut self, message: &str) -> Result<(), ClientError> {
         self.send_raw(&encode(self.framing, message)).await
     }
 
     /// Writes bytes as they are, for who wants to know what a server makes of them.
-    pub async fn send_raw(&mut self, bytes: &[u8]) -> Result<(), Failed> {
-        let failed = |why: std::io::Error| Failed::new(Reached::Sent, Reason::Lost(why.to_string()));
+    pub async fn send_raw(&mut self, bytes: &[u8]) -> Result<(), ClientError> {
+        let failed =
+            |why: std::io::Error| ClientError::new(Stage::Sent, ErrorKind::ConnectionLost(why.to_string()));
         let Some(stream) = &mut self.stream else { return Ok(()) };
         stream.write_all(bytes).await.map_err(failed)?;
         stream.flush().await.map_err(failed)
     }
 
-    async fn receive(&mut self) -> Result<Element, Failed> {
-        let failed = |reason| Failed::new(Reached::Reading, reason);
+    async fn receive(&mut self) -> Result<Element, ClientError> {
+        let failed = |reason| ClientError::new(Stage::Receiving, reason);
         let mut room = [0; ROOM];
         loop {
             let message = self.decoder.message();
-            if let Some(message) = message.map_err(|why| failed(Reason::Unreadable(why.to_string())))? {
-                return xml::read(&message).map_err(|why| failed(Reason::Unreadable(why.what)));
+            if let Some(message) =
+                message.map_err(|why| failed(ErrorKind::MalformedMessage(why.to_string())))?
+            {
+                return xml::read(&message).map_err(|why| failed(ErrorKind::MalformedMessage(why.what)));
             }
             let Some(stream) = &mut self.stream else {
-                return Err(failed(Reason::Lost("the session is over".into())));
+                return Err(failed(ErrorKind::ConnectionLost("the session is over".into())));
             };
             match stream.read(&mut room).await {
-                Ok(0) => return Err(failed(Reason::Lost("the server ended the session".into()))),
+                Ok(0) => {
+                    return Err(failed(ErrorKind::ConnectionLost("the server ended the session".into())))
+                }
                 Ok(read) => self.decoder.push(&room[..read]),
-                Err(why) => return Err(failed(Reason::Lost(why.to_string()))),
+                Err(why) => return Err(failed(ErrorKind::ConnectionLost(why.to_string()))),
             }
         }
     }
 
     /// The next reply, with notifications that come before it put aside.
-    pub async fn reply(&mut self) -> Result<Element, Failed> {
+    pub async fn read_reply(&mut self) -> Result<Element, ClientError> {
         loop {
             let message = self.receive().await?;
             if !message.is(NOTIFICATION, "notification") {
-                return Failed::refused(message);
+                return ClientError::refused(message);
             }
             if self.notifications.len() == WAITING {
                 self.notifications.pop_front();
@@ -197,49 +202,51 @@
         }
     }
 
-    /// Has one operation done and gives back the reply. [`Reason::Refused`] holds the server's reasons.
-    pub async fn rpc(&mut self, operation: Element) -> Result<Element, Failed> {
+    /// Has one operation done and gives back the reply. [`ErrorKind::RpcErrors`] holds the server's reasons.
+    pub async fn rpc(&mut self, operation: Element) -> Result<Element, ClientError> {
         let (ns, name, value) = ("".into(), "message-id".to_string(), self.next_id.to_string());
         self.next_id += 1;
         let rpc = Element { attrs: vec![Attr { ns, name, value }], ..element("rpc").with(operation) };
         self.send(&xml::write(&rpc, false)).await?;
-        self.reply().await
+        self.read_reply().await
     }
 
-    async fn data(&mut self, operation: Element) -> Result<Data, Failed> {
+    async fn data(&mut self, operation: Element) -> Result<Data, ClientError> {
         let reply = self.rpc(operation).await?;
         Ok(Data(reply.children.into_iter().next().map(|data| data.children).unwrap_or_default()))
     }
 
-    fn filter(text: Option<&str>) -> Result<Option<Element>, Failed> {
+    fn filter(text: Option<&str>) -> Result<Option<Element>, ClientError> {
         let Some(text) = text else { return Ok(None) };
         let filter = format!("<filter xmlns=\"{NETCONF}\">{text}</filter>");
         let read = xml::read(filter.as_bytes());
-        read.map(Some).map_err(|why| Failed::new(Reached::Nowhere, Reason::Unreadable(why.what)))
+        read.map(Some)
+            .map_err(|why| ClientError::new(Stage::NotStarted, ErrorKind::MalformedMessage(why.what)))
     }
 
     /// Configuration and state. `filter`: elements of a subtree filter, as text.
-    pub async fn get(&mut self, filter: Option<&str>) -> Result<Data, Failed> {
+    pub async fn get(&mut self, filter: Option<&str>) -> Result<Data, ClientError> {
         let filter = Client::filter(filter)?;
         self.data(element("get").with_all(filter)).await
     }
 
-    pub async fn get_config(&mut self, store: Store, filter: Option<&str>) -> Result<Data, Failed> {
+    pub async fn get_config(&mut self, store: Datastore, filter: Option<&str>) -> Result<Data, ClientError> {
         let filter = Client::filter(filter)?;
         let source = element("source").with(element(store.name()));
         self.data(element("get-config").with(source).with_all(filter)).await
     }
 
     /// Merges XML elements into the candidate; `operation` attributes in them say otherwise.
-    pub async fn edit(&mut self, config: &str) -> Result<(), Failed> {
+    pub async fn edit(&mut self, config: &str) -> Result<(), ClientError> {
         self.edit_with(config, "merge", "test-then-set").await
     }
 
     /// The same with RFC 6241's `default-operation` and `test-option`.
-    pub async fn edit_with(&mut self, config: &str, default: &str, test: &str) -> Result<(), Failed> {
+    pub async fn edit_with(&mut self, config: &str, default: &str, test: &str) -> Result<(), ClientError> {
         let config = format!("<config xmlns=\"{NETCONF}\">{config}</config>");
         let config = xml::read(config.as_bytes());
-        let config = config.map_err(|why| Failed::new(Reached::Nowhere, Reason::Unreadable(why.what)))?;
+        let config = config
+            .map_err(|why| ClientError::new(Stage::NotStarted, ErrorKind::MalformedMessage(why.what)))?;
         let edit = element("edit-config")
             .with(element("target").with(element("candidate")))
             .with(leaf("default-operation", default))
@@ -249,9 +256,9 @@
     }
 
     /// Makes the candidate running, whole or not at all.
-    pub async fn commit(&mut self, commit: &Commit) -> Result<(), Failed> {
+    pub async fn commit(&mut self, commit: &Commit) -> Result<(), ClientError> {
         let mut operation = element("commit");
-        if let Some(seconds) = commit.confirm_within {
+        if let Some(seconds) = commit.confirm_timeout_s {
             operation =
                 operation.with(element("confirmed")).with(leaf("confirm-timeout", &seconds.to_string()));
             operation = operation.with_all(commit.persist.as_ref().map(|name| leaf("persist", name)));
@@ -260,56 +267,56 @@
         self.rpc(operation).await.map(drop)
     }
 
-    pub async fn cancel_commit(&mut self, persist_id: Option<&str>) -> Result<(), Failed> {
+    pub async fn cancel_commit(&mut self, persist_id: Option<&str>) -> Result<(), ClientError> {
         let named = persist_id.map(|name| leaf("persist-id", name));
         self.rpc(element("cancel-commit").with_all(named)).await.map(drop)
     }
 
-    pub async fn discard(&mut self) -> Result<(), Failed> {
+    pub async fn discard(&mut self) -> Result<(), ClientError> {
         self.rpc(element("discard-changes")).await.map(drop)
     }
 
     /// Whether the manager would take a datastore as it is now.
-    pub async fn validate(&mut self, store: Store) -> Result<(), Failed> {
+    pub async fn validate(&mut self, store: Datastore) -> Result<(), ClientError> {
         self.rpc(element("validate").with(element("source").with(element(store.name())))).await.map(drop)
     }
 
-    pub async fn lock(&mut self, store: Store) -> Result<(), Failed> {
+    pub async fn lock(&mut self, store: Datastore) -> Result<(), ClientError> {
         self.rpc(element("lock").with(element("target").with(element(store.name())))).await.map(drop)
     }
 
-    pub async fn unlock(&mut self, store: Store) -> Result<(), Failed> {
+    pub async fn unlock(&mut self, store: Datastore) -> Result<(), ClientError> {
         self.rpc(element("unlock").with(element("target").with(element(store.name())))).await.map(drop)
     }
 
-    pub async fn copy(&mut self, source: Store, target: Store) -> Result<(), Failed> {
+    pub async fn copy(&mut self, source: Datastore, target: Datastore) -> Result<(), ClientError> {
         let target = element("target").with(element(target.name()));
         let source = element("source").with(element(source.name()));
         self.rpc(element("copy-config").with(target).with(source)).await.map(drop)
     }
 
     /// Puts an older version of running into the candidate.
-    pub async fn rollback(&mut self, version: u64) -> Result<(), Failed> {
+    pub async fn rollback(&mut self, version: u64) -> Result<(), ClientError> {
         const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
         let version = Element::with_text(MANAGER, "version", version.to_string());
         self.rpc(Element::new(MANAGER, "rollback").with(version)).await.map(drop)
     }
 
     /// The text of a YANG module.
-    pub async fn schema(&mut self, module: &str) -> Result<String, Failed> {
+    pub async fn schema(&mut self, module: &str) -> Result<String, ClientError> {
         let named = Element::with_text(MONITORING, "identifier", module);
         let reply = self.rpc(Element::new(MONITORING, "get-schema").with(named)).await?;
         Ok(reply.children.into_iter().next().map(|data| data.text).unwrap_or_default())
     }
 
     /// From now on notifications are told; `filter` as with [`Client::get`].
-    pub async fn subscribe(&mut self, filter: Option<&str>) -> Result<(), Failed> {
+    pub async fn subscribe(&mut self, filter: Option<&str>) -> Result<(), ClientError> {
         let filter = Client::filter(filter)?.map(|filter| Element { ns: NOTIFICATION.into(), ..filter });
         self.rpc(Element::new(NOTIFICATION, "create-subscription").with_all(filter)).await.map(drop)
     }
 
     /// The next notification: `eventTime` and the event below it.
-    pub async fn notification(&mut self) -> Result<Element, Failed> {
+    pub async fn next_notification(&mut self) -> Result<Element, ClientError> {
         if let Some(waiting) = self.notifications.pop_front() {
             return Ok(waiting);
         }
@@ -322,7 +329,7 @@
     }
 
     /// Ends the session as the protocol wants it.
-    pub async fn close(mut self) -> Result<(), Failed> {
+    pub async fn close(mut self) -> Result<(), ClientError> {
         self.rpc(element("close-session")).await.map(drop)
     }
 }
--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use juniperrail_client::{Client, Commit, Failed};
+use juniperrail_client::{Client, ClientError, Commit};
 use juniperrail_model::xml::Element;
 use juniperrail_standins::{Proxies, Rules};
 
@@ -70,7 +70,7 @@
     (text + "</workers>", after, false)
 }
 
-async fn changed(client: &mut Client, config: &str) -> Result<(), Failed> {
+async fn changed(client: &mut Client, config: &str) -> Result<(), ClientError> {
     let done = match client.edit(config).await {
         Ok(()) => client.commit(&Commit::default()).await,
         Err(failed) => Err(failed),
@@ -161,7 +161,7 @@
                 }
                 Err(failed) => {
                     refused += 1;
-                    let reasons = failed.refusals();
+                    let reasons = failed.rpc_errors();
                     unsaid += u32::from(reasons.is_empty() || reasons.iter().any(|of| of.message.is_empty()));
                     // What is sound and leaves somebody ready is not refused.
                     wrong += u32::from(!bad && !will.is_empty());
--- a/crates/lab/src/netconf.rs
+++ b/crates/lab/src/netconf.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use juniperrail_client::{Client, Commit, Store};
+use juniperrail_client::{Client, Commit, Datastore};
 use juniperrail_standins::Proxies;
 
 use crate::report::Report;
@@ -67,7 +67,7 @@
             let asked = Instant::now();
             client.edit(&worker(&name, &body)).await.expect("a sound edit");
             client.commit(&Commit::default()).await.expect("a sound commit");
-            let told = tokio::time::timeout(Duration::from_secs(30), watcher.notification()).await;
+            let told = tokio::time::timeout(Duration::from_secs(30), watcher.next_notification()).await;
             match told {
                 Ok(Ok(_)) => times.saturating_record(asked.elapsed().as_micros() as u64),
                 _ => unheld += 1,
@@ -75,7 +75,7 @@
             if turn % 2 == 0 {
                 client.edit(&back).await.expect("a sound edit");
                 client.commit(&Commit::default()).await.expect("a sound commit");
-                _ = tokio::time::timeout(Duration::from_secs(30), watcher.notification()).await;
+                _ = tokio::time::timeout(Duration::from_secs(30), watcher.next_notification()).await;
             }
         }
     });
@@ -113,7 +113,7 @@
                 let flood = async {
                     let mut sessions = Vec::new();
                     for _ in 0..SESSIONS / 4 {
-                        sessions.extend(Client::dial(&dial).await.ok());
+                        sessions.extend(Client::connect(&dial).await.ok());
                     }
                     let busy = |mut client: Client| {
                         let (stop, asked, dial) = (stop.clone(), asked.clone(), dial.clone());
@@ -122,15 +122,16 @@
                             while !stop.load(Ordering::Relaxed) {
                                 let went = match rng.u8(..4) {
                                     0 => client.get(None).await.map(drop),
-                                    1 => client.get_config(Store::Running, None).await.map(drop),
+                                    1 => client.get_config(Datastore::Running, None).await.map(drop),
                                     2 => client.edit(&worker("s-1", "<weight>NaN</weight>")).await,
                                     // A gigabyte that is announced and never comes.
                                     _ => client.send_raw(b"\n#1073741824\n").await,
                                 };
                                 asked.fetch_add(1, Ordering::Relaxed);
-                                if went.is_err_and(|failed| failed.refusals().is_empty()) || rng.u8(..4) == 3
+                                if went.is_err_and(|failed| failed.rpc_errors().is_empty())
+                                    || rng.u8(..4) == 3
                                 {
-                                    match Client::dial(&dial).await {
+                                    match Client::connect(&dial).await {
                                         Ok(again) => client = again,
                                         Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
                                     }
--- a/crates/lab/src/town.rs
+++ b/crates/lab/src/town.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-use juniperrail_client::{Client, Dial};
+use juniperrail_client::{Client, Endpoint};
 use juniperrail_standins::{entry, list, Discovery, Limits, Rules, SshKeys};
 
 pub const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
@@ -92,12 +92,12 @@
         Running { child, asked, said, address, ssh }
     }
 
-    pub fn dial(&self, manager: &Running) -> Dial {
-        Dial::ssh(manager.ssh.to_string(), "ann", &self.key.private).trusting_host(&self.host.public)
+    pub fn dial(&self, manager: &Running) -> Endpoint {
+        Endpoint::ssh(manager.ssh.to_string(), "ann", &self.key.private).with_host_key(&self.host.public)
     }
 
     pub async fn client(&self, manager: &Running) -> Client {
-        Client::dial(&self.dial(manager)).await.expect("the manager takes a known user")
+        Client::connect(&self.dial(manager)).await.expect("the manager takes a known user")
     }
 
     /// A checker that knows every worker.
--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -10,7 +10,7 @@
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use juniperrail_client::{Failed, Reason};
+use juniperrail_client::{ClientError, ErrorKind};
 use juniperrail_manager::Launch;
 use juniperrail_model::{json, schema, xsd};
 use juniperrail_northbound::OperatorFile;
@@ -92,13 +92,13 @@
 #[derive(Debug)]
 pub enum Trouble {
     Fault(String),
-    Remote(Failed),
+    Remote(ClientError),
 }
 
 impl Trouble {
     pub fn code(&self) -> ExitCode {
         match self {
-            Trouble::Remote(Failed { reason: Reason::Refused(_), .. }) => ExitCode::from(3),
+            Trouble::Remote(ClientError { kind: ErrorKind::RpcErrors(_), .. }) => ExitCode::from(3),
             _ => ExitCode::FAILURE,
         }
     }
@@ -113,8 +113,8 @@
     }
 }
 
-impl From<Failed> for Trouble {
-    fn from(failed: Failed) -> Self {
+impl From<ClientError> for Trouble {
+    fn from(failed: ClientError) -> Self {
         Trouble::Remote(failed)
     }
 }
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand, ValueEnum};
-use juniperrail_client::{Client, Commit, Data as Got, Dial, Store};
+use juniperrail_client::{Client, Commit, Data as Got, Datastore, Endpoint};
 use juniperrail_model::xml::{self, Element, NETCONF};
 use juniperrail_model::{diff, schema, Data, Difference, Path, Schema, Value};
 
@@ -45,14 +45,14 @@
         let file = |of: &Option<PathBuf>| of.clone().unwrap_or_default();
         let dial = match (&self.ssh, &self.tls) {
             (Some(address), _) => {
-                Dial::ssh(address, text(&self.user), file(&self.key)).trusting_host(file(&self.host_key))
+                Endpoint::ssh(address, text(&self.user), file(&self.key)).with_host_key(file(&self.host_key))
             }
             (None, address) => {
                 let (authorities, certificate) = (file(&self.authorities), file(&self.certificate));
-                Dial::tls(text(address), text(&self.name), authorities, certificate, file(&self.key))
+                Endpoint::tls(text(address), text(&self.name), authorities, certificate, file(&self.key))
             }
         };
-        Ok(Client::dial(&dial).await?)
+        Ok(Client::connect(&dial).await?)
     }
 }
 
@@ -73,11 +73,11 @@
 }
 
 impl Which {
-    fn store(self) -> Store {
+    fn store(self) -> Datastore {
         match self {
-            Which::Running => Store::Running,
-            Which::Candidate => Store::Candidate,
-            Which::Startup => Store::Startup,
+            Which::Running => Datastore::Running,
+            Which::Candidate => Datastore::Candidate,
+            Which::Startup => Datastore::Startup,
         }
     }
 }
@@ -204,7 +204,7 @@
                     commit(&mut client, Confirmed { confirm: None, persist: None }, None).await?;
                 }
             }
-            ConfigCommand::Save => client.copy(Store::Running, Store::Startup).await?,
+            ConfigCommand::Save => client.copy(Datastore::Running, Datastore::Startup).await?,
         }
         Ok(client.close().await?)
     }
@@ -217,9 +217,9 @@
     persist_id: Option<String>,
 ) -> Result<(), Trouble> {
     let Confirmed { confirm, persist } = confirmed;
-    let done = client.commit(&Commit { confirm_within: confirm, persist, persist_id }).await;
+    let done = client.commit(&Commit { confirm_timeout_s: confirm, persist, persist_id }).await;
     if let Err(failed) = done {
-        if !failed.refusals().is_empty() {
+        if !failed.rpc_errors().is_empty() {
             _ = client.discard().await;
         }
         return Err(failed.into());
@@ -315,7 +315,7 @@
     let mut client = to.dial().await?;
     client.subscribe(None).await?;
     for _ in 0..events.unwrap_or(u64::MAX) {
-        let told = client.notification().await?;
+        let told = client.next_notification().await?;
         let mut line = serde_json::Map::new();
         for child in &told.children {
             line.insert(child.name.clone(), plain(child));
--- a/crates/manager/tests/north.rs
+++ b/crates/manager/tests/north.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use juniperrail_client::{Client, Commit, Dial, Failed, Reached, Reason, Store};
+use juniperrail_client::{Client, ClientError, Commit, Datastore, Endpoint, ErrorKind, Stage};
 use juniperrail_manager::{Launch, Manager};
 use juniperrail_model::xml::Element;
 use juniperrail_standins::{entry, list, Authority, Discovery, Limits, Proxies, Rules, SshKeys, SETTINGS};
@@ -94,13 +94,13 @@
         Running { address, ssh: ssh.unwrap(), tls: tls.unwrap(), _stop: stop }
     }
 
-    fn ssh(&self, manager: &Running, user: &str) -> Dial {
+    fn ssh(&self, manager: &Running, user: &str) -> Endpoint {
         let key = &self.keys.iter().find(|(name, ..)| *name == user).unwrap().2.private;
-        Dial::ssh(manager.ssh.to_string(), user, key).trusting_host(&self.host.public)
+        Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&self.host.public)
     }
 
     async fn dial(&self, manager: &Running, user: &str) -> Client {
-        Client::dial(&self.ssh(manager, user)).await.unwrap()
+        Client::connect(&self.ssh(manager, user)).await.unwrap()
     }
 }
 
@@ -136,7 +136,7 @@
     format!("<workers xmlns=\"{MANAGER}\"><worker><name>{name}</name>{body}</worker></workers>")
 }
 
-async fn changed(client: &mut Client, config: &str) -> Result<(), Failed> {
+async fn changed(client: &mut Client, config: &str) -> Result<(), ClientError> {
     client.edit(config).await?;
     let done = client.commit(&Commit::default()).await;
     if done.is_err() {
@@ -146,7 +146,7 @@
 }
 
 async fn weight(client: &mut Client, name: &str) -> Option<String> {
-    let got = client.get_config(Store::Running, None).await.unwrap();
+    let got = client.get_config(Datastore::Running, None).await.unwrap();
     let workers = got.find(&["workers"])?;
     let found = workers.children.iter().find(|of| of.children.iter().any(|leaf| leaf.text == name))?;
     found.children.iter().find(|leaf| leaf.name == "weight").map(|leaf| leaf.text.clone())
@@ -193,7 +193,7 @@
         // The event of the change, then that all hold it.
         let mut events = Vec::new();
         while events.last() != Some(&"change-held".to_string()) {
-            let told = timeout(WITHIN, watcher.notification()).await.unwrap().unwrap();
+            let told = timeout(WITHIN, watcher.next_notification()).await.unwrap().unwrap();
             events.push(told.children[1].name.clone());
         }
         assert!(events.contains(&"netconf-config-change".to_string()), "{events:?}");
@@ -250,7 +250,7 @@
             ),
         ] {
             let failed = changed(&mut client, &config).await.unwrap_err();
-            let refusal = &failed.refusals()[0];
+            let refusal = &failed.rpc_errors()[0];
             assert_eq!(
                 (refusal.app_tag.as_deref(), refusal.path.as_deref()),
                 (Some(tag), Some(path)),
@@ -331,7 +331,7 @@
         let mut other = ground.dial(&manager, "ann").await;
         let mut client = ground.dial(&manager, "bob").await;
         let confirm = |seconds, persist: Option<&str>| Commit {
-            confirm_within: Some(seconds),
+            confirm_timeout_s: Some(seconds),
             persist: persist.map(str::to_string),
             persist_id: None,
         };
@@ -339,13 +339,13 @@
         client.commit(&confirm(600, None)).await.unwrap();
         assert_eq!(weight(&mut other, "s-1").await.as_deref(), Some("2.0"));
         let failed = other.commit(&Commit::default()).await.unwrap_err();
-        assert_eq!(failed.refusals()[0].tag, "in-use");
+        assert_eq!(failed.rpc_errors()[0].tag, "in-use");
         // Another session holds the candidate meanwhile.
-        other.lock(Store::Candidate).await.unwrap();
-        assert_eq!(other.lock(Store::Running).await.unwrap_err().refusals()[0].tag, "lock-denied");
+        other.lock(Datastore::Candidate).await.unwrap();
+        assert_eq!(other.lock(Datastore::Running).await.unwrap_err().rpc_errors()[0].tag, "lock-denied");
         drop(client);
         while weight(&mut other, "s-1").await.is_some() {}
-        other.unlock(Store::Candidate).await.unwrap();
+        other.unlock(Datastore::Candidate).await.unwrap();
         let mut client = ground.dial(&manager, "bob").await;
         client.edit(&worker("s-1", "<weight>3</weight>")).await.unwrap();
         client.commit(&confirm(1, Some("night"))).await.unwrap();
@@ -363,7 +363,7 @@
         let day = Commit { persist_id: Some("day".into()), ..Commit::default() };
         client.commit(&day).await.unwrap();
         client.edit(&worker("s-1", "<weight>5</weight>")).await.unwrap();
-        let failed = client.copy(Store::Running, Store::Startup).await;
+        let failed = client.copy(Datastore::Running, Datastore::Startup).await;
         assert_eq!(failed, Ok(()));
         client.commit(&confirm(600, Some("late"))).await.unwrap();
         assert_eq!(weight(&mut client, "s-1").await.as_deref(), Some("5.0"));
@@ -385,7 +385,7 @@
         changed(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
         client.edit(&worker("s-1", "<wanted>follow</wanted>")).await.unwrap();
         let persist = Some("night".to_string());
-        client.commit(&Commit { confirm_within: Some(5), persist, persist_id: None }).await.unwrap();
+        client.commit(&Commit { confirm_timeout_s: Some(5), persist, persist_id: None }).await.unwrap();
         // Drained before the replacement is there, the others would go when their patience is over.
         proxies.until("s-1 is back", |rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1")));
         let all = |phase| ["s-2", "s-3", "s-4"].map(|id| entry(id, "a", "127.0.0.1:9", phase));
@@ -426,11 +426,11 @@
         let manager = ground.manager(&ground.file("operator.xml", &tls.concat(), ""));
         let over_tls = |crt: &Path, key: &Path| {
             let authorities = &ground.authority.certificate;
-            Dial::tls(manager.tls.to_string(), "manager.example", authorities, crt, key)
+            Endpoint::tls(manager.tls.to_string(), "manager.example", authorities, crt, key)
         };
-        let mut bob = Client::dial(&over_tls(&bob_crt, &bob_key)).await.unwrap();
+        let mut bob = Client::connect(&over_tls(&bob_crt, &bob_key)).await.unwrap();
         changed(&mut bob, &worker("s-1", "<weight>2</weight>")).await.unwrap();
-        let mut ann = Client::dial(&over_tls(&ann_crt, &ann_key)).await.unwrap();
+        let mut ann = Client::connect(&over_tls(&ann_crt, &ann_key)).await.unwrap();
         let sessions = ann.get(Some("<netconf-state xmlns=\"urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring\"><sessions/></netconf-state>"));
         let sessions = sessions.await.unwrap();
         let users: Vec<&str> =
@@ -438,32 +438,32 @@
         assert_eq!(users, ["bob", "ann"]);
         // A stale certificate, one that stands for nobody, and one that nobody we trust vouches for.
         for (crt, key) in [(&old_crt, &old_key), (&odd_crt, &odd_key), (&forged_crt, &forged_key)] {
-            let failed = Client::dial(&over_tls(crt, key)).await.map(|_| ()).unwrap_err();
-            assert!(failed.reached != Reached::Answered, "{failed}");
+            let failed = Client::connect(&over_tls(crt, key)).await.map(|_| ()).unwrap_err();
+            assert!(failed.stage != Stage::Replied, "{failed}");
         }
         // An unknown key, a user that nobody named, a host that is not the one.
         let mallory = SshKeys::write(&ground.folder, "mallory", 66);
         for (user, key) in [("ann", &mallory.private), ("mallory", &mallory.private)] {
-            let dial = Dial::ssh(manager.ssh.to_string(), user, key).trusting_host(&ground.host.public);
-            let failed = Client::dial(&dial).await.map(|_| ()).unwrap_err();
-            assert!(matches!(failed.reason, Reason::NotTrusted(_)), "{failed}");
+            let dial = Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&ground.host.public);
+            let failed = Client::connect(&dial).await.map(|_| ()).unwrap_err();
+            assert!(matches!(failed.kind, ErrorKind::Authentication(_)), "{failed}");
         }
-        let other_host = ground.ssh(&manager, "ann").trusting_host(&mallory.public);
-        let failed = Client::dial(&other_host).await.map(|_| ()).unwrap_err();
-        assert!(matches!(failed.reason, Reason::NotTrusted(_)), "{failed}");
+        let other_host = ground.ssh(&manager, "ann").with_host_key(&mallory.public);
+        let failed = Client::connect(&other_host).await.map(|_| ()).unwrap_err();
+        assert!(matches!(failed.kind, ErrorKind::Authentication(_)), "{failed}");
         // A user without rights sees and does what the role allows.
         let mut eve = ground.dial(&manager, "eve").await;
-        let got = eve.get_config(Store::Running, None).await.unwrap();
+        let got = eve.get_config(Datastore::Running, None).await.unwrap();
         assert!(got.find(&["workers"]).is_some() && got.find(&["northbound"]).is_none());
         let failed = eve.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap_err();
-        let refusal = &failed.refusals()[0];
+        let refusal = &failed.rpc_errors()[0];
         assert_eq!(refusal.tag, "access-denied");
         assert_eq!(refusal.path.as_deref(), Some("/jrm:workers/worker[name='s-1']/weight"));
         for refused in
-            [eve.lock(Store::Running).await, eve.discard().await, eve.commit(&Commit::default()).await]
+            [eve.lock(Datastore::Running).await, eve.discard().await, eve.commit(&Commit::default()).await]
         {
             assert_eq!(
-                refused.unwrap_err().refusals()[0].tag,
+                refused.unwrap_err().rpc_errors()[0].tag,
                 "access-denied",
                 "nor does a reader hold others up"
             );
@@ -471,22 +471,22 @@
         let raise = format!(
             "<northbound xmlns=\"{MANAGER}\"><user><name>bob</name><role>admin</role></user></northbound>"
         );
-        assert_eq!(bob.edit(&raise).await.unwrap_err().refusals()[0].tag, "access-denied");
+        assert_eq!(bob.edit(&raise).await.unwrap_err().rpc_errors()[0].tag, "access-denied");
         // An admin's change of users holds at once, for those who come from then on.
         let gone = format!(
             "<northbound xmlns=\"{MANAGER}\" xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
              <user n:operation=\"delete\"><name>eve</name></user></northbound>"
         );
         changed(&mut ann, &gone).await.unwrap();
-        assert!(Client::dial(&ground.ssh(&manager, "eve")).await.is_err());
+        assert!(Client::connect(&ground.ssh(&manager, "eve")).await.is_err());
         let kill =
             Element::new("urn:ietf:params:xml:ns:netconf:base:1.0", "kill-session").with(Element::with_text(
                 "urn:ietf:params:xml:ns:netconf:base:1.0",
                 "session-id",
-                eve.session.to_string(),
+                eve.session_id.to_string(),
             ));
         ann.rpc(kill).await.unwrap();
-        assert!(eve.get_config(Store::Running, None).await.is_err(), "ended");
+        assert!(eve.get_config(Datastore::Running, None).await.is_err(), "ended");
     });
 }
 
@@ -496,7 +496,7 @@
         let ground = Ground::new("spoilt");
         let manager = ground.manager(&ground.file("operator.xml", "", ""));
         let mut sound = ground.dial(&manager, "bob").await;
-        let before = sound.get_config(Store::Running, None).await.unwrap();
+        let before = sound.get_config(Datastore::Running, None).await.unwrap();
         let rpc = |body: &str| {
             format!("<rpc message-id=\"7\" xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">{body}</rpc>")
         };
@@ -542,26 +542,26 @@
             ),
         ] {
             client.send_raw(chunked(&message).as_bytes()).await.unwrap();
-            let failed = client.reply().await.unwrap_err();
+            let failed = client.read_reply().await.unwrap_err();
             assert_eq!(
-                failed.refusals().first().map(|r| r.tag.as_str()),
+                failed.rpc_errors().first().map(|r| r.tag.as_str()),
                 Some(tag),
                 "{message:.200}: {failed}"
             );
         }
         client.send_raw(chunked("<a>\u{1}").as_bytes()).await.unwrap();
-        assert_eq!(client.reply().await.unwrap_err().refusals()[0].tag, "malformed-message");
+        assert_eq!(client.read_reply().await.unwrap_err().rpc_errors()[0].tag, "malformed-message");
         client.send_raw(b"\n#4\n<a>\xff\n##\n").await.unwrap();
-        assert_eq!(client.reply().await.unwrap_err().refusals()[0].tag, "malformed-message");
+        assert_eq!(client.read_reply().await.unwrap_err().rpc_errors()[0].tag, "malformed-message");
         // These end the one session.
         for bad in [&b"\n#0\n"[..], b"\n#4294967295\n", b"\n#99999999999\n", b"<rpc>]]>]]>", b"\n##\n"] {
             let mut client = ground.dial(&manager, "bob").await;
             client.send_raw(bad).await.unwrap();
-            let end = timeout(WITHIN, client.reply()).await.expect("an end, not a silence");
-            assert!(matches!(end.unwrap_err().reason, Reason::Lost(_)));
+            let end = timeout(WITHIN, client.read_reply()).await.expect("an end, not a silence");
+            assert!(matches!(end.unwrap_err().kind, ErrorKind::ConnectionLost(_)));
         }
-        assert_eq!(sound.get_config(Store::Running, None).await.unwrap(), before);
-        assert_eq!(sound.get_config(Store::Candidate, None).await.unwrap(), before);
+        assert_eq!(sound.get_config(Datastore::Running, None).await.unwrap(), before);
+        assert_eq!(sound.get_config(Datastore::Candidate, None).await.unwrap(), before);
     });
 }
 
@@ -623,20 +623,20 @@
         // One place is for strangers here: it comes free as the first says nothing.
         // On a busy machine a dial may take longer than a hello may, so both are dialled until both are there.
         let (mut first, mut second) = loop {
-            let Ok(first) = Client::dial(&ground.ssh(&manager, "bob")).await else { continue };
-            if let Ok(second) = Client::dial(&ground.ssh(&manager, "ann")).await {
+            let Ok(first) = Client::connect(&ground.ssh(&manager, "bob")).await else { continue };
+            if let Ok(second) = Client::connect(&ground.ssh(&manager, "ann")).await {
                 break (first, second);
             }
         };
         first.send_raw(b"\n#1000\n<rpc").await.unwrap();
         second.send_raw(b"\n#").await.unwrap();
         for client in [&mut first, &mut second] {
-            let end = timeout(WITHIN, client.reply()).await.expect("an end");
-            assert!(matches!(end.unwrap_err().reason, Reason::Lost(_)));
+            let end = timeout(WITHIN, client.read_reply()).await.expect("an end");
+            assert!(matches!(end.unwrap_err().kind, ErrorKind::ConnectionLost(_)));
         }
         loop {
-            if let Ok(mut again) = Client::dial(&ground.ssh(&manager, "ann")).await {
-                assert!(again.get_config(Store::Running, None).await.is_ok());
+            if let Ok(mut again) = Client::connect(&ground.ssh(&manager, "ann")).await {
+                assert!(again.get_config(Datastore::Running, None).await.is_ok());
                 break;
             }
         }
@@ -668,22 +668,25 @@
         assert_eq!((one, other), (Ok(()), Ok(())));
         bob.commit(&Commit::default()).await.unwrap();
         assert_eq!(weight(&mut ann, "s-1").await.as_deref(), Some("2.0"), "one candidate holds both");
-        ann.lock(Store::Candidate).await.unwrap();
+        ann.lock(Datastore::Candidate).await.unwrap();
         let failed = bob.edit(&first).await.unwrap_err();
-        assert_eq!(failed.refusals()[0].tag, "in-use");
-        assert_eq!(bob.commit(&Commit::default()).await.unwrap_err().refusals()[0].tag, "in-use");
-        let denied = bob.lock(Store::Candidate).await.unwrap_err();
-        assert!(denied.to_string().contains(&format!("session {} holds the lock", ann.session)), "{denied}");
+        assert_eq!(failed.rpc_errors()[0].tag, "in-use");
+        assert_eq!(bob.commit(&Commit::default()).await.unwrap_err().rpc_errors()[0].tag, "in-use");
+        let denied = bob.lock(Datastore::Candidate).await.unwrap_err();
+        assert!(
+            denied.to_string().contains(&format!("session {} holds the lock", ann.session_id)),
+            "{denied}"
+        );
         ann.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap();
         drop(ann);
         // Its lock goes with its session, and so do its changes.
-        while bob.lock(Store::Candidate).await.is_err() {}
+        while bob.lock(Datastore::Candidate).await.is_err() {}
         bob.commit(&Commit::default()).await.unwrap();
         assert_eq!(weight(&mut bob, "s-1").await.as_deref(), Some("2.0"));
         bob.rollback(1).await.unwrap();
         bob.commit(&Commit::default()).await.unwrap();
         assert_eq!(weight(&mut bob, "s-1").await, None);
-        assert_eq!(bob.rollback(77).await.unwrap_err().refusals()[0].tag, "invalid-value");
+        assert_eq!(bob.rollback(77).await.unwrap_err().rpc_errors()[0].tag, "invalid-value");
         let yang = bob.schema("juniperrail-manager").await.unwrap();
         assert_eq!(yang, include_str!("../../../yang/juniperrail-manager.yang"));
     });
