--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -1,127 +1,146 @@
-//! Messages out of bytes and back, RFC 6242 section 4. Free of I/O: bytes are pushed in as they come, in pieces or
-//! many messages at once.
+//! NETCONF message framing (RFC 6242 section 4). The crate does no I/O: the caller pushes bytes as they arrive, in parts
+//! of a message or several messages at once.
 
 use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// No message is longer; what goes on for longer is no message.
-pub const LONGEST: usize = 4 << 20;
-/// No chunk's size has more digits (section 4.2).
-const DIGITS: usize = 10;
+/// Maximum size of a message. A longer one is a framing error.
+pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
+/// Maximum number of digits of a chunk size (section 4.2).
+const MAX_CHUNK_SIZE_DIGITS: usize = 10;
 
-const END: &[u8] = b"]]>]]>";
+/// The end-of-message delimiter of base:1.0.
+const END_OF_MESSAGE: &[u8] = b"]]>]]>";
 
+/// How messages are delimited in the byte stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// `]]>]]>` after each message: base:1.0, and both hellos.
+    /// `]]>]]>` after each message: for the hellos, and for sessions that use base:1.0.
     EndOfMessage,
-    /// base:1.1, once both hellos named it.
+    /// Chunks (base:1.1), if both hellos list that capability.
     Chunked,
 }
 
-/// Why bytes are no messages. Nothing after them can be read.
+/// A framing error. The rest of the stream cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FramingError {
+    /// A message is longer than [`MAX_MESSAGE_BYTES`].
     TooLong,
+    /// A chunk is malformed.
     BadChunk(&'static str),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::TooLong => write!(f, "a message is longer than {LONGEST} bytes"),
-            Fault::BadChunk(why) => write!(f, "a chunk {why}"),
+            FramingError::TooLong => write!(f, "a message is longer than {MAX_MESSAGE_BYTES} bytes"),
+            FramingError::BadChunk(reason) => write!(f, "a chunk {reason}"),
         }
     }
 }
 
-/// What has come and is no whole message yet.
+/// Decodes messages from a byte stream.
 #[derive(Debug)]
 pub struct Decoder {
     framing: Framing,
+    /// Bytes that are not decoded yet.
     bytes: BytesMut,
-    /// Bytes already known to hold no end of a message.
-    seen: usize,
-    /// Chunks of the message under way, and what of the one chunk is still to come.
+    /// Number of bytes that were already searched for the end-of-message delimiter.
+    searched_bytes: usize,
+    /// The decoded chunks of the current message.
     message: BytesMut,
-    begun: bool,
-    left: usize,
+    /// Whether the current message has a chunk yet.
+    has_chunk: bool,
+    /// Bytes of the current chunk that are still missing.
+    missing_chunk_bytes: usize,
 }
 
 impl Default for Decoder {
     fn default() -> Self {
         let (bytes, message) = Default::default();
-        Decoder { framing: Framing::EndOfMessage, bytes, seen: 0, message, begun: false, left: 0 }
+        Decoder {
+            framing: Framing::EndOfMessage,
+            bytes,
+            searched_bytes: 0,
+            message,
+            has_chunk: false,
+            missing_chunk_bytes: 0,
+        }
     }
 }
 
 impl Decoder {
-    /// What follows the message last taken is framed so.
-    pub fn frame(&mut self, framing: Framing) {
-        (self.framing, self.seen) = (framing, 0);
+    /// Sets the framing of the bytes after the last message that was returned.
+    pub fn set_framing(&mut self, framing: Framing) {
+        (self.framing, self.searched_bytes) = (framing, 0);
     }
 
+    /// Adds bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Memory that it holds on to, in bytes.
-    pub fn held(&self) -> usize {
+    /// Number of buffered bytes.
+    pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() + self.message.len()
     }
 
-    /// The next whole message, if it has come.
-    pub fn message(&mut self) -> Result<Option<Bytes>, Fault> {
+    /// Returns the next message, or `None` if it is not complete yet.
+    pub fn next_message(&mut self) -> Result<Option<Bytes>, FramingError> {
         match self.framing {
-            Framing::EndOfMessage => self.ended(),
-            Framing::Chunked => self.chunked(),
+            Framing::EndOfMessage => self.next_delimited(),
+            Framing::Chunked => self.next_chunked(),
         }
     }
 
-    fn ended(&mut self) -> Result<Option<Bytes>, Fault> {
-        let from = self.seen.saturating_sub(END.len() - 1);
-        if let Some(end) = memmem::find(&self.bytes[from..], END) {
-            let message = self.bytes.split_to(from + end).freeze();
-            _ = self.bytes.split_to(END.len());
-            self.seen = 0;
-            return if message.len() > LONGEST { Err(Fault::TooLong) } else { Ok(Some(message)) };
+    fn next_delimited(&mut self) -> Result<Option<Bytes>, FramingError> {
+        let search_start = self.searched_bytes.saturating_sub(END_OF_MESSAGE.len() - 1);
+        if let Some(end) = memmem::find(&self.bytes[search_start..], END_OF_MESSAGE) {
+            let message = self.bytes.split_to(search_start + end).freeze();
+            _ = self.bytes.split_to(END_OF_MESSAGE.len());
+            self.searched_bytes = 0;
+            return if message.len() > MAX_MESSAGE_BYTES {
+                Err(FramingError::TooLong)
+            } else {
+                Ok(Some(message))
+            };
         }
-        self.seen = self.bytes.len();
-        if self.bytes.len() > LONGEST {
-            return Err(Fault::TooLong);
+        self.searched_bytes = self.bytes.len();
+        if self.bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(FramingError::TooLong);
         }
         Ok(None)
     }
 
-    fn chunked(&mut self) -> Result<Option<Bytes>, Fault> {
+    fn next_chunked(&mut self) -> Result<Option<Bytes>, FramingError> {
         loop {
-            if self.left > 0 {
-                let taken = self.left.min(self.bytes.len());
-                if taken == 0 {
+            if self.missing_chunk_bytes > 0 {
+                let available = self.missing_chunk_bytes.min(self.bytes.len());
+                if available == 0 {
                     return Ok(None);
                 }
-                self.message.extend_from_slice(&self.bytes.split_to(taken));
-                self.left -= taken;
+                self.message.extend_from_slice(&self.bytes.split_to(available));
+                self.missing_chunk_bytes -= available;
                 continue;
             }
-            match header(&self.bytes)? {
+            match read_chunk_header(&self.bytes)? {
                 None => return Ok(None),
-                Some((used, Some(size))) => {
-                    // Told before a byte of it has come, so that a size that lies costs nothing.
-                    if size > LONGEST - self.message.len() {
-                        return Err(Fault::TooLong);
+                Some((header_bytes, Some(size))) => {
+                    // Checked before the chunk arrives, so that a false size costs no memory.
+                    if size > MAX_MESSAGE_BYTES - self.message.len() {
+                        return Err(FramingError::TooLong);
                     }
-                    _ = self.bytes.split_to(used);
-                    (self.left, self.begun) = (size, true);
+                    _ = self.bytes.split_to(header_bytes);
+                    (self.missing_chunk_bytes, self.has_chunk) = (size, true);
                 }
-                Some((_, None)) if !self.begun => {
-                    return Err(Fault::BadChunk("ends a message that has none"));
+                Some((_, None)) if !self.has_chunk => {
+                    return Err(FramingError::BadChunk("is missing before the end-of-chunks marker"));
                 }
-                Some((used, None)) => {
-                    _ = self.bytes.split_to(used);
-                    self.begun = false;
+                Some((header_bytes, None)) => {
+                    _ = self.bytes.split_to(header_bytes);
+                    self.has_chunk = false;
                     return Ok(Some(self.message.split().freeze()));
                 }
             }
@@ -129,11 +148,12 @@
     }
 }
 
-/// A chunk's header: the bytes it takes and the chunk's size, `None` for the end of the chunks.
-fn header(bytes: &[u8]) -> Result<Option<(usize, Option<usize>)>, Fault> {
-    for (byte, due) in bytes.iter().zip(b"\n#") {
-        if byte != due {
-            return Err(Fault::BadChunk("does not begin with LF and #"));
+/// Reads a chunk header: its length, and the size of the chunk or `None` for end-of-chunks. `None` if it is not complete
+/// yet.
+fn read_chunk_header(bytes: &[u8]) -> Result<Option<(usize, Option<usize>)>, FramingError> {
+    for (byte, expected) in bytes.iter().zip(b"\n#") {
+        if byte != expected {
+            return Err(FramingError::BadChunk("does not start with LF and #"));
         }
     }
     let Some(rest) = bytes.get(2..) else { return Ok(None) };
@@ -141,50 +161,51 @@
         return match rest.get(1) {
             None => Ok(None),
             Some(b'\n') => Ok(Some((4, None))),
-            Some(_) => Err(Fault::BadChunk("ends with something but LF")),
+            Some(_) => Err(FramingError::BadChunk("has no LF after the end-of-chunks marker")),
         };
     }
     let digits = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
-    if digits > DIGITS || rest.first() == Some(&b'0') {
-        return Err(Fault::BadChunk("has a size that can't be"));
+    if digits > MAX_CHUNK_SIZE_DIGITS || rest.first() == Some(&b'0') {
+        return Err(FramingError::BadChunk("has a size out of range"));
     }
     match rest.get(digits) {
         None => Ok(None),
         Some(b'\n') if digits > 0 => {
             let size = std::str::from_utf8(&rest[..digits]).ok().and_then(|size| size.parse().ok());
             let size = size.filter(|size: &u64| *size <= u32::MAX.into());
-            let size = size.ok_or(Fault::BadChunk("has a size that can't be"))?;
+            let size = size.ok_or(FramingError::BadChunk("has a size out of range"))?;
             Ok(Some((2 + digits + 1, Some(size as usize))))
         }
-        Some(_) => Err(Fault::BadChunk("has a size that is no number")),
+        Some(_) => Err(FramingError::BadChunk("has a size that is not a number")),
     }
 }
 
-/// What goes out before and after a message of that many bytes, so that the message itself is not copied.
-pub fn around(framing: Framing, length: usize) -> (String, &'static [u8]) {
+/// The bytes to send before and after a message of `length_bytes` bytes. They are separate from the message so that the
+/// message is not copied.
+pub fn delimiters(framing: Framing, length_bytes: usize) -> (String, &'static [u8]) {
     match framing {
-        Framing::EndOfMessage => (String::new(), END),
-        Framing::Chunked => (format!("\n#{length}\n"), b"\n##\n"),
+        Framing::EndOfMessage => (String::new(), END_OF_MESSAGE),
+        Framing::Chunked => (format!("\n#{length_bytes}\n"), b"\n##\n"),
     }
 }
 
-/// One message as it goes out.
+/// Encodes one message with its framing.
 pub fn encode(framing: Framing, message: &str) -> Vec<u8> {
-    let (head, tail) = around(framing, message.len());
-    [head.as_bytes(), message.as_bytes(), tail].concat()
+    let (header, trailer) = delimiters(framing, message.len());
+    [header.as_bytes(), message.as_bytes(), trailer].concat()
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn all(framing: Framing, pieces: &[&[u8]]) -> Result<Vec<String>, Fault> {
+    fn decode_all(framing: Framing, pieces: &[&[u8]]) -> Result<Vec<String>, FramingError> {
         let mut decoder = Decoder::default();
-        decoder.frame(framing);
+        decoder.set_framing(framing);
         let mut messages = Vec::new();
         for piece in pieces {
             decoder.push(piece);
-            while let Some(message) = decoder.message()? {
+            while let Some(message) = decoder.next_message()? {
                 messages.push(String::from_utf8(message.to_vec()).unwrap());
             }
         }
@@ -192,85 +213,98 @@
     }
 
     #[test]
-    fn messages_are_the_same_wherever_the_bytes_are_cut() {
+    fn messages_do_not_depend_on_how_the_bytes_are_split() {
         let chunked = b"\n#4\n<rpc\n#18\n message-id=\"102\">\n##\n\n#1\nx\n##\n".as_slice();
-        let ended = b"<a/>]]>]]>]]>]]> b ]]>]] >]]>]]>".as_slice();
-        let whole = ["<rpc message-id=\"102\">", "x"];
+        let delimited = b"<a/>]]>]]>]]>]]> b ]]>]] >]]>]]>".as_slice();
+        let chunked_messages = ["<rpc message-id=\"102\">", "x"];
         for (framing, bytes, expected) in [
-            (Framing::Chunked, chunked, whole.to_vec()),
-            (Framing::EndOfMessage, ended, vec!["<a/>", "", " b ]]>]] >"]),
+            (Framing::Chunked, chunked, chunked_messages.to_vec()),
+            (Framing::EndOfMessage, delimited, vec!["<a/>", "", " b ]]>]] >"]),
         ] {
-            assert_eq!(all(framing, &[bytes]).unwrap(), expected);
-            for cut in 0..bytes.len() {
-                assert_eq!(all(framing, &[&bytes[..cut], &bytes[cut..]]).unwrap(), expected, "cut at {cut}");
+            assert_eq!(decode_all(framing, &[bytes]).unwrap(), expected);
+            for split in 0..bytes.len() {
+                assert_eq!(
+                    decode_all(framing, &[&bytes[..split], &bytes[split..]]).unwrap(),
+                    expected,
+                    "split at {split}"
+                );
             }
-            let single: Vec<&[u8]> = bytes.chunks(1).collect();
-            assert_eq!(all(framing, &single).unwrap(), expected);
+            let single_bytes: Vec<&[u8]> = bytes.chunks(1).collect();
+            assert_eq!(decode_all(framing, &single_bytes).unwrap(), expected);
         }
         for framing in [Framing::Chunked, Framing::EndOfMessage] {
-            let sent = encode(framing, "<a/>");
-            assert_eq!(all(framing, &[&sent, &sent]).unwrap(), ["<a/>", "<a/>"]);
+            let encoded = encode(framing, "<a/>");
+            assert_eq!(decode_all(framing, &[&encoded, &encoded]).unwrap(), ["<a/>", "<a/>"]);
         }
     }
 
     #[test]
-    fn sizes_that_lie_are_known_before_anything_is_kept() {
-        for (bytes, why) in [
-            (&b"\n#4294967295\n"[..], Fault::TooLong),
-            (b"\n#4294967296\n", Fault::BadChunk("has a size that can't be")),
-            (b"\n#99999999999", Fault::BadChunk("has a size that can't be")),
-            (b"\n#0\n", Fault::BadChunk("has a size that can't be")),
-            (b"\n#-1\n", Fault::BadChunk("has a size that is no number")),
-            (b"\n#\n", Fault::BadChunk("has a size that is no number")),
-            (b"\n#4 \n", Fault::BadChunk("has a size that is no number")),
-            (b"\n##\n", Fault::BadChunk("ends a message that has none")),
-            (b"\n#1\na\n##x", Fault::BadChunk("ends with something but LF")),
-            (b"\n#1\nab", Fault::BadChunk("does not begin with LF and #")),
-            (b"<rpc>", Fault::BadChunk("does not begin with LF and #")),
+    fn invalid_sizes_are_rejected_before_memory_is_used() {
+        for (bytes, expected) in [
+            (&b"\n#4294967295\n"[..], FramingError::TooLong),
+            (b"\n#4294967296\n", FramingError::BadChunk("has a size out of range")),
+            (b"\n#99999999999", FramingError::BadChunk("has a size out of range")),
+            (b"\n#0\n", FramingError::BadChunk("has a size out of range")),
+            (b"\n#-1\n", FramingError::BadChunk("has a size that is not a number")),
+            (b"\n#\n", FramingError::BadChunk("has a size that is not a number")),
+            (b"\n#4 \n", FramingError::BadChunk("has a size that is not a number")),
+            (b"\n##\n", FramingError::BadChunk("is missing before the end-of-chunks marker")),
+            (b"\n#1\na\n##x", FramingError::BadChunk("has no LF after the end-of-chunks marker")),
+            (b"\n#1\nab", FramingError::BadChunk("does not start with LF and #")),
+            (b"<rpc>", FramingError::BadChunk("does not start with LF and #")),
         ] {
-            assert_eq!(all(Framing::Chunked, &[bytes]), Err(why), "{:?}", String::from_utf8_lossy(bytes));
+            assert_eq!(
+                decode_all(Framing::Chunked, &[bytes]),
+                Err(expected),
+                "{:?}",
+                String::from_utf8_lossy(bytes)
+            );
         }
         let mut decoder = Decoder::default();
-        decoder.frame(Framing::Chunked);
-        let mut sent = 0;
-        let fault = loop {
+        decoder.set_framing(Framing::Chunked);
+        let mut pushed_bytes = 0;
+        let error = loop {
             decoder.push(b"\n#65536\n");
             decoder.push(&[b'x'; 65536]);
-            sent += 65536;
-            if let Err(fault) = decoder.message() {
-                break fault;
+            pushed_bytes += 65536;
+            if let Err(error) = decoder.next_message() {
+                break error;
             }
         };
         assert!(
-            fault == Fault::TooLong && sent <= LONGEST + 2 * 65536 && decoder.held() <= LONGEST + 2 * 65536
+            error == FramingError::TooLong
+                && pushed_bytes <= MAX_MESSAGE_BYTES + 2 * 65536
+                && decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + 2 * 65536
         );
         let mut endless = Decoder::default();
-        let fault = (0..).find_map(|_| {
+        let error = (0..).find_map(|_| {
             endless.push(&[b'x'; 65536]);
-            endless.message().err()
+            endless.next_message().err()
         });
-        assert!(fault == Some(Fault::TooLong) && endless.held() <= LONGEST + 65536);
+        assert!(
+            error == Some(FramingError::TooLong) && endless.buffered_bytes() <= MAX_MESSAGE_BYTES + 65536
+        );
     }
 
     #[test]
-    fn no_bytes_make_the_decoder_panic_or_keep_too_much() {
+    fn random_bytes_cause_no_panic_and_no_excessive_buffering() {
         println!("seed 6242");
         let mut rng = fastrand::Rng::with_seed(6242);
-        let sound = b"\n#4\n<rpc\n#18\n message-id=\"102\">\n##\n\n#3\n]]>\n##\n<a/>]]>]]>";
+        let valid = b"\n#4\n<rpc\n#18\n message-id=\"102\">\n##\n\n#3\n]]>\n##\n<a/>]]>]]>";
         for _ in 0..20_000 {
-            let mut bytes = sound.to_vec();
+            let mut bytes = valid.to_vec();
             (0..rng.usize(1..5)).for_each(|_| {
-                let place = rng.usize(..bytes.len());
-                bytes[place] = b"\n#0123456789]>x"[rng.usize(..15)];
+                let position = rng.usize(..bytes.len());
+                bytes[position] = b"\n#0123456789]>x"[rng.usize(..15)];
             });
             let mut decoder = Decoder::default();
-            decoder.frame(if rng.bool() { Framing::Chunked } else { Framing::EndOfMessage });
+            decoder.set_framing(if rng.bool() { Framing::Chunked } else { Framing::EndOfMessage });
             for piece in bytes.chunks(rng.usize(1..20)) {
                 decoder.push(piece);
-                while let Ok(Some(message)) = decoder.message() {
+                while let Ok(Some(message)) = decoder.next_message() {
                     assert!(message.len() <= bytes.len());
                 }
-                assert!(decoder.held() <= bytes.len());
+                assert!(decoder.buffered_bytes() <= bytes.len());
             }
         }
     }
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -1,92 +1,108 @@
-//! Subtree filters, RFC 6241 section 6: which elements of an answer were asked for.
+//! Subtree filters (RFC 6241 section 6), which select the elements of a reply.
 
 use juniperrail_model::xml::Element;
 
-/// What of the elements the filter selects. Keys of list entries stay with what is selected of them, as `keys`
-/// tells which of an element's children those are.
-pub fn select(filter: &Element, all: &[Element], keys: &dyn Fn(&Element) -> Vec<String>) -> Vec<Element> {
+/// The parts of `elements` that the filter selects. `keys` names those children of an element that are list keys; they
+/// are included with whatever is selected of a list entry.
+pub fn select(
+    filter: &Element,
+    elements: &[Element],
+    keys: &dyn Fn(&Element) -> Vec<String>,
+) -> Vec<Element> {
     let mut selected = Vec::new();
-    for element in all {
-        // Filters side by side add up, but nothing is told twice.
+    for element in elements {
+        // Sibling filters select the union of their results, without duplicates.
         let parts: Vec<Element> =
-            filter.children.iter().filter_map(|filter| matched(filter, element, keys)).collect();
-        selected.extend(parts.into_iter().reduce(|a, b| merged(a, b, element)));
+            filter.children.iter().filter_map(|filter| select_part(filter, element, keys)).collect();
+        selected.extend(parts.into_iter().reduce(|first, second| merge(first, second, element)));
     }
     selected
 }
 
-/// Whether the filter's element speaks of that element: by name, namespace (an empty one is any) and attributes.
-fn names(filter: &Element, element: &Element) -> bool {
+/// Whether a filter node matches an element by name, namespace (an empty one matches any) and attributes.
+fn node_matches(filter: &Element, element: &Element) -> bool {
     filter.name == element.name
         && (filter.ns.is_empty() || filter.ns == element.ns)
         && filter.attrs.iter().all(|attr| element.attrs.contains(attr))
 }
 
-fn matched(filter: &Element, element: &Element, keys: &dyn Fn(&Element) -> Vec<String>) -> Option<Element> {
-    if !names(filter, element) {
+/// The part of one element that a filter node selects.
+fn select_part(
+    filter: &Element,
+    element: &Element,
+    keys: &dyn Fn(&Element) -> Vec<String>,
+) -> Option<Element> {
+    if !node_matches(filter, element) {
         return None;
     }
     if filter.children.is_empty() {
-        // A selection node, or a content match of a leaf by itself.
-        let fits = filter.word().is_empty() || filter.word() == element.word();
-        return fits.then(|| element.clone());
+        // A selection node, or a content match node at the top level.
+        let selected = filter.word().is_empty() || filter.word() == element.word();
+        return selected.then(|| element.clone());
     }
-    let (matches, others): (Vec<&Element>, Vec<&Element>) =
+    let (content_matches, others): (Vec<&Element>, Vec<&Element>) =
         filter.children.iter().partition(|child| child.children.is_empty() && !child.word().is_empty());
-    let fits = |wanted: &&Element| {
-        element.children.iter().any(|child| names(wanted, child) && child.word() == wanted.word())
+    let is_satisfied = |expected: &&Element| {
+        element.children.iter().any(|child| node_matches(expected, child) && child.word() == expected.word())
     };
-    if !matches.iter().all(fits) {
+    if !content_matches.iter().all(is_satisfied) {
         return None;
     }
     if others.is_empty() {
-        // Content matches alone select the whole of what they match (section 6.2.5).
+        // Content match nodes alone select the whole containment node (section 6.2.5).
         return Some(element.clone());
     }
-    let keys_here = keys(element);
-    let mut kept = Element { children: Vec::new(), ..element.clone() };
-    let mut found = !matches.is_empty();
+    let key_names = keys(element);
+    let mut selected = Element { children: Vec::new(), ..element.clone() };
+    let mut found = !content_matches.is_empty();
     for child in &element.children {
-        let parts = others.iter().filter_map(|filter| matched(filter, child, keys));
-        match parts.reduce(|a, b| merged(a, b, child)) {
+        let parts = others.iter().filter_map(|filter| select_part(filter, child, keys));
+        match parts.reduce(|first, second| merge(first, second, child)) {
             Some(part) => {
                 found = true;
-                kept.children.push(part);
+                selected.children.push(part);
             }
             None => {
-                let matched =
-                    matches.iter().any(|wanted| names(wanted, child) && wanted.word() == child.word());
-                if matched || keys_here.contains(&child.name) {
-                    kept.children.push(child.clone());
+                let is_content_match = content_matches
+                    .iter()
+                    .any(|expected| node_matches(expected, child) && expected.word() == child.word());
+                if is_content_match || key_names.contains(&child.name) {
+                    selected.children.push(child.clone());
                 }
             }
         }
     }
-    found.then_some(kept)
+    found.then_some(selected)
 }
 
-/// Two parts of one element: each child that stands in either, in the whole's order.
-fn merged(a: Element, b: Element, whole: &Element) -> Element {
+/// The union of two parts of one element, with the children in the order of `whole`.
+fn merge(a: Element, b: Element, whole: &Element) -> Element {
     if a == *whole || b == *whole {
         return whole.clone();
     }
     let mut children = Vec::new();
-    let (mut a_left, mut b_left) = (a.children.into_iter().peekable(), b.children.into_iter().peekable());
+    let (mut a_children, mut b_children) =
+        (a.children.into_iter().peekable(), b.children.into_iter().peekable());
     for child in &whole.children {
-        let of = |part: &Element| {
-            part.name == child.name && part.ns == child.ns && part.line == child.line && keyed(part, child)
+        let is_child = |part: &Element| {
+            part.name == child.name
+                && part.ns == child.ns
+                && part.line == child.line
+                && is_part_of(part, child)
         };
-        let (from_a, from_b) = (a_left.next_if(|part| of(part)), b_left.next_if(|part| of(part)));
+        let (from_a, from_b) =
+            (a_children.next_if(|part| is_child(part)), b_children.next_if(|part| is_child(part)));
         children.extend(match (from_a, from_b) {
-            (Some(a), Some(b)) => Some(merged(a, b, child)),
+            (Some(a), Some(b)) => Some(merge(a, b, child)),
             (one, other) => one.or(other),
         });
     }
     Element { children, ..whole.clone() }
 }
 
-/// Whether a part is of that very element: a leaf's text is the same, and a child's children are among its own.
-fn keyed(part: &Element, whole: &Element) -> bool {
+/// Whether `part` was selected from `whole`: a leaf has the same text, and the leaves of a container or list entry are
+/// among those of `whole`.
+fn is_part_of(part: &Element, whole: &Element) -> bool {
     if whole.children.is_empty() {
         return part.text == whole.text;
     }
@@ -118,10 +134,14 @@
         "<user><name>fred</name><type>admin</type><info><dept>2</dept><id>2</id></info></user>";
 
     #[test]
-    fn what_is_selected_is_what_the_rfc_says() {
+    fn selection_follows_rfc_6241_section_6() {
         assert_eq!(selected(""), "", "an empty filter selects nothing");
         assert_eq!(selected("<other xmlns='v'/>"), "<other xmlns=\"v\"><x>1</x></other>");
-        assert_eq!(selected("<other/>"), selected("<other xmlns='v'/>"), "no namespace is any");
+        assert_eq!(
+            selected("<other/>"),
+            selected("<other xmlns='v'/>"),
+            "a filter without a namespace matches any"
+        );
         assert_eq!(selected("<other xmlns='w'/>"), "");
         assert_eq!(selected("<top xmlns='u'><rest/></top>"), "<top xmlns=\"u\"><rest>r</rest></top>");
         let names = selected("<top xmlns='u'><users><user><name/></user></users></top>");
@@ -135,28 +155,29 @@
         let keyed = selected("<top xmlns='u'><users><user><info><dept/></info></user></users></top>");
         assert!(
             keyed.contains("<user><name>fred</name><info><dept>2</dept></info></user>"),
-            "keys stay: {keyed}"
+            "list keys are included: {keyed}"
         );
         assert_eq!(selected("<top xmlns='u'><users><user><name>eve</name></user></users></top>"), "");
     }
 
     #[test]
-    fn filters_side_by_side_add_up_and_tell_nothing_twice() {
+    fn sibling_filters_select_their_union_without_duplicates() {
         let both = selected("<top xmlns='u'><users><user><name>root</name><type/></user><user><name>fred</name><info/></user></users></top>");
         assert!(
             both.contains("<user><name>root</name><type>super</type></user><user><name>fred</name><info>"),
             "{both}"
         );
-        let twice = selected("<top xmlns='u'><rest/></top><top xmlns='u'><users/></top><top xmlns='u'/>");
-        assert_eq!(twice, selected("<top xmlns='u'/>"));
-        let same = selected(
+        let overlapping =
+            selected("<top xmlns='u'><rest/></top><top xmlns='u'><users/></top><top xmlns='u'/>");
+        assert_eq!(overlapping, selected("<top xmlns='u'/>"));
+        let same_entry = selected(
             "<top xmlns='u'><users><user><name>fred</name><type/></user></users></top>\
              <top xmlns='u'><users><user><name>fred</name><info><id/></info></user></users></top>",
         );
         assert!(
-            same.contains("<user><name>fred</name><type>admin</type><info><id>2</id></info></user>"),
-            "{same}"
+            same_entry.contains("<user><name>fred</name><type>admin</type><info><id>2</id></info></user>"),
+            "{same_entry}"
         );
-        assert!(!same.contains("root"), "{same}");
+        assert!(!same_entry.contains("root"), "{same_entry}");
     }
 }
--- a/crates/netconf/src/names.rs
+++ b/crates/netconf/src/names.rs
@@ -1,30 +1,37 @@
-//! Namespaces and capabilities.
+//! Namespaces and capabilities of the server.
 
 use juniperrail_model::Schema;
 
+/// The namespace of `ietf-netconf-monitoring`, RFC 6022.
 pub const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
+/// The namespace of `ietf-netconf-nmda`, RFC 8526.
 pub const NMDA: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-nmda";
+/// The namespace of `ietf-yang-library`, RFC 8525.
 pub const LIBRARY: &str = "urn:ietf:params:xml:ns:yang:ietf-yang-library";
+/// The namespace of `ietf-netconf-with-defaults`, RFC 6243.
 pub const DEFAULTS: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults";
+/// The namespace of notifications, RFC 5277.
 pub const NOTIFICATION: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
-/// RFC 6470.
+/// The namespace of `ietf-netconf-notifications`, RFC 6470.
 pub const BASE_NOTIFICATIONS: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-notifications";
 
+/// The base capability of RFC 4741: end-of-message framing.
 pub const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
+/// The base capability of RFC 6241: chunked framing.
 pub const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
 
-/// What names the set of modules: it changes with any of them, RFC 8525.
+/// The `content-id` of the YANG library (RFC 8525), which changes with any module or revision.
 pub fn content_id(schema: &Schema) -> String {
     let revisions: Vec<String> =
-        schema.modules.iter().map(|of| format!("{}@{}", of.name, of.revision)).collect();
+        schema.modules.iter().map(|module| format!("{}@{}", module.name, module.revision)).collect();
     revisions.join(",")
 }
 
-/// What this server can do, as its hello tells.
+/// The capabilities that the server lists in its hello.
 pub fn capabilities(schema: &Schema) -> Vec<String> {
     let capability = |name: &str| format!("urn:ietf:params:netconf:capability:{name}");
-    let mut all = vec![BASE_1_0.to_string(), BASE_1_1.to_string()];
-    all.extend(
+    let mut capabilities = vec![BASE_1_0.to_string(), BASE_1_1.to_string()];
+    capabilities.extend(
         [
             "candidate:1.0",
             "confirmed-commit:1.1",
@@ -38,16 +45,17 @@
         .map(capability),
     );
     let id = content_id(schema);
-    all.push(capability(&format!("yang-library:1.1?revision=2019-01-04&content-id={id}")));
-    for (ns, module, revision) in [
+    capabilities.push(capability(&format!("yang-library:1.1?revision=2019-01-04&content-id={id}")));
+    for (namespace, module, revision) in [
         (MONITORING, "ietf-netconf-monitoring", "2010-10-04"),
         (NMDA, "ietf-netconf-nmda", "2019-01-07"),
         (BASE_NOTIFICATIONS, "ietf-netconf-notifications", "2012-02-06"),
     ] {
-        all.push(format!("{ns}?module={module}&revision={revision}"));
+        capabilities.push(format!("{namespace}?module={module}&revision={revision}"));
     }
-    for of in &schema.modules {
-        all.push(format!("{}?module={}&revision={}", of.namespace, of.name, of.revision));
+    for module in &schema.modules {
+        capabilities
+            .push(format!("{}?module={}&revision={}", module.namespace, module.name, module.revision));
     }
-    all
+    capabilities
 }
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -1,10 +1,10 @@
-//! One NETCONF session over any stream of bytes: hellos, then one message after the other, with notifications
-//! between them. While an operation is under way nothing more is read, so that who floods waits for itself.
+//! One NETCONF session over any byte stream: the exchange of hellos, then RPCs one at a time, with notifications in
+//! between. Nothing is read while an operation runs, so that a client that floods the server only delays itself.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_framing::{around, Decoder, Framing};
+use juniperrail_framing::{delimiters, Decoder, Framing};
 use juniperrail_model::xml::{self, Element, NETCONF};
 use juniperrail_northbound::{Caller, Notification, TerminationReason};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -14,186 +14,196 @@
 
 use crate::names::{BASE_1_0, BASE_1_1};
 use crate::notify;
-use crate::service::{Service, Shared, Then};
+use crate::service::{RpcHandler, ServerContext, SessionAction};
 
-/// Bytes taken from the stream at a time.
-const ROOM: usize = 16 << 10;
-/// Who does not take a reply within this is gone.
-const WRITE_WITHIN: Duration = Duration::from_secs(30);
+/// Size of the buffer for reads from the stream.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// A client that does not read a message within this time is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a session may take to begin, and may say nothing.
+/// Time limits of a session.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    pub hello_within: Duration,
-    pub idle_within: Option<Duration>,
+pub struct SessionTimeouts {
+    /// Limits the exchange of hellos and, in the transports, each step before it.
+    pub hello_timeout: Duration,
+    /// Limits the time without a message from the client; subscribed sessions are exempt. `None` means no limit.
+    pub idle_timeout: Option<Duration>,
 }
 
+/// The client's end of a session: the stream with the framing of its messages.
 struct Peer<S> {
     stream: S,
     decoder: Decoder,
     framing: Framing,
 }
 
-/// Why a session cannot go on.
-enum Lost {
-    Ended,
-    Unreadable(String),
-    Late,
+/// Why messages can no longer be exchanged with the client.
+enum StreamError {
+    Closed,
+    BadFraming(String),
+    WriteTimeout,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Peer<S> {
-    /// The next message. Nothing is lost where this is dropped while it waits.
-    async fn read(&mut self) -> Result<bytes::Bytes, Lost> {
-        let mut room = [0; ROOM];
+    /// Reads the next message. Cancel-safe: no bytes are lost if the future is dropped while it waits.
+    async fn read(&mut self) -> Result<bytes::Bytes, StreamError> {
+        let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             if let Some(message) =
-                self.decoder.message().map_err(|fault| Lost::Unreadable(fault.to_string()))?
+                self.decoder.next_message().map_err(|error| StreamError::BadFraming(error.to_string()))?
             {
                 return Ok(message);
             }
-            match self.stream.read(&mut room).await {
-                Ok(0) | Err(_) => return Err(Lost::Ended),
-                Ok(read) => self.decoder.push(&room[..read]),
+            match self.stream.read(&mut buffer).await {
+                Ok(0) | Err(_) => return Err(StreamError::Closed),
+                Ok(read) => self.decoder.push(&buffer[..read]),
             }
         }
     }
 
-    async fn write(&mut self, message: &str) -> Result<(), Lost> {
-        let (head, tail) = around(self.framing, message.len());
-        let written = timeout(WRITE_WITHIN, async {
-            self.stream.write_all(head.as_bytes()).await?;
+    /// Writes one message with its framing.
+    async fn write(&mut self, message: &str) -> Result<(), StreamError> {
+        let (header, trailer) = delimiters(self.framing, message.len());
+        let written = timeout(WRITE_TIMEOUT, async {
+            self.stream.write_all(header.as_bytes()).await?;
             self.stream.write_all(message.as_bytes()).await?;
-            self.stream.write_all(tail).await?;
+            self.stream.write_all(trailer).await?;
             self.stream.flush().await
         });
         match written.await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(Lost::Ended),
-            Err(_) => Err(Lost::Late),
+            Ok(Err(_)) => Err(StreamError::Closed),
+            Err(_) => Err(StreamError::WriteTimeout),
         }
     }
 }
 
-fn hello(shared: &Shared, session: u32) -> String {
-    let capabilities = shared.capabilities.iter().map(|of| Element::with_text(NETCONF, "capability", &**of));
+/// The server's hello.
+fn hello(context: &ServerContext, session_id: u32) -> String {
+    let capability = |name: &String| Element::with_text(NETCONF, "capability", &**name);
+    let capabilities = context.capabilities.iter().map(capability);
     let hello = Element::new(NETCONF, "hello")
         .with(Element::new(NETCONF, "capabilities").with_all(capabilities))
-        .with(Element::with_text(NETCONF, "session-id", session.to_string()));
+        .with(Element::with_text(NETCONF, "session-id", session_id.to_string()));
     xml::write(&hello, false)
 }
 
-/// The framing that both hellos allow; the error says what is wrong with the client's.
-fn greeted(message: &[u8]) -> Result<Framing, String> {
+/// The framing that both hellos allow. The error says what is wrong with the client's hello.
+fn negotiate_framing(message: &[u8]) -> Result<Framing, String> {
     let hello = xml::read(message).map_err(|malformed| malformed.what)?;
     if !hello.is(NETCONF, "hello") {
-        return Err(format!("<{:.60}> is no hello", hello.name));
+        return Err(format!("expected <hello>, got <{:.60}>", hello.name));
     }
     if hello.get(NETCONF, "session-id").is_some() {
-        return Err("a client's hello holds no session-id".into());
+        return Err("the client's hello has a session-id".into());
     }
-    let listed = hello.get(NETCONF, "capabilities").map(|of| &of.children[..]).unwrap_or_default();
-    let has = |name: &str| listed.iter().any(|of| of.is(NETCONF, "capability") && of.word() == name);
+    let listed = hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
+    let has = |name: &str| listed.iter().any(|item| item.is(NETCONF, "capability") && item.word() == name);
     match (has(BASE_1_1), has(BASE_1_0)) {
         (true, _) => Ok(Framing::Chunked),
         (false, true) => Ok(Framing::EndOfMessage),
-        (false, false) => Err("it names no base capability that is known here".into()),
+        (false, false) => Err("the client's hello has no supported base capability".into()),
     }
 }
 
-/// Serves one session to its end. `from`: the transport and the peer's address, for logs and the state.
-pub async fn serve(
+/// Serves one session until it ends. `from` is the transport and the client's address, for the log and the operational
+/// state.
+pub async fn serve_session(
     stream: impl AsyncRead + AsyncWrite + Unpin,
-    shared: Arc<Shared>,
+    context: Arc<ServerContext>,
     user: &str,
     from: &str,
-    limits: Limits,
+    timeouts: SessionTimeouts,
 ) {
-    let Some((caller, end)) = shared.keeper.open_session(user, from).await else {
-        tracing::warn!("{user:?} from {from} is no user here");
+    let Some((caller, kill_signal)) = context.datastore_manager.open_session(user, from).await else {
+        tracing::warn!("{user:?} from {from} is not a configured user");
         return;
     };
     let peer = Peer { stream, decoder: Decoder::default(), framing: Framing::EndOfMessage };
-    // A session that is dropped on the way, as its transport ends, is over as well.
-    let over = Over { shared: shared.clone(), caller: Some(caller.clone()) };
-    let how = session(peer, shared, &caller, &end, limits).await;
-    over.done(how).await;
+    // Closes the session also if this future is dropped because the transport ended.
+    let guard = SessionGuard { context: context.clone(), caller: Some(caller.clone()) };
+    let reason = run_session(peer, context, &caller, &kill_signal, timeouts).await;
+    guard.close(reason).await;
 }
 
-/// Tells the keeper that a session is over, however that came.
-struct Over {
-    shared: Arc<Shared>,
+/// Closes the session at the datastore manager when it ends, also if its future is dropped.
+struct SessionGuard {
+    context: Arc<ServerContext>,
     caller: Option<Caller>,
 }
 
-impl Over {
-    async fn done(mut self, how: TerminationReason) {
+impl SessionGuard {
+    async fn close(mut self, reason: TerminationReason) {
         if let Some(caller) = self.caller.take() {
-            self.shared.keeper.close_session(&caller, how).await;
+            self.context.datastore_manager.close_session(&caller, reason).await;
         }
     }
 }
 
-impl Drop for Over {
+impl Drop for SessionGuard {
     fn drop(&mut self) {
         let Some(caller) = self.caller.take() else { return };
-        let keeper = self.shared.keeper.clone();
+        let datastore_manager = self.context.datastore_manager.clone();
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
-            runtime.spawn(async move { keeper.close_session(&caller, TerminationReason::Dropped).await });
+            runtime.spawn(async move {
+                datastore_manager.close_session(&caller, TerminationReason::Dropped).await
+            });
         }
     }
 }
 
-async fn session<S: AsyncRead + AsyncWrite + Unpin>(
+async fn run_session<S: AsyncRead + AsyncWrite + Unpin>(
     mut peer: Peer<S>,
-    shared: Arc<Shared>,
+    context: Arc<ServerContext>,
     caller: &Caller,
-    end: &Notify,
-    limits: Limits,
+    kill_signal: &Notify,
+    timeouts: SessionTimeouts,
 ) -> TerminationReason {
-    let greeting = async {
-        peer.write(&hello(&shared, caller.session.0)).await?;
+    let exchange = async {
+        peer.write(&hello(&context, caller.session.0)).await?;
         peer.read().await
     };
-    let greeting = match timeout(limits.hello_within, greeting).await {
-        Ok(Ok(greeting)) => greeting,
+    let client_hello = match timeout(timeouts.hello_timeout, exchange).await {
+        Ok(Ok(client_hello)) => client_hello,
         Ok(Err(_)) => return TerminationReason::Dropped,
         Err(_) => return TerminationReason::TimedOut,
     };
-    match greeted(&greeting) {
+    match negotiate_framing(&client_hello) {
         Ok(framing) => {
             peer.framing = framing;
-            peer.decoder.frame(framing);
+            peer.decoder.set_framing(framing);
         }
-        Err(why) => {
-            tracing::info!("session {} does not begin: {why}", caller.session.0);
+        Err(reason) => {
+            tracing::info!("session {} is not established: {reason}", caller.session.0);
             return TerminationReason::Dropped;
         }
     }
-    let mut service = Service { shared, caller: caller.clone(), subscribed: false };
+    let mut handler = RpcHandler { context, caller: caller.clone(), subscribed: false };
     let mut subscription: Option<(Receiver<Arc<Notification>>, Option<Element>)> = None;
-    let mut spoke = Instant::now();
+    let mut last_message_at = Instant::now();
     loop {
-        let idle = limits.idle_within.filter(|_| subscription.is_none()).map(|idle| spoke + idle);
-        let told = async {
+        let idle_timeout = timeouts.idle_timeout.filter(|_| subscription.is_none());
+        let idle_deadline = idle_timeout.map(|idle_timeout| last_message_at + idle_timeout);
+        let notification = async {
             match &mut subscription {
-                Some((told, _)) => told.recv().await,
+                Some((notifications, _)) => notifications.recv().await,
                 None => std::future::pending().await,
             }
         };
-        let timer = async {
-            match idle {
-                Some(at) => sleep_until(at).await,
+        let idle_timer = async {
+            match idle_deadline {
+                Some(deadline) => sleep_until(deadline).await,
                 None => std::future::pending().await,
             }
         };
         let message = tokio::select! {
             biased;
-            () = end.notified() => return TerminationReason::Dropped,
+            () = kill_signal.notified() => return TerminationReason::Dropped,
             message = peer.read() => Some(message),
-            told = told => match told {
-                Ok(told) => {
+            notification = notification => match notification {
+                Ok(notification) => {
                     let filter = subscription.as_ref().and_then(|(_, filter)| filter.as_ref());
-                    if let Some(text) = notified(&service, filter, &told).await {
+                    if let Some(text) = notification_text(&handler, filter, &notification).await {
                         if peer.write(&text).await.is_err() {
                             return TerminationReason::Dropped;
                         }
@@ -206,48 +216,52 @@
                 }
                 Err(RecvError::Closed) => return TerminationReason::Dropped,
             },
-            () = timer => return TerminationReason::TimedOut,
+            () = idle_timer => return TerminationReason::TimedOut,
         };
         let message = match message {
             None => continue,
             Some(Ok(message)) => message,
-            Some(Err(Lost::Unreadable(why))) => {
-                tracing::info!("session {} goes on with what can't be read: {why}", caller.session.0);
+            Some(Err(StreamError::BadFraming(reason))) => {
+                tracing::info!("session {} closed, its framing is invalid: {reason}", caller.session.0);
                 return TerminationReason::Dropped;
             }
             Some(Err(_)) => return TerminationReason::Dropped,
         };
-        spoke = Instant::now();
-        // Asked before the reply goes out, so that what happens right after it is told.
-        let listening = (!service.subscribed).then(|| service.shared.keeper.subscribe());
-        let (reply, then) = service.reply(&message).await;
+        last_message_at = Instant::now();
+        // Subscribes before the reply is sent, so that events right after the reply are notified.
+        let notifications = (!handler.subscribed).then(|| handler.context.datastore_manager.subscribe());
+        let (reply, action) = handler.reply(&message).await;
         if peer.write(&reply).await.is_err() {
             return TerminationReason::Dropped;
         }
-        match then {
-            Then::GoOn => {}
-            Then::Close => {
-                _ = timeout(WRITE_WITHIN, peer.stream.shutdown()).await;
+        match action {
+            SessionAction::Continue => {}
+            SessionAction::Close => {
+                _ = timeout(WRITE_TIMEOUT, peer.stream.shutdown()).await;
                 return TerminationReason::Closed;
             }
-            Then::Subscribe(filter) => {
-                service.subscribed = true;
-                subscription = listening.map(|told| (told, filter));
+            SessionAction::Subscribe(filter) => {
+                handler.subscribed = true;
+                subscription = notifications.map(|notifications| (notifications, filter));
             }
         }
     }
 }
 
-/// The notification's text, if the filter selects it and the user may read what it names.
-async fn notified(service: &Service, filter: Option<&Element>, told: &Notification) -> Option<String> {
-    for path in notify::paths(told) {
-        if !service.may_read(path).await {
+/// The notification as XML, if the filter selects it and the user may read every path that it names.
+async fn notification_text(
+    handler: &RpcHandler,
+    filter: Option<&Element>,
+    notification: &Notification,
+) -> Option<String> {
+    for path in notify::configuration_paths(notification) {
+        if !handler.may_read(path).await {
             return None;
         }
     }
-    let shared = &service.shared;
-    let event = notify::event(shared.keeper.schema(), &shared.prefixes, told);
-    let mut selected = shared.selected(filter, vec![event]);
-    let message = notify::notification(shared.keeper.now(), selected.pop()?);
+    let context = &handler.context;
+    let event = notify::event_element(context.datastore_manager.schema(), &context.prefixes, notification);
+    let mut selected = context.apply_filter(filter, vec![event]);
+    let message = notify::notification_message(context.datastore_manager.now(), selected.pop()?);
     Some(xml::write(&message, false))
 }
--- a/crates/netconf/src/ssh.rs
+++ b/crates/netconf/src/ssh.rs
@@ -1,4 +1,4 @@
-//! NETCONF over SSH, RFC 6242: users by public key alone, one session a connection, the subsystem `netconf`.
+//! NETCONF over SSH (RFC 6242): public key authentication only, one session per connection, in the subsystem `netconf`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,58 +12,60 @@
 use tokio::sync::{watch, OwnedSemaphorePermit};
 use tokio::time::{sleep, timeout};
 
-use crate::places::{known, Places};
-use crate::service::Shared;
-use crate::session::Limits;
+use crate::connection_limits::{serve_authenticated, ConnectionLimits};
+use crate::service::ServerContext;
+use crate::session::SessionTimeouts;
 
-/// Bytes of a session that may be on their way unread.
-const WINDOW: u32 = 256 << 10;
-const TRIES: usize = 4;
-/// Who was answered to the last has so long to go.
-const FAREWELL: Duration = Duration::from_secs(2);
+/// The SSH channel window: bytes of a session that may be in flight.
+const WINDOW_BYTES: u32 = 256 << 10;
+const MAX_AUTH_ATTEMPTS: usize = 4;
+/// Time that the client has to read the last reply and close the connection itself.
+const DISCONNECT_GRACE: Duration = Duration::from_secs(2);
 
-pub fn config(key: PrivateKey, limits: Limits) -> Config {
+/// The configuration of the SSH server. `host_key` is its host key.
+pub fn config(host_key: PrivateKey, timeouts: SessionTimeouts) -> Config {
     Config {
         methods: MethodSet::from(&[MethodKind::PublicKey][..]),
         auth_rejection_time: Duration::from_millis(200),
         auth_rejection_time_initial: Some(Duration::ZERO),
-        keys: vec![key],
-        window_size: WINDOW,
+        keys: vec![host_key],
+        window_size: WINDOW_BYTES,
         channel_buffer_size: 8,
-        max_auth_attempts: TRIES,
-        // Sessions that may be idle for longer are ended by the session itself.
+        max_auth_attempts: MAX_AUTH_ATTEMPTS,
+        // The NETCONF session has its own idle time-out.
         inactivity_timeout: None,
-        keepalive_interval: Some(limits.hello_within.max(Duration::from_secs(15))),
+        keepalive_interval: Some(timeouts.hello_timeout.max(Duration::from_secs(15))),
         nodelay: true,
         ..Config::default()
     }
 }
 
-struct Connection {
+/// Handles the SSH events of one connection.
+struct ConnectionHandler {
     from: SocketAddr,
-    shared: Arc<Shared>,
+    context: Arc<ServerContext>,
     access: watch::Receiver<AccessControl>,
-    limits: Limits,
-    places: Places,
-    /// The stranger's place, until there is a session.
-    place: Option<OwnedSemaphorePermit>,
+    timeouts: SessionTimeouts,
+    limits: ConnectionLimits,
+    /// The permit of the unauthenticated connection, until the session starts.
+    unauthenticated_permit: Option<OwnedSemaphorePermit>,
     user: Option<String>,
     channel: Option<Channel<Msg>>,
-    begun: Arc<tokio::sync::Notify>,
+    session_started: Arc<tokio::sync::Notify>,
 }
 
-impl Handler for Connection {
+impl Handler for ConnectionHandler {
     type Error = russh::Error;
 
     async fn auth_publickey(&mut self, user: &str, key: VerifiedPublicKey<'_>) -> Result<Auth, russh::Error> {
-        let same = |line: &str| {
+        let matches = |line: &str| {
             PublicKey::from_openssh(line).is_ok_and(|known| known.key_data() == key.public_key.key_data())
         };
-        if self.access.borrow().ssh_keys(user).any(same) {
+        if self.access.borrow().ssh_keys(user).any(matches) {
             self.user = Some(user.to_string());
             return Ok(Auth::Accept);
         }
-        tracing::info!("{user:.64?} from {} comes with a key that is not known", self.from);
+        tracing::info!("{user:.64?} from {} presents an unknown public key", self.from);
         Ok(Auth::reject())
     }
 
@@ -73,8 +75,8 @@
         reply: ChannelOpenHandle,
         _: &mut Session,
     ) -> Result<(), russh::Error> {
-        // One session a connection: a second channel is refused as the handle is dropped.
-        if self.channel.is_none() && self.place.is_some() {
+        // One session per connection: a second channel is rejected because the handle is dropped.
+        if self.channel.is_none() && self.unauthenticated_permit.is_some() {
             self.channel = Some(channel);
             reply.accept().await;
         }
@@ -87,79 +89,84 @@
         name: &str,
         session: &mut Session,
     ) -> Result<(), russh::Error> {
-        let open = self.channel.take_if(|channel| name == "netconf" && channel.id() == id);
-        let (Some(channel), Some(user), Some(place)) = (open, self.user.clone(), self.place.take()) else {
+        let requested = self.channel.take_if(|channel| name == "netconf" && channel.id() == id);
+        let (Some(channel), Some(user), Some(unauthenticated_permit)) =
+            (requested, self.user.clone(), self.unauthenticated_permit.take())
+        else {
             return session.channel_failure(id);
         };
         session.channel_success(id)?;
-        self.begun.notify_one();
-        let (shared, limits, places) = (self.shared.clone(), self.limits, self.places.clone());
+        self.session_started.notify_one();
+        let (context, timeouts, limits) = (self.context.clone(), self.timeouts, self.limits.clone());
         let (handle, from) = (session.handle(), format!("ssh {}", self.from));
         tokio::spawn(async move {
             let stream = channel.into_stream();
-            if let Err(why) = known(stream, shared, &user, &from, limits, &places, place).await {
-                tracing::info!("no session for {user} from {from}: {why}");
+            let served =
+                serve_authenticated(stream, context, &user, &from, timeouts, &limits, unauthenticated_permit)
+                    .await;
+            if let Err(reason) = served {
+                tracing::info!("no session for {user} from {from}: {reason}");
             }
             _ = handle.exit_status_request(id, 0).await;
             _ = handle.close(id).await;
-            // A disconnect goes before what is still to be sent, the last reply among it: the client is left time to
-            // take that and to go by itself.
-            sleep(FAREWELL).await;
-            let over = russh::Disconnect::ByApplication;
-            _ = handle.disconnect(over, String::new(), String::new()).await;
+            // A disconnect message overtakes data that is still to be sent, such as the last reply. This gives the
+            // client time to read that data and to disconnect by itself.
+            sleep(DISCONNECT_GRACE).await;
+            let reason = russh::Disconnect::ByApplication;
+            _ = handle.disconnect(reason, String::new(), String::new()).await;
         });
         Ok(())
     }
 }
 
-/// One connection, from its first byte to its end.
-pub async fn connection(
+/// Serves one connection until it ends.
+pub async fn serve_connection(
     socket: TcpStream,
     from: SocketAddr,
     config: Arc<Config>,
-    shared: Arc<Shared>,
-    limits: Limits,
-    places: Places,
-    place: OwnedSemaphorePermit,
+    context: Arc<ServerContext>,
+    timeouts: SessionTimeouts,
+    limits: ConnectionLimits,
+    unauthenticated_permit: OwnedSemaphorePermit,
 ) -> Result<(), String> {
-    let begun = Arc::new(tokio::sync::Notify::new());
-    let handler = Connection {
+    let session_started = Arc::new(tokio::sync::Notify::new());
+    let handler = ConnectionHandler {
         from,
-        access: shared.keeper.access_rules(),
-        shared,
+        access: context.datastore_manager.access_rules(),
+        context,
+        timeouts,
         limits,
-        places,
-        place: Some(place),
+        unauthenticated_permit: Some(unauthenticated_permit),
         user: None,
         channel: None,
-        begun: begun.clone(),
+        session_started: session_started.clone(),
     };
-    let running = timeout(limits.hello_within, run_stream(config, socket, handler)).await;
+    let running = timeout(timeouts.hello_timeout, run_stream(config, socket, handler)).await;
     let mut running = match running {
-        Ok(running) => running.map_err(|why| why.to_string())?,
-        Err(_) => return Err("it does not begin".into()),
+        Ok(running) => running.map_err(|error| error.to_string())?,
+        Err(_) => return Err("SSH version exchange timed out".into()),
     };
     let handle = running.handle();
-    let first = tokio::select! {
+    let early_end = tokio::select! {
         end = &mut running => Some(end),
-        begun = timeout(limits.hello_within, begun.notified()) => {
-            if begun.is_err() {
-                // Guards against connections that never become a session and keep a place.
+        started = timeout(timeouts.hello_timeout, session_started.notified()) => {
+            if started.is_err() {
+                // Frees the permits of connections that never start a session.
                 _ = handle.disconnect(russh::Disconnect::ByApplication, String::new(), String::new()).await;
                 _ = timeout(Duration::from_secs(1), &mut running).await;
-                return Err("it asks for no session in time".into());
+                return Err("no session was requested in time".into());
             }
             None
         }
     };
-    let end = match first {
+    let end = match early_end {
         Some(end) => end,
         None => running.await,
     };
     match end {
         Ok(()) | Err(russh::Error::Disconnect | russh::Error::HUP) => Ok(()),
-        // Common clients just hang up after their last reply.
-        Err(russh::Error::IO(why)) if why.kind() == std::io::ErrorKind::UnexpectedEof => Ok(()),
-        Err(why) => Err(why.to_string()),
+        // Common clients close the socket after the last reply without an SSH disconnect.
+        Err(russh::Error::IO(error)) if error.kind() == std::io::ErrorKind::UnexpectedEof => Ok(()),
+        Err(error) => Err(error.to_string()),
     }
 }
--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -1,4 +1,5 @@
-//! Listeners: NETCONF over SSH (RFC 6242, `russh`) and over TLS with client certificates (RFC 7589, `rustls`).
+//! Listeners for NETCONF over SSH (RFC 6242, with `russh`) and over TLS with client certificates (RFC 7589, with
+//! `rustls`).
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener as StdListener};
@@ -19,183 +20,201 @@
 use tracing::Instrument;
 use x509_parser::extensions::GeneralName;
 
-use crate::places::{known, Places};
-use crate::service::Shared;
-use crate::session::Limits;
+use crate::connection_limits::{serve_authenticated, ConnectionLimits};
+use crate::service::ServerContext;
+use crate::session::SessionTimeouts;
 use crate::ssh;
 
-/// After a fault in accepting, so long until the next try.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next attempt after an error on accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What listens, before anybody is served.
+/// The bound listeners of the server, which do not accept connections yet.
 pub struct Listeners {
     ssh: Option<(StdListener, russh::keys::PrivateKey)>,
     tls: Option<(StdListener, Arc<rustls::ServerConfig>)>,
-    limits: Limits,
-    sessions: usize,
+    timeouts: SessionTimeouts,
+    max_sessions: usize,
 }
 
-fn listen(address: &str) -> Result<StdListener, String> {
-    let failed = |why: std::io::Error| format!("{address} cannot be listened on: {why}");
-    let address: SocketAddr = address.parse().map_err(|_| format!("{address} is no address with a port"))?;
+/// Binds a non-blocking listener.
+fn bind_listener(address: &str) -> Result<StdListener, String> {
+    let failed = |error: std::io::Error| format!("cannot listen on {address}: {error}");
+    let address: SocketAddr =
+        address.parse().map_err(|_| format!("{address} is not an address with a port"))?;
     let listener = StdListener::bind(address).map_err(failed)?;
     listener.set_nonblocking(true).map_err(failed)?;
     Ok(listener)
 }
 
-fn span(view: &View<'_>, name: &str) -> Duration {
+/// A setting in milliseconds.
+fn duration_setting(view: &View<'_>, name: &str) -> Duration {
     Duration::from_secs_f64(view.figure(name).unwrap_or(0.0) / 1000.0)
 }
 
 impl Listeners {
-    /// Listens where the configuration's part `northbound/netconf` says, and nowhere else; `None` where it says
-    /// nothing. `beside`: where the files that it names are. The error is one line.
-    pub fn bind(netconf: View<'_>, beside: &dyn Fn(&str) -> PathBuf) -> Result<Option<Listeners>, String> {
+    /// Binds the listeners that the container `northbound/netconf` of the configuration names; `None` if it names none.
+    /// `resolve` gives the paths of the files that the configuration names. The error is one line.
+    pub fn bind(netconf: View<'_>, resolve: &dyn Fn(&str) -> PathBuf) -> Result<Option<Listeners>, String> {
         let (ssh, tls) = (netconf.inner("ssh"), netconf.inner("tls"));
-        let file = |view: &View<'_>, name: &str| beside(view.text(name).unwrap_or_default());
-        let bound = |view: &View<'_>| listen(view.text("listen").unwrap_or_default());
+        let file = |view: &View<'_>, name: &str| resolve(view.text(name).unwrap_or_default());
+        let bind = |view: &View<'_>| bind_listener(view.text("listen").unwrap_or_default());
         let ssh = match ssh.is_there() {
             true => {
                 let path = file(&ssh, "host-key");
-                let key = russh::keys::load_secret_key(&path, None)
-                    .map_err(|why| format!("the host key {} cannot be read: {why}", path.display()))?;
-                Some((bound(&ssh)?, key))
+                let host_key = russh::keys::load_secret_key(&path, None)
+                    .map_err(|error| format!("the host key {} cannot be read: {error}", path.display()))?;
+                Some((bind(&ssh)?, host_key))
             }
             false => None,
         };
         let tls = match tls.is_there() {
             true => {
-                let config = trusting(
+                let config = tls_server_config(
                     &file(&tls, "certificate"),
                     &file(&tls, "key"),
                     &file(&tls, "client-authorities"),
                 )?;
-                Some((bound(&tls)?, Arc::new(config)))
+                Some((bind(&tls)?, Arc::new(config)))
             }
             false => None,
         };
         if ssh.is_none() && tls.is_none() {
             return Ok(None);
         }
-        let idle = span(&netconf, "idle-within");
-        let limits = Limits {
-            hello_within: span(&netconf, "hello-within"),
-            idle_within: Some(idle).filter(|idle| !idle.is_zero()),
+        let idle_timeout = duration_setting(&netconf, "idle-within");
+        let timeouts = SessionTimeouts {
+            hello_timeout: duration_setting(&netconf, "hello-within"),
+            idle_timeout: Some(idle_timeout).filter(|idle_timeout| !idle_timeout.is_zero()),
         };
-        let sessions = netconf.leaf("sessions").and_then(|most| most.as_u64()).unwrap_or(1) as usize;
-        Ok(Some(Listeners { ssh, tls, limits, sessions }))
+        let max_sessions = netconf.leaf("sessions").and_then(|value| value.as_u64()).unwrap_or(1) as usize;
+        Ok(Some(Listeners { ssh, tls, timeouts, max_sessions }))
     }
 
-    /// Where it listens for SSH and for TLS.
+    /// The addresses of the SSH and the TLS listener.
     pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         let address = |listener: &StdListener| listener.local_addr().ok();
         let ssh = self.ssh.as_ref().and_then(|(listener, _)| address(listener));
         (ssh, self.tls.as_ref().and_then(|(listener, _)| address(listener)))
     }
 
-    /// Serves for good, on the runtime that it is called on.
-    pub async fn serve(self, keeper: DatastoreManager) {
-        let (ssh_at, tls_at) = self.addresses();
-        let access = keeper.access_rules();
-        let shared = Arc::new(Shared::new(keeper));
-        let (limits, places) = (self.limits, Places::new(self.sessions));
+    /// Accepts and serves connections on the current runtime. Does not return while a listener works.
+    pub async fn serve(self, datastore_manager: DatastoreManager) {
+        let (ssh_address, tls_address) = self.addresses();
+        let access = datastore_manager.access_rules();
+        let context = Arc::new(ServerContext::new(datastore_manager));
+        let (timeouts, limits) = (self.timeouts, ConnectionLimits::new(self.max_sessions));
         let over_ssh = async {
-            let Some((listener, key)) = self.ssh else { return };
-            let config = Arc::new(ssh::config(key, limits));
-            tracing::info!("NETCONF over SSH on {}", ssh_at.map(|at| at.to_string()).unwrap_or_default());
-            let each = |socket, from, places: Places, place| {
-                let (config, shared) = (config.clone(), shared.clone());
-                ssh::connection(socket, from, config, shared, limits, places, place)
+            let Some((listener, host_key)) = self.ssh else { return };
+            let config = Arc::new(ssh::config(host_key, timeouts));
+            tracing::info!(
+                "NETCONF over SSH on {}",
+                ssh_address.map(|address| address.to_string()).unwrap_or_default()
+            );
+            let serve = |socket, from, limits: ConnectionLimits, permit| {
+                let (config, context) = (config.clone(), context.clone());
+                ssh::serve_connection(socket, from, config, context, timeouts, limits, permit)
             };
-            accept(listener, &places, each).await;
+            accept_connections(listener, &limits, serve).await;
         };
         let over_tls = async {
             let Some((listener, config)) = self.tls else { return };
-            tracing::info!("NETCONF over TLS on {}", tls_at.map(|at| at.to_string()).unwrap_or_default());
+            tracing::info!(
+                "NETCONF over TLS on {}",
+                tls_address.map(|address| address.to_string()).unwrap_or_default()
+            );
             let acceptor = tokio_rustls::TlsAcceptor::from(config);
-            let each = |socket, from, places: Places, place| {
-                let (acceptor, shared, access) = (acceptor.clone(), shared.clone(), access.clone());
-                tls_connection(socket, from, acceptor, shared, access, limits, places, place)
+            let serve = |socket, from, limits: ConnectionLimits, permit| {
+                let (acceptor, context, access) = (acceptor.clone(), context.clone(), access.clone());
+                serve_tls_connection(socket, from, acceptor, context, access, timeouts, limits, permit)
             };
-            accept(listener, &places, each).await;
+            accept_connections(listener, &limits, serve).await;
         };
         tokio::join!(over_ssh, over_tls);
     }
 }
 
-/// Takes connections for good; one with no place left ends at once. A panic in one ends it alone.
-async fn accept<F>(
+/// Accepts connections in an endless loop and serves each in a task of its own, so that a panic ends only that
+/// connection. A connection above the limit is closed at once.
+async fn accept_connections<F>(
     listener: StdListener,
-    places: &Places,
-    each: impl Fn(TcpStream, SocketAddr, Places, OwnedSemaphorePermit) -> F,
+    limits: &ConnectionLimits,
+    serve: impl Fn(TcpStream, SocketAddr, ConnectionLimits, OwnedSemaphorePermit) -> F,
 ) where
     F: Future<Output = Result<(), String>> + Send + 'static,
 {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(why) => return tracing::error!("nobody can be listened to: {why}"),
+        Err(error) => return tracing::error!("cannot accept NETCONF connections: {error}"),
     };
-    let mut turned_away = 0u64;
+    let mut rejected_connections = 0u64;
     loop {
         let (socket, from) = match listener.accept().await {
-            Ok(taken) => taken,
-            Err(why) => {
-                tracing::error!("no northbound connection can be taken: {why}");
-                sleep(PAUSE).await;
+            Ok(accepted) => accepted,
+            Err(error) => {
+                tracing::error!("cannot accept a northbound connection: {error}");
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let Some(place) = places.stranger() else {
-            turned_away += 1;
-            // A storm of them is one line for the first, the second, the fourth, the eighth ...
-            if turned_away.is_power_of_two() {
-                tracing::warn!("{turned_away} northbound connections found no place, the last from {from}");
+        let Some(permit) = limits.acquire_unauthenticated() else {
+            rejected_connections += 1;
+            // Logs only the first, second, fourth, eighth ... so that many rejections do not flood the log.
+            if rejected_connections.is_power_of_two() {
+                tracing::warn!(
+                    "{rejected_connections} northbound connections rejected, too many unauthenticated, the last from {from}"
+                );
             }
             continue;
         };
         _ = socket.set_nodelay(true);
-        let life = each(socket, from, places.clone(), place);
-        let connection = tracing::info_span!("northbound", %from);
-        let whole = async move {
-            if let Err(why) = life.await {
-                tracing::info!("the northbound connection from {from} ends: {why}");
+        let connection = serve(socket, from, limits.clone(), permit);
+        let span = tracing::info_span!("northbound", %from);
+        let logged_connection = async move {
+            if let Err(reason) = connection.await {
+                tracing::info!("the northbound connection from {from} ends: {reason}");
             }
         };
-        tokio::spawn(whole.instrument(connection));
+        tokio::spawn(logged_connection.instrument(span));
     }
 }
 
-/// A server's side of TLS that takes clients only with a certificate that one of the authorities vouches for.
-fn trusting(certificate: &Path, key: &Path, authorities: &Path) -> Result<rustls::ServerConfig, String> {
-    let unread = |path: &Path, why: String| format!("{} cannot be used: {why}", path.display());
-    let chain = |path: &Path| -> Result<Vec<CertificateDer<'static>>, String> {
+/// The TLS configuration of the server: clients need a certificate that one of the authorities has signed.
+fn tls_server_config(
+    certificate: &Path,
+    key: &Path,
+    authorities: &Path,
+) -> Result<rustls::ServerConfig, String> {
+    let unusable = |path: &Path, reason: String| format!("{} cannot be used: {reason}", path.display());
+    let read_chain = |path: &Path| -> Result<Vec<CertificateDer<'static>>, String> {
         let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
-        let chain: Vec<CertificateDer<'static>> = read.map_err(|why| unread(path, why.to_string()))?;
+        let chain: Vec<CertificateDer<'static>> = read.map_err(|error| unusable(path, error.to_string()))?;
         match chain.is_empty() {
-            true => Err(unread(path, "it holds no certificate".into())),
+            true => Err(unusable(path, "it contains no certificate".into())),
             false => Ok(chain),
         }
     };
     let mut roots = RootCertStore::empty();
-    for authority in chain(authorities)? {
-        roots.add(authority).map_err(|why| unread(authorities, why.to_string()))?;
+    for authority in read_chain(authorities)? {
+        roots.add(authority).map_err(|error| unusable(authorities, error.to_string()))?;
     }
-    let private = PrivateKeyDer::from_pem_file(key).map_err(|why| unread(key, why.to_string()))?;
+    let private_key = PrivateKeyDer::from_pem_file(key).map_err(|error| unusable(key, error.to_string()))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone()).build();
-    let verifier = verifier.map_err(|why| unread(authorities, why.to_string()))?;
+    let verifier = verifier.map_err(|error| unusable(authorities, error.to_string()))?;
     let builder = rustls::ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-    let builder = builder.map_err(|why| why.to_string())?.with_client_cert_verifier(verifier);
-    builder.with_single_cert(chain(certificate)?, private).map_err(|why| unread(certificate, why.to_string()))
+    let builder = builder.map_err(|error| error.to_string())?.with_client_cert_verifier(verifier);
+    builder
+        .with_single_cert(read_chain(certificate)?, private_key)
+        .map_err(|error| unusable(certificate, error.to_string()))
 }
 
-/// The user whom a client's chain of certificates stands for, RFC 7589 section 7. The chain is verified.
-fn user_of(access: &AccessControl, chain: &[CertificateDer<'_>]) -> Result<String, String> {
-    let client = chain.first().ok_or("no certificate came")?;
+/// Maps a client's certificate chain, which was verified before, to a user (RFC 7589 section 7).
+fn map_certificate_to_user(access: &AccessControl, chain: &[CertificateDer<'_>]) -> Result<String, String> {
+    let client = chain.first().ok_or("the client sent no certificate")?;
     let mapped = chain.iter().find_map(|certificate| access.cert_to_name(&fingerprint(certificate)));
-    let unknown = || format!("its certificate {} stands for nobody", fingerprint(client));
-    let parsed = || x509_parser::parse_x509_certificate(client).map_err(|why| why.to_string());
-    let name = match mapped.ok_or_else(unknown)? {
+    let unmapped = || format!("its certificate {} maps to no user", fingerprint(client));
+    let parsed = || x509_parser::parse_x509_certificate(client).map_err(|error| error.to_string());
+    let name = match mapped.ok_or_else(unmapped)? {
         CertToName::Specified(user) => Some(user.clone()),
         CertToName::CommonName => {
             let (_, parsed) = parsed()?;
@@ -204,7 +223,7 @@
         }
         CertToName::DnsName => {
             let (_, parsed) = parsed()?;
-            let names = parsed.subject_alternative_name().map_err(|why| why.to_string())?;
+            let names = parsed.subject_alternative_name().map_err(|error| error.to_string())?;
             let names = names.into_iter().flat_map(|names| &names.value.general_names);
             let mut dns = names.filter_map(|name| match name {
                 GeneralName::DNSName(name) => Some(name.to_string()),
@@ -213,31 +232,33 @@
             dns.next()
         }
     };
-    name.ok_or_else(|| "its certificate holds no name of the kind that is asked for".into())
+    name.ok_or_else(|| "its certificate has no name of the kind that the mapping requires".into())
 }
 
-/// The SHA-256 of a certificate, in lower-case hex.
+/// The SHA-256 fingerprint of a certificate, in lower-case hex.
 pub fn fingerprint(certificate: &CertificateDer<'_>) -> String {
     let digest = ring::digest::digest(&ring::digest::SHA256, certificate);
     digest.as_ref().iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Serves one TLS connection until it ends.
 #[allow(clippy::too_many_arguments)]
-async fn tls_connection(
+async fn serve_tls_connection(
     socket: TcpStream,
     from: SocketAddr,
     acceptor: tokio_rustls::TlsAcceptor,
-    shared: Arc<Shared>,
+    context: Arc<ServerContext>,
     access: watch::Receiver<AccessControl>,
-    limits: Limits,
-    places: Places,
-    place: OwnedSemaphorePermit,
+    timeouts: SessionTimeouts,
+    limits: ConnectionLimits,
+    unauthenticated_permit: OwnedSemaphorePermit,
 ) -> Result<(), String> {
-    let stream = match timeout(limits.hello_within, acceptor.accept(socket)).await {
-        Ok(accepted) => accepted.map_err(|why| why.to_string())?,
-        Err(_) => return Err("its handshake takes too long".into()),
+    let stream = match timeout(timeouts.hello_timeout, acceptor.accept(socket)).await {
+        Ok(accepted) => accepted.map_err(|error| error.to_string())?,
+        Err(_) => return Err("TLS handshake timed out".into()),
     };
     let chain = stream.get_ref().1.peer_certificates().unwrap_or_default();
-    let user = user_of(&access.borrow(), chain)?;
-    known(stream, shared, &user, &format!("tls {from}"), limits, &places, place).await
+    let user = map_certificate_to_user(&access.borrow(), chain)?;
+    let from = format!("tls {from}");
+    serve_authenticated(stream, context, &user, &from, timeouts, &limits, unauthenticated_permit).await
 }
