--- a/crates/client/examples/drain.rs
+++ b/crates/client/examples/drain.rs
@@ -1,4 +1,4 @@
-//! Drains one worker over NETCONF and waits until every proxy holds that:
+//! Drains one worker over NETCONF and waits until every proxy has applied the change:
 //!
 //!     cargo run -p juniperrail-client --example drain -- 127.0.0.1:8300 ann keys/ann keys/host.pub s-two
 
@@ -7,30 +7,32 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let [address, user, key, host, worker] = &args[..] else {
+    let [address, user, key, host_key, worker] = &args[..] else {
         eprintln!("drain ADDRESS USER KEY HOST-KEY WORKER");
         std::process::exit(2);
     };
-    let dial = Endpoint::ssh(address, user, key).with_host_key(host);
-    match drained(&dial, worker).await {
-        Ok(after) => println!("every proxy holds it, {after} ms after the commit"),
-        Err(why) => {
-            eprintln!("{worker} is not drained: {why}");
+    let endpoint = Endpoint::ssh(address, user, key).with_host_key(host_key);
+    match drain(&endpoint, worker).await {
+        Ok(duration_ms) => println!("applied by every proxy {duration_ms} ms after the commit"),
+        Err(error) => {
+            eprintln!("cannot drain {worker}: {error}");
             std::process::exit(1);
         }
     }
 }
 
-async fn drained(dial: &Endpoint, worker: &str) -> Result<String, ClientError> {
-    let mut client = Client::connect(dial).await?;
+async fn drain(endpoint: &Endpoint, worker: &str) -> Result<String, ClientError> {
+    let mut client = Client::connect(endpoint).await?;
     client.subscribe(Some("<change-held xmlns=\"tag:juniperrail.example,2026:yang:state\"/>")).await?;
-    let body = format!("<worker><name>{worker}</name><wanted>draining</wanted></worker>");
+    let worker_config = format!("<worker><name>{worker}</name><wanted>draining</wanted></worker>");
     client
-        .edit(&format!("<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\">{body}</workers>"))
+        .edit(&format!(
+            "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\">{worker_config}</workers>"
+        ))
         .await?;
     client.commit(&Commit::default()).await?;
-    let told = client.next_notification().await?;
-    let event = &told.children[1];
+    let notification = client.next_notification().await?;
+    let event = &notification.children[1];
     client.close().await?;
-    Ok(event.children.last().map(|after| after.text.clone()).unwrap_or_default())
+    Ok(event.children.last().map(|held_after| held_after.text.clone()).unwrap_or_default())
 }
--- a/crates/client/src/dial.rs
+++ b/crates/client/src/dial.rs
@@ -1,4 +1,4 @@
-//! The way to a server: SSH with a user's key, or TLS with a certificate.
+//! Connects to a server: over SSH with a user's key, or over TLS with a client certificate.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -14,39 +14,43 @@
 use crate::failed::{ClientError, ErrorKind, Stage};
 use crate::Stream;
 
-const WITHIN: Duration = Duration::from_secs(20);
+/// Limits the time from the TCP connect to the open transport session.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// The transport and its credentials.
 #[derive(Clone, Debug)]
-enum Way {
-    Ssh { user: String, key: PathBuf, host: Option<PathBuf> },
+enum Transport {
+    Ssh { user: String, key: PathBuf, host_key: Option<PathBuf> },
     Tls { name: String, authorities: PathBuf, certificate: PathBuf, key: PathBuf },
 }
 
-/// Where a server is, and who says so to whom. Nothing is trusted that is not named here.
+/// The address of a server and the credentials of both sides. Only the host key or authorities named here are trusted.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     address: String,
-    way: Way,
+    transport: Transport,
 }
 
+/// The byte stream, and what has to stay alive as long as the stream is used.
 type Connected = (Box<dyn Stream>, Option<Box<dyn std::any::Any + Send>>);
 
 impl Endpoint {
-    /// As a user with a private key in OpenSSH form. The server's key has to be named too.
+    /// An SSH endpoint for a user with a private key in OpenSSH format. It also needs [`Endpoint::with_host_key`].
     pub fn ssh(address: impl Into<String>, user: impl Into<String>, key: impl Into<PathBuf>) -> Endpoint {
-        let way = Way::Ssh { user: user.into(), key: key.into(), host: None };
-        Endpoint { address: address.into(), way }
+        let transport = Transport::Ssh { user: user.into(), key: key.into(), host_key: None };
+        Endpoint { address: address.into(), transport }
     }
 
-    /// The file of the host's public key, one line in OpenSSH form.
-    pub fn with_host_key(mut self, public: impl Into<PathBuf>) -> Endpoint {
-        if let Way::Ssh { host, .. } = &mut self.way {
-            *host = Some(public.into());
+    /// Sets the file with the public host key of the server, one line in OpenSSH format.
+    pub fn with_host_key(mut self, path: impl Into<PathBuf>) -> Endpoint {
+        if let Transport::Ssh { host_key, .. } = &mut self.transport {
+            *host_key = Some(path.into());
         }
         self
     }
 
-    /// With a certificate; the server's has to name `name` and be vouched for by the authorities. All in PEM.
+    /// A TLS endpoint with a client certificate. The server's certificate has to be valid for `name` and signed by one of
+    /// the authorities. All files are in PEM format.
     pub fn tls(
         address: impl Into<String>,
         name: impl Into<String>,
@@ -55,100 +59,123 @@
         key: impl Into<PathBuf>,
     ) -> Endpoint {
         let (name, authorities) = (name.into(), authorities.into());
-        let way = Way::Tls { name, authorities, certificate: certificate.into(), key: key.into() };
-        Endpoint { address: address.into(), way }
+        let transport =
+            Transport::Tls { name, authorities, certificate: certificate.into(), key: key.into() };
+        Endpoint { address: address.into(), transport }
     }
 
+    /// Opens the transport session.
     pub(crate) async fn connect(&self) -> Result<Connected, ClientError> {
-        let dialled = async {
+        let connect = async {
             let socket = TcpStream::connect(&self.address).await;
-            let socket = socket.map_err(|why| lost(format!("{}: {why}", self.address)))?;
+            let socket = socket.map_err(|error| connection_lost(format!("{}: {error}", self.address)))?;
             _ = socket.set_nodelay(true);
-            match &self.way {
-                Way::Ssh { user, key, host } => ssh(socket, user, key, host.as_ref()).await,
-                Way::Tls { name, authorities, certificate, key } => {
-                    tls(socket, name, authorities, certificate, key).await
+            match &self.transport {
+                Transport::Ssh { user, key, host_key } => {
+                    connect_ssh(socket, user, key, host_key.as_ref()).await
+                }
+                Transport::Tls { name, authorities, certificate, key } => {
+                    connect_tls(socket, name, authorities, certificate, key).await
                 }
             }
         };
-        let late = |_| Err(lost(format!("{}: no session within {} s", self.address, WITHIN.as_secs())));
-        timeout(WITHIN, dialled).await.unwrap_or_else(late)
+        let timed_out = |_| {
+            Err(connection_lost(format!(
+                "{}: no session within {} s",
+                self.address,
+                CONNECT_TIMEOUT.as_secs()
+            )))
+        };
+        timeout(CONNECT_TIMEOUT, connect).await.unwrap_or_else(timed_out)
     }
 }
 
-fn lost(what: String) -> ClientError {
-    ClientError::new(Stage::Connecting, ErrorKind::ConnectionLost(what))
+fn connection_lost(message: String) -> ClientError {
+    ClientError::new(Stage::Connecting, ErrorKind::ConnectionLost(message))
 }
 
-fn unusable(what: String) -> ClientError {
-    ClientError::new(Stage::NotStarted, ErrorKind::InvalidInput(what))
+fn invalid_input(message: String) -> ClientError {
+    ClientError::new(Stage::NotStarted, ErrorKind::InvalidInput(message))
 }
 
-struct Host(Option<PublicKey>);
+/// Accepts the server only with the expected host key.
+struct HostKeyVerifier(Option<PublicKey>);
 
-impl Handler for Host {
+impl Handler for HostKeyVerifier {
     type Error = russh::Error;
 
-    async fn check_server_key(&mut self, told: &PublicKeyOrCertificate) -> Result<bool, russh::Error> {
-        let PublicKeyOrCertificate::PublicKey { key, .. } = told else { return Ok(false) };
-        Ok(self.0.as_ref().is_some_and(|known| known.key_data() == key.key_data()))
+    async fn check_server_key(&mut self, offered: &PublicKeyOrCertificate) -> Result<bool, russh::Error> {
+        let PublicKeyOrCertificate::PublicKey { key, .. } = offered else { return Ok(false) };
+        Ok(self.0.as_ref().is_some_and(|expected| expected.key_data() == key.key_data()))
     }
 }
 
-async fn ssh(
+async fn connect_ssh(
     socket: TcpStream,
     user: &str,
     key: &PathBuf,
-    host: Option<&PathBuf>,
+    host_key: Option<&PathBuf>,
 ) -> Result<Connected, ClientError> {
-    let unread = |path: &PathBuf, why: String| unusable(format!("{} cannot be used: {why}", path.display()));
-    let private = load_secret_key(key, None).map_err(|why| unread(key, why.to_string()))?;
-    let host =
-        host.ok_or_else(|| unusable("the server's key is not named, so that it cannot be trusted".into()))?;
-    let line = std::fs::read_to_string(host).map_err(|why| unread(host, why.to_string()))?;
-    let known = PublicKey::from_openssh(line.trim()).map_err(|why| unread(host, why.to_string()))?;
-    let handle = connect_stream(Arc::new(Config::default()), socket, Host(Some(known))).await;
-    let not_trusted = |what: String| ClientError::new(Stage::Connecting, ErrorKind::Authentication(what));
-    let mut handle = handle.map_err(|why| match why {
-        russh::Error::UnknownKey => not_trusted("the server's key is not the one that was named".into()),
-        why => lost(why.to_string()),
+    let unusable_file = |path: &PathBuf, reason: String| {
+        invalid_input(format!("{} cannot be used: {reason}", path.display()))
+    };
+    let private_key = load_secret_key(key, None).map_err(|error| unusable_file(key, error.to_string()))?;
+    let host_key =
+        host_key.ok_or_else(|| invalid_input("no host key is given to verify the server".into()))?;
+    let line =
+        std::fs::read_to_string(host_key).map_err(|error| unusable_file(host_key, error.to_string()))?;
+    let expected_key =
+        PublicKey::from_openssh(line.trim()).map_err(|error| unusable_file(host_key, error.to_string()))?;
+    let handle =
+        connect_stream(Arc::new(Config::default()), socket, HostKeyVerifier(Some(expected_key))).await;
+    let authentication_failed =
+        |message: String| ClientError::new(Stage::Connecting, ErrorKind::Authentication(message));
+    let mut handle = handle.map_err(|error| match error {
+        russh::Error::UnknownKey => authentication_failed("the server has another host key".into()),
+        error => connection_lost(error.to_string()),
     })?;
-    let with = PrivateKeyWithHashAlg::new(Arc::new(private), None);
-    let said = handle.authenticate_publickey(user, with).await.map_err(|why| lost(why.to_string()))?;
-    if !matches!(said, AuthResult::Success) {
-        return Err(not_trusted(format!("the server does not know {user} by this key")));
+    let key = PrivateKeyWithHashAlg::new(Arc::new(private_key), None);
+    let result =
+        handle.authenticate_publickey(user, key).await.map_err(|error| connection_lost(error.to_string()))?;
+    if !matches!(result, AuthResult::Success) {
+        return Err(authentication_failed(format!("the server rejected the key of user {user}")));
     }
-    let channel = handle.channel_open_session().await.map_err(|why| lost(why.to_string()))?;
-    let asked = channel.request_subsystem(true, "netconf").await;
-    asked.map_err(|why| lost(why.to_string()))?;
+    let channel = handle.channel_open_session().await.map_err(|error| connection_lost(error.to_string()))?;
+    let request = channel.request_subsystem(true, "netconf").await;
+    request.map_err(|error| connection_lost(error.to_string()))?;
     Ok((Box::new(channel.into_stream()), Some(Box::new(handle))))
 }
 
-async fn tls(
+async fn connect_tls(
     socket: TcpStream,
     name: &str,
     authorities: &PathBuf,
     certificate: &PathBuf,
     key: &PathBuf,
 ) -> Result<Connected, ClientError> {
-    let unread = |path: &PathBuf, why: String| unusable(format!("{} cannot be used: {why}", path.display()));
-    let chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, ClientError> {
+    let unusable_file = |path: &PathBuf, reason: String| {
+        invalid_input(format!("{} cannot be used: {reason}", path.display()))
+    };
+    let read_chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, ClientError> {
         let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
-        read.map_err(|why| unread(path, why.to_string()))
+        read.map_err(|error| unusable_file(path, error.to_string()))
     };
     let mut roots = rustls::RootCertStore::empty();
-    for authority in chain(authorities)? {
-        roots.add(authority).map_err(|why| unread(authorities, why.to_string()))?;
+    for authority in read_chain(authorities)? {
+        roots.add(authority).map_err(|error| unusable_file(authorities, error.to_string()))?;
     }
-    let private = PrivateKeyDer::from_pem_file(key).map_err(|why| unread(key, why.to_string()))?;
+    let private_key =
+        PrivateKeyDer::from_pem_file(key).map_err(|error| unusable_file(key, error.to_string()))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = rustls::ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
-    let builder = builder.map_err(|why| unusable(why.to_string()))?.with_root_certificates(roots);
-    let config = builder.with_client_auth_cert(chain(certificate)?, private);
-    let config = config.map_err(|why| unread(certificate, why.to_string()))?;
-    let named = ServerName::try_from(name.to_string()).map_err(|why| unusable(format!("{name}: {why}")))?;
-    let stream = tokio_rustls::TlsConnector::from(Arc::new(config)).connect(named, socket).await;
-    let not_trusted =
-        |why: std::io::Error| ClientError::new(Stage::Connecting, ErrorKind::Authentication(why.to_string()));
-    Ok((Box::new(stream.map_err(not_trusted)?), None))
+    let builder = builder.map_err(|error| invalid_input(error.to_string()))?.with_root_certificates(roots);
+    let config = builder.with_client_auth_cert(read_chain(certificate)?, private_key);
+    let config = config.map_err(|error| unusable_file(certificate, error.to_string()))?;
+    let server_name =
+        ServerName::try_from(name.to_string()).map_err(|error| invalid_input(format!("{name}: {error}")))?;
+    let stream = tokio_rustls::TlsConnector::from(Arc::new(config)).connect(server_name, socket).await;
+    let authentication_failed = |error: std::io::Error| {
+        ClientError::new(Stage::Connecting, ErrorKind::Authentication(error.to_string()))
+    };
+    Ok((Box::new(stream.map_err(authentication_failed)?), None))
 }
--- a/crates/client/src/failed.rs
+++ b/crates/client/src/failed.rs
@@ -1,23 +1,25 @@
-//! Why an operation failed, and how far it had come.
+//! Errors of the client: what went wrong, and at which stage.
 
 use std::fmt;
 
 use juniperrail_model::xml::{Element, NETCONF};
 
+/// How far an operation got before it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Nothing was begun: what was given cannot be used.
+    /// Nothing was done, because the input is invalid.
     NotStarted,
-    /// Nothing was sent.
+    /// Connecting to the server. No operation was sent.
     Connecting,
-    /// The server may have acted on it; no answer came.
+    /// Sending the request. The server may have executed it.
     Sent,
+    /// Waiting for a message or decoding it. The server may have executed the request.
     Receiving,
-    /// The server answered: it did nothing of what was asked.
+    /// The server replied with errors and did not execute the operation.
     Replied,
 }
 
-/// One `rpc-error`, RFC 6241 section 4.3.
+/// One `rpc-error` of a reply, RFC 6241 section 4.3.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RpcError {
     pub tag: String,
@@ -26,17 +28,22 @@
     pub message: String,
 }
 
+/// What went wrong.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ErrorKind {
-    /// A file or an address that cannot be used.
+    /// A file, name or text from the caller cannot be used.
     InvalidInput(String),
-    /// The server is not whom it should be, or does not know who asks.
+    /// One side could not authenticate the other.
     Authentication(String),
+    /// The connection could not be established, or it ended.
     ConnectionLost(String),
+    /// A message or an XML text is malformed.
     MalformedMessage(String),
+    /// The `rpc-error`s of the reply.
     RpcErrors(Vec<RpcError>),
 }
 
+/// An error of the client library.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientError {
     pub stage: Stage,
@@ -44,15 +51,16 @@
 }
 
 impl ClientError {
+    /// An error of this kind at this stage.
     pub fn new(stage: Stage, kind: ErrorKind) -> ClientError {
         ClientError { stage, kind }
     }
 
-    /// The reply itself, unless it holds errors.
-    pub(crate) fn refused(reply: Element) -> Result<Element, ClientError> {
-        let errors = reply.children.iter().filter(|child| child.is(NETCONF, "rpc-error"));
-        let refusal = |error: &Element| {
-            let text = |name: &str| error.get(NETCONF, name).map(|of| of.word().to_string());
+    /// Returns the reply, or an error if it contains `rpc-error` elements.
+    pub(crate) fn check_reply(reply: Element) -> Result<Element, ClientError> {
+        let error_elements = reply.children.iter().filter(|child| child.is(NETCONF, "rpc-error"));
+        let to_rpc_error = |error: &Element| {
+            let text = |name: &str| error.get(NETCONF, name).map(|element| element.word().to_string());
             RpcError {
                 tag: text("error-tag").unwrap_or_default(),
                 app_tag: text("error-app-tag"),
@@ -60,17 +68,17 @@
                 message: text("error-message").unwrap_or_default(),
             }
         };
-        let refusals: Vec<RpcError> = errors.map(refusal).collect();
-        match refusals.is_empty() {
+        let rpc_errors: Vec<RpcError> = error_elements.map(to_rpc_error).collect();
+        match rpc_errors.is_empty() {
             true => Ok(reply),
-            false => Err(ClientError::new(Stage::Replied, ErrorKind::RpcErrors(refusals))),
+            false => Err(ClientError::new(Stage::Replied, ErrorKind::RpcErrors(rpc_errors))),
         }
     }
 
-    /// What the server refused it for; empty where it was not refused.
+    /// The `rpc-error`s of the reply; empty for errors of other kinds.
     pub fn rpc_errors(&self) -> &[RpcError] {
         match &self.kind {
-            ErrorKind::RpcErrors(refusals) => refusals,
+            ErrorKind::RpcErrors(rpc_errors) => rpc_errors,
             _ => &[],
         }
     }
@@ -79,18 +87,20 @@
 impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.kind {
-            ErrorKind::InvalidInput(what) | ErrorKind::Authentication(what) => f.write_str(what),
-            ErrorKind::ConnectionLost(what) | ErrorKind::MalformedMessage(what) => match self.stage {
-                Stage::NotStarted | Stage::Replied => f.write_str(what),
-                Stage::Connecting => write!(f, "{what} (while dialling)"),
-                Stage::Sent => write!(f, "{what} (once sent)"),
-                Stage::Receiving => write!(f, "{what} (while reading)"),
+            ErrorKind::InvalidInput(message) | ErrorKind::Authentication(message) => f.write_str(message),
+            ErrorKind::ConnectionLost(message) | ErrorKind::MalformedMessage(message) => match self.stage {
+                Stage::NotStarted | Stage::Replied => f.write_str(message),
+                Stage::Connecting => write!(f, "{message} (while connecting)"),
+                Stage::Sent => write!(f, "{message} (while sending)"),
+                Stage::Receiving => write!(f, "{message} (while receiving)"),
             },
-            ErrorKind::RpcErrors(refusals) => refusals.iter().enumerate().try_for_each(|(place, refusal)| {
-                let apart = if place > 0 { "; " } else { "refused: " };
-                write!(f, "{apart}{}", refusal.message)?;
-                refusal.path.iter().try_for_each(|path| write!(f, " ({path})"))
-            }),
+            ErrorKind::RpcErrors(rpc_errors) => {
+                rpc_errors.iter().enumerate().try_for_each(|(index, rpc_error)| {
+                    let separator = if index > 0 { "; " } else { "refused: " };
+                    write!(f, "{separator}{}", rpc_error.message)?;
+                    rpc_error.path.iter().try_for_each(|path| write!(f, " ({path})"))
+                })
+            }
         }
     }
 }
