--- a/crates/client/src/dial.rs
+++ b/crates/client/src/endpoint.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::failed::{ClientError, ErrorKind, Stage};
+use crate::error::{ClientError, ErrorKind, Stage};
 use crate::Stream;
 
 /// Limits the time from the TCP connect to the open transport session.
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -14,8 +14,8 @@
 //! # }
 //! ```
 
-mod dial;
-mod failed;
+mod endpoint;
+mod error;
 
 use std::collections::VecDeque;
 
@@ -23,8 +23,8 @@
 use juniperrail_model::xml::{self, Attr, Element, NETCONF};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-pub use dial::Endpoint;
-pub use failed::{ClientError, ErrorKind, RpcError, Stage};
+pub use endpoint::Endpoint;
+pub use error::{ClientError, ErrorKind, RpcError, Stage};
 
 /// The base capability of RFC 4741.
 const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -75,15 +75,15 @@
     found.then_some(selected)
 }
 
-/// The union of two parts of one element, with the children in the order of `whole`.
-fn merge(a: Element, b: Element, whole: &Element) -> Element {
-    if a == *whole || b == *whole {
-        return whole.clone();
+/// The union of two parts of one element, with the children in the order of `original`.
+fn merge(a: Element, b: Element, original: &Element) -> Element {
+    if a == *original || b == *original {
+        return original.clone();
     }
     let mut children = Vec::new();
     let (mut a_children, mut b_children) =
         (a.children.into_iter().peekable(), b.children.into_iter().peekable());
-    for child in &whole.children {
+    for child in &original.children {
         let is_child = |part: &Element| {
             part.name == child.name
                 && part.ns == child.ns
@@ -97,17 +97,17 @@
             (one, other) => one.or(other),
         });
     }
-    Element { children, ..whole.clone() }
+    Element { children, ..original.clone() }
 }
 
-/// Whether `part` was selected from `whole`: a leaf has the same text, and the leaves of a container or list entry are
-/// among those of `whole`.
-fn is_part_of(part: &Element, whole: &Element) -> bool {
-    if whole.children.is_empty() {
-        return part.text == whole.text;
+/// Whether `part` was selected from `original`: a leaf has the same text, and the leaves of a container or list entry are
+/// among those of `original`.
+fn is_part_of(part: &Element, original: &Element) -> bool {
+    if original.children.is_empty() {
+        return part.text == original.text;
     }
     let leaves = part.children.iter().filter(|child| child.children.is_empty());
-    leaves.into_iter().all(|leaf| whole.children.contains(leaf))
+    leaves.into_iter().all(|leaf| original.children.contains(leaf))
 }
 
 #[cfg(test)]
--- a/crates/netconf/src/notify.rs
+++ b/crates/netconf/src/notification.rs
@@ -7,7 +7,7 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-use crate::names::{BASE_NOTIFICATIONS, NOTIFICATION};
+use crate::capabilities::{BASE_NOTIFICATIONS, NOTIFICATION};
 
 /// Edits that one `netconf-config-change` lists; further ones are only counted in the log.
 const MAX_EDITS: usize = 256;
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -9,9 +9,9 @@
 use juniperrail_model::{Data, Kind as NodeKind, Path, Schema};
 use juniperrail_northbound::{Caller, DatastoreManager, Source, TestOption};
 
+use crate::capabilities::{self, DEFAULTS, LIBRARY, MONITORING, NMDA, NOTIFICATION};
 use crate::error::{from_datastore_error, ErrorType, RpcError};
 use crate::filter;
-use crate::names::{self, DEFAULTS, LIBRARY, MONITORING, NMDA, NOTIFICATION};
 
 /// State that all sessions of the server share.
 pub struct ServerContext {
@@ -38,7 +38,7 @@
         for (list, key) in [("session", "session-id"), ("datastore", "name"), ("schema", "identifier")] {
             keys.insert((MONITORING.into(), list.into()), vec![key.into()]);
         }
-        let capabilities = names::capabilities(&schema);
+        let capabilities = capabilities::capabilities(&schema);
         let prefixes =
             schema.modules.iter().map(|module| (module.prefix.clone(), module.namespace.clone())).collect();
         ServerContext { datastore_manager, capabilities, prefixes, keys }
@@ -412,7 +412,7 @@
             .with(set)
             .with(element("schema").with(leaf("name", "all")).with(leaf("module-set", "all")))
             .with_all(datastores)
-            .with(leaf("content-id", &names::content_id(schema)))
+            .with(leaf("content-id", &capabilities::content_id(schema)))
     }
 
     async fn get_config(&self, operation: &Element) -> OperationResult {
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use crate::names::{BASE_1_0, BASE_1_1};
-use crate::notify;
+use crate::capabilities::{BASE_1_0, BASE_1_1};
+use crate::notification;
 use crate::service::{RpcHandler, ServerContext, SessionAction};
 
 /// Size of the buffer for reads from the stream.
@@ -254,14 +254,15 @@
     filter: Option<&Element>,
     notification: &Notification,
 ) -> Option<String> {
-    for path in notify::configuration_paths(notification) {
+    for path in notification::configuration_paths(notification) {
         if !handler.may_read(path).await {
             return None;
         }
     }
     let context = &handler.context;
-    let event = notify::event_element(context.datastore_manager.schema(), &context.prefixes, notification);
+    let event =
+        notification::event_element(context.datastore_manager.schema(), &context.prefixes, notification);
     let mut selected = context.apply_filter(filter, vec![event]);
-    let message = notify::notification_message(context.datastore_manager.now(), selected.pop()?);
+    let message = notification::notification_message(context.datastore_manager.now(), selected.pop()?);
     Some(xml::write(&message, false))
 }
