--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -192,7 +192,7 @@
     assert!(weights.windows(2).all(|pair| pair[0] <= pair[1]));
     assert_eq!(weights[20], 1.0);
     weights.dedup();
-    assert!(weights.len() <= 5, "limited steps: {weights:?}");
+    assert!(weights.len() <= 5, "few steps: {weights:?}");
 }
 
 #[test]
