--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -6,7 +6,7 @@
 use juniperrail_fleet::Parts;
 use juniperrail_intent::{check_change, AdmissionContext, ComposedWorker, Intent, Refusal};
 use juniperrail_interface::{Event, ZoneId};
-use juniperrail_north::{PlannerRequest, Verdict};
+use juniperrail_northbound::{PlannerRequest, Verdict};
 
 use super::Decider;
 
@@ -76,8 +76,8 @@
 
     /// An intent that was judged, or that the file had at the start, holds from this turn on.
     pub(super) fn apply_intent(&mut self, intent: Intent) {
-        let figures = intent.figures(&self.start, &self.operations);
-        if figures != self.intent.figures(&self.start, &self.operations) {
+        let figures = intent.runtime_settings(&self.start, &self.operations);
+        if figures != self.intent.runtime_settings(&self.start, &self.operations) {
             self.events.push(Event::SettingsChanged(figures));
         }
         if let Some(event) = self.roster.apply_intent(&intent, &mut self.names) {
