--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -44,9 +44,9 @@
 const PROGRESS_CHECK_EVERY: Ms = 5.0;
 
 /// The ways to and from the north, where there is one.
-pub struct North {
+pub struct NorthboundChannels {
     /// Requests that are answered in the turn in which they are taken.
-    pub asks: mpsc::Receiver<PlannerRequest>,
+    pub requests: mpsc::Receiver<PlannerRequest>,
     /// What is told without being asked for.
     pub notices: mpsc::Sender<Notice>,
 }
@@ -82,7 +82,7 @@
     probes: Probes,
     inbound: mpsc::WeakSender<Inbound>,
     resync: Rc<Notify>,
-    north: Option<North>,
+    north: Option<NorthboundChannels>,
     /// Who may come from where, for whoever takes connections.
     zones: Rc<Zones>,
     /// What is decided in common, and what is told of it.
@@ -96,7 +96,7 @@
         probes: Probes,
         inbound: &mpsc::Sender<Inbound>,
         resync: Rc<Notify>,
-        north: Option<North>,
+        north: Option<NorthboundChannels>,
         zones: Rc<Zones>,
     ) -> Self {
         let (clock, start, names) = (Clock::start(), launch.fixed.start, launch.names);
@@ -112,7 +112,7 @@
             clock,
             tick: launch.fixed.tick,
             plane: Plane::default(),
-            presence: Presence::new(launch.patience),
+            presence: Presence::new(launch.silence_timeouts),
             roster: Roster::default(),
             progress: ChangeTracker::default(),
             progress_checked_at: 0.0,
@@ -143,7 +143,7 @@
     }
 
     /// What is decided in common with other managers is part of the state from now on.
-    pub fn in_common(self, fleet: Option<Common>) -> Self {
+    pub fn with_fleet(self, fleet: Option<Common>) -> Self {
         Decider { fleet: fleet.map(|common| (common, EvidenceCollector::default())), ..self }
     }
 
@@ -235,9 +235,9 @@
 }
 
 /// The north's next ask; never where there is no north, or none any more.
-async fn next_ask(north: &mut Option<North>) -> PlannerRequest {
+async fn next_ask(north: &mut Option<NorthboundChannels>) -> PlannerRequest {
     let Some(known) = north else { return std::future::pending().await };
-    match known.asks.recv().await {
+    match known.requests.recv().await {
         Some(ask) => ask,
         None => {
             *north = None;
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 
 use crate::listing::Listing;
-use crate::presence::Patience;
+use crate::presence::SilenceTimeouts;
 use crate::scope_filter::ScopeFilter;
 use crate::subscription::Subscription;
 
@@ -29,7 +29,7 @@
     /// As the settings name them; the list may bring others.
     pub(crate) zones: Vec<String>,
     /// A stream that owes an answer and says nothing for longer is taken for lost.
-    pub(crate) patience: Patience,
+    pub(crate) silence_timeouts: SilenceTimeouts,
     /// What the operator's file says, if it says anything.
     pub(crate) operator: Option<Operator>,
     /// Which part of the list is needed, and from whom it is taken.
@@ -164,9 +164,9 @@
             seed: u64::from_str_radix(&file.seed, 16).map_err(|_| format!("no seed: {:?}", file.seed))?,
             known: file.known,
             // An answer was due since, and if the proxy is slow a report at least.
-            patience: Patience {
-                answer: fixed.start.report_period + fixed.start.max_transit,
-                queue: fixed.start.max_pending_lines * 1000.0 / fixed.start.channel_rate.max(1.0),
+            silence_timeouts: SilenceTimeouts {
+                answer_timeout: fixed.start.report_period + fixed.start.max_transit,
+                queue_drain_time: fixed.start.max_pending_lines * 1000.0 / fixed.start.channel_rate.max(1.0),
             },
             fixed,
             names,
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -148,7 +148,7 @@
         // Ends the north's thread as this is dropped.
         let (north, _north) = north.map(north::Northbound::start).unzip();
         let decider = decider::Decider::new(launch, probes, &inbound, resync.clone(), north, zones)
-            .in_common(fleet.as_ref().map(|fleet| fleet.common()));
+            .with_fleet(fleet.as_ref().map(|fleet| fleet.common()));
         drop(inbound);
         tracing::info!("{} serves on {address}", fixed.name);
         tracing::debug!("of {} descriptors beside {proxies} proxies: {budget:?}", fixed.sockets);
--- a/crates/manager/src/north.rs
+++ b/crates/manager/src/north.rs
@@ -10,7 +10,7 @@
 use juniperrail_northbound::{DatastoreManager, NOTICE_QUEUE_CAPACITY, REQUEST_QUEUE_CAPACITY};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::decider::North;
+use crate::decider::NorthboundChannels;
 use crate::launch::Launch;
 
 /// How much this thread gives way to the one that decides where they share a core.
@@ -45,7 +45,7 @@
     }
 
     /// Serves on a thread of its own until the second value is dropped. A panic there ends the north alone.
-    pub fn start(self) -> (North, oneshot::Sender<()>) {
+    pub fn start(self) -> (NorthboundChannels, oneshot::Sender<()>) {
         let Northbound { listeners, keeper, asks } = self;
         let (notices, noticed) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
         let (stop, stopped) = oneshot::channel::<()>();
@@ -68,6 +68,6 @@
         if let Err(why) = thread::Builder::new().name("north".into()).spawn(serve) {
             tracing::error!("nobody is served from the north: {why}");
         }
-        (North { asks, notices }, stop)
+        (NorthboundChannels { requests: asks, notices }, stop)
     }
 }
--- a/crates/manager/src/presence.rs
+++ b/crates/manager/src/presence.rs
@@ -78,16 +78,16 @@
 
 /// How long silence is borne.
 #[derive(Clone, Copy)]
-pub struct Patience {
+pub struct SilenceTimeouts {
     /// For an answer, once what it answers has left the channel.
-    pub answer: Ms,
+    pub answer_timeout: Ms,
     /// For a channel as full as it may be to empty at its usual pace.
-    pub queue: Ms,
+    pub queue_drain_time: Ms,
 }
 
 pub struct Presence {
     pub streams: BTreeMap<ProxyId, Stream>,
-    patience: Patience,
+    silence_timeouts: SilenceTimeouts,
     turn: u64,
     /// The newest turn of which a mark was answered, and when any last was.
     proven: u64,
@@ -95,8 +95,14 @@
 }
 
 impl Presence {
-    pub fn new(patience: Patience) -> Presence {
-        Presence { streams: BTreeMap::new(), patience, turn: 0, proven: 0, answered: f64::NEG_INFINITY }
+    pub fn new(silence_timeouts: SilenceTimeouts) -> Presence {
+        Presence {
+            streams: BTreeMap::new(),
+            silence_timeouts,
+            turn: 0,
+            proven: 0,
+            answered: f64::NEG_INFINITY,
+        }
     }
 
     /// Those that are told to the decisions as joined.
@@ -138,15 +144,15 @@
     /// another, so a mark is out once a later one was answered by anybody. Where nobody answers any more, the
     /// whole queue is waited for.
     fn silent_at(&self, stream: &Stream) -> Option<Ms> {
-        let Patience { answer, queue } = self.patience;
+        let SilenceTimeouts { answer_timeout, queue_drain_time } = self.silence_timeouts;
         let since = stream.silent.or_else(|| {
             let since = stream.due.or_else(|| {
                 let owed = stream.owed.front()?;
-                Some(owed.sent.max(self.answered) + queue)
+                Some(owed.sent.max(self.answered) + queue_drain_time)
             })?;
             Some(since.max(stream.spoke))
         })?;
-        Some(since + answer)
+        Some(since + answer_timeout)
     }
 
     pub fn next(&self) -> Option<Ms> {
--- a/crates/manager/src/presence/tests.rs
+++ b/crates/manager/src/presence/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-const PATIENCE: Patience = Patience { answer: 3000.0, queue: 12_000.0 };
+const TIMEOUTS: SilenceTimeouts = SilenceTimeouts { answer_timeout: 3000.0, queue_drain_time: 12_000.0 };
 
 /// Three proxies that were each sent the mark of an own turn, in this order, at once.
 fn started() -> (Presence, Vec<impl Sized>) {
-    let mut presence = Presence::new(PATIENCE);
+    let mut presence = Presence::new(TIMEOUTS);
     let mut ends = Vec::new();
     for proxy in 0..3 {
         let (orders, told, end) = Outbox::new(8);
