--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -24,10 +24,10 @@
 use crate::fleet::EvidenceCollector;
 use crate::inbound::Inbound;
 use crate::launch::Launch;
-use crate::limiter::Zones;
+use crate::limiter::KnownZones;
 use crate::plane::Plane;
 use crate::presence::Presence;
-use crate::probes::{Found, Probes};
+use crate::probes::{ProbeResult, ProbeService};
 use crate::roster::Roster;
 use crate::tally::Tally;
 
@@ -79,12 +79,12 @@
     failed: (u32, Ms),
     /// Who leaves and since when that was told, for as long as it may be owed.
     leaving: BTreeMap<WorkerId, Ms>,
-    probes: Probes,
+    probes: ProbeService,
     inbound: mpsc::WeakSender<Inbound>,
     resync: Rc<Notify>,
     north: Option<North>,
     /// Who may come from where, for whoever takes connections.
-    zones: Rc<Zones>,
+    zones: Rc<KnownZones>,
     /// What is decided in common, and what is told of it.
     fleet: Option<(Common, EvidenceCollector)>,
 }
@@ -93,11 +93,11 @@
     /// Decides on the list as last held, and on what the operator's file wants, before anything comes in.
     pub fn new(
         launch: Launch,
-        probes: Probes,
+        probes: ProbeService,
         inbound: &mpsc::Sender<Inbound>,
         resync: Rc<Notify>,
         north: Option<North>,
-        zones: Rc<Zones>,
+        zones: Rc<KnownZones>,
     ) -> Self {
         let (clock, start, names) = (Clock::start(), launch.fixed.start, launch.names);
         let operation = |op| names.ops.name(op as u32).to_string();
@@ -197,13 +197,13 @@
                 let event = self.roster.apply_list(&listing, kind, &mut self.names);
                 self.apply_list(event);
             }
-            Inbound::Joined { stream, hello, orders } => self.join(stream, hello, orders),
+            Inbound::Joined { stream, hello, outbox } => self.join(stream, hello, outbox),
             Inbound::Ended(stream, why) => {
                 why.into_iter().for_each(|why| self.tally.broke.add(why));
                 let left = self.presence.proxy_of(stream);
                 left.into_iter().for_each(|proxy| self.leave(proxy));
             }
-            Inbound::Said(from, report) => match self.report(from, report) {
+            Inbound::Reported(from, report) => match self.report(from, report) {
                 Ok(event) => self.events.push(event),
                 Err(why) => {
                     tracing::debug!("passed over: {why}");
@@ -211,8 +211,8 @@
                 }
             },
             Inbound::Rejected(why) => self.tally.away.add(why),
-            Inbound::Probed(worker, Found { ending, took, load }) => {
-                self.events.push(Event::Probed { worker, outcome: ending, took, load });
+            Inbound::Probed(worker, ProbeResult { outcome, latency, load }) => {
+                self.events.push(Event::Probed { worker, outcome, took: latency, load });
             }
         }
     }
@@ -227,7 +227,7 @@
                     Phase::Ready => _ = self.leaving.remove(&listed.worker),
                     Phase::Draining | Phase::Gone => _ = self.leaving.entry(listed.worker).or_insert(now),
                 }
-                self.zones.name(self.names.zones.name(listed.zone.0.into()));
+                self.zones.add(self.names.zones.name(listed.zone.0.into()));
             }
         }
         self.events.push(event);
--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -90,7 +90,7 @@
         }
         let foreign = |proxy| from.is_some_and(|(_, own)| own != proxy);
         match report? {
-            Report::Outcomes { zone, worker, tries, bad, mean, over, load } => {
+            Report::Outcomes { zone, worker, tries, failed, mean_latency, interval, load } => {
                 let known = self.names.workers.find_id(&worker).map(WorkerId);
                 let worker = known.ok_or_else(|| format!("no list named the worker {worker:?}"))?;
                 let known = self.names.zones.find_id(&zone).map(|id| ZoneId(id as u16));
@@ -98,33 +98,29 @@
                 let zone = known.ok_or_else(|| format!("unknown zone {zone:?}"))?;
                 if let (Some((_, evidence)), Some(listed)) = (&mut self.fleet, self.roster.worker(worker)) {
                     let to = self.names.zones.name(listed.zone.0.into());
-                    evidence.record(zone_name, to, tries, bad, mean, load.utilization);
+                    evidence.record(zone_name, to, tries, failed, mean_latency, load.utilization);
                 }
-                Ok(Event::WorkerSums {
-                    zone,
-                    worker,
-                    tries,
-                    failed: bad,
-                    mean_latency: mean,
-                    period: over,
-                    load,
-                })
+                Ok(Event::WorkerSums { zone, worker, tries, failed, mean_latency, period: interval, load })
             }
-            Report::Demand { proxy, op, invs, unanswered, over } => {
+            Report::Demand { proxy, op, invocations, unanswered, interval } => {
                 let proxy = ProxyId(proxy);
                 if foreign(proxy) {
                     return Err(format!("a report of proxy {} on another's stream", proxy.0));
                 }
                 let op = self.names.op(&op).ok_or_else(|| format!("unknown operation {op:?}"))?;
-                Ok(Event::ProxySums { proxy, op, invocations: invs, unanswered, period: over })
+                Ok(Event::ProxySums { proxy, op, invocations, unanswered, period: interval })
             }
-            Report::Ack { proxy, mark, took } => {
+            Report::Ack { proxy, mark, latency } => {
                 let (proxy, mark) = (ProxyId(proxy), MarkId(mark));
                 if from.is_none() || foreign(proxy) {
                     return Err(format!("an answer of proxy {} on another's stream", proxy.0));
                 }
                 self.presence.answered(self.clock.now(), proxy, mark)?;
-                Ok(Event::MarkAcknowledged { mark: MarkId(mark.0.wrapping_sub(self.marks.0)), took, proxy })
+                Ok(Event::MarkAcknowledged {
+                    mark: MarkId(mark.0.wrapping_sub(self.marks.0)),
+                    took: latency,
+                    proxy,
+                })
             }
         }
     }
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -20,7 +20,7 @@
     fn new() -> TestCluster {
         let launch = Launch::new(CONFIG, |_| None).unwrap();
         let (inbound, _) = mpsc::channel(1);
-        let probes = crate::probes::probes(Duration::ZERO, Duration::ZERO, 1);
+        let probes = crate::probes::probe_service(Duration::ZERO, Duration::ZERO, 1);
         TestCluster(Decider::new(launch, probes, &inbound, Rc::default(), None, Rc::default()), Vec::new())
     }
 
@@ -30,7 +30,7 @@
         let stream = StreamId(self.1.len() as u64);
         self.1.push(told);
         let hello = Hello { proxy: 2, zone: "a".into(), inv_per_second: 5.0, fresh };
-        self.0.receive(Inbound::Joined { stream, hello, orders });
+        self.0.receive(Inbound::Joined { stream, hello, outbox: orders });
         stream
     }
 
@@ -54,8 +54,8 @@
     }
 
     fn ack(&mut self, from: StreamId, mark: u16) {
-        let report = Report::Ack { proxy: 2, mark, took: 1.0 };
-        self.0.receive(Inbound::Said(Some((from, ProxyId(2))), Ok(report)));
+        let report = Report::Ack { proxy: 2, mark, latency: 1.0 };
+        self.0.receive(Inbound::Reported(Some((from, ProxyId(2))), Ok(report)));
     }
 }
 
@@ -170,15 +170,23 @@
     let silent_at = cluster.silent_at();
     cluster.0.check_silences(silent_at);
     cluster.turn();
-    cluster.0.receive(Inbound::Said(Some((stream, ProxyId(2))), Err("latency is missing".into())));
+    cluster.0.receive(Inbound::Reported(Some((stream, ProxyId(2))), Err("latency is missing".into())));
     let heard = cluster.turn();
     assert!(matches!(heard[..], [Event::Joined { fresh: false, .. }]), "{heard:?}");
     let (zone, worker) = ("b".into(), "s-1".into());
-    let spoilt =
-        Report::Outcomes { zone, worker, tries: 1.0, bad: 1.0, mean: 0.0, over: 1.0, load: <_>::default() };
-    cluster.0.receive(Inbound::Said(None, Ok(spoilt)));
-    let demand = Report::Demand { proxy: 2, op: "s-zz".into(), invs: 4.0, unanswered: 0.0, over: 2.0 };
-    cluster.0.receive(Inbound::Said(None, Ok(demand)));
+    let spoilt = Report::Outcomes {
+        zone,
+        worker,
+        tries: 1.0,
+        failed: 1.0,
+        mean_latency: 0.0,
+        interval: 1.0,
+        load: <_>::default(),
+    };
+    cluster.0.receive(Inbound::Reported(None, Ok(spoilt)));
+    let demand =
+        Report::Demand { proxy: 2, op: "s-zz".into(), invocations: 4.0, unanswered: 0.0, interval: 2.0 };
+    cluster.0.receive(Inbound::Reported(None, Ok(demand)));
     assert!(cluster.0.events.is_empty());
     let names = &cluster.0.names;
     assert_eq!([&names.zones, &names.workers, &names.ops].map(|named| named.count()), [1, 1, 1]);
@@ -194,8 +202,8 @@
     assert!(matches!(heard[..], [LEFT, Event::Joined { .. }]), "{heard:?}");
     cluster.ack(old, 1);
     let (op, over) = ("lookup".into(), 2000.0);
-    let demand = Report::Demand { proxy: 2, op, invs: 4.0, unanswered: 0.0, over };
-    cluster.0.receive(Inbound::Said(Some((old, ProxyId(2))), Ok(demand)));
+    let demand = Report::Demand { proxy: 2, op, invocations: 4.0, unanswered: 0.0, interval: over };
+    cluster.0.receive(Inbound::Reported(Some((old, ProxyId(2))), Ok(demand)));
     cluster.0.receive(Inbound::Ended(old, None));
     assert!(cluster.0.events.is_empty());
     cluster.ack(new, 1);
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -12,7 +12,7 @@
 use crate::inbound::Inbound;
 use crate::plane::OutboundMessage;
 use crate::presence::Stream;
-use crate::probes::Found;
+use crate::probes::ProbeResult;
 
 impl Decider {
     /// Lets the module decide on what came in.
@@ -135,7 +135,8 @@
     /// Probes a worker; what is found comes in like anything else.
     pub(super) fn probe(&mut self, worker: WorkerId) {
         let Some(address) = self.roster.address(worker) else {
-            let found = Found { ending: ProbeOutcome::Unreachable, took: 0.0, load: Load::default() };
+            let found =
+                ProbeResult { outcome: ProbeOutcome::Unreachable, latency: 0.0, load: Load::default() };
             return self.receive(Inbound::Probed(worker, found));
         };
         let (probes, inbound) = (self.probes.clone(), self.inbound.clone());
--- a/crates/manager/src/inbound.rs
+++ b/crates/manager/src/inbound.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::listing::Listing;
-use crate::probes::Found;
+use crate::probes::ProbeResult;
 use crate::text::Report;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,13 +19,13 @@
     Joined {
         stream: StreamId,
         hello: Hello,
-        orders: Outbox,
+        outbox: Outbox,
     },
     /// A connection of whatever kind is over, and why if not by itself.
     Ended(StreamId, Option<String>),
     /// From a proxy's own stream, or through a collector; or why a message is passed over.
-    Said(Option<(StreamId, ProxyId)>, Result<Report, String>),
-    Probed(WorkerId, Found),
+    Reported(Option<(StreamId, ProxyId)>, Result<Report, String>),
+    Probed(WorkerId, ProbeResult),
     /// Somebody who never joined, and why.
     Rejected(String),
 }
@@ -44,7 +44,7 @@
     }
 
     /// False if there is no room.
-    pub fn put(&self, message: Bytes) -> bool {
+    pub fn try_send(&self, message: Bytes) -> bool {
         !matches!(self.messages.try_send(message), Err(mpsc::error::TrySendError::Full(_)))
     }
 }
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -130,20 +130,20 @@
         let objectives = fixed.start.operations.iter().map(|op| op.latency_objective);
         // What answers later than an invocation should is as good as silent.
         let answer_within = Duration::from_secs_f64(objectives.fold(60_000.0, f64::min) / 1000.0);
-        let (zones, proxies) = (Rc::<limiter::Zones>::default(), fixed.start.proxy_count as u16);
-        launch.zones.iter().for_each(|zone| zones.name(zone));
+        let (zones, proxies) = (Rc::<limiter::KnownZones>::default(), fixed.start.proxy_count as u16);
+        launch.zones.iter().for_each(|zone| zones.add(zone));
         let budget = limiter::Budget::new(fixed.sockets, proxies.into(), launch.zones.len());
-        let probes = probes::probes(fixed.dial_within, answer_within, budget.probes);
+        let probes = probes::probe_service(fixed.dial_within, answer_within, budget.probes);
         let watch = discovery::Watch::new(&mut launch, reloader.discovery(), inbound.clone());
         let context = Rc::new(streams::AcceptorContext {
             inbound: inbound.clone(),
-            proxies,
+            proxy_count: proxies,
             zones: zones.clone(),
             unidentified: limiter::ConnectionLimiter::new(budget.unidentified),
             collectors: limiter::ConnectionLimiter::new(budget.collectors),
-            last: Default::default(),
-            open: Default::default(),
-            most: budget.open,
+            last_stream_id: Default::default(),
+            open_count: Default::default(),
+            max_open: budget.open,
         });
         // Ends the north's thread as this is dropped.
         let (north, _north) = north.map(north::Northbound::start).unzip();
--- a/crates/manager/src/limiter.rs
+++ b/crates/manager/src/limiter.rs
@@ -38,21 +38,21 @@
 
 /// The zones that the settings name, and those that the list named since.
 #[derive(Default)]
-pub struct Zones(RefCell<BTreeSet<String>>);
+pub struct KnownZones(RefCell<BTreeSet<String>>);
 
-impl Zones {
-    pub fn name(&self, zone: &str) {
-        if !self.known(zone) {
+impl KnownZones {
+    pub fn add(&self, zone: &str) {
+        if !self.contains(zone) {
             self.0.borrow_mut().insert(zone.to_string());
         }
     }
 
-    pub fn known(&self, zone: &str) -> bool {
+    pub fn contains(&self, zone: &str) -> bool {
         self.0.borrow().contains(zone)
     }
 
     /// How many collectors there may be.
-    pub fn collectors(&self) -> usize {
+    pub fn max_collectors(&self) -> usize {
         COLLECTORS * self.0.borrow().len().max(1)
     }
 }
@@ -69,7 +69,7 @@
     }
 
     /// From now on there may be so many, if not more already.
-    pub fn allow(&self, most: usize) {
+    pub fn raise_limit(&self, most: usize) {
         self.most.set(self.most.get().max(most));
     }
 
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -77,7 +77,7 @@
     /// In the order of the list.
     pub read: Vec<ReadEntry>,
     /// Whom the entries that can't be read are about, as far as at least that can be.
-    pub unread: Vec<Option<String>>,
+    pub unreadable: Vec<Option<String>>,
 }
 
 /// Of an entry that can't be read whole: whom it is about.
@@ -90,7 +90,7 @@
 impl Listing {
     /// What can be read; the other entries are passed over with a log line.
     pub fn entries(&self, names: &mut Names) -> Entries {
-        let mut entries = Entries { read: Vec::with_capacity(self.instances.len()), unread: Vec::new() };
+        let mut entries = Entries { read: Vec::with_capacity(self.instances.len()), unreadable: Vec::new() };
         let mut last_fault = None;
         for instance in &self.instances {
             let raw = match instance {
@@ -104,14 +104,14 @@
                 Ok((listed, address)) => entries.read.push(ReadEntry::Listed { listed, address }),
                 Err(fault) => {
                     entries
-                        .unread
+                        .unreadable
                         .push(serde_json::from_str(raw).ok().map(|About { instance_id }| instance_id));
                     last_fault = Some(fault);
                 }
             }
         }
         if let Some(last) = last_fault {
-            let odd = entries.unread.len();
+            let odd = entries.unreadable.len();
             tracing::warn!("list {}: {odd} entries are passed over, the last: {last}", self.version);
         }
         entries
--- a/crates/manager/src/plane.rs
+++ b/crates/manager/src/plane.rs
@@ -9,7 +9,7 @@
 use juniperrail_start::Names;
 
 use crate::presence::{Presence, Stream};
-use crate::text::{self, Part};
+use crate::text::{self, MessagePart};
 
 type Level = (f64, Retry);
 
@@ -284,7 +284,13 @@
                 continue;
             }
             let lines = lines.iter().map(|(id, weight)| (names.workers.name(id.0), *weight)).collect();
-            parts.push(Part { ops: spelled(&ops, names), whole, lines, level: shared, ..Part::default() });
+            parts.push(MessagePart {
+                ops: spelled(&ops, names),
+                full: whole,
+                lines,
+                level: shared,
+                ..MessagePart::default()
+            });
             if shared.is_none() {
                 parts.extend(levels.into_iter().map(|(level, ops)| leveled(&ops, level, names)));
             }
@@ -292,20 +298,20 @@
         // Levels for operations that are bound to no table from here.
         parts.extend(loose.into_iter().map(|(op, level)| leveled(&[op], level, names)));
         if parts.is_empty() {
-            parts.push(Part::default());
+            parts.push(MessagePart::default());
         }
         let shut = |out: bool| {
             let of = change.shut.iter().filter(move |(_, shut)| **shut == out);
             of.map(|(id, _)| names.workers.name(id.0)).collect::<Vec<_>>()
         };
         let last = parts.last_mut().expect("a message has a part");
-        (last.out, last.back, last.mark) = (shut(true), shut(false), change.mark);
-        let cost = |p: &Part| {
-            let single = [p.whole, p.level.is_some(), p.mark.is_some()];
-            p.lines.len() + p.out.len() + p.back.len() + single.iter().filter(|one| **one).count()
+        (last.removed, last.restored, last.mark) = (shut(true), shut(false), change.mark);
+        let cost = |p: &MessagePart| {
+            let single = [p.full, p.level.is_some(), p.mark.is_some()];
+            p.lines.len() + p.removed.len() + p.restored.len() + single.iter().filter(|one| **one).count()
         };
         let (lines, mark) = (parts.iter().map(cost).sum(), change.mark);
-        let parcel = OutboundMessage { proxy: id, bytes: text::write(&parts), lines, mark };
+        let parcel = OutboundMessage { proxy: id, bytes: text::encode(&parts), lines, mark };
         self.proxies.get_mut(&id).expect("a joined proxy").told.extend(change.shut);
         parcel
     }
@@ -323,8 +329,8 @@
     ops.iter().map(|op| names.ops.name(u32::from(op.0))).collect()
 }
 
-fn leveled<'a>(ops: &[OpId], level: Level, names: &'a Names) -> Part<'a> {
-    Part { ops: spelled(ops, names), level: Some(level), ..Part::default() }
+fn leveled<'a>(ops: &[OpId], level: Level, names: &'a Names) -> MessagePart<'a> {
+    MessagePart { ops: spelled(ops, names), level: Some(level), ..MessagePart::default() }
 }
 
 #[cfg(test)]
--- a/crates/manager/src/presence.rs
+++ b/crates/manager/src/presence.rs
@@ -56,7 +56,7 @@
             self.messages.pop_front();
         }
         self.messages.push_back(now);
-        self.orders.put(bytes)
+        self.orders.try_send(bytes)
     }
 }
 
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -16,17 +16,17 @@
 
 /// What one probe found.
 #[derive(Debug, PartialEq)]
-pub struct Found {
-    pub ending: ProbeOutcome,
-    pub took: Ms,
+pub struct ProbeResult {
+    pub outcome: ProbeOutcome,
+    pub latency: Ms,
     pub load: Load,
 }
 
-pub type Probes = BoxCloneSyncService<SocketAddr, Found, std::convert::Infallible>;
+pub type ProbeService = BoxCloneSyncService<SocketAddr, ProbeResult, std::convert::Infallible>;
 
 const MOST_BODY: usize = 4096;
 
-pub fn probes(dial_within: Duration, answer_within: Duration, at_once: usize) -> Probes {
+pub fn probe_service(dial_within: Duration, answer_within: Duration, at_once: usize) -> ProbeService {
     let exchange = http::exchange(dial_within, answer_within);
     let read = ServiceBuilder::new()
         .map_err(Fault::at(Reached::Reading))
@@ -39,13 +39,15 @@
                 let (head, body) = exchange.oneshot((worker, "/load".into())).await?.into_parts();
                 Ok((head.status, read.oneshot(body).await?))
             };
-            let (ending, load) = match answer.await {
-                Ok((StatusCode::OK, body)) => (ProbeOutcome::Success, text::load(&body).unwrap_or_default()),
+            let (outcome, load) = match answer.await {
+                Ok((StatusCode::OK, body)) => {
+                    (ProbeOutcome::Success, text::parse_load(&body).unwrap_or_default())
+                }
                 Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => (ProbeOutcome::Rejected, Load::default()),
                 Ok(_) => (ProbeOutcome::ErrorResponse, Load::default()),
                 Err(fault) => (ending(&fault), Load::default()),
             };
-            Ok(Found { ending, took: asked.elapsed().as_secs_f64() * 1000.0, load })
+            Ok(ProbeResult { outcome, latency: asked.elapsed().as_secs_f64() * 1000.0, load })
         }
     });
     BoxCloneSyncService::new(ServiceBuilder::new().concurrency_limit(at_once).service(probe))
@@ -89,7 +91,7 @@
 
     #[tokio::test]
     async fn a_probe_tells_by_how_far_it_came_what_the_worker_does() {
-        let probes = probes(Duration::from_secs(5), Duration::from_millis(200), 2);
+        let probes = probe_service(Duration::from_secs(5), Duration::from_millis(200), 2);
         let report = "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ninflight=7,queue=2,util=1";
         let nobody = "127.0.0.1:0".parse().unwrap();
         for (worker, ending) in [
@@ -109,7 +111,7 @@
             (nobody, ProbeOutcome::Unreachable),
         ] {
             let found = probes.clone().oneshot(worker).await.unwrap();
-            assert_eq!(found.ending, ending);
+            assert_eq!(found.outcome, ending);
             assert_eq!(found.load.queued, (ending == ProbeOutcome::Success).then_some(2.0));
         }
     }
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -23,9 +23,9 @@
 impl Roster {
     /// Takes over what discovery says; the decisions are to be told the event.
     pub fn apply_list(&mut self, listing: &Listing, kind: ListKind, names: &mut Names) -> Event {
-        let Entries { read: entries, unread } = listing.entries(names);
+        let Entries { read: entries, unreadable } = listing.entries(names);
         // Guards against an entry of which not even the worker can be read: a whole list without it would tell that one gone.
-        let kind = if unread.iter().all(Option::is_some) { kind } else { ListKind::Changes };
+        let kind = if unreadable.iter().all(Option::is_some) { kind } else { ListKind::Changes };
         tracing::info!("list {}: {} entries, {kind:?}", listing.version, entries.len());
         self.version = listing.version;
         let mut workers = Vec::new();
@@ -55,7 +55,7 @@
         if kind != ListKind::Changes {
             // Guards against an entry that can't be read: what is known of its worker stays, and the list is whole for all others.
             for name in
-                unread.into_iter().flatten().filter(|name| !named.contains(name)).collect::<BTreeSet<_>>()
+                unreadable.into_iter().flatten().filter(|name| !named.contains(name)).collect::<BTreeSet<_>>()
             {
                 workers.extend(self.recompose(&name, names));
                 named.insert(name);
--- a/crates/manager/src/streams.rs
+++ b/crates/manager/src/streams.rs
@@ -19,9 +19,9 @@
 
 use crate::fault::{Fault, Reached};
 use crate::inbound::{Hello, Inbound, Outbox, StreamId};
-use crate::limiter::{ConnectionLimiter, Zones};
+use crate::limiter::{ConnectionLimiter, KnownZones};
 use crate::lines::LineBuffer;
-use crate::text::{self, Flaw, Message};
+use crate::text::{self, Message, ParseError};
 
 /// Messages that may wait for a proxy that reads slowly, besides what its socket holds.
 const WAITING: usize = 64;
@@ -40,16 +40,16 @@
 pub struct AcceptorContext {
     pub inbound: mpsc::Sender<Inbound>,
     /// The proxies are numbered below this.
-    pub proxies: u16,
+    pub proxy_count: u16,
     /// Nobody comes from a zone that neither the settings nor the list ever named.
-    pub zones: Rc<Zones>,
+    pub zones: Rc<KnownZones>,
     /// Connections that have not said who they are.
     pub unidentified: ConnectionLimiter,
     pub collectors: ConnectionLimiter,
-    pub last: Cell<u64>,
+    pub last_stream_id: Cell<u64>,
     /// Connections that are open, and how many may be: beyond are the descriptors of the watch and the probes.
-    pub open: Cell<usize>,
-    pub most: usize,
+    pub open_count: Cell<usize>,
+    pub max_open: usize,
 }
 
 /// Takes connections for good.
@@ -62,9 +62,9 @@
             Ok((socket, from)) => {
                 // Guards against proxies that take the last descriptors: the watch could not be dialled again. A
                 // stranger gives way; where there is none the newcomer does, and whoever joined is kept.
-                let over = context.open.get() >= context.most;
+                let over = context.open_count.get() >= context.max_open;
                 if over && !std::mem::replace(&mut full, over) {
-                    tracing::warn!("{} connections are open: no room for all who come", context.most);
+                    tracing::warn!("{} connections are open: no room for all who come", context.max_open);
                 }
                 full = over;
                 if over && !context.unidentified.evict() {
@@ -72,9 +72,9 @@
                     yield_now().await;
                     continue;
                 }
-                context.open.set(context.open.get() + 1);
-                context.last.set(context.last.get() + 1);
-                let id = StreamId(context.last.get());
+                context.open_count.set(context.open_count.get() + 1);
+                context.last_stream_id.set(context.last_stream_id.get() + 1);
+                let id = StreamId(context.last_stream_id.get());
                 let evicted = context.unidentified.admit(id);
                 let life = life(id, socket, evicted, context.clone());
                 spawn_local(end(id, from, life, context.clone()));
@@ -110,7 +110,7 @@
             Some(format!("{from}: {panic}"))
         }
     };
-    context.open.set(context.open.get() - 1);
+    context.open_count.set(context.open_count.get() - 1);
     tracing::debug!("the connection from {from} ended: {why:?}");
     _ = context.unidentified.release(id) || context.collectors.release(id);
     _ = context.inbound.send(Inbound::Ended(id, why)).await;
@@ -155,7 +155,7 @@
             proxy_stream(id, hello, lines, write, context).await
         }
         _ => {
-            context.collectors.allow(context.zones.collectors());
+            context.collectors.raise_limit(context.zones.max_collectors());
             let evicted = context.collectors.admit(id);
             tokio::select! {
                 end = collector(id, lines, write, context) => end,
@@ -171,23 +171,23 @@
     write: &mut OwnedWriteHalf,
     context: &AcceptorContext,
 ) -> Result<Option<Message>, Fault> {
-    while let Some(line) = lines.next(text::LONGEST_FIRST).await? {
-        let why = match text::read(&line) {
+    while let Some(line) = lines.next(text::MAX_FIRST_LINE_BYTES).await? {
+        let why = match text::parse(&line) {
             Ok(Message::Probe) => {
                 write.write_all(&text::ALIVE).await.map_err(Fault::io(Reached::Sent))?;
                 continue;
             }
-            Ok(Message::Hello { proxy, .. }) if proxy >= context.proxies => {
+            Ok(Message::Hello { proxy, .. }) if proxy >= context.proxy_count => {
                 format!("there is no proxy {proxy}")
             }
             Ok(Message::Hello { ref zone, .. } | Message::Agent { ref zone })
-                if !context.zones.known(zone) =>
+                if !context.zones.contains(zone) =>
             {
                 format!("there is no zone {zone:?}")
             }
             Ok(Message::Report(_)) => "a report came before any introduction".into(),
             Ok(first) => return Ok(Some(first)),
-            Err(Flaw::Spoilt(why) | Flaw::Unreadable(why)) => why,
+            Err(ParseError::InvalidFields(why) | ParseError::NotAMessage(why)) => why,
         };
         return Err(Fault::reading(why));
     }
@@ -221,12 +221,12 @@
     context: Rc<AcceptorContext>,
 ) -> Result<(), Fault> {
     let from = Some((id, ProxyId(hello.proxy)));
-    let (orders, mut waiting, given_up) = Outbox::new(WAITING);
+    let (outbox, mut waiting, given_up) = Outbox::new(WAITING);
     // Beside the orders, so that a burst of probes takes no order's place.
     let (probed, mut probes) = mpsc::channel(WAITING);
-    _ = context.inbound.send(Inbound::Joined { stream: id, hello, orders }).await;
+    _ = context.inbound.send(Inbound::Joined { stream: id, hello, outbox }).await;
     let reading = async {
-        while let Some(line) = lines.next(text::LONGEST).await? {
+        while let Some(line) = lines.next(text::MAX_LINE_BYTES).await? {
             match heard(&line, from)? {
                 Some(inbound) => _ = context.inbound.send(inbound).await,
                 // Who asks faster than it reads the answers waits with its next lines.
@@ -269,7 +269,7 @@
     mut write: OwnedWriteHalf,
     context: Rc<AcceptorContext>,
 ) -> Result<(), Fault> {
-    while let Some(line) = lines.next(text::LONGEST).await? {
+    while let Some(line) = lines.next(text::MAX_LINE_BYTES).await? {
         context.collectors.touch(id);
         match heard(&line, None)? {
             Some(inbound) => _ = context.inbound.send(inbound).await,
@@ -282,12 +282,12 @@
 /// What a line of one who joined says; `None` is a probe. One spoilt message among sound ones costs itself
 /// alone; what is no message at all ends the connection.
 fn heard(line: &[u8], from: Option<(StreamId, ProxyId)>) -> Result<Option<Inbound>, Fault> {
-    Ok(match text::read(line) {
+    Ok(match text::parse(line) {
         Ok(Message::Probe) => None,
-        Ok(Message::Report(report)) => Some(Inbound::Said(from, Ok(report))),
-        Ok(other) => Some(Inbound::Said(from, Err(format!("out of place: {other:?}")))),
-        Err(Flaw::Spoilt(why)) => Some(Inbound::Said(from, Err(why))),
-        Err(Flaw::Unreadable(why)) => return Err(Fault::reading(why)),
+        Ok(Message::Report(report)) => Some(Inbound::Reported(from, Ok(report))),
+        Ok(other) => Some(Inbound::Reported(from, Err(format!("out of place: {other:?}")))),
+        Err(ParseError::InvalidFields(why)) => Some(Inbound::Reported(from, Err(why))),
+        Err(ParseError::NotAMessage(why)) => return Err(Fault::reading(why)),
     })
 }
 
--- a/crates/manager/src/streams/tests.rs
+++ b/crates/manager/src/streams/tests.rs
@@ -7,8 +7,16 @@
         (ConnectionLimiter::new(1), ConnectionLimiter::new(1), Cell::default());
     let zones = Rc::default();
     let (open, most) = (Cell::new(2), 2);
-    let context =
-        Rc::new(AcceptorContext { inbound, proxies: 1, zones, unidentified, collectors, last, open, most });
+    let context = Rc::new(AcceptorContext {
+        inbound,
+        proxy_count: 1,
+        zones,
+        unidentified,
+        collectors,
+        last_stream_id: last,
+        open_count: open,
+        max_open: most,
+    });
     let from = "127.0.0.1:1".parse().unwrap();
     let tasks = tokio::task::LocalSet::new();
     tasks.spawn_local(end(StreamId(1), from, async { panic!("out of range") }, context.clone()));
--- a/crates/manager/src/text.rs
+++ b/crates/manager/src/text.rs
@@ -8,12 +8,12 @@
 use juniperrail_interface::*;
 
 /// No message is longer; one before the introduction is far shorter.
-pub const LONGEST: usize = 1 << 20;
-pub const LONGEST_FIRST: usize = 4096;
+pub const MAX_LINE_BYTES: usize = 1 << 20;
+pub const MAX_FIRST_LINE_BYTES: usize = 4096;
 /// No figure is larger; as a time it is an hour.
 const MOST: f64 = 3_600_000.0;
 /// One message may come in so many parts.
-pub const PARTS: usize = 64;
+pub const MAX_PARTS: usize = 64;
 pub const ALIVE: Bytes = Bytes::from_static(b"alive\r\n");
 pub const LATE: &[u8] = b"error why=late\r\n";
 pub const REJECTED: &[u8] = b"error why=unreadable\r\n";
@@ -29,30 +29,48 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Report {
-    Outcomes { zone: String, worker: String, tries: f64, bad: f64, mean: Ms, over: Ms, load: Load },
-    Demand { proxy: u16, op: String, invs: f64, unanswered: f64, over: Ms },
-    Ack { proxy: u16, mark: u16, took: Ms },
+    Outcomes {
+        zone: String,
+        worker: String,
+        tries: f64,
+        failed: f64,
+        mean_latency: Ms,
+        interval: Ms,
+        load: Load,
+    },
+    Demand {
+        proxy: u16,
+        op: String,
+        invocations: f64,
+        unanswered: f64,
+        interval: Ms,
+    },
+    Ack {
+        proxy: u16,
+        mark: u16,
+        latency: Ms,
+    },
 }
 
 /// One part of a message to a proxy; `ops` empty means all of them.
 #[derive(Debug, Default, PartialEq)]
-pub struct Part<'a> {
+pub struct MessagePart<'a> {
     pub ops: Vec<&'a str>,
-    pub whole: bool,
+    pub full: bool,
     pub lines: Vec<(&'a str, f64)>,
     pub level: Option<(f64, Retry)>,
-    pub out: Vec<&'a str>,
-    pub back: Vec<&'a str>,
+    pub removed: Vec<&'a str>,
+    pub restored: Vec<&'a str>,
     pub mark: Option<MarkId>,
 }
 
 /// Why a line is not taken.
 #[derive(Debug, PartialEq)]
-pub enum Flaw {
+pub enum ParseError {
     /// A known kind with a field that is missing, out of range or of another type: it alone is lost.
-    Spoilt(String),
+    InvalidFields(String),
     /// No message at all: whoever sends it is of no further use.
-    Unreadable(String),
+    NotAMessage(String),
 }
 
 const KINDS: [&str; 6] = ["probe", "agent", "hello", "outcomes", "demand", "ack"];
@@ -134,7 +152,7 @@
 }
 
 /// A load report as a worker's body carries it.
-pub fn load(body: &[u8]) -> Option<Load> {
+pub fn parse_load(body: &[u8]) -> Option<Load> {
     let mut load = Load::default();
     let pairs = std::str::from_utf8(body).ok()?.trim();
     pairs.split(',').filter(|pair| !pair.is_empty()).try_for_each(|pair| metric(&mut load, pair))?;
@@ -142,14 +160,14 @@
 }
 
 /// Reads one line, its end taken off.
-pub fn read(line: &[u8]) -> Result<Message, Flaw> {
-    let line = std::str::from_utf8(line).map_err(|_| Flaw::Unreadable("a line is no text".into()))?;
+pub fn parse(line: &[u8]) -> Result<Message, ParseError> {
+    let line = std::str::from_utf8(line).map_err(|_| ParseError::NotAMessage("a line is no text".into()))?;
     let (kind, fields) = line.split_once(' ').unwrap_or((line, ""));
     if !KINDS.contains(&kind) {
         let kind: String = kind.chars().take(32).collect();
-        return Err(Flaw::Unreadable(format!("the kind {kind:?} is unknown")));
+        return Err(ParseError::NotAMessage(format!("the kind {kind:?} is unknown")));
     }
-    message(kind, fields).map_err(|why| Flaw::Spoilt(format!("{kind}: {why}")))
+    message(kind, fields).map_err(|why| ParseError::InvalidFields(format!("{kind}: {why}")))
 }
 
 fn message(kind: &str, fields: &str) -> Result<Message, String> {
@@ -166,41 +184,41 @@
             fresh: words.0.get("cold").is_some_and(|cold| *cold == "1"),
         },
         "outcomes" => {
-            let (tries, bad) = (words.count("total")?, words.count("errors")?);
-            if bad > tries {
-                return Err(format!("errors is more than total: {bad} of {tries}"));
+            let (tries, failed) = (words.count("total")?, words.count("errors")?);
+            if failed > tries {
+                return Err(format!("errors is more than total: {failed} of {tries}"));
             }
             Message::Report(Report::Outcomes {
                 zone: words.owned("locality")?,
                 worker: words.owned("endpoint")?,
                 tries,
-                bad,
+                failed,
                 // Nothing to take the mean of is no reason to pass over the rest.
-                mean: if tries > bad { words.figure("rtt")? } else { 0.0 },
-                over: words.span("interval")?,
+                mean_latency: if tries > failed { words.figure("rtt")? } else { 0.0 },
+                interval: words.span("interval")?,
                 load: words.load()?,
             })
         }
         "demand" => Message::Report(Report::Demand {
             proxy: words.number("node")?,
             op: words.owned("route")?,
-            invs: words.count("total")?,
+            invocations: words.count("total")?,
             // What came in the interval before may stay unanswered in this one.
             unanswered: words.count("errors")?,
-            over: words.span("interval")?,
+            interval: words.span("interval")?,
         }),
         "ack" => Message::Report(Report::Ack {
             proxy: words.number("node")?,
             mark: words.number("nonce")?,
-            took: words.figure("latency")?,
+            latency: words.figure("latency")?,
         }),
         other => unreachable!("{other:?} is none of the kinds"),
     })
 }
 
 /// Writes the parts of one message, to be sent whole and at once.
-pub fn write(parts: &[Part<'_>]) -> Bytes {
-    debug_assert!(parts.len() <= PARTS);
+pub fn encode(parts: &[MessagePart<'_>]) -> Bytes {
+    debug_assert!(parts.len() <= MAX_PARTS);
     let mut text = String::new();
     for (place, part) in parts.iter().enumerate() {
         text.push_str("push");
@@ -210,7 +228,7 @@
             }
         };
         list("classes", "+", &part.ops);
-        list("whole", "", if part.whole { &["1"] } else { &[] });
+        list("whole", "", if part.full { &["1"] } else { &[] });
         let lines: Vec<String> =
             part.lines.iter().map(|(worker, weight)| format!("{worker}:{weight}")).collect();
         list("lines", ",", &lines.iter().map(String::as_str).collect::<Vec<_>>());
@@ -224,8 +242,8 @@
             list("level", "", &[&level.to_string()]);
             list("retry", "", &[retry]);
         }
-        list("out", ",", &part.out);
-        list("back", ",", &part.back);
+        list("out", ",", &part.removed);
+        list("back", ",", &part.restored);
         if let Some(mark) = part.mark {
             list("ticket", "", &[&mark.0.to_string()]);
         }
--- a/crates/manager/src/text/tests.rs
+++ b/crates/manager/src/text/tests.rs
@@ -6,25 +6,39 @@
                     metrics=inflight:7,util:0.61,made-up:1";
     let load = Load { in_flight: Some(7.0), utilization: Some(0.61), ..Load::default() };
     let (zone, worker) = ("a".to_string(), "s-5be2a07c".to_string());
-    let report = Report::Outcomes { zone, worker, tries: 212.0, bad: 3.0, mean: 41.7, over: 1000.0, load };
-    assert_eq!(read(outcomes.as_bytes()), Ok(Message::Report(report)));
+    let report = Report::Outcomes {
+        zone,
+        worker,
+        tries: 212.0,
+        failed: 3.0,
+        mean_latency: 41.7,
+        interval: 1000.0,
+        load,
+    };
+    assert_eq!(parse(outcomes.as_bytes()), Ok(Message::Report(report)));
     let hello = Message::Hello { proxy: 17, zone: "a".into(), inv_per_second: 21.5, fresh: true };
-    assert_eq!(read(b"hello node=17 locality=a w=21.5 cold=1"), Ok(hello));
-    let ack = Report::Ack { proxy: 17, mark: 905, took: 310.4 };
-    assert_eq!(read(b"ack node=17 nonce=905 latency=310.4"), Ok(Message::Report(ack)));
-    let demand = Report::Demand { proxy: 17, op: "lookup".into(), invs: 19.0, unanswered: 0.0, over: 1000.0 };
+    assert_eq!(parse(b"hello node=17 locality=a w=21.5 cold=1"), Ok(hello));
+    let ack = Report::Ack { proxy: 17, mark: 905, latency: 310.4 };
+    assert_eq!(parse(b"ack node=17 nonce=905 latency=310.4"), Ok(Message::Report(ack)));
+    let demand = Report::Demand {
+        proxy: 17,
+        op: "lookup".into(),
+        invocations: 19.0,
+        unanswered: 0.0,
+        interval: 1000.0,
+    };
     let text = b"demand node=17 route=lookup total=19 errors=0 interval=1000.0 later=word";
-    assert_eq!(read(text), Ok(Message::Report(demand)));
-    let late = read(b"demand node=17 route=lookup total=0 errors=1 interval=1000.0");
+    assert_eq!(parse(text), Ok(Message::Report(demand)));
+    let late = parse(b"demand node=17 route=lookup total=0 errors=1 interval=1000.0");
     assert!(matches!(late, Ok(Message::Report(Report::Demand { unanswered: 1.0, .. }))), "{late:?}");
-    assert_eq!(super::load(b"inflight=7,queue=2,util=0.61\n").unwrap().queued, Some(2.0));
-    assert_eq!(super::load(b"busy"), None);
+    assert_eq!(parse_load(b"inflight=7,queue=2,util=0.61\n").unwrap().queued, Some(2.0));
+    assert_eq!(parse_load(b"busy"), None);
 }
 
 #[test]
 fn what_is_wrong_with_a_line_is_said() {
     for line in [&b""[..], b"shout a=b", b"push out=s-1", b"GET / HTTP/1.1", b" probe", b"probe\xff"] {
-        assert!(matches!(read(line), Err(Flaw::Unreadable(_))), "{line:?}");
+        assert!(matches!(parse(line), Err(ParseError::NotAMessage(_))), "{line:?}");
     }
     for (line, expected) in [
         (&b"ack node"[..], "\"node\" has no value"),
@@ -45,7 +59,7 @@
         (b"outcomes locality=a endpoint=s total=1 errors=1 interval=1 metrics=util", "metrics holds"),
         (b"outcomes locality=a endpoint=s total=1 errors=1 interval=1 metrics=util:-1", "metrics holds"),
     ] {
-        let Err(Flaw::Spoilt(why)) = read(line) else { panic!("{:?}", read(line)) };
+        let Err(ParseError::InvalidFields(why)) = parse(line) else { panic!("{:?}", parse(line)) };
         assert!(why.contains(expected), "{why}");
     }
 }
