--- a/crates/lab/src/child.rs
+++ b/crates/lab/src/child.rs
@@ -71,7 +71,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let (ssh, _) = manager.netconf();
+    let (ssh, _) = manager.netconf_addresses();
     println!("{} {}", manager.address(), ssh.map(|at| at.to_string()).unwrap_or_default());
     thread::spawn(move || {
         let mut kept: HashMap<String, Histogram<u64>> = HashMap::new();
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -112,7 +112,7 @@
             clock,
             tick: launch.fixed.tick,
             plane: Plane::default(),
-            presence: Presence::new(launch.patience),
+            presence: Presence::new(launch.silence_timeout),
             roster: Roster::default(),
             progress: ChangeTracker::default(),
             progress_checked_at: 0.0,
@@ -129,10 +129,10 @@
             zones,
             fleet: None,
         };
-        let known = launch.known.unwrap_or_default();
+        let known = launch.cached_list.unwrap_or_default();
         let event = decider.roster.apply_list(&known, ListKind::Cached, &mut decider.names);
         decider.apply_list(event);
-        let wanted = launch.operator.map(|operator| operator.intent).unwrap_or_default();
+        let wanted = launch.operator_config.map(|config| config.intent).unwrap_or_default();
         // The list may be old: what it would not bear is said, and the decisions bear it as they bear any loss.
         for refusal in decider.check_intent(&wanted) {
             tracing::warn!("the operator's file: {refusal}");
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -96,7 +96,7 @@
     ) -> Watch {
         let upstream = Upstream::new(&launch.fixed.name, &launch.subscription.relays, agent);
         let follower = Follower {
-            held: launch.known.as_ref().map(|known| known.version),
+            held: launch.cached_list.as_ref().map(|known| known.version),
             relayed: upstream.is_relay(),
             filter: launch.filter.take(),
             inbound,
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -24,14 +24,14 @@
     pub(crate) discovery: SocketAddr,
     pub(crate) seed: u64,
     /// The list as last held; it may be old.
-    pub(crate) known: Option<Listing>,
+    pub(crate) cached_list: Option<Listing>,
     pub(crate) names: Names,
     /// As the settings name them; the list may bring others.
     pub(crate) zones: Vec<String>,
     /// A stream that owes an answer and says nothing for longer is taken for lost.
-    pub(crate) patience: Patience,
+    pub(crate) silence_timeout: Patience,
     /// What the operator's file says, if it says anything.
-    pub(crate) operator: Option<Operator>,
+    pub(crate) operator_config: Option<OperatorConfig>,
     /// Which part of the list is needed, and from whom it is taken.
     pub(crate) subscription: Subscription,
     /// Keeps to that part; `None` where all of the list is needed.
@@ -39,7 +39,7 @@
 }
 
 /// The operator's file as read at the start.
-pub(crate) struct Operator {
+pub(crate) struct OperatorConfig {
     pub file: OperatorFile,
     pub schema: Arc<Schema>,
     pub data: Data,
@@ -162,16 +162,16 @@
         Ok(Launch {
             discovery: address(DISCOVERY, file.discovery)?,
             seed: u64::from_str_radix(&file.seed, 16).map_err(|_| format!("no seed: {:?}", file.seed))?,
-            known: file.known,
+            cached_list: file.known,
             // An answer was due since, and if the proxy is slow a report at least.
-            patience: Patience {
+            silence_timeout: Patience {
                 answer: fixed.start.report_period + fixed.start.max_transit,
                 queue: fixed.start.max_pending_lines * 1000.0 / fixed.start.channel_rate.max(1.0),
             },
             fixed,
             names,
             zones,
-            operator: None,
+            operator_config: None,
             subscription: Subscription::default(),
             filter: None,
         })
@@ -217,7 +217,7 @@
             return Err(format!("{shown}: {}: {refusal}", refusal.path()));
         }
         let subscription = Subscription::read(&schema, &data).map_err(|why| format!("{shown}: {why}"))?;
-        self.operator = Some(Operator { file, schema, data, intent, fleet });
+        self.operator_config = Some(OperatorConfig { file, schema, data, intent, fleet });
         Ok(self.subscribed(subscription))
     }
 
@@ -225,7 +225,7 @@
     fn subscribed(mut self, subscription: Subscription) -> Launch {
         if !subscription.scope.is_everything() {
             let mut filter = ScopeFilter::new(subscription.scope.clone());
-            self.known = self.known.map(|known| filter.filter(known));
+            self.cached_list = self.cached_list.map(|known| filter.filter(known));
             self.filter = Some(filter);
         }
         self.subscription = subscription;
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -93,7 +93,7 @@
         let address = listener.local_addr().map_err(failed)?;
         let reloader = Reloader::new(&launch);
         let north = north::Northbound::bind(&launch)?;
-        let fleet = launch.operator.as_mut().and_then(|operator| operator.fleet.take());
+        let fleet = launch.operator_config.as_mut().and_then(|operator| operator.fleet.take());
         let fleet = match fleet {
             Some(setting) => Some(Arc::new(joined(setting).await?)),
             None => None,
@@ -107,7 +107,7 @@
     }
 
     /// Where it speaks NETCONF over SSH and over TLS, if the operator's file says so.
-    pub fn netconf(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
+    pub fn netconf_addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         self.north.as_ref().map_or((None, None), north::Northbound::addresses)
     }
 
--- a/crates/manager/src/north.rs
+++ b/crates/manager/src/north.rs
@@ -26,7 +26,7 @@
 impl Northbound {
     /// Listens where the operator's file says; `None` where it says nothing of the kind.
     pub fn bind(launch: &Launch) -> Result<Option<Northbound>, String> {
-        let Some(operator) = &launch.operator else { return Ok(None) };
+        let Some(operator) = &launch.operator_config else { return Ok(None) };
         let netconf = View::new(&operator.schema, &operator.data).inner("northbound").inner("netconf");
         let beside = |name: &str| operator.file.resolve(name);
         let shown = operator.file.path().display();
--- a/crates/manager/tests/cluster/mod.rs
+++ b/crates/manager/tests/cluster/mod.rs
@@ -39,10 +39,10 @@
 
 impl TestCluster {
     pub fn new(sockets: usize) -> TestCluster {
-        TestCluster::with(|discovery| config(discovery, sockets))
+        TestCluster::with_config(|discovery| config(discovery, sockets))
     }
 
-    pub fn with(config: impl FnOnce(SocketAddr) -> String) -> TestCluster {
+    pub fn with_config(config: impl FnOnce(SocketAddr) -> String) -> TestCluster {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let config = config(discovery.local_addr().unwrap());
         let (tell, told) = mpsc::channel();
@@ -67,30 +67,30 @@
     }
 
     /// Takes the next watch: what was asked for, and the connection with a head already answered.
-    pub fn watch(&self, status: &str) -> (String, Peer) {
-        watch(&self.discovery, status)
+    pub fn accept_watch(&self, status: &str) -> (String, Peer) {
+        accept_watch(&self.discovery, status)
     }
 }
 
-pub fn watch(discovery: &TcpListener, status: &str) -> (String, Peer) {
+pub fn accept_watch(discovery: &TcpListener, status: &str) -> (String, Peer) {
     Discovery::accept(discovery, status)
 }
 
 /// The program as a process of its own, with its configuration in a file that goes with it.
-pub struct Program {
+pub struct ManagerProcess {
     pub child: Child,
     pub address: SocketAddr,
     pub log: Option<BufReader<ChildStderr>>,
     pub path: PathBuf,
 }
 
-impl Program {
+impl ManagerProcess {
     /// `name` sets its file apart from those of other stories.
-    pub fn start(name: &str, config: &str) -> Program {
-        Program::start_with(name, config, &[])
+    pub fn start(name: &str, config: &str) -> ManagerProcess {
+        ManagerProcess::start_with(name, config, &[])
     }
 
-    pub fn start_with(name: &str, config: &str, variables: &[(&str, &str)]) -> Program {
+    pub fn start_with(name: &str, config: &str, variables: &[(&str, &str)]) -> ManagerProcess {
         let path = std::env::temp_dir().join(format!("juniperrail-{name}-{}.json", std::process::id()));
         std::fs::write(&path, config).unwrap();
         let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
@@ -98,7 +98,7 @@
         let mut child = program.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let address = address_served(&mut log);
-        Program { child, address, log: Some(log), path }
+        ManagerProcess { child, address, log: Some(log), path }
     }
 
     pub fn signal(&self, signal: &str) {
@@ -107,7 +107,7 @@
     }
 
     /// The next line of the log that holds the part.
-    pub fn logged(&mut self, part: &str) -> String {
+    pub fn wait_for_log_line(&mut self, part: &str) -> String {
         let lines = self.log.as_mut().expect("its log is read").by_ref().lines();
         let mut lines = lines.map(Result::unwrap);
         lines.find(|line| line.contains(part)).unwrap_or_else(|| panic!("{part} is never said"))
@@ -115,7 +115,7 @@
 
     /// Connections to its address that it holds: taken and not closed. Those that the system alone still keeps, before or
     /// after, belong to no descriptor.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         let port = format!(":{:04X}", self.address.port());
         let all = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let held = |line: &&str| {
@@ -127,16 +127,16 @@
     }
 
     /// Waits until it holds so many.
-    pub fn until_connections(&self, count: usize) {
+    pub fn wait_for_connection_count(&self, count: usize) {
         let until = Instant::now() + WITHIN;
-        while self.connections() != count {
-            assert!(Instant::now() < until, "{} connections, not {count}", self.connections());
+        while self.connection_count() != count {
+            assert!(Instant::now() < until, "{} connections, not {count}", self.connection_count());
             thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
-impl Drop for Program {
+impl Drop for ManagerProcess {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
--- a/crates/manager/tests/crossings.rs
+++ b/crates/manager/tests/crossings.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::{config, entry, watch, Program, TestCluster};
+use cluster::{accept_watch, config, entry, ManagerProcess, TestCluster};
 use juniperrail_standins::{entry as entry_at, list, Answering, Peer, SETTINGS};
 
 const NOBODY: &str = "127.0.0.1:1";
@@ -39,25 +39,25 @@
 
 #[test]
 fn a_stream_given_up_as_silent_gives_its_descriptor_back_though_a_write_to_it_never_ends() {
-    let program = Program::start("silent", &wide(nobody()));
+    let program = ManagerProcess::start("silent", &wide(nobody()));
     let mut proxy = Peer::narrow(program.address);
     proxy.say("hello node=1 locality=a w=2 cold=1");
-    program.until_connections(1);
+    program.wait_for_connection_count(1);
     // It reads nothing for good: silent after a period and a transit, given up after as long again.
-    program.until_connections(0);
+    program.wait_for_connection_count(0);
     drop(proxy);
 }
 
 #[test]
 fn a_stream_that_another_replaced_ends_at_once_with_what_is_queued_for_it() {
-    let cluster = TestCluster::with(wide);
+    let cluster = TestCluster::with_config(wide);
     let name = "x".repeat(250);
     let mut old = Peer::narrow(cluster.manager);
     old.say("hello node=1 locality=a w=2 cold=1");
     let mut other = cluster.proxy(2);
     other.line_with("whole=1");
     let draining = entry_at(&format!("s-7-{name}"), "a", "127.0.0.1:9", "draining");
-    cluster.watch("200 OK").1.chunk(&(list(42, false, &[draining]) + "\n"));
+    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[draining]) + "\n"));
     // Told in one turn to both: behind the table that the old stream does not take.
     other.line_with("out=s-7-");
     let mut new = cluster.proxy(1);
@@ -95,11 +95,11 @@
 fn a_stranger_told_to_go_as_it_joins_goes_so_that_there_are_no_more_connections_than_may_be() {
     // With 28 descriptors, 14 connections may be open.
     for _ in 0..20 {
-        let program = Program::start("stranger", &config(nobody(), 28));
+        let program = ManagerProcess::start("stranger", &config(nobody(), 28));
         let mut joined: Vec<Peer> = (0..13).map(|number| Peer::joined(program.address, number)).collect();
         joined.iter_mut().for_each(|proxy| _ = proxy.line_with("whole=1"));
         let mut stranger = Peer::dial(program.address);
-        program.until_connections(14);
+        program.wait_for_connection_count(14);
         program.signal("STOP");
         let mut newcomer = Peer::dial(program.address);
         newcomer.say("hello node=14 locality=a w=2 cold=1");
@@ -110,7 +110,7 @@
             Some(late) if late.starts_with("error why=late") => continue,
             end => assert_eq!(end, None, "its descriptor is another's"),
         }
-        program.until_connections(14);
+        program.wait_for_connection_count(14);
         return;
     }
     panic!("the machine is too busy for two lines within a second");
@@ -125,14 +125,14 @@
     for place in 0..500 {
         assert_eq!(proxy.line().as_deref(), Some("alive"), "answer {place}");
     }
-    cluster.watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
+    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
     proxy.line_with("out=s-2");
 }
 
 #[test]
 fn a_watch_that_drips_without_ever_ending_a_line_is_dialled_again() {
     let cluster = TestCluster::new(64);
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
     let dripping = thread::spawn(move || {
@@ -174,12 +174,12 @@
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     proxy.line_with("out=s-1");
     drop(agent);
     // An agent that is behind tells all it knows, then what it is told itself.
-    let (asked, mut agent) = cluster.watch("200 OK");
+    let (asked, mut agent) = cluster.accept_watch("200 OK");
     assert!(asked.contains("index=42"), "{asked}");
     let whole = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
     agent.chunk(&(whole.clone() + "\n"));
@@ -189,12 +189,12 @@
     assert!(!told.contains("s-1"), "{told}");
     drop(agent);
     // Discovery that counts anew stays behind: after 6 s its word is taken, whatever its number.
-    let (asked, mut agent) = cluster.watch("200 OK");
+    let (asked, mut agent) = cluster.accept_watch("200 OK");
     assert!(asked.contains("index=43"), "{asked}");
     agent.chunk(&(list(1, true, &[]) + "\n"));
     let again = loop {
         if agent.try_raw("1\r\n\n\r\n").is_err() {
-            break watch(&cluster.discovery, "200 OK");
+            break accept_watch(&cluster.discovery, "200 OK");
         }
         thread::sleep(Duration::from_millis(500));
     };
@@ -206,7 +206,7 @@
 
 #[test]
 fn whoever_reads_the_log_may_go_away_at_any_time() {
-    let mut program = Program::start("log", &config(nobody(), 64));
+    let mut program = ManagerProcess::start("log", &config(nobody(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     drop(program.log.take());
@@ -284,7 +284,7 @@
     let count = 1300.min(most);
     let settings = SETTINGS.replace("\"proxy-count\":20", &format!("\"proxy-count\":{count}"));
     let config = config(nobody(), 4096).replace(SETTINGS, &settings);
-    let program = Program::start("knock", &config);
+    let program = ManagerProcess::start("knock", &config);
     program.signal("STOP");
     let address = program.address;
     let knocking = (0..4).map(|part| {
@@ -319,7 +319,7 @@
 
 #[test]
 fn signals_that_come_together_or_twice_end_it_once_and_well() {
-    let mut program = Program::start("signals", &config(nobody(), 64));
+    let mut program = ManagerProcess::start("signals", &config(nobody(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     program.signal("STOP");
@@ -332,7 +332,7 @@
 
 #[test]
 fn a_restart_in_the_middle_of_a_write_cuts_one_line_and_the_successor_serves_at_once() {
-    let mut old = Program::start("half", &wide(nobody()));
+    let mut old = ManagerProcess::start("half", &wide(nobody()));
     let address = old.address;
     let mut slow = Peer::narrow(address);
     slow.say("hello node=1 locality=a w=2 cold=1");
@@ -341,7 +341,7 @@
     old.signal("TERM");
     assert!(old.child.wait().unwrap().success(), "whoever reads nothing holds up no end");
     let successor =
-        Program::start_with("half-next", &wide(nobody()), &[("PROXY_LISTEN", &address.to_string())]);
+        ManagerProcess::start_with("half-next", &wide(nobody()), &[("PROXY_LISTEN", &address.to_string())]);
     assert_eq!(successor.address, address);
     // What came of the table ends within a line: no part of a message that a proxy could take for a whole one.
     let cut = slow.rest();
@@ -352,7 +352,7 @@
 
 #[test]
 fn a_stream_that_ended_before_its_introduction_was_read_is_no_match_for_the_next_one() {
-    let program = Program::start("ended", &config(nobody(), 64));
+    let program = ManagerProcess::start("ended", &config(nobody(), 64));
     program.signal("STOP");
     for _ in 0..8 {
         drop(Peer::joined(program.address, 7));
@@ -360,7 +360,7 @@
     let mut last = Peer::joined(program.address, 7);
     program.signal("CONT");
     last.line_with("whole=1");
-    program.until_connections(1);
+    program.wait_for_connection_count(1);
     last.say("probe");
     last.line_with("alive");
 }
@@ -380,7 +380,7 @@
 
 #[test]
 fn every_proxy_that_comes_back_amid_a_flood_of_strangers_is_taken() {
-    let program = Program::start("flood", &config(nobody(), 64));
+    let program = ManagerProcess::start("flood", &config(nobody(), 64));
     program.signal("STOP");
     // More than may be open in all, each before any proxy.
     let strangers: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
@@ -398,7 +398,7 @@
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     let stopped = Arc::new(AtomicBool::new(false));
     let floods: Vec<_> = (0..4)
         .map(|_| {
@@ -426,16 +426,16 @@
 
 #[test]
 fn a_reload_without_a_file_leaves_all_as_it_was() {
-    let mut program = Program::start("gone", &config(nobody(), 64));
+    let mut program = ManagerProcess::start("gone", &config(nobody(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     let json = std::fs::read_to_string(&program.path).unwrap();
     std::fs::remove_file(&program.path).unwrap();
     program.signal("HUP");
-    program.logged("the configuration stays as it was");
+    program.wait_for_log_line("the configuration stays as it was");
     std::fs::write(&program.path, json).unwrap();
     program.signal("HUP");
-    program.logged("the configuration was read again");
+    program.wait_for_log_line("the configuration was read again");
     proxy.say("probe");
     proxy.line_with("alive");
 }
@@ -445,7 +445,7 @@
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     let broken = r#"{"instanceId":"s-3","lifecycle":7}"#.to_string();
     agent.chunk(&(list(42, true, &[entry("s-2", "ready"), broken]) + "\n"));
     let told = proxy.line_with("out=s-1");
--- a/crates/manager/tests/north.rs
+++ b/crates/manager/tests/north.rs
@@ -86,7 +86,7 @@
             runtime.block_on(async {
                 let launch = Launch::new(&config, |_| None).unwrap().with_operator_file(file, true).unwrap();
                 let manager = Manager::bind(launch).await.unwrap();
-                tell.send((manager.address(), manager.netconf())).unwrap();
+                tell.send((manager.address(), manager.netconf_addresses())).unwrap();
                 tokio::select! { () = manager.serve() => {}, _ = stopped => {} }
             });
         });
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::{config, Program};
+use cluster::{config, ManagerProcess};
 use juniperrail_distribution::RelayChoice;
 use juniperrail_standins::{entry as entry_at, list, Answering, Peer};
 
@@ -47,15 +47,15 @@
     }
 
     /// Three relays of a manager that needs the workers of zone a, and holds s-1 to s-3 as of version 41.
-    fn of_zone_a(story: &str) -> (Relays, Program) {
+    fn of_zone_a(story: &str) -> (Relays, ManagerProcess) {
         let relays = Relays::new(story, 3, "<zone>a</zone>");
         let manager = relays.manager(story, &config(NOBODY.parse().unwrap(), 64));
         (relays, manager)
     }
 
-    fn manager(&self, story: &str, config: &str) -> Program {
+    fn manager(&self, story: &str, config: &str) -> ManagerProcess {
         let variables = [("JUNIPERRAIL_FILE", self.operator_file.to_str().unwrap())];
-        Program::start_with(&format!("relays-{story}"), config, &variables)
+        ManagerProcess::start_with(&format!("relays-{story}"), config, &variables)
     }
 
     /// Takes the next watch at this relay: what was asked for, and the connection with a head already answered.
@@ -379,7 +379,7 @@
             watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
             "it is not read to its end"
         );
-        let said = manager.logged("WARN");
+        let said = manager.wait_for_log_line("WARN");
         assert!(said.contains("entries exceed the limit of 16777216 bytes; 41 is still held"), "{said}");
         let wait = said.split_once("asked again in ").unwrap().1.trim_end_matches(" s");
         waits.push(wait.parse().unwrap());
@@ -399,7 +399,7 @@
     watch.chunk(&change(43, "s-1", "a", "draining"));
     proxy.line_with("out=s-1");
     _ = watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1));
-    let said = manager.logged("too large");
+    let said = manager.wait_for_log_line("too large");
     assert!(said.contains("43 is still held, asked again in 2 s") || said.contains("in 3 s"), "{said}");
 }
 
@@ -435,7 +435,7 @@
     assert_eq!(asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1", "without a scope all is asked for");
     std::fs::write(&manager.path, config_at(1)).unwrap();
     manager.signal("HUP");
-    manager.logged("has no effect: the list is taken from relays");
+    manager.wait_for_log_line("has no effect: the list is taken from relays");
     watch.chunk(&change(42, "s-1", "b", "draining"));
     proxy.line_with("out=s-1");
     for agent in &agents {
@@ -463,7 +463,7 @@
 #[test]
 fn without_relays_and_scope_a_list_over_its_limit_is_refused_alike() {
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut manager = Program::start("relays-agent", &config(agent.local_addr().unwrap(), 64));
+    let mut manager = ManagerProcess::start("relays-agent", &config(agent.local_addr().unwrap(), 64));
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let relays = Relays { listeners: vec![agent], operator_file: PathBuf::new() };
@@ -474,7 +474,9 @@
     let huge = list(42, true, &entries);
     assert!(watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(), "it is not read to its end");
     let refused = Instant::now();
-    assert!(manager.logged("WARN").contains("exceed the limit of 16777216 bytes; 41 is still held"));
+    assert!(manager
+        .wait_for_log_line("WARN")
+        .contains("exceed the limit of 16777216 bytes; 41 is still held"));
     let (asked, mut watch) = relays.watch(0);
     assert!(refused.elapsed() >= Duration::from_secs(2) && asked.contains("index=41"), "{asked}");
     watch.chunk(&change(42, "s-1", "a", "draining"));
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use cluster::{config, entry, watch, TestCluster};
+use cluster::{accept_watch, config, entry, TestCluster};
 use juniperrail_standins::{address_served, list, Peer, SETTINGS};
 
 #[test]
@@ -41,7 +41,7 @@
     new.line_with("whole=1");
     assert_eq!(old.line(), None, "the old stream is ended");
     new.alive();
-    cluster.watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
+    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
     new.line_with("out=s-2");
 }
 
@@ -179,7 +179,7 @@
 #[test]
 fn who_joined_is_kept_and_the_list_is_followed_where_descriptors_are_fewer_than_proxies() {
     let cluster = TestCluster::new(28);
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     let mut proxies: Vec<Peer> = (0..20).map(|number| cluster.proxy(number)).collect();
     let joined: Vec<bool> = proxies
         .iter_mut()
@@ -189,7 +189,7 @@
     assert!((4..20).contains(&kept), "{kept} of 20 fit");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     drop(agent);
-    let (asked, mut agent) = cluster.watch("200 OK");
+    let (asked, mut agent) = cluster.accept_watch("200 OK");
     assert!(asked.contains("index=42"), "there is a descriptor for the next watch: {asked}");
     agent.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
     let here = proxies.iter_mut().zip(joined).filter(|(_, joined)| *joined);
@@ -206,7 +206,7 @@
     let settings = SETTINGS
         .replace("\"n-instances\":1,", "\"n-instances\":1100,")
         .replace("\"pending-max\":5000", "\"pending-max\":50000");
-    let cluster = TestCluster::with(|discovery| {
+    let cluster = TestCluster::with_config(|discovery| {
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1f",
             "limits":{{"sockets":1024}},"known":{known},"settings":{settings}}}"#
@@ -246,7 +246,7 @@
 #[test]
 fn the_watch_is_read_however_its_chunks_cut_lines() {
     let cluster = TestCluster::new(64);
-    let (asked, mut agent) = cluster.watch("200 OK");
+    let (asked, mut agent) = cluster.accept_watch("200 OK");
     assert_eq!(asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
@@ -269,17 +269,17 @@
 #[test]
 fn a_watch_that_breaks_is_dialled_again_with_the_version_held() {
     let cluster = TestCluster::new(64);
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     agent.chunk(&(list(42, false, &[]) + "\n"));
     drop(agent);
-    let (asked, mut agent) = cluster.watch("200 OK");
+    let (asked, mut agent) = cluster.accept_watch("200 OK");
     assert!(asked.contains("index=42"), "after an end: {asked}");
     agent.chunk("{\"generation\":\n");
-    let (asked, agent) = cluster.watch("503 Service Unavailable");
+    let (asked, agent) = cluster.accept_watch("503 Service Unavailable");
     assert!(asked.contains("index=42"), "after what is no JSON: {asked}");
-    let (asked, silent) = cluster.watch("200 OK");
+    let (asked, silent) = cluster.accept_watch("200 OK");
     assert!(asked.contains("index=42"), "after a refusal: {asked}");
-    let (asked, _) = cluster.watch("200 OK");
+    let (asked, _) = cluster.accept_watch("200 OK");
     assert!(asked.contains("index=42"), "after a silence: {asked}");
     drop((agent, silent));
 }
@@ -319,7 +319,7 @@
     };
     let mut proxy = Peer::joined(address, 7);
     proxy.line_with("whole=1");
-    let (_, mut old) = watch(&discoveries[0], "200 OK");
+    let (_, mut old) = accept_watch(&discoveries[0], "200 OK");
     old.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     proxy.line_with("out=s-1");
     for spoilt in ["", "{\"seed\":", &config(addresses[1], 64).replace("127.0.0.1:", "nowhere")] {
@@ -329,14 +329,14 @@
     proxy.line_with("out=s-2");
     let elsewhere = config(addresses[1], 64).replace("127.0.0.1:0\"", "127.0.0.1:9\"");
     told(&elsewhere, "the address to listen on cannot change while running");
-    let (asked, mut new) = watch(&discoveries[1], "200 OK");
+    let (asked, mut new) = accept_watch(&discoveries[1], "200 OK");
     assert!(asked.contains("index=43"), "from the version held: {asked}");
     assert_eq!(old.line(), None, "the old watch is let go");
     new.chunk(&(list(44, false, &[entry("s-3", "draining"), entry("s-4", "ready")]) + "\n"));
     proxy.line_with("out=s-3");
     told(&config(addresses[0], 64), "read again");
     told(&config(addresses[2], 64), "read again");
-    assert!(watch(&discoveries[2], "200 OK").0.contains("index=44"), "the last reload wins");
+    assert!(accept_watch(&discoveries[2], "200 OK").0.contains("index=44"), "the last reload wins");
     proxy.alive();
     manager.kill().unwrap();
     manager.wait().unwrap();
