--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -112,7 +112,7 @@
             clock,
             tick: launch.fixed.tick,
             plane: Plane::default(),
-            presence: Presence::new(launch.silence_timeout),
+            presence: Presence::new(launch.silence_timeouts),
             roster: Roster::default(),
             progress: ChangeTracker::default(),
             progress_checked_at: 0.0,
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -29,7 +29,7 @@
     /// As the settings name them; the list may bring others.
     pub(crate) zones: Vec<String>,
     /// A stream that owes an answer and says nothing for longer is taken for lost.
-    pub(crate) silence_timeout: Patience,
+    pub(crate) silence_timeouts: Patience,
     /// What the operator's file says, if it says anything.
     pub(crate) operator_config: Option<OperatorConfig>,
     /// Which part of the list is needed, and from whom it is taken.
@@ -164,7 +164,7 @@
             seed: u64::from_str_radix(&file.seed, 16).map_err(|_| format!("no seed: {:?}", file.seed))?,
             cached_list: file.known,
             // An answer was due since, and if the proxy is slow a report at least.
-            silence_timeout: Patience {
+            silence_timeouts: Patience {
                 answer: fixed.start.report_period + fixed.start.max_transit,
                 queue: fixed.start.max_pending_lines * 1000.0 / fixed.start.channel_rate.max(1.0),
             },
