--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -99,7 +99,7 @@
         north: Option<North>,
         zones: Rc<Zones>,
     ) -> Self {
-        let (clock, start, names) = (Clock::start(), launch.fixed.start, launch.names);
+        let (clock, start, names) = (Clock::start(), launch.fixed.settings, launch.names);
         let operation = |op| names.ops.name(op as u32).to_string();
         let mut decider = Decider {
             name: launch.fixed.name,
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -60,7 +60,7 @@
     pub listen: SocketAddr,
     /// File descriptors that this process may hold.
     pub sockets: usize,
-    pub start: Settings,
+    pub settings: Settings,
     pub tick: Duration,
     pub dial_within: Duration,
 }
@@ -68,7 +68,7 @@
 impl Fixed {
     /// What another configuration says otherwise.
     pub fn other_than(&self, other: &Fixed) -> impl Iterator<Item = &'static str> {
-        let settings = |of: &Fixed| (of.start.clone(), of.tick, of.dial_within);
+        let settings = |of: &Fixed| (of.settings.clone(), of.tick, of.dial_within);
         let differ = [
             ("the name", self.name != other.name),
             ("the address to listen on", self.listen != other.listen),
@@ -157,7 +157,7 @@
             sockets: file.limits.sockets,
             tick: span("tick-ms")?,
             dial_within: span("allowed.dial-timeout-ms")?,
-            start,
+            settings: start,
         };
         Ok(Launch {
             discovery: address(DISCOVERY, file.discovery)?,
@@ -165,8 +165,8 @@
             cached_list: file.known,
             // An answer was due since, and if the proxy is slow a report at least.
             silence_timeouts: Patience {
-                answer: fixed.start.report_period + fixed.start.max_transit,
-                queue: fixed.start.max_pending_lines * 1000.0 / fixed.start.channel_rate.max(1.0),
+                answer: fixed.settings.report_period + fixed.settings.max_transit,
+                queue: fixed.settings.max_pending_lines * 1000.0 / fixed.settings.channel_rate.max(1.0),
             },
             fixed,
             names,
@@ -198,15 +198,15 @@
             Some(data) => data,
         };
         Launch::check_operator_data(&data).map_err(|why| format!("{shown}: {why}"))?;
-        let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.start);
+        let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.settings);
         let fleet = fleet.map_err(|why| format!("{shown}: {why}"))?;
         let intent = Intent::from_data(&schema, &data);
         let names = &self.names;
         let operation = |op| names.ops.name(op as u32).to_string();
-        let operations: Vec<String> = (0..self.fixed.start.operations.len()).map(operation).collect();
+        let operations: Vec<String> = (0..self.fixed.settings.operations.len()).map(operation).collect();
         let world = AdmissionContext {
             now: 0.0,
-            settings: &self.fixed.start,
+            settings: &self.fixed.settings,
             operation_names: &operations,
             zone_name: &|_| String::new(),
             is_known_zone: &|zone| self.zones.iter().any(|known| known == zone),
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -88,7 +88,7 @@
         let failed = |why| format!("{listen} cannot be listened on: {why}");
         // Guards against proxies that all come at once, as after a manager's death, while a turn is under way: who finds
         // no room waits a second before it knocks again.
-        let backlog = (launch.fixed.start.proxy_count as u32).max(LEAST_BACKLOG);
+        let backlog = (launch.fixed.settings.proxy_count as u32).max(LEAST_BACKLOG);
         let listener = listening::listen(listen, backlog).await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let reloader = Reloader::new(&launch);
@@ -127,10 +127,10 @@
         let fixed = launch.fixed.clone();
         let (inbound, inbox) = mpsc::channel(INBOX);
         let resync = Rc::new(Notify::new());
-        let objectives = fixed.start.operations.iter().map(|op| op.latency_objective);
+        let objectives = fixed.settings.operations.iter().map(|op| op.latency_objective);
         // What answers later than an invocation should is as good as silent.
         let answer_within = Duration::from_secs_f64(objectives.fold(60_000.0, f64::min) / 1000.0);
-        let (zones, proxies) = (Rc::<limiter::Zones>::default(), fixed.start.proxy_count as u16);
+        let (zones, proxies) = (Rc::<limiter::Zones>::default(), fixed.settings.proxy_count as u16);
         launch.zones.iter().for_each(|zone| zones.name(zone));
         let budget = limiter::Budget::new(fixed.sockets, proxies.into(), launch.zones.len());
         let probes = probes::probes(fixed.dial_within, answer_within, budget.probes);
