--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -99,7 +99,7 @@
         north: Option<NorthboundChannels>,
         zones: Rc<KnownZones>,
     ) -> Self {
-        let (clock, start, names) = (Clock::start(), launch.fixed.start, launch.names);
+        let (clock, start, names) = (Clock::start(), launch.fixed.settings, launch.names);
         let operation = |op| names.ops.name(op as u32).to_string();
         let mut decider = Decider {
             name: launch.fixed.name,
@@ -129,10 +129,10 @@
             zones,
             fleet: None,
         };
-        let known = launch.known.unwrap_or_default();
+        let known = launch.cached_list.unwrap_or_default();
         let event = decider.roster.apply_list(&known, ListKind::Cached, &mut decider.names);
         decider.apply_list(event);
-        let wanted = launch.operator.map(|operator| operator.intent).unwrap_or_default();
+        let wanted = launch.operator_config.map(|config| config.intent).unwrap_or_default();
         // The list may be old: what it would not bear is said, and the decisions bear it as they bear any loss.
         for refusal in decider.check_intent(&wanted) {
             tracing::warn!("the operator's file: {refusal}");
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -88,12 +88,12 @@
         let failed = |why| format!("{listen} cannot be listened on: {why}");
         // Guards against proxies that all come at once, as after a manager's death, while a turn is under way: who finds
         // no room waits a second before it knocks again.
-        let backlog = (launch.fixed.start.proxy_count as u32).max(LEAST_BACKLOG);
+        let backlog = (launch.fixed.settings.proxy_count as u32).max(LEAST_BACKLOG);
         let listener = listening::listen(listen, backlog).await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let reloader = Reloader::new(&launch);
         let north = north::Northbound::bind(&launch)?;
-        let fleet = launch.operator.as_mut().and_then(|operator| operator.fleet.take());
+        let fleet = launch.operator_config.as_mut().and_then(|operator| operator.fleet.take());
         let fleet = match fleet {
             Some(setting) => Some(Arc::new(joined(setting).await?)),
             None => None,
@@ -107,7 +107,7 @@
     }
 
     /// Where it speaks NETCONF over SSH and over TLS, if the operator's file says so.
-    pub fn netconf(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
+    pub fn netconf_addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         self.north.as_ref().map_or((None, None), north::Northbound::addresses)
     }
 
@@ -127,10 +127,10 @@
         let fixed = launch.fixed.clone();
         let (inbound, inbox) = mpsc::channel(INBOX);
         let resync = Rc::new(Notify::new());
-        let objectives = fixed.start.operations.iter().map(|op| op.latency_objective);
+        let objectives = fixed.settings.operations.iter().map(|op| op.latency_objective);
         // What answers later than an invocation should is as good as silent.
         let answer_within = Duration::from_secs_f64(objectives.fold(60_000.0, f64::min) / 1000.0);
-        let (zones, proxies) = (Rc::<limiter::KnownZones>::default(), fixed.start.proxy_count as u16);
+        let (zones, proxies) = (Rc::<limiter::KnownZones>::default(), fixed.settings.proxy_count as u16);
         launch.zones.iter().for_each(|zone| zones.add(zone));
         let budget = limiter::Budget::new(fixed.sockets, proxies.into(), launch.zones.len());
         let probes = probes::probe_service(fixed.dial_within, answer_within, budget.probes);
