--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -7,21 +7,21 @@
 
 /// One word, an entry's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum LogCommand {
     Schedule(juniperrail_schedule::Command),
     Plan(Plan),
     /// The members are as that version of the operator's file has them.
     Generation(u64),
 }
 
-impl Word {
-    pub fn write(&self) -> Vec<u8> {
+impl LogCommand {
+    pub fn encode(&self) -> Vec<u8> {
         // It can't fail: nothing in a word is without a form, and the bytes are as many as it takes.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// `None` where a newer program proposed what this one does not know.
-    pub fn read(bytes: &[u8]) -> Option<Word> {
+    pub fn decode(bytes: &[u8]) -> Option<LogCommand> {
         postcard::from_bytes(bytes).ok()
     }
 }
@@ -36,12 +36,12 @@
 
 impl Agreed {
     /// Whether the word changed anything.
-    pub fn apply(&mut self, at: Index, word: &Word) -> bool {
+    pub fn apply(&mut self, at: Index, word: &LogCommand) -> bool {
         self.at = at;
         match word {
-            Word::Schedule(word) => self.books.apply(at, word),
-            Word::Plan(plan) => self.plan.adopt_if_newer(plan),
-            Word::Generation(generation) => {
+            LogCommand::Schedule(word) => self.books.apply(at, word),
+            LogCommand::Plan(plan) => self.plan.adopt_if_newer(plan),
+            LogCommand::Generation(generation) => {
                 let later = *generation > self.generation;
                 self.generation = self.generation.max(*generation);
                 later
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -17,13 +17,13 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use crate::agreed::{Agreed, Word};
+use crate::agreed::{Agreed, LogCommand};
 use crate::disk::Watched;
 use crate::links::Book;
 use crate::mail::{Mail, PeerMessage};
-use crate::seen::{ScheduleSeen, Seen};
-use crate::setting::Setting;
-use crate::Parts;
+use crate::seen::{FleetStatus, ScheduleStatus};
+use crate::setting::FleetConfig;
+use crate::ZoneWeightRatios;
 
 /// Records that wait for a store that is behind; a member whose store is so far behind steps down.
 const BEHIND: usize = 1024;
@@ -35,7 +35,7 @@
 const AGAIN: f64 = 2.0;
 
 pub struct Core {
-    setting: Setting,
+    setting: FleetConfig,
     started: Instant,
     council: RaftNode,
     sight: FailureDetector,
@@ -44,7 +44,7 @@
     behind: VecDeque<Vec<u8>>,
     failing: bool,
     mail: Arc<Mail>,
-    seen: Arc<Mutex<Seen>>,
+    seen: Arc<Mutex<FleetStatus>>,
     book: Book,
     agreed: Agreed,
     leading: LeaderState,
@@ -52,7 +52,7 @@
     duties: ClaimTracker,
     pilot: FailoverController,
     in_force: ActivePlan,
-    hand: watch::Sender<Arc<Parts>>,
+    hand: watch::Sender<Arc<ZoneWeightRatios>>,
     /// When schedules are looked at next, and members.
     look: Ms,
     shown: Ms,
@@ -61,12 +61,12 @@
 
 impl Core {
     pub fn new(
-        setting: &Setting,
+        setting: &FleetConfig,
         kept: StoredState,
         writer: Writer<Watched>,
         mail: Arc<Mail>,
-        seen: Arc<Mutex<Seen>>,
-        hand: watch::Sender<Arc<Parts>>,
+        seen: Arc<Mutex<FleetStatus>>,
+        hand: watch::Sender<Arc<ZoneWeightRatios>>,
     ) -> Core {
         let voter = |(id, address): (&MemberId, &String)| {
             (*id, Member { address: address.clone(), role: MemberRole::Voter })
@@ -74,9 +74,9 @@
         let named: Members = setting.members.iter().map(voter).collect();
         // Guards against a seed that is told again at the next start: by this chance a store is told from one that was lost.
         let seed = setting.seed ^ fastrand::u64(..);
-        let council = RaftNode::start(setting.me, setting.figures, named, seed, 0.0, kept);
+        let council = RaftNode::start(setting.member_id, setting.raft, named, seed, 0.0, kept);
         let run = council.run();
-        let sight = FailureDetector::start(setting.me, setting.sight, run.0, seed ^ 1, 0.0);
+        let sight = FailureDetector::start(setting.member_id, setting.swim, run.0, seed ^ 1, 0.0);
         Core {
             started: Instant::now(),
             council,
@@ -90,7 +90,7 @@
             agreed: Agreed::default(),
             leading: LeaderState::default(),
             led: false,
-            duties: ClaimTracker::new(setting.me, run),
+            duties: ClaimTracker::new(setting.member_id, run),
             pilot: FailoverController::default(),
             in_force: ActivePlan::default(),
             hand,
@@ -146,7 +146,7 @@
             self.carry_out();
             self.left();
             if now >= self.look {
-                self.look = now + self.setting.figures.heartbeat_interval_ms;
+                self.look = now + self.setting.raft.heartbeat_interval_ms;
                 self.reconcile(now);
                 self.schedules(now);
                 self.zones(now);
@@ -189,8 +189,8 @@
         for (from, parcels) in came {
             for parcel in parcels {
                 match parcel {
-                    PeerMessage::Council(message) => self.council.handle_message(now, from, message),
-                    PeerMessage::Sight(message) => self.sight.handle_message(now, day, from, message),
+                    PeerMessage::Consensus(message) => self.council.handle_message(now, from, message),
+                    PeerMessage::Membership(message) => self.sight.handle_message(now, day, from, message),
                     PeerMessage::Evidence(word) => self.witness(now, from, word),
                 }
             }
@@ -225,13 +225,13 @@
                 }
             }
             for (to, message) in sends {
-                self.mail.of(to).send(PeerMessage::Council(message));
+                self.mail.of(to).send(PeerMessage::Consensus(message));
             }
             news.into_iter().for_each(|news| self.told(news));
             agreed.into_iter().for_each(|agreed| self.take_over(agreed));
         }
         for (to, message) in self.sight.take_messages() {
-            self.mail.of(to).send(PeerMessage::Sight(message));
+            self.mail.of(to).send(PeerMessage::Membership(message));
         }
         for (about, health) in self.sight.take_health_changes() {
             match health {
@@ -284,7 +284,7 @@
             },
             juniperrail_consensus::Committed::Entry(entry) => {
                 if let juniperrail_consensus::Payload::Command(bytes) = &entry.payload {
-                    match Word::read(bytes) {
+                    match LogCommand::decode(bytes) {
                         Some(word) => self.apply(entry.index, &word),
                         None => {
                             tracing::error!("fleet: entry {} cannot be read by this program", entry.index.0)
@@ -298,10 +298,10 @@
         self.look = 0.0;
     }
 
-    fn apply(&mut self, at: Index, word: &Word) {
+    fn apply(&mut self, at: Index, word: &LogCommand) {
         let before = self.agreed.plan.version;
         let changed = self.agreed.apply(at, word);
-        if let (true, Word::Plan(plan)) = (changed, word) {
+        if let (true, LogCommand::Plan(plan)) = (changed, word) {
             _ = Point::PLAN_APPLY.pass();
             self.in_force.activate(self.now(), plan);
             if plan.version != before {
@@ -313,7 +313,7 @@
                 tracing::info!("fleet: plan {}: {shares}", plan.version);
             }
         }
-        if let (true, Word::Schedule(word)) = (changed, word) {
+        if let (true, LogCommand::Schedule(word)) = (changed, word) {
             match word {
                 schedule::Command::Claim { occurrence, owner, .. } => {
                     tracing::info!(
@@ -359,7 +359,7 @@
     fn members(&mut self) {
         let members = self.council.members();
         let told = members.iter().map(|(id, member)| (*id, member.address.clone()));
-        let book: crate::setting::Addresses = told.chain(self.setting.members.clone()).collect();
+        let book: crate::setting::MemberAddresses = told.chain(self.setting.members.clone()).collect();
         let mut known = self.book.lock();
         if *known != book {
             let ids: Vec<MemberId> = book.keys().copied().collect();
@@ -374,7 +374,8 @@
     }
 
     fn compact(&mut self) {
-        if self.council.log().len() <= self.setting.entries || !self.behind.is_empty() || self.failing {
+        if self.council.log().len() <= self.setting.max_log_entries || !self.behind.is_empty() || self.failing
+        {
             return;
         }
         _ = Point::CONSENSUS_COMPACT.pass();
@@ -389,8 +390,8 @@
         }
     }
 
-    fn propose(&mut self, now: Ms, word: Word) {
-        let command = word.write();
+    fn propose(&mut self, now: Ms, word: LogCommand) {
+        let command = word.encode();
         match self.council.role() {
             Role::Leader => {
                 if let Err(why) = self.council.propose(now, command) {
@@ -402,14 +403,14 @@
                 leader.into_iter().for_each(|leader| {
                     self.mail
                         .of(leader)
-                        .send(PeerMessage::Council(Message::Propose { command: command.clone() }));
+                        .send(PeerMessage::Consensus(Message::Propose { command: command.clone() }));
                 });
             }
         }
     }
 
     /// Proposes it as often as its point says.
-    fn propose_at(&mut self, now: Ms, point: Point, word: Word) {
+    fn propose_at(&mut self, now: Ms, point: Point, word: LogCommand) {
         let times = match point.pass() {
             Some(Fault::Lose) => 0,
             Some(Fault::Repeat) => 2,
@@ -419,7 +420,7 @@
     }
 
     fn tell_end(&mut self, now: Ms, word: schedule::Command) {
-        self.propose_at(now, Point::SCHEDULE_FINISH, Word::Schedule(word));
+        self.propose_at(now, Point::SCHEDULE_FINISH, LogCommand::Schedule(word));
     }
 
     /// The leader brings the members to where a later version of its file has them, one step at a time.
@@ -437,7 +438,7 @@
             (Some(id), _, _) => MembershipChange::Promote(id),
             (None, Some((id, address)), _) => MembershipChange::Add(*id, address.clone()),
             (None, None, Some(id)) => MembershipChange::Remove(id),
-            (None, None, None) => return self.propose(now, Word::Generation(self.setting.generation)),
+            (None, None, None) => return self.propose(now, LogCommand::Generation(self.setting.generation)),
         };
         // It is tried again at the next look, until it is taken.
         if self.council.change_members(now, &change).is_ok() {
@@ -446,7 +447,7 @@
     }
 
     fn schedules(&mut self, now: Ms) {
-        let again = AGAIN * self.setting.figures.election_timeout_ms;
+        let again = AGAIN * self.setting.raft.election_timeout_ms;
         let leads = self.council.lease(now).is_some() && self.leaving.is_none();
         if leads != self.led {
             (self.led, self.leading) = (leads, LeaderState::default());
@@ -461,8 +462,8 @@
             {
                 let claim = matches!(word, schedule::Command::Claim { .. });
                 match claim {
-                    true => self.propose_at(now, Point::SCHEDULE_CLAIM, Word::Schedule(word)),
-                    false => self.propose(now, Word::Schedule(word)),
+                    true => self.propose_at(now, Point::SCHEDULE_CLAIM, LogCommand::Schedule(word)),
+                    false => self.propose(now, LogCommand::Schedule(word)),
                 }
                 if claim {
                     _ = Point::SCHEDULE_CLAIMED.pass();
@@ -477,7 +478,7 @@
     fn do_duty(&mut self, now: Ms, todo: ClaimTask) {
         match todo {
             ClaimTask::Propose(word @ schedule::Command::Start { .. }) => {
-                self.propose_at(now, Point::SCHEDULE_CLAIM_GRANTED, Word::Schedule(word));
+                self.propose_at(now, Point::SCHEDULE_CLAIM_GRANTED, LogCommand::Schedule(word));
             }
             ClaimTask::Propose(word) => self.tell_end(now, word),
             act @ ClaimTask::Execute { .. } => {
@@ -502,7 +503,7 @@
         };
         for _ in 0..times {
             match self.council.leader() {
-                Some(leader) if leader != self.setting.me => {
+                Some(leader) if leader != self.setting.member_id => {
                     self.mail.of(leader).send(PeerMessage::Evidence(word.clone()))
                 }
                 Some(me) => self.witness(now, me, word.clone()),
@@ -526,7 +527,7 @@
         let members: Vec<MemberId> = self.council.members().keys().copied().collect();
         self.pilot.retain_members(&members);
         if let Some(plan) = self.pilot.next_plan(now, &figures, &self.agreed.plan) {
-            self.propose_at(now, Point::PLAN_PROPOSE, Word::Plan(plan));
+            self.propose_at(now, Point::PLAN_PROPOSE, LogCommand::Plan(plan));
         }
     }
 
@@ -566,9 +567,9 @@
 
     fn show(&mut self, now: Ms) {
         let store = self.writer.figures();
-        let members = self.council.members().keys().filter(|id| **id != self.setting.me);
-        let seen = Seen {
-            me: self.setting.me,
+        let members = self.council.members().keys().filter(|id| **id != self.setting.member_id);
+        let seen = FleetStatus {
+            member_id: self.setting.member_id,
             role: match self.council.role() {
                 Role::Leader => "leader",
                 Role::Follower => "follower",
@@ -576,28 +577,28 @@
             },
             leader: self.council.leader(),
             term: self.council.term(),
-            standing: Some(self.council.recovery_state()),
-            committed: self.council.commit_index(),
-            entries: self.council.log().len(),
+            recovery_state: Some(self.council.recovery_state()),
+            commit_index: self.council.commit_index(),
+            log_entry_count: self.council.log().len(),
             store_failing: self.failing,
-            store_size: store.size,
-            lost: self.mail.lost(),
-            own_health: self.sight.local_health(),
+            store_bytes: store.size,
+            messages_lost: self.mail.lost(),
+            local_health: self.sight.local_health(),
             members: members.map(|id| (*id, self.sight.health(*id), self.sight.reach(now, *id))).collect(),
             plan: self.in_force.plan().clone(),
-            plan_lapsed: self.in_force.weight_ratios().is_empty() && !self.in_force.plan().is_empty(),
+            plan_lease_expired: self.in_force.weight_ratios().is_empty() && !self.in_force.plan().is_empty(),
             schedules: self
                 .agreed
                 .books
                 .schedules
                 .iter()
-                .map(|(name, book)| ScheduleSeen {
+                .map(|(name, book)| ScheduleStatus {
                     name: name.clone(),
-                    through: book.decided_through,
-                    open: book.open.len(),
-                    ends: book.ended_count,
-                    passed: book.skipped.values().sum(),
-                    last: book.ended.back().cloned(),
+                    decided_through: book.decided_through,
+                    open_count: book.open.len(),
+                    ended_count: book.ended_count,
+                    skipped_count: book.skipped.values().sum(),
+                    last_ended: book.ended.back().cloned(),
                 })
                 .collect(),
         };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -10,7 +10,7 @@
 //! | a [`mail::Box`](mail) for each other manager | `links`, `fleet` | both |
 //! | what has come to its end outside (effects) | `links` | `fleet` |
 //! | the evidence not yet told, and the parts of a plan in force | the decider; `fleet` | `fleet`; the decider |
-//! | [`Seen`], a copy of what people may read | `fleet` | anybody |
+//! | [`FleetStatus`], a copy of what people may read | `fleet` | anybody |
 //!
 //! With nothing set none of this is there: no thread, no socket, no file.
 
@@ -36,33 +36,33 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-pub use agreed::Word;
+pub use agreed::LogCommand;
 pub use mail::PeerMessage;
-pub use seen::{ScheduleSeen, Seen};
-pub use setting::{Addresses, Setting};
+pub use seen::{FleetStatus, ScheduleStatus};
+pub use setting::{FleetConfig, MemberAddresses};
 pub use shards::Shards;
 
 use crate::disk::Watched;
 use crate::mail::Mail;
 
 /// What listens, before anything is said.
-pub struct Bound {
-    setting: Setting,
+pub struct FleetListener {
+    setting: FleetConfig,
     listener: TcpListener,
 }
 
 /// A running part of the fleet. Dropping it ends its threads.
 pub struct Fleet {
     mail: Arc<Mail>,
-    seen: Arc<Mutex<Seen>>,
-    parts: watch::Receiver<Arc<Parts>>,
+    seen: Arc<Mutex<FleetStatus>>,
+    parts: watch::Receiver<Arc<ZoneWeightRatios>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Bound {
+impl FleetListener {
     /// Other managers come to this listener.
-    pub fn new(setting: Setting, listener: TcpListener) -> Bound {
-        Bound { setting, listener }
+    pub fn new(setting: FleetConfig, listener: TcpListener) -> FleetListener {
+        FleetListener { setting, listener }
     }
 
     pub fn address(&self) -> Option<SocketAddr> {
@@ -72,7 +72,7 @@
     /// Starts the threads.
     pub fn start(self) -> Result<Fleet, String> {
         let mail = Arc::new(Mail::new());
-        let seen = Arc::new(Mutex::new(Seen::default()));
+        let seen = Arc::new(Mutex::new(FleetStatus::default()));
         let (own, shown) = (mail.clone(), seen.clone());
         let (hand, parts) = watch::channel(Arc::default());
         let serve = move || serve(&self.setting, &self.listener, &own, shown, hand);
@@ -84,13 +84,13 @@
 
 /// The store, once it opens. A disk that fails is tried again; what is damaged is not guessed at: `None`, and this manager
 /// decides alone, as it does without a quorum.
-fn open(setting: &Setting, mail: &Mail) -> Option<(Store<Watched>, StoredState)> {
-    let shown = setting.store.display();
-    let again = Duration::from_secs_f64(setting.figures.election_timeout_ms / 1000.0);
+fn open(setting: &FleetConfig, mail: &Mail) -> Option<(Store<Watched>, StoredState)> {
+    let shown = setting.store_path.display();
+    let again = Duration::from_secs_f64(setting.raft.election_timeout_ms / 1000.0);
     let mut told = false;
     let Opened { store, recovered } = loop {
-        let opened = Watched::open(&setting.store).map_err(Refused::Io);
-        let why = match opened.and_then(|disk| Store::open(disk, setting.limits)) {
+        let opened = Watched::open(&setting.store_path).map_err(Refused::Io);
+        let why = match opened.and_then(|disk| Store::open(disk, setting.store_limits)) {
             Ok(opened) => break opened,
             // Another process may be about to end, and a disk well again.
             Err(why @ (Refused::Io(_) | Refused::Locked)) => why,
@@ -123,11 +123,11 @@
 }
 
 fn serve(
-    setting: &Setting,
+    setting: &FleetConfig,
     listener: &TcpListener,
     mail: &Arc<Mail>,
-    seen: Arc<Mutex<Seen>>,
-    hand: watch::Sender<Arc<Parts>>,
+    seen: Arc<Mutex<FleetStatus>>,
+    hand: watch::Sender<Arc<ZoneWeightRatios>>,
 ) {
     let Some((store, kept)) = open(setting, mail) else { return mail.stop() };
     let synced = mail.clone();
@@ -164,8 +164,8 @@
 
 impl Fleet {
     /// For the one that decides for proxies.
-    pub fn common(&self) -> Common {
-        Common { seen: self.seen.clone(), mail: self.mail.clone(), parts: self.parts.clone() }
+    pub fn handle(&self) -> FleetHandle {
+        FleetHandle { seen: self.seen.clone(), mail: self.mail.clone(), parts: self.parts.clone() }
     }
 
     /// Hands over what it leads and says that it ends, as on SIGTERM. Whether that was done before the time was over.
@@ -175,29 +175,29 @@
 }
 
 /// What part of their weight zones keep by the plan in force.
-pub type Parts = BTreeMap<Zone, f64>;
+pub type ZoneWeightRatios = BTreeMap<Zone, f64>;
 
 /// What the one that decides for proxies holds of it: nothing here waits for anybody.
 #[derive(Clone)]
-pub struct Common {
-    seen: Arc<Mutex<Seen>>,
+pub struct FleetHandle {
+    seen: Arc<Mutex<FleetStatus>>,
     mail: Arc<Mail>,
-    parts: watch::Receiver<Arc<Parts>>,
+    parts: watch::Receiver<Arc<ZoneWeightRatios>>,
 }
 
-impl Common {
+impl FleetHandle {
     /// What people may read of it.
-    pub fn seen(&self) -> Seen {
+    pub fn status(&self) -> FleetStatus {
         self.seen.lock().clone()
     }
 
     /// Tells what was met; a word that is still there is replaced.
-    pub fn met(&self, evidence: Evidence) {
+    pub fn report_evidence(&self, evidence: Evidence) {
         self.mail.met(evidence);
     }
 
     /// The next plan in force; never once the fleet is over.
-    pub async fn next(&mut self) -> Arc<Parts> {
+    pub async fn next_weight_ratios(&mut self) -> Arc<ZoneWeightRatios> {
         match self.parts.changed().await {
             Ok(()) => self.parts.borrow_and_update().clone(),
             Err(_) => std::future::pending().await,
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -18,7 +18,7 @@
 
 use crate::effects;
 use crate::mail::{Mail, PeerMessage};
-use crate::setting::{Addresses, Setting};
+use crate::setting::{FleetConfig, MemberAddresses};
 
 /// A longer message is none of ours: a snapshot of all that is agreed has room in it.
 const LONGEST: u32 = 16 << 20;
@@ -36,7 +36,7 @@
 }
 
 /// Where each manager is dialled, as the operator's file or the council says.
-pub type Book = Arc<Mutex<Addresses>>;
+pub type Book = Arc<Mutex<MemberAddresses>>;
 
 pub struct Links<'a> {
     me: MemberId,
@@ -52,14 +52,14 @@
 
 impl<'a> Links<'a> {
     pub fn new(
-        setting: &Setting,
+        setting: &FleetConfig,
         listener: &'a TcpListener,
         mail: Arc<Mail>,
         run: Run,
         book: Book,
     ) -> Links<'a> {
-        let patience = Duration::from_secs_f64(setting.figures.election_timeout_ms / 1000.0);
-        let (me, fleet) = (setting.me, setting.fleet.clone());
+        let patience = Duration::from_secs_f64(setting.raft.election_timeout_ms / 1000.0);
+        let (me, fleet) = (setting.member_id, setting.fleet_name.clone());
         Links { me, fleet, run, listener, mail, book, patience, seed: setting.seed }
     }
 
--- a/crates/fleet/src/mail.rs
+++ b/crates/fleet/src/mail.rs
@@ -24,8 +24,8 @@
 /// What one manager says to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    Council(Message),
-    Sight(SwimMessage),
+    Consensus(Message),
+    Membership(SwimMessage),
     /// For the leader, beside the log: what is lost or late is told anew a period later.
     Evidence(Evidence),
 }
@@ -34,8 +34,8 @@
     /// Of two that wait for the same manager in the same slot the newer one says all.
     fn slot(&self) -> Option<u8> {
         match self {
-            PeerMessage::Council(message) => message.slot(),
-            PeerMessage::Sight(message) => message.slot(),
+            PeerMessage::Consensus(message) => message.slot(),
+            PeerMessage::Membership(message) => message.slot(),
             PeerMessage::Evidence(_) => Some(32),
         }
     }
--- a/crates/fleet/src/setting.rs
+++ b/crates/fleet/src/setting.rs
@@ -8,26 +8,26 @@
 use juniperrail_schedule::Schedule;
 use juniperrail_store::Limits;
 
-pub type Addresses = BTreeMap<MemberId, String>;
+pub type MemberAddresses = BTreeMap<MemberId, String>;
 
 #[derive(Clone, Debug)]
-pub struct Setting {
-    pub me: MemberId,
+pub struct FleetConfig {
+    pub member_id: MemberId,
     /// Managers of another fleet are not listened to.
-    pub fleet: String,
+    pub fleet_name: String,
     pub listen: SocketAddr,
-    pub store: PathBuf,
-    pub limits: Limits,
+    pub store_path: PathBuf,
+    pub store_limits: Limits,
     /// All managers that this file names, this one among them, and where their links listen.
-    pub members: Addresses,
+    pub members: MemberAddresses,
     /// Which version of that list this is: a leader whose file has a later one brings the council there.
     pub generation: u64,
-    pub figures: RaftConfig,
-    pub sight: SwimConfig,
+    pub raft: RaftConfig,
+    pub swim: SwimConfig,
     /// What failover between zones goes by, where it is on.
     pub failover: Option<juniperrail_failover::FailoverConfig>,
     pub schedules: BTreeMap<String, Schedule>,
     pub seed: u64,
     /// Entries in the log after which it is compacted.
-    pub entries: usize,
+    pub max_log_entries: usize,
 }
--- a/crates/fleet/src/shards.rs
+++ b/crates/fleet/src/shards.rs
@@ -31,7 +31,7 @@
     }
 
     /// Looks at each in turn; no two locks are held at once.
-    pub fn each(&self, mut look: impl FnMut(&mut T)) {
+    pub fn for_each(&self, mut look: impl FnMut(&mut T)) {
         self.all.iter().for_each(|shard| look(&mut shard.lock()));
     }
 }
@@ -45,12 +45,12 @@
         let shards: Shards<Vec<u64>> = Shards::new(4);
         (0..64).for_each(|key| _ = shards.with(key, |all| all.push(key)));
         let mut count = 0;
-        shards.each(|all| count += usize::from(!all.is_empty()));
+        shards.for_each(|all| count += usize::from(!all.is_empty()));
         assert_eq!(count, 4, "keys are spread");
         let lost = shards.with(7, |all| all.len()).unwrap();
         assert_eq!(shards.with(7, |_| panic!("out of range")), None);
         let mut left = 0;
-        shards.each(|all| left += all.len());
+        shards.for_each(|all| left += all.len());
         assert_eq!(left, 64 - lost);
         assert_eq!(shards.with(7, |all| all.len()), Some(0), "it goes on, as new");
     }
@@ -64,7 +64,7 @@
             }
         });
         let mut sum = 0;
-        shards.each(|part| sum += *part);
+        shards.for_each(|part| sum += *part);
         assert_eq!(sum, 4 * (0..10_000).sum::<u64>());
     }
 }
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -12,7 +12,7 @@
     MembershipChange, Message, Payload, Record, Run, Snapshot, SwimMessage, Term,
 };
 use juniperrail_failover::{Evidence, Plan, Zone, ZoneHealth, ZonePairStats, ZoneShare};
-use juniperrail_fleet::{PeerMessage, Word};
+use juniperrail_fleet::{LogCommand, PeerMessage};
 use juniperrail_schedule::{
     Action, Claim, Command, EndedOccurrence, Ledger, Occurrence, OccurrenceOutcome, OpenOccurrence,
     OverlapPolicy, ScheduleRecord, SkipReason, TryOutcome,
@@ -152,7 +152,7 @@
         ("timeout-now", Message::TimeoutNow { term: Term(8) }),
         ("propose", Message::Propose { command: vec![1, 2, 3] }),
     ];
-    messages.into_iter().map(|(name, message)| (name, PeerMessage::Council(message))).collect()
+    messages.into_iter().map(|(name, message)| (name, PeerMessage::Consensus(message))).collect()
 }
 
 fn membership_messages() -> Vec<(&'static str, PeerMessage)> {
@@ -172,7 +172,7 @@
         ("ping-request", SwimMessage::PingRequest { sequence: 6, target: MemberId(3), updates }),
         ("nack", SwimMessage::Nack { sequence: 6 }),
     ];
-    messages.into_iter().map(|(name, message)| (name, PeerMessage::Sight(message))).collect()
+    messages.into_iter().map(|(name, message)| (name, PeerMessage::Membership(message))).collect()
 }
 
 fn zone(name: &str) -> Zone {
@@ -259,12 +259,13 @@
 
 #[test]
 fn commands_of_log_entries() {
-    let schedules = schedule_commands().into_iter().map(|(name, command)| (name, Word::Schedule(command)));
-    let mut commands: Vec<(&str, Word)> = schedules.collect();
-    commands.push(("plan", Word::Plan(plan())));
-    commands.push(("generation", Word::Generation(12)));
+    let schedules =
+        schedule_commands().into_iter().map(|(name, command)| (name, LogCommand::Schedule(command)));
+    let mut commands: Vec<(&str, LogCommand)> = schedules.collect();
+    commands.push(("plan", LogCommand::Plan(plan())));
+    commands.push(("generation", LogCommand::Generation(12)));
     for (name, command) in &commands {
-        assert_eq!(Word::read(&command.write()).as_ref(), Some(command), "{name}");
+        assert_eq!(LogCommand::decode(&command.encode()).as_ref(), Some(command), "{name}");
     }
     check("log-commands.txt", &commands);
 }
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use juniperrail_consensus::{MemberId, RaftConfig, Run, SwimConfig};
-use juniperrail_fleet::{Bound, Fleet, Setting};
+use juniperrail_fleet::{Fleet, FleetConfig, FleetListener};
 use juniperrail_store::Limits;
 use serde::Serialize;
 
@@ -51,22 +51,22 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let others = [(MemberId(2), "127.0.0.1:1".to_string()), (MemberId(3), "127.0.0.1:1".to_string())];
-    let setting = Setting {
-        me: MemberId(1),
-        fleet: "exams".into(),
+    let setting = FleetConfig {
+        member_id: MemberId(1),
+        fleet_name: "exams".into(),
         listen: address,
-        store: store.clone(),
-        limits: Limits::default(),
+        store_path: store.clone(),
+        store_limits: Limits::default(),
         members: others.into_iter().chain([(MemberId(1), address.to_string())]).collect(),
         generation: 0,
-        figures: RaftConfig {
+        raft: RaftConfig {
             heartbeat_interval_ms: 100.0,
             election_timeout_ms: ELECTION,
             max_clock_drift_ratio: 0.1,
             max_entries_per_message: 64,
             max_uncommitted_entries: 64,
         },
-        sight: SwimConfig {
+        swim: SwimConfig {
             probe_period_ms: 1000.0,
             probe_timeout_ms: 300.0,
             indirect_probe_count: 3,
@@ -75,9 +75,9 @@
         failover: None,
         schedules: Default::default(),
         seed: 7,
-        entries: 1000,
+        max_log_entries: 1000,
     };
-    Running { fleet: Some(Bound::new(setting, listener).start().unwrap()), store, address }
+    Running { fleet: Some(FleetListener::new(setting, listener).start().unwrap()), store, address }
 }
 
 fn second(address: SocketAddr, run: u64) -> TcpStream {
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use juniperrail::Planner;
-use juniperrail_fleet::{Common, Parts};
+use juniperrail_fleet::{FleetHandle, ZoneWeightRatios};
 use juniperrail_intent::{ChangeTracker, Intent};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Settings, WorkerId};
 use juniperrail_northbound::{Notice, PlannerRequest};
@@ -86,7 +86,7 @@
     /// Who may come from where, for whoever takes connections.
     zones: Rc<Zones>,
     /// What is decided in common, and what is told of it.
-    fleet: Option<(Common, EvidenceCollector)>,
+    fleet: Option<(FleetHandle, EvidenceCollector)>,
 }
 
 impl Decider {
@@ -143,7 +143,7 @@
     }
 
     /// What is decided in common with other managers is part of the state from now on.
-    pub fn in_common(self, fleet: Option<Common>) -> Self {
+    pub fn in_common(self, fleet: Option<FleetHandle>) -> Self {
         Decider { fleet: fleet.map(|common| (common, EvidenceCollector::default())), ..self }
     }
 
@@ -247,9 +247,9 @@
 }
 
 /// The next plan in common; never where nothing is decided in common.
-async fn next_plan(fleet: &mut Option<(Common, EvidenceCollector)>) -> Arc<Parts> {
+async fn next_plan(fleet: &mut Option<(FleetHandle, EvidenceCollector)>) -> Arc<ZoneWeightRatios> {
     match fleet {
-        Some((common, _)) => common.next().await,
+        Some((common, _)) => common.next_weight_ratios().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use juniperrail_fleet::Parts;
+use juniperrail_fleet::ZoneWeightRatios;
 use juniperrail_intent::{check_change, AdmissionContext, ComposedWorker, Intent, Refusal};
 use juniperrail_interface::{Event, ZoneId};
 use juniperrail_northbound::{PlannerRequest, Verdict};
@@ -91,7 +91,7 @@
     }
 
     /// What managers agreed on holds from this turn on, unless an operation would have nobody left by it.
-    pub(super) fn apply_plan(&mut self, parts: &Parts) {
+    pub(super) fn apply_plan(&mut self, parts: &ZoneWeightRatios) {
         let id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
         let parts: BTreeMap<ZoneId, f64> =
             parts.iter().filter_map(|(zone, part)| Some((id(&zone.0)?, *part))).collect();
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -89,6 +89,6 @@
         let streams = self.presence.streams.values();
         let proxies = streams.map(|s| (names.zones.name(s.zone.0.into()), s.silent.is_some()));
         let report = evidence.report(now, self.start.report_period, listed, proxies);
-        report.into_iter().for_each(|report| common.met(report));
+        report.into_iter().for_each(|report| common.report_evidence(report));
     }
 }
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use juniperrail_consensus::{Health, MemberId, RaftConfig, Reach, RecoveryState, SwimConfig};
 use juniperrail_failover::{Evidence, EvidenceAccumulator, Zone};
-use juniperrail_fleet::{Common, Setting};
+use juniperrail_fleet::{FleetConfig, FleetHandle};
 use juniperrail_interface::{Ms, Phase, Settings, WorkerEntry};
 use juniperrail_model::{Data, Schema, View};
 use juniperrail_northbound::{FleetState, OperatorFile, ScheduleState};
@@ -30,7 +30,7 @@
     data: &Data,
     seed: u64,
     start: &Settings,
-) -> Result<Option<Setting>, String> {
+) -> Result<Option<FleetConfig>, String> {
     let data = data.with_defaults(schema);
     let fleet = View::new(schema, &data).inner("fleet");
     if !fleet.is_there() {
@@ -87,27 +87,27 @@
         let why = format!("{lease} ms are shorter than thrice what sums are late, {} ms", period + transit);
         return Err(at("/failover/plan-lease", &why));
     }
-    Ok(Some(Setting {
+    Ok(Some(FleetConfig {
         failover: failover.is_there().then_some(juniperrail_failover::FailoverConfig {
             report_period: period,
             max_transit: transit,
             plan_lease: lease,
         }),
-        me,
-        fleet: fleet.text("name").unwrap_or_default().to_string(),
+        member_id: me,
+        fleet_name: fleet.text("name").unwrap_or_default().to_string(),
         listen,
-        store: file.resolve(fleet.text("store").unwrap_or_default()),
-        limits: Limits::default(),
+        store_path: file.resolve(fleet.text("store").unwrap_or_default()),
+        store_limits: Limits::default(),
         members,
         generation: number(&fleet, "generation"),
-        figures: RaftConfig {
+        raft: RaftConfig {
             heartbeat_interval_ms: heartbeat,
             election_timeout_ms: election,
             max_clock_drift_ratio: figure("drift"),
             max_entries_per_message: BATCH,
             max_uncommitted_entries: WAITING,
         },
-        sight: SwimConfig {
+        swim: SwimConfig {
             probe_period_ms: period,
             probe_timeout_ms: answer,
             indirect_probe_count: BY_OTHERS,
@@ -115,7 +115,7 @@
         },
         schedules,
         seed,
-        entries: number(&fleet, "entries") as usize,
+        max_log_entries: number(&fleet, "entries") as usize,
     }))
 }
 
@@ -170,8 +170,8 @@
 }
 
 /// As the model words it.
-pub fn state(common: &Common) -> FleetState {
-    let seen = common.seen();
+pub fn state(common: &FleetHandle) -> FleetState {
+    let seen = common.status();
     let end = |end: OccurrenceOutcome| match end {
         OccurrenceOutcome::Succeeded => "succeeded",
         OccurrenceOutcome::Failed => "failed",
@@ -201,40 +201,40 @@
         juniperrail_failover::ZoneHealth::Lost => "lost",
     };
     FleetState {
-        member: seen.me.0,
+        member: seen.member_id.0,
         role: if seen.role.is_empty() { "follower" } else { seen.role },
         leader: seen.leader.map(|leader| leader.0),
         term: seen.term.0,
-        recovery_state: match seen.standing {
+        recovery_state: match seen.recovery_state {
             None | Some(RecoveryState::Empty) => "fresh",
             Some(RecoveryState::Verifying { .. }) => "settling",
             Some(RecoveryState::Recovering { .. }) => "doubtful",
             Some(RecoveryState::Ready) => "whole",
         },
-        committed: seen.committed.0,
+        committed: seen.commit_index.0,
         store_failing: seen.store_failing,
-        store_size: seen.store_size,
+        store_size: seen.store_bytes,
         plan: seen.plan.version,
-        plan_lease_expired: seen.plan_lapsed,
+        plan_lease_expired: seen.plan_lease_expired,
         zones: seen
             .plan
             .shares
             .iter()
             .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, why(share.reason)))
             .collect(),
-        messages_lost: seen.lost,
-        own_health: seen.own_health,
+        messages_lost: seen.messages_lost,
+        own_health: seen.local_health,
         members: seen.members.iter().map(|(id, of, by)| (id.0, health(*of), reach(*by))).collect(),
         schedules: seen
             .schedules
             .iter()
             .map(|told| ScheduleState {
                 name: told.name.clone(),
-                through: told.through,
-                open: told.open,
-                finished: told.ends,
-                skipped: told.passed,
-                last: told.last.as_ref().map(|ended| (ended.due_ms, end(ended.outcome), ended.owner.0)),
+                through: told.decided_through,
+                open: told.open_count,
+                finished: told.ended_count,
+                skipped: told.skipped_count,
+                last: told.last_ended.as_ref().map(|ended| (ended.due_ms, end(ended.outcome), ended.owner.0)),
             })
             .collect(),
     }
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -45,7 +45,7 @@
     pub data: Data,
     pub intent: Intent,
     /// What is decided in common with other managers, if anything is.
-    pub fleet: Option<juniperrail_fleet::Setting>,
+    pub fleet: Option<juniperrail_fleet::FleetConfig>,
 }
 
 /// No span in the settings is longer, in ms: a day.
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -42,7 +42,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_fleet::{Bound, Fleet, Setting};
+use juniperrail_fleet::{Fleet, FleetConfig, FleetListener};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, Notify};
 use tokio::task::LocalSet;
@@ -148,7 +148,7 @@
         // Ends the north's thread as this is dropped.
         let (north, _north) = north.map(north::Northbound::start).unzip();
         let decider = decider::Decider::new(launch, probes, &inbound, resync.clone(), north, zones)
-            .in_common(fleet.as_ref().map(|fleet| fleet.common()));
+            .in_common(fleet.as_ref().map(|fleet| fleet.handle()));
         drop(inbound);
         tracing::info!("{} serves on {address}", fixed.name);
         tracing::debug!("of {} descriptors beside {proxies} proxies: {budget:?}", fixed.sockets);
@@ -164,12 +164,12 @@
 }
 
 /// Takes part in what is decided in common.
-async fn joined(setting: Setting) -> Result<Fleet, String> {
+async fn joined(setting: FleetConfig) -> Result<Fleet, String> {
     let at = setting.listen;
     // What was led in common is handed over while this address is still held.
     let listener = listening::listen(at, LEAST_BACKLOG).await.and_then(TcpListener::into_std);
     let listener = listener.map_err(|why| format!("{at} cannot be listened on for other managers: {why}"))?;
-    let bound = Bound::new(setting, listener);
+    let bound = FleetListener::new(setting, listener);
     let address = bound.address().map(|at| at.to_string()).unwrap_or_default();
     tracing::info!("fleet: links of other managers come to {address}");
     bound.start()
--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -174,8 +174,8 @@
 /// Records what a leader sends, and conflicts with what was sent before.
 fn record_message(from: MemberId, message: PeerMessage, traffic: &mut Traffic) {
     let (term, entries) = match message {
-        PeerMessage::Council(Message::AppendEntries { term, entries, .. }) => (term, entries),
-        PeerMessage::Council(Message::InstallSnapshot { term, .. }) => (term, Vec::new()),
+        PeerMessage::Consensus(Message::AppendEntries { term, entries, .. }) => (term, entries),
+        PeerMessage::Consensus(Message::InstallSnapshot { term, .. }) => (term, Vec::new()),
         _ => return,
     };
     let leaders = traffic.leaders.entry(term).or_default();
