--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -45,7 +45,7 @@
     pub data: Data,
     pub intent: Intent,
     /// What is decided in common with other managers, if anything is.
-    pub fleet: Option<juniperrail_fleet::Setting>,
+    pub fleet: Option<juniperrail_fleet::FleetConfig>,
 }
 
 /// No span in the settings is longer, in ms: a day.
@@ -166,7 +166,8 @@
             // An answer was due since, and if the proxy is slow a report at least.
             silence_timeouts: SilenceTimeouts {
                 answer_timeout: fixed.settings.report_period + fixed.settings.max_transit,
-                queue_drain_time: fixed.settings.max_pending_lines * 1000.0 / fixed.settings.channel_rate.max(1.0),
+                queue_drain_time: fixed.settings.max_pending_lines * 1000.0
+                    / fixed.settings.channel_rate.max(1.0),
             },
             fixed,
             names,
