--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -14,7 +14,7 @@
 use serde_json::Value;
 
 use crate::listing::Listing;
-use crate::presence::Patience;
+use crate::presence::SilenceTimeouts;
 use crate::scope_filter::ScopeFilter;
 use crate::subscription::Subscription;
 
@@ -24,14 +24,14 @@
     pub(crate) discovery: SocketAddr,
     pub(crate) seed: u64,
     /// The list as last held; it may be old.
-    pub(crate) known: Option<Listing>,
+    pub(crate) cached_list: Option<Listing>,
     pub(crate) names: Names,
     /// As the settings name them; the list may bring others.
     pub(crate) zones: Vec<String>,
     /// A stream that owes an answer and says nothing for longer is taken for lost.
-    pub(crate) patience: Patience,
+    pub(crate) silence_timeouts: SilenceTimeouts,
     /// What the operator's file says, if it says anything.
-    pub(crate) operator: Option<Operator>,
+    pub(crate) operator_config: Option<OperatorConfig>,
     /// Which part of the list is needed, and from whom it is taken.
     pub(crate) subscription: Subscription,
     /// Keeps to that part; `None` where all of the list is needed.
@@ -39,13 +39,13 @@
 }
 
 /// The operator's file as read at the start.
-pub(crate) struct Operator {
+pub(crate) struct OperatorConfig {
     pub file: OperatorFile,
     pub schema: Arc<Schema>,
     pub data: Data,
     pub intent: Intent,
     /// What is decided in common with other managers, if anything is.
-    pub fleet: Option<juniperrail_fleet::Setting>,
+    pub fleet: Option<juniperrail_fleet::FleetConfig>,
 }
 
 /// No span in the settings is longer, in ms: a day.
@@ -60,7 +60,7 @@
     pub listen: SocketAddr,
     /// File descriptors that this process may hold.
     pub sockets: usize,
-    pub start: Settings,
+    pub settings: Settings,
     pub tick: Duration,
     pub dial_within: Duration,
 }
@@ -68,7 +68,7 @@
 impl Fixed {
     /// What another configuration says otherwise.
     pub fn other_than(&self, other: &Fixed) -> impl Iterator<Item = &'static str> {
-        let settings = |of: &Fixed| (of.start.clone(), of.tick, of.dial_within);
+        let settings = |of: &Fixed| (of.settings.clone(), of.tick, of.dial_within);
         let differ = [
             ("the name", self.name != other.name),
             ("the address to listen on", self.listen != other.listen),
@@ -157,21 +157,22 @@
             sockets: file.limits.sockets,
             tick: span("tick-ms")?,
             dial_within: span("allowed.dial-timeout-ms")?,
-            start,
+            settings: start,
         };
         Ok(Launch {
             discovery: address(DISCOVERY, file.discovery)?,
             seed: u64::from_str_radix(&file.seed, 16).map_err(|_| format!("no seed: {:?}", file.seed))?,
-            known: file.known,
+            cached_list: file.known,
             // An answer was due since, and if the proxy is slow a report at least.
-            patience: Patience {
-                answer: fixed.start.report_period + fixed.start.max_transit,
-                queue: fixed.start.max_pending_lines * 1000.0 / fixed.start.channel_rate.max(1.0),
+            silence_timeouts: SilenceTimeouts {
+                answer_timeout: fixed.settings.report_period + fixed.settings.max_transit,
+                queue_drain_time: fixed.settings.max_pending_lines * 1000.0
+                    / fixed.settings.channel_rate.max(1.0),
             },
             fixed,
             names,
             zones,
-            operator: None,
+            operator_config: None,
             subscription: Subscription::default(),
             filter: None,
         })
@@ -198,15 +199,15 @@
             Some(data) => data,
         };
         Launch::check_operator_data(&data).map_err(|why| format!("{shown}: {why}"))?;
-        let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.start);
+        let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.settings);
         let fleet = fleet.map_err(|why| format!("{shown}: {why}"))?;
         let intent = Intent::from_data(&schema, &data);
         let names = &self.names;
         let operation = |op| names.ops.name(op as u32).to_string();
-        let operations: Vec<String> = (0..self.fixed.start.operations.len()).map(operation).collect();
+        let operations: Vec<String> = (0..self.fixed.settings.operations.len()).map(operation).collect();
         let world = AdmissionContext {
             now: 0.0,
-            settings: &self.fixed.start,
+            settings: &self.fixed.settings,
             operation_names: &operations,
             zone_name: &|_| String::new(),
             is_known_zone: &|zone| self.zones.iter().any(|known| known == zone),
@@ -217,7 +218,7 @@
             return Err(format!("{shown}: {}: {refusal}", refusal.path()));
         }
         let subscription = Subscription::read(&schema, &data).map_err(|why| format!("{shown}: {why}"))?;
-        self.operator = Some(Operator { file, schema, data, intent, fleet });
+        self.operator_config = Some(OperatorConfig { file, schema, data, intent, fleet });
         Ok(self.subscribed(subscription))
     }
 
@@ -225,7 +226,7 @@
     fn subscribed(mut self, subscription: Subscription) -> Launch {
         if !subscription.scope.is_everything() {
             let mut filter = ScopeFilter::new(subscription.scope.clone());
-            self.known = self.known.map(|known| filter.filter(known));
+            self.cached_list = self.cached_list.map(|known| filter.filter(known));
             self.filter = Some(filter);
         }
         self.subscription = subscription;
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -42,7 +42,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_fleet::{Bound, Fleet, Setting};
+use juniperrail_fleet::{Fleet, FleetConfig, FleetListener};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, Notify};
 use tokio::task::LocalSet;
@@ -88,12 +88,12 @@
         let failed = |why| format!("{listen} cannot be listened on: {why}");
         // Guards against proxies that all come at once, as after a manager's death, while a turn is under way: who finds
         // no room waits a second before it knocks again.
-        let backlog = (launch.fixed.start.proxy_count as u32).max(LEAST_BACKLOG);
+        let backlog = (launch.fixed.settings.proxy_count as u32).max(LEAST_BACKLOG);
         let listener = listening::listen(listen, backlog).await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let reloader = Reloader::new(&launch);
         let north = north::Northbound::bind(&launch)?;
-        let fleet = launch.operator.as_mut().and_then(|operator| operator.fleet.take());
+        let fleet = launch.operator_config.as_mut().and_then(|operator| operator.fleet.take());
         let fleet = match fleet {
             Some(setting) => Some(Arc::new(joined(setting).await?)),
             None => None,
@@ -107,7 +107,7 @@
     }
 
     /// Where it speaks NETCONF over SSH and over TLS, if the operator's file says so.
-    pub fn netconf(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
+    pub fn netconf_addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         self.north.as_ref().map_or((None, None), north::Northbound::addresses)
     }
 
@@ -127,28 +127,28 @@
         let fixed = launch.fixed.clone();
         let (inbound, inbox) = mpsc::channel(INBOX);
         let resync = Rc::new(Notify::new());
-        let objectives = fixed.start.operations.iter().map(|op| op.latency_objective);
+        let objectives = fixed.settings.operations.iter().map(|op| op.latency_objective);
         // What answers later than an invocation should is as good as silent.
         let answer_within = Duration::from_secs_f64(objectives.fold(60_000.0, f64::min) / 1000.0);
-        let (zones, proxies) = (Rc::<limiter::Zones>::default(), fixed.start.proxy_count as u16);
-        launch.zones.iter().for_each(|zone| zones.name(zone));
+        let (zones, proxies) = (Rc::<limiter::KnownZones>::default(), fixed.settings.proxy_count as u16);
+        launch.zones.iter().for_each(|zone| zones.add(zone));
         let budget = limiter::Budget::new(fixed.sockets, proxies.into(), launch.zones.len());
-        let probes = probes::probes(fixed.dial_within, answer_within, budget.probes);
+        let probes = probes::probe_service(fixed.dial_within, answer_within, budget.probes);
         let watch = discovery::Watch::new(&mut launch, reloader.discovery(), inbound.clone());
         let context = Rc::new(streams::AcceptorContext {
             inbound: inbound.clone(),
-            proxies,
+            proxy_count: proxies,
             zones: zones.clone(),
             unidentified: limiter::ConnectionLimiter::new(budget.unidentified),
             collectors: limiter::ConnectionLimiter::new(budget.collectors),
-            last: Default::default(),
-            open: Default::default(),
-            most: budget.open,
+            last_stream_id: Default::default(),
+            open_count: Default::default(),
+            max_open: budget.open,
         });
         // Ends the north's thread as this is dropped.
         let (north, _north) = north.map(north::Northbound::start).unzip();
         let decider = decider::Decider::new(launch, probes, &inbound, resync.clone(), north, zones)
-            .in_common(fleet.as_ref().map(|fleet| fleet.common()));
+            .with_fleet(fleet.as_ref().map(|fleet| fleet.handle()));
         drop(inbound);
         tracing::info!("{} serves on {address}", fixed.name);
         tracing::debug!("of {} descriptors beside {proxies} proxies: {budget:?}", fixed.sockets);
@@ -164,12 +164,12 @@
 }
 
 /// Takes part in what is decided in common.
-async fn joined(setting: Setting) -> Result<Fleet, String> {
+async fn joined(setting: FleetConfig) -> Result<Fleet, String> {
     let at = setting.listen;
     // What was led in common is handed over while this address is still held.
     let listener = listening::listen(at, LEAST_BACKLOG).await.and_then(TcpListener::into_std);
     let listener = listener.map_err(|why| format!("{at} cannot be listened on for other managers: {why}"))?;
-    let bound = Bound::new(setting, listener);
+    let bound = FleetListener::new(setting, listener);
     let address = bound.address().map(|at| at.to_string()).unwrap_or_default();
     tracing::info!("fleet: links of other managers come to {address}");
     bound.start()
