--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -22,9 +22,13 @@
 /// One `rpc-error` of a reply, RFC 6241 section 4.3.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RpcError {
+    /// The `error-tag`.
     pub tag: String,
+    /// The `error-app-tag`.
     pub app_tag: Option<String>,
+    /// The `error-path`.
     pub path: Option<String>,
+    /// The `error-message`.
     pub message: String,
 }
 
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -16,9 +16,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RpcError {
     pub error_type: ErrorType,
+    /// The `error-tag`.
     pub tag: &'static str,
+    /// The `error-app-tag`.
     pub app_tag: Option<&'static str>,
+    /// The `error-path`.
     pub path: Option<String>,
+    /// The `error-message`.
     pub message: String,
     /// The elements of `error-info` as names and values.
     pub info: Vec<(&'static str, String)>,
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -16,6 +16,7 @@
 /// State that all sessions of the server share.
 pub struct ServerContext {
     pub datastore_manager: DatastoreManager,
+    /// The capabilities for the server's hello.
     pub capabilities: Vec<String>,
     /// The prefixes of the YANG modules and their namespaces.
     pub prefixes: Vec<(String, String)>,
@@ -77,6 +78,7 @@
 pub struct RpcHandler {
     pub context: Arc<ServerContext>,
     pub caller: Caller,
+    /// Whether the session has a notification subscription.
     pub subscribed: bool,
 }
 
@@ -182,6 +184,7 @@
         (self.write_reply(reply, body), action)
     }
 
+    /// The complete `rpc-reply` as XML.
     fn write_reply(&self, reply: Element, body: Result<ReplyBody, Vec<RpcError>>) -> String {
         let reply = match body {
             Ok(ReplyBody::Ok) => reply.with(Element::new(NETCONF, "ok")),
@@ -549,6 +552,7 @@
         reply_with(ReplyBody::Ok)
     }
 
+    /// `lock` and `unlock`.
     async fn locking(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["target"])?;
         let target = datastore_parameter(operation, "target")?;
@@ -660,6 +664,7 @@
         Ok((ReplyBody::Ok, SessionAction::Subscribe(filter)))
     }
 
+    /// The `rollback` operation of the manager's own module: loads an earlier version of running into the candidate.
     async fn rollback(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["version"])?;
         let version =
