--- a/crates/fleet/src/agreed.rs
+++ b/crates/fleet/src/agreed.rs
@@ -1,62 +1,64 @@
-//! All that managers agree on, as one state that each applies the same words to.
+//! The replicated state machine: every manager applies the same log entries to it in the same order.
 
 use juniperrail_consensus::{Index, Snapshot};
 use juniperrail_failover::Plan;
 use juniperrail_schedule::Ledger;
 use serde::{Deserialize, Serialize};
 
-/// One word, an entry's command.
+/// The command of one log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogCommand {
     Schedule(juniperrail_schedule::Command),
     Plan(Plan),
-    /// The members are as that version of the operator's file has them.
+    /// The members now match this version of the operator's file.
     Generation(u64),
 }
 
 impl LogCommand {
     pub fn encode(&self) -> Vec<u8> {
-        // It can't fail: nothing in a word is without a form, and the bytes are as many as it takes.
+        // Encoding can't fail: every value of a command is representable, and the buffer grows as needed.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// `None` where a newer program proposed what this one does not know.
+    /// `None` if a newer version of the program proposed a command that this one does not know.
     pub fn decode(bytes: &[u8]) -> Option<LogCommand> {
         postcard::from_bytes(bytes).ok()
     }
 }
 
+/// The state that all managers agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Agreed {
-    pub books: Ledger,
+pub struct ReplicatedState {
+    pub ledger: Ledger,
     pub plan: Plan,
     pub generation: u64,
-    pub at: Index,
+    /// The index of the last applied entry.
+    pub last_applied: Index,
 }
 
-impl Agreed {
-    /// Whether the word changed anything.
-    pub fn apply(&mut self, at: Index, word: &LogCommand) -> bool {
-        self.at = at;
-        match word {
-            LogCommand::Schedule(word) => self.books.apply(at, word),
+impl ReplicatedState {
+    /// Applies the command of the entry at `index`. Returns whether it changed anything but the index.
+    pub fn apply(&mut self, index: Index, command: &LogCommand) -> bool {
+        self.last_applied = index;
+        match command {
+            LogCommand::Schedule(command) => self.ledger.apply(index, command),
             LogCommand::Plan(plan) => self.plan.adopt_if_newer(plan),
             LogCommand::Generation(generation) => {
-                let later = *generation > self.generation;
+                let newer = *generation > self.generation;
                 self.generation = self.generation.max(*generation);
-                later
+                newer
             }
         }
     }
 
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// As a snapshot has it; that of the first hour is empty.
-    pub fn read(snapshot: &Snapshot) -> Option<Agreed> {
+    /// The state in a snapshot. The snapshot that the cluster is bootstrapped from is empty.
+    pub fn decode(snapshot: &Snapshot) -> Option<ReplicatedState> {
         if snapshot.state.is_empty() {
-            return Some(Agreed { at: snapshot.last_index, ..Agreed::default() });
+            return Some(ReplicatedState { last_applied: snapshot.last_index, ..ReplicatedState::default() });
         }
         postcard::from_bytes(&snapshot.state).ok()
     }
--- a/crates/fleet/src/agreed/tests.rs
+++ b/crates/fleet/src/agreed/tests.rs
@@ -11,10 +11,11 @@
 fn a_snapshot_state_of_an_earlier_build_is_read_and_written_unchanged() {
     let (_, digits) = STORED.trim_end().split_once(' ').unwrap();
     let digit_pairs = (0..digits.len()).step_by(2).map(|at| &digits[at..at + 2]);
-    let state: Vec<u8> = digit_pairs.map(|pair| u8::from_str_radix(pair, 16).unwrap()).collect();
-    let (books, plan, generation, at): (Ledger, Plan, u64, Index) = postcard::from_bytes(&state).unwrap();
-    let read = Agreed::read(&Snapshot { state: state.clone(), ..Snapshot::default() }).unwrap();
-    assert_eq!(read, Agreed { books, plan, generation, at });
-    assert_eq!(read.write(), state);
-    assert_eq!((read.generation, read.at), (12, Index(131)));
+    let bytes: Vec<u8> = digit_pairs.map(|pair| u8::from_str_radix(pair, 16).unwrap()).collect();
+    let (ledger, plan, generation, last_applied): (Ledger, Plan, u64, Index) =
+        postcard::from_bytes(&bytes).unwrap();
+    let decoded = ReplicatedState::decode(&Snapshot { state: bytes.clone(), ..Snapshot::default() }).unwrap();
+    assert_eq!(decoded, ReplicatedState { ledger, plan, generation, last_applied });
+    assert_eq!(decoded.encode(), bytes);
+    assert_eq!((decoded.generation, decoded.last_applied), (12, Index(131)));
 }
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -1,5 +1,5 @@
-//! The thread that owns the council and what is agreed: it hands in what came, and does what comes back, in the order
-//! that the crates below ask for: to write, to send, to take over.
+//! The fleet thread. It owns the Raft node and the replicated state, feeds them with input, and carries out the actions
+//! that they return in the required order: write records, send messages, apply committed entries.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,243 +17,255 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use crate::agreed::{Agreed, LogCommand};
-use crate::disk::Watched;
-use crate::links::Book;
-use crate::mail::{Mail, PeerMessage};
+use crate::agreed::{LogCommand, ReplicatedState};
+use crate::disk::FaultDisk;
+use crate::links::PeerTable;
+use crate::mail::{Channels, PeerMessage};
 use crate::seen::{FleetStatus, ScheduleStatus};
 use crate::setting::FleetConfig;
 use crate::ZoneWeightRatios;
 
-/// Records that wait for a store that is behind; a member whose store is so far behind steps down.
-const BEHIND: usize = 1024;
-/// Nothing is looked at more rarely.
-const LONGEST: Ms = 250.0;
-/// What people may read is copied no more often.
-const SHOWN: Ms = 500.0;
-/// What is proposed may take so many elections to be agreed before it is proposed again.
-const AGAIN: f64 = 2.0;
+/// Records that may wait for the store's writer. With more waiting the store counts as failing, and a leader steps down.
+const MAX_UNWRITTEN_RECORDS: usize = 1024;
+/// The longest time between two passes of the loop.
+const MAX_WAIT_MS: Ms = 250.0;
+/// The shortest time between two updates of the status.
+const STATUS_INTERVAL_MS: Ms = 500.0;
+/// Election timeouts after which a proposal that was not committed is proposed again.
+const PROPOSAL_RETRY_ELECTIONS: f64 = 2.0;
 
+/// The state of the fleet thread.
 pub struct Core {
-    setting: FleetConfig,
+    config: FleetConfig,
     started: Instant,
-    council: RaftNode,
-    sight: FailureDetector,
-    writer: Writer<Watched>,
-    /// Records that the writer has not taken yet.
-    behind: VecDeque<Vec<u8>>,
-    failing: bool,
-    mail: Arc<Mail>,
-    seen: Arc<Mutex<FleetStatus>>,
-    book: Book,
-    agreed: Agreed,
-    leading: LeaderState,
-    led: bool,
-    duties: ClaimTracker,
-    pilot: FailoverController,
-    in_force: ActivePlan,
-    hand: watch::Sender<Arc<ZoneWeightRatios>>,
-    /// When schedules are looked at next, and members.
-    look: Ms,
-    shown: Ms,
-    leaving: Option<Ms>,
+    raft: RaftNode,
+    failure_detector: FailureDetector,
+    writer: Writer<FaultDisk>,
+    /// Records that the writer has not accepted yet.
+    unwritten: VecDeque<Vec<u8>>,
+    store_failing: bool,
+    channels: Arc<Channels>,
+    status: Arc<Mutex<FleetStatus>>,
+    peer_table: PeerTable,
+    replicated: ReplicatedState,
+    leader_state: LeaderState,
+    was_leader: bool,
+    claim_tracker: ClaimTracker,
+    failover_controller: FailoverController,
+    active_plan: ActivePlan,
+    weight_ratios: watch::Sender<Arc<ZoneWeightRatios>>,
+    /// The time of the next pass over members, schedules and zones.
+    next_periodic_pass: Ms,
+    status_updated_at: Ms,
+    leaving_since: Option<Ms>,
 }
 
 impl Core {
     pub fn new(
-        setting: &FleetConfig,
-        kept: StoredState,
-        writer: Writer<Watched>,
-        mail: Arc<Mail>,
-        seen: Arc<Mutex<FleetStatus>>,
-        hand: watch::Sender<Arc<ZoneWeightRatios>>,
+        config: &FleetConfig,
+        stored_state: StoredState,
+        writer: Writer<FaultDisk>,
+        channels: Arc<Channels>,
+        status: Arc<Mutex<FleetStatus>>,
+        weight_ratios: watch::Sender<Arc<ZoneWeightRatios>>,
     ) -> Core {
         let voter = |(id, address): (&MemberId, &String)| {
             (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
-        let named: Members = setting.members.iter().map(voter).collect();
-        // Guards against a seed that is told again at the next start: by this chance a store is told from one that was lost.
-        let seed = setting.seed ^ fastrand::u64(..);
-        let council = RaftNode::start(setting.member_id, setting.raft, named, seed, 0.0, kept);
-        let run = council.run();
-        let sight = FailureDetector::start(setting.member_id, setting.swim, run.0, seed ^ 1, 0.0);
+        let voters: Members = config.members.iter().map(voter).collect();
+        // The configured seed alone would repeat at the next start: the random store id that tells a store from a lost one
+        // is drawn from this seed.
+        let seed = config.seed ^ fastrand::u64(..);
+        let raft = RaftNode::start(config.member_id, config.raft, voters, seed, 0.0, stored_state);
+        let run = raft.run();
+        let failure_detector = FailureDetector::start(config.member_id, config.swim, run.0, seed ^ 1, 0.0);
         Core {
             started: Instant::now(),
-            council,
-            sight,
+            raft,
+            failure_detector,
             writer,
-            behind: VecDeque::new(),
-            failing: false,
-            mail,
-            seen,
-            book: Arc::new(Mutex::new(setting.members.clone())),
-            agreed: Agreed::default(),
-            leading: LeaderState::default(),
-            led: false,
-            duties: ClaimTracker::new(setting.member_id, run),
-            pilot: FailoverController::default(),
-            in_force: ActivePlan::default(),
-            hand,
-            look: 0.0,
-            shown: f64::NEG_INFINITY,
-            leaving: None,
-            setting: setting.clone(),
+            unwritten: VecDeque::new(),
+            store_failing: false,
+            channels,
+            status,
+            peer_table: Arc::new(Mutex::new(config.members.clone())),
+            replicated: ReplicatedState::default(),
+            leader_state: LeaderState::default(),
+            was_leader: false,
+            claim_tracker: ClaimTracker::new(config.member_id, run),
+            failover_controller: FailoverController::default(),
+            active_plan: ActivePlan::default(),
+            weight_ratios,
+            next_periodic_pass: 0.0,
+            status_updated_at: f64::NEG_INFINITY,
+            leaving_since: None,
+            config: config.clone(),
         }
     }
 
     pub fn run(&self) -> Run {
-        self.council.run()
+        self.raft.run()
     }
 
-    pub fn book(&self) -> Book {
-        self.book.clone()
+    pub fn peer_table(&self) -> PeerTable {
+        self.peer_table.clone()
     }
 
-    /// This member's own clock: it never jumps, and goes on while the process is stopped.
+    /// The monotonic clock of this member. It also advances while the process is stopped.
     fn now(&self) -> Ms {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The time of day as the machine shows it.
-    fn day() -> Ms {
+    /// The machine's wall clock, in milliseconds of Unix time.
+    fn unix_time() -> Ms {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         unix.as_secs_f64() * 1000.0 + juniperrail_faults::clock_ahead()
     }
 
+    /// Runs until the channels are stopped.
     pub fn serve(mut self) {
-        self.members();
-        self.carry_out();
+        self.update_members();
+        self.carry_out_actions();
         loop {
             let now = self.now();
-            let next = self.council.next_tick().min(self.sight.next_tick()).min(self.look).min(now + LONGEST);
-            let wait = Duration::from_secs_f64((next - now).clamp(0.0, LONGEST) / 1000.0);
-            let rung = self.mail.wait(wait);
-            if rung.stop {
+            let next_tick = self
+                .raft
+                .next_tick()
+                .min(self.failure_detector.next_tick())
+                .min(self.next_periodic_pass)
+                .min(now + MAX_WAIT_MS);
+            let wait = Duration::from_secs_f64((next_tick - now).clamp(0.0, MAX_WAIT_MS) / 1000.0);
+            let wakeup = self.channels.wait(wait);
+            if wakeup.stop {
                 return;
             }
             let now = self.now();
-            self.store(now);
-            self.hear(now);
-            if now >= self.council.next_tick() {
-                self.council.tick(now);
+            self.update_store(now);
+            self.handle_input(now);
+            if now >= self.raft.next_tick() {
+                self.raft.tick(now);
             }
-            if now >= self.sight.next_tick() {
-                self.sight.tick(now);
+            if now >= self.failure_detector.next_tick() {
+                self.failure_detector.tick(now);
             }
-            if rung.leave && self.leaving.is_none() {
-                self.leave(now);
+            if wakeup.leave && self.leaving_since.is_none() {
+                self.start_leaving(now);
             }
-            self.carry_out();
-            self.left();
-            if now >= self.look {
-                self.look = now + self.setting.raft.heartbeat_interval_ms;
-                self.reconcile(now);
-                self.schedules(now);
-                self.zones(now);
-                self.carry_out();
-                self.hand_out(now);
-                if now >= self.shown + SHOWN {
-                    self.shown = now;
-                    self.show(now);
+            self.carry_out_actions();
+            self.finish_leaving();
+            if now >= self.next_periodic_pass {
+                self.next_periodic_pass = now + self.config.raft.heartbeat_interval_ms;
+                self.reconcile_members(now);
+                self.run_schedules(now);
+                self.update_plan(now);
+                self.carry_out_actions();
+                self.publish_weight_ratios(now);
+                if now >= self.status_updated_at + STATUS_INTERVAL_MS {
+                    self.status_updated_at = now;
+                    self.update_status(now);
                 }
             }
         }
     }
 
-    fn store(&mut self, now: Ms) {
-        while let Some(record) = self.behind.front() {
+    /// Passes waiting records to the writer and tells the Raft node which records are durable.
+    fn update_store(&mut self, now: Ms) {
+        while let Some(record) = self.unwritten.front() {
             match self.writer.append(record.clone()) {
-                Ok(_) => _ = self.behind.pop_front(),
+                Ok(_) => _ = self.unwritten.pop_front(),
                 Err(_) => break,
             }
         }
         let figures = self.writer.figures();
-        let failing = figures.failing || self.behind.len() > BEHIND;
-        if failing != self.failing {
+        let failing = figures.failing || self.unwritten.len() > MAX_UNWRITTEN_RECORDS;
+        if failing != self.store_failing {
             match failing {
                 true => {
                     tracing::error!("fleet: the store fails: this manager leads no more and votes for nobody")
                 }
                 false => tracing::info!("fleet: the store is well again"),
             }
-            self.failing = failing;
-            self.council.set_store_failing(now, failing);
+            self.store_failing = failing;
+            self.raft.set_store_failing(now, failing);
         }
-        self.council.handle_durable(now, figures.durable.0);
+        self.raft.handle_durable(now, figures.durable.0);
         _ = Point::CONSENSUS_DURABLE.pass();
     }
 
-    fn hear(&mut self, now: Ms) {
-        let (came, more) = self.mail.took();
-        let day = Core::day();
-        for (from, parcels) in came {
-            for parcel in parcels {
-                match parcel {
-                    PeerMessage::Consensus(message) => self.council.handle_message(now, from, message),
-                    PeerMessage::Membership(message) => self.sight.handle_message(now, day, from, message),
-                    PeerMessage::Evidence(word) => self.witness(now, from, word),
+    /// Handles received messages, completed effects and evidence of the planner.
+    fn handle_input(&mut self, now: Ms) {
+        let (received, more) = self.channels.take_received();
+        let unix_time = Core::unix_time();
+        for (from, messages) in received {
+            for message in messages {
+                match message {
+                    PeerMessage::Consensus(message) => self.raft.handle_message(now, from, message),
+                    PeerMessage::Membership(message) => {
+                        self.failure_detector.handle_message(now, unix_time, from, message)
+                    }
+                    PeerMessage::Evidence(evidence) => self.record_evidence(now, from, evidence),
                 }
             }
         }
-        for acted in self.mail.ended() {
-            let word = self.duties.record_outcome(acted.fence, acted.turn, now, day);
-            word.into_iter().for_each(|word| self.tell_end(now, word));
+        for effect in self.channels.take_completed_effects() {
+            let command = self.claim_tracker.record_outcome(effect.fence, effect.outcome, now, unix_time);
+            command.into_iter().for_each(|command| self.propose_finished(now, command));
         }
-        if let Some(word) = self.mail.evidence() {
-            self.tell_evidence(now, word);
+        if let Some(evidence) = self.channels.take_evidence() {
+            self.send_evidence(now, evidence);
         }
         if more {
-            self.mail.wake();
+            self.channels.wake();
         }
     }
 
-    /// Does what the council wants, until it wants nothing more.
-    fn carry_out(&mut self) {
+    /// Carries out the actions of the Raft node until it returns no more, and those of the failure detector.
+    fn carry_out_actions(&mut self) {
         loop {
-            let Actions { records: writes, messages: sends, committed: agreed, events: news } =
-                self.council.take_actions();
-            if writes.is_empty() && sends.is_empty() && agreed.is_empty() && news.is_empty() {
+            let Actions { records, messages, committed, events } = self.raft.take_actions();
+            if records.is_empty() && messages.is_empty() && committed.is_empty() && events.is_empty() {
                 break;
             }
-            if !writes.is_empty() {
+            if !records.is_empty() {
                 _ = Point::CONSENSUS_WRITE.pass();
             }
-            for record in writes {
+            for record in records {
                 let bytes = record.encode();
-                if !self.behind.is_empty() || self.writer.append(bytes.clone()).is_err() {
-                    self.behind.push_back(bytes);
+                if !self.unwritten.is_empty() || self.writer.append(bytes.clone()).is_err() {
+                    self.unwritten.push_back(bytes);
                 }
             }
-            for (to, message) in sends {
-                self.mail.of(to).send(PeerMessage::Consensus(message));
+            for (to, message) in messages {
+                self.channels.peer(to).send(PeerMessage::Consensus(message));
             }
-            news.into_iter().for_each(|news| self.told(news));
-            agreed.into_iter().for_each(|agreed| self.take_over(agreed));
+            events.into_iter().for_each(|event| self.handle_event(event));
+            committed.into_iter().for_each(|committed| self.apply_committed(committed));
         }
-        for (to, message) in self.sight.take_messages() {
-            self.mail.of(to).send(PeerMessage::Membership(message));
+        for (to, message) in self.failure_detector.take_messages() {
+            self.channels.peer(to).send(PeerMessage::Membership(message));
         }
-        for (about, health) in self.sight.take_health_changes() {
+        for (member, health) in self.failure_detector.take_health_changes() {
             match health {
-                Health::Alive => tracing::info!("fleet: {about} is there"),
-                Health::Suspect => tracing::info!("fleet: {about} does not answer and is suspected"),
-                Health::Dead => tracing::warn!("fleet: {about} is taken for dead"),
-                Health::Left => tracing::info!("fleet: {about} said that it ends"),
+                Health::Alive => tracing::info!("fleet: {member} is there"),
+                Health::Suspect => tracing::info!("fleet: {member} does not answer and is suspected"),
+                Health::Dead => tracing::warn!("fleet: {member} is taken for dead"),
+                Health::Left => tracing::info!("fleet: {member} said that it ends"),
             }
         }
         self.compact();
     }
 
-    fn told(&mut self, news: RaftEvent) {
-        match news {
+    fn handle_event(&mut self, event: RaftEvent) {
+        match event {
             RaftEvent::BecameLeader(term) => {
                 tracing::info!("fleet: this manager leads in {term}");
-                (self.leading, self.pilot) = (LeaderState::default(), FailoverController::default());
+                self.leader_state = LeaderState::default();
+                self.failover_controller = FailoverController::default();
                 _ = Point::CONSENSUS_BECOME_LEADER.pass();
             }
             RaftEvent::LeaderChanged(leader, term) => tracing::info!("fleet: {leader} leads in {term}"),
-            RaftEvent::SteppedDown(term, why) => {
-                tracing::info!("fleet: this manager leads no more in {term}: {why}")
+            RaftEvent::SteppedDown(term, reason) => {
+                tracing::info!("fleet: this manager leads no more in {term}: {reason}")
             }
             RaftEvent::Bootstrapped(count) => tracing::info!("fleet: the council of {count} is founded"),
             RaftEvent::RecoveryStarted => {
@@ -266,26 +278,28 @@
         }
     }
 
-    fn take_over(&mut self, agreed: juniperrail_consensus::Committed) {
+    fn apply_committed(&mut self, committed: juniperrail_consensus::Committed) {
         _ = Point::CONSENSUS_APPLY.pass();
-        match agreed {
-            juniperrail_consensus::Committed::Snapshot(snapshot) => match Agreed::read(&snapshot) {
-                Some(state) => {
-                    // One that was kept from before is no word on how things are now.
-                    if self.council.leader().is_some() && state.plan != self.agreed.plan {
-                        self.in_force.activate(self.now(), &state.plan);
+        match committed {
+            juniperrail_consensus::Committed::Snapshot(snapshot) => {
+                match ReplicatedState::decode(&snapshot) {
+                    Some(state) => {
+                        // Without a leader the snapshot is from this manager's own store, and its plan may be outdated.
+                        if self.raft.leader().is_some() && state.plan != self.replicated.plan {
+                            self.active_plan.activate(self.now(), &state.plan);
+                        }
+                        self.replicated = state;
                     }
-                    self.agreed = state;
+                    None => tracing::error!(
+                        "fleet: what was agreed up to {} cannot be read by this program",
+                        snapshot.last_index.0
+                    ),
                 }
-                None => tracing::error!(
-                    "fleet: what was agreed up to {} cannot be read by this program",
-                    snapshot.last_index.0
-                ),
-            },
+            }
             juniperrail_consensus::Committed::Entry(entry) => {
                 if let juniperrail_consensus::Payload::Command(bytes) = &entry.payload {
                     match LogCommand::decode(bytes) {
-                        Some(word) => self.apply(entry.index, &word),
+                        Some(command) => self.apply(entry.index, &command),
                         None => {
                             tracing::error!("fleet: entry {} cannot be read by this program", entry.index.0)
                         }
@@ -293,18 +307,18 @@
                 }
             }
         }
-        self.members();
+        self.update_members();
         _ = Point::CONSENSUS_APPLIED.pass();
-        self.look = 0.0;
+        self.next_periodic_pass = 0.0;
     }
 
-    fn apply(&mut self, at: Index, word: &LogCommand) {
-        let before = self.agreed.plan.version;
-        let changed = self.agreed.apply(at, word);
-        if let (true, LogCommand::Plan(plan)) = (changed, word) {
+    fn apply(&mut self, index: Index, command: &LogCommand) {
+        let previous_version = self.replicated.plan.version;
+        let changed = self.replicated.apply(index, command);
+        if let (true, LogCommand::Plan(plan)) = (changed, command) {
             _ = Point::PLAN_APPLY.pass();
-            self.in_force.activate(self.now(), plan);
-            if plan.version != before {
+            self.active_plan.activate(self.now(), plan);
+            if plan.version != previous_version {
                 let shares = plan.shares.iter().map(|(zone, share)| {
                     format!("{} {:.2} ({:?})", zone.0, share.weight_ratio, share.reason)
                 });
@@ -313,14 +327,14 @@
                 tracing::info!("fleet: plan {}: {shares}", plan.version);
             }
         }
-        if let (true, LogCommand::Schedule(word)) = (changed, word) {
-            match word {
+        if let (true, LogCommand::Schedule(command)) = (changed, command) {
+            match command {
                 schedule::Command::Claim { occurrence, owner, .. } => {
                     tracing::info!(
                         "fleet: {} of {} is {owner}'s under {}",
                         occurrence.schedule,
                         occurrence.due_ms,
-                        at.0
+                        index.0
                     );
                 }
                 schedule::Command::Skip { occurrence, reason, count } => {
@@ -354,254 +368,273 @@
         }
     }
 
-    /// Who is watched and dialled. What the operator's file says of a manager's address goes before what the council was
-    /// told by another.
-    fn members(&mut self) {
-        let members = self.council.members();
-        let told = members.iter().map(|(id, member)| (*id, member.address.clone()));
-        let book: crate::setting::MemberAddresses = told.chain(self.setting.members.clone()).collect();
-        let mut known = self.book.lock();
-        if *known != book {
-            let ids: Vec<MemberId> = book.keys().copied().collect();
-            self.mail.keep(&ids);
-            *known = book;
-            self.mail.moved.notify_one();
-        }
-        drop(known);
+    /// Updates the peers that are dialled and probed. An address in the operator's file takes precedence over the one in
+    /// the replicated membership.
+    fn update_members(&mut self) {
+        let members = self.raft.members();
+        let replicated = members.iter().map(|(id, member)| (*id, member.address.clone()));
+        let addresses: crate::setting::MemberAddresses =
+            replicated.chain(self.config.members.clone()).collect();
+        let mut peer_table = self.peer_table.lock();
+        if *peer_table != addresses {
+            let ids: Vec<MemberId> = addresses.keys().copied().collect();
+            self.channels.retain_peers(&ids);
+            *peer_table = addresses;
+            self.channels.members_changed.notify_one();
+        }
+        drop(peer_table);
         let now = self.now();
-        let watched: Vec<MemberId> = self.council.members().keys().copied().collect();
-        self.sight.set_members(now, watched.into_iter());
+        let probed: Vec<MemberId> = self.raft.members().keys().copied().collect();
+        self.failure_detector.set_members(now, probed.into_iter());
     }
 
+    /// Replaces the log by a snapshot of the replicated state once it is long enough.
     fn compact(&mut self) {
-        if self.council.log().len() <= self.setting.max_log_entries || !self.behind.is_empty() || self.failing
+        if self.raft.log().len() <= self.config.max_log_entries
+            || !self.unwritten.is_empty()
+            || self.store_failing
         {
             return;
         }
         _ = Point::CONSENSUS_COMPACT.pass();
-        // All that is committed was taken over above.
-        let at = self.council.commit_index();
-        if let Some(records) = self.council.compact(at, self.agreed.write()) {
+        // All committed entries have been applied by the caller.
+        let index = self.raft.commit_index();
+        if let Some(records) = self.raft.compact(index, self.replicated.encode()) {
             let records = records.iter().map(juniperrail_consensus::Record::encode).collect();
             if !self.writer.compact(records) {
-                // The store keeps the longer form; the next time all is compacted again.
+                // The store keeps the uncompacted records. The next compaction covers them.
                 tracing::debug!("fleet: the store is busy and is compacted later");
             }
         }
     }
 
-    fn propose(&mut self, now: Ms, word: LogCommand) {
-        let command = word.encode();
-        match self.council.role() {
+    /// Proposes a command, through the leader if that is another member.
+    fn propose(&mut self, now: Ms, command: LogCommand) {
+        let command = command.encode();
+        match self.raft.role() {
             Role::Leader => {
-                if let Err(why) = self.council.propose(now, command) {
-                    tracing::debug!("fleet: not proposed: {why}");
+                if let Err(error) = self.raft.propose(now, command) {
+                    tracing::debug!("fleet: not proposed: {error}");
                 }
             }
             _ => {
-                let leader = self.council.leader();
+                let leader = self.raft.leader();
                 leader.into_iter().for_each(|leader| {
-                    self.mail
-                        .of(leader)
+                    self.channels
+                        .peer(leader)
                         .send(PeerMessage::Consensus(Message::Propose { command: command.clone() }));
                 });
             }
         }
     }
 
-    /// Proposes it as often as its point says.
-    fn propose_at(&mut self, now: Ms, point: Point, word: LogCommand) {
-        let times = match point.pass() {
+    /// Proposes a command once, unless the fault point loses or repeats it.
+    fn propose_at_point(&mut self, now: Ms, point: Point, command: LogCommand) {
+        let copies = match point.pass() {
             Some(Fault::Lose) => 0,
             Some(Fault::Repeat) => 2,
             _ => 1,
         };
-        (0..times).for_each(|_| self.propose(now, word.clone()));
+        (0..copies).for_each(|_| self.propose(now, command.clone()));
     }
 
-    fn tell_end(&mut self, now: Ms, word: schedule::Command) {
-        self.propose_at(now, Point::SCHEDULE_FINISH, LogCommand::Schedule(word));
+    fn propose_finished(&mut self, now: Ms, command: schedule::Command) {
+        self.propose_at_point(now, Point::SCHEDULE_FINISH, LogCommand::Schedule(command));
     }
 
-    /// The leader brings the members to where a later version of its file has them, one step at a time.
-    fn reconcile(&mut self, now: Ms) {
-        let later = self.setting.generation > self.agreed.generation;
-        if !later || self.council.lease(now).is_none() {
+    /// As the leader, changes the members one at a time until they match a newer version of the operator's file.
+    fn reconcile_members(&mut self, now: Ms) {
+        let is_newer = self.config.generation > self.replicated.generation;
+        if !is_newer || self.raft.lease(now).is_none() {
             return;
         }
-        let (file, members) = (&self.setting.members, self.council.members());
+        let (configured, members) = (&self.config.members, self.raft.members());
         let learner =
             members.iter().find(|(_, member)| member.role == MemberRole::Learner).map(|(id, _)| *id);
-        let new = file.iter().find(|(id, _)| !members.contains_key(id));
-        let old = members.keys().find(|id| !file.contains_key(id)).copied();
-        let change = match (learner, new, old) {
+        let added = configured.iter().find(|(id, _)| !members.contains_key(id));
+        let removed = members.keys().find(|id| !configured.contains_key(id)).copied();
+        let change = match (learner, added, removed) {
             (Some(id), _, _) => MembershipChange::Promote(id),
             (None, Some((id, address)), _) => MembershipChange::Add(*id, address.clone()),
             (None, None, Some(id)) => MembershipChange::Remove(id),
-            (None, None, None) => return self.propose(now, LogCommand::Generation(self.setting.generation)),
+            (None, None, None) => return self.propose(now, LogCommand::Generation(self.config.generation)),
         };
-        // It is tried again at the next look, until it is taken.
-        if self.council.change_members(now, &change).is_ok() {
+        // A change that is not accepted is retried in the next periodic pass.
+        if self.raft.change_members(now, &change).is_ok() {
             tracing::info!("fleet: the members change: {change:?}");
         }
     }
 
-    fn schedules(&mut self, now: Ms) {
-        let again = AGAIN * self.setting.raft.election_timeout_ms;
-        let leads = self.council.lease(now).is_some() && self.leaving.is_none();
-        if leads != self.led {
-            (self.led, self.leading) = (leads, LeaderState::default());
-        }
-        let clocks = self.sight.clocks(now, Core::day());
-        let enough = clocks.len() > self.council.members().len() / 2;
-        if let Some(day) = median_clock(clocks).filter(|_| leads && enough) {
-            let alive: Vec<MemberId> = self.sight.alive().collect();
-            let (schedules, books) = (&self.setting.schedules, &self.agreed.books);
-            for word in
-                schedule::propose_commands(schedules, books, &mut self.leading, now, day, again, &alive)
-            {
-                let claim = matches!(word, schedule::Command::Claim { .. });
-                match claim {
-                    true => self.propose_at(now, Point::SCHEDULE_CLAIM, LogCommand::Schedule(word)),
-                    false => self.propose(now, LogCommand::Schedule(word)),
+    /// As the leader, proposes commands for due schedules; as the owner of claims, works on them.
+    fn run_schedules(&mut self, now: Ms) {
+        let retry_after = PROPOSAL_RETRY_ELECTIONS * self.config.raft.election_timeout_ms;
+        let is_leader = self.raft.lease(now).is_some() && self.leaving_since.is_none();
+        if is_leader != self.was_leader {
+            (self.was_leader, self.leader_state) = (is_leader, LeaderState::default());
+        }
+        let clocks = self.failure_detector.clocks(now, Core::unix_time());
+        let has_majority = clocks.len() > self.raft.members().len() / 2;
+        if let Some(unix_time) = median_clock(clocks).filter(|_| is_leader && has_majority) {
+            let alive: Vec<MemberId> = self.failure_detector.alive().collect();
+            let (schedules, ledger) = (&self.config.schedules, &self.replicated.ledger);
+            let commands = schedule::propose_commands(
+                schedules,
+                ledger,
+                &mut self.leader_state,
+                now,
+                unix_time,
+                retry_after,
+                &alive,
+            );
+            for command in commands {
+                let is_claim = matches!(command, schedule::Command::Claim { .. });
+                match is_claim {
+                    true => self.propose_at_point(now, Point::SCHEDULE_CLAIM, LogCommand::Schedule(command)),
+                    false => self.propose(now, LogCommand::Schedule(command)),
                 }
-                if claim {
+                if is_claim {
                     _ = Point::SCHEDULE_CLAIMED.pass();
                 }
             }
         }
-        for todo in self.duties.next_tasks(&self.agreed.books, now, Core::day(), again) {
-            self.do_duty(now, todo);
+        let tasks =
+            self.claim_tracker.next_tasks(&self.replicated.ledger, now, Core::unix_time(), retry_after);
+        for task in tasks {
+            self.run_claim_task(now, task);
         }
     }
 
-    fn do_duty(&mut self, now: Ms, todo: ClaimTask) {
-        match todo {
-            ClaimTask::Propose(word @ schedule::Command::Start { .. }) => {
-                self.propose_at(now, Point::SCHEDULE_CLAIM_GRANTED, LogCommand::Schedule(word));
+    fn run_claim_task(&mut self, now: Ms, task: ClaimTask) {
+        match task {
+            ClaimTask::Propose(command @ schedule::Command::Start { .. }) => {
+                self.propose_at_point(now, Point::SCHEDULE_CLAIM_GRANTED, LogCommand::Schedule(command));
             }
-            ClaimTask::Propose(word) => self.tell_end(now, word),
-            act @ ClaimTask::Execute { .. } => {
+            ClaimTask::Propose(command) => self.propose_finished(now, command),
+            execute @ ClaimTask::Execute { .. } => {
                 _ = Point::SCHEDULE_STARTED.pass();
-                let ClaimTask::Execute { fence, .. } = &act else { return };
+                let ClaimTask::Execute { fence, .. } = &execute else { return };
                 let fence = *fence;
-                if !self.mail.act(act) {
-                    // Too many wait: nothing was sent, so another may take it.
-                    let word = self.duties.record_outcome(fence, TryOutcome::Unsent, now, Core::day());
-                    word.into_iter().for_each(|word| self.tell_end(now, word));
+                if !self.channels.queue_effect(execute) {
+                    // The queue is full: nothing was sent, so another manager may execute the occurrence.
+                    let command =
+                        self.claim_tracker.record_outcome(fence, TryOutcome::Unsent, now, Core::unix_time());
+                    command.into_iter().for_each(|command| self.propose_finished(now, command));
                 }
             }
         }
     }
 
-    /// What was met here goes to the leader.
-    fn tell_evidence(&mut self, now: Ms, word: Evidence) {
-        let times = match Point::EVIDENCE_SENT.pass() {
+    /// Sends this manager's evidence to the leader.
+    fn send_evidence(&mut self, now: Ms, evidence: Evidence) {
+        let copies = match Point::EVIDENCE_SENT.pass() {
             Some(Fault::Lose) => 0,
             Some(Fault::Repeat) => 2,
             _ => 1,
         };
-        for _ in 0..times {
-            match self.council.leader() {
-                Some(leader) if leader != self.setting.member_id => {
-                    self.mail.of(leader).send(PeerMessage::Evidence(word.clone()))
+        for _ in 0..copies {
+            match self.raft.leader() {
+                Some(leader) if leader != self.config.member_id => {
+                    self.channels.peer(leader).send(PeerMessage::Evidence(evidence.clone()))
                 }
-                Some(me) => self.witness(now, me, word.clone()),
+                Some(own_id) => self.record_evidence(now, own_id, evidence.clone()),
                 None => {}
             }
         }
     }
 
-    fn witness(&mut self, now: Ms, from: MemberId, word: Evidence) {
-        if let Some(figures) = self.setting.failover {
-            self.pilot.record_evidence(now, from, word, &figures);
+    fn record_evidence(&mut self, now: Ms, from: MemberId, evidence: Evidence) {
+        if let Some(failover) = self.config.failover {
+            self.failover_controller.record_evidence(now, from, evidence, &failover);
         }
     }
 
-    /// The leader's look at all zones.
-    fn zones(&mut self, now: Ms) {
-        let Some(figures) = self.setting.failover else { return };
-        if self.council.lease(now).is_none() || self.leaving.is_some() {
+    /// As the leader, assesses all zones and proposes the next plan.
+    fn update_plan(&mut self, now: Ms) {
+        let Some(failover) = self.config.failover else { return };
+        if self.raft.lease(now).is_none() || self.leaving_since.is_some() {
             return;
         }
-        let members: Vec<MemberId> = self.council.members().keys().copied().collect();
-        self.pilot.retain_members(&members);
-        if let Some(plan) = self.pilot.next_plan(now, &figures, &self.agreed.plan) {
-            self.propose_at(now, Point::PLAN_PROPOSE, LogCommand::Plan(plan));
+        let members: Vec<MemberId> = self.raft.members().keys().copied().collect();
+        self.failover_controller.retain_members(&members);
+        if let Some(plan) = self.failover_controller.next_plan(now, &failover, &self.replicated.plan) {
+            self.propose_at_point(now, Point::PLAN_PROPOSE, LogCommand::Plan(plan));
         }
     }
 
-    /// Hands what is in force to the one that decides for proxies, if that is something else than before.
-    fn hand_out(&mut self, now: Ms) {
-        if self.in_force.expire(now) {
+    /// Publishes the weight ratios of the active plan to the planner if they have changed.
+    fn publish_weight_ratios(&mut self, now: Ms) {
+        if self.active_plan.expire(now) {
             _ = Point::PLAN_LEASE_EXPIRED.pass();
             tracing::warn!(
                 "fleet: the lease of plan {} is over: all zones whole",
-                self.in_force.plan().version
+                self.active_plan.plan().version
             );
         }
-        let parts = self.in_force.weight_ratios();
-        if **self.hand.borrow() != parts {
+        let weight_ratios = self.active_plan.weight_ratios();
+        if **self.weight_ratios.borrow() != weight_ratios {
             match Point::PLAN_DELIVER.pass() {
                 Some(Fault::Lose) => {}
-                _ => _ = self.hand.send(Arc::new(parts)),
+                _ => _ = self.weight_ratios.send(Arc::new(weight_ratios)),
             }
         }
     }
 
-    fn leave(&mut self, now: Ms) {
-        self.leaving = Some(now);
-        self.sight.leave();
-        if self.council.transfer_leadership(now) {
+    fn start_leaving(&mut self, now: Ms) {
+        self.leaving_since = Some(now);
+        self.failure_detector.leave();
+        if self.raft.transfer_leadership(now) {
             _ = Point::CONSENSUS_TRANSFER_LEADERSHIP.pass();
             tracing::info!("fleet: this manager hands its office over");
         }
     }
 
-    /// Whether somebody else leads by now, where this manager did.
-    fn left(&mut self) {
-        if self.leaving.is_some() && self.council.role() != Role::Leader && self.duties.is_empty() {
-            self.mail.left();
+    /// Confirms that this manager has left once it is not the leader and works on no claim.
+    fn finish_leaving(&mut self) {
+        if self.leaving_since.is_some() && self.raft.role() != Role::Leader && self.claim_tracker.is_empty() {
+            self.channels.confirm_left();
         }
     }
 
-    fn show(&mut self, now: Ms) {
+    fn update_status(&mut self, now: Ms) {
         let store = self.writer.figures();
-        let members = self.council.members().keys().filter(|id| **id != self.setting.member_id);
-        let seen = FleetStatus {
-            member_id: self.setting.member_id,
-            role: match self.council.role() {
+        let other_members = self.raft.members().keys().filter(|id| **id != self.config.member_id);
+        let status = FleetStatus {
+            member_id: self.config.member_id,
+            role: match self.raft.role() {
                 Role::Leader => "leader",
                 Role::Follower => "follower",
                 Role::Candidate => "candidate",
             },
-            leader: self.council.leader(),
-            term: self.council.term(),
-            recovery_state: Some(self.council.recovery_state()),
-            commit_index: self.council.commit_index(),
-            log_entry_count: self.council.log().len(),
-            store_failing: self.failing,
+            leader: self.raft.leader(),
+            term: self.raft.term(),
+            recovery_state: Some(self.raft.recovery_state()),
+            commit_index: self.raft.commit_index(),
+            log_entry_count: self.raft.log().len(),
+            store_failing: self.store_failing,
             store_bytes: store.size,
-            messages_lost: self.mail.lost(),
-            local_health: self.sight.local_health(),
-            members: members.map(|id| (*id, self.sight.health(*id), self.sight.reach(now, *id))).collect(),
-            plan: self.in_force.plan().clone(),
-            plan_lease_expired: self.in_force.weight_ratios().is_empty() && !self.in_force.plan().is_empty(),
+            messages_lost: self.channels.messages_lost(),
+            local_health: self.failure_detector.local_health(),
+            members: other_members
+                .map(|id| (*id, self.failure_detector.health(*id), self.failure_detector.reach(now, *id)))
+                .collect(),
+            plan: self.active_plan.plan().clone(),
+            plan_lease_expired: self.active_plan.weight_ratios().is_empty()
+                && !self.active_plan.plan().is_empty(),
             schedules: self
-                .agreed
-                .books
+                .replicated
+                .ledger
                 .schedules
                 .iter()
-                .map(|(name, book)| ScheduleStatus {
+                .map(|(name, record)| ScheduleStatus {
                     name: name.clone(),
-                    decided_through: book.decided_through,
-                    open_count: book.open.len(),
-                    ended_count: book.ended_count,
-                    skipped_count: book.skipped.values().sum(),
-                    last_ended: book.ended.back().cloned(),
+                    decided_through: record.decided_through,
+                    open_count: record.open.len(),
+                    ended_count: record.ended_count,
+                    skipped_count: record.skipped.values().sum(),
+                    last_ended: record.ended.back().cloned(),
                 })
                 .collect(),
         };
-        *self.seen.lock() = seen;
+        *self.status.lock() = status;
     }
 }
--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -1,4 +1,4 @@
-//! The machine's file system, with the numbered points of the store.
+//! A directory on the file system with the store's fault points.
 
 use std::io;
 use std::path::Path;
@@ -6,20 +6,20 @@
 use juniperrail_faults::{Fault, Point};
 use juniperrail_store::{Disk, Folder};
 
-/// A folder whose steps can fail at their points; without the feature `points` it is a folder.
-pub struct Watched(Folder);
+/// A directory whose operations can fail at fault points. Without the feature `points` it is a plain directory.
+pub struct FaultDisk(Folder);
 
-fn failed(point: Point) -> io::Error {
+fn injected_error(point: Point) -> io::Error {
     io::Error::other(format!("{point} fails"))
 }
 
-impl Watched {
-    pub fn open(path: &Path) -> io::Result<Watched> {
-        Folder::open(path).map(Watched)
+impl FaultDisk {
+    pub fn open(path: &Path) -> io::Result<FaultDisk> {
+        Folder::open(path).map(FaultDisk)
     }
 }
 
-impl Disk for Watched {
+impl Disk for FaultDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         self.0.list()
     }
@@ -30,7 +30,7 @@
 
     fn create(&self, name: &str) -> io::Result<()> {
         match Point::STORE_ROTATE.pass() {
-            Some(_) => Err(failed(Point::STORE_ROTATE)),
+            Some(_) => Err(injected_error(Point::STORE_ROTATE)),
             None => self.0.create(name),
         }
     }
@@ -39,9 +39,9 @@
         match Point::STORE_APPEND.pass() {
             Some(Fault::Tear) => {
                 self.0.append(name, &bytes[..bytes.len() / 2])?;
-                return Err(failed(Point::STORE_APPEND));
+                return Err(injected_error(Point::STORE_APPEND));
             }
-            Some(_) => return Err(failed(Point::STORE_APPEND)),
+            Some(_) => return Err(injected_error(Point::STORE_APPEND)),
             None => {}
         }
         self.0.append(name, bytes)?;
@@ -51,7 +51,7 @@
 
     fn sync(&self, name: &str) -> io::Result<()> {
         if Point::STORE_SYNC.pass().is_some() {
-            return Err(failed(Point::STORE_SYNC));
+            return Err(injected_error(Point::STORE_SYNC));
         }
         self.0.sync(name)?;
         _ = Point::STORE_SYNCED.pass();
@@ -66,7 +66,7 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         match Point::STORE_REMOVE.pass() {
-            Some(_) => Err(failed(Point::STORE_REMOVE)),
+            Some(_) => Err(injected_error(Point::STORE_REMOVE)),
             None => self.0.remove(name),
         }
     }
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -1,5 +1,5 @@
-//! Effects: an HTTP/1.1 POST to a worker that carries what occurrence it is of and the fencing number. How far it had
-//! come when it failed decides whether it may be sent again.
+//! Sends the effects of schedules: HTTP/1.1 POST requests to workers that carry the occurrence and the fencing token. The
+//! stage at which a request failed decides whether it may be sent again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,56 +16,56 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use crate::mail::Mail;
+use crate::mail::Channels;
 
-/// Effects under way at once; the others wait.
-const AT_ONCE: usize = 64;
+/// Effects that may be in progress at once; the others wait in the queue.
+const MAX_CONCURRENT_EFFECTS: usize = 64;
 
-/// Sends effects for good.
-pub async fn serve(mail: Arc<Mail>) {
-    let places = Arc::new(Semaphore::new(AT_ONCE));
+/// Sends queued effects until it is cancelled.
+pub async fn serve(channels: Arc<Channels>) {
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_EFFECTS));
     loop {
-        let Some(todo) = mail.to_act() else {
-            mail.effect.notified().await;
+        let Some(task) = channels.next_effect() else {
+            channels.effect_queued.notified().await;
             continue;
         };
-        let ClaimTask::Execute { occurrence, fence, tries, action, time_limit } = todo else { continue };
-        let Ok(place) = places.clone().acquire_owned().await else { return };
-        let mail = mail.clone();
+        let ClaimTask::Execute { occurrence, fence, tries, action, time_limit } = task else { continue };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
+        let channels = channels.clone();
         tokio::spawn(async move {
-            let within = Duration::from_secs_f64(time_limit.max(1.0) / 1000.0);
-            let turn = effect(&occurrence, fence, tries, &action, within).await;
+            let time_limit = Duration::from_secs_f64(time_limit.max(1.0) / 1000.0);
+            let outcome = send_effect(&occurrence, fence, tries, &action, time_limit).await;
             tracing::info!(
-                "fleet: {} of {} under {}: {turn:?}",
+                "fleet: {} of {} under {}: {outcome:?}",
                 occurrence.schedule,
                 occurrence.due_ms,
                 fence.0
             );
             if Point::EFFECT_ANSWERED.pass().is_none() {
-                mail.acted(fence, turn);
+                channels.complete_effect(fence, outcome);
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn effect(
+async fn send_effect(
     occurrence: &Occurrence,
     fence: Index,
     tries: u32,
     action: &Action,
-    within: Duration,
+    time_limit: Duration,
 ) -> TryOutcome {
     let Ok(address) = action.address.parse::<SocketAddr>() else { return TryOutcome::Failed };
     if Point::EFFECT_DIAL.pass().is_some() {
         return TryOutcome::Unsent;
     }
-    let dialled = async {
+    let connect = async {
         let socket = TcpStream::connect(address).await.ok()?;
         hyper::client::conn::http1::handshake(TokioIo::new(socket)).await.ok()
     };
-    let begun = tokio::time::Instant::now();
-    let Ok(Some((mut sender, connection))) = timeout(within, dialled).await else {
+    let started_at = tokio::time::Instant::now();
+    let Ok(Some((mut sender, connection))) = timeout(time_limit, connect).await else {
         return TryOutcome::Unsent;
     };
     tokio::spawn(connection);
@@ -77,19 +77,19 @@
         .header("juniperrail-fence", fence.0.to_string())
         .header("juniperrail-try", tries.to_string())
         .body(Empty::<Bytes>::new());
-    // A path that no request can have is the operator's to mend.
+    // The configured path is not valid in a request: only the operator can correct it.
     let Ok(request) = request else { return TryOutcome::Failed };
     _ = Point::EFFECT_SEND.pass();
-    let left = within.saturating_sub(begun.elapsed());
-    let answer = timeout(left, sender.send_request(request)).await;
+    let remaining = time_limit.saturating_sub(started_at.elapsed());
+    let response = timeout(remaining, sender.send_request(request)).await;
     if Point::EFFECT_SENT.pass().is_some() {
         return TryOutcome::Unanswered;
     }
-    match answer {
+    match response {
         Ok(Ok(response)) => match response.status() {
             status if status.is_success() => TryOutcome::Succeeded,
             StatusCode::CONFLICT => TryOutcome::Overtaken,
-            // Turned away before it ran.
+            // Rejected before it was executed.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => TryOutcome::Unsent,
             _ => TryOutcome::Failed,
         },
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,18 +1,19 @@
-//! The runtime of what managers decide in common. It decides nothing: messages, durable acknowledgements, time and chance
-//! go in to the crates `consensus` and `schedule`, and what comes back is written, sent and done here.
+//! The runtime of the consensus, failover and schedule crates, which are free of I/O: messages, durable acknowledgements,
+//! time and randomness go into them, and the actions that they return are carried out here.
 //!
-//! Three threads beside the one that decides for proxies, which never waits for them: `fleet` owns the council and what is
-//! agreed; `links` moves bytes between managers and sends effects; `store` syncs. State that two threads touch is in
-//! shards, each under its own lock, of which a thread holds one at a time, never over I/O:
+//! Three threads run next to the planner thread, which never waits for them: `fleet` owns the Raft node and the replicated
+//! state, `links` transfers messages between managers and sends effects, `store` writes and syncs the log. State that two
+//! threads share is split up, each part under its own lock. A thread holds one of these locks at a time and never during
+//! I/O:
 //!
-//! | shard | written by | read by |
+//! | shared state | written by | read by |
 //! | --- | --- | --- |
-//! | a [`mail::Box`](mail) for each other manager | `links`, `fleet` | both |
-//! | what has come to its end outside (effects) | `links` | `fleet` |
-//! | the evidence not yet told, and the parts of a plan in force | the decider; `fleet` | `fleet`; the decider |
-//! | [`FleetStatus`], a copy of what people may read | `fleet` | anybody |
+//! | the [`PeerQueues`](mail) of each other manager | `links`, `fleet` | both |
+//! | completed effects | `links` | `fleet` |
+//! | evidence that was not sent yet, and the weight ratios of the active plan | the planner; `fleet` | `fleet`; the planner |
+//! | [`FleetStatus`], a snapshot for operators | `fleet` | any thread |
 //!
-//! With nothing set none of this is there: no thread, no socket, no file.
+//! Without a configured fleet there is no thread, socket or file.
 
 mod agreed;
 mod core;
@@ -42,27 +43,27 @@
 pub use setting::{FleetConfig, MemberAddresses};
 pub use shards::Shards;
 
-use crate::disk::Watched;
-use crate::mail::Mail;
+use crate::disk::FaultDisk;
+use crate::mail::Channels;
 
-/// What listens, before anything is said.
+/// A configured fleet member with a bound listener, not started yet.
 pub struct FleetListener {
-    setting: FleetConfig,
+    config: FleetConfig,
     listener: TcpListener,
 }
 
-/// A running part of the fleet. Dropping it ends its threads.
+/// A running fleet member. Dropping it ends its threads.
 pub struct Fleet {
-    mail: Arc<Mail>,
-    seen: Arc<Mutex<FleetStatus>>,
-    parts: watch::Receiver<Arc<ZoneWeightRatios>>,
+    channels: Arc<Channels>,
+    status: Arc<Mutex<FleetStatus>>,
+    weight_ratios: watch::Receiver<Arc<ZoneWeightRatios>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl FleetListener {
-    /// Other managers come to this listener.
-    pub fn new(setting: FleetConfig, listener: TcpListener) -> FleetListener {
-        FleetListener { setting, listener }
+    /// Other managers connect to `listener`.
+    pub fn new(config: FleetConfig, listener: TcpListener) -> FleetListener {
+        FleetListener { config, listener }
     }
 
     pub fn address(&self) -> Option<SocketAddr> {
@@ -71,135 +72,144 @@
 
     /// Starts the threads.
     pub fn start(self) -> Result<Fleet, String> {
-        let mail = Arc::new(Mail::new());
-        let seen = Arc::new(Mutex::new(FleetStatus::default()));
-        let (own, shown) = (mail.clone(), seen.clone());
-        let (hand, parts) = watch::channel(Arc::default());
-        let serve = move || serve(&self.setting, &self.listener, &own, shown, hand);
+        let channels = Arc::new(Channels::new());
+        let status = Arc::new(Mutex::new(FleetStatus::default()));
+        let (thread_channels, thread_status) = (channels.clone(), status.clone());
+        let (weight_ratios_sender, weight_ratios) = watch::channel(Arc::default());
+        let serve = move || {
+            serve(&self.config, &self.listener, &thread_channels, thread_status, weight_ratios_sender)
+        };
         let thread = thread::Builder::new().name("fleet".into()).spawn(serve);
-        let thread = thread.map_err(|why| format!("the fleet's thread cannot be started: {why}"))?;
-        Ok(Fleet { mail, seen, parts, thread: Some(thread) })
+        let thread = thread.map_err(|error| format!("the fleet's thread cannot be started: {error}"))?;
+        Ok(Fleet { channels, status, weight_ratios, thread: Some(thread) })
     }
 }
 
-/// The store, once it opens. A disk that fails is tried again; what is damaged is not guessed at: `None`, and this manager
-/// decides alone, as it does without a quorum.
-fn open(setting: &FleetConfig, mail: &Mail) -> Option<(Store<Watched>, StoredState)> {
-    let shown = setting.store_path.display();
-    let again = Duration::from_secs_f64(setting.raft.election_timeout_ms / 1000.0);
-    let mut told = false;
+/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` if the store is damaged,
+/// as its contents can't be guessed, or on a stop request: this manager then decides alone, as it does without a quorum.
+fn open_store(config: &FleetConfig, channels: &Channels) -> Option<(Store<FaultDisk>, StoredState)> {
+    let path = config.store_path.display();
+    let retry_interval = Duration::from_secs_f64(config.raft.election_timeout_ms / 1000.0);
+    let mut logged = false;
     let Opened { store, recovered } = loop {
-        let opened = Watched::open(&setting.store_path).map_err(Refused::Io);
-        let why = match opened.and_then(|disk| Store::open(disk, setting.store_limits)) {
+        let opened = FaultDisk::open(&config.store_path).map_err(Refused::Io);
+        let error = match opened.and_then(|disk| Store::open(disk, config.store_limits)) {
             Ok(opened) => break opened,
-            // Another process may be about to end, and a disk well again.
-            Err(why @ (Refused::Io(_) | Refused::Locked)) => why,
-            Err(why) => {
-                tracing::error!("fleet: this manager decides alone: {shown}: {why}");
+            // The disk may recover, and the other process may end.
+            Err(error @ (Refused::Io(_) | Refused::Locked)) => error,
+            Err(error) => {
+                tracing::error!("fleet: this manager decides alone: {path}: {error}");
                 return None;
             }
         };
-        if !std::mem::replace(&mut told, true) {
-            tracing::error!("fleet: {shown}: {why}; it is tried again");
+        if !std::mem::replace(&mut logged, true) {
+            tracing::error!("fleet: {path}: {error}; it is tried again");
         }
-        let until = Instant::now() + again;
-        while Instant::now() < until {
-            if mail.wait(until.saturating_duration_since(Instant::now())).stop {
+        let retry_at = Instant::now() + retry_interval;
+        while Instant::now() < retry_at {
+            if channels.wait(retry_at.saturating_duration_since(Instant::now())).stop {
                 return None;
             }
         }
     };
     if recovered.torn > 0 {
-        tracing::warn!("fleet: {shown}: {} bytes of a torn tail are cut", recovered.torn);
+        tracing::warn!("fleet: {path}: {} bytes of a torn tail are cut", recovered.torn);
     }
     let records = recovered.snapshot.iter().chain(recovered.records.iter().map(|(_, record)| record));
     match StoredState::replay(records.map(Vec::as_slice)) {
-        Ok(kept) => Some((store, kept)),
-        Err(why) => {
-            tracing::error!("fleet: this manager decides alone: {shown}: {why}");
+        Ok(stored_state) => Some((store, stored_state)),
+        Err(error) => {
+            tracing::error!("fleet: this manager decides alone: {path}: {error}");
             None
         }
     }
 }
 
 fn serve(
-    setting: &FleetConfig,
+    config: &FleetConfig,
     listener: &TcpListener,
-    mail: &Arc<Mail>,
-    seen: Arc<Mutex<FleetStatus>>,
-    hand: watch::Sender<Arc<ZoneWeightRatios>>,
+    channels: &Arc<Channels>,
+    status: Arc<Mutex<FleetStatus>>,
+    weight_ratios: watch::Sender<Arc<ZoneWeightRatios>>,
 ) {
-    let Some((store, kept)) = open(setting, mail) else { return mail.stop() };
-    let synced = mail.clone();
+    let Some((store, stored_state)) = open_store(config, channels) else { return channels.stop() };
+    let sync_channels = channels.clone();
     let pace = Pace { gather: Duration::from_micros(500), again: Duration::from_millis(100) };
-    let writer = match Writer::start(store, pace, move |_| synced.wake()) {
+    let writer = match Writer::start(store, pace, move |_| sync_channels.wake()) {
         Ok(writer) => writer,
-        Err(why) => {
-            return tracing::error!("fleet: this manager decides alone: no thread for the store: {why}")
+        Err(error) => {
+            return tracing::error!("fleet: this manager decides alone: no thread for the store: {error}")
         }
     };
-    let core = core::Core::new(setting, kept, writer, mail.clone(), seen, hand);
-    let links = links::Links::new(setting, listener, mail.clone(), core.run(), core.book());
+    let core = core::Core::new(config, stored_state, writer, channels.clone(), status, weight_ratios);
+    let links = links::Links::new(config, listener, channels.clone(), core.run(), core.peer_table());
     thread::scope(|scope| {
-        let _over = Over(mail);
-        let named = thread::Builder::new().name("links".into());
-        match named.spawn_scoped(scope, || links.serve()) {
+        let _stop_on_exit = StopOnExit(channels);
+        let builder = thread::Builder::new().name("links".into());
+        match builder.spawn_scoped(scope, || links.serve()) {
             Ok(_) => core.serve(),
-            Err(why) => tracing::error!("fleet: this manager decides alone: no thread for links: {why}"),
+            Err(error) => {
+                tracing::error!("fleet: this manager decides alone: no thread for links: {error}")
+            }
         }
     });
 }
 
-/// The links have nothing to carry once the thread that decides in common is over, also where it panicked.
-struct Over<'a>(&'a Mail);
+/// Stops the links when the fleet thread ends, also by a panic.
+struct StopOnExit<'a>(&'a Channels);
 
-impl Drop for Over<'_> {
+impl Drop for StopOnExit<'_> {
     fn drop(&mut self) {
         if thread::panicking() {
-            tracing::error!("fleet: this manager decides alone: what it decides in common failed");
+            tracing::error!("fleet: this manager decides alone: the fleet thread panicked");
         }
         self.0.stop();
     }
 }
 
 impl Fleet {
-    /// For the one that decides for proxies.
+    /// A handle for the planner thread.
     pub fn handle(&self) -> FleetHandle {
-        FleetHandle { seen: self.seen.clone(), mail: self.mail.clone(), parts: self.parts.clone() }
+        FleetHandle {
+            status: self.status.clone(),
+            channels: self.channels.clone(),
+            weight_ratios: self.weight_ratios.clone(),
+        }
     }
 
-    /// Hands over what it leads and says that it ends, as on SIGTERM. Whether that was done before the time was over.
-    pub fn leave(&self, within: Duration) -> bool {
-        self.mail.leave(within)
+    /// Transfers the leadership if this manager has it and announces that it leaves, as on SIGTERM. Returns whether that
+    /// was done before the timeout.
+    pub fn leave(&self, timeout: Duration) -> bool {
+        self.channels.leave(timeout)
     }
 }
 
-/// What part of their weight zones keep by the plan in force.
+/// The fraction of its weight that each zone keeps under the active plan.
 pub type ZoneWeightRatios = BTreeMap<Zone, f64>;
 
-/// What the one that decides for proxies holds of it: nothing here waits for anybody.
+/// The planner's handle of the fleet. Only [`next_weight_ratios`](Self::next_weight_ratios) waits.
 #[derive(Clone)]
 pub struct FleetHandle {
-    seen: Arc<Mutex<FleetStatus>>,
-    mail: Arc<Mail>,
-    parts: watch::Receiver<Arc<ZoneWeightRatios>>,
+    status: Arc<Mutex<FleetStatus>>,
+    channels: Arc<Channels>,
+    weight_ratios: watch::Receiver<Arc<ZoneWeightRatios>>,
 }
 
 impl FleetHandle {
-    /// What people may read of it.
+    /// The latest status snapshot.
     pub fn status(&self) -> FleetStatus {
-        self.seen.lock().clone()
+        self.status.lock().clone()
     }
 
-    /// Tells what was met; a word that is still there is replaced.
+    /// Reports evidence to the leader. It replaces evidence that was not sent yet.
     pub fn report_evidence(&self, evidence: Evidence) {
-        self.mail.met(evidence);
+        self.channels.report_evidence(evidence);
     }
 
-    /// The next plan in force; never once the fleet is over.
+    /// Waits until another plan is active. Never completes once the fleet thread has ended.
     pub async fn next_weight_ratios(&mut self) -> Arc<ZoneWeightRatios> {
-        match self.parts.changed().await {
-            Ok(()) => self.parts.borrow_and_update().clone(),
+        match self.weight_ratios.changed().await {
+            Ok(()) => self.weight_ratios.borrow_and_update().clone(),
             Err(_) => std::future::pending().await,
         }
     }
@@ -207,8 +217,8 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.mail.stop();
-        // A panic there was logged as it came.
+        self.channels.stop();
+        // A panic of the thread was logged when it occurred.
         self.thread.take().into_iter().for_each(|thread| _ = thread.join());
     }
 }
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -1,5 +1,6 @@
-//! Links between managers: each dials every other and only writes on the connection that it dialled. A message is a
-//! length and a record; a connection begins with who writes, to whom, of which fleet and at which start.
+//! Links between managers. Each manager dials every other one and only writes on the connections that it dialled. A
+//! message is framed by its length. A connection starts with a handshake that names the sender, the receiver, the fleet
+//! and the sender's run.
 
 use std::io;
 use std::net::TcpListener;
@@ -17,98 +18,105 @@
 use tokio::time::{sleep, timeout};
 
 use crate::effects;
-use crate::mail::{Mail, PeerMessage};
+use crate::mail::{Channels, PeerMessage};
 use crate::setting::{FleetConfig, MemberAddresses};
 
-/// A longer message is none of ours: a snapshot of all that is agreed has room in it.
-const LONGEST: u32 = 16 << 20;
-/// A first word that is longer is none.
-const LONGEST_HELLO: u32 = 1024;
-/// Connections that have not said who they are, beside two for each other manager.
-const STRANGERS: usize = 16;
+/// Large enough for a snapshot of the replicated state.
+const MAX_MESSAGE_BYTES: u32 = 16 << 20;
+const MAX_HANDSHAKE_BYTES: u32 = 1024;
+/// Connections that are accepted in addition to two for each member, for peers that have not sent their handshake yet.
+const MAX_UNIDENTIFIED_CONNECTIONS: usize = 16;
 
+/// The handshake, the first message on a link.
 #[derive(Serialize, Deserialize)]
-struct Hello {
+struct Handshake {
     from: MemberId,
     to: MemberId,
     fleet: String,
     run: Run,
 }
 
-/// Where each manager is dialled, as the operator's file or the council says.
-pub type Book = Arc<Mutex<MemberAddresses>>;
+/// The address of each member, from the operator's file or the replicated membership.
+pub type PeerTable = Arc<Mutex<MemberAddresses>>;
 
+/// The links of this manager to and from all other members.
 pub struct Links<'a> {
-    me: MemberId,
-    fleet: String,
+    member_id: MemberId,
+    fleet_name: String,
     run: Run,
     listener: &'a TcpListener,
-    mail: Arc<Mail>,
-    book: Book,
-    /// A hello, a write and a dial may take so long, and a broken link waits between this and four times this.
-    patience: Duration,
+    channels: Arc<Channels>,
+    peer_table: PeerTable,
+    /// The time limit of a connect and of a handshake. A write may take four times as long; the reconnect backoff is
+    /// derived from it.
+    io_timeout: Duration,
     seed: u64,
 }
 
 impl<'a> Links<'a> {
     pub fn new(
-        setting: &FleetConfig,
+        config: &FleetConfig,
         listener: &'a TcpListener,
-        mail: Arc<Mail>,
+        channels: Arc<Channels>,
         run: Run,
-        book: Book,
+        peer_table: PeerTable,
     ) -> Links<'a> {
-        let patience = Duration::from_secs_f64(setting.raft.election_timeout_ms / 1000.0);
-        let (me, fleet) = (setting.member_id, setting.fleet_name.clone());
-        Links { me, fleet, run, listener, mail, book, patience, seed: setting.seed }
+        let io_timeout = Duration::from_secs_f64(config.raft.election_timeout_ms / 1000.0);
+        let (member_id, fleet_name) = (config.member_id, config.fleet_name.clone());
+        Links { member_id, fleet_name, run, listener, channels, peer_table, io_timeout, seed: config.seed }
     }
 
-    /// Serves until the mail is told to stop.
+    /// Serves all links and sends effects until the channels are stopped.
     pub fn serve(self) {
         let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
-            Err(why) => return tracing::error!("fleet: no links to other managers: {why}"),
+            Err(error) => return tracing::error!("fleet: no links to other managers: {error}"),
         };
         runtime.block_on(async {
-            let mail = self.mail.clone();
+            let channels = self.channels.clone();
             tokio::select! {
-                () = self.dial_all() => {}
+                () = self.dial_peers() => {}
                 () = self.accept() => {}
-                () = effects::serve(mail.clone()) => {}
-                () = mail.stopped.notified() => {}
+                () = effects::serve(channels.clone()) => {}
+                () = channels.stopped.notified() => {}
             }
         });
     }
 
-    /// A task for each other manager, for as long as it is one.
-    async fn dial_all(&self) {
+    /// Runs a task for the link to each other member while it is a member at that address.
+    async fn dial_peers(&self) {
         let mut tasks: std::collections::BTreeMap<MemberId, (String, tokio::task::JoinHandle<()>)> =
             <_>::default();
         let mut rng = fastrand::Rng::with_seed(self.seed);
         loop {
-            let book = self.book.lock().clone();
+            let peer_table = self.peer_table.lock().clone();
             tasks.retain(|id, (address, task)| {
-                let stays = book.get(id) == Some(address);
-                if !stays {
+                let unchanged = peer_table.get(id) == Some(address);
+                if !unchanged {
                     task.abort();
                 }
-                stays
+                unchanged
             });
-            for (id, address) in book.iter().filter(|(id, _)| **id != self.me) {
+            for (id, address) in peer_table.iter().filter(|(id, _)| **id != self.member_id) {
                 if !tasks.contains_key(id) {
-                    let hello = Hello { from: self.me, to: *id, fleet: self.fleet.clone(), run: self.run };
-                    let link = Link {
+                    let handshake = Handshake {
+                        from: self.member_id,
                         to: *id,
+                        fleet: self.fleet_name.clone(),
+                        run: self.run,
+                    };
+                    let link = OutgoingLink {
+                        peer: *id,
                         address: address.clone(),
-                        hello,
-                        mail: self.mail.clone(),
-                        patience: self.patience,
+                        handshake,
+                        channels: self.channels.clone(),
+                        io_timeout: self.io_timeout,
                         seed: rng.u64(..),
                     };
-                    tasks.insert(*id, (address.clone(), tokio::spawn(link.keep())));
+                    tasks.insert(*id, (address.clone(), tokio::spawn(link.run())));
                 }
             }
-            self.mail.moved.notified().await;
+            self.channels.members_changed.notified().await;
         }
     }
 
@@ -119,92 +127,104 @@
         });
         let listener = match listener {
             Ok(listener) => listener,
-            Err(why) => return tracing::error!("fleet: other managers cannot come: {why}"),
+            Err(error) => return tracing::error!("fleet: cannot accept links from other managers: {error}"),
         };
-        let open = Arc::new(AtomicUsize::new(0));
+        let open_count = Arc::new(AtomicUsize::new(0));
         loop {
             let Ok((socket, _)) = listener.accept().await else {
-                // No descriptor is left, or the peer is gone already.
+                // Out of file descriptors, or the peer has already closed the connection.
                 sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let most = 2 * self.book.lock().len() + STRANGERS;
-            if Point::LINK_ACCEPT.pass().is_some() || open.load(Ordering::Relaxed) >= most {
+            let max_connections = 2 * self.peer_table.lock().len() + MAX_UNIDENTIFIED_CONNECTIONS;
+            if Point::LINK_ACCEPT.pass().is_some() || open_count.load(Ordering::Relaxed) >= max_connections {
                 continue;
             }
-            open.fetch_add(1, Ordering::Relaxed);
-            let (mail, open, book) = (self.mail.clone(), open.clone(), self.book.clone());
-            let (me, fleet, patience) = (self.me, self.fleet.clone(), self.patience);
+            open_count.fetch_add(1, Ordering::Relaxed);
+            let (channels, open_count, peer_table) =
+                (self.channels.clone(), open_count.clone(), self.peer_table.clone());
+            let (member_id, fleet_name, io_timeout) =
+                (self.member_id, self.fleet_name.clone(), self.io_timeout);
             tokio::spawn(async move {
-                if let Err(why) = listen(socket, me, &fleet, &mail, &book, patience).await {
-                    tracing::debug!("fleet: a link from another manager ends: {why}");
+                let received =
+                    receive_messages(socket, member_id, &fleet_name, &channels, &peer_table, io_timeout);
+                if let Err(error) = received.await {
+                    tracing::debug!("fleet: a link from another manager was closed: {error}");
                 }
-                open.fetch_sub(1, Ordering::Relaxed);
+                open_count.fetch_sub(1, Ordering::Relaxed);
             });
         }
     }
 }
 
-/// Reads one connection to its end.
-async fn listen(
+/// Reads the messages of one incoming connection until it is closed or replaced.
+async fn receive_messages(
     mut socket: TcpStream,
-    me: MemberId,
-    fleet: &str,
-    mail: &Mail,
-    book: &Book,
-    patience: Duration,
+    member_id: MemberId,
+    fleet_name: &str,
+    channels: &Channels,
+    peer_table: &PeerTable,
+    io_timeout: Duration,
 ) -> io::Result<()> {
-    let refused = |why: String| io::Error::new(io::ErrorKind::InvalidData, why);
-    let hello: Hello = timeout(patience, read(&mut socket, LONGEST_HELLO)).await??;
-    if hello.to != me || hello.fleet != fleet || hello.from == me {
-        return Err(refused(format!("{} of {:?} speaks to {}", hello.from, hello.fleet, hello.to)));
+    let rejected = |reason: String| io::Error::new(io::ErrorKind::InvalidData, reason);
+    let handshake: Handshake = timeout(io_timeout, read(&mut socket, MAX_HANDSHAKE_BYTES)).await??;
+    if handshake.to != member_id || handshake.fleet != fleet_name || handshake.from == member_id {
+        return Err(rejected(format!(
+            "handshake from {} of fleet {:?} to {}: wrong fleet or member",
+            handshake.from, handshake.fleet, handshake.to
+        )));
     }
-    if !book.lock().contains_key(&hello.from) {
-        return Err(refused(format!(
-            "{} is nobody that the operator's file or the council names",
-            hello.from
+    if !peer_table.lock().contains_key(&handshake.from) {
+        return Err(rejected(format!(
+            "{} is neither in the operator's file nor in the replicated membership",
+            handshake.from
         )));
     }
-    let from = mail.of(hello.from);
-    let link =
-        from.connected(hello.run).ok_or_else(|| refused(format!("{} has started anew since", hello.from)))?;
+    let peer = channels.peer(handshake.from);
+    let connection = peer
+        .register_connection(handshake.run)
+        .ok_or_else(|| rejected(format!("{} has restarted since it sent this handshake", handshake.from)))?;
     loop {
-        let parcel: PeerMessage = tokio::select! {
+        let message: PeerMessage = tokio::select! {
             biased;
-            () = from.replaced(link) => return Err(refused("another connection took its place".into())),
-            parcel = read(&mut socket, LONGEST) => parcel?,
+            () = peer.wait_until_replaced(connection) => {
+                return Err(rejected("replaced by a newer connection".into()))
+            }
+            message = read(&mut socket, MAX_MESSAGE_BYTES) => message?,
         };
-        let times = match Point::LINK_RECEIVED.pass() {
+        let copies = match Point::LINK_RECEIVED.pass() {
             Some(Fault::Lose) => 0,
             Some(Fault::Repeat) => 2,
             _ => 1,
         };
-        for _ in 0..times {
-            let room = from.came(link, parcel.clone());
-            mail.wake();
-            if !room {
-                // Only this manager's connection stands still.
+        for _ in 0..copies {
+            let has_room = peer.receive(connection, message.clone());
+            channels.wake();
+            if !has_room {
+                // Stops reading from this peer only.
                 tokio::select! {
-                    () = from.drained.notified() => {}
-                    () = from.replaced(link) => return Ok(()),
+                    () = peer.inbox_drained.notified() => {}
+                    () = peer.wait_until_replaced(connection) => return Ok(()),
                 }
             }
         }
     }
 }
 
-async fn read<T: DeserializeOwned>(socket: &mut TcpStream, longest: u32) -> io::Result<T> {
+async fn read<T: DeserializeOwned>(socket: &mut TcpStream, max_bytes: u32) -> io::Result<T> {
     let length = socket.read_u32().await?;
-    if length > longest {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, format!("a message of {length} bytes")));
+    if length > max_bytes {
+        let reason = format!("message of {length} bytes is longer than {max_bytes}");
+        return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
     }
     let mut bytes = Vec::new();
-    // What is claimed is not reserved: it comes first.
+    // The buffer grows as bytes arrive: a peer can't make this manager reserve the length that it announces.
     (&mut *socket).take(length.into()).read_to_end(&mut bytes).await?;
     if bytes.len() < length as usize {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    postcard::from_bytes(&bytes).map_err(|why| io::Error::new(io::ErrorKind::InvalidData, why.to_string()))
+    postcard::from_bytes(&bytes)
+        .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))
 }
 
 fn frame<T: Serialize>(value: &T) -> Vec<u8> {
@@ -214,78 +234,81 @@
     frame
 }
 
-/// The way to one other manager.
-struct Link {
-    to: MemberId,
+/// The outgoing link to one peer.
+struct OutgoingLink {
+    peer: MemberId,
     address: String,
-    hello: Hello,
-    mail: Arc<Mail>,
-    patience: Duration,
+    handshake: Handshake,
+    channels: Arc<Channels>,
+    io_timeout: Duration,
     seed: u64,
 }
 
-impl Link {
-    async fn keep(self) {
+impl OutgoingLink {
+    /// Connects and sends messages; reconnects with backoff and jitter when the connection breaks.
+    async fn run(self) {
         let mut rng = fastrand::Rng::with_seed(self.seed);
-        let mut wait = self.patience / 8;
+        let mut backoff = self.io_timeout / 8;
         loop {
-            let begun = tokio::time::Instant::now();
-            if let Err(why) = self.speak().await {
-                tracing::debug!("fleet: the link to {} at {} broke: {why}", self.to, self.address);
+            let started_at = tokio::time::Instant::now();
+            if let Err(error) = self.send_messages().await {
+                tracing::debug!("fleet: the link to {} at {} broke: {error}", self.peer, self.address);
             }
-            // One that held for long was well; one that breaks at once is tried ever more rarely.
-            wait = if begun.elapsed() > self.patience {
-                self.patience / 8
+            // A connection that lasted resets the backoff; one that breaks at once doubles it.
+            backoff = if started_at.elapsed() > self.io_timeout {
+                self.io_timeout / 8
             } else {
-                (wait * 2).min(self.patience * 4)
+                (backoff * 2).min(self.io_timeout * 4)
             };
-            sleep(wait.mul_f64(0.5 + rng.f64() / 2.0)).await;
+            sleep(backoff.mul_f64(0.5 + rng.f64() / 2.0)).await;
         }
     }
 
-    async fn speak(&self) -> io::Result<()> {
+    /// Connects and sends queued messages until the connection breaks.
+    async fn send_messages(&self) -> io::Result<()> {
         if Point::LINK_DIAL.pass().is_some() {
             return Err(io::ErrorKind::ConnectionRefused.into());
         }
-        let mut socket = timeout(self.patience, TcpStream::connect(&self.address)).await??;
+        let mut socket = timeout(self.io_timeout, TcpStream::connect(&self.address)).await??;
         socket.set_nodelay(true)?;
-        let own = self.mail.of(self.to);
-        self.put(&mut socket, &frame(&self.hello)).await?;
+        let queues = self.channels.peer(self.peer);
+        self.write(&mut socket, &frame(&self.handshake)).await?;
         loop {
-            let Some(parcel) = own.to_send() else {
+            let Some(message) = queues.next_outgoing() else {
                 tokio::select! {
-                    () = own.filled.notified() => {}
-                    // Nothing is ever written to the one that dialled: whatever comes is the end.
+                    () = queues.outbox_filled.notified() => {}
+                    // The peer never writes on this connection: a readable socket means that it was closed or that the
+                    // peer violates the protocol.
                     _ = socket.readable() => {
                         let mut byte = [0; 1];
                         match socket.try_read(&mut byte) {
-                            Err(why) if why.kind() == io::ErrorKind::WouldBlock => {}
+                            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                             Ok(0) => return Err(io::ErrorKind::ConnectionReset.into()),
                             Ok(_) => return Err(io::ErrorKind::InvalidData.into()),
-                            Err(why) => return Err(why),
+                            Err(error) => return Err(error),
                         }
                     }
                 }
                 continue;
             };
-            let bytes = frame(&parcel);
+            let bytes = frame(&message);
             match Point::LINK_SEND.pass() {
                 Some(Fault::Lose) => continue,
-                Some(Fault::Repeat) => self.put(&mut socket, &bytes).await?,
+                Some(Fault::Repeat) => self.write(&mut socket, &bytes).await?,
                 Some(Fault::Tear) => {
-                    self.put(&mut socket, &bytes[..bytes.len() / 2]).await?;
+                    self.write(&mut socket, &bytes[..bytes.len() / 2]).await?;
                     return Err(io::ErrorKind::BrokenPipe.into());
                 }
                 _ => {}
             }
-            self.put(&mut socket, &bytes).await?;
+            self.write(&mut socket, &bytes).await?;
             _ = Point::LINK_SENT.pass();
         }
     }
 
-    /// A peer that takes nothing for so long has its connection ended.
-    async fn put(&self, socket: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
-        timeout(self.patience * 4, socket.write_all(bytes)).await?
+    /// Fails if the peer does not accept the bytes within four timeouts.
+    async fn write(&self, socket: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
+        timeout(self.io_timeout * 4, socket.write_all(bytes)).await?
     }
 }
 
--- a/crates/fleet/src/mail.rs
+++ b/crates/fleet/src/mail.rs
@@ -1,5 +1,5 @@
-//! What passes between the threads: a box for each other manager, each under its own lock, and what wakes the thread that
-//! decides in common. Every queue is bounded; a box that is full costs its own manager alone.
+//! Bounded queues between the threads of the fleet: one set for each peer, each under its own lock, and the signals that
+//! wake the fleet thread. A peer whose queue is full affects only itself.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,26 +12,26 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{watch, Notify};
 
-/// Messages from one manager that may wait; its connection is read no further meanwhile.
-pub const INBOX: usize = 512;
-/// Messages to one manager that may wait; beyond it the oldest are lost.
-pub const OUTBOX: usize = 256;
-/// Messages of one manager that are taken in one turn, so that a flood has no more of it than others.
-pub const A_TURN: usize = 64;
+/// Messages from one peer that may wait. Its connection is not read while the inbox is full.
+pub const INBOX_CAPACITY: usize = 512;
+/// Messages to one peer that may wait. Beyond it the oldest are dropped.
+pub const OUTBOX_CAPACITY: usize = 256;
+/// Messages of one peer that are handled in one pass, so that a flood from it does not starve the others.
+pub const MAX_MESSAGES_PER_PASS: usize = 64;
 /// Effects that may wait to be sent.
-pub const EFFECTS: usize = 1024;
+pub const EFFECT_QUEUE_CAPACITY: usize = 1024;
 
-/// What one manager says to another.
+/// A message from one manager to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     Consensus(Message),
     Membership(SwimMessage),
-    /// For the leader, beside the log: what is lost or late is told anew a period later.
+    /// For the leader, outside the log: if it is lost or late, the next period's evidence replaces it.
     Evidence(Evidence),
 }
 
 impl PeerMessage {
-    /// Of two that wait for the same manager in the same slot the newer one says all.
+    /// A newer message supersedes a queued one to the same peer in the same slot.
     fn slot(&self) -> Option<u8> {
         match self {
             PeerMessage::Consensus(message) => message.slot(),
@@ -41,251 +41,260 @@
     }
 }
 
-/// Connections of one other manager, in the order in which they said who they are.
-pub type LinkNumber = u64;
+/// Numbers the connections of one peer in the order of their handshakes.
+pub type ConnectionNumber = u64;
 
 #[derive(Default)]
-struct Boxes {
+struct QueueState {
     inbox: VecDeque<PeerMessage>,
     outbox: VecDeque<PeerMessage>,
-    /// The start of the other manager that the inbox is from.
+    /// The run of the peer that the inbox is from.
     run: Run,
-    /// The connection that it speaks over: only the latest one counts.
-    link: LinkNumber,
+    /// The peer's latest connection; messages of earlier ones are dropped.
+    connection: ConnectionNumber,
     lost: u64,
 }
 
-/// One other manager's box.
-pub struct Box {
-    boxes: Mutex<Boxes>,
-    /// Something is to be sent.
-    pub filled: Notify,
+/// The queues of one peer.
+pub struct PeerQueues {
+    state: Mutex<QueueState>,
+    /// A message was added to the outbox.
+    pub outbox_filled: Notify,
     /// The inbox has room again.
-    pub drained: Notify,
-    /// The latest connection, for those before it.
-    latest: watch::Sender<LinkNumber>,
+    pub inbox_drained: Notify,
+    /// The latest connection, for the tasks of earlier ones.
+    latest_connection: watch::Sender<ConnectionNumber>,
 }
 
-impl Box {
-    fn new() -> Box {
-        let (filled, drained, latest) = (Notify::new(), Notify::new(), watch::Sender::new(0));
-        Box { boxes: Mutex::default(), filled, drained, latest }
+impl PeerQueues {
+    fn new() -> PeerQueues {
+        let (outbox_filled, inbox_drained, latest_connection) =
+            (Notify::new(), Notify::new(), watch::Sender::new(0));
+        PeerQueues { state: Mutex::default(), outbox_filled, inbox_drained, latest_connection }
     }
 
-    /// Takes a message to be sent.
-    pub fn send(&self, parcel: PeerMessage) {
-        let mut boxes = self.boxes.lock();
-        let slot = parcel.slot();
-        let older = slot.and_then(|slot| boxes.outbox.iter().position(|known| known.slot() == Some(slot)));
-        if let Some(older) = older {
-            boxes.outbox.remove(older);
-        } else if boxes.outbox.len() >= OUTBOX {
-            boxes.outbox.pop_front();
-            boxes.lost += 1;
+    /// Queues a message to the peer.
+    pub fn send(&self, message: PeerMessage) {
+        let mut state = self.state.lock();
+        let slot = message.slot();
+        let superseded =
+            slot.and_then(|slot| state.outbox.iter().position(|queued| queued.slot() == Some(slot)));
+        if let Some(superseded) = superseded {
+            state.outbox.remove(superseded);
+        } else if state.outbox.len() >= OUTBOX_CAPACITY {
+            state.outbox.pop_front();
+            state.lost += 1;
         }
-        boxes.outbox.push_back(parcel);
-        drop(boxes);
-        self.filled.notify_one();
+        state.outbox.push_back(message);
+        drop(state);
+        self.outbox_filled.notify_one();
     }
 
-    pub fn to_send(&self) -> Option<PeerMessage> {
-        self.boxes.lock().outbox.pop_front()
+    pub fn next_outgoing(&self) -> Option<PeerMessage> {
+        self.state.lock().outbox.pop_front()
     }
 
-    /// A new connection, by its number; `None` for one of an earlier start. What an earlier start of that manager said is
-    /// void, and so is what an earlier connection still brings: it would come behind what was said later.
-    pub fn connected(&self, run: Run) -> Option<LinkNumber> {
-        let mut boxes = self.boxes.lock();
-        if run < boxes.run {
+    /// Registers a new connection and returns its number; `None` if it is from an earlier run of the peer. Messages of
+    /// an earlier run are discarded, and so are those that an earlier connection still delivers: they would arrive
+    /// after messages that were sent later.
+    pub fn register_connection(&self, run: Run) -> Option<ConnectionNumber> {
+        let mut state = self.state.lock();
+        if run < state.run {
             return None;
         }
-        if run > boxes.run {
-            boxes.inbox.clear();
-            boxes.run = run;
+        if run > state.run {
+            state.inbox.clear();
+            state.run = run;
         }
-        boxes.link += 1;
-        self.latest.send_replace(boxes.link);
-        Some(boxes.link)
+        state.connection += 1;
+        self.latest_connection.send_replace(state.connection);
+        Some(state.connection)
     }
 
-    /// Ends once another connection took the place of this one.
-    pub async fn replaced(&self, link: LinkNumber) {
-        // The sender is this box's own.
-        _ = self.latest.subscribe().wait_for(|latest| *latest != link).await;
+    /// Completes once another connection has replaced this one.
+    pub async fn wait_until_replaced(&self, connection: ConnectionNumber) {
+        // Waiting can't fail: `self` owns the sender.
+        _ = self.latest_connection.subscribe().wait_for(|latest| *latest != connection).await;
     }
 
-    /// Takes what came, unless it is of an earlier connection. Whether there is room for more.
-    pub fn came(&self, link: LinkNumber, parcel: PeerMessage) -> bool {
-        let mut boxes = self.boxes.lock();
-        if link == boxes.link {
-            boxes.inbox.push_back(parcel);
+    /// Queues a received message, unless its connection was replaced. Returns whether there is room for more.
+    pub fn receive(&self, connection: ConnectionNumber, message: PeerMessage) -> bool {
+        let mut state = self.state.lock();
+        if connection == state.connection {
+            state.inbox.push_back(message);
         }
-        boxes.inbox.len() < INBOX
+        state.inbox.len() < INBOX_CAPACITY
     }
 
-    fn take(&self) -> Vec<PeerMessage> {
-        let mut boxes = self.boxes.lock();
-        let most = boxes.inbox.len().min(A_TURN);
-        let some = boxes.inbox.drain(..most).collect();
-        drop(boxes);
-        self.drained.notify_one();
-        some
+    fn take_received(&self) -> Vec<PeerMessage> {
+        let mut state = self.state.lock();
+        let count = state.inbox.len().min(MAX_MESSAGES_PER_PASS);
+        let messages = state.inbox.drain(..count).collect();
+        drop(state);
+        self.inbox_drained.notify_one();
+        messages
     }
 
-    /// Messages that were to be sent and had no room.
-    pub fn lost(&self) -> u64 {
-        self.boxes.lock().lost
+    /// Messages that were dropped because the outbox was full.
+    pub fn messages_lost(&self) -> u64 {
+        self.state.lock().lost
     }
 }
 
 #[derive(Default)]
-struct Bell {
-    rung: bool,
-    leave: bool,
+struct WakeState {
+    woken: bool,
+    leave_requested: bool,
     left: bool,
-    stop: bool,
+    stopped: bool,
 }
 
-/// What has come to its end outside.
-pub struct Acted {
+/// The outcome of an effect that was sent for a claim.
+pub struct CompletedEffect {
+    /// The fencing token of the claim.
     pub fence: Index,
-    pub turn: TryOutcome,
+    pub outcome: TryOutcome,
 }
 
-pub struct Mail {
-    boxes: Mutex<BTreeMap<MemberId, Arc<Box>>>,
-    bell: Mutex<Bell>,
-    ringing: Condvar,
+/// All queues and signals between the threads of the fleet.
+pub struct Channels {
+    peers: Mutex<BTreeMap<MemberId, Arc<PeerQueues>>>,
+    wake_state: Mutex<WakeState>,
+    wake_condvar: Condvar,
     pub stopped: Notify,
-    /// Members or their addresses are others than before.
-    pub moved: Notify,
+    /// Members were added or removed, or their addresses changed.
+    pub members_changed: Notify,
     effects: Mutex<VecDeque<ClaimTask>>,
-    pub effect: Notify,
-    acted: Mutex<Vec<Acted>>,
-    /// What the one that decides for proxies has seen last; a newer word takes its place.
+    pub effect_queued: Notify,
+    completed_effects: Mutex<Vec<CompletedEffect>>,
+    /// The latest evidence of the planner thread, which replaces evidence that was not taken yet.
     evidence: Mutex<Option<Evidence>>,
 }
 
-/// What a turn begins with.
-pub struct Rung {
+/// What was requested of the fleet thread when it woke up.
+pub struct Wakeup {
     pub leave: bool,
     pub stop: bool,
 }
 
-impl Mail {
-    pub fn new() -> Mail {
-        Mail {
-            boxes: Mutex::default(),
-            bell: Mutex::default(),
-            ringing: Condvar::new(),
+impl Channels {
+    pub fn new() -> Channels {
+        Channels {
+            peers: Mutex::default(),
+            wake_state: Mutex::default(),
+            wake_condvar: Condvar::new(),
             stopped: Notify::new(),
-            moved: Notify::new(),
+            members_changed: Notify::new(),
             effects: Mutex::default(),
-            effect: Notify::new(),
-            acted: Mutex::default(),
+            effect_queued: Notify::new(),
+            completed_effects: Mutex::default(),
             evidence: Mutex::default(),
         }
     }
 
-    /// The box of a manager; made if it is new.
-    pub fn of(&self, member: MemberId) -> Arc<Box> {
-        self.boxes.lock().entry(member).or_insert_with(|| Arc::new(Box::new())).clone()
+    /// The queues of a peer; created if it has none.
+    pub fn peer(&self, member: MemberId) -> Arc<PeerQueues> {
+        self.peers.lock().entry(member).or_insert_with(|| Arc::new(PeerQueues::new())).clone()
     }
 
-    /// Those that are here, and no others.
-    pub fn keep(&self, members: &[MemberId]) {
-        self.boxes.lock().retain(|id, _| members.contains(id));
+    /// Drops the queues of all peers that are not among `members`.
+    pub fn retain_peers(&self, members: &[MemberId]) {
+        self.peers.lock().retain(|id, _| members.contains(id));
     }
 
-    fn all(&self) -> Vec<(MemberId, Arc<Box>)> {
-        self.boxes.lock().iter().map(|(id, one)| (*id, one.clone())).collect()
+    fn all_peers(&self) -> Vec<(MemberId, Arc<PeerQueues>)> {
+        self.peers.lock().iter().map(|(id, queues)| (*id, queues.clone())).collect()
     }
 
-    /// What came, by who said it; `true` where more waits.
-    pub fn took(&self) -> (Vec<(MemberId, Vec<PeerMessage>)>, bool) {
-        let some: Vec<(MemberId, Vec<PeerMessage>)> =
-            self.all().iter().map(|(id, one)| (*id, one.take())).collect();
-        let more = some.iter().any(|(_, parcels)| parcels.len() == A_TURN);
-        (some, more)
+    /// Takes received messages, by sender. The flag is `true` if more may wait.
+    pub fn take_received(&self) -> (Vec<(MemberId, Vec<PeerMessage>)>, bool) {
+        let received: Vec<(MemberId, Vec<PeerMessage>)> =
+            self.all_peers().iter().map(|(id, queues)| (*id, queues.take_received())).collect();
+        let more = received.iter().any(|(_, messages)| messages.len() == MAX_MESSAGES_PER_PASS);
+        (received, more)
     }
 
-    pub fn lost(&self) -> u64 {
-        self.all().iter().map(|(_, one)| one.lost()).sum()
+    pub fn messages_lost(&self) -> u64 {
+        self.all_peers().iter().map(|(_, queues)| queues.messages_lost()).sum()
     }
 
+    /// Wakes the fleet thread.
     pub fn wake(&self) {
-        self.bell.lock().rung = true;
-        self.ringing.notify_all();
+        self.wake_state.lock().woken = true;
+        self.wake_condvar.notify_all();
     }
 
-    /// Waits until something came, or that long.
-    pub fn wait(&self, most: Duration) -> Rung {
-        let mut bell = self.bell.lock();
-        let until = Instant::now() + most;
-        while !bell.rung && !bell.stop {
-            if self.ringing.wait_until(&mut bell, until).timed_out() {
+    /// Waits until the fleet thread is woken, and no longer than `timeout`.
+    pub fn wait(&self, timeout: Duration) -> Wakeup {
+        let mut state = self.wake_state.lock();
+        let deadline = Instant::now() + timeout;
+        while !state.woken && !state.stopped {
+            if self.wake_condvar.wait_until(&mut state, deadline).timed_out() {
                 break;
             }
         }
-        bell.rung = false;
-        Rung { leave: bell.leave && !bell.left, stop: bell.stop }
+        state.woken = false;
+        Wakeup { leave: state.leave_requested && !state.left, stop: state.stopped }
     }
 
-    pub fn leave(&self, within: Duration) -> bool {
-        let mut bell = self.bell.lock();
-        (bell.leave, bell.rung) = (true, true);
-        self.ringing.notify_all();
-        let until = Instant::now() + within;
-        while !bell.left && !bell.stop {
-            if self.ringing.wait_until(&mut bell, until).timed_out() {
+    /// Asks the fleet thread to leave the fleet and waits for it. Returns whether it left before the timeout.
+    pub fn leave(&self, timeout: Duration) -> bool {
+        let mut state = self.wake_state.lock();
+        (state.leave_requested, state.woken) = (true, true);
+        self.wake_condvar.notify_all();
+        let deadline = Instant::now() + timeout;
+        while !state.left && !state.stopped {
+            if self.wake_condvar.wait_until(&mut state, deadline).timed_out() {
                 break;
             }
         }
-        bell.left
+        state.left
     }
 
-    pub fn left(&self) {
-        self.bell.lock().left = true;
-        self.ringing.notify_all();
+    /// Reports that this manager has left the fleet.
+    pub fn confirm_left(&self) {
+        self.wake_state.lock().left = true;
+        self.wake_condvar.notify_all();
     }
 
+    /// Ends the threads of the fleet.
     pub fn stop(&self) {
-        self.bell.lock().stop = true;
-        self.ringing.notify_all();
+        self.wake_state.lock().stopped = true;
+        self.wake_condvar.notify_all();
         self.stopped.notify_one();
     }
 
-    /// An effect to be sent; `false` where too many wait.
-    pub fn act(&self, todo: ClaimTask) -> bool {
+    /// Queues an effect to be sent; `false` if the queue is full.
+    pub fn queue_effect(&self, task: ClaimTask) -> bool {
         let mut effects = self.effects.lock();
-        let room = effects.len() < EFFECTS;
-        if room {
-            effects.push_back(todo);
+        let has_room = effects.len() < EFFECT_QUEUE_CAPACITY;
+        if has_room {
+            effects.push_back(task);
             drop(effects);
-            self.effect.notify_one();
+            self.effect_queued.notify_one();
         }
-        room
+        has_room
     }
 
-    pub fn to_act(&self) -> Option<ClaimTask> {
+    pub fn next_effect(&self) -> Option<ClaimTask> {
         self.effects.lock().pop_front()
     }
 
-    pub fn acted(&self, fence: Index, turn: TryOutcome) {
-        self.acted.lock().push(Acted { fence, turn });
+    pub fn complete_effect(&self, fence: Index, outcome: TryOutcome) {
+        self.completed_effects.lock().push(CompletedEffect { fence, outcome });
         self.wake();
     }
 
-    pub fn met(&self, evidence: Evidence) {
+    pub fn report_evidence(&self, evidence: Evidence) {
         *self.evidence.lock() = Some(evidence);
         self.wake();
     }
 
-    pub fn evidence(&self) -> Option<Evidence> {
+    pub fn take_evidence(&self) -> Option<Evidence> {
         self.evidence.lock().take()
     }
 
-    pub fn ended(&self) -> Vec<Acted> {
-        std::mem::take(&mut *self.acted.lock())
+    pub fn take_completed_effects(&self) -> Vec<CompletedEffect> {
+        std::mem::take(&mut *self.completed_effects.lock())
     }
 }
--- a/crates/fleet/src/seen.rs
+++ b/crates/fleet/src/seen.rs
@@ -1,9 +1,10 @@
-//! A copy of what people may read, written by the thread that decides in common.
+//! Snapshots of the fleet's state for operators, written by the fleet thread.
 
 use juniperrail_consensus::{Health, Index, MemberId, Reach, RecoveryState, Term};
 use juniperrail_failover::Plan;
 use juniperrail_schedule::EndedOccurrence;
 
+/// The status of this manager as a member of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetStatus {
     pub member_id: MemberId,
@@ -15,20 +16,22 @@
     pub log_entry_count: usize,
     pub store_failing: bool,
     pub store_bytes: u64,
-    /// Messages to others that had no room.
+    /// Messages to other members that were dropped because the outbound queue was full.
     pub messages_lost: u64,
+    /// The local health score of Lifeguard: 0 is healthy.
     pub local_health: u32,
     pub members: Vec<(MemberId, Health, Reach)>,
     pub schedules: Vec<ScheduleStatus>,
     pub plan: Plan,
-    /// The plan's lease is over and no word came since.
+    /// The plan's lease has expired, and no renewal has arrived since.
     pub plan_lease_expired: bool,
 }
 
+/// The status of one schedule.
 #[derive(Clone, Debug)]
 pub struct ScheduleStatus {
     pub name: String,
-    /// All that was due up to here is decided on, in Unix milliseconds.
+    /// Every occurrence that was due up to this time is decided on, in Unix milliseconds.
     pub decided_through: i64,
     pub open_count: usize,
     pub ended_count: u64,
--- a/crates/fleet/src/setting.rs
+++ b/crates/fleet/src/setting.rs
@@ -1,4 +1,4 @@
-//! What the operator's file says of the fleet, as typed figures.
+//! The fleet's configuration, from the operator's file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,26 +8,28 @@
 use juniperrail_schedule::Schedule;
 use juniperrail_store::Limits;
 
+/// The addresses that the members' links listen on.
 pub type MemberAddresses = BTreeMap<MemberId, String>;
 
+/// The configuration of this manager as a member of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     pub member_id: MemberId,
-    /// Managers of another fleet are not listened to.
+    /// Connections from managers of another fleet are rejected.
     pub fleet_name: String,
     pub listen: SocketAddr,
     pub store_path: PathBuf,
     pub store_limits: Limits,
-    /// All managers that this file names, this one among them, and where their links listen.
+    /// All managers that the file names, including this one, and the addresses that their links listen on.
     pub members: MemberAddresses,
-    /// Which version of that list this is: a leader whose file has a later one brings the council there.
+    /// The version of that list: a leader whose file has a later one changes the members accordingly.
     pub generation: u64,
     pub raft: RaftConfig,
     pub swim: SwimConfig,
-    /// What failover between zones goes by, where it is on.
+    /// `None` if failover between zones is off.
     pub failover: Option<juniperrail_failover::FailoverConfig>,
     pub schedules: BTreeMap<String, Schedule>,
     pub seed: u64,
-    /// Entries in the log after which it is compacted.
+    /// The log is compacted once it has more entries than this.
     pub max_log_entries: usize,
 }
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between managers, with another manager played by hand on real connections.
+//! Links between managers. The test acts as another manager over real connections.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,14 +10,14 @@
 use juniperrail_store::Limits;
 use serde::Serialize;
 
-/// Nothing that is waited for takes so long, however busy the machine is.
-const WITHIN: Duration = Duration::from_secs(20);
-/// A first word may take so long, and an election: longer than any story here.
-const ELECTION: f64 = 60_000.0;
+/// Long enough for every awaited event, even on a busy machine.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
+/// The handshake time limit is derived from it. Longer than any test, so that neither limit is reached.
+const ELECTION_TIMEOUT_MS: f64 = 60_000.0;
 
-/// The first word on a link, as managers write it.
+/// The handshake, the first message on a link, as managers encode it.
 #[derive(Serialize)]
-struct Hello {
+struct Handshake {
     from: MemberId,
     to: MemberId,
     fleet: String,
@@ -29,29 +29,29 @@
     [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat()
 }
 
-/// Member 1 of three, with its store; nobody listens where the others would be.
-struct Running {
+/// Member 1 of three, with its store. Nothing listens at the addresses of the others.
+struct RunningMember {
     fleet: Option<Fleet>,
     store: PathBuf,
     address: SocketAddr,
 }
 
-impl Drop for Running {
+impl Drop for RunningMember {
     fn drop(&mut self) {
-        // Its threads end before their files go.
+        // Ends its threads before their files are removed.
         drop(self.fleet.take());
         _ = std::fs::remove_dir_all(&self.store);
     }
 }
 
-fn member(name: &str) -> Running {
+fn start_member(name: &str) -> RunningMember {
     let store = std::env::temp_dir().join(format!("juniperrail-links-{name}-{}", std::process::id()));
     _ = std::fs::remove_dir_all(&store);
     std::fs::create_dir_all(&store).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let others = [(MemberId(2), "127.0.0.1:1".to_string()), (MemberId(3), "127.0.0.1:1".to_string())];
-    let setting = FleetConfig {
+    let config = FleetConfig {
         member_id: MemberId(1),
         fleet_name: "exams".into(),
         listen: address,
@@ -61,7 +61,7 @@
         generation: 0,
         raft: RaftConfig {
             heartbeat_interval_ms: 100.0,
-            election_timeout_ms: ELECTION,
+            election_timeout_ms: ELECTION_TIMEOUT_MS,
             max_clock_drift_ratio: 0.1,
             max_entries_per_message: 64,
             max_uncommitted_entries: 64,
@@ -77,46 +77,47 @@
         seed: 7,
         max_log_entries: 1000,
     };
-    Running { fleet: Some(FleetListener::new(setting, listener).start().unwrap()), store, address }
+    RunningMember { fleet: Some(FleetListener::new(config, listener).start().unwrap()), store, address }
 }
 
-fn second(address: SocketAddr, run: u64) -> TcpStream {
+/// Connects as member 2 in that run.
+fn connect_as_member_2(address: SocketAddr, run: u64) -> TcpStream {
     let mut socket = TcpStream::connect(address).unwrap();
-    socket.set_read_timeout(Some(WITHIN)).unwrap();
-    let hello = Hello { from: MemberId(2), to: MemberId(1), fleet: "exams".into(), run: Run(run) };
-    socket.write_all(&framed(&hello)).unwrap();
+    socket.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    let handshake = Handshake { from: MemberId(2), to: MemberId(1), fleet: "exams".into(), run: Run(run) };
+    socket.write_all(&framed(&handshake)).unwrap();
     socket
 }
 
-/// Whether the connection is ended, with whatever was sent.
-fn ends(socket: &mut TcpStream) -> bool {
+/// Whether the connection is closed. A peer that closes it with unread bytes resets it.
+fn is_closed(socket: &mut TcpStream) -> bool {
     match socket.read(&mut [0]) {
         Ok(read) => read == 0,
-        Err(why) => why.kind() == ErrorKind::ConnectionReset,
+        Err(error) => error.kind() == ErrorKind::ConnectionReset,
     }
 }
 
 #[test]
-fn a_later_connection_of_a_manager_ends_the_one_before_within_its_message() {
-    let running = member("later");
-    let mut old = second(running.address, 5);
-    // The beginning of a message whose rest is held back.
+fn a_later_connection_of_a_manager_closes_the_earlier_one_within_a_message() {
+    let running = start_member("later");
+    let mut old = connect_as_member_2(running.address, 5);
+    // The start of a message whose remaining bytes are never sent.
     old.write_all(&[0, 0, 0, 9, 1]).unwrap();
-    let mut new = second(running.address, 5);
-    assert!(ends(&mut old), "what it would still bring is older than what comes over the new one");
+    let mut new = connect_as_member_2(running.address, 5);
+    assert!(is_closed(&mut old), "messages of the old connection are older than those of the new one");
     new.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    assert!(!ends(&mut new));
+    assert!(!is_closed(&mut new));
 }
 
 #[test]
-fn a_connection_of_an_earlier_start_ends_and_takes_no_place() {
-    let running = member("earlier");
-    let mut new = second(running.address, 6);
-    // Read before the next one comes: what can't be a message is answered by its end.
-    let mut old = second(running.address, 5);
-    if !ends(&mut old) {
-        panic!("an earlier start is listened to");
+fn a_connection_of_an_earlier_start_is_closed_and_replaces_nothing() {
+    let running = start_member("earlier");
+    let mut new = connect_as_member_2(running.address, 6);
+    // Relies on the new connection's handshake being read first. A rejected connection is closed.
+    let mut old = connect_as_member_2(running.address, 5);
+    if !is_closed(&mut old) {
+        panic!("a connection of an earlier run was accepted");
     }
     new.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    assert!(!ends(&mut new));
+    assert!(!is_closed(&mut new));
 }
