--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -181,9 +181,9 @@
         if failing != self.store_failing {
             match failing {
                 true => {
-                    tracing::error!("fleet: the store fails: this manager leads no more and votes for nobody")
+                    tracing::error!("fleet: the store fails: this manager cannot lead and grants no votes")
                 }
-                false => tracing::info!("fleet: the store is well again"),
+                false => tracing::info!("fleet: the store works again"),
             }
             self.store_failing = failing;
             self.raft.set_store_failing(now, failing);
@@ -246,10 +246,10 @@
         }
         for (member, health) in self.failure_detector.take_health_changes() {
             match health {
-                Health::Alive => tracing::info!("fleet: {member} is there"),
-                Health::Suspect => tracing::info!("fleet: {member} does not answer and is suspected"),
-                Health::Dead => tracing::warn!("fleet: {member} is taken for dead"),
-                Health::Left => tracing::info!("fleet: {member} said that it ends"),
+                Health::Alive => tracing::info!("fleet: {member} is alive"),
+                Health::Suspect => tracing::info!("fleet: {member} does not answer and is suspect"),
+                Health::Dead => tracing::warn!("fleet: {member} is considered dead"),
+                Health::Left => tracing::info!("fleet: {member} announced that it is leaving"),
             }
         }
         self.compact();
@@ -265,15 +265,19 @@
             }
             RaftEvent::LeaderChanged(leader, term) => tracing::info!("fleet: {leader} leads in {term}"),
             RaftEvent::SteppedDown(term, reason) => {
-                tracing::info!("fleet: this manager leads no more in {term}: {reason}")
+                tracing::info!("fleet: this manager stepped down in {term}: {reason}")
+            }
+            RaftEvent::Bootstrapped(count) => {
+                tracing::info!("fleet: the cluster of {count} members is bootstrapped")
             }
-            RaftEvent::Bootstrapped(count) => tracing::info!("fleet: the council of {count} is founded"),
             RaftEvent::RecoveryStarted => {
-                tracing::warn!("fleet: the store is lost or old: nothing is voted on until others have told what it lacks");
+                tracing::warn!(
+                    "fleet: the store is lost or outdated: no votes are granted until it has caught up"
+                );
             }
             RaftEvent::RecoveryFinished => tracing::info!("fleet: the store has caught up"),
             RaftEvent::StaleLeader(from, term) => {
-                tracing::info!("fleet: {from} still takes itself for the leader of {term}: refused")
+                tracing::info!("fleet: {from} still acts as the leader of {term}: rejected")
             }
         }
     }
@@ -291,7 +295,7 @@
                         self.replicated = state;
                     }
                     None => tracing::error!(
-                        "fleet: what was agreed up to {} cannot be read by this program",
+                        "fleet: the snapshot up to entry {} cannot be decoded by this version",
                         snapshot.last_index.0
                     ),
                 }
@@ -301,7 +305,10 @@
                     match LogCommand::decode(bytes) {
                         Some(command) => self.apply(entry.index, &command),
                         None => {
-                            tracing::error!("fleet: entry {} cannot be read by this program", entry.index.0)
+                            tracing::error!(
+                                "fleet: entry {} cannot be decoded by this version",
+                                entry.index.0
+                            )
                         }
                     }
                 }
@@ -323,7 +330,7 @@
                     format!("{} {:.2} ({:?})", zone.0, share.weight_ratio, share.reason)
                 });
                 let shares = shares.collect::<Vec<_>>().join(", ");
-                let shares = if shares.is_empty() { "all zones whole".into() } else { shares };
+                let shares = if shares.is_empty() { "all zones at full weight".into() } else { shares };
                 tracing::info!("fleet: plan {}: {shares}", plan.version);
             }
         }
@@ -331,7 +338,7 @@
             match command {
                 schedule::Command::Claim { occurrence, owner, .. } => {
                     tracing::info!(
-                        "fleet: {} of {} is {owner}'s under {}",
+                        "fleet: {} of {} is claimed by {owner} with fencing token {}",
                         occurrence.schedule,
                         occurrence.due_ms,
                         index.0
@@ -339,14 +346,14 @@
                 }
                 schedule::Command::Skip { occurrence, reason, count } => {
                     tracing::info!(
-                        "fleet: {count} of {} up to {} are passed over: {reason:?}",
+                        "fleet: {count} of {} up to {} are skipped: {reason:?}",
                         occurrence.schedule,
                         occurrence.due_ms
                     );
                 }
                 schedule::Command::FinishTry { occurrence, fence, outcome, .. } => {
                     tracing::info!(
-                        "fleet: {} of {} under {} came to {outcome:?}",
+                        "fleet: {} of {} with fencing token {}: committed outcome {outcome:?}",
                         occurrence.schedule,
                         occurrence.due_ms,
                         fence.0
@@ -355,7 +362,7 @@
                 }
                 schedule::Command::ExpireClaim { occurrence, fence, .. } => {
                     tracing::warn!(
-                        "fleet: the claim {} of {} of {} lapsed",
+                        "fleet: the claim {} of {} of {} expired",
                         fence.0,
                         occurrence.schedule,
                         occurrence.due_ms
@@ -403,7 +410,7 @@
             let records = records.iter().map(juniperrail_consensus::Record::encode).collect();
             if !self.writer.compact(records) {
                 // The store keeps the uncompacted records. The next compaction covers them.
-                tracing::debug!("fleet: the store is busy and is compacted later");
+                tracing::debug!("fleet: the store is busy and will be compacted later");
             }
         }
     }
@@ -414,7 +421,7 @@
         match self.raft.role() {
             Role::Leader => {
                 if let Err(error) = self.raft.propose(now, command) {
-                    tracing::debug!("fleet: not proposed: {error}");
+                    tracing::debug!("fleet: a command was not proposed: {error}");
                 }
             }
             _ => {
@@ -566,7 +573,7 @@
         if self.active_plan.expire(now) {
             _ = Point::PLAN_LEASE_EXPIRED.pass();
             tracing::warn!(
-                "fleet: the lease of plan {} is over: all zones whole",
+                "fleet: the lease of plan {} expired: all zones at full weight",
                 self.active_plan.plan().version
             );
         }
@@ -584,7 +591,7 @@
         self.failure_detector.leave();
         if self.raft.transfer_leadership(now) {
             _ = Point::CONSENSUS_TRANSFER_LEADERSHIP.pass();
-            tracing::info!("fleet: this manager hands its office over");
+            tracing::info!("fleet: this manager transfers its leadership");
         }
     }
 
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -36,7 +36,7 @@
             let time_limit = Duration::from_secs_f64(time_limit.max(1.0) / 1000.0);
             let outcome = send_effect(&occurrence, fence, tries, &action, time_limit).await;
             tracing::info!(
-                "fleet: {} of {} under {}: {outcome:?}",
+                "fleet: {} of {} with fencing token {}: try ended as {outcome:?}",
                 occurrence.schedule,
                 occurrence.due_ms,
                 fence.0
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -103,7 +103,7 @@
             }
         };
         if !std::mem::replace(&mut logged, true) {
-            tracing::error!("fleet: {path}: {error}; it is tried again");
+            tracing::error!("fleet: {path}: {error}; retrying");
         }
         let retry_at = Instant::now() + retry_interval;
         while Instant::now() < retry_at {
@@ -113,7 +113,7 @@
         }
     };
     if recovered.torn > 0 {
-        tracing::warn!("fleet: {path}: {} bytes of a torn tail are cut", recovered.torn);
+        tracing::warn!("fleet: {path}: {} bytes of a torn tail are truncated", recovered.torn);
     }
     let records = recovered.snapshot.iter().chain(recovered.records.iter().map(|(_, record)| record));
     match StoredState::replay(records.map(Vec::as_slice)) {
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -60,21 +60,21 @@
     for manager in town.managers.values() {
         for line in manager.log_lines() {
             let Some((_, told)) = line.split_once("fleet: ") else { continue };
-            if told.contains("'s under ") {
+            if told.contains(" is claimed by ") {
                 let due = told
                     .split_once(" of ")
                     .and_then(|(name, rest)| Some((name.to_string(), rest.split(' ').next()?.parse().ok()?)));
                 due.into_iter().for_each(|due| _ = claimed.insert(due, ()));
             }
-            // "3 of s-7 up to 1796000003000 are passed over: Missed"
-            if let [count, "of", name, "up", "to", upto, "are", "passed", ..] =
+            // "3 of s-7 up to 1796000003000 are skipped: Missed"
+            if let [count, "of", name, "up", "to", upto, "are", "skipped:", ..] =
                 told.split(' ').collect::<Vec<_>>()[..]
             {
                 let (count, upto) = (count.parse::<i64>().unwrap_or(0), upto.parse::<i64>().unwrap_or(0));
                 passed += 1;
                 (0..count).for_each(|back| _ = claimed.insert((name.to_string(), upto - back * 60_000), ()));
             }
-            unknown += usize::from(told.contains("came to Unanswered"));
+            unknown += usize::from(told.contains("committed outcome Unanswered"));
         }
     }
     let minutes: Vec<i64> = claimed.keys().map(|(_, due)| *due).collect();
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -332,7 +332,9 @@
     pub fn known_leader(&self, id: MemberId) -> Option<(u16, u64)> {
         let lines = self.managers[&id].log_lines();
         let tells_of_leader = |line: &&String| {
-            [" leads in term ", "leads no more", "serves on"].iter().any(|part| line.contains(part))
+            [" leads in term ", "stepped down in term", "cannot lead and", "serves on"]
+                .iter()
+                .any(|part| line.contains(part))
         };
         let line = lines.iter().rev().find(tells_of_leader)?;
         let (leader, term) = line.split_once("fleet: ")?.1.split_once(" leads in term ")?;
@@ -389,7 +391,7 @@
     /// Waits until one of these managers has refused a message that `leader` sent as the leader of `term`. Panics after
     /// [`WAIT_TIMEOUT`].
     pub fn wait_for_refusal(&self, by: &[u16], leader: u16, term: u64) {
-        let refusal = format!("member {leader} still takes itself for the leader of term {term}: refused");
+        let refusal = format!("member {leader} still acts as the leader of term {term}: rejected");
         let begun = Instant::now();
         while !by.iter().any(|id| self.managers[&MemberId(*id)].count_log_lines(&refusal) > 0) {
             assert!(begun.elapsed() < WAIT_TIMEOUT, "none of {by:?} logged {refusal:?}");
--- a/crates/trials/src/invariants.rs
+++ b/crates/trials/src/invariants.rs
@@ -95,10 +95,13 @@
     let mut known: BTreeMap<u64, &str> = BTreeMap::new();
     let mut violations = Vec::new();
     for line in logs.iter().flatten() {
-        let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains("'s under ")) else {
+        let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains(" is claimed by "))
+        else {
             continue;
         };
-        let Some(fence) = text_after(event, "'s under ").and_then(|fence| fence.trim().parse().ok()) else {
+        let Some(fence) =
+            text_after(event, " with fencing token ").and_then(|fence| fence.trim().parse().ok())
+        else {
             continue;
         };
         let before = known.entry(fence).or_insert(event);
@@ -114,15 +117,14 @@
 fn check_due_times(logs: &[Vec<String>], executions: &[Execution]) -> Vec<String> {
     let mut accounted: BTreeMap<&str, BTreeSet<i64>> = BTreeMap::new();
     for line in logs.iter().flatten() {
-        if let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains("'s under ")) {
+        if let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains(" is claimed by ")) {
             if let Some((schedule, due)) = event.split_once(" of ") {
                 let due = due.split(' ').next().and_then(|due| due.parse().ok());
                 due.into_iter().for_each(|due| _ = accounted.entry(schedule).or_default().insert(due));
             }
         }
-        // "3 of warm up to 1796000003000 are passed over: Missed"
-        if let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains(" are passed over: "))
-        {
+        // "3 of warm up to 1796000003000 are skipped: Missed"
+        if let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains(" are skipped: ")) {
             let words: Vec<&str> = event.split(' ').collect();
             if let [count, "of", schedule, "up", "to", upto, ..] = words[..] {
                 if let (Ok(count), Ok(upto)) = (count.parse::<i64>(), upto.parse::<i64>()) {
@@ -181,13 +183,16 @@
     #[test]
     fn what_is_agreed_twice_or_left_out_is_found() {
         let log = |lines: &[&str]| lines.iter().map(|line| format!("INFO fleet: {line}")).collect::<Vec<_>>();
-        let one = log(&["warm of 1000 is member 1's under 4", "warm of 3000 is member 2's under 9"]);
+        let one = log(&[
+            "warm of 1000 is claimed by member 1 with fencing token 4",
+            "warm of 3000 is claimed by member 2 with fencing token 9",
+        ]);
         assert_eq!(check_due_times(std::slice::from_ref(&one), &[]), ["warm of 2000 is silently left out"]);
-        let passed_over = log(&["1 of warm up to 2000 are passed over: Missed"]);
+        let passed_over = log(&["1 of warm up to 2000 are skipped: Missed"]);
         assert!(check_due_times(&[one.clone(), passed_over], &[]).is_empty());
         assert_eq!(check_due_times(std::slice::from_ref(&one), &[execution("warm", 7000, 4)]).len(), 2);
         assert!(check_claims(&[one.clone(), one.clone()]).is_empty());
-        let other = log(&["warm of 1000 is member 3's under 4"]);
+        let other = log(&["warm of 1000 is claimed by member 3 with fencing token 4"]);
         assert_eq!(check_claims(&[one, other]).len(), 1);
     }
 }
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -210,19 +210,19 @@
     });
     let isolated = all.iter().find(|id| Some(id.0) != cluster.leader()).copied().unwrap_or(MemberId(1));
     let starts_before = cluster.managers[&isolated].start_count;
-    let expiries_before = cluster.managers[&isolated].count_log_lines("is over: all zones whole");
+    let expiries_before = cluster.managers[&isolated].count_log_lines("expired: all zones at full weight");
     cluster.set_links_across(&[isolated.0], LinkState::Silent);
     // Or it died meanwhile: while partitioned it restarts without a plan.
     let over = |cluster: &TestCluster| {
         let manager = &cluster.managers[&isolated];
-        manager.count_log_lines("is over: all zones whole") > expiries_before
+        manager.count_log_lines("expired: all zones at full weight") > expiries_before
             || manager.start_count > starts_before
     };
     wait_until(cluster, "the lease to be over", over);
     cluster.heal_links();
     cluster.zone_faults.set_lost(&[]);
     wait_until(cluster, "the zone to be back", |cluster| {
-        all.iter().all(|id| last_plan_contains(cluster, *id, "all zones whole"))
+        all.iter().all(|id| last_plan_contains(cluster, *id, "all zones at full weight"))
     });
 }
 
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -77,7 +77,7 @@
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     cluster.wait_for_leader_except(&[leader]);
     cluster.executor.wait_for_more(&BOTH, 2);
-    let stepped_down = format!("this manager leads no more in term {term}:");
+    let stepped_down = format!("this manager stepped down in term {term}:");
     cluster.managers[&MemberId(leader)].wait_for_log(&stepped_down, 1);
     cluster.heal_links();
     cluster.wait_for_refusal(&others, leader, term);
@@ -94,7 +94,7 @@
     cluster.wait_for_leader_except(&[leader]);
     cluster.executor.wait_for_more(&BOTH, 3);
     cluster.managers[&MemberId(leader)].resume();
-    cluster.managers[&MemberId(leader)].wait_for_log("leads no more", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("stepped down in term", 1);
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.assert_invariants(&["grade"]);
 }
@@ -128,7 +128,7 @@
     (1..=3).for_each(|id| cluster.manager(id).kill());
     copy_dir(&old, &cluster.store_dir(2));
     (1..=3).for_each(|id| cluster.manager(id).start());
-    cluster.manager(2).wait_for_log("the store is lost or old", 1);
+    cluster.manager(2).wait_for_log("the store is lost or outdated", 1);
     cluster.manager(2).wait_for_log("the store has caught up", 1);
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.assert_invariants(&["grade"]);
@@ -140,7 +140,7 @@
     cluster.manager(3).kill();
     fs::remove_dir_all(cluster.store_dir(3)).unwrap();
     cluster.manager(3).start();
-    cluster.manager(3).wait_for_log("the store is lost or old", 1);
+    cluster.manager(3).wait_for_log("the store is lost or outdated", 1);
     cluster.manager(3).wait_for_log("the store has caught up", 1);
     cluster.executor.wait_for_more(&BOTH, 1);
     // Bytes after the last record, as a power failure leaves them.
@@ -156,7 +156,7 @@
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, [&bytes[..], &[7; 9][..]].concat()).unwrap();
     cluster.manager(1).start();
-    cluster.manager(1).wait_for_log("bytes of a torn tail are cut", 1);
+    cluster.manager(1).wait_for_log("bytes of a torn tail are truncated", 1);
     cluster.executor.wait_for_more(&BOTH, 1);
     // A flipped bit in the manifest, whatever the segments hold by now: the store is not used, and the manager serves
     // its proxies alone.
@@ -179,7 +179,7 @@
         let leader = cluster.wait_for_leader();
         let status = cluster.manager(leader).terminate();
         assert_eq!(status.and_then(|status| status.code()), Some(0));
-        assert!(cluster.manager(leader).count_log_lines("hands its office over") > 0);
+        assert!(cluster.manager(leader).count_log_lines("transfers its leadership") > 0);
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
         cluster.executor.wait_for_more(&BOTH, 2);
@@ -254,7 +254,7 @@
     cluster.manager(1).wait_for_log("the store fails", 1);
     cluster.wait_for_leader_except(&[1]);
     cluster.executor.wait_for_more(&BOTH, 2);
-    cluster.manager(1).wait_for_log("the store is well again", 1);
+    cluster.manager(1).wait_for_log("the store works again", 1);
     cluster.executor.wait_for_more(&BOTH, 1);
     cluster.assert_invariants(&["grade"]);
 }
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -115,8 +115,11 @@
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.executor.set_response_mode(ResponseMode::Normal);
     cluster.executor.wait_for_more(&BOTH, 2);
-    let unknown: usize =
-        cluster.managers.values().map(|manager| manager.count_log_lines("came to Unanswered")).sum();
+    let unknown: usize = cluster
+        .managers
+        .values()
+        .map(|manager| manager.count_log_lines("committed outcome Unanswered"))
+        .sum();
     assert!(unknown > 0);
     let ran = cluster.executor.executions();
     let repeats = |of: &str| {
@@ -157,7 +160,7 @@
     cluster.wait_for_leader_except(&minority);
     cluster.executor.wait_for_more(&BOTH, 3);
     // While it is cut off nobody tells it of a later term: it steps down by itself.
-    let stepped_down = format!("this manager leads no more in term {term}:");
+    let stepped_down = format!("this manager stepped down in term {term}:");
     cluster.managers[&MemberId(old_leader)].wait_for_log(&stepped_down, 1);
     cluster.heal_links();
     // What it sent as the leader while it was cut off arrives now.
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -37,7 +37,7 @@
         logged_plans(&cluster, leader)
     );
     cluster.zone_faults.set_lost(&[]);
-    cluster.managers[&MemberId(leader)].wait_for_log("all zones whole", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("all zones at full weight", 1);
     cluster.wait_for_routing(&ALL, &B, true);
     let steps = logged_plans(&cluster, leader);
     for part in ["b 0.10", "b 0.30", "b 0.60"] {
@@ -45,7 +45,7 @@
     }
     // All managers followed the same plans.
     for id in ALL {
-        cluster.managers[&MemberId(id)].wait_for_log("all zones whole", 1);
+        cluster.managers[&MemberId(id)].wait_for_log("all zones at full weight", 1);
         assert_eq!(logged_plans(&cluster, id), steps, "member {id}");
     }
     cluster.assert_invariants(&[]);
@@ -63,13 +63,15 @@
     let until = Instant::now() + Duration::from_millis(PLAN_LEASE_MS);
     while Instant::now() < until {
         // Trial steps of the recovery may occur; the zone must not be fully restored.
-        let whole: usize =
-            rest.iter().map(|id| cluster.managers[&MemberId(*id)].count_log_lines("all zones whole")).sum();
+        let whole: usize = rest
+            .iter()
+            .map(|id| cluster.managers[&MemberId(*id)].count_log_lines("all zones at full weight"))
+            .sum();
         assert_eq!(whole, 0, "{:?}", logged_plans(&cluster, rest[0]));
         std::thread::sleep(Duration::from_millis(50));
     }
     cluster.zone_faults.set_lost(&[]);
-    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones whole", 1));
+    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones at full weight", 1));
     cluster.wait_for_routing(&rest, &B, true);
     cluster.assert_invariants(&[]);
 }
@@ -82,10 +84,10 @@
     let leader = cluster.wait_for_leader();
     let isolated = ALL.into_iter().find(|id| *id != leader).unwrap();
     cluster.set_links_across(&[isolated], LinkState::Silent);
-    cluster.managers[&MemberId(isolated)].wait_for_log("is over: all zones whole", 1);
+    cluster.managers[&MemberId(isolated)].wait_for_log("expired: all zones at full weight", 1);
     // It decides alone again, as without a fleet; the others continue to agree.
     cluster.wait_for_routing(&[isolated], &B, true);
-    assert_eq!(cluster.managers[&MemberId(leader)].count_log_lines("is over: all zones whole"), 0);
+    assert_eq!(cluster.managers[&MemberId(leader)].count_log_lines("expired: all zones at full weight"), 0);
     cluster.heal_links();
     cluster.wait_for_routing(&[isolated], &B, false);
     cluster.assert_invariants(&[]);
@@ -122,7 +124,7 @@
     }
     cluster.zone_faults.set_lost(&[]);
     let leader = cluster.wait_for_leader();
-    cluster.managers[&MemberId(leader)].wait_for_log("all zones whole", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("all zones at full weight", 1);
     cluster.assert_invariants(&[]);
 }
 
@@ -158,7 +160,7 @@
     assert!(logged.iter().any(|plan| plan.contains("b 0.00 (CutOff)")), "{logged:?}");
     cluster.zone_faults.set_cut_off(&[]);
     cluster.heal_links();
-    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones whole", 1));
+    rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones at full weight", 1));
     cluster.wait_for_routing(&ALL, &B, true);
     cluster.assert_invariants(&[]);
 }
@@ -177,6 +179,6 @@
     cluster.start_collectors();
     let leader = cluster.wait_for_leader();
     cluster.zone_faults.set_lost(&[]);
-    cluster.managers[&MemberId(leader)].wait_for_log("all zones whole", 1);
+    cluster.managers[&MemberId(leader)].wait_for_log("all zones at full weight", 1);
     cluster.assert_invariants(&[]);
 }
