--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -17,12 +17,12 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use crate::agreed::{LogCommand, ReplicatedState};
+use crate::channels::{Channels, PeerMessage};
+use crate::config::FleetConfig;
 use crate::disk::FaultDisk;
 use crate::links::PeerTable;
-use crate::mail::{Channels, PeerMessage};
-use crate::seen::{FleetStatus, ScheduleStatus};
-use crate::setting::FleetConfig;
+use crate::replicated_state::{LogCommand, ReplicatedState};
+use crate::status::{FleetStatus, ScheduleStatus};
 use crate::ZoneWeightRatios;
 
 /// Records that may wait for the store's writer. With more waiting the store counts as failing, and a leader steps down.
@@ -380,7 +380,7 @@
     fn update_members(&mut self) {
         let members = self.raft.members();
         let replicated = members.iter().map(|(id, member)| (*id, member.address.clone()));
-        let addresses: crate::setting::MemberAddresses =
+        let addresses: crate::config::MemberAddresses =
             replicated.chain(self.config.members.clone()).collect();
         let mut peer_table = self.peer_table.lock();
         if *peer_table != addresses {
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use crate::mail::Channels;
+use crate::channels::Channels;
 
 /// Effects that may be in progress at once; the others wait in the queue.
 const MAX_CONCURRENT_EFFECTS: usize = 64;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,22 +8,22 @@
 //!
 //! | shared state | written by | read by |
 //! | --- | --- | --- |
-//! | the [`PeerQueues`](mail) of each other manager | `links`, `fleet` | both |
+//! | the [`PeerQueues`](channels) of each other manager | `links`, `fleet` | both |
 //! | completed effects | `links` | `fleet` |
 //! | evidence that was not sent yet, and the weight ratios of the active plan | the planner; `fleet` | `fleet`; the planner |
 //! | [`FleetStatus`], a snapshot for operators | `fleet` | any thread |
 //!
 //! Without a configured fleet there is no thread, socket or file.
 
-mod agreed;
+mod channels;
+mod config;
 mod core;
 mod disk;
 mod effects;
 mod links;
-mod mail;
-mod seen;
-mod setting;
+mod replicated_state;
 mod shards;
+mod status;
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -37,14 +37,14 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-pub use agreed::LogCommand;
-pub use mail::PeerMessage;
-pub use seen::{FleetStatus, ScheduleStatus};
-pub use setting::{FleetConfig, MemberAddresses};
+pub use channels::PeerMessage;
+pub use config::{FleetConfig, MemberAddresses};
+pub use replicated_state::LogCommand;
 pub use shards::Shards;
+pub use status::{FleetStatus, ScheduleStatus};
 
+use crate::channels::Channels;
 use crate::disk::FaultDisk;
-use crate::mail::Channels;
 
 /// A configured fleet member with a bound listener, not started yet.
 pub struct FleetListener {
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -17,9 +17,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
+use crate::channels::{Channels, PeerMessage};
+use crate::config::{FleetConfig, MemberAddresses};
 use crate::effects;
-use crate::mail::{Channels, PeerMessage};
-use crate::setting::{FleetConfig, MemberAddresses};
 
 /// Large enough for a snapshot of the replicated state.
 const MAX_MESSAGE_BYTES: u32 = 16 << 20;
