--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -176,8 +176,8 @@
                 Err(_) => break,
             }
         }
-        let figures = self.writer.figures();
-        let failing = figures.failing || self.unwritten.len() > MAX_UNWRITTEN_RECORDS;
+        let stats = self.writer.stats();
+        let failing = stats.failing || self.unwritten.len() > MAX_UNWRITTEN_RECORDS;
         if failing != self.store_failing {
             match failing {
                 true => {
@@ -188,7 +188,7 @@
             self.store_failing = failing;
             self.raft.set_store_failing(now, failing);
         }
-        self.raft.handle_durable(now, figures.durable.0);
+        self.raft.handle_durable(now, stats.durable.0);
         _ = Point::CONSENSUS_DURABLE.pass();
     }
 
@@ -603,7 +603,7 @@
     }
 
     fn update_status(&mut self, now: Ms) {
-        let store = self.writer.figures();
+        let writer_stats = self.writer.stats();
         let other_members = self.raft.members().keys().filter(|id| **id != self.config.member_id);
         let status = FleetStatus {
             member_id: self.config.member_id,
@@ -618,7 +618,7 @@
             commit_index: self.raft.commit_index(),
             log_entry_count: self.raft.log().len(),
             store_failing: self.store_failing,
-            store_bytes: store.size,
+            store_bytes: writer_stats.size_bytes,
             messages_lost: self.channels.messages_lost(),
             local_health: self.failure_detector.local_health(),
             members: other_members
--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -4,10 +4,10 @@
 use std::path::Path;
 
 use juniperrail_faults::{Fault, Point};
-use juniperrail_store::{Disk, Folder};
+use juniperrail_store::{DirectoryDisk, Disk};
 
 /// A directory whose operations can fail at fault points. Without the feature `points` it is a plain directory.
-pub struct FaultDisk(Folder);
+pub struct FaultDisk(DirectoryDisk);
 
 fn injected_error(point: Point) -> io::Error {
     io::Error::other(format!("{point} fails"))
@@ -15,7 +15,7 @@
 
 impl FaultDisk {
     pub fn open(path: &Path) -> io::Result<FaultDisk> {
-        Folder::open(path).map(FaultDisk)
+        DirectoryDisk::open(path).map(FaultDisk)
     }
 }
 
@@ -71,8 +71,8 @@
         }
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        self.0.sync_names()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.0.sync_directory()
     }
 
     fn lock(&self) -> io::Result<()> {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -33,7 +33,7 @@
 
 use juniperrail_consensus::StoredState;
 use juniperrail_failover::{Evidence, Zone};
-use juniperrail_store::{Opened, Pace, Refused, Store, Writer};
+use juniperrail_store::{OpenError, Opened, Store, Writer, WriterTiming};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
@@ -92,11 +92,11 @@
     let retry_interval = Duration::from_secs_f64(config.raft.election_timeout_ms / 1000.0);
     let mut logged = false;
     let Opened { store, recovered } = loop {
-        let opened = FaultDisk::open(&config.store_path).map_err(Refused::Io);
+        let opened = FaultDisk::open(&config.store_path).map_err(OpenError::Io);
         let error = match opened.and_then(|disk| Store::open(disk, config.store_limits)) {
             Ok(opened) => break opened,
             // The disk may recover, and the other process may end.
-            Err(error @ (Refused::Io(_) | Refused::Locked)) => error,
+            Err(error @ (OpenError::Io(_) | OpenError::Locked)) => error,
             Err(error) => {
                 tracing::error!("fleet: this manager decides alone: {path}: {error}");
                 return None;
@@ -112,8 +112,8 @@
             }
         }
     };
-    if recovered.torn > 0 {
-        tracing::warn!("fleet: {path}: {} bytes of a torn tail are truncated", recovered.torn);
+    if recovered.torn_bytes > 0 {
+        tracing::warn!("fleet: {path}: {} bytes of a torn tail are truncated", recovered.torn_bytes);
     }
     let records = recovered.snapshot.iter().chain(recovered.records.iter().map(|(_, record)| record));
     match StoredState::replay(records.map(Vec::as_slice)) {
@@ -134,8 +134,9 @@
 ) {
     let Some((store, stored_state)) = open_store(config, channels) else { return channels.stop() };
     let sync_channels = channels.clone();
-    let pace = Pace { gather: Duration::from_micros(500), again: Duration::from_millis(100) };
-    let writer = match Writer::start(store, pace, move |_| sync_channels.wake()) {
+    let timing =
+        WriterTiming { batch_delay: Duration::from_micros(500), retry_interval: Duration::from_millis(100) };
+    let writer = match Writer::start(store, timing, move |_| sync_channels.wake()) {
         Ok(writer) => writer,
         Err(error) => {
             return tracing::error!("fleet: this manager decides alone: no thread for the store: {error}")
--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -9,7 +9,7 @@
 use juniperrail_consensus::{
     Member, MemberId, MemberRole, Members, Message, RaftConfig, RaftNode, Role, StoredState,
 };
-use juniperrail_store::{sim::SimDisk, Disk, Folder, Limits, Store};
+use juniperrail_store::{sim::SimDisk, DirectoryDisk, Disk, Limits, Store};
 use juniperrail_trials::{ClusterConfig, LinkState, TestCluster};
 
 use crate::report::Report;
@@ -156,7 +156,7 @@
     let folder: PathBuf = std::env::temp_dir().join(format!("juniperrail-council-{}", std::process::id()));
     let mut single = 0.0;
     for members in [1, 3, 5] {
-        let disk = |id: u16| Folder::open(folder.join(format!("{members}-{id}"))).expect("a folder");
+        let disk = |id: u16| DirectoryDisk::open(folder.join(format!("{members}-{id}"))).expect("a folder");
         let mut group = Group::new(members, disk);
         let one = figures(
             report,
--- a/crates/recovery/tests/crashes.rs
+++ b/crates/recovery/tests/crashes.rs
@@ -7,9 +7,10 @@
 use juniperrail_interface::{ProxyId, TableId};
 use juniperrail_recovery::{Decision, Ledger, MarkPosition, Record, RetryAuthoriser, RetryKey};
 use juniperrail_store::sim::{Faults, SimDisk};
-use juniperrail_store::{Limits, Refused, Seq, Store};
+use juniperrail_store::{Limits, OpenError, Seq, Store};
 
-const LIMITS: Limits = Limits { segment: 600, all: 1 << 20, pending: 64 << 10 };
+const LIMITS: Limits =
+    Limits { max_segment_bytes: 600, max_total_bytes: 1 << 20, max_pending_bytes: 64 << 10 };
 
 /// The ledger from the recovered snapshot and records.
 fn replay(recovered: &juniperrail_store::Recovered) -> Ledger {
@@ -29,10 +30,10 @@
     let mut requested = Authorisations::new();
     let mut now = 0.0;
     for run in 1..rng.u64(2..6) {
-        let crash_at = (rng.u8(..6) > 0).then(|| rng.u64(1..80));
-        let sync_fails = if rng.u8(..4) == 0 { rng.u32(2..6) } else { 0 };
-        let room = (rng.u8(..6) == 0).then(|| rng.u64(300..4000));
-        disk.fail(Faults { crash_at, sync_fails, room });
+        let crash_at_step = (rng.u8(..6) > 0).then(|| rng.u64(1..80));
+        let sync_failure_one_in = if rng.u8(..4) == 0 { rng.u32(2..6) } else { 0 };
+        let capacity_bytes = (rng.u8(..6) == 0).then(|| rng.u64(300..4000));
+        disk.set_faults(Faults { crash_at_step, sync_failure_one_in, capacity_bytes });
         if let Ok(opened) = Store::open(disk.clone(), LIMITS) {
             let (mut store, ledger) = (opened.store, replay(&opened.recovered));
             for (key, position) in &granted {
@@ -49,7 +50,7 @@
             }
             let mut authoriser: RetryAuthoriser<Seq> = RetryAuthoriser::new(ledger);
             for mark in 1..rng.u64(2..40) {
-                if disk.is_down() {
+                if disk.is_powered_off() {
                     break;
                 }
                 now += rng.f64() * 100.0;
@@ -79,13 +80,13 @@
                     }
                     6 => {
                         // The snapshot contains the durable records; pending ones are stored after it.
-                        let Ok(mut compaction) = store.compact() else { continue };
+                        let Ok(mut compaction) = store.begin_compaction() else { continue };
                         authoriser.records_durable(store.durable(), false);
                         let records: Vec<Vec<u8>> =
                             authoriser.ledger().to_records().iter().map(Record::encode).collect();
-                        if compaction.write(records.iter().map(Vec::as_slice)).is_ok() {
+                        if compaction.write_records(records.iter().map(Vec::as_slice)).is_ok() {
                             if let Ok(sealed) = compaction.seal() {
-                                _ = store.compacted(sealed);
+                                _ = store.finish_compaction(sealed);
                             }
                         }
                     }
@@ -108,7 +109,7 @@
                 assert!(requested.contains(&(key.clone(), entry.from)), "seed {seed}")
             });
         }
-        Err(Refused::Io(why)) => panic!("seed {seed}: {why}"),
+        Err(OpenError::Io(why)) => panic!("seed {seed}: {why}"),
         Err(refused) => panic!("seed {seed}: {refused}"),
     }
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -20,7 +20,7 @@
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Names made, replaced and removed survive a loss of power from here on.
-    fn sync_names(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
     /// Nobody else opens this folder until this is dropped.
     fn lock(&self) -> io::Result<()>;
 }
@@ -47,8 +47,8 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         (**self).remove(name)
     }
-    fn sync_names(&self) -> io::Result<()> {
-        (**self).sync_names()
+    fn sync_directory(&self) -> io::Result<()> {
+        (**self).sync_directory()
     }
     fn lock(&self) -> io::Result<()> {
         (**self).lock()
@@ -56,7 +56,7 @@
 }
 
 /// A folder of the machine's own file system.
-pub struct Folder {
+pub struct DirectoryDisk {
     path: PathBuf,
     /// Files that are written to, open.
     open: Mutex<HashMap<String, Arc<File>>>,
@@ -65,12 +65,12 @@
 
 const LOCK: &str = "LOCK";
 
-impl Folder {
+impl DirectoryDisk {
     /// The folder is made if it is missing.
-    pub fn open(path: impl Into<PathBuf>) -> io::Result<Folder> {
+    pub fn open(path: impl Into<PathBuf>) -> io::Result<DirectoryDisk> {
         let path = path.into();
         fs::create_dir_all(&path)?;
-        Ok(Folder { path, open: Mutex::default(), lock: Mutex::default() })
+        Ok(DirectoryDisk { path, open: Mutex::default(), lock: Mutex::default() })
     }
 
     pub fn path(&self) -> &Path {
@@ -92,7 +92,7 @@
     }
 }
 
-impl Disk for Folder {
+impl Disk for DirectoryDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
@@ -131,7 +131,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -10,9 +10,9 @@
 //! checksum (4) over these, the file's number and the payload; then the payload.
 
 /// The format that is written; a newer one is refused.
-pub const FORMAT: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 /// No record is longer, in bytes.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// A record's place in the order of all, from 1 on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -95,7 +95,7 @@
         return Err(Unsound::Checksum);
     }
     match u16_at(bytes, 4) {
-        format if format > FORMAT => Err(Unsound::Newer(format)),
+        format if format > FORMAT_VERSION => Err(Unsound::Newer(format)),
         _ => Ok(()),
     }
 }
@@ -111,7 +111,7 @@
 
     pub fn write(&self) -> Vec<u8> {
         let mut bytes = b"JRMF".to_vec();
-        bytes.extend(FORMAT.to_le_bytes());
+        bytes.extend(FORMAT_VERSION.to_le_bytes());
         for figure in [self.generation, self.snapshot, self.first, self.newest] {
             bytes.extend(figure.to_le_bytes());
         }
@@ -131,7 +131,7 @@
 /// A segment's or snapshot's head. `seq`: the first that it holds, or that the snapshot stands before.
 pub fn head(kind: FileKind, number: u64, seq: Seq) -> Vec<u8> {
     let mut bytes = kind.magic().to_vec();
-    bytes.extend(FORMAT.to_le_bytes());
+    bytes.extend(FORMAT_VERSION.to_le_bytes());
     bytes.extend(number.to_le_bytes());
     bytes.extend(seq.0.to_le_bytes());
     sealed(bytes)
@@ -187,7 +187,7 @@
     let length = u32_at(head, 0);
     let (taken, payload) = match length {
         END => (0, None),
-        length if length as usize > LONGEST => return None,
+        length if length as usize > MAX_RECORD_BYTES => return None,
         length => (length as usize, Some(bytes.get(FRAME..FRAME + length as usize)?)),
     };
     if checksum(&head[..20], number, payload.unwrap_or_default()) != u32_at(head, 20) {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -12,8 +12,8 @@
 mod store;
 mod writer;
 
-pub use disk::{Disk, Folder};
-pub use format::{Seq, FORMAT, LONGEST};
+pub use disk::{DirectoryDisk, Disk};
+pub use format::{Seq, FORMAT_VERSION, MAX_RECORD_BYTES};
 pub use recover::{Damage, Recovered};
-pub use store::{Compaction, Fault, Limits, Opened, Refused, Store};
-pub use writer::{Busy, Figures, Pace, Ticket, Writer};
+pub use store::{Compaction, Limits, OpenError, Opened, Store, StoreError};
+pub use writer::{Busy, Ticket, Writer, WriterStats, WriterTiming};
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -13,13 +13,13 @@
 pub struct Damage {
     pub file: String,
     /// Bytes into the file.
-    pub at: u64,
-    pub what: String,
+    pub offset: u64,
+    pub description: String,
 }
 
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at byte {}: {}", self.file, self.at, self.what)
+        write!(f, "{} at byte {}: {}", self.file, self.offset, self.description)
     }
 }
 
@@ -31,9 +31,9 @@
     /// Those that were appended since, each with its sequence.
     pub records: Vec<(Seq, Vec<u8>)>,
     /// Bytes of a torn tail that were cut.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// Files that nothing names any more and that were removed.
-    pub removed: usize,
+    pub removed_file_count: usize,
 }
 
 /// Why recovery does not come to an end.
@@ -59,7 +59,7 @@
 }
 
 fn damage<T>(file: &str, at: usize, what: impl Into<String>) -> Result<T, Failed> {
-    Err(Failed::Damage(Damage { file: file.into(), at: at as u64, what: what.into() }))
+    Err(Failed::Damage(Damage { file: file.into(), offset: at as u64, description: what.into() }))
 }
 
 fn unsound<T>(file: &str, why: Unsound) -> Result<T, Failed> {
@@ -190,7 +190,7 @@
             return damage(name, at, format!("record {} was synced and cannot be read", next.0));
         }
     }
-    recovered.torn = (bytes.len() - at) as u64;
+    recovered.torn_bytes = (bytes.len() - at) as u64;
     Ok(next)
 }
 
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -13,11 +13,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// Power is lost at that step: it may be done in part, and nothing works until [`SimDisk::restart`].
-    pub crash_at: Option<u64>,
+    pub crash_at_step: Option<u64>,
     /// Syncs that fail, one in so many; 0: none.
-    pub sync_fails: u32,
+    pub sync_failure_one_in: u32,
     /// Bytes that fit in all; beyond it appends fail, some after a part.
-    pub room: Option<u64>,
+    pub capacity_bytes: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -85,17 +85,17 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub fn fail(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         let mut state = self.state();
         (state.faults, state.step) = (faults, 0);
     }
 
     /// Steps since faults were told.
-    pub fn steps(&self) -> u64 {
+    pub fn step_count(&self) -> u64 {
         self.state().step
     }
 
-    pub fn is_down(&self) -> bool {
+    pub fn is_powered_off(&self) -> bool {
         self.state().down
     }
 
@@ -128,13 +128,13 @@
     }
 
     /// The files as they are, for whoever cuts and flips them.
-    pub fn image(&self) -> BTreeMap<String, Vec<u8>> {
+    pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let state = self.state();
         state.names.iter().map(|(name, file)| (name.clone(), state.files[*file].content.clone())).collect()
     }
 
     /// A disk that holds these files, synced.
-    pub fn of(image: &BTreeMap<String, Vec<u8>>) -> SimDisk {
+    pub fn from_files(image: &BTreeMap<String, Vec<u8>>) -> SimDisk {
         let disk = SimDisk::new(0);
         {
             let mut state = disk.state();
@@ -156,12 +156,12 @@
             return Err(failed("the power is off"));
         }
         self.step += 1;
-        self.down = self.faults.crash_at == Some(self.step);
+        self.down = self.faults.crash_at_step == Some(self.step);
         Ok(self.down)
     }
 
     fn sync_fails(&mut self) -> bool {
-        let one_in = self.faults.sync_fails;
+        let one_in = self.faults.sync_failure_one_in;
         one_in > 0 && self.rng.u32(..one_in) == 0
     }
 
@@ -211,7 +211,7 @@
         let crashes = state.stepped()?;
         let file = state.known(name)?;
         let held: u64 = state.names.values().map(|file| state.files[*file].content.len() as u64).sum();
-        let room = state.faults.room.map_or(usize::MAX, |room| room.saturating_sub(held) as usize);
+        let room = state.faults.capacity_bytes.map_or(usize::MAX, |room| room.saturating_sub(held) as usize);
         let most = bytes.len().min(room);
         let most = if crashes { state.rng.usize(..=most) } else { most };
         let at = state.files[file].content.len();
@@ -260,7 +260,7 @@
         state.naming(Naming::Removed(name.into()))
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         let mut state = self.state();
         let crashes = state.stepped()?;
         if state.sync_fails() {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -12,25 +12,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// A segment that is larger is followed by a new one.
-    pub segment: u64,
+    pub max_segment_bytes: u64,
     /// All files together; beyond it nothing is appended until a compaction.
-    pub all: u64,
+    pub max_total_bytes: u64,
     /// What is appended and not committed.
-    pub pending: usize,
+    pub max_pending_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { segment: 4 << 20, all: 256 << 20, pending: 4 << 20 }
+        Limits { max_segment_bytes: 4 << 20, max_total_bytes: 256 << 20, max_pending_bytes: 4 << 20 }
     }
 }
 
 /// Why a store does not open.
 #[derive(Debug)]
-pub enum Refused {
+pub enum OpenError {
     /// Another process has it open.
     Locked,
-    Newer {
+    NewerFormat {
         file: String,
         format: u16,
     },
@@ -38,54 +38,56 @@
     Io(io::Error),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Locked => f.write_str("another process has the store open"),
-            Refused::Newer { file, format } => {
+            OpenError::Locked => f.write_str("another process has the store open"),
+            OpenError::NewerFormat { file, format } => {
                 write!(
                     f,
-                    "{file} is of format {format} and this program knows {FORMAT}: use the newer program"
+                    "{file} is of format {format} and this program knows {FORMAT_VERSION}: use the newer program"
                 )
             }
-            Refused::Damage(damage) => {
+            OpenError::Damage(damage) => {
                 write!(f, "{damage}: bring a sound copy back, or start empty by saying so")
             }
-            Refused::Io(why) => write!(f, "the store cannot be read: {why}"),
+            OpenError::Io(why) => write!(f, "the store cannot be read: {why}"),
         }
     }
 }
 
-impl From<Failed> for Refused {
+impl From<Failed> for OpenError {
     fn from(failed: Failed) -> Self {
         match failed {
-            Failed::Io(why) => Refused::Io(why),
-            Failed::Damage(damage) => Refused::Damage(damage),
-            Failed::Newer { file, format } => Refused::Newer { file, format },
+            Failed::Io(why) => OpenError::Io(why),
+            Failed::Damage(damage) => OpenError::Damage(damage),
+            Failed::Newer { file, format } => OpenError::NewerFormat { file, format },
         }
     }
 }
 
 /// Why something is not kept. What was durable stays so.
 #[derive(Debug)]
-pub enum Fault {
-    /// The record is longer than [`LONGEST`].
-    TooLong,
+pub enum StoreError {
+    /// The record is longer than [`MAX_RECORD_BYTES`].
+    RecordTooLong,
     /// So much waits to be committed that no more is taken.
-    Pending,
+    TooManyPending,
     /// The store is as large as it may be.
     Full,
     /// The disk failed; what waits is tried again with the next commit, in a new segment.
     Io(io::Error),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::TooLong => write!(f, "a record is longer than {LONGEST} bytes"),
-            Fault::Pending => f.write_str("too much waits to be synced"),
-            Fault::Full => f.write_str("the store is as large as it may be: compact it, or raise its limit"),
-            Fault::Io(why) => write!(f, "the disk failed: {why}"),
+            StoreError::RecordTooLong => write!(f, "a record is longer than {MAX_RECORD_BYTES} bytes"),
+            StoreError::TooManyPending => f.write_str("too much waits to be synced"),
+            StoreError::Full => {
+                f.write_str("the store is as large as it may be: compact it, or raise its limit")
+            }
+            StoreError::Io(why) => write!(f, "the disk failed: {why}"),
         }
     }
 }
@@ -115,10 +117,10 @@
 impl<D: Disk> Store<D> {
     /// Opens what is there, or makes it. What was recovered is handed out once. A torn tail is left behind by a new
     /// segment, so that a crash right after finds the same again.
-    pub fn open(disk: D, limits: Limits) -> Result<Opened<D>, Refused> {
+    pub fn open(disk: D, limits: Limits) -> Result<Opened<D>, OpenError> {
         disk.lock().map_err(|why| match why.kind() {
-            io::ErrorKind::WouldBlock => Refused::Locked,
-            _ => Refused::Io(why),
+            io::ErrorKind::WouldBlock => OpenError::Locked,
+            _ => OpenError::Io(why),
         })?;
         let found = recover::read(&disk)?;
         let disk = Arc::new(disk);
@@ -142,9 +144,9 @@
             pending_bytes: 0,
             doubtful,
         };
-        recovered.removed = store.clean().map_err(Refused::Io)?;
-        store.turn().map_err(Refused::Io)?;
-        store.all = store.measure().map_err(Refused::Io)?;
+        recovered.removed_file_count = store.clean().map_err(OpenError::Io)?;
+        store.turn().map_err(OpenError::Io)?;
+        store.all = store.measure().map_err(OpenError::Io)?;
         Ok(Opened { store, recovered })
     }
 
@@ -160,7 +162,7 @@
         let strays: Vec<&String> = names.iter().filter(stray).collect();
         strays.iter().try_for_each(|name| self.disk.remove(name))?;
         if !strays.is_empty() {
-            self.disk.sync_names()?;
+            self.disk.sync_directory()?;
         }
         Ok(strays.len())
     }
@@ -181,7 +183,7 @@
         self.disk.create(&name)?;
         self.disk.append(&name, &head)?;
         self.disk.sync(&name)?;
-        self.disk.sync_names()?;
+        self.disk.sync_directory()?;
         self.all += head.len() as u64;
         let named = self.name(Manifest { newest: number, ..self.manifest });
         // Guards against a manifest that may name it or not: the segment is sound and stays, whichever it is, and the
@@ -199,21 +201,21 @@
         self.disk.append(MANIFEST_NEW, &manifest.write())?;
         self.disk.sync(MANIFEST_NEW)?;
         self.disk.rename(MANIFEST_NEW, MANIFEST)?;
-        self.disk.sync_names()?;
+        self.disk.sync_directory()?;
         self.manifest = manifest;
         Ok(())
     }
 
     /// Takes a record, to be durable with the next commit that succeeds.
-    pub fn append(&mut self, record: &[u8]) -> Result<Seq, Fault> {
-        if record.len() > LONGEST {
-            return Err(Fault::TooLong);
+    pub fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
+        if record.len() > MAX_RECORD_BYTES {
+            return Err(StoreError::RecordTooLong);
         }
-        if self.pending_bytes + record.len() > self.limits.pending {
-            return Err(Fault::Pending);
+        if self.pending_bytes + record.len() > self.limits.max_pending_bytes {
+            return Err(StoreError::TooManyPending);
         }
-        if self.all + (self.pending_bytes + record.len() + FRAME) as u64 > self.limits.all {
-            return Err(Fault::Full);
+        if self.all + (self.pending_bytes + record.len() + FRAME) as u64 > self.limits.max_total_bytes {
+            return Err(StoreError::Full);
         }
         let seq = self.next;
         self.next = Seq(seq.0 + 1);
@@ -228,24 +230,24 @@
     }
 
     /// Bytes on the disk.
-    pub fn size(&self) -> u64 {
+    pub fn size_bytes(&self) -> u64 {
         self.all
     }
 
     /// Makes all that was appended durable, or none of it for sure. After a failure nothing is trusted that was not
     /// durable before: it is written again, to a new segment, with the next commit.
-    pub fn commit(&mut self) -> Result<Seq, Fault> {
+    pub fn commit(&mut self) -> Result<Seq, StoreError> {
         if self.pending.is_empty() {
             return Ok(self.durable);
         }
         self.written().map_err(|why| {
             self.doubtful = true;
-            Fault::Io(why)
+            StoreError::Io(why)
         })
     }
 
     fn written(&mut self) -> io::Result<Seq> {
-        if self.doubtful || self.written > self.limits.segment {
+        if self.doubtful || self.written > self.limits.max_segment_bytes {
             self.turn()?;
         }
         let number = self.manifest.newest;
@@ -275,26 +277,26 @@
 
     /// Begins a compaction: what is durable now will be replaced by the records that the caller has of it. Appending
     /// goes on meanwhile, in a segment of its own.
-    pub fn compact(&mut self) -> Result<Compaction<D>, Fault> {
+    pub fn begin_compaction(&mut self) -> Result<Compaction<D>, StoreError> {
         self.commit()?;
         self.turn().map_err(|why| {
             self.doubtful = true;
-            Fault::Io(why)
+            StoreError::Io(why)
         })?;
         let number = self.manifest.newest;
         let before = Seq(self.durable.0 + 1);
         let begun = self.disk.create(&FileKind::Snapshot.name(number)).and_then(|()| {
             self.disk.append(&FileKind::Snapshot.name(number), &head(FileKind::Snapshot, number, before))
         });
-        begun.map_err(Fault::Io)?;
+        begun.map_err(StoreError::Io)?;
         Ok(Compaction { disk: self.disk.clone(), number, count: 0, bytes: HEAD as u64 })
     }
 
     /// Ends it: the manifest names the snapshot, and what it replaces is removed.
-    pub fn compacted(&mut self, compaction: Compaction<D>) -> Result<(), Fault> {
+    pub fn finish_compaction(&mut self, compaction: Compaction<D>) -> Result<(), StoreError> {
         let Compaction { number, bytes, .. } = compaction;
         let old = self.manifest;
-        self.name(Manifest { snapshot: number, first: number, ..old }).map_err(Fault::Io)?;
+        self.name(Manifest { snapshot: number, first: number, ..old }).map_err(StoreError::Io)?;
         self.all += bytes;
         // What is not removed now is removed at the next opening.
         let segments = (old.first..number).map(|number| FileKind::Segment.name(number));
@@ -319,26 +321,29 @@
 
 impl<D: Disk> Compaction<D> {
     /// Writes records of the state that the snapshot holds, some at a time.
-    pub fn write<'a>(&mut self, records: impl IntoIterator<Item = &'a [u8]>) -> Result<(), Fault> {
+    pub fn write_records<'a>(
+        &mut self,
+        records: impl IntoIterator<Item = &'a [u8]>,
+    ) -> Result<(), StoreError> {
         let mut bytes = Vec::new();
         for record in records {
-            if record.len() > LONGEST {
-                return Err(Fault::TooLong);
+            if record.len() > MAX_RECORD_BYTES {
+                return Err(StoreError::RecordTooLong);
             }
             self.count += 1;
             bytes.extend(frame(self.number, Seq(self.count), Seq(0), record));
         }
         self.bytes += bytes.len() as u64;
-        self.disk.append(&FileKind::Snapshot.name(self.number), &bytes).map_err(Fault::Io)
+        self.disk.append(&FileKind::Snapshot.name(self.number), &bytes).map_err(StoreError::Io)
     }
 
     /// All is written: from here on it may be named.
-    pub fn seal(mut self) -> Result<Self, Fault> {
+    pub fn seal(mut self) -> Result<Self, StoreError> {
         let name = FileKind::Snapshot.name(self.number);
         let end = end(self.number, self.count);
         self.bytes += end.len() as u64;
         let sealed = self.disk.append(&name, &end).and_then(|()| self.disk.sync(&name));
-        sealed.and_then(|()| self.disk.sync_names()).map_err(Fault::Io)?;
+        sealed.and_then(|()| self.disk.sync_directory()).map_err(StoreError::Io)?;
         Ok(self)
     }
 }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use crate::disk::Disk;
-use crate::format::LONGEST;
-use crate::store::{Compaction, Fault, Store};
+use crate::format::MAX_RECORD_BYTES;
+use crate::store::{Compaction, Store, StoreError};
 
 /// Appends that may wait for the thread.
 const WAITING: usize = 1024;
@@ -24,18 +24,18 @@
 
 /// How long records wait for others, and a disk that failed for its next try.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
-    pub gather: Duration,
-    pub again: Duration,
+pub struct WriterTiming {
+    pub batch_delay: Duration,
+    pub retry_interval: Duration,
 }
 
-impl Default for Pace {
+impl Default for WriterTiming {
     fn default() -> Self {
-        Pace { gather: Duration::from_millis(2), again: Duration::from_millis(200) }
+        WriterTiming { batch_delay: Duration::from_millis(2), retry_interval: Duration::from_millis(200) }
     }
 }
 
-/// Too much waits, as the disk is slow or fails, or the record is longer than [`LONGEST`]: it was not taken.
+/// Too much waits, as the disk is slow or fails, or the record is longer than [`MAX_RECORD_BYTES`]: it was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy;
 
@@ -48,7 +48,7 @@
 enum Work<D> {
     Append(Vec<u8>),
     Compact(Vec<Vec<u8>>),
-    Sealed(Result<Compaction<D>, Fault>),
+    Sealed(Result<Compaction<D>, StoreError>),
     Stop,
 }
 
@@ -65,7 +65,7 @@
 
 /// What a store has done, for metrics and for whoever decides by it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct WriterStats {
     pub durable: Ticket,
     /// The last commit failed, or the store is full: nothing new is durable until that ends.
     pub failing: bool,
@@ -73,7 +73,7 @@
     pub failures: u64,
     pub compactions: u64,
     /// Bytes on the disk.
-    pub size: u64,
+    pub size_bytes: u64,
 }
 
 /// The one who appends.
@@ -88,12 +88,12 @@
     /// `told` is called on the store's thread after each commit that succeeded, and as one fails first.
     pub fn start(
         store: Store<D>,
-        pace: Pace,
-        told: impl Fn(Figures) + Send + 'static,
+        pace: WriterTiming,
+        told: impl Fn(WriterStats) + Send + 'static,
     ) -> std::io::Result<Writer<D>> {
         let (work, works) = sync_channel(WAITING);
         let shared = Arc::new(Shared::default());
-        shared.size.store(store.size(), Ordering::Relaxed);
+        shared.size.store(store.size_bytes(), Ordering::Relaxed);
         let thread = Thread {
             store,
             pace,
@@ -108,9 +108,9 @@
         Ok(Writer { work, shared, last: 0, thread: Some(thread) })
     }
 
-    /// Hands a record over; it is durable once [`Figures::durable`] has reached the ticket.
+    /// Hands a record over; it is durable once [`WriterStats::durable`] has reached the ticket.
     pub fn append(&mut self, record: Vec<u8>) -> Result<Ticket, Busy> {
-        if record.len() > LONGEST {
+        if record.len() > MAX_RECORD_BYTES {
             return Err(Busy);
         }
         match self.work.try_send(Work::Append(record)) {
@@ -135,8 +135,8 @@
         taken
     }
 
-    pub fn figures(&self) -> Figures {
-        self.shared.figures()
+    pub fn stats(&self) -> WriterStats {
+        self.shared.stats()
     }
 
     /// Makes durable what can be, and gives the store back; `None` where its thread panicked.
@@ -162,20 +162,20 @@
 }
 
 impl Shared {
-    fn figures(&self) -> Figures {
-        Figures {
+    fn stats(&self) -> WriterStats {
+        WriterStats {
             durable: Ticket(self.durable.load(Ordering::Acquire)),
             failing: self.failing.load(Ordering::Acquire),
             failures: self.failures.load(Ordering::Relaxed),
             compactions: self.compactions.load(Ordering::Relaxed),
-            size: self.size.load(Ordering::Relaxed),
+            size_bytes: self.size.load(Ordering::Relaxed),
         }
     }
 }
 
 struct Thread<D> {
     store: Store<D>,
-    pace: Pace,
+    pace: WriterTiming,
     works: Receiver<Work<D>>,
     own: SyncSender<Work<D>>,
     shared: Arc<Shared>,
@@ -183,7 +183,7 @@
     queue: VecDeque<Vec<u8>>,
     /// Tickets that the store has taken.
     taken: u64,
-    told: Box<dyn Fn(Figures) + Send>,
+    told: Box<dyn Fn(WriterStats) + Send>,
 }
 
 impl<D: Disk + 'static> Thread<D> {
@@ -192,7 +192,7 @@
             if self.queue.len() >= WAITING {
                 // Guards against a queue that grows for as long as the disk fails: nothing more is taken until it does
                 // what was taken.
-                thread::sleep(self.pace.again);
+                thread::sleep(self.pace.retry_interval);
                 self.commit();
                 if self.shared.stopping.load(Ordering::Acquire) {
                     return self.store;
@@ -202,7 +202,7 @@
             // Where something waits that failed, it is tried again even if nothing else comes.
             let waits = !self.queue.is_empty() || self.shared.durable.load(Ordering::Acquire) < self.taken;
             let first = match waits {
-                true => self.works.recv_timeout(self.pace.again),
+                true => self.works.recv_timeout(self.pace.retry_interval),
                 false => self.works.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             let mut stop = match first {
@@ -210,7 +210,7 @@
                 Err(RecvTimeoutError::Timeout) => self.shared.stopping.load(Ordering::Acquire),
                 Err(RecvTimeoutError::Disconnected) => true,
             };
-            let until = Instant::now() + self.pace.gather;
+            let until = Instant::now() + self.pace.batch_delay;
             while !stop && self.queue.len() < WAITING {
                 match self.works.recv_timeout(until.saturating_duration_since(Instant::now())) {
                     Ok(work) => stop = self.take(work),
@@ -248,23 +248,23 @@
             }
             self.shared.durable.store(self.taken, Ordering::Release);
             // Only so much may wait to be synced: now that it is, the rest follows.
-            if !matches!(refused, Some(Fault::Pending)) {
+            if !matches!(refused, Some(StoreError::TooManyPending)) {
                 break refused;
             }
         };
-        self.shared.size.store(self.store.size(), Ordering::Relaxed);
+        self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
         let failed = fault.is_some();
         if failed {
             self.shared.failures.fetch_add(1, Ordering::Relaxed);
         }
         let before = self.shared.failing.swap(failed, Ordering::AcqRel);
         if !failed || !before {
-            (self.told)(self.shared.figures());
+            (self.told)(self.shared.stats());
         }
     }
 
     /// Appends what is queued, as far as the store takes it.
-    fn hand_over(&mut self) -> Option<Fault> {
+    fn hand_over(&mut self) -> Option<StoreError> {
         while let Some(record) = self.queue.front() {
             match self.store.append(record) {
                 Ok(_) => {
@@ -280,9 +280,9 @@
     fn begin(&mut self, records: Vec<Vec<u8>>) {
         if !self.queue.is_empty() {
             // Not all that the records stand for is in the store, as the disk fails: what it holds stays.
-            return self.end(Err(Fault::Pending));
+            return self.end(Err(StoreError::TooManyPending));
         }
-        match self.store.compact() {
+        match self.store.begin_compaction() {
             Err(why) => self.end(Err(why)),
             Ok(compaction) => {
                 let own = self.own.clone();
@@ -292,25 +292,25 @@
                     _ = own.send(Work::Sealed(sealed));
                 };
                 if thread::Builder::new().name("compaction".into()).spawn(write).is_err() {
-                    self.end(Err(Fault::Pending));
+                    self.end(Err(StoreError::TooManyPending));
                 }
             }
         }
     }
 
-    fn end(&mut self, sealed: Result<Compaction<D>, Fault>) {
-        let done = sealed.and_then(|sealed| self.store.compacted(sealed));
+    fn end(&mut self, sealed: Result<Compaction<D>, StoreError>) {
+        let done = sealed.and_then(|sealed| self.store.finish_compaction(sealed));
         let counted = if done.is_ok() { &self.shared.compactions } else { &self.shared.failures };
         counted.fetch_add(1, Ordering::Relaxed);
-        self.shared.size.store(self.store.size(), Ordering::Relaxed);
+        self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
         self.shared.compacting.store(false, Ordering::Release);
-        (self.told)(self.shared.figures());
+        (self.told)(self.shared.stats());
     }
 }
 
-fn written<D: Disk>(mut compaction: Compaction<D>, records: &[Vec<u8>]) -> Result<Compaction<D>, Fault> {
+fn written<D: Disk>(mut compaction: Compaction<D>, records: &[Vec<u8>]) -> Result<Compaction<D>, StoreError> {
     for some in records.chunks(AT_ONCE) {
-        compaction.write(some.iter().map(Vec::as_slice))?;
+        compaction.write_records(some.iter().map(Vec::as_slice))?;
     }
     compaction.seal()
 }
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -9,7 +9,8 @@
 
 const STORED: &str = include_str!("formats/store.txt");
 
-const LIMITS: Limits = Limits { segment: 400, all: 1 << 20, pending: 64 << 10 };
+const LIMITS: Limits =
+    Limits { max_segment_bytes: 400, max_total_bytes: 1 << 20, max_pending_bytes: 64 << 10 };
 const SNAPSHOT: [&[u8]; 2] = [b"snapshot, first record", b"snapshot, second record"];
 const FIRST_RECORD: u64 = 4;
 const RECORDS: [&[u8]; 3] = [b"a record after the snapshot", b"", &[0, 255, 7]];
@@ -30,14 +31,14 @@
         store.append(&[number as u8; 150]).unwrap();
         store.commit().unwrap();
     }
-    let mut compaction = store.compact().unwrap();
-    compaction.write(SNAPSHOT).unwrap();
-    store.compacted(compaction.seal().unwrap()).unwrap();
+    let mut compaction = store.begin_compaction().unwrap();
+    compaction.write_records(SNAPSHOT).unwrap();
+    store.finish_compaction(compaction.seal().unwrap()).unwrap();
     for record in RECORDS {
         store.append(record).unwrap();
         store.commit().unwrap();
     }
-    disk.image().iter().map(|(name, content)| format!("{name} {}\n", hexadecimal(content))).collect()
+    disk.files().iter().map(|(name, content)| format!("{name} {}\n", hexadecimal(content))).collect()
 }
 
 #[test]
@@ -45,7 +46,7 @@
     let files = STORED.lines().filter_map(|line| line.split_once(' '));
     let image: BTreeMap<String, Vec<u8>> =
         files.map(|(name, digits)| (name.to_string(), bytes(digits))).collect();
-    let opened = Store::open(Arc::new(SimDisk::of(&image)), LIMITS).unwrap();
+    let opened = Store::open(Arc::new(SimDisk::from_files(&image)), LIMITS).unwrap();
     assert_eq!(opened.recovered.snapshot, SNAPSHOT.map(<[u8]>::to_vec));
     let expected: Vec<(Seq, Vec<u8>)> = (FIRST_RECORD..).map(Seq).zip(RECORDS.map(<[u8]>::to_vec)).collect();
     assert_eq!(opened.recovered.records, expected);
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -5,9 +5,10 @@
 use std::sync::Arc;
 
 use juniperrail_store::sim::{Faults, SimDisk};
-use juniperrail_store::{Disk, Folder, Limits, Refused, Seq, Store};
+use juniperrail_store::{DirectoryDisk, Disk, Limits, OpenError, Seq, Store};
 
-const LIMITS: Limits = Limits { segment: 400, all: 1 << 20, pending: 64 << 10 };
+const LIMITS: Limits =
+    Limits { max_segment_bytes: 400, max_total_bytes: 1 << 20, max_pending_bytes: 64 << 10 };
 
 /// A record that says which it is.
 fn record(seq: u64, size: usize) -> Vec<u8> {
@@ -38,10 +39,10 @@
     let disk = Arc::new(SimDisk::new(seed));
     let (mut durable, mut appended) = (0, 0);
     for _ in 0..rng.usize(1..5) {
-        let crash_at = (rng.u8(..8) > 0).then(|| rng.u64(1..60));
-        let room = (rng.u8(..6) == 0).then(|| rng.u64(200..3000));
-        let sync_fails = if rng.u8(..4) == 0 { rng.u32(2..6) } else { 0 };
-        disk.fail(Faults { crash_at, sync_fails, room });
+        let crash_at_step = (rng.u8(..8) > 0).then(|| rng.u64(1..60));
+        let capacity_bytes = (rng.u8(..6) == 0).then(|| rng.u64(200..3000));
+        let sync_failure_one_in = if rng.u8(..4) == 0 { rng.u32(2..6) } else { 0 };
+        disk.set_faults(Faults { crash_at_step, sync_failure_one_in, capacity_bytes });
         match Store::open(disk.clone(), LIMITS) {
             Ok(opened) => {
                 let mut store = opened.store;
@@ -54,17 +55,17 @@
                 let mut held: Vec<Vec<u8>> = opened.recovered.snapshot;
                 held.extend(opened.recovered.records.into_iter().map(|(_, record)| record));
                 for _ in 0..rng.usize(1..30) {
-                    if disk.is_down() {
+                    if disk.is_powered_off() {
                         break;
                     }
                     match rng.u8(..10) {
                         0 => {
                             // All that is durable is what the snapshot holds.
-                            let begun = store.compact();
+                            let begun = store.begin_compaction();
                             durable = store.durable().0;
                             let Ok(mut compaction) = begun else { continue };
                             held.truncate(durable as usize);
-                            let written = compaction.write(held.iter().map(Vec::as_slice));
+                            let written = compaction.write_records(held.iter().map(Vec::as_slice));
                             if rng.bool() && written.is_ok() {
                                 // Appending goes on meanwhile.
                                 appended += 1;
@@ -79,7 +80,7 @@
                                 continue;
                             }
                             if let Ok(sealed) = compaction.seal() {
-                                _ = store.compacted(sealed);
+                                _ = store.finish_compaction(sealed);
                             }
                         }
                         1..=5 => {
@@ -97,12 +98,12 @@
                     assert_eq!(store.durable().0, durable, "seed {seed}");
                 }
             }
-            Err(Refused::Io(_)) => {}
+            Err(OpenError::Io(_)) => {}
             Err(refused) => panic!("seed {seed}: a crash is told as damage: {refused}"),
         }
         disk.restart();
     }
-    disk.fail(Faults::default());
+    disk.set_faults(Faults::default());
     let opened = Store::open(disk, LIMITS).unwrap_or_else(|refused| panic!("seed {seed}: {refused}"));
     let found = recovered(&opened.recovered);
     assert!(
@@ -133,21 +134,21 @@
             store.commit().unwrap();
         }
         if seq == 20 {
-            let mut compaction = store.compact().unwrap();
-            compaction.write(held.iter().map(Vec::as_slice)).unwrap();
+            let mut compaction = store.begin_compaction().unwrap();
+            compaction.write_records(held.iter().map(Vec::as_slice)).unwrap();
             let sealed = compaction.seal().unwrap();
-            store.compacted(sealed).unwrap();
+            store.finish_compaction(sealed).unwrap();
         }
     }
     store.commit().unwrap();
-    (disk.image(), 40)
+    (disk.files(), 40)
 }
 
 /// What opening makes of an image: how many records, or that it refuses.
 fn opened(image: &BTreeMap<String, Vec<u8>>) -> Option<u64> {
-    match Store::open(Arc::new(SimDisk::of(image)), LIMITS) {
+    match Store::open(Arc::new(SimDisk::from_files(image)), LIMITS) {
         Ok(opened) => Some(recovered(&opened.recovered)),
-        Err(Refused::Damage(_) | Refused::Newer { .. }) => None,
+        Err(OpenError::Damage(_) | OpenError::NewerFormat { .. }) => None,
         Err(other) => panic!("{other}"),
     }
 }
@@ -196,10 +197,11 @@
 fn segments_missing_doubled_or_renamed_and_a_newer_format_are_told() {
     let (image, _) = image();
     let segments: Vec<String> = image.keys().filter(|name| name.starts_with("seg-")).cloned().collect();
-    let why = |image: &BTreeMap<String, Vec<u8>>| match Store::open(Arc::new(SimDisk::of(image)), LIMITS) {
-        Ok(_) => String::new(),
-        Err(refused) => refused.to_string(),
-    };
+    let why =
+        |image: &BTreeMap<String, Vec<u8>>| match Store::open(Arc::new(SimDisk::from_files(image)), LIMITS) {
+            Ok(_) => String::new(),
+            Err(refused) => refused.to_string(),
+        };
     assert!(segments.len() >= 3);
     for name in image.keys() {
         let mut missing = image.clone();
@@ -226,19 +228,22 @@
 #[test]
 fn two_processes_do_not_open_one_store_and_a_real_folder_holds_it() {
     let path = std::env::temp_dir().join(format!("juniperrail-store-{}", std::process::id()));
-    let mut store = Store::open(Folder::open(&path).unwrap(), Limits::default()).unwrap().store;
-    assert!(matches!(Store::open(Folder::open(&path).unwrap(), Limits::default()), Err(Refused::Locked)));
+    let mut store = Store::open(DirectoryDisk::open(&path).unwrap(), Limits::default()).unwrap().store;
+    assert!(matches!(
+        Store::open(DirectoryDisk::open(&path).unwrap(), Limits::default()),
+        Err(OpenError::Locked)
+    ));
     (1..=100).for_each(|seq| _ = store.append(&record(seq, 10)).unwrap());
     store.commit().unwrap();
-    let mut compaction = store.compact().unwrap();
+    let mut compaction = store.begin_compaction().unwrap();
     let held: Vec<Vec<u8>> = (1..=100).map(|seq| record(seq, 10)).collect();
-    compaction.write(held.iter().map(Vec::as_slice)).unwrap();
+    compaction.write_records(held.iter().map(Vec::as_slice)).unwrap();
     store.append(&record(101, 10)).unwrap();
     store.commit().unwrap();
     let sealed = compaction.seal().unwrap();
-    store.compacted(sealed).unwrap();
+    store.finish_compaction(sealed).unwrap();
     drop(store);
-    let disk = Folder::open(&path).unwrap();
+    let disk = DirectoryDisk::open(&path).unwrap();
     assert!(disk.list().unwrap().iter().any(|name| name.starts_with("snap-")));
     let opened = Store::open(disk, Limits::default()).unwrap();
     assert_eq!(recovered(&opened.recovered), 101);
@@ -252,22 +257,22 @@
     let mut store = Store::open(disk.clone(), LIMITS).unwrap().store;
     (1..=5).for_each(|seq| _ = store.append(&record(seq, 20)).unwrap());
     store.commit().unwrap();
-    disk.fail(Faults { room: Some(0), ..Faults::default() });
+    disk.set_faults(Faults { capacity_bytes: Some(0), ..Faults::default() });
     store.append(&record(6, 20)).unwrap();
     for _ in 0..10 {
         assert!(store.commit().is_err());
         assert_eq!(store.durable(), Seq(5));
     }
-    disk.fail(Faults::default());
+    disk.set_faults(Faults::default());
     assert_eq!(store.commit().unwrap(), Seq(6));
     disk.restart();
     assert_eq!(recovered(&Store::open(disk, LIMITS).unwrap().recovered), 6);
-    let small = Limits { all: 2000, ..LIMITS };
+    let small = Limits { max_total_bytes: 2000, ..LIMITS };
     let mut store = Store::open(Arc::new(SimDisk::new(4)), small).unwrap().store;
     let mut taken = 0;
     while store.append(&record(taken + 1, 40)).is_ok() {
         taken += 1;
         store.commit().unwrap();
     }
-    assert!(taken > 10 && store.size() <= 2000);
+    assert!(taken > 10 && store.size_bytes() <= 2000);
 }
