--- a/crates/fleet/src/channels.rs
+++ b/crates/fleet/src/channels.rs
@@ -1,5 +1,5 @@
-//! Bounded queues between the threads of the fleet: one set for each peer, each under its own lock, and the signals that
-//! wake the fleet thread. A peer whose queue is full affects only itself.
+//! Bounded queues between the threads of the fleet: one set for each peer, each under its own lock, and the signals
+//! that wake the fleet thread. A peer whose queue is full affects only itself.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -25,7 +25,8 @@
 use crate::status::{FleetStatus, ScheduleStatus};
 use crate::ZoneWeightRatios;
 
-/// Records that may wait for the store's writer. With more waiting the store counts as failing, and a leader steps down.
+/// Records that may wait for the store's writer. With more waiting the store counts as failing, and a leader steps
+/// down.
 const MAX_UNWRITTEN_RECORDS: usize = 1024;
 /// The longest time between two passes of the loop.
 const MAX_WAIT_MS: Ms = 250.0;
@@ -73,8 +74,8 @@
             (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
         let voters: Members = config.members.iter().map(voter).collect();
-        // The configured seed alone would repeat at the next start: the random store id that tells a store from a lost one
-        // is drawn from this seed.
+        // The configured seed alone would repeat at the next start: the random store id that tells a store from a lost
+        // one is drawn from this seed.
         let seed = config.seed ^ fastrand::u64(..);
         let raft = RaftNode::start(config.member_id, config.raft, voters, seed, 0.0, stored_state);
         let run = raft.run();
@@ -375,8 +376,8 @@
         }
     }
 
-    /// Updates the peers that are dialled and probed. An address in the operator's file takes precedence over the one in
-    /// the replicated membership.
+    /// Updates the peers that are dialled and probed. An address in the operator's file takes precedence over the one
+    /// in the replicated membership.
     fn update_members(&mut self) {
         let members = self.raft.members();
         let replicated = members.iter().map(|(id, member)| (*id, member.address.clone()));
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -1,5 +1,5 @@
-//! Sends the effects of schedules: HTTP/1.1 POST requests to workers that carry the occurrence and the fencing token. The
-//! stage at which a request failed decides whether it may be sent again.
+//! Sends the effects of schedules: HTTP/1.1 POST requests to workers that carry the occurrence and the fencing token.
+//! The stage at which a request failed decides whether it may be sent again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,10 @@
-//! The runtime of the consensus, failover and schedule crates, which are free of I/O: messages, durable acknowledgements,
-//! time and randomness go into them, and the actions that they return are carried out here.
+//! The runtime of the consensus, failover and schedule crates, which are free of I/O: messages, durable
+//! acknowledgements, time and randomness go into them, and the actions that they return are carried out here.
 //!
-//! Three threads run next to the planner thread, which never waits for them: `fleet` owns the Raft node and the replicated
-//! state, `links` transfers messages between managers and sends effects, `store` writes and syncs the log. State that two
-//! threads share is split up, each part under its own lock. A thread holds one of these locks at a time and never during
-//! I/O:
+//! Three threads run next to the planner thread, which never waits for them: `fleet` owns the Raft node and the
+//! replicated state, `links` transfers messages between managers and sends effects, `store` writes and syncs the log.
+//! State that two threads share is split up, each part under its own lock. A thread holds one of these locks at a time
+//! and never during I/O:
 //!
 //! | shared state | written by | read by |
 //! | --- | --- | --- |
@@ -85,8 +85,9 @@
     }
 }
 
-/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` if the store is damaged,
-/// as its contents can't be guessed, or on a stop request: this manager then decides alone, as it does without a quorum.
+/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` if the store is
+/// damaged, as its contents can't be guessed, or on a stop request: this manager then decides alone, as it does without
+/// a quorum.
 fn open_store(config: &FleetConfig, channels: &Channels) -> Option<(Store<FaultDisk>, StoredState)> {
     let path = config.store_path.display();
     let retry_interval = Duration::from_secs_f64(config.raft.election_timeout_ms / 1000.0);
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Transfers the leadership if this manager has it and announces that it leaves, as on SIGTERM. Returns whether that
-    /// was done before the timeout.
+    /// Transfers the leadership if this manager has it and announces that it leaves, as on SIGTERM. Returns whether
+    /// that was done before the timeout.
     pub fn leave(&self, timeout: Duration) -> bool {
         self.channels.leave(timeout)
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,4 +1,5 @@
-//! The seam at which tests put a disk that fails: a folder of files that are only appended to, and replaced whole.
+//! The disk that a store is kept on, as a trait that tests implement with injected faults. Files are only appended to
+//! or replaced as a whole.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -6,22 +7,22 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// One folder. Names are plain; nothing is below it.
+/// One flat directory of files.
 pub trait Disk: Send + Sync {
     fn list(&self) -> io::Result<Vec<String>>;
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// An empty file of that name, whatever was there.
+    /// Creates an empty file, replacing an existing one.
     fn create(&self, name: &str) -> io::Result<()>;
-    /// Some of the bytes may have been written where this fails.
+    /// If this fails, some of the bytes may have been written.
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// What was appended to the file survives a loss of power from here on. After a failure nothing is known of what
-    /// was appended since the last success.
+    /// Makes all appended bytes of the file survive a power loss. After a failure the state of everything that was
+    /// appended since the last success is unknown.
     fn sync(&self, name: &str) -> io::Result<()>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Names made, replaced and removed survive a loss of power from here on.
+    /// Makes all created, replaced and removed names survive a power loss.
     fn sync_directory(&self) -> io::Result<()>;
-    /// Nobody else opens this folder until this is dropped.
+    /// Locks the directory until this value is dropped. Fails with `WouldBlock` if another process holds the lock.
     fn lock(&self) -> io::Result<()>;
 }
 
@@ -55,22 +56,22 @@
     }
 }
 
-/// A folder of the machine's own file system.
+/// A directory on the file system.
 pub struct DirectoryDisk {
     path: PathBuf,
-    /// Files that are written to, open.
-    open: Mutex<HashMap<String, Arc<File>>>,
+    /// Open handles of the files that are written to.
+    open_files: Mutex<HashMap<String, Arc<File>>>,
     lock: Mutex<Option<File>>,
 }
 
-const LOCK: &str = "LOCK";
+const LOCK_FILE: &str = "LOCK";
 
 impl DirectoryDisk {
-    /// The folder is made if it is missing.
+    /// Creates the directory if it is missing.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<DirectoryDisk> {
         let path = path.into();
         fs::create_dir_all(&path)?;
-        Ok(DirectoryDisk { path, open: Mutex::default(), lock: Mutex::default() })
+        Ok(DirectoryDisk { path, open_files: Mutex::default(), lock: Mutex::default() })
     }
 
     pub fn path(&self) -> &Path {
@@ -78,17 +79,17 @@
     }
 
     fn file(&self, name: &str) -> io::Result<Arc<File>> {
-        let mut open = self.open.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if let Some(file) = open.get(name) {
+        let mut open_files = self.open_files.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if let Some(file) = open_files.get(name) {
             return Ok(file.clone());
         }
         let file = Arc::new(OpenOptions::new().append(true).open(self.path.join(name))?);
-        open.insert(name.to_string(), file.clone());
+        open_files.insert(name.to_string(), file.clone());
         Ok(file)
     }
 
-    fn forget(&self, name: &str) {
-        self.open.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).remove(name);
+    fn close_file(&self, name: &str) {
+        self.open_files.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).remove(name);
     }
 }
 
@@ -97,7 +98,7 @@
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let name = entry?.file_name();
-            names.extend(name.into_string().ok().filter(|name| name != LOCK));
+            names.extend(name.into_string().ok().filter(|name| name != LOCK_FILE));
         }
         names.sort();
         Ok(names)
@@ -108,7 +109,7 @@
     }
 
     fn create(&self, name: &str) -> io::Result<()> {
-        self.forget(name);
+        self.close_file(name);
         File::create(self.path.join(name)).map(drop)
     }
 
@@ -121,13 +122,13 @@
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.forget(from);
-        self.forget(to);
+        self.close_file(from);
+        self.close_file(to);
         fs::rename(self.path.join(from), self.path.join(to))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.forget(name);
+        self.close_file(name);
         fs::remove_file(self.path.join(name))
     }
 
@@ -136,13 +137,14 @@
     }
 
     fn lock(&self) -> io::Result<()> {
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK))?;
+        let file =
+            OpenOptions::new().create(true).truncate(false).write(true).open(self.path.join(LOCK_FILE))?;
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
                 return Err(io::Error::new(io::ErrorKind::WouldBlock, "another process has the store open"));
             }
-            Err(TryLockError::Error(why)) => return Err(why),
+            Err(TryLockError::Error(error)) => return Err(error),
         }
         *self.lock.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(file);
         Ok(())
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! An embedded, ordered, single-writer store: records are appended to segments, committed together, and recovered in
-//! their order after whatever happened to the disk. What the records mean is known elsewhere.
+//! An embedded, ordered, single-writer log store. Records are appended to segments, committed in batches, and recovered
+//! in order after a crash or a disk fault. The store does not interpret the records.
 //!
-//! A record is durable once [`Store::commit`] came back with its sequence, and from then on it is recovered or the
-//! damage is told: never silently left out, never invented. What was appended and not committed may be recovered or
-//! not, as a prefix.
+//! A record is durable once [`Store::commit`] has returned its sequence or a later one. From then on it is either
+//! recovered or reported as damage: records are never silently dropped and never invented. Of records that were
+//! appended but not committed, a prefix may be recovered.
 
 mod disk;
 mod format;
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,6 +1,6 @@
-//! What is found on the disk: the longest sound prefix of records, a torn tail told and cut, and damage told apart from
-//! it. A bad frame is a torn tail only where nothing shows that its record was synced: a sound frame behind it that
-//! was written when the bad one's sequence was durable already, or a later segment that begins behind it, is damage.
+//! Recovery: reads the longest valid prefix of records and tells a torn tail, which is dropped, from damage. An invalid
+//! frame is a torn tail only if nothing shows that its record was durable. It is damage if a valid frame after it says
+//! that its sequence was durable, or if a later segment starts after it.
 
 use std::fmt;
 use std::io;
@@ -8,11 +8,11 @@
 use crate::disk::Disk;
 use crate::format::*;
 
-/// What is wrong with the files: the store does not open on them by itself.
+/// Damage in the store's files. The store does not open until an operator has repaired or removed them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     pub file: String,
-    /// Bytes into the file.
+    /// The position in the file, in bytes.
     pub offset: u64,
     pub description: String,
 }
@@ -23,207 +23,223 @@
     }
 }
 
-/// What was recovered, in order.
+/// The recovered records, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The records of the newest snapshot.
     pub snapshot: Vec<Vec<u8>>,
-    /// Those that were appended since, each with its sequence.
+    /// The records that were appended after the snapshot, each with its sequence.
     pub records: Vec<(Seq, Vec<u8>)>,
-    /// Bytes of a torn tail that were cut.
+    /// The length of the torn tail that was dropped.
     pub torn_bytes: u64,
-    /// Files that nothing names any more and that were removed.
+    /// Unreferenced files that were removed.
     pub removed_file_count: usize,
 }
 
-/// Why recovery does not come to an end.
+/// Why recovery failed.
 #[derive(Debug)]
-pub enum Failed {
+pub enum RecoveryError {
     Io(io::Error),
     Damage(Damage),
     Newer { file: String, format: u16 },
 }
 
-impl From<io::Error> for Failed {
-    fn from(why: io::Error) -> Self {
-        Failed::Io(why)
+impl From<io::Error> for RecoveryError {
+    fn from(error: io::Error) -> Self {
+        RecoveryError::Io(error)
     }
 }
 
-/// Where appending goes on.
+/// The position at which appending continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct AppendPosition {
     pub manifest: Manifest,
     /// The sequence of the next record.
     pub next: Seq,
 }
 
-fn damage<T>(file: &str, at: usize, what: impl Into<String>) -> Result<T, Failed> {
-    Err(Failed::Damage(Damage { file: file.into(), offset: at as u64, description: what.into() }))
+fn damage<T>(file: &str, offset: usize, description: impl Into<String>) -> Result<T, RecoveryError> {
+    Err(RecoveryError::Damage(Damage {
+        file: file.into(),
+        offset: offset as u64,
+        description: description.into(),
+    }))
 }
 
-fn unsound<T>(file: &str, why: Unsound) -> Result<T, Failed> {
-    match why {
-        Unsound::Newer(format) => Err(Failed::Newer { file: file.into(), format }),
-        Unsound::Short => damage(file, 0, "it ends within its head"),
-        Unsound::Magic => damage(file, 0, "it does not begin as such a file does"),
-        Unsound::Checksum => damage(file, 0, "its head's checksum is wrong"),
+fn invalid<T>(file: &str, error: FormatError) -> Result<T, RecoveryError> {
+    match error {
+        FormatError::NewerVersion(format) => Err(RecoveryError::Newer { file: file.into(), format }),
+        FormatError::Truncated => damage(file, 0, "the header is truncated"),
+        FormatError::WrongMagic => damage(file, 0, "wrong magic number"),
+        FormatError::ChecksumMismatch => damage(file, 0, "header checksum mismatch"),
     }
 }
 
-/// Reads everything; `None` where the folder holds no store. Nothing is changed on the disk.
-pub fn read(disk: &dyn Disk) -> Result<Option<(Place, Recovered)>, Failed> {
+/// Reads all records without changing anything on the disk. Returns `None` if the directory holds no store.
+pub fn read(disk: &dyn Disk) -> Result<Option<(AppendPosition, Recovered)>, RecoveryError> {
     let names = disk.list()?;
-    let segments: Vec<u64> = names.iter().filter_map(|name| FileKind::Segment.number(name)).collect();
+    let segments: Vec<u64> = names.iter().filter_map(|name| FileKind::Segment.parse_number(name)).collect();
     if !names.iter().any(|name| name == MANIFEST) {
-        // Before the first manifest there is at most a segment that holds nothing.
+        // Before the first manifest is written, there is at most one segment without records.
         for number in &segments {
-            let name = FileKind::Segment.name(*number);
-            if disk.read(&name)?.len() > HEAD {
-                return damage(MANIFEST, 0, format!("it is missing, and {name} holds records"));
+            let name = FileKind::Segment.file_name(*number);
+            if disk.read(&name)?.len() > HEADER_BYTES {
+                return damage(MANIFEST, 0, format!("the manifest is missing, but {name} holds records"));
             }
         }
         return Ok(None);
     }
-    let manifest = match Manifest::read(&disk.read(MANIFEST)?) {
+    let manifest = match Manifest::decode(&disk.read(MANIFEST)?) {
         Ok(manifest) => manifest,
-        Err(why) => return unsound(MANIFEST, why),
+        Err(error) => return invalid(MANIFEST, error),
     };
     let mut recovered = Recovered::default();
     let mut next = Seq(1);
     if manifest.snapshot > 0 {
-        let (before, records) = snapshot(disk, manifest.snapshot)?;
-        (recovered.snapshot, next) = (records, before);
+        let (first_after_snapshot, records) = read_snapshot(disk, manifest.snapshot)?;
+        (recovered.snapshot, next) = (records, first_after_snapshot);
     }
-    for number in manifest.first..=manifest.newest {
-        let name = FileKind::Segment.name(number);
+    for number in manifest.first_segment..=manifest.newest_segment {
+        let name = FileKind::Segment.file_name(number);
         if !names.contains(&name) {
-            return damage(&name, 0, "the manifest names it and it is missing");
+            return damage(&name, 0, "the file is missing, but the manifest names it");
         }
         let bytes = disk.read(&name)?;
-        let first = match read_head(FileKind::Segment, &bytes) {
-            Ok((known, first)) if known == number => first,
-            Ok((known, _)) => return damage(&name, 0, format!("it is segment {known} under another name")),
-            Err(why) => return unsound(&name, why),
+        let first = match decode_header(FileKind::Segment, &bytes) {
+            Ok((stored_number, first)) if stored_number == number => first,
+            Ok((stored_number, _)) => {
+                return damage(&name, 0, format!("this is segment {stored_number} under another name"))
+            }
+            Err(error) => return invalid(&name, error),
         };
-        if number == manifest.first && first != next {
-            return damage(&name, 0, format!("it begins at {} and should at {}", first.0, next.0));
+        if number == manifest.first_segment && first != next {
+            return damage(
+                &name,
+                0,
+                format!("the segment starts with record {} instead of {}", first.0, next.0),
+            );
         }
-        // Where the next segment begins, this one ends: what was written behind that was never acknowledged.
-        let ends = match number == manifest.newest {
+        // This segment ends where the next one starts: records written after that were never acknowledged.
+        let end = match number == manifest.newest_segment {
             true => None,
-            false => Some(begins(disk, number + 1)?),
+            false => Some(first_sequence(disk, number + 1)?),
         };
-        next = frames(&name, number, &bytes, first, ends, &mut recovered)?;
+        next = read_segment(&name, number, &bytes, first, end, &mut recovered)?;
     }
-    // A segment that was made and never named: it holds nothing that was acknowledged, unless it was renamed.
-    for number in segments.iter().filter(|number| **number > manifest.newest) {
-        let name = FileKind::Segment.name(*number);
+    // A segment that was created but never named by the manifest holds no acknowledged records, unless it was renamed.
+    for number in segments.iter().filter(|number| **number > manifest.newest_segment) {
+        let name = FileKind::Segment.file_name(*number);
         let bytes = disk.read(&name)?;
-        if read_head(FileKind::Segment, &bytes).is_ok_and(|(known, _)| known != *number) {
-            return damage(&name, 0, "it is another segment, doubled or renamed");
+        if decode_header(FileKind::Segment, &bytes).is_ok_and(|(stored_number, _)| stored_number != *number) {
+            return damage(&name, 0, "this is another segment, duplicated or renamed");
         }
-        if let Some(frame) = bytes.get(HEAD..).and_then(|bytes| read_frame(*number, bytes)) {
+        if let Some(frame) = bytes.get(HEADER_BYTES..).and_then(|bytes| decode_frame(*number, bytes)) {
             return damage(
                 &name,
-                HEAD,
-                format!("it holds record {} and the manifest does not name it", frame.seq.0),
+                HEADER_BYTES,
+                format!("the file holds record {}, but the manifest does not name it", frame.seq.0),
             );
         }
     }
-    Ok(Some((Place { manifest, next }, recovered)))
+    Ok(Some((AppendPosition { manifest, next }, recovered)))
 }
 
-/// The first sequence of a segment that has to be there.
-fn begins(disk: &dyn Disk, number: u64) -> Result<Seq, Failed> {
-    let name = FileKind::Segment.name(number);
+/// The first sequence of a segment that the manifest names.
+fn first_sequence(disk: &dyn Disk, number: u64) -> Result<Seq, RecoveryError> {
+    let name = FileKind::Segment.file_name(number);
     match disk.read(&name) {
-        Ok(bytes) => match read_head(FileKind::Segment, &bytes) {
+        Ok(bytes) => match decode_header(FileKind::Segment, &bytes) {
             Ok((_, first)) => Ok(first),
-            Err(why) => unsound(&name, why),
+            Err(error) => invalid(&name, error),
         },
-        Err(why) if why.kind() == io::ErrorKind::NotFound => {
-            damage(&name, 0, "the manifest names it and it is missing")
+        Err(error) if error.kind() == io::ErrorKind::NotFound => {
+            damage(&name, 0, "the file is missing, but the manifest names it")
         }
-        Err(why) => Err(why.into()),
+        Err(error) => Err(error.into()),
     }
 }
 
-/// Takes a segment's records. `ends`: the sequence at which the next segment begins; `None` for the newest. The
-/// sequence of the next record is given back.
-fn frames(
+/// Reads the records of a segment and returns the sequence of the next record. `end` is the first sequence of the next
+/// segment, `None` for the newest segment.
+fn read_segment(
     name: &str,
     number: u64,
     bytes: &[u8],
     first: Seq,
-    ends: Option<Seq>,
+    end: Option<Seq>,
     recovered: &mut Recovered,
-) -> Result<Seq, Failed> {
-    let (mut at, mut next) = (HEAD, first);
+) -> Result<Seq, RecoveryError> {
+    let (mut offset, mut next) = (HEADER_BYTES, first);
     loop {
-        if ends == Some(next) {
+        if end == Some(next) {
             return Ok(next);
         }
-        match read_frame(number, &bytes[at..]) {
+        match decode_frame(number, &bytes[offset..]) {
             Some(Frame { seq, payload: Some(payload), length, .. }) if seq == next => {
                 recovered.records.push((seq, payload.to_vec()));
-                (at, next) = (at + length, Seq(next.0 + 1));
+                (offset, next) = (offset + length, Seq(next.0 + 1));
             }
-            // A mark: it says how far all was synced, and is no record.
-            Some(Frame { seq: Seq(0), payload: Some([]), length, .. }) => at += length,
+            // A durability marker: it holds the last durable sequence and is not a record.
+            Some(Frame { seq: Seq(0), payload: Some([]), length, .. }) => offset += length,
             Some(frame) => {
-                return damage(name, at, format!("record {} stands where {} should", frame.seq.0, next.0));
+                return damage(
+                    name,
+                    offset,
+                    format!("record {} is stored in place of {}", frame.seq.0, next.0),
+                );
             }
             None => break,
         }
     }
-    if let Some(ends) = ends {
+    if let Some(end) = end {
         return damage(
             name,
-            at,
-            format!("record {} is missing, and {} begins the next segment", next.0, ends.0),
+            offset,
+            format!("record {} is missing, but the next segment starts with {}", next.0, end.0),
         );
     }
-    // Whether anything behind shows that the record here had been synced.
-    for behind in at + 1..bytes.len().saturating_sub(FRAME - 1) {
-        if read_frame(number, &bytes[behind..]).is_some_and(|frame| frame.durable >= next) {
-            return damage(name, at, format!("record {} was synced and cannot be read", next.0));
+    // Searches for a later frame that shows that the record here was durable.
+    for later_offset in offset + 1..bytes.len().saturating_sub(FRAME_HEADER_BYTES - 1) {
+        if decode_frame(number, &bytes[later_offset..]).is_some_and(|frame| frame.durable >= next) {
+            return damage(name, offset, format!("record {} was durable and cannot be read", next.0));
         }
     }
-    recovered.torn_bytes = (bytes.len() - at) as u64;
+    recovered.torn_bytes = (bytes.len() - offset) as u64;
     Ok(next)
 }
 
-/// A snapshot's records, and the sequence that it stands before. It is whole or damage: it was synced before it was
-/// named.
-fn snapshot(disk: &dyn Disk, number: u64) -> Result<(Seq, Vec<Vec<u8>>), Failed> {
-    let name = FileKind::Snapshot.name(number);
+/// The records of a snapshot and the sequence of the first record after it. An incomplete snapshot is damage, since it
+/// is synced before the manifest names it.
+fn read_snapshot(disk: &dyn Disk, number: u64) -> Result<(Seq, Vec<Vec<u8>>), RecoveryError> {
+    let name = FileKind::Snapshot.file_name(number);
     let bytes = match disk.read(&name) {
         Ok(bytes) => bytes,
-        Err(why) if why.kind() == io::ErrorKind::NotFound => {
-            return damage(&name, 0, "the manifest names it and it is missing");
+        Err(error) if error.kind() == io::ErrorKind::NotFound => {
+            return damage(&name, 0, "the file is missing, but the manifest names it");
         }
-        Err(why) => return Err(why.into()),
+        Err(error) => return Err(error.into()),
     };
-    let before = match read_head(FileKind::Snapshot, &bytes) {
-        Ok((known, before)) if known == number => before,
-        Ok((known, _)) => return damage(&name, 0, format!("it is snapshot {known} under another name")),
-        Err(why) => return unsound(&name, why),
+    let next = match decode_header(FileKind::Snapshot, &bytes) {
+        Ok((stored_number, next)) if stored_number == number => next,
+        Ok((stored_number, _)) => {
+            return damage(&name, 0, format!("this is snapshot {stored_number} under another name"))
+        }
+        Err(error) => return invalid(&name, error),
     };
-    let (mut at, mut records) = (HEAD, Vec::new());
+    let (mut offset, mut records) = (HEADER_BYTES, Vec::new());
     loop {
-        match read_frame(number, &bytes[at..]) {
+        match decode_frame(number, &bytes[offset..]) {
             Some(Frame { payload: Some(payload), length, .. }) => {
                 records.push(payload.to_vec());
-                at += length;
+                offset += length;
             }
             Some(Frame { payload: None, seq, length, .. }) => {
-                return match seq.0 == records.len() as u64 && at + length == bytes.len() {
-                    true => Ok((before, records)),
-                    false => damage(&name, at, "its end does not fit what it holds"),
+                return match seq.0 == records.len() as u64 && offset + length == bytes.len() {
+                    true => Ok((next, records)),
+                    false => damage(&name, offset, "the end frame does not match the contents"),
                 };
             }
-            None => return damage(&name, at, "a record cannot be read"),
+            None => return damage(&name, offset, "a record cannot be read"),
         }
     }
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that fails as disks do, from one seed: power lost at any step, appends torn or lost or kept out of
-//! order where they were not synced, names that go back, syncs that fail and lose what they were to keep, a full disk.
+//! A simulated disk in memory with faults that are drawn from a seed: power loss at any step, unsynced appends that are
+//! torn, lost or kept out of order, name changes that are undone, syncs that fail and lose data, and a full disk.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,38 +9,40 @@
 
 use crate::disk::Disk;
 
-/// What fails, and when. Steps are calls that change something.
+/// The faults to inject. A step is a call that changes the disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Power is lost at that step: it may be done in part, and nothing works until [`SimDisk::restart`].
+    /// The step at which power is lost. It may be carried out in part, and every later call fails until
+    /// [`SimDisk::restart`].
     pub crash_at_step: Option<u64>,
-    /// Syncs that fail, one in so many; 0: none.
+    /// One in this many syncs fails, at random; 0 for none.
     pub sync_failure_one_in: u32,
-    /// Bytes that fit in all; beyond it appends fail, some after a part.
+    /// The capacity of the disk. Appends beyond it fail after writing the part that fits.
     pub capacity_bytes: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct File {
-    /// What reads see.
+    /// The content that reads return.
     content: Vec<u8>,
-    /// What survives for sure, and the appends since.
+    /// The content that survives a power loss.
     synced: Vec<u8>,
-    since: Vec<Append>,
+    unsynced: Vec<Append>,
 }
 
 #[derive(Clone, Debug)]
 struct Append {
-    at: usize,
+    offset: usize,
     bytes: Vec<u8>,
-    /// A sync over it failed: no later one keeps it.
+    /// A sync of it failed, so no later sync makes it durable.
     lost: bool,
 }
 
+/// A change of the directory.
 #[derive(Clone, Debug)]
-enum Naming {
-    Made(String, usize),
-    Moved(String, String),
+enum NameChange {
+    Created(String, usize),
+    Renamed(String, String),
     Removed(String),
 }
 
@@ -49,30 +51,30 @@
     files: Vec<File>,
     names: BTreeMap<String, usize>,
     synced_names: BTreeMap<String, usize>,
-    since: Vec<Naming>,
+    unsynced_names: Vec<NameChange>,
     faults: Faults,
     step: u64,
-    down: bool,
+    powered_off: bool,
     locked: bool,
     rng: Rng,
 }
 
-/// The disk; share it to see it after a crash.
+/// The simulated disk. Share it to inspect it after a crash.
 pub struct SimDisk(Mutex<State>);
 
-fn failed(why: &str) -> io::Error {
-    io::Error::other(why.to_string())
+fn disk_error(message: &str) -> io::Error {
+    io::Error::other(message.to_string())
 }
 
-fn renamed(names: &mut BTreeMap<String, usize>, naming: &Naming) {
-    match naming {
-        Naming::Made(name, file) => _ = names.insert(name.clone(), *file),
-        Naming::Moved(from, to) => {
+fn apply_name_change(names: &mut BTreeMap<String, usize>, change: &NameChange) {
+    match change {
+        NameChange::Created(name, file) => _ = names.insert(name.clone(), *file),
+        NameChange::Renamed(from, to) => {
             if let Some(file) = names.remove(from) {
                 names.insert(to.clone(), file);
             }
         }
-        Naming::Removed(name) => _ = names.remove(name),
+        NameChange::Removed(name) => _ = names.remove(name),
     }
 }
 
@@ -90,23 +92,23 @@
         (state.faults, state.step) = (faults, 0);
     }
 
-    /// Steps since faults were told.
+    /// Steps since the faults were set.
     pub fn step_count(&self) -> u64 {
         self.state().step
     }
 
     pub fn is_powered_off(&self) -> bool {
-        self.state().down
+        self.state().powered_off
     }
 
-    /// Power is back: of what was not synced each append and name survives or not, by chance; appends may survive in
-    /// part and without those before them, names in their order.
+    /// Restores power. Each unsynced append survives at random, also in part or without earlier ones. Of the unsynced
+    /// name changes a random number survives, in their order.
     pub fn restart(&self) {
         let mut state = self.state();
-        let State { files, names, synced_names, since, rng, .. } = &mut *state;
+        let State { files, names, synced_names, unsynced_names, rng, .. } = &mut *state;
         for file in files.iter_mut() {
-            let mut kept = file.synced.clone();
-            for append in file.since.drain(..) {
+            let mut surviving = file.synced.clone();
+            for append in file.unsynced.drain(..) {
                 let bytes = match rng.u8(..4) {
                     _ if append.lost && rng.bool() => &append.bytes[..0],
                     0 => &append.bytes[..0],
@@ -114,34 +116,37 @@
                     _ => &append.bytes[..],
                 };
                 if !bytes.is_empty() {
-                    // Where an earlier append is lost, its place holds zeros.
-                    kept.resize(kept.len().max(append.at + bytes.len()), 0);
-                    kept[append.at..append.at + bytes.len()].copy_from_slice(bytes);
+                    // A lost earlier append leaves zeros.
+                    surviving.resize(surviving.len().max(append.offset + bytes.len()), 0);
+                    surviving[append.offset..append.offset + bytes.len()].copy_from_slice(bytes);
                 }
             }
-            (file.content, file.synced) = (kept.clone(), kept);
+            (file.content, file.synced) = (surviving.clone(), surviving);
         }
-        let survive = rng.usize(..=since.len());
-        since.drain(..).take(survive).for_each(|naming| renamed(synced_names, &naming));
+        let survivor_count = rng.usize(..=unsynced_names.len());
+        unsynced_names
+            .drain(..)
+            .take(survivor_count)
+            .for_each(|change| apply_name_change(synced_names, &change));
         *names = synced_names.clone();
-        (state.down, state.locked, state.step, state.faults) = (false, false, 0, Faults::default());
+        (state.powered_off, state.locked, state.step, state.faults) = (false, false, 0, Faults::default());
     }
 
-    /// The files as they are, for whoever cuts and flips them.
+    /// The current content of all files, for tests that truncate or corrupt it.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let state = self.state();
         state.names.iter().map(|(name, file)| (name.clone(), state.files[*file].content.clone())).collect()
     }
 
-    /// A disk that holds these files, synced.
-    pub fn from_files(image: &BTreeMap<String, Vec<u8>>) -> SimDisk {
+    /// Creates a disk that holds these files, all synced.
+    pub fn from_files(files: &BTreeMap<String, Vec<u8>>) -> SimDisk {
         let disk = SimDisk::new(0);
         {
             let mut state = disk.state();
-            for (place, (name, content)) in image.iter().enumerate() {
+            for (index, (name, content)) in files.iter().enumerate() {
                 let (content, synced) = (content.clone(), content.clone());
-                state.files.push(File { content, synced, since: Vec::new() });
-                state.names.insert(name.clone(), place);
+                state.files.push(File { content, synced, unsynced: Vec::new() });
+                state.names.insert(name.clone(), index);
             }
             state.synced_names = state.names.clone();
         }
@@ -150,14 +155,14 @@
 }
 
 impl State {
-    /// One step. Whether it is the one at which power is lost: it is done by chance then.
-    fn stepped(&mut self) -> io::Result<bool> {
-        if self.down {
-            return Err(failed("the power is off"));
+    /// Counts a step. Returns whether power is lost at it; the step is then carried out at random.
+    fn begin_step(&mut self) -> io::Result<bool> {
+        if self.powered_off {
+            return Err(disk_error("the power is off"));
         }
         self.step += 1;
-        self.down = self.faults.crash_at_step == Some(self.step);
-        Ok(self.down)
+        self.powered_off = self.faults.crash_at_step == Some(self.step);
+        Ok(self.powered_off)
     }
 
     fn sync_fails(&mut self) -> bool {
@@ -165,18 +170,18 @@
         one_in > 0 && self.rng.u32(..one_in) == 0
     }
 
-    fn known(&self, name: &str) -> io::Result<usize> {
+    fn file_index(&self, name: &str) -> io::Result<usize> {
         self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    fn naming(&mut self, naming: Naming) -> io::Result<()> {
-        let crashes = self.stepped()?;
-        if !crashes || self.rng.bool() {
-            renamed(&mut self.names, &naming);
-            self.since.push(naming);
+    fn change_names(&mut self, change: NameChange) -> io::Result<()> {
+        let power_fails = self.begin_step()?;
+        if !power_fails || self.rng.bool() {
+            apply_name_change(&mut self.names, &change);
+            self.unsynced_names.push(change);
         }
-        match crashes {
-            true => Err(failed("the power goes")),
+        match power_fails {
+            true => Err(disk_error("the power fails")),
             false => Ok(()),
         }
     }
@@ -185,40 +190,45 @@
 impl Disk for SimDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         let state = self.state();
-        match state.down {
-            true => Err(failed("the power is off")),
+        match state.powered_off {
+            true => Err(disk_error("the power is off")),
             false => Ok(state.names.keys().cloned().collect()),
         }
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let state = self.state();
-        if state.down {
-            return Err(failed("the power is off"));
+        if state.powered_off {
+            return Err(disk_error("the power is off"));
         }
-        Ok(state.files[state.known(name)?].content.clone())
+        Ok(state.files[state.file_index(name)?].content.clone())
     }
 
     fn create(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
         let file = state.files.len();
         state.files.push(File::default());
-        state.naming(Naming::Made(name.into(), file))
+        state.change_names(NameChange::Created(name.into(), file))
     }
 
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state();
-        let crashes = state.stepped()?;
-        let file = state.known(name)?;
-        let held: u64 = state.names.values().map(|file| state.files[*file].content.len() as u64).sum();
-        let room = state.faults.capacity_bytes.map_or(usize::MAX, |room| room.saturating_sub(held) as usize);
-        let most = bytes.len().min(room);
-        let most = if crashes { state.rng.usize(..=most) } else { most };
-        let at = state.files[file].content.len();
-        state.files[file].content.extend(&bytes[..most]);
-        state.files[file].since.push(Append { at, bytes: bytes[..most].to_vec(), lost: false });
-        match (crashes, most < bytes.len()) {
-            (true, _) => Err(failed("the power goes")),
+        let power_fails = state.begin_step()?;
+        let file = state.file_index(name)?;
+        let used: u64 = state.names.values().map(|file| state.files[*file].content.len() as u64).sum();
+        let free_bytes =
+            state.faults.capacity_bytes.map_or(usize::MAX, |capacity| capacity.saturating_sub(used) as usize);
+        let written_count = bytes.len().min(free_bytes);
+        let written_count = if power_fails { state.rng.usize(..=written_count) } else { written_count };
+        let offset = state.files[file].content.len();
+        state.files[file].content.extend(&bytes[..written_count]);
+        state.files[file].unsynced.push(Append {
+            offset,
+            bytes: bytes[..written_count].to_vec(),
+            lost: false,
+        });
+        match (power_fails, written_count < bytes.len()) {
+            (true, _) => Err(disk_error("the power fails")),
             (false, true) => Err(io::ErrorKind::StorageFull.into()),
             (false, false) => Ok(()),
         }
@@ -226,53 +236,53 @@
 
     fn sync(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        let crashes = state.stepped()?;
-        let file = state.known(name)?;
+        let power_fails = state.begin_step()?;
+        let file = state.file_index(name)?;
         let fails = state.sync_fails();
-        if fails || crashes && state.rng.bool() {
-            // What was to be kept is taken for kept by the machine from now on, and is not.
-            state.files[file].since.iter_mut().for_each(|append| append.lost = true);
-            return Err(failed("the sync failed"));
+        if fails || power_fails && state.rng.bool() {
+            // As after a failed fsync: the operating system treats the data as clean, although it was not written.
+            state.files[file].unsynced.iter_mut().for_each(|append| append.lost = true);
+            return Err(disk_error("the sync failed"));
         }
-        let kept = &mut state.files[file];
-        let pending = std::mem::take(&mut kept.since);
+        let file = &mut state.files[file];
+        let pending = std::mem::take(&mut file.unsynced);
         let (lost, sound): (Vec<Append>, Vec<Append>) = pending.into_iter().partition(|append| append.lost);
         for append in &sound {
-            kept.synced.resize(kept.synced.len().max(append.at + append.bytes.len()), 0);
-            kept.synced[append.at..append.at + append.bytes.len()].copy_from_slice(&append.bytes);
+            file.synced.resize(file.synced.len().max(append.offset + append.bytes.len()), 0);
+            file.synced[append.offset..append.offset + append.bytes.len()].copy_from_slice(&append.bytes);
         }
-        kept.since = lost;
-        match crashes {
-            true => Err(failed("the power goes")),
+        file.unsynced = lost;
+        match power_fails {
+            true => Err(disk_error("the power fails")),
             false => Ok(()),
         }
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.known(from)?;
-        state.naming(Naming::Moved(from.into(), to.into()))
+        state.file_index(from)?;
+        state.change_names(NameChange::Renamed(from.into(), to.into()))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.known(name)?;
-        state.naming(Naming::Removed(name.into()))
+        state.file_index(name)?;
+        state.change_names(NameChange::Removed(name.into()))
     }
 
     fn sync_directory(&self) -> io::Result<()> {
         let mut state = self.state();
-        let crashes = state.stepped()?;
+        let power_fails = state.begin_step()?;
         if state.sync_fails() {
-            // Names go back in their order or not at all, so they stay pending.
-            return Err(failed("the sync failed"));
+            // Unlike appends, the name changes stay unsynced: names are only undone in their order.
+            return Err(disk_error("the sync failed"));
         }
-        if !crashes || state.rng.bool() {
-            let since = std::mem::take(&mut state.since);
-            since.iter().for_each(|naming| renamed(&mut state.synced_names, naming));
+        if !power_fails || state.rng.bool() {
+            let unsynced_names = std::mem::take(&mut state.unsynced_names);
+            unsynced_names.iter().for_each(|change| apply_name_change(&mut state.synced_names, change));
         }
-        match crashes {
-            true => Err(failed("the power goes")),
+        match power_fails {
+            true => Err(disk_error("the power fails")),
             false => Ok(()),
         }
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The one writer: appending, committing, turning to a new segment, and compaction beside it.
+//! The store: append, commit, segment rotation, and compaction that runs concurrently with appends.
 
 use std::fmt;
 use std::io;
@@ -6,16 +6,16 @@
 
 use crate::disk::Disk;
 use crate::format::*;
-use crate::recover::{self, Damage, Failed, Recovered};
+use crate::recover::{self, Damage, Recovered, RecoveryError};
 
-/// What bounds a store, in bytes.
+/// Size limits of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A segment that is larger is followed by a new one.
+    /// The next commit rotates to a new segment once a segment is larger than this.
     pub max_segment_bytes: u64,
-    /// All files together; beyond it nothing is appended until a compaction.
+    /// The size of all files. Appends fail beyond it until a compaction has freed space.
     pub max_total_bytes: u64,
-    /// What is appended and not committed.
+    /// The size of the records that are appended but not committed.
     pub max_pending_bytes: usize,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Why a store does not open.
+/// Why a store cannot be opened.
 #[derive(Debug)]
 pub enum OpenError {
     /// Another process has it open.
@@ -45,37 +45,38 @@
             OpenError::NewerFormat { file, format } => {
                 write!(
                     f,
-                    "{file} is of format {format} and this program knows {FORMAT_VERSION}: use the newer program"
+                    "{file} has format version {format}, but this program supports up to {FORMAT_VERSION}: \
+                     use a newer version"
                 )
             }
             OpenError::Damage(damage) => {
-                write!(f, "{damage}: bring a sound copy back, or start empty by saying so")
+                write!(f, "{damage}: restore an intact copy, or move the store away to start empty")
             }
-            OpenError::Io(why) => write!(f, "the store cannot be read: {why}"),
+            OpenError::Io(error) => write!(f, "the store cannot be read: {error}"),
         }
     }
 }
 
-impl From<Failed> for OpenError {
-    fn from(failed: Failed) -> Self {
-        match failed {
-            Failed::Io(why) => OpenError::Io(why),
-            Failed::Damage(damage) => OpenError::Damage(damage),
-            Failed::Newer { file, format } => OpenError::NewerFormat { file, format },
+impl From<RecoveryError> for OpenError {
+    fn from(error: RecoveryError) -> Self {
+        match error {
+            RecoveryError::Io(error) => OpenError::Io(error),
+            RecoveryError::Damage(damage) => OpenError::Damage(damage),
+            RecoveryError::Newer { file, format } => OpenError::NewerFormat { file, format },
         }
     }
 }
 
-/// Why something is not kept. What was durable stays so.
+/// Why an operation failed. Records that are durable stay durable.
 #[derive(Debug)]
 pub enum StoreError {
     /// The record is longer than [`MAX_RECORD_BYTES`].
     RecordTooLong,
-    /// So much waits to be committed that no more is taken.
+    /// The uncommitted records have reached [`Limits::max_pending_bytes`].
     TooManyPending,
-    /// The store is as large as it may be.
+    /// The files have reached [`Limits::max_total_bytes`].
     Full,
-    /// The disk failed; what waits is tried again with the next commit, in a new segment.
+    /// The disk failed. The next commit retries the pending records in a new segment.
     Io(io::Error),
 }
 
@@ -83,122 +84,131 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StoreError::RecordTooLong => write!(f, "a record is longer than {MAX_RECORD_BYTES} bytes"),
-            StoreError::TooManyPending => f.write_str("too much waits to be synced"),
+            StoreError::TooManyPending => f.write_str("too many bytes wait to be synced"),
             StoreError::Full => {
-                f.write_str("the store is as large as it may be: compact it, or raise its limit")
+                f.write_str("the store has reached its size limit: compact it, or raise the limit")
             }
-            StoreError::Io(why) => write!(f, "the disk failed: {why}"),
+            StoreError::Io(error) => write!(f, "the disk failed: {error}"),
         }
     }
 }
 
-/// A store that is open, and what it held.
+/// An open store and the records that were recovered.
 pub struct Opened<D> {
     pub store: Store<D>,
     pub recovered: Recovered,
 }
 
+/// An open store. Only one writer may use it at a time.
 pub struct Store<D> {
     disk: Arc<D>,
     limits: Limits,
     manifest: Manifest,
-    /// Bytes in the newest segment and in all files.
-    written: u64,
-    all: u64,
+    /// Bytes in the newest segment.
+    segment_bytes: u64,
+    /// Bytes in all files.
+    total_bytes: u64,
     next: Seq,
     durable: Seq,
-    /// Records from `durable` on, framed for the segment when they are written.
+    /// The records after `durable`. They are framed when they are written, as a frame depends on its segment.
     pending: Vec<Vec<u8>>,
     pending_bytes: usize,
-    /// Something failed since the last commit: nothing is known of the newest segment's tail.
-    doubtful: bool,
+    /// An operation failed since the last commit, so the tail of the newest segment is unknown: the next commit
+    /// rotates.
+    tail_uncertain: bool,
 }
 
 impl<D: Disk> Store<D> {
-    /// Opens what is there, or makes it. What was recovered is handed out once. A torn tail is left behind by a new
-    /// segment, so that a crash right after finds the same again.
+    /// Opens or creates a store and returns the recovered records. Opening rotates to a new segment and leaves a torn
+    /// tail in the old one, so that recovery after another crash gives the same result.
     pub fn open(disk: D, limits: Limits) -> Result<Opened<D>, OpenError> {
-        disk.lock().map_err(|why| match why.kind() {
+        disk.lock().map_err(|error| match error.kind() {
             io::ErrorKind::WouldBlock => OpenError::Locked,
-            _ => OpenError::Io(why),
+            _ => OpenError::Io(error),
         })?;
-        let found = recover::read(&disk)?;
+        let existing = recover::read(&disk)?;
         let disk = Arc::new(disk);
-        let (place, mut recovered) = match found {
-            Some((place, recovered)) => (Some(place), recovered),
+        let (position, mut recovered) = match existing {
+            Some((position, recovered)) => (Some(position), recovered),
             None => (None, Recovered::default()),
         };
-        let manifest = place.map_or(Manifest { first: 1, ..Manifest::default() }, |place| place.manifest);
-        let next = place.map_or(Seq(1), |place| place.next);
+        let manifest = position
+            .map_or(Manifest { first_segment: 1, ..Manifest::default() }, |position| position.manifest);
+        let next = position.map_or(Seq(1), |position| position.next);
         let durable = Seq(next.0 - 1);
-        let (pending, doubtful) = (Vec::new(), true);
+        let (pending, tail_uncertain) = (Vec::new(), true);
         let mut store = Store {
             disk,
             limits,
             manifest,
-            written: 0,
-            all: 0,
+            segment_bytes: 0,
+            total_bytes: 0,
             next,
             durable,
             pending,
             pending_bytes: 0,
-            doubtful,
+            tail_uncertain,
         };
-        recovered.removed_file_count = store.clean().map_err(OpenError::Io)?;
-        store.turn().map_err(OpenError::Io)?;
-        store.all = store.measure().map_err(OpenError::Io)?;
+        recovered.removed_file_count = store.remove_unreferenced_files().map_err(OpenError::Io)?;
+        store.rotate_segment().map_err(OpenError::Io)?;
+        store.total_bytes = store.measure_total_bytes().map_err(OpenError::Io)?;
         Ok(Opened { store, recovered })
     }
 
-    /// Removes what nothing names: it was left by a crash between two steps.
-    fn clean(&self) -> io::Result<usize> {
-        let Manifest { snapshot, first, newest, .. } = self.manifest;
+    /// Removes files that the manifest does not name. They are left by a crash between two steps of a rotation or
+    /// compaction.
+    fn remove_unreferenced_files(&self) -> io::Result<usize> {
+        let Manifest { snapshot, first_segment, newest_segment, .. } = self.manifest;
         let names = self.disk.list()?;
-        let stray = |name: &&String| match (FileKind::Segment.number(name), FileKind::Snapshot.number(name)) {
-            (Some(number), _) => number < first || number > newest,
+        let is_unreferenced = |name: &&String| match (
+            FileKind::Segment.parse_number(name),
+            FileKind::Snapshot.parse_number(name),
+        ) {
+            (Some(number), _) => number < first_segment || number > newest_segment,
             (_, Some(number)) => number != snapshot,
             _ => *name == MANIFEST_NEW,
         };
-        let strays: Vec<&String> = names.iter().filter(stray).collect();
-        strays.iter().try_for_each(|name| self.disk.remove(name))?;
-        if !strays.is_empty() {
+        let unreferenced: Vec<&String> = names.iter().filter(is_unreferenced).collect();
+        unreferenced.iter().try_for_each(|name| self.disk.remove(name))?;
+        if !unreferenced.is_empty() {
             self.disk.sync_directory()?;
         }
-        Ok(strays.len())
+        Ok(unreferenced.len())
     }
 
-    fn measure(&self) -> io::Result<u64> {
-        let mut all = 0;
+    fn measure_total_bytes(&self) -> io::Result<u64> {
+        let mut total_bytes = 0;
         for name in self.disk.list()? {
-            all += self.disk.read(&name)?.len() as u64;
+            total_bytes += self.disk.read(&name)?.len() as u64;
         }
-        Ok(all)
+        Ok(total_bytes)
     }
 
-    /// A new newest segment, named by the manifest: each step is synced before the next relies on it.
-    fn turn(&mut self) -> io::Result<()> {
-        let number = self.manifest.newest + 1;
-        let name = FileKind::Segment.name(number);
-        let head = head(FileKind::Segment, number, Seq(self.durable.0 + 1));
+    /// Creates a new segment and names it in the manifest. Each step is synced before the next one relies on it.
+    fn rotate_segment(&mut self) -> io::Result<()> {
+        let number = self.manifest.newest_segment + 1;
+        let name = FileKind::Segment.file_name(number);
+        let header = encode_header(FileKind::Segment, number, Seq(self.durable.0 + 1));
         self.disk.create(&name)?;
-        self.disk.append(&name, &head)?;
+        self.disk.append(&name, &header)?;
         self.disk.sync(&name)?;
         self.disk.sync_directory()?;
-        self.all += head.len() as u64;
-        let named = self.name(Manifest { newest: number, ..self.manifest });
-        // Guards against a manifest that may name it or not: the segment is sound and stays, whichever it is, and the
-        // next one gets another number. Made anew under this one, it could be named and cut at once.
-        self.manifest.newest = number;
-        named?;
-        (self.written, self.doubtful) = (head.len() as u64, false);
+        self.total_bytes += header.len() as u64;
+        let replaced = self.replace_manifest(Manifest { newest_segment: number, ..self.manifest });
+        // After a failure the manifest on the disk may or may not name the segment. The segment is valid and stays in
+        // either case, and the next one gets another number: creating it again under this number could truncate a file
+        // that the manifest already names.
+        self.manifest.newest_segment = number;
+        replaced?;
+        (self.segment_bytes, self.tail_uncertain) = (header.len() as u64, false);
         Ok(())
     }
 
-    /// Replaces the manifest, whole. After a failure the old or the new one is there.
-    fn name(&mut self, manifest: Manifest) -> io::Result<()> {
+    /// Replaces the manifest atomically. After a failure either the old or the new one is on the disk.
+    fn replace_manifest(&mut self, manifest: Manifest) -> io::Result<()> {
         let manifest = Manifest { generation: self.manifest.generation + 1, ..manifest };
         self.disk.create(MANIFEST_NEW)?;
-        self.disk.append(MANIFEST_NEW, &manifest.write())?;
+        self.disk.append(MANIFEST_NEW, &manifest.encode())?;
         self.disk.sync(MANIFEST_NEW)?;
         self.disk.rename(MANIFEST_NEW, MANIFEST)?;
         self.disk.sync_directory()?;
@@ -206,7 +216,7 @@
         Ok(())
     }
 
-    /// Takes a record, to be durable with the next commit that succeeds.
+    /// Adds a record to the pending ones. It is durable after the next successful commit.
     pub fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
         if record.len() > MAX_RECORD_BYTES {
             return Err(StoreError::RecordTooLong);
@@ -214,104 +224,110 @@
         if self.pending_bytes + record.len() > self.limits.max_pending_bytes {
             return Err(StoreError::TooManyPending);
         }
-        if self.all + (self.pending_bytes + record.len() + FRAME) as u64 > self.limits.max_total_bytes {
+        if self.total_bytes + (self.pending_bytes + record.len() + FRAME_HEADER_BYTES) as u64
+            > self.limits.max_total_bytes
+        {
             return Err(StoreError::Full);
         }
         let seq = self.next;
         self.next = Seq(seq.0 + 1);
-        self.pending_bytes += record.len() + FRAME;
+        self.pending_bytes += record.len() + FRAME_HEADER_BYTES;
         self.pending.push(record.to_vec());
         Ok(seq)
     }
 
-    /// The last sequence that is durable.
+    /// The last durable sequence.
     pub fn durable(&self) -> Seq {
         self.durable
     }
 
-    /// Bytes on the disk.
+    /// The size of all files.
     pub fn size_bytes(&self) -> u64 {
-        self.all
+        self.total_bytes
     }
 
-    /// Makes all that was appended durable, or none of it for sure. After a failure nothing is trusted that was not
-    /// durable before: it is written again, to a new segment, with the next commit.
+    /// Makes all pending records durable. After a failure none of them counts as durable: the next commit writes them
+    /// again, to a new segment.
     pub fn commit(&mut self) -> Result<Seq, StoreError> {
         if self.pending.is_empty() {
             return Ok(self.durable);
         }
-        self.written().map_err(|why| {
-            self.doubtful = true;
-            StoreError::Io(why)
+        self.write_pending().map_err(|error| {
+            self.tail_uncertain = true;
+            StoreError::Io(error)
         })
     }
 
-    fn written(&mut self) -> io::Result<Seq> {
-        if self.doubtful || self.written > self.limits.max_segment_bytes {
-            self.turn()?;
+    fn write_pending(&mut self) -> io::Result<Seq> {
+        if self.tail_uncertain || self.segment_bytes > self.limits.max_segment_bytes {
+            self.rotate_segment()?;
         }
-        let number = self.manifest.newest;
-        let name = FileKind::Segment.name(number);
+        let number = self.manifest.newest_segment;
+        let name = FileKind::Segment.file_name(number);
         let mut bytes = Vec::with_capacity(self.pending_bytes);
         for (seq, record) in (self.durable.0 + 1..).zip(&self.pending) {
-            bytes.extend(frame(number, Seq(seq), self.durable, record));
+            bytes.extend(encode_frame(number, Seq(seq), self.durable, record));
         }
         self.disk.append(&name, &bytes)?;
         self.disk.sync(&name)?;
-        self.written += bytes.len() as u64;
-        self.all += bytes.len() as u64;
+        self.segment_bytes += bytes.len() as u64;
+        self.total_bytes += bytes.len() as u64;
         self.durable = Seq(self.next.0 - 1);
         self.pending.clear();
         self.pending_bytes = 0;
-        // Not synced: where it survives, it shows that what is before it had been.
-        let mark = frame(number, Seq(0), self.durable, &[]);
-        match self.disk.append(&name, &mark) {
+        // The marker is not synced. If it survives a crash, it shows that the records before it were durable.
+        let durability_marker = encode_frame(number, Seq(0), self.durable, &[]);
+        match self.disk.append(&name, &durability_marker) {
             Ok(()) => {
-                self.written += mark.len() as u64;
-                self.all += mark.len() as u64;
+                self.segment_bytes += durability_marker.len() as u64;
+                self.total_bytes += durability_marker.len() as u64;
             }
-            Err(_) => self.doubtful = true,
+            Err(_) => self.tail_uncertain = true,
         }
         Ok(self.durable)
     }
 
-    /// Begins a compaction: what is durable now will be replaced by the records that the caller has of it. Appending
-    /// goes on meanwhile, in a segment of its own.
+    /// Begins a compaction: the caller's records will replace all records that are durable now. Records that are
+    /// appended meanwhile go to a new segment.
     pub fn begin_compaction(&mut self) -> Result<Compaction<D>, StoreError> {
         self.commit()?;
-        self.turn().map_err(|why| {
-            self.doubtful = true;
-            StoreError::Io(why)
+        self.rotate_segment().map_err(|error| {
+            self.tail_uncertain = true;
+            StoreError::Io(error)
         })?;
-        let number = self.manifest.newest;
-        let before = Seq(self.durable.0 + 1);
-        let begun = self.disk.create(&FileKind::Snapshot.name(number)).and_then(|()| {
-            self.disk.append(&FileKind::Snapshot.name(number), &head(FileKind::Snapshot, number, before))
+        let number = self.manifest.newest_segment;
+        let first_after_snapshot = Seq(self.durable.0 + 1);
+        let created = self.disk.create(&FileKind::Snapshot.file_name(number)).and_then(|()| {
+            self.disk.append(
+                &FileKind::Snapshot.file_name(number),
+                &encode_header(FileKind::Snapshot, number, first_after_snapshot),
+            )
         });
-        begun.map_err(StoreError::Io)?;
-        Ok(Compaction { disk: self.disk.clone(), number, count: 0, bytes: HEAD as u64 })
+        created.map_err(StoreError::Io)?;
+        Ok(Compaction { disk: self.disk.clone(), number, count: 0, bytes: HEADER_BYTES as u64 })
     }
 
-    /// Ends it: the manifest names the snapshot, and what it replaces is removed.
+    /// Finishes a compaction: names the snapshot in the manifest and removes the files that it replaces.
     pub fn finish_compaction(&mut self, compaction: Compaction<D>) -> Result<(), StoreError> {
         let Compaction { number, bytes, .. } = compaction;
-        let old = self.manifest;
-        self.name(Manifest { snapshot: number, first: number, ..old }).map_err(StoreError::Io)?;
-        self.all += bytes;
-        // What is not removed now is removed at the next opening.
-        let segments = (old.first..number).map(|number| FileKind::Segment.name(number));
-        let snapshot = (old.snapshot > 0).then(|| FileKind::Snapshot.name(old.snapshot));
+        let previous = self.manifest;
+        self.replace_manifest(Manifest { snapshot: number, first_segment: number, ..previous })
+            .map_err(StoreError::Io)?;
+        self.total_bytes += bytes;
+        // Files that cannot be removed now are removed when the store is opened again.
+        let segments = (previous.first_segment..number).map(|number| FileKind::Segment.file_name(number));
+        let snapshot = (previous.snapshot > 0).then(|| FileKind::Snapshot.file_name(previous.snapshot));
         for name in segments.chain(snapshot) {
-            let freed = self.disk.read(&name).map_or(0, |bytes| bytes.len() as u64);
+            let freed_bytes = self.disk.read(&name).map_or(0, |bytes| bytes.len() as u64);
             if self.disk.remove(&name).is_ok() {
-                self.all = self.all.saturating_sub(freed);
+                self.total_bytes = self.total_bytes.saturating_sub(freed_bytes);
             }
         }
         Ok(())
     }
 }
 
-/// A snapshot under way. It has its own file, so that it may be written from another thread.
+/// A snapshot that is being written. It has its own file, so that another thread can write it.
 pub struct Compaction<D> {
     disk: Arc<D>,
     number: u64,
@@ -320,7 +336,7 @@
 }
 
 impl<D: Disk> Compaction<D> {
-    /// Writes records of the state that the snapshot holds, some at a time.
+    /// Appends records to the snapshot. May be called several times.
     pub fn write_records<'a>(
         &mut self,
         records: impl IntoIterator<Item = &'a [u8]>,
@@ -331,18 +347,18 @@
                 return Err(StoreError::RecordTooLong);
             }
             self.count += 1;
-            bytes.extend(frame(self.number, Seq(self.count), Seq(0), record));
+            bytes.extend(encode_frame(self.number, Seq(self.count), Seq(0), record));
         }
         self.bytes += bytes.len() as u64;
-        self.disk.append(&FileKind::Snapshot.name(self.number), &bytes).map_err(StoreError::Io)
+        self.disk.append(&FileKind::Snapshot.file_name(self.number), &bytes).map_err(StoreError::Io)
     }
 
-    /// All is written: from here on it may be named.
+    /// Completes and syncs the snapshot, so that the manifest may name it.
     pub fn seal(mut self) -> Result<Self, StoreError> {
-        let name = FileKind::Snapshot.name(self.number);
-        let end = end(self.number, self.count);
-        self.bytes += end.len() as u64;
-        let sealed = self.disk.append(&name, &end).and_then(|()| self.disk.sync(&name));
+        let name = FileKind::Snapshot.file_name(self.number);
+        let end_frame = encode_end(self.number, self.count);
+        self.bytes += end_frame.len() as u64;
+        let sealed = self.disk.append(&name, &end_frame).and_then(|()| self.disk.sync(&name));
         sealed.and_then(|()| self.disk.sync_directory()).map_err(StoreError::Io)?;
         Ok(self)
     }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,5 +1,6 @@
-//! The store on a thread of its own: whoever appends never waits for a disk. What comes within a short while is
-//! synced together; a disk that fails or is full is tried again, and nothing is said to be durable meanwhile.
+//! Runs a store on its own thread, so that appending never waits for the disk. Records that arrive within a
+//! short time are synced together. A commit that fails, also because the disk is full, is retried; meanwhile no further
+//! record is reported as durable.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -13,19 +14,21 @@
 use crate::format::MAX_RECORD_BYTES;
 use crate::store::{Compaction, Store, StoreError};
 
-/// Appends that may wait for the thread.
-const WAITING: usize = 1024;
-/// Records of a snapshot that are written at once.
-const AT_ONCE: usize = 256;
+/// Capacity of the channel to the thread, and of the thread's own queue.
+const MAX_QUEUED_RECORDS: usize = 1024;
+/// Records of a snapshot that are written in one append.
+const SNAPSHOT_BATCH_RECORDS: usize = 256;
 
-/// A record's place among those that one writer took, from 1 on.
+/// Numbers the records that one writer has accepted, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// How long records wait for others, and a disk that failed for its next try.
+/// The delays of a writer.
 #[derive(Clone, Copy, Debug)]
 pub struct WriterTiming {
+    /// How long a record waits for others to be synced with.
     pub batch_delay: Duration,
+    /// The time between two commits while the disk fails.
     pub retry_interval: Duration,
 }
 
@@ -35,7 +38,8 @@
     }
 }
 
-/// Too much waits, as the disk is slow or fails, or the record is longer than [`MAX_RECORD_BYTES`]: it was not taken.
+/// The record was not accepted: the queue is full because the disk is slow or fails, or the record is longer than
+/// [`MAX_RECORD_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy;
 
@@ -63,101 +67,103 @@
     stopping: AtomicBool,
 }
 
-/// What a store has done, for metrics and for whoever decides by it.
+/// The progress and health of a writer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriterStats {
+    /// The ticket of the last durable record.
     pub durable: Ticket,
-    /// The last commit failed, or the store is full: nothing new is durable until that ends.
+    /// The last commit failed or the store is full: no further record is durable until a commit succeeds.
     pub failing: bool,
-    /// Commits and compactions that failed.
+    /// Failed commits and compactions.
     pub failures: u64,
     pub compactions: u64,
-    /// Bytes on the disk.
+    /// The size of all files.
     pub size_bytes: u64,
 }
 
-/// The one who appends.
+/// The handle that appends to a store.
 pub struct Writer<D> {
-    work: SyncSender<Work<D>>,
+    work_sender: SyncSender<Work<D>>,
     shared: Arc<Shared>,
-    last: u64,
+    last_ticket: u64,
     thread: Option<JoinHandle<Store<D>>>,
 }
 
 impl<D: Disk + 'static> Writer<D> {
-    /// `told` is called on the store's thread after each commit that succeeded, and as one fails first.
+    /// `on_change` is called on the store's thread after each successful commit, after the first of a series of failed
+    /// ones, and when a compaction ends.
     pub fn start(
         store: Store<D>,
-        pace: WriterTiming,
-        told: impl Fn(WriterStats) + Send + 'static,
+        timing: WriterTiming,
+        on_change: impl Fn(WriterStats) + Send + 'static,
     ) -> std::io::Result<Writer<D>> {
-        let (work, works) = sync_channel(WAITING);
+        let (work_sender, work_receiver) = sync_channel(MAX_QUEUED_RECORDS);
         let shared = Arc::new(Shared::default());
         shared.size.store(store.size_bytes(), Ordering::Relaxed);
-        let thread = Thread {
+        let thread = WriterThread {
             store,
-            pace,
-            works,
-            own: work.clone(),
+            timing,
+            work_receiver,
+            own_sender: work_sender.clone(),
             shared: shared.clone(),
             queue: VecDeque::new(),
-            taken: 0,
-            told: Box::new(told),
+            accepted: 0,
+            on_change: Box::new(on_change),
         };
         let thread = thread::Builder::new().name("store".into()).spawn(move || thread.run())?;
-        Ok(Writer { work, shared, last: 0, thread: Some(thread) })
+        Ok(Writer { work_sender, shared, last_ticket: 0, thread: Some(thread) })
     }
 
-    /// Hands a record over; it is durable once [`WriterStats::durable`] has reached the ticket.
+    /// Queues a record. It is durable once [`WriterStats::durable`] has reached the ticket.
     pub fn append(&mut self, record: Vec<u8>) -> Result<Ticket, Busy> {
         if record.len() > MAX_RECORD_BYTES {
             return Err(Busy);
         }
-        match self.work.try_send(Work::Append(record)) {
+        match self.work_sender.try_send(Work::Append(record)) {
             Ok(()) => {
-                self.last += 1;
-                Ok(Ticket(self.last))
+                self.last_ticket += 1;
+                Ok(Ticket(self.last_ticket))
             }
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => Err(Busy),
         }
     }
 
-    /// Replaces all that was appended so far by these records, beside what is appended meanwhile. False where a
-    /// compaction is under way or too much waits.
+    /// Replaces all records that were appended so far by `records`. Records that are appended meanwhile are kept.
+    /// Returns `false` if a compaction is running or the queue is full.
     pub fn compact(&mut self, records: Vec<Vec<u8>>) -> bool {
         if self.shared.compacting.swap(true, Ordering::AcqRel) {
             return false;
         }
-        let taken = self.work.try_send(Work::Compact(records)).is_ok();
-        if !taken {
+        let queued = self.work_sender.try_send(Work::Compact(records)).is_ok();
+        if !queued {
             self.shared.compacting.store(false, Ordering::Release);
         }
-        taken
+        queued
     }
 
     pub fn stats(&self) -> WriterStats {
         self.shared.stats()
     }
 
-    /// Makes durable what can be, and gives the store back; `None` where its thread panicked.
+    /// Commits the queued records if the disk allows it and returns the store; `None` if its thread panicked.
     pub fn stop(mut self) -> Option<Store<D>> {
-        self.end();
+        self.send_stop();
         self.thread.take().and_then(|thread| thread.join().ok())
     }
 }
 
 impl<D> Writer<D> {
-    fn end(&self) {
+    fn send_stop(&self) {
         self.shared.stopping.store(true, Ordering::Release);
-        // It finds a place as soon as the thread goes on, which the flag makes sure of where the disk fails.
-        _ = self.work.send(Work::Stop);
+        // Blocks until the channel has room. While the disk fails, the flag makes the thread end and close the channel.
+        _ = self.work_sender.send(Work::Stop);
     }
 }
 
-/// The thread ends by itself, after what it can still make durable.
+/// The thread ends on its own after a last commit.
 impl<D> Drop for Writer<D> {
     fn drop(&mut self) {
-        self.end();
+        self.send_stop();
     }
 }
 
@@ -173,47 +179,51 @@
     }
 }
 
-struct Thread<D> {
+struct WriterThread<D> {
     store: Store<D>,
-    pace: WriterTiming,
-    works: Receiver<Work<D>>,
-    own: SyncSender<Work<D>>,
+    timing: WriterTiming,
+    work_receiver: Receiver<Work<D>>,
+    own_sender: SyncSender<Work<D>>,
     shared: Arc<Shared>,
-    /// Records that the store has not taken yet, as it is full or behind.
+    /// Records that the store has not accepted yet because it is full or has too many pending bytes.
     queue: VecDeque<Vec<u8>>,
-    /// Tickets that the store has taken.
-    taken: u64,
-    told: Box<dyn Fn(WriterStats) + Send>,
+    /// The number of records that the store has accepted.
+    accepted: u64,
+    on_change: Box<dyn Fn(WriterStats) + Send>,
 }
 
-impl<D: Disk + 'static> Thread<D> {
+impl<D: Disk + 'static> WriterThread<D> {
     fn run(mut self) -> Store<D> {
         loop {
-            if self.queue.len() >= WAITING {
-                // Guards against a queue that grows for as long as the disk fails: nothing more is taken until it does
-                // what was taken.
-                thread::sleep(self.pace.retry_interval);
+            if self.queue.len() >= MAX_QUEUED_RECORDS {
+                // Bounds the queue while the disk fails: no further record is received until the store has accepted the
+                // queued ones.
+                thread::sleep(self.timing.retry_interval);
                 self.commit();
                 if self.shared.stopping.load(Ordering::Acquire) {
                     return self.store;
                 }
                 continue;
             }
-            // Where something waits that failed, it is tried again even if nothing else comes.
-            let waits = !self.queue.is_empty() || self.shared.durable.load(Ordering::Acquire) < self.taken;
-            let first = match waits {
-                true => self.works.recv_timeout(self.pace.retry_interval),
-                false => self.works.recv().map_err(|_| RecvTimeoutError::Disconnected),
+            // After a failed commit, retries even if no further work arrives.
+            let retry_needed =
+                !self.queue.is_empty() || self.shared.durable.load(Ordering::Acquire) < self.accepted;
+            let first = match retry_needed {
+                true => self.work_receiver.recv_timeout(self.timing.retry_interval),
+                false => self.work_receiver.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             let mut stop = match first {
-                Ok(work) => self.take(work),
+                Ok(work) => self.handle(work),
                 Err(RecvTimeoutError::Timeout) => self.shared.stopping.load(Ordering::Acquire),
                 Err(RecvTimeoutError::Disconnected) => true,
             };
-            let until = Instant::now() + self.pace.batch_delay;
-            while !stop && self.queue.len() < WAITING {
-                match self.works.recv_timeout(until.saturating_duration_since(Instant::now())) {
-                    Ok(work) => stop = self.take(work),
+            let batch_deadline = Instant::now() + self.timing.batch_delay;
+            while !stop && self.queue.len() < MAX_QUEUED_RECORDS {
+                match self
+                    .work_receiver
+                    .recv_timeout(batch_deadline.saturating_duration_since(Instant::now()))
+                {
+                    Ok(work) => stop = self.handle(work),
                     Err(RecvTimeoutError::Timeout) => break,
                     Err(RecvTimeoutError::Disconnected) => stop = true,
                 }
@@ -225,92 +235,96 @@
         }
     }
 
-    /// Whether this was the last.
-    fn take(&mut self, work: Work<D>) -> bool {
+    /// Returns whether the thread is to stop.
+    fn handle(&mut self, work: Work<D>) -> bool {
         match work {
             Work::Append(record) => self.queue.push_back(record),
             Work::Compact(records) => {
-                // It stands for all that came before it.
+                // The snapshot replaces all records that were queued before it.
                 self.commit();
-                self.begin(records);
+                self.begin_compaction(records);
             }
-            Work::Sealed(sealed) => self.end(sealed),
+            Work::Sealed(sealed) => self.end_compaction(sealed),
             Work::Stop => return true,
         }
         false
     }
 
     fn commit(&mut self) {
-        let fault = loop {
-            let refused = self.hand_over();
-            if let Err(why) = self.store.commit() {
-                break Some(why);
+        let error = loop {
+            let rejected = self.append_queued();
+            if let Err(error) = self.store.commit() {
+                break Some(error);
             }
-            self.shared.durable.store(self.taken, Ordering::Release);
-            // Only so much may wait to be synced: now that it is, the rest follows.
-            if !matches!(refused, Some(StoreError::TooManyPending)) {
-                break refused;
+            self.shared.durable.store(self.accepted, Ordering::Release);
+            // The store limits its pending bytes: now that they are synced, it accepts the remaining records.
+            if !matches!(rejected, Some(StoreError::TooManyPending)) {
+                break rejected;
             }
         };
         self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
-        let failed = fault.is_some();
+        let failed = error.is_some();
         if failed {
             self.shared.failures.fetch_add(1, Ordering::Relaxed);
         }
-        let before = self.shared.failing.swap(failed, Ordering::AcqRel);
-        if !failed || !before {
-            (self.told)(self.shared.stats());
+        let was_failing = self.shared.failing.swap(failed, Ordering::AcqRel);
+        if !failed || !was_failing {
+            (self.on_change)(self.shared.stats());
         }
     }
 
-    /// Appends what is queued, as far as the store takes it.
-    fn hand_over(&mut self) -> Option<StoreError> {
+    /// Appends queued records until the store accepts no more.
+    fn append_queued(&mut self) -> Option<StoreError> {
         while let Some(record) = self.queue.front() {
             match self.store.append(record) {
                 Ok(_) => {
                     self.queue.pop_front();
-                    self.taken += 1;
+                    self.accepted += 1;
                 }
-                Err(why) => return Some(why),
+                Err(error) => return Some(error),
             }
         }
         None
     }
 
-    fn begin(&mut self, records: Vec<Vec<u8>>) {
+    fn begin_compaction(&mut self, records: Vec<Vec<u8>>) {
         if !self.queue.is_empty() {
-            // Not all that the records stand for is in the store, as the disk fails: what it holds stays.
-            return self.end(Err(StoreError::TooManyPending));
+            // The disk fails, so the store does not hold all records that the snapshot replaces yet: it is kept as it
+            // is.
+            return self.end_compaction(Err(StoreError::TooManyPending));
         }
         match self.store.begin_compaction() {
-            Err(why) => self.end(Err(why)),
+            Err(error) => self.end_compaction(Err(error)),
             Ok(compaction) => {
-                let own = self.own.clone();
+                let own_sender = self.own_sender.clone();
                 let write = move || {
-                    let sealed = written(compaction, &records);
-                    // The writer may be gone; the snapshot is then left to the next opening.
-                    _ = own.send(Work::Sealed(sealed));
+                    let sealed = write_snapshot(compaction, &records);
+                    // If the writer has ended, the next opening removes the snapshot.
+                    _ = own_sender.send(Work::Sealed(sealed));
                 };
                 if thread::Builder::new().name("compaction".into()).spawn(write).is_err() {
-                    self.end(Err(StoreError::TooManyPending));
+                    self.end_compaction(Err(StoreError::TooManyPending));
                 }
             }
         }
     }
 
-    fn end(&mut self, sealed: Result<Compaction<D>, StoreError>) {
-        let done = sealed.and_then(|sealed| self.store.finish_compaction(sealed));
-        let counted = if done.is_ok() { &self.shared.compactions } else { &self.shared.failures };
-        counted.fetch_add(1, Ordering::Relaxed);
+    fn end_compaction(&mut self, sealed: Result<Compaction<D>, StoreError>) {
+        let finished = sealed.and_then(|sealed| self.store.finish_compaction(sealed));
+        let counter = if finished.is_ok() { &self.shared.compactions } else { &self.shared.failures };
+        counter.fetch_add(1, Ordering::Relaxed);
         self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
         self.shared.compacting.store(false, Ordering::Release);
-        (self.told)(self.shared.stats());
+        (self.on_change)(self.shared.stats());
     }
 }
 
-fn written<D: Disk>(mut compaction: Compaction<D>, records: &[Vec<u8>]) -> Result<Compaction<D>, StoreError> {
-    for some in records.chunks(AT_ONCE) {
-        compaction.write_records(some.iter().map(Vec::as_slice))?;
+fn write_snapshot<D: Disk>(
+    mut compaction: Compaction<D>,
+    records: &[Vec<u8>],
+) -> Result<Compaction<D>, StoreError> {
+    for batch in records.chunks(SNAPSHOT_BATCH_RECORDS) {
+        compaction.write_records(batch.iter().map(Vec::as_slice))?;
     }
     compaction.seal()
 }
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -15,7 +15,7 @@
 const FIRST_RECORD: u64 = 4;
 const RECORDS: [&[u8]; 3] = [b"a record after the snapshot", b"", &[0, 255, 7]];
 
-fn bytes(digits: &str) -> Vec<u8> {
+fn decode_hexadecimal(digits: &str) -> Vec<u8> {
     (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
 }
 
@@ -24,7 +24,7 @@
 }
 
 /// A store with a snapshot, records after it and a full segment, written by this build.
-fn written() -> String {
+fn written_files() -> String {
     let disk = Arc::new(SimDisk::new(1));
     let mut store = Store::open(disk.clone(), LIMITS).unwrap().store;
     for number in 1..FIRST_RECORD {
@@ -45,7 +45,7 @@
 fn a_store_of_an_earlier_build_is_recovered() {
     let files = STORED.lines().filter_map(|line| line.split_once(' '));
     let image: BTreeMap<String, Vec<u8>> =
-        files.map(|(name, digits)| (name.to_string(), bytes(digits))).collect();
+        files.map(|(name, digits)| (name.to_string(), decode_hexadecimal(digits))).collect();
     let opened = Store::open(Arc::new(SimDisk::from_files(&image)), LIMITS).unwrap();
     assert_eq!(opened.recovered.snapshot, SNAPSHOT.map(<[u8]>::to_vec));
     let expected: Vec<(Seq, Vec<u8>)> = (FIRST_RECORD..).map(Seq).zip(RECORDS.map(<[u8]>::to_vec)).collect();
@@ -54,5 +54,5 @@
 
 #[test]
 fn the_same_steps_write_the_same_files_as_an_earlier_build() {
-    assert_eq!(written(), STORED);
+    assert_eq!(written_files(), STORED);
 }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The store on its thread: who appends never waits, what is told durable is, and a disk that fails is waited out.
+//! The writer thread: appends don't wait, records reported as durable are durable, and failed commits are retried.
 
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -7,23 +7,26 @@
 use juniperrail_store::sim::{Faults, SimDisk};
 use juniperrail_store::{Limits, Store, Ticket, Writer, WriterStats, WriterTiming};
 
-const WITHIN: Duration = Duration::from_secs(20);
+const STATS_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start(disk: &Arc<SimDisk>) -> (Writer<Arc<SimDisk>>, Receiver<WriterStats>) {
     let limits = Limits { max_segment_bytes: 4096, max_total_bytes: 8 << 20, max_pending_bytes: 64 << 10 };
     let opened = Store::open(disk.clone(), limits).unwrap();
-    let (tell, told) = channel();
-    let pace =
+    let (stats_sender, stats_receiver) = channel();
+    let timing =
         WriterTiming { batch_delay: Duration::from_millis(1), retry_interval: Duration::from_millis(5) };
-    let writer = Writer::start(opened.store, pace, move |figures| _ = tell.send(figures)).unwrap();
-    (writer, told)
+    let writer = Writer::start(opened.store, timing, move |stats| _ = stats_sender.send(stats)).unwrap();
+    (writer, stats_receiver)
 }
 
-fn until(told: &Receiver<WriterStats>, holds: impl Fn(&WriterStats) -> bool) -> WriterStats {
+fn wait_for_stats(
+    stats_receiver: &Receiver<WriterStats>,
+    condition: impl Fn(&WriterStats) -> bool,
+) -> WriterStats {
     loop {
-        let figures = told.recv_timeout(WITHIN).expect("the store tells");
-        if holds(&figures) {
-            return figures;
+        let stats = stats_receiver.recv_timeout(STATS_TIMEOUT).expect("the writer reports its stats");
+        if condition(&stats) {
+            return stats;
         }
     }
 }
@@ -35,18 +38,18 @@
 }
 
 #[test]
-fn many_records_are_synced_together_and_what_is_told_durable_survives() {
+fn many_records_are_synced_together_and_durable_records_survive() {
     let disk = Arc::new(SimDisk::new(1));
-    let (mut writer, told) = start(&disk);
+    let (mut writer, stats_receiver) = start(&disk);
     disk.set_faults(Faults::default());
     let mut last = Ticket(0);
     for number in 0..500u32 {
         last = writer.append(number.to_le_bytes().to_vec()).unwrap();
     }
-    let figures = until(&told, |figures| figures.durable == last);
-    assert_eq!((figures.durable, figures.failing), (Ticket(500), false));
+    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable == last);
+    assert_eq!((stats.durable, stats.failing), (Ticket(500), false));
     assert!(disk.step_count() < 500, "{} steps for 500 records", disk.step_count());
-    // Power goes with the writer still there.
+    // Power is lost while the writer is running.
     std::mem::forget(writer);
     disk.restart();
     let all: Vec<Vec<u8>> = (0..500u32).map(|number| number.to_le_bytes().to_vec()).collect();
@@ -54,48 +57,48 @@
 }
 
 #[test]
-fn while_the_disk_fails_nothing_is_durable_and_then_all_is() {
+fn records_appended_while_the_disk_fails_become_durable_once_it_works() {
     let disk = Arc::new(SimDisk::new(2));
-    let (mut writer, told) = start(&disk);
+    let (mut writer, stats_receiver) = start(&disk);
     writer.append(b"before".to_vec()).unwrap();
-    until(&told, |figures| figures.durable == Ticket(1));
+    wait_for_stats(&stats_receiver, |stats| stats.durable == Ticket(1));
     disk.set_faults(Faults { capacity_bytes: Some(0), ..Faults::default() });
     let second = writer.append(b"meanwhile".to_vec()).unwrap();
-    let failing = until(&told, |figures| figures.failing);
+    let failing = wait_for_stats(&stats_receiver, |stats| stats.failing);
     assert_eq!(failing.durable, Ticket(1));
-    let mut taken = 0;
+    let mut accepted = 0;
     while writer.append(vec![7; 1000]).is_ok() {
-        taken += 1;
-        assert!(taken < 10_000, "what waits is bounded");
+        accepted += 1;
+        assert!(accepted < 10_000, "the queue is bounded");
     }
-    assert_eq!(writer.stats().durable, Ticket(1), "nothing was promised");
+    assert_eq!(writer.stats().durable, Ticket(1), "no record is reported as durable while the disk fails");
     disk.set_faults(Faults::default());
-    let figures = until(&told, |figures| figures.durable.0 == second.0 + taken);
-    assert!(!figures.failing && figures.failures > 0);
+    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable.0 == second.0 + accepted);
+    assert!(!stats.failing && stats.failures > 0);
     drop(writer.stop());
     disk.restart();
-    assert_eq!(recovered(&disk).len() as u64, 2 + taken);
+    assert_eq!(recovered(&disk).len() as u64, 2 + accepted);
 }
 
 #[test]
-fn a_compaction_runs_beside_appends_and_one_at_a_time() {
+fn a_compaction_runs_concurrently_with_appends_and_one_at_a_time() {
     let disk = Arc::new(SimDisk::new(3));
-    let (mut writer, told) = start(&disk);
+    let (mut writer, stats_receiver) = start(&disk);
     for number in 0..200u32 {
         writer.append(number.to_le_bytes().to_vec()).unwrap();
     }
-    until(&told, |figures| figures.durable == Ticket(200));
+    wait_for_stats(&stats_receiver, |stats| stats.durable == Ticket(200));
     let before = writer.stats().size_bytes;
-    // Of all that was, ten records live.
+    // The snapshot keeps the last ten records.
     let live: Vec<Vec<u8>> = (190..200u32).map(|number| number.to_le_bytes().to_vec()).collect();
     assert!(writer.compact(live.clone()));
-    let beside = writer.append(b"beside".to_vec()).unwrap();
-    until(&told, |figures| figures.compactions == 1);
-    while writer.stats().durable < beside {
-        until(&told, |figures| figures.durable >= beside);
+    let concurrent = writer.append(b"beside".to_vec()).unwrap();
+    wait_for_stats(&stats_receiver, |stats| stats.compactions == 1);
+    while writer.stats().durable < concurrent {
+        wait_for_stats(&stats_receiver, |stats| stats.durable >= concurrent);
     }
     assert!(writer.stats().size_bytes < before / 2, "{} of {before}", writer.stats().size_bytes);
-    assert!(writer.compact(live.clone()), "the next may begin");
+    assert!(writer.compact(live.clone()), "the next compaction may start");
     drop(writer.stop());
     disk.restart();
     let mut expected = live;
@@ -103,6 +106,6 @@
     let found = recovered(&disk);
     assert!(
         found == expected || found == expected[..10],
-        "the second stands for all, or was not named: {found:?}"
+        "the second snapshot replaces all records, or the manifest does not name it: {found:?}"
     );
 }
