--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the decisions: it takes what has come in, at most one turn a tick, wakes the module
-//! when it asked for that, and hands out what it orders.
+//! The task that owns the planner: it handles what was received in at most one turn per tick, wakes the planner when
+//! its timers expire, and carries out its orders.
 
 mod intents;
 mod proxies;
@@ -25,228 +25,246 @@
 use crate::inbound::Inbound;
 use crate::launch::Launch;
 use crate::limiter::Zones;
-use crate::plane::Plane;
-use crate::presence::Presence;
+use crate::plane::OrderWriter;
+use crate::presence::ConnectionTracker;
 use crate::probes::{Found, Probes};
-use crate::roster::Roster;
-use crate::tally::Tally;
+use crate::roster::WorkerRegistry;
+use crate::tally::LogSummary;
 
-/// Only the wakes and silences due sooner matter.
-const LONGEST_SLEEP: Ms = 3_600_000.0;
+/// The longest sleep without an event.
+const MAX_SLEEP_MS: Ms = 3_600_000.0;
 
-/// Where a turn that the module asked for tells how late it came, in milliseconds, as the field `late`.
+/// Log target of turns that a timer of the planner started; the field `late` is their delay in milliseconds.
 pub const TURN_TARGET: &str = "juniperrail::turns";
 
-/// Parts of what may wait in the channel, and of a drain's grace, from which on the log tells of it.
-const NEAR: (f64, f64) = (0.8, 0.6);
+/// Ratio of the limit of unacknowledged lines from which a warning is logged.
+const CHANNEL_WARNING_RATIO: f64 = 0.8;
 
-/// How far the open changes have come is looked at no more often.
-const PROGRESS_CHECK_EVERY: Ms = 5.0;
+/// Ratio of the drain grace from which workers whose removal is not acknowledged are logged as a warning.
+const DRAIN_GRACE_WARNING_RATIO: f64 = 0.6;
 
-/// The ways to and from the north, where there is one.
+/// Period in which the distribution of open changes is checked.
+const PROGRESS_CHECK_PERIOD_MS: Ms = 5.0;
+
+/// The channels to the northbound management interface, where one is configured.
 pub struct NorthboundChannels {
-    /// Requests that are answered in the turn in which they are taken.
+    /// Requests; each is answered in the turn in which it is received.
     pub requests: mpsc::Receiver<PlannerRequest>,
-    /// What is told without being asked for.
+    /// Unsolicited notices.
     pub notices: mpsc::Sender<Notice>,
 }
 
-/// The decision module with all that it goes by, and the books on what it has ordered.
+/// The planner with its inputs, and the state that its orders produced.
 pub struct Decider {
     name: String,
     planner: Planner,
-    /// As the settings gave it; what operators changed is told to the module beside it.
-    start: Settings,
-    operations: Vec<String>,
+    /// The settings of the start; the operator's changes reach the planner as events.
+    settings: Settings,
+    operation_names: Vec<String>,
     intent: Intent,
     names: Names,
     rng: fastrand::Rng,
     clock: Clock,
     tick: Duration,
-    plane: Plane,
-    presence: Presence,
-    roster: Roster,
+    order_writer: OrderWriter,
+    connections: ConnectionTracker,
+    registry: WorkerRegistry,
     progress: ChangeTracker,
     progress_checked_at: Ms,
-    wakes: Vec<(Ms, String)>,
-    /// What the next turn is told.
+    /// The planner's timers: when each expires, and its handle.
+    timers: Vec<(Ms, String)>,
+    /// Events for the next turn.
     events: Vec<Event>,
-    tally: Tally,
-    /// What is added to the module's marks as they go out, and the last that did. Guards against answers to marks of a
-    /// module that failed: the next one counts from the start again.
-    marks: (u16, u16),
-    /// Turns in a row in which the module failed, and until when there is none for that.
-    failed: (u32, Ms),
-    /// Who leaves and since when that was told, for as long as it may be owed.
+    log_summary: LogSummary,
+    /// Added to the planner's mark numbers when they are sent. A restarted planner counts from the start again: the
+    /// offset keeps acknowledgements of the failed planner's marks from being taken for the new one's.
+    mark_offset: u16,
+    /// The last mark number that was sent.
+    last_mark: u16,
+    /// The number of consecutive turns in which the planner failed.
+    failure_count: u32,
+    /// No turn is run before this time, because the planner failed.
+    retry_at: Ms,
+    /// Since when each worker is draining or gone, for as long as acknowledgements of that may be pending.
     leaving: BTreeMap<WorkerId, Ms>,
     probes: Probes,
     inbound: mpsc::WeakSender<Inbound>,
     resync: Rc<Notify>,
-    north: Option<NorthboundChannels>,
-    /// Who may come from where, for whoever takes connections.
+    northbound: Option<NorthboundChannels>,
+    /// The known zones, shared with the task that accepts connections.
     zones: Rc<Zones>,
-    /// What is decided in common, and what is told of it.
+    /// The consensus with other managers, and the evidence that is reported to it.
     fleet: Option<(Common, EvidenceCollector)>,
 }
 
 impl Decider {
-    /// Decides on the list as last held, and on what the operator's file wants, before anything comes in.
+    /// Runs a first turn on the cached worker list and the operator's file, before anything is received.
     pub fn new(
         launch: Launch,
         probes: Probes,
         inbound: &mpsc::Sender<Inbound>,
         resync: Rc<Notify>,
-        north: Option<NorthboundChannels>,
+        northbound: Option<NorthboundChannels>,
         zones: Rc<Zones>,
     ) -> Self {
-        let (clock, start, names) = (Clock::start(), launch.fixed.start, launch.names);
-        let operation = |op| names.ops.name(op as u32).to_string();
+        let clock = Clock::start();
+        let settings = launch.fixed.start;
+        let names = launch.names;
+        let operation_name = |op| names.ops.name(op as u32).to_string();
         let mut decider = Decider {
             name: launch.fixed.name,
-            planner: Planner::new(clock.now(), launch.seed, start.clone()),
-            operations: (0..start.operations.len()).map(operation).collect(),
-            start,
+            planner: Planner::new(clock.now(), launch.seed, settings.clone()),
+            operation_names: (0..settings.operations.len()).map(operation_name).collect(),
+            settings,
             intent: Intent::default(),
             names,
             rng: fastrand::Rng::with_seed(launch.seed),
             clock,
             tick: launch.fixed.tick,
-            plane: Plane::default(),
-            presence: Presence::new(launch.silence_timeouts),
-            roster: Roster::default(),
+            order_writer: OrderWriter::default(),
+            connections: ConnectionTracker::new(launch.silence_timeouts),
+            registry: WorkerRegistry::default(),
             progress: ChangeTracker::default(),
             progress_checked_at: 0.0,
-            wakes: Vec::new(),
+            timers: Vec::new(),
             events: Vec::new(),
-            tally: Tally::default(),
-            marks: (0, 0),
-            failed: (0, 0.0),
+            log_summary: LogSummary::default(),
+            mark_offset: 0,
+            last_mark: 0,
+            failure_count: 0,
+            retry_at: 0.0,
             leaving: BTreeMap::new(),
             probes,
             inbound: inbound.downgrade(),
             resync,
-            north,
+            northbound,
             zones,
             fleet: None,
         };
         let known = launch.known.unwrap_or_default();
-        let event = decider.roster.apply_list(&known, ListKind::Cached, &mut decider.names);
+        let event = decider.registry.apply_list(&known, ListKind::Cached, &mut decider.names);
         decider.apply_list(event);
-        let wanted = launch.operator.map(|operator| operator.intent).unwrap_or_default();
-        // The list may be old: what it would not bear is said, and the decisions bear it as they bear any loss.
-        for refusal in decider.check_intent(&wanted) {
+        let intent = launch.operator.map(|operator| operator.intent).unwrap_or_default();
+        // The cached list may be stale, so refusals are only logged; the planner handles missing workers as any loss.
+        for refusal in decider.check_intent(&intent) {
             tracing::warn!("the operator's file: {refusal}");
         }
-        decider.apply_intent(wanted);
-        decider.turn();
+        decider.apply_intent(intent);
+        decider.run_turn();
         decider
     }
 
-    /// What is decided in common with other managers is part of the state from now on.
+    /// Adds the consensus with other managers, if one is configured.
     pub fn with_fleet(self, fleet: Option<Common>) -> Self {
         Decider { fleet: fleet.map(|common| (common, EvidenceCollector::default())), ..self }
     }
 
-    /// Decides for good, or until nobody can send anything any more.
+    /// Runs turns until all senders of messages are dropped.
     pub async fn run(mut self, mut inbound: mpsc::Receiver<Inbound>) {
-        let mut last = Instant::now();
+        let mut last_turn = Instant::now();
         loop {
-            let wakes = self.wakes.iter().map(|(at, _)| *at).chain(self.presence.next());
-            let look =
-                self.progress.distributing().next().map(|_| self.progress_checked_at + PROGRESS_CHECK_EVERY);
-            let rested = Some(self.failed.1).filter(|_| !self.events.is_empty());
-            let wake = wakes.chain(look).chain(rested).fold(self.clock.now() + LONGEST_SLEEP, f64::min);
-            let (mut first, mut asked, mut agreed) = (None, None, None);
+            let timers = self.timers.iter().map(|(at, _)| *at).chain(self.connections.next_timeout());
+            let progress_check = self
+                .progress
+                .distributing()
+                .next()
+                .map(|_| self.progress_checked_at + PROGRESS_CHECK_PERIOD_MS);
+            let retry = Some(self.retry_at).filter(|_| !self.events.is_empty());
+            let wake_at =
+                timers.chain(progress_check).chain(retry).fold(self.clock.now() + MAX_SLEEP_MS, f64::min);
+            let mut first_message = None;
+            let mut request = None;
+            let mut plan = None;
             tokio::select! {
                 inbound = inbound.recv() => match inbound {
-                    Some(inbound) => first = Some(inbound),
+                    Some(inbound) => first_message = Some(inbound),
                     None => return,
                 },
-                ask = next_ask(&mut self.north) => asked = Some(ask),
-                parts = next_plan(&mut self.fleet) => agreed = Some(parts),
-                () = sleep_until(self.clock.instant(wake)) => {}
+                next = next_request(&mut self.northbound) => request = Some(next),
+                parts = next_plan(&mut self.fleet) => plan = Some(parts),
+                () = sleep_until(self.clock.instant(wake_at)) => {}
             }
-            sleep_until(last + self.tick).await;
-            first.into_iter().for_each(|first| self.receive(first));
-            while let Ok(next) = inbound.try_recv() {
-                self.receive(next);
+            sleep_until(last_turn + self.tick).await;
+            first_message.into_iter().for_each(|message| self.receive(message));
+            while let Ok(message) = inbound.try_recv() {
+                self.receive(message);
             }
             let now = self.clock.now();
-            self.check_silences(now);
-            let due: Vec<(Ms, String)> = self.wakes.extract_if(.., |(at, _)| *at <= now).collect();
-            if let Some(at) = due.iter().map(|(at, _)| *at).reduce(f64::min) {
+            self.handle_timeouts(now);
+            let expired: Vec<(Ms, String)> = self.timers.extract_if(.., |(at, _)| *at <= now).collect();
+            if let Some(at) = expired.iter().map(|(at, _)| *at).reduce(f64::min) {
                 tracing::trace!(target: TURN_TARGET, late = now - at);
             }
-            self.events.extend(due.into_iter().map(|(_, handle)| Event::TimerFired { handle }));
-            last = Instant::now();
-            asked.into_iter().for_each(|ask| self.answer_request(ask));
-            agreed.into_iter().for_each(|parts| self.apply_plan(&parts));
+            self.events.extend(expired.into_iter().map(|(_, handle)| Event::TimerFired { handle }));
+            last_turn = Instant::now();
+            request.into_iter().for_each(|request| self.answer_request(request));
+            plan.into_iter().for_each(|parts| self.apply_plan(&parts));
             self.report_evidence(now);
-            if !self.events.is_empty() && now >= self.failed.1 {
-                self.turn();
+            if !self.events.is_empty() && now >= self.retry_at {
+                self.run_turn();
             }
             self.check_progress(now);
         }
     }
 
-    /// Takes one message in; what it means for the decisions waits for the next turn.
+    /// Handles a received message; its events wait for the next turn.
     fn receive(&mut self, inbound: Inbound) {
         match inbound {
             Inbound::Listing(listing) => {
                 let kind = if listing.full { ListKind::Full } else { ListKind::Changes };
-                let event = self.roster.apply_list(&listing, kind, &mut self.names);
+                let event = self.registry.apply_list(&listing, kind, &mut self.names);
                 self.apply_list(event);
             }
-            Inbound::Joined { stream, hello, orders } => self.join(stream, hello, orders),
-            Inbound::Ended(stream, why) => {
-                why.into_iter().for_each(|why| self.tally.broke.add(why));
-                let left = self.presence.proxy_of(stream);
-                left.into_iter().for_each(|proxy| self.leave(proxy));
+            Inbound::Joined { stream, hello, orders } => self.handle_join(stream, hello, orders),
+            Inbound::Ended(stream, error) => {
+                error.into_iter().for_each(|error| self.log_summary.broken_connections.record(error));
+                let proxy = self.connections.proxy_of(stream);
+                proxy.into_iter().for_each(|proxy| self.remove_proxy(proxy));
             }
-            Inbound::Said(from, report) => match self.report(from, report) {
+            Inbound::Said(from, report) => match self.translate_report(from, report) {
                 Ok(event) => self.events.push(event),
-                Err(why) => {
-                    tracing::debug!("passed over: {why}");
-                    self.tally.odd.add(why);
+                Err(reason) => {
+                    tracing::debug!("ignored: {reason}");
+                    self.log_summary.ignored_lines.record(reason);
                 }
             },
-            Inbound::Rejected(why) => self.tally.away.add(why),
+            Inbound::Rejected(reason) => self.log_summary.rejected_connections.record(reason),
             Inbound::Probed(worker, Found { ending, took, load }) => {
                 self.events.push(Event::Probed { worker, outcome: ending, took, load });
             }
         }
     }
 
-    /// A list, or changes of it, holds from the next turn on.
+    /// Applies a worker list, or changes to it, from the next turn on.
     fn apply_list(&mut self, event: Event) {
         if let Event::List { workers, .. } = &event {
             let now = self.clock.now();
-            for listed in workers {
-                self.plane.listed(listed);
-                match listed.phase {
-                    Phase::Ready => _ = self.leaving.remove(&listed.worker),
-                    Phase::Draining | Phase::Gone => _ = self.leaving.entry(listed.worker).or_insert(now),
+            for entry in workers {
+                self.order_writer.record_entry(entry);
+                match entry.phase {
+                    Phase::Ready => _ = self.leaving.remove(&entry.worker),
+                    Phase::Draining | Phase::Gone => _ = self.leaving.entry(entry.worker).or_insert(now),
                 }
-                self.zones.name(self.names.zones.name(listed.zone.0.into()));
+                self.zones.name(self.names.zones.name(entry.zone.0.into()));
             }
         }
         self.events.push(event);
     }
 }
 
-/// The north's next ask; never where there is no north, or none any more.
-async fn next_ask(north: &mut Option<NorthboundChannels>) -> PlannerRequest {
-    let Some(known) = north else { return std::future::pending().await };
-    match known.requests.recv().await {
-        Some(ask) => ask,
+/// The next northbound request; pending forever if there is no northbound interface or it has stopped.
+async fn next_request(northbound: &mut Option<NorthboundChannels>) -> PlannerRequest {
+    let Some(channels) = northbound else { return std::future::pending().await };
+    match channels.requests.recv().await {
+        Some(request) => request,
         None => {
-            *north = None;
+            *northbound = None;
             std::future::pending().await
         }
     }
 }
 
-/// The next plan in common; never where nothing is decided in common.
+/// The next plan that the managers agreed on; pending forever if no consensus is configured.
 async fn next_plan(fleet: &mut Option<(Common, EvidenceCollector)>) -> Arc<Parts> {
     match fleet {
         Some((common, _)) => common.next().await,
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -1,4 +1,4 @@
-//! What operators ask for, and what managers agreed on: judged, and taken over.
+//! Checks and applies the intents of operators and the plans that the managers agreed on.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,34 +11,34 @@
 use super::Decider;
 
 impl Decider {
-    /// What the north asks, answered in this turn.
-    pub(super) fn answer_request(&mut self, ask: PlannerRequest) {
-        // Whoever asked may be gone.
-        match ask {
-            PlannerRequest::State(tell) => _ = tell.send(Arc::new(self.state())),
+    /// Answers a northbound request in this turn.
+    pub(super) fn answer_request(&mut self, request: PlannerRequest) {
+        // The requester may be gone, so errors of sending are ignored.
+        match request {
+            PlannerRequest::State(reply) => _ = reply.send(Arc::new(self.operational_state())),
             PlannerRequest::Validate { intent, verdict } => _ = verdict.send(self.verdict(&intent)),
             PlannerRequest::Apply { number, by, intent, verdict } => {
                 let _change = tracing::info_span!("change", number, by).entered();
-                let judged = self.verdict(&intent);
-                match &judged {
+                let result = self.verdict(&intent);
+                match &result {
                     Ok(()) => {
                         let workers: BTreeSet<String> =
                             self.intent.changed_workers(&intent).map(str::to_string).collect();
-                        tracing::info!("change {number} by {by} is taken over: {} workers", workers.len());
+                        tracing::info!("change {number} by {by} is accepted: {} workers", workers.len());
                         self.progress.record(self.clock.now(), number, &by, workers);
                         self.apply_intent(*intent);
                     }
-                    Err(why) => {
-                        let why = why.first().map(ToString::to_string).unwrap_or_default();
-                        tracing::info!("a change by {by} is refused: {why}");
+                    Err(refusals) => {
+                        let reason = refusals.first().map(ToString::to_string).unwrap_or_default();
+                        tracing::info!("a change by {by} is refused: {reason}");
                     }
                 }
-                _ = verdict.send(judged);
+                _ = verdict.send(result);
             }
         }
     }
 
-    /// Whether an intent may be taken over now, and if not, why.
+    /// Whether an intent may be applied now, and if not, why.
     pub(super) fn verdict(&self, intent: &Intent) -> Verdict {
         let refusals = self.check_intent(intent);
         if refusals.is_empty() {
@@ -48,59 +48,61 @@
         }
     }
 
-    /// What speaks against an intent.
+    /// The reasons to refuse an intent.
     pub(super) fn check_intent(&self, intent: &Intent) -> Vec<Refusal> {
-        self.check_composed(&self.roster.composed(Some(intent), &self.names), intent)
+        self.check_composed(&self.registry.composed(Some(intent), &self.names), intent)
     }
 
-    /// What speaks against workers being composed otherwise than now.
+    /// The reasons to refuse that the workers are composed as given in `after`.
     pub(super) fn check_composed(
         &self,
         after: &BTreeMap<String, ComposedWorker>,
         intent: &Intent,
     ) -> Vec<Refusal> {
-        let (names, plane) = (&self.names, &self.plane);
-        let world = AdmissionContext {
+        let names = &self.names;
+        let order_writer = &self.order_writer;
+        let context = AdmissionContext {
             now: self.clock.now(),
-            settings: &self.start,
-            operation_names: &self.operations,
+            settings: &self.settings,
+            operation_names: &self.operation_names,
             zone_name: &|zone| names.zones.name(zone.0.into()).to_string(),
             is_known_zone: &|zone| {
-                self.start.zones.iter().any(|known| names.zones.name(known.0.into()) == zone)
+                self.settings.zones.iter().any(|known| names.zones.name(known.0.into()) == zone)
             },
-            joined_proxies: self.presence.here().count(),
-            proxies_with_line: &|worker| plane.readers(worker),
+            joined_proxies: self.connections.joined().count(),
+            proxies_with_line: &|worker| order_writer.proxies_with_line(worker),
         };
-        check_change(&world, &self.roster.composed(None, names), after, intent)
+        check_change(&context, &self.registry.composed(None, names), after, intent)
     }
 
-    /// An intent that was judged, or that the file had at the start, holds from this turn on.
+    /// Applies an intent from this turn on. It was accepted, or comes from the operator's file at the start.
     pub(super) fn apply_intent(&mut self, intent: Intent) {
-        let figures = intent.runtime_settings(&self.start, &self.operations);
-        if figures != self.intent.runtime_settings(&self.start, &self.operations) {
-            self.events.push(Event::SettingsChanged(figures));
+        let runtime = intent.runtime_settings(&self.settings, &self.operation_names);
+        if runtime != self.intent.runtime_settings(&self.settings, &self.operation_names) {
+            self.events.push(Event::SettingsChanged(runtime));
         }
-        if let Some(event) = self.roster.apply_intent(&intent, &mut self.names) {
+        if let Some(event) = self.registry.apply_intent(&intent, &mut self.names) {
             if let Event::List { workers, .. } = &event {
-                // Guards against a worker that was out for long, forgotten, and stays shut out as it comes back.
-                workers.iter().for_each(|listed| self.plane.doubt(listed.worker));
+                // A worker that was out for so long that it was forgotten may still be excluded at proxies under its
+                // earlier id: without this it would stay excluded when it comes back.
+                workers.iter().for_each(|entry| self.order_writer.mark_maybe_excluded(entry.worker));
             }
             self.apply_list(event);
         }
         self.intent = intent;
     }
 
-    /// What managers agreed on holds from this turn on, unless an operation would have nobody left by it.
+    /// Applies the plan that the managers agreed on from this turn on, unless it leaves an operation without workers.
     pub(super) fn apply_plan(&mut self, parts: &Parts) {
-        let id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
+        let zone_id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
         let parts: BTreeMap<ZoneId, f64> =
-            parts.iter().filter_map(|(zone, part)| Some((id(&zone.0)?, *part))).collect();
+            parts.iter().filter_map(|(zone, part)| Some((zone_id(&zone.0)?, *part))).collect();
         let refusals =
-            self.check_composed(&self.roster.composed_with_plan(&parts, &self.names), &self.intent);
+            self.check_composed(&self.registry.composed_with_plan(&parts, &self.names), &self.intent);
         if let Some(refusal) = refusals.first() {
-            return tracing::warn!("the plan in common is not followed: {refusal}");
+            return tracing::warn!("the failover plan is not applied: {refusal}");
         }
-        if let Some(event) = self.roster.apply_plan(parts, &self.names) {
+        if let Some(event) = self.registry.apply_plan(parts, &self.names) {
             self.apply_list(event);
         }
     }
--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -1,104 +1,109 @@
-//! The streams of proxies, and what comes over them.
+//! Handles the streams of proxies, and reports of proxies and collectors.
 
 use juniperrail_interface::{Event, MarkId, Ms, ProxyId, WorkerId, ZoneId};
 
 use super::Decider;
 use crate::inbound::{Hello, Outbox, StreamId};
-use crate::presence::{Lapse, Stream};
+use crate::presence::{Stream, StreamTimeout};
 use crate::text::Report;
 
 impl Decider {
-    /// A proxy has introduced itself on a stream of its own.
-    pub(super) fn join(&mut self, id: StreamId, hello: Hello, orders: Outbox) {
+    /// Handles a proxy's introduction on a new stream.
+    pub(super) fn handle_join(&mut self, id: StreamId, hello: Hello, outbox: Outbox) {
         let Hello { proxy, zone, inv_per_second, fresh } = hello;
         let (proxy, zone) = (ProxyId(proxy), self.names.zone(&zone));
-        // Guards against a connection that a proxy gave up, whose introduction comes late: the later one counts.
-        if self.presence.streams.get(&proxy).is_some_and(|stream| stream.id > id) {
-            let why = format!("proxy {} joined over a later connection already", proxy.0);
-            return self.tally.odd.add(why);
+        // An introduction may arrive late, over a connection that the proxy gave up: the later connection counts.
+        if self.connections.streams.get(&proxy).is_some_and(|stream| stream.id > id) {
+            let reason = format!("proxy {} already joined over a later connection", proxy.0);
+            return self.log_summary.ignored_lines.record(reason);
         }
-        // A new stream may come before the old one is seen to end; what that still brings changes nothing.
-        self.leave(proxy);
-        let stream = Stream::new(id, orders, zone, inv_per_second, self.clock.now());
-        self.presence.streams.insert(proxy, stream);
-        self.joined(proxy, fresh);
+        // A new stream may come before the end of the old one is noticed; messages over the old one are ignored.
+        self.remove_proxy(proxy);
+        let stream = Stream::new(id, outbox, zone, inv_per_second, self.clock.now());
+        self.connections.streams.insert(proxy, stream);
+        self.report_joined(proxy, fresh);
     }
 
-    /// A proxy is there, on whichever stream.
-    pub(super) fn joined(&mut self, proxy: ProxyId, fresh: bool) {
-        let Stream { zone, inv_per_second, .. } = self.presence.streams[&proxy];
-        tracing::debug!("proxy {} joined: {inv_per_second} a second, fresh {fresh}", proxy.0);
-        self.plane.joined(proxy, fresh);
+    /// Reports to the planner that a proxy joined, over a new stream or one that was silent.
+    pub(super) fn report_joined(&mut self, proxy: ProxyId, fresh: bool) {
+        let Stream { zone, inv_per_second, .. } = self.connections.streams[&proxy];
+        tracing::debug!("proxy {} joined: {inv_per_second} invocations per second, fresh {fresh}", proxy.0);
+        self.order_writer.add_proxy(proxy, fresh);
         self.events.push(Event::Joined { proxy, fresh, inv_per_second, zone });
     }
 
-    /// A proxy is no longer there, if it was.
-    pub(super) fn leave(&mut self, proxy: ProxyId) {
-        if self.presence.leave(proxy) {
-            self.left(proxy);
+    /// Removes a proxy's stream, and reports that it left if it counted as joined.
+    pub(super) fn remove_proxy(&mut self, proxy: ProxyId) {
+        if self.connections.remove(proxy) {
+            self.report_left(proxy);
         }
     }
 
-    /// A proxy that was there has left.
-    pub(super) fn left(&mut self, proxy: ProxyId) {
+    /// Reports to the planner that a joined proxy left.
+    pub(super) fn report_left(&mut self, proxy: ProxyId) {
         tracing::debug!("proxy {} left", proxy.0);
-        self.plane.left(proxy);
+        self.order_writer.remove_proxy(proxy);
         self.events.push(Event::Left { proxy });
     }
 
-    /// Takes proxies that owe answers and say nothing for lost.
-    pub(super) fn check_silences(&mut self, now: Ms) {
-        for lapse in self.presence.lapses(now) {
-            match lapse {
-                Lapse::Silent { proxy, since, owed } => {
-                    let last = format!("proxy {}, no word for {since:.0} ms, {owed} answers owed", proxy.0);
-                    self.tally.silent.add(last);
-                    self.left(proxy);
+    /// Handles proxies with pending acknowledgements that send nothing.
+    pub(super) fn handle_timeouts(&mut self, now: Ms) {
+        for timeout in self.connections.handle_timeouts(now) {
+            match timeout {
+                StreamTimeout::Silent { proxy, idle_for, pending_count } => {
+                    let details = format!(
+                        "proxy {}, nothing received for {idle_for:.0} ms, {pending_count} acknowledgements pending",
+                        proxy.0
+                    );
+                    self.log_summary.silent_proxies.record(details);
+                    self.report_left(proxy);
                 }
-                Lapse::GivenUp(proxy) => {
-                    tracing::debug!("proxy {} stays silent: its stream is given up", proxy.0);
+                StreamTimeout::Closed(proxy) => {
+                    tracing::debug!("proxy {} is still silent: its connection is closed", proxy.0);
                 }
             }
         }
     }
 
-    /// Something came over a stream. False if another stream took its place.
+    /// Records that a message was received over a stream. Returns false if another stream has replaced it.
     pub(super) fn record_activity(&mut self, from: StreamId, proxy: ProxyId) -> bool {
-        let Some(word) = self.presence.spoke(self.clock.now(), from, proxy) else { return false };
+        let Some(activity) = self.connections.record_activity(self.clock.now(), from, proxy) else {
+            return false;
+        };
         tracing::trace!(
-            "proxy {} speaks after {:.0} ms, owing for {:.0} ms",
+            "proxy {} sent a message after {:.0} ms, acknowledgement pending for {:.0} ms",
             proxy.0,
-            word.after,
-            word.owing
+            activity.idle_for,
+            activity.pending_for
         );
-        if word.again {
-            self.tally.spoke += 1;
-            self.joined(proxy, false);
+        if activity.resumed {
+            self.log_summary.resumed_proxies += 1;
+            self.report_joined(proxy, false);
         }
         true
     }
 
-    /// What a report means for the decisions, or why it is passed over.
-    pub(super) fn report(
+    /// The planner event of a report, or why the report is ignored.
+    pub(super) fn translate_report(
         &mut self,
         from: Option<(StreamId, ProxyId)>,
         report: Result<Report, String>,
     ) -> Result<Event, String> {
-        // Whatever comes over a stream shows that it is not silent, spoilt or not.
+        // Even an invalid message shows that the proxy is not silent.
         if let Some((_, proxy)) = from.filter(|(stream, proxy)| !self.record_activity(*stream, *proxy)) {
-            return Err(format!("another stream of proxy {} took its place", proxy.0));
+            return Err(format!("the stream of proxy {} was replaced by another one", proxy.0));
         }
-        let foreign = |proxy| from.is_some_and(|(_, own)| own != proxy);
+        let is_foreign = |proxy| from.is_some_and(|(_, sender)| sender != proxy);
         match report? {
             Report::Outcomes { zone, worker, tries, bad, mean, over, load } => {
                 let known = self.names.workers.find_id(&worker).map(WorkerId);
-                let worker = known.ok_or_else(|| format!("no list named the worker {worker:?}"))?;
+                let worker = known.ok_or_else(|| format!("unknown worker {worker:?}"))?;
                 let known = self.names.zones.find_id(&zone).map(|id| ZoneId(id as u16));
                 let zone_name = &zone;
                 let zone = known.ok_or_else(|| format!("unknown zone {zone:?}"))?;
-                if let (Some((_, evidence)), Some(listed)) = (&mut self.fleet, self.roster.worker(worker)) {
-                    let to = self.names.zones.name(listed.zone.0.into());
-                    evidence.record(zone_name, to, tries, bad, mean, load.utilization);
+                if let (Some((_, evidence)), Some(entry)) = (&mut self.fleet, self.registry.worker(worker)) {
+                    let worker_zone = self.names.zones.name(entry.zone.0.into());
+                    evidence.record(zone_name, worker_zone, tries, bad, mean, load.utilization);
                 }
                 Ok(Event::WorkerSums {
                     zone,
@@ -112,19 +117,23 @@
             }
             Report::Demand { proxy, op, invs, unanswered, over } => {
                 let proxy = ProxyId(proxy);
-                if foreign(proxy) {
-                    return Err(format!("a report of proxy {} on another's stream", proxy.0));
+                if is_foreign(proxy) {
+                    return Err(format!("a report of proxy {} on another proxy's stream", proxy.0));
                 }
                 let op = self.names.op(&op).ok_or_else(|| format!("unknown operation {op:?}"))?;
                 Ok(Event::ProxySums { proxy, op, invocations: invs, unanswered, period: over })
             }
             Report::Ack { proxy, mark, took } => {
                 let (proxy, mark) = (ProxyId(proxy), MarkId(mark));
-                if from.is_none() || foreign(proxy) {
-                    return Err(format!("an answer of proxy {} on another's stream", proxy.0));
+                if from.is_none() || is_foreign(proxy) {
+                    return Err(format!("an acknowledgement of proxy {} on another stream", proxy.0));
                 }
-                self.presence.answered(self.clock.now(), proxy, mark)?;
-                Ok(Event::MarkAcknowledged { mark: MarkId(mark.0.wrapping_sub(self.marks.0)), took, proxy })
+                self.connections.acknowledge(self.clock.now(), proxy, mark)?;
+                Ok(Event::MarkAcknowledged {
+                    mark: MarkId(mark.0.wrapping_sub(self.mark_offset)),
+                    took,
+                    proxy,
+                })
             }
         }
     }
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -14,6 +14,7 @@
     "domain":{"channel-rate":5000,"pending-max":5000,"overhead":4,"worst-transit-ms":1000,"period-ms":2000,
     "proxy-count":4},"rules":{"drain-grace-ms":3000},"n-instances":1}}"#;
 
+/// A manager with one worker, and the message queues of the streams that the proxy 2 opened, by stream number.
 struct TestCluster(Decider, Vec<mpsc::Receiver<Bytes>>);
 
 impl TestCluster {
@@ -24,33 +25,35 @@
         TestCluster(Decider::new(launch, probes, &inbound, Rc::default(), None, Rc::default()), Vec::new())
     }
 
-    /// Another stream of the one proxy; its number is its place.
+    /// Joins the proxy over a new stream.
     fn join(&mut self, fresh: bool) -> StreamId {
-        let (orders, told, _) = Outbox::new(64);
+        let (orders, messages, _) = Outbox::new(64);
         let stream = StreamId(self.1.len() as u64);
-        self.1.push(told);
+        self.1.push(messages);
         let hello = Hello { proxy: 2, zone: "a".into(), inv_per_second: 5.0, fresh };
         self.0.receive(Inbound::Joined { stream, hello, orders });
         stream
     }
 
+    /// Runs a turn. Returns the events that the planner was given.
     fn turn(&mut self) -> Vec<Event> {
-        let mut heard = Vec::new();
-        self.0.turn_by(|planner, now, events| {
-            heard = events.to_vec();
+        let mut planner_events = Vec::new();
+        self.0.run_turn_with(|planner, now, events| {
+            planner_events = events.to_vec();
             planner.process_events(now, events)
         });
-        heard
+        planner_events
     }
 
-    /// When the one proxy that is here falls silent, or is given up.
-    fn silent_at(&self) -> Ms {
-        self.0.presence.next().expect("it owes an answer")
+    /// When the stream of the proxy times out.
+    fn timeout(&self) -> Ms {
+        self.0.connections.next_timeout().expect("an acknowledgement is pending")
     }
 
-    fn told(&mut self, stream: StreamId) -> String {
-        let told = std::iter::from_fn(|| self.1[stream.0 as usize].try_recv().ok());
-        told.map(|bytes| String::from_utf8(bytes.to_vec()).unwrap()).collect()
+    /// The messages sent over a stream since the last call.
+    fn sent(&mut self, stream: StreamId) -> String {
+        let messages = std::iter::from_fn(|| self.1[stream.0 as usize].try_recv().ok());
+        messages.map(|bytes| String::from_utf8(bytes.to_vec()).unwrap()).collect()
     }
 
     fn ack(&mut self, from: StreamId, mark: u16) {
@@ -62,121 +65,135 @@
 const LEFT: Event = Event::Left { proxy: ProxyId(2) };
 
 #[test]
-fn the_decisions_start_anew_after_a_panic_and_no_stream_is_dropped() {
+fn after_a_panic_the_planner_restarts_and_all_streams_stay_open() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.turn();
-    assert!(cluster.told(stream).contains("whole=1 lines=s-1:1"));
-    cluster.0.turn_by(|_, _, _| panic!("out of range"));
-    let heard = cluster.turn();
-    assert!(matches!(&heard[0], Event::List { kind: ListKind::Cached, workers, .. } if workers.len() == 1));
-    assert!(matches!(heard[1], Event::Joined { proxy: ProxyId(2), fresh: false, .. }));
+    assert!(cluster.sent(stream).contains("whole=1 lines=s-1:1"));
+    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
+    let events = cluster.turn();
+    assert!(matches!(&events[0], Event::List { kind: ListKind::Cached, workers, .. } if workers.len() == 1));
+    assert!(matches!(events[1], Event::Joined { proxy: ProxyId(2), fresh: false, .. }));
     cluster.turn();
-    assert!(cluster.told(stream).contains("whole=1 lines=s-1:1"), "it is bound again over the same stream");
+    assert!(
+        cluster.sent(stream).contains("whole=1 lines=s-1:1"),
+        "the proxy is bound again over the same stream"
+    );
 }
 
 #[test]
-fn decisions_that_fail_again_and_again_rest_ever_longer() {
+fn a_planner_that_keeps_failing_is_restarted_after_growing_delays() {
     let mut cluster = TestCluster::new();
     cluster.join(true);
-    let mut rests = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..14 {
         let before = cluster.0.clock.now();
-        cluster.0.turn_by(|_, _, _| panic!("out of range"));
-        // By how much later than the failure, of which this is a little before.
-        rests.push(cluster.0.failed.1 - before);
+        cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
+        // Measured from shortly before the failure.
+        delays.push(cluster.0.retry_at - before);
     }
-    // Ticks of 2 ms: none, one, three, ..., and a report period at the most.
-    for (failed, rest) in rests.iter().enumerate() {
-        let least = (2.0 * (2f64.powi(failed as i32) - 1.0)).min(2000.0);
-        assert!(*rest >= least, "{failed}: {rests:?}");
+    // In ticks of 2 ms: 0, 1, 3, ..., up to a report period.
+    for (failures, delay) in delays.iter().enumerate() {
+        let min_delay = (2.0 * (2f64.powi(failures as i32) - 1.0)).min(2000.0);
+        assert!(*delay >= min_delay, "{failures}: {delays:?}");
     }
-    let late = cluster.0.clock.now();
-    assert!(cluster.0.failed.1 <= late + 2000.0, "{rests:?}");
+    let now = cluster.0.clock.now();
+    assert!(cluster.0.retry_at <= now + 2000.0, "{delays:?}");
     cluster.turn();
-    assert_eq!(cluster.0.failed, (0, 0.0), "all is well again");
+    assert_eq!(
+        (cluster.0.failure_count, cluster.0.retry_at),
+        (0, 0.0),
+        "a turn that succeeds ends the delays"
+    );
     let before = cluster.0.clock.now();
-    cluster.0.turn_by(|_, _, _| panic!("out of range"));
+    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
     assert!(
-        cluster.0.failed.1 <= cluster.0.clock.now() && cluster.0.failed.1 >= before,
-        "at once the first time"
+        cluster.0.retry_at <= cluster.0.clock.now() && cluster.0.retry_at >= before,
+        "the first retry is immediate"
     );
 }
 
+/// A restarted planner numbers its marks from the start: an acknowledgement of a mark of the failed planner must not
+/// count for the new one's.
 #[test]
-fn an_answer_to_decisions_that_failed_is_none_to_those_that_start_anew() {
+fn acknowledgements_of_marks_of_a_failed_planner_are_ignored() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.turn();
-    assert!(cluster.told(stream).contains("ticket=1\r\n"));
-    cluster.0.turn_by(|_, _, _| panic!("out of range"));
+    assert!(cluster.sent(stream).contains("ticket=1\r\n"));
+    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
     cluster.turn();
     cluster.turn();
-    let again = cluster.told(stream);
-    assert!(again.contains("whole=1"), "{again}");
-    assert!(again.contains("ticket=2\r\n") && again.contains("ticket=3\r\n"), "{again}");
-    // Held back by the proxy till now: it says nothing of the table sent since.
+    let sent = cluster.sent(stream);
+    assert!(sent.contains("whole=1"), "{sent}");
+    assert!(sent.contains("ticket=2\r\n") && sent.contains("ticket=3\r\n"), "{sent}");
+    // A late acknowledgement does not cover the table that was sent since.
     cluster.ack(stream, 1);
-    assert!(cluster.0.events.is_empty() && cluster.0.presence.streams[&ProxyId(2)].owed.len() == 2);
+    assert!(
+        cluster.0.events.is_empty() && cluster.0.connections.streams[&ProxyId(2)].pending_marks.len() == 2
+    );
     cluster.ack(stream, 3);
     assert!(
         matches!(cluster.0.events[..], [Event::MarkAcknowledged { mark: MarkId(2), .. }]),
-        "the module counts from the start: {:?}",
+        "the new planner numbers its marks from 1: {:?}",
         cluster.0.events
     );
 }
 
 #[test]
-fn who_owes_an_answer_and_is_silent_has_left_until_it_speaks_again() {
+fn a_silent_proxy_with_pending_marks_counts_as_left_until_it_sends_a_message() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.turn();
-    let silent_at = cluster.silent_at();
-    cluster.0.check_silences(silent_at - 1.0);
+    let timeout = cluster.timeout();
+    cluster.0.handle_timeouts(timeout - 1.0);
     assert!(cluster.0.events.is_empty(), "not yet");
-    cluster.0.check_silences(silent_at);
+    cluster.0.handle_timeouts(timeout);
     assert_eq!(cluster.turn(), [LEFT]);
-    cluster.0.check_silences(silent_at + 1.0);
-    assert!(cluster.0.events.is_empty(), "told once");
-    let orders = cluster.told(stream);
+    cluster.0.handle_timeouts(timeout + 1.0);
+    assert!(cluster.0.events.is_empty(), "reported once");
+    let sent = cluster.sent(stream);
     cluster.ack(stream, 1);
-    assert!(matches!(cluster.turn()[..], [Event::Joined { fresh: false, .. }]), "answers of before are void");
-    assert!(orders.contains("whole=1") && cluster.told(stream).contains("whole=1"));
+    assert!(
+        matches!(cluster.turn()[..], [Event::Joined { fresh: false, .. }]),
+        "earlier acknowledgements do not count"
+    );
+    assert!(sent.contains("whole=1") && cluster.sent(stream).contains("whole=1"));
     cluster.ack(stream, 2);
     cluster.turn();
-    cluster.0.check_silences(silent_at * 3.0);
-    assert!(cluster.0.events.is_empty(), "who owes nothing may be silent");
+    cluster.0.handle_timeouts(timeout * 3.0);
+    assert!(cluster.0.events.is_empty(), "a proxy without pending marks may be silent");
 }
 
 #[test]
-fn a_stream_that_stays_silent_gives_its_connection_back() {
+fn the_connection_of_a_stream_that_stays_silent_is_closed() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.turn();
-    let silent_at = cluster.silent_at();
-    cluster.0.check_silences(silent_at);
+    let timeout = cluster.timeout();
+    cluster.0.handle_timeouts(timeout);
     assert_eq!(cluster.turn(), [LEFT]);
-    cluster.told(stream);
-    cluster.0.check_silences(cluster.silent_at());
+    cluster.sent(stream);
+    cluster.0.handle_timeouts(cluster.timeout());
     let end = cluster.1[0].try_recv();
     assert_eq!((end, cluster.turn()), (Err(mpsc::error::TryRecvError::Disconnected), vec![]));
 }
 
 #[test]
-fn a_spoilt_message_shows_life_and_leaves_nothing_behind() {
+fn an_invalid_message_counts_as_activity_and_has_no_other_effect() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.turn();
-    let silent_at = cluster.silent_at();
-    cluster.0.check_silences(silent_at);
+    let timeout = cluster.timeout();
+    cluster.0.handle_timeouts(timeout);
     cluster.turn();
     cluster.0.receive(Inbound::Said(Some((stream, ProxyId(2))), Err("latency is missing".into())));
-    let heard = cluster.turn();
-    assert!(matches!(heard[..], [Event::Joined { fresh: false, .. }]), "{heard:?}");
+    let events = cluster.turn();
+    assert!(matches!(events[..], [Event::Joined { fresh: false, .. }]), "{events:?}");
     let (zone, worker) = ("b".into(), "s-1".into());
-    let spoilt =
+    let invalid =
         Report::Outcomes { zone, worker, tries: 1.0, bad: 1.0, mean: 0.0, over: 1.0, load: <_>::default() };
-    cluster.0.receive(Inbound::Said(None, Ok(spoilt)));
+    cluster.0.receive(Inbound::Said(None, Ok(invalid)));
     let demand = Report::Demand { proxy: 2, op: "s-zz".into(), invs: 4.0, unanswered: 0.0, over: 2.0 };
     cluster.0.receive(Inbound::Said(None, Ok(demand)));
     assert!(cluster.0.events.is_empty());
@@ -185,13 +202,13 @@
 }
 
 #[test]
-fn what_an_old_stream_still_brings_changes_nothing() {
+fn messages_over_a_replaced_stream_are_ignored() {
     let mut cluster = TestCluster::new();
     let old = cluster.join(true);
     cluster.turn();
     let new = cluster.join(false);
-    let heard = cluster.turn();
-    assert!(matches!(heard[..], [LEFT, Event::Joined { .. }]), "{heard:?}");
+    let events = cluster.turn();
+    assert!(matches!(events[..], [LEFT, Event::Joined { .. }]), "{events:?}");
     cluster.ack(old, 1);
     let (op, over) = ("lookup".into(), 2000.0);
     let demand = Report::Demand { proxy: 2, op, invs: 4.0, unanswered: 0.0, over };
@@ -199,30 +216,30 @@
     cluster.0.receive(Inbound::Ended(old, None));
     assert!(cluster.0.events.is_empty());
     cluster.ack(new, 1);
-    assert!(cluster.0.events.is_empty(), "mark 1 went over the old stream");
+    assert!(cluster.0.events.is_empty(), "mark 1 was sent over the old stream");
     cluster.ack(new, 2);
     cluster.ack(new, 2);
-    assert_eq!(cluster.0.events.len(), 1, "an answer counts once");
+    assert_eq!(cluster.0.events.len(), 1, "an acknowledgement counts once");
 }
 
 #[test]
-fn a_proxy_that_does_not_read_costs_its_own_stream_only() {
+fn a_proxy_that_does_not_read_is_disconnected() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.turn();
-    let mut sent = 0;
-    while cluster.0.presence.streams.contains_key(&ProxyId(2)) {
-        let everyone = Order::Mark { number: MarkId(sent), all_proxies: true };
-        cluster.0.turn_by(|_, _, _| vec![everyone]);
-        sent += 1;
+    let mut mark_count = 0;
+    while cluster.0.connections.streams.contains_key(&ProxyId(2)) {
+        let mark = Order::Mark { number: MarkId(mark_count), all_proxies: true };
+        cluster.0.run_turn_with(|_, _, _| vec![mark]);
+        mark_count += 1;
     }
-    assert_eq!(sent, 64);
+    assert_eq!(mark_count, 64);
     assert_eq!(cluster.0.events, [LEFT]);
-    assert!(cluster.told(stream).contains("ticket=62"));
+    assert!(cluster.sent(stream).contains("ticket=62"));
 }
 
 #[test]
-fn of_workers_long_gone_nothing_is_kept() {
+fn no_state_is_kept_of_forgotten_workers() {
     let mut cluster = TestCluster::new();
     let entry = |id: u64, lifecycle: &str| {
         let about = r#""hostPort":"127.0.0.1:1","zone":"a","weight":1"#;
@@ -235,13 +252,13 @@
         let listing = format!(r#"{{"generation":{id},"instances":[{entries}]}}"#);
         cluster.0.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
         cluster.turn();
-        for mark in cluster.told(stream).split("ticket=").skip(1) {
+        for mark in cluster.sent(stream).split("ticket=").skip(1) {
             cluster.ack(stream, mark.split_whitespace().next().unwrap().parse().unwrap());
         }
         cluster.0.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id as u32 - 2) }]);
     }
-    assert_eq!((cluster.0.names.workers.count(), cluster.0.roster.counts()), (1, (1, 1)));
-    assert_eq!(cluster.0.names.workers.find_id("s-39"), Some(38), "ids are not given out again");
+    assert_eq!((cluster.0.names.workers.count(), cluster.0.registry.counts()), (1, (1, 1)));
+    assert_eq!(cluster.0.names.workers.find_id("s-39"), Some(38), "ids are not reused");
 }
 
 impl TestCluster {
@@ -255,148 +272,167 @@
         self.0.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
     }
 
-    fn ask(&mut self, number: u64, wishes: &[(&str, DesiredState)]) -> Verdict {
-        let wish = |(name, wanted): &(&str, DesiredState)| {
-            (name.to_string(), WorkerIntent { desired_state: *wanted, ..WorkerIntent::default() })
+    /// Requests a change of the operator's intent.
+    fn request_change(&mut self, number: u64, desired_states: &[(&str, DesiredState)]) -> Verdict {
+        let worker_intent = |(name, desired_state): &(&str, DesiredState)| {
+            (name.to_string(), WorkerIntent { desired_state: *desired_state, ..WorkerIntent::default() })
         };
-        let workers = wishes.iter().map(wish).collect();
+        let workers = desired_states.iter().map(worker_intent).collect();
         let intent = Box::new(Intent { workers, drain_grace: Some(2500.0), ..Intent::default() });
-        let (verdict, mut told) = oneshot::channel();
+        let (verdict, mut reply) = oneshot::channel();
         self.0.answer_request(PlannerRequest::Apply { number, by: "ann".into(), intent, verdict });
-        told.try_recv().expect("answered at once")
+        reply.try_recv().expect("answered at once")
     }
 
-    /// Turns until nothing is told any more, each message answered.
+    /// Runs turns and acknowledges every message. Returns the messages.
     fn settle(&mut self, stream: StreamId) -> String {
-        let mut all = String::new();
+        let mut all_messages = String::new();
         for _ in 0..4 {
             self.turn();
-            let told = self.told(stream);
-            for mark in told.split("ticket=").skip(1) {
+            let messages = self.sent(stream);
+            for mark in messages.split("ticket=").skip(1) {
                 self.ack(stream, mark.split_whitespace().next().unwrap().parse().unwrap());
             }
-            all += &told;
+            all_messages += &messages;
         }
         self.turn();
-        all
+        all_messages
     }
 
+    /// Each worker's name and phase, and the source of the phase.
     fn phases(&self) -> Vec<(String, Phase, &'static str)> {
-        let state = self.0.state();
-        let phase =
-            |w: &WorkerState| (w.name.clone(), w.composed.entry.phase, w.composed.phase_origin.name());
+        let state = self.0.operational_state();
+        let phase = |worker: &WorkerState| {
+            (worker.name.clone(), worker.composed.entry.phase, worker.composed.phase_origin.name())
+        };
         state.workers.iter().map(phase).collect()
     }
 }
 
 #[test]
-fn a_change_is_taken_over_whole_in_the_turn_it_is_asked_or_refused_and_nothing_changes() {
+fn a_change_is_applied_completely_in_the_turn_of_its_request_or_refused_without_effect() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.list(5, &[("s-2", "ready")]);
     cluster.settle(stream);
-    let refused = cluster.ask(2, &[("s-1", DesiredState::Out), ("s-2", DesiredState::Draining)]).unwrap_err();
+    let refused = cluster
+        .request_change(2, &[("s-1", DesiredState::Out), ("s-2", DesiredState::Draining)])
+        .unwrap_err();
     assert_eq!(refused[0].error_app_tag(), "no-ready-worker");
     assert!(cluster.0.events.is_empty() && cluster.0.progress.all().next().is_none());
-    assert_eq!(cluster.ask(2, &[("s-1", DesiredState::Draining)]), Ok(()));
-    let heard = cluster.turn();
+    assert_eq!(cluster.request_change(2, &[("s-1", DesiredState::Draining)]), Ok(()));
+    let events = cluster.turn();
     assert!(
-        matches!(&heard[..], [Event::SettingsChanged(of), Event::List { kind: ListKind::Changes, workers, .. }]
-        if of.drain_grace == 2500.0 && workers.len() == 1 && workers[0].phase == Phase::Draining),
-        "{heard:?}"
+        matches!(&events[..], [Event::SettingsChanged(runtime), Event::List { kind: ListKind::Changes, workers, .. }]
+        if runtime.drain_grace == 2500.0 && workers.len() == 1 && workers[0].phase == Phase::Draining),
+        "{events:?}"
     );
-    let told = cluster.told(stream);
-    assert!(told.contains("out=s-1"), "{told}");
+    let sent = cluster.sent(stream);
+    assert!(sent.contains("out=s-1"), "{sent}");
     cluster.0.check_progress(1e18);
-    assert_eq!(cluster.0.state().changes[0].applied_by, 0, "told and not answered is not held");
-    let mark = told.split("ticket=").nth(1).unwrap().trim().parse().unwrap();
+    assert_eq!(
+        cluster.0.operational_state().changes[0].applied_by,
+        0,
+        "a change that was sent and not acknowledged is not applied"
+    );
+    let mark = sent.split("ticket=").nth(1).unwrap().trim().parse().unwrap();
     cluster.ack(stream, mark);
     cluster.settle(stream);
     cluster.0.check_progress(2e18);
-    let change = &cluster.0.state().changes[0];
+    let change = &cluster.0.operational_state().changes[0];
     assert!(matches!(change.stage, juniperrail_intent::Stage::Applied { .. }), "{change:?}");
     assert_eq!((change.number, change.applied_by, change.joined), (2, 1, 1));
-    let told = &cluster.0.state().proxies[0];
+    let proxy = &cluster.0.operational_state().proxies[0];
     assert_eq!(
-        (told.excluded_workers.as_slice(), told.unacknowledged, told.mark_sent),
-        (&["s-1".to_string()][..], 0, told.mark_acknowledged)
+        (proxy.excluded_workers.as_slice(), proxy.unacknowledged, proxy.mark_sent),
+        (&["s-1".to_string()][..], 0, proxy.mark_acknowledged)
     );
-    let lines = cluster.0.state().tables.into_iter().flat_map(|table| table.lines);
+    let lines = cluster.0.operational_state().tables.into_iter().flat_map(|table| table.lines);
     assert_eq!(
         lines.map(|(worker, _)| worker).collect::<Vec<_>>(),
         ["s-1", "s-2"],
-        "its line goes with the next batch"
+        "its line is removed with the next batch"
     );
 }
 
 #[test]
-fn discovery_and_the_operator_compose_in_what_the_module_is_told() {
+fn the_planner_is_given_what_discovery_and_the_operator_compose_to() {
     let mut cluster = TestCluster::new();
     cluster.turn();
     cluster.list(5, &[("s-2", "ready"), ("s-3", "draining")]);
     cluster.turn();
-    assert_eq!(cluster.ask(2, &[("s-3", DesiredState::Ready), ("s-9", DesiredState::Ready)]), Ok(()));
+    assert_eq!(
+        cluster.request_change(2, &[("s-3", DesiredState::Ready), ("s-9", DesiredState::Ready)]),
+        Ok(())
+    );
     let phase = |cluster: &TestCluster, name: &str| {
-        cluster.phases().into_iter().find(|w| w.0 == name).map(|w| (w.1, w.2))
+        cluster.phases().into_iter().find(|worker| worker.0 == name).map(|worker| (worker.1, worker.2))
     };
     assert_eq!(phase(&cluster, "s-3"), Some((Phase::Ready, "operator")));
-    assert_eq!(phase(&cluster, "s-9"), None, "who is named and placed nowhere waits");
+    assert_eq!(phase(&cluster, "s-9"), None, "a worker that no source places is not reported");
     cluster.list(6, &[("s-3", "gone")]);
     cluster.turn();
     assert_eq!(phase(&cluster, "s-3"), Some((Phase::Gone, "discovery")));
-    assert_eq!(cluster.ask(3, &[("s-3", DesiredState::Follow)]), Ok(()));
-    assert_eq!(cluster.ask(4, &[("s-3", DesiredState::Ready)]), Ok(()));
-    assert_eq!(phase(&cluster, "s-3"), Some((Phase::Gone, "discovery")), "gone stays gone");
+    assert_eq!(cluster.request_change(3, &[("s-3", DesiredState::Follow)]), Ok(()));
+    assert_eq!(cluster.request_change(4, &[("s-3", DesiredState::Ready)]), Ok(()));
+    assert_eq!(
+        phase(&cluster, "s-3"),
+        Some((Phase::Gone, "discovery")),
+        "an operator does not bring back a worker that is gone"
+    );
     cluster.list(7, &[("s-3", "ready"), ("s-9", "draining")]);
     assert_eq!(phase(&cluster, "s-3"), Some((Phase::Ready, "discovery")));
     assert_eq!(phase(&cluster, "s-9"), Some((Phase::Draining, "discovery")));
 }
 
 #[test]
-fn whom_the_operator_took_out_is_forgotten_and_comes_back_by_another_id() {
+fn a_worker_that_the_operator_took_out_is_forgotten_and_returns_with_a_new_id() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.list(5, &[("s-2", "ready")]);
     cluster.settle(stream);
-    assert_eq!(cluster.ask(2, &[("s-2", DesiredState::Out)]), Ok(()));
+    assert_eq!(cluster.request_change(2, &[("s-2", DesiredState::Out)]), Ok(()));
     assert!(cluster.settle(stream).contains("out=s-2"));
     let id = cluster.0.names.workers.find_id("s-2").unwrap();
     cluster.0.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id) }]);
-    let again = cluster.0.names.workers.find_id("s-2").unwrap();
-    assert_ne!(again, id);
-    // A whole list names it still; it stays out.
+    let new_id = cluster.0.names.workers.find_id("s-2").unwrap();
+    assert_ne!(new_id, id);
+    // It stays out although a full list names it.
     cluster.list(6, &[("s-1", "ready"), ("s-2", "ready")]);
     cluster.settle(stream);
-    assert_eq!(cluster.ask(3, &[]), Ok(()));
-    let heard = cluster.turn();
+    assert_eq!(cluster.request_change(3, &[]), Ok(()));
+    let events = cluster.turn();
     assert!(
-        matches!(&heard[..], [Event::List { workers, .. }]
-        if workers[0].worker == WorkerId(again) && workers[0].phase == Phase::Ready),
-        "{heard:?}"
+        matches!(&events[..], [Event::List { workers, .. }]
+        if workers[0].worker == WorkerId(new_id) && workers[0].phase == Phase::Ready),
+        "{events:?}"
     );
     assert!(
-        cluster.0.plane.doubts(WorkerId(again)),
-        "it is shut out under the old id, and has to be let back"
+        cluster.0.order_writer.is_maybe_excluded(WorkerId(new_id)),
+        "the proxy excludes it under the old id and has to include it again"
     );
 }
 
 #[test]
-fn decisions_that_start_anew_keep_what_the_operator_wants() {
+fn a_restarted_planner_keeps_the_operators_intent() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.list(5, &[("s-2", "ready")]);
     cluster.settle(stream);
-    assert_eq!(cluster.ask(2, &[("s-1", DesiredState::Draining)]), Ok(()));
+    assert_eq!(cluster.request_change(2, &[("s-1", DesiredState::Draining)]), Ok(()));
     cluster.settle(stream);
-    cluster.0.turn_by(|_, _, _| panic!("out of range"));
-    let heard = cluster.turn();
-    let Event::List { workers, .. } = &heard[0] else { panic!("{heard:?}") };
-    assert_eq!(workers.iter().map(|w| w.phase).collect::<Vec<_>>(), [Phase::Draining, Phase::Ready]);
-    assert!(matches!(&heard[1], Event::SettingsChanged(of) if of.drain_grace == 2500.0));
+    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
+    let events = cluster.turn();
+    let Event::List { workers, .. } = &events[0] else { panic!("{events:?}") };
+    assert_eq!(
+        workers.iter().map(|worker| worker.phase).collect::<Vec<_>>(),
+        [Phase::Draining, Phase::Ready]
+    );
+    assert!(matches!(&events[1], Event::SettingsChanged(runtime) if runtime.drain_grace == 2500.0));
 }
 
 #[test]
-fn a_full_channel_and_a_drain_near_its_grace_are_told() {
+fn warnings_are_logged_for_a_full_channel_and_a_drain_close_to_its_grace() {
     let mut cluster = TestCluster::new();
     let stream = cluster.join(true);
     cluster.list(5, &[("s-2", "ready")]);
@@ -404,23 +440,23 @@
     cluster.list(6, &[("s-1", "draining")]);
     cluster.turn();
     let now = cluster.0.clock.now();
-    assert_eq!(cluster.0.limit_warnings(now), Vec::<String>::new(), "not yet");
-    let most = std::mem::replace(&mut cluster.0.start.max_pending_lines, 5.0);
+    assert_eq!(cluster.0.limit_warnings(now), Vec::<String>::new(), "below both limits");
+    let max_pending_lines = std::mem::replace(&mut cluster.0.settings.max_pending_lines, 5.0);
     let full = cluster.0.limit_warnings(now);
     assert!(matches!(&full[..], [full] if full.ends_with("of 5 lines wait in the channel")), "{full:?}");
-    cluster.0.start.max_pending_lines = most;
+    cluster.0.settings.max_pending_lines = max_pending_lines;
     let late = cluster.0.limit_warnings(now + 2000.0);
     assert!(
-        matches!(&late[..], [late] if late.starts_with("1 of 1 proxies have not answered for 1 workers")
+        matches!(&late[..], [late] if late.starts_with("1 of 1 proxies have not acknowledged the removal of 1 workers")
             && late.contains("s-1 for 20") && late.ends_with("ms of 3000")),
         "{late:?}"
     );
     cluster.settle(stream);
-    assert_eq!(cluster.0.limit_warnings(now + 2000.0), Vec::<String>::new(), "answered");
+    assert_eq!(cluster.0.limit_warnings(now + 2000.0), Vec::<String>::new(), "acknowledged");
 }
 
 #[test]
-fn whoever_leaves_the_scope_drains_where_it_was_until_it_is_gone_or_back() {
+fn a_worker_that_leaves_the_scope_drains_in_its_old_zone_until_it_is_gone_or_back() {
     use crate::scope_filter::ScopeFilter;
     use juniperrail_distribution::Scope;
 
@@ -438,7 +474,7 @@
         cluster.turn();
     };
     let place = |cluster: &TestCluster, name: &str| {
-        let state = cluster.0.state();
+        let state = cluster.0.operational_state();
         let worker = state.workers.into_iter().find(|worker| worker.name == name);
         worker.map(|worker| (worker.composed.entry.phase, worker.zone))
     };
@@ -448,17 +484,17 @@
     assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Ready));
     assert_eq!(place(&cluster, "s-9"), None);
     list(&mut cluster, false, &[("s-1", "b", "ready"), ("s-9", "b", "draining")]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "by changes");
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "moved by a list of changes");
     list(&mut cluster, true, &[("s-1", "b", "ready"), ("s-2", "c", "draining")]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "a whole list that names it elsewhere");
-    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Draining), "by a whole list");
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "named in another zone by a full list");
+    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Draining), "moved by a full list");
     list(&mut cluster, false, &[("s-1", "a", "ready"), ("s-2", "c", "gone")]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Ready), "it is back");
-    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "told as gone where it is");
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Ready), "back in the scope");
+    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "gone in its new zone");
     list(&mut cluster, false, &[("s-2", "c", "ready"), ("s-1", "b", "ready")]);
-    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "nobody comes back elsewhere");
+    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "not brought back by another zone");
     list(&mut cluster, true, &[]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Gone), "a whole list lacks it");
+    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Gone), "missing from a full list");
     let names = &cluster.0.names;
     assert_eq!(
         (names.workers.find_id("s-9"), names.zones.find_id("b"), names.zones.find_id("c")),
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -1,4 +1,4 @@
-//! One turn of the decisions: what they are told, and what they order.
+//! One turn of the planner: its events and its orders.
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -8,112 +8,120 @@
 use juniperrail_interface::{Event, Load, Ms, Order, ProbeOutcome, WorkerId};
 use tower::ServiceExt;
 
-use super::{Decider, NEAR};
+use super::{Decider, CHANNEL_WARNING_RATIO, DRAIN_GRACE_WARNING_RATIO};
 use crate::inbound::Inbound;
 use crate::plane::OutboundMessage;
 use crate::presence::Stream;
 use crate::probes::Found;
 
 impl Decider {
-    /// Lets the module decide on what came in.
-    pub(super) fn turn(&mut self) {
-        self.turn_by(Planner::process_events);
+    /// Runs the planner on the events received since the last turn.
+    pub(super) fn run_turn(&mut self) {
+        self.run_turn_with(Planner::process_events);
     }
 
-    /// The same with another decision in its place, as tests need it.
-    pub(super) fn turn_by(&mut self, decide: impl FnOnce(&mut Planner, Ms, &[Event]) -> Vec<Order>) {
-        let (now, events) = (self.clock.now(), std::mem::take(&mut self.events));
+    /// Runs a turn with `decide` in place of the planner's own function, for tests.
+    pub(super) fn run_turn_with(&mut self, decide: impl FnOnce(&mut Planner, Ms, &[Event]) -> Vec<Order>) {
+        let now = self.clock.now();
+        let events = std::mem::take(&mut self.events);
         let _turn = tracing::debug_span!("turn", events = events.len()).entered();
-        self.tally.joined += events.iter().filter(|event| matches!(event, Event::Joined { .. })).count();
-        self.tally.left += events.iter().filter(|event| matches!(event, Event::Left { .. })).count();
-        if now >= self.tally.logged + self.start.report_period {
-            self.tally.log(now, self.presence.here().count());
+        self.log_summary.joined +=
+            events.iter().filter(|event| matches!(event, Event::Joined { .. })).count();
+        self.log_summary.left += events.iter().filter(|event| matches!(event, Event::Left { .. })).count();
+        if now >= self.log_summary.logged_at + self.settings.report_period {
+            self.log_summary.log(now, self.connections.joined().count());
             self.limit_warnings(now).iter().for_each(|warning| tracing::warn!("{warning}"));
         }
         let turn = AssertUnwindSafe(|| {
             let mut orders = decide(&mut self.planner, now, &events);
             for order in &mut orders {
                 if let Order::Mark { number, .. } = order {
-                    number.0 = number.0.wrapping_add(self.marks.0);
-                    self.marks.1 = number.0;
+                    number.0 = number.0.wrapping_add(self.mark_offset);
+                    self.last_mark = number.0;
                 }
             }
-            (self.plane.messages(&orders, &self.names), orders)
+            (self.order_writer.messages(&orders, &self.names), orders)
         });
         match catch_unwind(turn) {
             Ok((messages, orders)) => {
-                self.failed = (0, 0.0);
+                self.failure_count = 0;
+                self.retry_at = 0.0;
                 self.dispatch_orders(now, messages, orders)
             }
-            Err(_) => self.restart(now),
+            Err(_) => self.restart_planner(now),
         }
     }
 
-    /// What is near a limit, as people on call should know it.
+    /// Warnings for operators about what is close to a limit.
     pub(super) fn limit_warnings(&mut self, now: Ms) -> Vec<String> {
-        let (waiting, most) = (self.planner.unacknowledged_lines(), self.start.max_pending_lines);
-        let full = (waiting >= NEAR.0 * most && most > 0.0)
-            .then(|| format!("{waiting:.0} of {most:.0} lines wait in the channel"));
-        let grace = self.intent.runtime_settings(&self.start, &self.operations).drain_grace;
-        self.leaving.retain(|_, told| now - *told <= grace + self.start.report_period);
-        let owed: BTreeMap<WorkerId, Ms> = self
+        let waiting = self.planner.unacknowledged_lines();
+        let max_waiting = self.settings.max_pending_lines;
+        let channel_warning = (waiting >= CHANNEL_WARNING_RATIO * max_waiting && max_waiting > 0.0)
+            .then(|| format!("{waiting:.0} of {max_waiting:.0} lines wait in the channel"));
+        let grace = self.intent.runtime_settings(&self.settings, &self.operation_names).drain_grace;
+        self.leaving.retain(|_, since| now - *since <= grace + self.settings.report_period);
+        let overdue: BTreeMap<WorkerId, Ms> = self
             .leaving
             .iter()
-            .filter(|(_, told)| now - **told >= NEAR.1 * grace)
-            .map(|(id, at)| (*id, *at))
+            .filter(|(_, since)| now - **since >= DRAIN_GRACE_WARNING_RATIO * grace)
+            .map(|(id, since)| (*id, *since))
             .collect();
-        let (joined, holding) =
-            (self.presence.here().count(), self.planner.synced_proxy_count(&owed.keys().copied().collect()));
-        let oldest = owed.iter().min_by(|a, b| a.1.total_cmp(b.1)).filter(|_| holding < joined);
-        let late = oldest.map(|(id, told)| {
-            let (name, since) = (self.names.workers.get(id.0).unwrap_or("one forgotten"), now - told);
-            let missing = joined - holding;
+        let joined = self.connections.joined().count();
+        let synced = self.planner.synced_proxy_count(&overdue.keys().copied().collect());
+        let oldest = overdue.iter().min_by(|a, b| a.1.total_cmp(b.1)).filter(|_| synced < joined);
+        let drain_warning = oldest.map(|(id, since)| {
+            let name = self.names.workers.get(id.0).unwrap_or("a removed worker");
+            let leaving_for = now - since;
+            let missing = joined - synced;
             format!(
-                "{missing} of {joined} proxies have not answered for {} workers that leave, {name} for {since:.0} ms of {grace:.0}",
-                owed.len()
+                "{missing} of {joined} proxies have not acknowledged the removal of {} workers, {name} for {leaving_for:.0} ms of {grace:.0}",
+                overdue.len()
             )
         });
-        full.into_iter().chain(late).collect()
+        channel_warning.into_iter().chain(drain_warning).collect()
     }
 
-    /// Guards against a panic in the module: it starts anew on the list held and the streams open; at once the first time,
-    /// later after ever longer, up to a report period. Guards so against a log that fills where it fails each time.
-    pub(super) fn restart(&mut self, now: Ms) {
-        let (failed, _) = self.failed;
-        let rest = self.tick.as_secs_f64() * 1000.0 * f64::from(2u32.pow(failed.min(16)) - 1);
-        self.failed = (failed + 1, now + rest.min(self.start.report_period));
-        tracing::error!("the decisions failed and start anew with {} proxies", self.presence.streams.len());
-        self.planner = Planner::new(now, self.rng.u64(..), self.start.clone());
-        self.marks.0 = self.marks.1;
-        self.plane.restart();
-        self.wakes.clear();
-        self.events.push(self.roster.remembered_list());
-        let figures = self.intent.runtime_settings(&self.start, &self.operations);
-        if figures != Intent::default().runtime_settings(&self.start, &self.operations) {
-            self.events.push(Event::SettingsChanged(figures));
+    /// Restarts the planner after a panic, with the current worker list and the open streams.
+    ///
+    /// The first retry is immediate; the delay of later ones grows up to a report period, so that a planner that fails
+    /// each time does not flood the log.
+    pub(super) fn restart_planner(&mut self, now: Ms) {
+        let failures = self.failure_count;
+        let delay = self.tick.as_secs_f64() * 1000.0 * f64::from(2u32.pow(failures.min(16)) - 1);
+        self.failure_count = failures + 1;
+        self.retry_at = now + delay.min(self.settings.report_period);
+        tracing::error!("the planner failed and restarts with {} proxies", self.connections.streams.len());
+        self.planner = Planner::new(now, self.rng.u64(..), self.settings.clone());
+        self.mark_offset = self.last_mark;
+        self.order_writer.handle_planner_restart();
+        self.timers.clear();
+        self.events.push(self.registry.cached_list());
+        let runtime = self.intent.runtime_settings(&self.settings, &self.operation_names);
+        if runtime != Intent::default().runtime_settings(&self.settings, &self.operation_names) {
+            self.events.push(Event::SettingsChanged(runtime));
         }
-        let here = self.presence.streams.iter_mut().filter(|(_, stream)| stream.silent.is_none());
-        for (proxy, stream) in here {
+        let joined = self.connections.streams.iter_mut().filter(|(_, stream)| stream.silent_since.is_none());
+        for (proxy, stream) in joined {
             let Stream { zone, inv_per_second, .. } = *stream;
-            stream.absolve();
+            stream.clear_pending_marks();
             self.events.push(Event::Joined { proxy: *proxy, fresh: false, inv_per_second, zone });
         }
-        self.wakes.push((now, "anew".into()));
+        self.timers.push((now, "anew".into()));
     }
 
-    /// Sends messages to proxies, and does what else is ordered.
+    /// Sends the messages to proxies, and carries out all other orders.
     pub(super) fn dispatch_orders(&mut self, now: Ms, messages: Vec<OutboundMessage>, orders: Vec<Order>) {
-        self.presence.next_turn();
+        self.connections.start_turn();
         for OutboundMessage { proxy, bytes, lines, mark } in messages {
-            tracing::trace!("to {}: {lines} lines, {bytes:?}", proxy.0);
-            if !self.presence.send(proxy, now, self.start.message_window, mark, bytes) {
-                tracing::warn!("proxy {} does not read: its stream is given up", proxy.0);
-                self.leave(proxy);
+            tracing::trace!("to proxy {}: {lines} lines, {bytes:?}", proxy.0);
+            if !self.connections.send(proxy, now, self.settings.message_window, mark, bytes) {
+                tracing::warn!("proxy {} does not read: its connection is closed", proxy.0);
+                self.remove_proxy(proxy);
             }
         }
         for order in orders {
             match order {
-                Order::SetTimer { after, handle } => self.wakes.push((now + after, handle)),
+                Order::SetTimer { after, handle } => self.timers.push((now + after, handle)),
                 Order::Log { about: Some(id), text } => {
                     tracing::info!("{} {text}", self.names.workers.name(id.0));
                 }
@@ -121,28 +129,29 @@
                 Order::Probe { worker } => self.probe(worker),
                 Order::FetchList => self.resync.notify_one(),
                 Order::Forget { worker } => {
-                    self.plane.forget(worker);
-                    self.roster.forget(worker, &mut self.names);
+                    self.order_writer.forget(worker);
+                    self.registry.forget(worker, &mut self.names);
                 }
-                // The watch follows the list from the start on; there is no way to other managers.
+                // The worker list is always watched, and planners of other managers are not reachable.
                 Order::SubscribeToList(_) | Order::SendMessage { .. } => {}
-                // Handed out above.
+                // Already contained in the messages to proxies.
                 _ => {}
             }
         }
     }
 
-    /// Probes a worker; what is found comes in like anything else.
+    /// Probes a worker; the result is received as a message.
     pub(super) fn probe(&mut self, worker: WorkerId) {
-        let Some(address) = self.roster.address(worker) else {
-            let found = Found { ending: ProbeOutcome::Unreachable, took: 0.0, load: Load::default() };
-            return self.receive(Inbound::Probed(worker, found));
+        let Some(address) = self.registry.address(worker) else {
+            let result = Found { ending: ProbeOutcome::Unreachable, took: 0.0, load: Load::default() };
+            return self.receive(Inbound::Probed(worker, result));
         };
-        let (probes, inbound) = (self.probes.clone(), self.inbound.clone());
+        let probes = self.probes.clone();
+        let inbound = self.inbound.clone();
         tokio::spawn(async move {
-            let Ok(found) = probes.oneshot(address).await;
+            let Ok(result) = probes.oneshot(address).await;
             if let Some(inbound) = inbound.upgrade() {
-                _ = inbound.send(Inbound::Probed(worker, found)).await;
+                _ = inbound.send(Inbound::Probed(worker, result)).await;
             }
         });
     }
--- a/crates/manager/src/plane.rs
+++ b/crates/manager/src/plane.rs
@@ -1,5 +1,7 @@
-//! What the joined proxies hold: which table each stream's operations are bound to, what the tables hold, and
-//! who is held back. One turn's orders become one message for each proxy concerned. Pure, and without choice.
+//! Turns the planner's orders into messages to proxies: one message per turn for each proxy concerned.
+//!
+//! It tracks the tables and levels, the table that each operation of a proxy is bound to, and the exclusions that each
+//! proxy was sent. It does no I/O and makes no decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,51 +10,58 @@
 use juniperrail_northbound::{OperationState, ProxyState, TableState};
 use juniperrail_start::Names;
 
-use crate::presence::{Presence, Stream};
+use crate::presence::{ConnectionTracker, Stream};
 use crate::text::{self, Part};
 
+/// An admission level with its retry policy.
 type Level = (f64, Retry);
 
-/// Behind all ids.
-const NOBODY: WorkerId = WorkerId(u32::MAX);
+/// Above all worker ids in use.
+const ABOVE_ALL_IDS: WorkerId = WorkerId(u32::MAX);
 
 #[derive(Default)]
 struct Table {
+    /// Each worker's weight.
     lines: BTreeMap<WorkerId, f64>,
     levels: BTreeMap<OpId, Level>,
 }
 
+/// What a joined proxy was sent over its current stream.
 struct Proxy {
-    /// Workers with ids from this on may be shut out there without this stream having told so: all where it
-    /// came with orders from elsewhere, whoever comes later where one that it shut out is forgotten.
-    unsure: WorkerId,
-    bound: BTreeMap<OpId, TableId>,
-    /// Who is shut out there, as far as this stream has told it; nothing is known of the others.
-    told: BTreeMap<WorkerId, bool>,
+    /// The proxy may exclude workers from this id on although it was not told so over this stream: all workers if it
+    /// holds orders of an earlier connection, and workers listed later if one that it excludes was forgotten.
+    uncertain_from: WorkerId,
+    bindings: BTreeMap<OpId, TableId>,
+    /// Whether a worker is excluded, for the workers that this stream was told about.
+    exclusions: BTreeMap<WorkerId, bool>,
 }
 
-/// What one turn changes at one proxy.
+/// The changes of one turn for one proxy.
 #[derive(Default)]
-struct Change {
-    whole: BTreeSet<TableId>,
+struct ProxyUpdate {
+    /// Tables that are sent completely.
+    full_tables: BTreeSet<TableId>,
     lines: BTreeMap<TableId, BTreeMap<WorkerId, f64>>,
     levels: BTreeMap<OpId, Level>,
-    shut: BTreeMap<WorkerId, bool>,
+    exclusions: BTreeMap<WorkerId, bool>,
     mark: Option<MarkId>,
 }
 
-pub struct Plane {
+/// The state that the planner's orders produced at the proxies.
+pub struct OrderWriter {
     tables: BTreeMap<TableId, Table>,
     proxies: BTreeMap<ProxyId, Proxy>,
-    held: BTreeSet<WorkerId>,
-    everyone: BTreeMap<OpId, Level>,
-    /// Workers that some manager may have shut out: once not ready, or started since long ago.
-    doubtful: BTreeSet<WorkerId>,
-    /// No id above this was listed yet.
-    newest: WorkerId,
+    excluded: BTreeSet<WorkerId>,
+    /// Levels that apply to all proxies.
+    global_levels: BTreeMap<OpId, Level>,
+    /// Workers that some manager may have excluded: those that were not ready at some time, and those whose start is
+    /// known.
+    maybe_excluded: BTreeSet<WorkerId>,
+    /// The highest id that was listed.
+    highest_id: WorkerId,
 }
 
-/// One message for one proxy, and its lines in the channel without its head.
+/// A message to a proxy, and the number of lines that it counts for in the channel, without the message overhead.
 pub struct OutboundMessage {
     pub proxy: ProxyId,
     pub bytes: Bytes,
@@ -60,75 +69,89 @@
     pub mark: Option<MarkId>,
 }
 
-impl Default for Plane {
-    fn default() -> Plane {
-        let (tables, proxies, held, everyone, doubtful) = Default::default();
-        Plane { tables, proxies, held, everyone, doubtful, newest: WorkerId(0) }
+impl Default for OrderWriter {
+    fn default() -> OrderWriter {
+        OrderWriter {
+            tables: BTreeMap::new(),
+            proxies: BTreeMap::new(),
+            excluded: BTreeSet::new(),
+            global_levels: BTreeMap::new(),
+            maybe_excluded: BTreeSet::new(),
+            highest_id: WorkerId(0),
+        }
     }
 }
 
-impl Plane {
-    pub fn joined(&mut self, proxy: ProxyId, fresh: bool) {
-        let unsure = if fresh { NOBODY } else { WorkerId(0) };
-        let (bound, told) = Default::default();
-        self.proxies.insert(proxy, Proxy { unsure, bound, told });
+impl OrderWriter {
+    /// Adds a proxy that joined; `fresh` if it holds nothing from an earlier connection.
+    pub fn add_proxy(&mut self, proxy: ProxyId, fresh: bool) {
+        let uncertain_from = if fresh { ABOVE_ALL_IDS } else { WorkerId(0) };
+        let state = Proxy { uncertain_from, bindings: BTreeMap::new(), exclusions: BTreeMap::new() };
+        self.proxies.insert(proxy, state);
     }
 
-    pub fn left(&mut self, proxy: ProxyId) {
+    pub fn remove_proxy(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
     }
 
-    pub fn listed(&mut self, listed: &WorkerEntry) {
-        self.newest = self.newest.max(listed.worker);
-        if listed.phase != Phase::Ready || listed.booted.is_some() {
-            self.doubtful.insert(listed.worker);
+    /// Records an entry of the worker list.
+    pub fn record_entry(&mut self, entry: &WorkerEntry) {
+        self.highest_id = self.highest_id.max(entry.worker);
+        if entry.phase != Phase::Ready || entry.booted.is_some() {
+            self.maybe_excluded.insert(entry.worker);
         }
     }
 
-    /// A worker that an operator brings back may be shut out wherever it was known by an id that is forgotten.
-    pub fn doubt(&mut self, worker: WorkerId) {
-        self.doubtful.insert(worker);
+    /// Records that proxies may exclude a worker: one that an operator brings back may be excluded wherever it was known
+    /// by an id that was forgotten.
+    pub fn mark_maybe_excluded(&mut self, worker: WorkerId) {
+        self.maybe_excluded.insert(worker);
     }
 
     #[cfg(test)]
-    pub fn doubts(&self, worker: WorkerId) -> bool {
-        self.doubtful.contains(&worker)
+    pub fn is_maybe_excluded(&self, worker: WorkerId) -> bool {
+        self.maybe_excluded.contains(&worker)
     }
 
-    /// Nothing names it any more. Should it come again under its name, it has an id of its own then, and who was
-    /// told to shut it out still does so. Guards against letting back, at every proxy, all who are known.
+    /// Forgets a worker that no order refers to any more. If it is listed again under its name, it has a new id, and
+    /// proxies that were told to exclude it still do. Only ids listed from now on become uncertain at those proxies, so
+    /// that not every known worker is included again.
     pub fn forget(&mut self, worker: WorkerId) {
-        self.held.remove(&worker);
-        self.doubtful.remove(&worker);
+        self.excluded.remove(&worker);
+        self.maybe_excluded.remove(&worker);
         self.tables.values_mut().for_each(|table| _ = table.lines.remove(&worker));
         for proxy in self.proxies.values_mut() {
-            let shut = proxy.told.remove(&worker);
-            if shut == Some(true) {
-                proxy.unsure = proxy.unsure.min(WorkerId(self.newest.0.saturating_add(1)));
+            let was_excluded = proxy.exclusions.remove(&worker);
+            if was_excluded == Some(true) {
+                proxy.uncertain_from =
+                    proxy.uncertain_from.min(WorkerId(self.highest_id.0.saturating_add(1)));
             }
         }
     }
 
-    /// The decisions start anew: tables and holds are forgotten as after a restart, not what proxies were told.
-    pub fn restart(&mut self) {
-        (self.tables, self.held, self.everyone) = Default::default();
+    /// Forgets tables, levels and exclusions for a restarted planner, but not the exclusions that proxies were sent.
+    pub fn handle_planner_restart(&mut self) {
+        self.tables = BTreeMap::new();
+        self.excluded = BTreeSet::new();
+        self.global_levels = BTreeMap::new();
         for proxy in self.proxies.values_mut() {
-            (proxy.bound, proxy.unsure) = (BTreeMap::new(), WorkerId(0));
+            proxy.bindings = BTreeMap::new();
+            proxy.uncertain_from = WorkerId(0);
         }
     }
 
-    /// One turn's orders, in their order, as one message for each proxy concerned.
+    /// Applies the orders of one turn, in their order. Returns one message for each proxy concerned.
     pub fn messages(&mut self, orders: &[Order], names: &Names) -> Vec<OutboundMessage> {
-        let mut changes: BTreeMap<ProxyId, Change> = BTreeMap::new();
+        let mut updates: BTreeMap<ProxyId, ProxyUpdate> = BTreeMap::new();
         for order in orders {
-            self.take(order, names, &mut changes);
+            self.apply_order(order, names, &mut updates);
         }
-        let parcel = |(proxy, change): (ProxyId, Change)| self.parcel(proxy, change, names);
-        changes.into_iter().map(parcel).collect()
+        let write = |(proxy, update): (ProxyId, ProxyUpdate)| self.write_message(proxy, update, names);
+        updates.into_iter().map(write).collect()
     }
 
-    fn take(&mut self, order: &Order, names: &Names, changes: &mut BTreeMap<ProxyId, Change>) {
-        let bound = |proxy: &Proxy, table: &TableId| proxy.bound.values().any(|of| of == table);
+    fn apply_order(&mut self, order: &Order, names: &Names, updates: &mut BTreeMap<ProxyId, ProxyUpdate>) {
+        let is_bound = |proxy: &Proxy, table: &TableId| proxy.bindings.values().any(|bound| bound == table);
         match order {
             Order::SetLine { table, worker, weight } => {
                 let lines = &mut self.tables.entry(*table).or_default().lines;
@@ -136,202 +159,230 @@
                     true => lines.insert(*worker, *weight),
                     false => lines.remove(worker),
                 };
-                for (id, _) in self.proxies.iter().filter(|(_, proxy)| bound(proxy, table)) {
-                    let change = changes.entry(*id).or_default();
-                    change.lines.entry(*table).or_default().insert(*worker, *weight);
+                for (id, _) in self.proxies.iter().filter(|(_, proxy)| is_bound(proxy, table)) {
+                    let update = updates.entry(*id).or_default();
+                    update.lines.entry(*table).or_default().insert(*worker, *weight);
                 }
             }
             Order::ClearTable { table } => {
                 self.tables.insert(*table, Table::default());
-                for (id, _) in self.proxies.iter().filter(|(_, proxy)| bound(proxy, table)) {
-                    changes.entry(*id).or_default().whole.insert(*table);
+                for (id, _) in self.proxies.iter().filter(|(_, proxy)| is_bound(proxy, table)) {
+                    updates.entry(*id).or_default().full_tables.insert(*table);
                 }
             }
             Order::Bind { table, ops, proxy: id } => {
                 let Some(proxy) = self.proxies.get_mut(id) else { return };
-                proxy.bound.extend(ops_of(*ops, names).map(|op| (op, *table)));
-                changes.entry(*id).or_default().whole.insert(*table);
+                proxy.bindings.extend(ops_in_mask(*ops, names).map(|op| (op, *table)));
+                updates.entry(*id).or_default().full_tables.insert(*table);
             }
-            Order::ExcludeWorker { worker, excluded: out } => {
-                match out {
-                    true => self.held.insert(*worker),
-                    false => self.held.remove(worker),
+            Order::ExcludeWorker { worker, excluded } => {
+                match excluded {
+                    true => self.excluded.insert(*worker),
+                    false => self.excluded.remove(worker),
                 };
-                // A proxy without a bind may hold anybody's table.
-                let holds = |table: &TableId| self.lists(*table, *worker);
-                let told = |p: &Proxy| p.bound.is_empty() || p.bound.values().any(holds);
-                for (id, _) in self.proxies.iter().filter(|(_, proxy)| told(proxy)) {
-                    changes.entry(*id).or_default().shut.insert(*worker, *out);
+                // A proxy that this manager has not bound may hold another manager's tables, with any worker.
+                let has_line = |table: &TableId| self.has_line(*table, *worker);
+                let is_concerned =
+                    |proxy: &Proxy| proxy.bindings.is_empty() || proxy.bindings.values().any(has_line);
+                for (id, _) in self.proxies.iter().filter(|(_, proxy)| is_concerned(proxy)) {
+                    updates.entry(*id).or_default().exclusions.insert(*worker, *excluded);
                 }
             }
             Order::SetAdmission { scope: AdmissionScope::Table(table), ops, level, retry } => {
                 let levels = &mut self.tables.entry(*table).or_default().levels;
-                levels.extend(ops_of(*ops, names).map(|op| (op, (*level, *retry))));
-                for (id, proxy) in self.proxies.iter().filter(|(_, proxy)| bound(proxy, table)) {
-                    let ops = ops_of(*ops, names).filter(|op| proxy.bound.get(op) == Some(table));
-                    let levels = ops.filter_map(|op| Some((op, self.level(proxy, op)?)));
-                    changes.entry(*id).or_default().levels.extend(levels);
+                levels.extend(ops_in_mask(*ops, names).map(|op| (op, (*level, *retry))));
+                for (id, proxy) in self.proxies.iter().filter(|(_, proxy)| is_bound(proxy, table)) {
+                    let ops = ops_in_mask(*ops, names).filter(|op| proxy.bindings.get(op) == Some(table));
+                    let levels = ops.filter_map(|op| Some((op, self.effective_level(proxy, op)?)));
+                    updates.entry(*id).or_default().levels.extend(levels);
                 }
             }
             Order::SetAdmission { scope: AdmissionScope::AllProxies, ops, level, retry } => {
-                self.everyone.extend(ops_of(*ops, names).map(|op| (op, (*level, *retry))));
+                self.global_levels.extend(ops_in_mask(*ops, names).map(|op| (op, (*level, *retry))));
                 for (id, proxy) in &self.proxies {
-                    let levels = ops_of(*ops, names).filter_map(|op| Some((op, self.level(proxy, op)?)));
-                    changes.entry(*id).or_default().levels.extend(levels);
+                    let levels = ops_in_mask(*ops, names)
+                        .filter_map(|op| Some((op, self.effective_level(proxy, op)?)));
+                    updates.entry(*id).or_default().levels.extend(levels);
                 }
             }
-            Order::Mark { number, all_proxies: everyone } => {
-                if *everyone {
-                    self.proxies.keys().for_each(|id| _ = changes.entry(*id).or_default());
+            Order::Mark { number, all_proxies } => {
+                if *all_proxies {
+                    self.proxies.keys().for_each(|id| _ = updates.entry(*id).or_default());
                 }
-                changes.values_mut().for_each(|change| change.mark = Some(*number));
+                updates.values_mut().for_each(|update| update.mark = Some(*number));
             }
-            // The rest concerns no proxy.
+            // All other orders do not concern proxies.
             _ => {}
         }
     }
 
-    /// How many proxies hold a line of the worker from here.
-    pub fn readers(&self, worker: WorkerId) -> usize {
-        let holds = |proxy: &&Proxy| proxy.bound.values().any(|table| self.lists(*table, worker));
-        self.proxies.values().filter(holds).count()
+    /// The number of proxies bound to a table with a line of the worker.
+    pub fn proxies_with_line(&self, worker: WorkerId) -> usize {
+        let has_line = |proxy: &&Proxy| proxy.bindings.values().any(|table| self.has_line(*table, worker));
+        self.proxies.values().filter(has_line).count()
     }
 
-    /// The tables as written to whoever is bound to them.
+    /// The tables that proxies are bound to.
     pub fn table_states(&self, names: &Names) -> Vec<TableState> {
         let line = |(worker, weight): (&WorkerId, &f64)| (names.workers.name(worker.0).to_string(), *weight);
-        let read = |id: &TableId| self.proxies.values().any(|proxy| proxy.bound.values().any(|of| of == id));
-        let tables = self.tables.iter().filter(|(id, _)| read(id));
+        let is_bound = |id: &TableId| {
+            self.proxies.values().any(|proxy| proxy.bindings.values().any(|bound| bound == id))
+        };
+        let tables = self.tables.iter().filter(|(id, _)| is_bound(id));
         tables
-            .map(|(id, of)| TableState { number: id.0, lines: of.lines.iter().map(line).collect() })
+            .map(|(id, table)| TableState { number: id.0, lines: table.lines.iter().map(line).collect() })
             .collect()
     }
 
-    /// What each joined proxy was told over its stream.
-    pub fn proxy_states(&self, names: &Names, presence: &Presence, now: Ms) -> Vec<ProxyState> {
-        let state = |(id, stream): (ProxyId, &Stream)| {
+    /// The state of each joined proxy, as it was sent over its stream.
+    pub fn proxy_states(&self, names: &Names, connections: &ConnectionTracker, now: Ms) -> Vec<ProxyState> {
+        let proxy_state = |(id, stream): (ProxyId, &Stream)| {
             let proxy = self.proxies.get(&id)?;
-            let out = proxy.told.iter().filter(|(_, out)| **out);
-            let operation = |op: OpId| OperationState {
+            let excluded = proxy.exclusions.iter().filter(|(_, excluded)| **excluded);
+            let operation_state = |op: OpId| OperationState {
                 name: names.ops.name(op.0.into()).to_string(),
-                table: proxy.bound.get(&op).map(|table| table.0),
-                level: proxy.bound.get(&op).and_then(|_| self.level(proxy, op)),
+                table: proxy.bindings.get(&op).map(|table| table.0),
+                level: proxy.bindings.get(&op).and_then(|_| self.effective_level(proxy, op)),
             };
             Some(ProxyState {
                 number: id.0,
                 zone: names.zones.name(stream.zone.0.into()).to_string(),
-                mark_sent: stream.sent.map(|mark| mark.0),
-                mark_acknowledged: stream.answered.map(|mark| mark.0),
-                unacknowledged: stream.owed.len(),
-                unacknowledged_for: stream.owed.front().map(|owed| now - owed.sent),
-                recent_messages: stream.messages.len(),
-                excluded_workers: out.map(|(worker, _)| names.workers.name(worker.0).to_string()).collect(),
-                operations: ops_of(0, names).map(operation).collect(),
+                mark_sent: stream.last_mark_sent.map(|mark| mark.0),
+                mark_acknowledged: stream.last_mark_acknowledged.map(|mark| mark.0),
+                unacknowledged: stream.pending_marks.len(),
+                unacknowledged_for: stream.pending_marks.front().map(|oldest| now - oldest.sent_at),
+                recent_messages: stream.recent_messages.len(),
+                excluded_workers: excluded
+                    .map(|(worker, _)| names.workers.name(worker.0).to_string())
+                    .collect(),
+                operations: ops_in_mask(0, names).map(operation_state).collect(),
             })
         };
-        presence.here().filter_map(state).collect()
+        connections.joined().filter_map(proxy_state).collect()
     }
 
-    fn lists(&self, table: TableId, worker: WorkerId) -> bool {
+    fn has_line(&self, table: TableId, worker: WorkerId) -> bool {
         self.tables.get(&table).is_some_and(|table| table.lines.contains_key(&worker))
     }
 
-    /// The table's level and everyone's together: the lower level, the table's own way of trying again.
-    fn level(&self, proxy: &Proxy, op: OpId) -> Option<Level> {
-        let own = proxy.bound.get(&op).and_then(|table| self.tables.get(table)?.levels.get(&op));
-        match (own, self.everyone.get(&op)) {
-            (Some(own), Some(all)) => Some((own.0.min(all.0), own.1)),
-            (own, all) => own.or(all).copied(),
+    /// Combines the table's level with the level for all proxies: the lower level, with the table's retry policy.
+    fn effective_level(&self, proxy: &Proxy, op: OpId) -> Option<Level> {
+        let table_level = proxy.bindings.get(&op).and_then(|table| self.tables.get(table)?.levels.get(&op));
+        match (table_level, self.global_levels.get(&op)) {
+            (Some(table), Some(global)) => Some((table.0.min(global.0), table.1)),
+            (table, global) => table.or(global).copied(),
         }
     }
 
-    fn parcel(&mut self, id: ProxyId, mut change: Change, names: &Names) -> OutboundMessage {
+    /// Writes an update as one message, and records the exclusions in it.
+    fn write_message(&mut self, id: ProxyId, mut update: ProxyUpdate, names: &Names) -> OutboundMessage {
         let proxy = &self.proxies[&id];
-        let mut tables: BTreeSet<TableId> = change.whole.iter().chain(change.lines.keys()).copied().collect();
-        tables.extend(change.levels.keys().filter_map(|op| proxy.bound.get(op)));
-        let none = Table::default();
-        let (mut parts, mut loose) = (Vec::new(), change.levels.clone());
-        for table in tables {
-            let holds = self.tables.get(&table).unwrap_or(&none);
+        let mut tables: BTreeSet<TableId> =
+            update.full_tables.iter().chain(update.lines.keys()).copied().collect();
+        tables.extend(update.levels.keys().filter_map(|op| proxy.bindings.get(op)));
+        let empty_table = Table::default();
+        let mut parts = Vec::new();
+        let mut remaining_levels = update.levels.clone();
+        for table_id in tables {
+            let table = self.tables.get(&table_id).unwrap_or(&empty_table);
             let ops: Vec<OpId> =
-                proxy.bound.iter().filter(|(_, of)| **of == table).map(|(op, _)| *op).collect();
-            let whole = change.whole.contains(&table);
-            let lines =
-                if whole { holds.lines.clone() } else { change.lines.remove(&table).unwrap_or_default() };
-            // Guards against a worker left shut out: what another manager told a proxy stays with it.
+                proxy.bindings.iter().filter(|(_, bound)| **bound == table_id).map(|(op, _)| *op).collect();
+            let is_full = update.full_tables.contains(&table_id);
+            let lines = if is_full {
+                table.lines.clone()
+            } else {
+                update.lines.remove(&table_id).unwrap_or_default()
+            };
+            // A worker with a line must not stay excluded because another manager told the proxy so earlier.
             for worker in lines.iter().filter(|(_, weight)| **weight > 0.0).map(|(worker, _)| *worker) {
-                let held = self.held.contains(&worker);
-                let may = worker >= proxy.unsure && self.doubtful.contains(&worker);
-                let shut = proxy.told.get(&worker).map_or(may, |shut| *shut);
-                if held && whole || !held && shut {
-                    change.shut.entry(worker).or_insert(held);
+                let exclude = self.excluded.contains(&worker);
+                let is_uncertain = worker >= proxy.uncertain_from && self.maybe_excluded.contains(&worker);
+                let excluded_at_proxy =
+                    proxy.exclusions.get(&worker).map_or(is_uncertain, |excluded| *excluded);
+                if exclude && is_full || !exclude && excluded_at_proxy {
+                    update.exclusions.entry(worker).or_insert(exclude);
                 }
             }
             let mut levels: Vec<(Level, Vec<OpId>)> = Vec::new();
             for op in &ops {
-                let changed = loose.remove(op);
-                let level = if whole { self.level(proxy, *op) } else { changed };
+                let changed = remaining_levels.remove(op);
+                let level = if is_full { self.effective_level(proxy, *op) } else { changed };
                 let Some(level) = level else { continue };
                 match levels.iter_mut().find(|(same, _)| *same == level) {
                     Some((_, ops)) => ops.push(*op),
                     None => levels.push((level, vec![*op])),
                 }
             }
-            // One level for all the operations rides on the part with the lines.
-            let shared = levels.first().filter(|(_, of)| *of == ops).map(|(level, _)| *level);
-            if shared.is_none() && !whole && lines.is_empty() {
-                parts.extend(levels.into_iter().map(|(level, ops)| leveled(&ops, level, names)));
+            // A level that all operations share is sent in the part with the lines.
+            let shared_level =
+                levels.first().filter(|(_, level_ops)| *level_ops == ops).map(|(level, _)| *level);
+            if shared_level.is_none() && !is_full && lines.is_empty() {
+                parts.extend(levels.into_iter().map(|(level, ops)| level_part(&ops, level, names)));
                 continue;
             }
             let lines = lines.iter().map(|(id, weight)| (names.workers.name(id.0), *weight)).collect();
-            parts.push(Part { ops: spelled(&ops, names), whole, lines, level: shared, ..Part::default() });
-            if shared.is_none() {
-                parts.extend(levels.into_iter().map(|(level, ops)| leveled(&ops, level, names)));
+            parts.push(Part {
+                ops: op_names(&ops, names),
+                whole: is_full,
+                lines,
+                level: shared_level,
+                ..Part::default()
+            });
+            if shared_level.is_none() {
+                parts.extend(levels.into_iter().map(|(level, ops)| level_part(&ops, level, names)));
             }
         }
-        // Levels for operations that are bound to no table from here.
-        parts.extend(loose.into_iter().map(|(op, level)| leveled(&[op], level, names)));
+        // Levels of operations that this manager has not bound to a table.
+        parts.extend(remaining_levels.into_iter().map(|(op, level)| level_part(&[op], level, names)));
         if parts.is_empty() {
             parts.push(Part::default());
         }
-        let shut = |out: bool| {
-            let of = change.shut.iter().filter(move |(_, shut)| **shut == out);
-            of.map(|(id, _)| names.workers.name(id.0)).collect::<Vec<_>>()
+        let workers_with = |excluded: bool| {
+            let workers = update.exclusions.iter().filter(move |(_, state)| **state == excluded);
+            workers.map(|(id, _)| names.workers.name(id.0)).collect::<Vec<_>>()
         };
-        let last = parts.last_mut().expect("a message has a part");
-        (last.out, last.back, last.mark) = (shut(true), shut(false), change.mark);
-        let cost = |p: &Part| {
-            let single = [p.whole, p.level.is_some(), p.mark.is_some()];
-            p.lines.len() + p.out.len() + p.back.len() + single.iter().filter(|one| **one).count()
+        let last_part = parts.last_mut().expect("a message has a part");
+        last_part.out = workers_with(true);
+        last_part.back = workers_with(false);
+        last_part.mark = update.mark;
+        let line_count = |part: &Part| {
+            let single_lines = [part.whole, part.level.is_some(), part.mark.is_some()];
+            part.lines.len()
+                + part.out.len()
+                + part.back.len()
+                + single_lines.iter().filter(|is_present| **is_present).count()
         };
-        let (lines, mark) = (parts.iter().map(cost).sum(), change.mark);
-        let parcel = OutboundMessage { proxy: id, bytes: text::write(&parts), lines, mark };
-        self.proxies.get_mut(&id).expect("a joined proxy").told.extend(change.shut);
-        parcel
+        let lines = parts.iter().map(line_count).sum();
+        let mark = update.mark;
+        let message = OutboundMessage { proxy: id, bytes: text::write(&parts), lines, mark };
+        self.proxies.get_mut(&id).expect("a joined proxy").exclusions.extend(update.exclusions);
+        message
     }
 }
 
-fn ops_of(mask: u32, names: &Names) -> impl Iterator<Item = OpId> {
+/// The operations in a bit mask; 0 stands for all.
+fn ops_in_mask(mask: u32, names: &Names) -> impl Iterator<Item = OpId> {
     let count = names.ops.count() as u8;
     (0..count).filter(move |op| mask == 0 || mask >> op & 1 == 1).map(OpId)
 }
 
-fn spelled<'a>(ops: &[OpId], names: &'a Names) -> Vec<&'a str> {
+/// The names of operations as written in a message, where no name stands for all.
+fn op_names<'a>(ops: &[OpId], names: &'a Names) -> Vec<&'a str> {
     if ops.len() == names.ops.count() {
         return Vec::new();
     }
     ops.iter().map(|op| names.ops.name(u32::from(op.0))).collect()
 }
 
-fn leveled<'a>(ops: &[OpId], level: Level, names: &'a Names) -> Part<'a> {
-    Part { ops: spelled(ops, names), level: Some(level), ..Part::default() }
+fn level_part<'a>(ops: &[OpId], level: Level, names: &'a Names) -> Part<'a> {
+    Part { ops: op_names(ops, names), level: Some(level), ..Part::default() }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const T: TableId = TableId(0);
+    const TABLE: TableId = TableId(0);
 
     fn names() -> Names {
         let mut names = Names::default();
@@ -348,90 +399,109 @@
         Order::Bind { table, ops, proxy: ProxyId(proxy) }
     }
 
-    fn hold(worker: u32, out: bool) -> Order {
-        Order::ExcludeWorker { worker: WorkerId(worker), excluded: out }
+    fn exclude(worker: u32, excluded: bool) -> Order {
+        Order::ExcludeWorker { worker: WorkerId(worker), excluded }
     }
 
-    fn admit(reach: AdmissionScope, ops: u32, level: f64) -> Order {
-        Order::SetAdmission { scope: reach, ops, level, retry: Retry::IfNotExecuted }
+    fn admit(scope: AdmissionScope, ops: u32, level: f64) -> Order {
+        Order::SetAdmission { scope, ops, level, retry: Retry::IfNotExecuted }
     }
 
-    fn mark(number: u16, everyone: bool) -> Order {
-        Order::Mark { number: MarkId(number), all_proxies: everyone }
+    fn mark(number: u16, all_proxies: bool) -> Order {
+        Order::Mark { number: MarkId(number), all_proxies }
     }
 
-    fn plane(proxies: u16) -> Plane {
-        let mut plane = Plane::default();
-        (0..proxies).for_each(|proxy| plane.joined(ProxyId(proxy), true));
-        plane
+    /// An order writer with this many fresh proxies.
+    fn order_writer(proxies: u16) -> OrderWriter {
+        let mut order_writer = OrderWriter::default();
+        (0..proxies).for_each(|proxy| order_writer.add_proxy(ProxyId(proxy), true));
+        order_writer
     }
 
-    /// What each proxy concerned is written, and the lines it counts.
-    fn told(plane: &mut Plane, orders: &[Order]) -> Vec<(u16, String, usize)> {
-        let messages = plane.messages(orders, &names()).into_iter();
-        messages.map(|p| (p.proxy.0, String::from_utf8(p.bytes.to_vec()).unwrap(), p.lines)).collect()
+    /// Runs a turn with these orders. Returns each proxy concerned, its message and the lines that the message counts.
+    fn write(order_writer: &mut OrderWriter, orders: &[Order]) -> Vec<(u16, String, usize)> {
+        let messages = order_writer.messages(orders, &names()).into_iter();
+        messages
+            .map(|message| {
+                (message.proxy.0, String::from_utf8(message.bytes.to_vec()).unwrap(), message.lines)
+            })
+            .collect()
     }
 
     #[test]
-    fn one_turn_is_one_message_for_each_proxy_concerned_and_costs_what_the_wire_says() {
-        let mut plane = plane(3);
-        let laid = [line(T, 0, 1.5), line(T, 1, 0.2), hold(1, true), admit(AdmissionScope::Table(T), 0, 0.9)];
-        let first = told(&mut plane, &laid);
-        // The hold goes to who holds others' tables; nobody reads the rest yet.
+    fn a_turn_is_one_message_per_proxy_and_its_lines_are_counted() {
+        let mut order_writer = order_writer(3);
+        let orders = [
+            line(TABLE, 0, 1.5),
+            line(TABLE, 1, 0.2),
+            exclude(1, true),
+            admit(AdmissionScope::Table(TABLE), 0, 0.9),
+        ];
+        let first = write(&mut order_writer, &orders);
+        // The exclusion goes to unbound proxies, which may hold other managers' tables; nothing else concerns a proxy yet.
         assert_eq!(first.len(), 3);
         assert_eq!(first[0], (0, "push out=b\r\n".into(), 1));
-        let bound = told(&mut plane, &[bind(T, 0, 0), bind(T, 0, 2), mark(905, false)]);
-        // One line for the bind, two of the table, one withdrawn, one level, one mark.
+        let bound = write(&mut order_writer, &[bind(TABLE, 0, 0), bind(TABLE, 0, 2), mark(905, false)]);
+        // One line for the bind, two for the table, one for the exclusion, one for the level, one for the mark.
         let whole = "push whole=1 lines=a:1.5,b:0.2 level=0.9 retry=1 out=b ticket=905\r\n";
         assert_eq!(bound, [(0, whole.to_string(), 6), (2, whole.to_string(), 6)]);
-        let changed = told(&mut plane, &[line(T, 0, 0.30000000000000004), line(T, 1, 0.0), mark(906, false)]);
+        let changed = write(
+            &mut order_writer,
+            &[line(TABLE, 0, 0.30000000000000004), line(TABLE, 1, 0.0), mark(906, false)],
+        );
         assert_eq!(changed[0].1, "push lines=a:0.30000000000000004,b:0 ticket=906\r\n");
-        assert_eq!(changed.iter().map(|told| (told.0, told.2)).collect::<Vec<_>>(), [(0, 3), (2, 3)]);
-        // A worker in nobody's table is held back only where tables are not from here.
-        assert_eq!(told(&mut plane, &[hold(1, false)]), [(1, "push back=b\r\n".to_string(), 1)]);
-        let all = told(&mut plane, &[mark(907, true)]);
+        assert_eq!(
+            changed.iter().map(|message| (message.0, message.2)).collect::<Vec<_>>(),
+            [(0, 3), (2, 3)]
+        );
+        // For a worker without a line only the unbound proxy is concerned.
+        assert_eq!(write(&mut order_writer, &[exclude(1, false)]), [(1, "push back=b\r\n".to_string(), 1)]);
+        let all = write(&mut order_writer, &[mark(907, true)]);
         assert_eq!((all.len(), all[1].1.as_str()), (3, "push ticket=907\r\n"));
     }
 
     #[test]
-    fn operations_on_different_tables_or_levels_go_in_parts_of_one_message() {
-        let mut plane = plane(1);
+    fn operations_with_different_tables_or_levels_are_parts_of_one_message() {
+        let mut order_writer = order_writer(1);
         let other = TableId(1);
-        told(
-            &mut plane,
-            &[line(T, 0, 1.0), line(other, 1, 1.0), admit(AdmissionScope::Table(other), 2, 0.5)],
+        write(
+            &mut order_writer,
+            &[line(TABLE, 0, 1.0), line(other, 1, 1.0), admit(AdmissionScope::Table(other), 2, 0.5)],
         );
-        let bound = told(&mut plane, &[bind(T, 1, 0), bind(other, 2, 0), mark(1, false)]);
+        let bound = write(&mut order_writer, &[bind(TABLE, 1, 0), bind(other, 2, 0), mark(1, false)]);
         let parts = "push classes=lookup whole=1 lines=a:1 more=1\r\n\
                      push classes=order whole=1 lines=b:1 level=0.5 retry=1 ticket=1\r\n";
         assert_eq!(bound, [(0, parts.to_string(), 6)]);
-        // Only the operations bound to the table there are meant.
-        let level = told(&mut plane, &[admit(AdmissionScope::Table(other), 0, 0.4)]);
+        // Only operations that the proxy binds to the table are concerned.
+        let level = write(&mut order_writer, &[admit(AdmissionScope::Table(other), 0, 0.4)]);
         assert_eq!(level, [(0, "push classes=order level=0.4 retry=1\r\n".to_string(), 1)]);
-        told(&mut plane, &[bind(T, 0, 0)]);
-        let both = told(
-            &mut plane,
-            &[admit(AdmissionScope::Table(T), 1, 3.0), admit(AdmissionScope::Table(T), 2, 4.0)],
+        write(&mut order_writer, &[bind(TABLE, 0, 0)]);
+        let both = write(
+            &mut order_writer,
+            &[admit(AdmissionScope::Table(TABLE), 1, 3.0), admit(AdmissionScope::Table(TABLE), 2, 4.0)],
         );
         let parts = "push classes=lookup level=3 retry=1 more=1\r\npush classes=order level=4 retry=1\r\n";
         assert_eq!(both, [(0, parts.to_string(), 2)]);
     }
 
     #[test]
-    fn whole_forgets_levels_so_they_come_with_it_and_the_lower_of_two_prevails() {
-        let mut plane = plane(1);
-        told(&mut plane, &[line(T, 0, 1.0), bind(T, 0, 0), admit(AdmissionScope::Table(T), 1, 0.5)]);
-        let all = told(&mut plane, &[admit(AdmissionScope::AllProxies, 0, 0.7)]);
+    fn a_full_table_comes_with_its_levels_and_the_lower_of_two_levels_applies() {
+        let mut order_writer = order_writer(1);
+        write(
+            &mut order_writer,
+            &[line(TABLE, 0, 1.0), bind(TABLE, 0, 0), admit(AdmissionScope::Table(TABLE), 1, 0.5)],
+        );
+        let all = write(&mut order_writer, &[admit(AdmissionScope::AllProxies, 0, 0.7)]);
         let parts =
             "push classes=lookup level=0.5 retry=1 more=1\r\npush classes=order level=0.7 retry=1\r\n";
         assert_eq!(all[0].1, parts);
-        let cleared = told(&mut plane, &[Order::ClearTable { table: T }]);
+        let cleared = write(&mut order_writer, &[Order::ClearTable { table: TABLE }]);
         assert_eq!(cleared[0].1, "push whole=1 level=0.7 retry=1\r\n");
     }
 
     #[test]
-    fn who_another_manager_may_have_shut_out_is_let_back_where_it_gets_a_line() {
-        let started = |worker, booted, phase| WorkerEntry {
+    fn a_worker_that_another_manager_may_have_excluded_is_included_with_its_line() {
+        let entry = |worker, booted, phase| WorkerEntry {
             worker: WorkerId(worker),
             phase,
             booted,
@@ -440,30 +510,42 @@
             cell: CellId(0),
             weight: 1.0,
         };
-        let mut plane = plane(1);
-        plane.listed(&started(0, None, Phase::Ready));
-        plane.listed(&started(1, Some(5.0), Phase::Ready));
-        plane.listed(&started(2, None, Phase::Draining));
-        plane.joined(ProxyId(1), false);
-        told(&mut plane, &[line(T, 0, 1.0), line(T, 1, 1.0)]);
-        let bound = told(&mut plane, &[bind(T, 0, 0), bind(T, 0, 1)]);
-        assert_eq!(bound[0].1, "push whole=1 lines=a:1,b:1\r\n", "it came with its standing table only");
+        let mut order_writer = order_writer(1);
+        order_writer.record_entry(&entry(0, None, Phase::Ready));
+        order_writer.record_entry(&entry(1, Some(5.0), Phase::Ready));
+        order_writer.record_entry(&entry(2, None, Phase::Draining));
+        order_writer.add_proxy(ProxyId(1), false);
+        write(&mut order_writer, &[line(TABLE, 0, 1.0), line(TABLE, 1, 1.0)]);
+        let bound = write(&mut order_writer, &[bind(TABLE, 0, 0), bind(TABLE, 0, 1)]);
+        assert_eq!(bound[0].1, "push whole=1 lines=a:1,b:1\r\n", "a fresh proxy excludes no worker");
         assert_eq!(bound[1].1, "push whole=1 lines=a:1,b:1 back=b\r\n");
-        let eased = told(&mut plane, &[line(T, 1, 2.0), line(T, 2, 1.0)]);
-        assert_eq!(eased[1].1, "push lines=b:2,c:1 back=c\r\n", "each once a stream");
-        // A new stream: nothing is believed of the old one but what may be shut out.
-        told(&mut plane, &[hold(1, true)]);
-        plane.left(ProxyId(1));
-        told(&mut plane, &[hold(1, false)]);
-        plane.joined(ProxyId(1), false);
-        assert_eq!(told(&mut plane, &[bind(T, 0, 1)])[0].1, "push whole=1 lines=a:1,b:2,c:1 back=b,c\r\n");
+        let changed = write(&mut order_writer, &[line(TABLE, 1, 2.0), line(TABLE, 2, 1.0)]);
+        assert_eq!(changed[1].1, "push lines=b:2,c:1 back=c\r\n", "each worker once per stream");
+        // What was sent over the old stream does not count for the new one.
+        write(&mut order_writer, &[exclude(1, true)]);
+        order_writer.remove_proxy(ProxyId(1));
+        write(&mut order_writer, &[exclude(1, false)]);
+        order_writer.add_proxy(ProxyId(1), false);
+        assert_eq!(
+            write(&mut order_writer, &[bind(TABLE, 0, 1)])[0].1,
+            "push whole=1 lines=a:1,b:2,c:1 back=b,c\r\n"
+        );
     }
 
     #[test]
-    fn who_was_shut_out_and_forgotten_is_let_back_if_it_comes_again() {
-        let mut plane = plane(1);
-        told(&mut plane, &[line(T, 0, 1.0), line(T, 1, 1.0), bind(T, 0, 0), hold(1, true), line(T, 1, 0.0)]);
-        let known = |worker| WorkerEntry {
+    fn a_worker_that_was_excluded_and_forgotten_is_included_when_it_returns() {
+        let mut order_writer = order_writer(1);
+        write(
+            &mut order_writer,
+            &[
+                line(TABLE, 0, 1.0),
+                line(TABLE, 1, 1.0),
+                bind(TABLE, 0, 0),
+                exclude(1, true),
+                line(TABLE, 1, 0.0),
+            ],
+        );
+        let entry = |worker| WorkerEntry {
             worker: WorkerId(worker),
             phase: Phase::Ready,
             booted: Some(5.0),
@@ -472,28 +554,42 @@
             cell: CellId(0),
             weight: 1.0,
         };
-        (0..2).for_each(|worker| plane.listed(&known(worker)));
-        plane.forget(WorkerId(1));
-        assert!(plane.held.is_empty() && plane.proxies[&ProxyId(0)].told.is_empty());
-        assert_eq!(told(&mut plane, &[line(T, 0, 2.0)])[0].1, "push lines=a:2\r\n", "it was never shut out");
-        // The same worker under another id, as the list now has it.
-        plane.listed(&known(2));
-        assert_eq!(told(&mut plane, &[line(T, 2, 1.0)])[0].1, "push lines=c:1 back=c\r\n");
+        (0..2).for_each(|worker| order_writer.record_entry(&entry(worker)));
+        order_writer.forget(WorkerId(1));
+        assert!(order_writer.excluded.is_empty() && order_writer.proxies[&ProxyId(0)].exclusions.is_empty());
+        assert_eq!(
+            write(&mut order_writer, &[line(TABLE, 0, 2.0)])[0].1,
+            "push lines=a:2\r\n",
+            "a worker that was never excluded"
+        );
+        // The same worker, listed again with a new id.
+        order_writer.record_entry(&entry(2));
+        assert_eq!(write(&mut order_writer, &[line(TABLE, 2, 1.0)])[0].1, "push lines=c:1 back=c\r\n");
     }
 
     #[test]
-    fn whom_an_operator_brings_back_is_let_back_also_where_discovery_never_saw_it_start_anew() {
-        let mut plane = plane(1);
-        told(&mut plane, &[line(T, 0, 1.0), line(T, 1, 1.0), bind(T, 0, 0), hold(1, true), line(T, 1, 0.0)]);
-        plane.forget(WorkerId(1));
-        plane.doubt(WorkerId(2));
-        assert_eq!(told(&mut plane, &[line(T, 2, 1.0)])[0].1, "push lines=c:1 back=c\r\n");
+    fn a_worker_that_an_operator_brings_back_is_included_although_discovery_saw_no_start() {
+        let mut order_writer = order_writer(1);
+        write(
+            &mut order_writer,
+            &[
+                line(TABLE, 0, 1.0),
+                line(TABLE, 1, 1.0),
+                bind(TABLE, 0, 0),
+                exclude(1, true),
+                line(TABLE, 1, 0.0),
+            ],
+        );
+        order_writer.forget(WorkerId(1));
+        order_writer.mark_maybe_excluded(WorkerId(2));
+        assert_eq!(write(&mut order_writer, &[line(TABLE, 2, 1.0)])[0].1, "push lines=c:1 back=c\r\n");
     }
 
-    /// Random days of a small fleet: workers that come, drain, go and come again, proxies that come with others'
-    /// orders, break off and answer late. What waits by the module's reckoning is never less than what was written.
+    /// The planner's count of unacknowledged lines must never be below what was written to the channel: it would send
+    /// more than the channel takes. Random histories of a small fleet, in which workers start, drain, leave and return,
+    /// and proxies join with other managers' orders, disconnect and acknowledge late.
     #[test]
-    fn the_module_never_reckons_with_less_than_is_written() {
+    fn the_planners_count_of_unacknowledged_lines_is_never_below_the_lines_written() {
         use juniperrail::Planner;
         let op = Operation {
             latency_objective: 500.0,
@@ -502,7 +598,7 @@
             machines: None,
             own_zone_only: false,
         };
-        let start = Settings {
+        let settings = Settings {
             operations: vec![op.clone(), op],
             zones: vec![ZoneId(0)],
             channel_rate: 600.0,
@@ -520,14 +616,14 @@
             manager_count: 3.0,
             ..Settings::default()
         };
-        let (mut whole, mut backs) = (0, 0);
+        let (mut full_table_count, mut included_count) = (0, 0);
         for seed in 0..60 {
             let (mut rng, mut now) = (fastrand::Rng::with_seed(seed), 1000.0);
             let mut names = names();
-            let mut planner = Planner::new(now, seed, start.clone());
-            let mut plane = Plane::default();
-            let mut waits: BTreeMap<(u64, ProxyId), f64> = BTreeMap::new();
-            let (mut mark, mut here) = (0_u64, BTreeSet::new());
+            let mut planner = Planner::new(now, seed, settings.clone());
+            let mut order_writer = OrderWriter::default();
+            let mut unacknowledged: BTreeMap<(u64, ProxyId), f64> = BTreeMap::new();
+            let (mut mark, mut joined) = (0_u64, BTreeSet::new());
             let mut listed: Vec<WorkerEntry> = Vec::new();
             let entry = |id: u32, phase, booted| {
                 let (zone, machine, cell) = (ZoneId(0), MachineId(0), CellId(0));
@@ -538,7 +634,7 @@
                 let id = names.worker(&format!("w{}", names.workers.count()));
                 listed.push(entry(id.0, Phase::Ready, rng.bool().then_some(900.0)));
             }
-            listed.iter().for_each(|listed| plane.listed(listed));
+            listed.iter().for_each(|entry| order_writer.record_entry(entry));
             events.push(Event::List { kind: ListKind::Cached, version: 1, workers: listed.clone() });
             for _ in 0..400 {
                 now += f64::from(rng.u32(5..250));
@@ -546,65 +642,66 @@
                 match rng.u32(0..12) {
                     0..4 => {
                         let (fresh, zone, inv_per_second) = (rng.u32(0..3) == 0, ZoneId(0), rng.f64() * 3.0);
-                        plane.left(proxy);
-                        if !here.insert(proxy) {
+                        order_writer.remove_proxy(proxy);
+                        if !joined.insert(proxy) {
                             events.push(Event::Left { proxy });
                         }
-                        plane.joined(proxy, fresh);
+                        order_writer.add_proxy(proxy, fresh);
                         events.push(Event::Joined { proxy, fresh, inv_per_second, zone });
                     }
-                    4 if here.remove(&proxy) => {
-                        plane.left(proxy);
+                    4 if joined.remove(&proxy) => {
+                        order_writer.remove_proxy(proxy);
                         events.push(Event::Left { proxy });
                     }
                     5..7 => {
-                        let place = rng.usize(0..listed.len());
-                        let of = &mut listed[place];
-                        (of.phase, of.booted) = match (of.phase, rng.u32(0..4)) {
+                        let index = rng.usize(0..listed.len());
+                        let changed = &mut listed[index];
+                        (changed.phase, changed.booted) = match (changed.phase, rng.u32(0..4)) {
                             (Phase::Ready, 0) => (Phase::Ready, Some(now)),
-                            (Phase::Ready, _) => (Phase::Draining, of.booted),
+                            (Phase::Ready, _) => (Phase::Draining, changed.booted),
                             (Phase::Draining, 0..2) => (Phase::Ready, Some(now)),
-                            _ => (Phase::Gone, of.booted),
+                            _ => (Phase::Gone, changed.booted),
                         };
-                        let mut workers = vec![of.clone()];
-                        if of.phase == Phase::Gone {
-                            listed.swap_remove(place);
+                        let mut workers = vec![changed.clone()];
+                        if changed.phase == Phase::Gone {
+                            listed.swap_remove(index);
                             let id = names.worker(&format!("n{}", rng.u32(..)));
                             listed.push(entry(id.0, Phase::Ready, Some(now)));
                             workers.extend(listed.last().cloned());
                         }
-                        workers.iter().for_each(|listed| plane.listed(listed));
+                        workers.iter().for_each(|entry| order_writer.record_entry(entry));
                         events.push(Event::List { kind: ListKind::Changes, version: 2, workers });
                     }
                     _ => {
-                        let owing = waits.keys().filter(|(_, id)| here.contains(id)).nth(rng.usize(0..3));
-                        if let Some((mark, proxy)) = owing.copied() {
+                        let pending =
+                            unacknowledged.keys().filter(|(_, id)| joined.contains(id)).nth(rng.usize(0..3));
+                        if let Some((mark, proxy)) = pending.copied() {
                             events.push(Event::MarkAcknowledged {
                                 mark: MarkId(mark as u16),
                                 took: 1.0,
                                 proxy,
                             });
-                            waits = waits.split_off(&(mark, ProxyId(0)));
-                            waits.remove(&(mark, proxy));
+                            unacknowledged = unacknowledged.split_off(&(mark, ProxyId(0)));
+                            unacknowledged.remove(&(mark, proxy));
                         }
                     }
                 }
                 let orders = planner.process_events(now, &std::mem::take(&mut events));
-                let messages = plane.messages(&orders, &names);
+                let messages = order_writer.messages(&orders, &names);
                 mark += u64::from(!messages.is_empty());
                 for OutboundMessage { proxy, bytes, lines, .. } in messages {
-                    waits.insert((mark, proxy), lines as f64 + start.message_overhead);
+                    unacknowledged.insert((mark, proxy), lines as f64 + settings.message_overhead);
                     let text = String::from_utf8(bytes.to_vec()).unwrap();
-                    (whole, backs) =
-                        (whole + text.matches("whole=1").count(), backs + text.matches("back=").count());
+                    full_table_count += text.matches("whole=1").count();
+                    included_count += text.matches("back=").count();
                 }
                 for order in orders {
                     if let Order::Forget { worker } = order {
-                        plane.forget(worker);
+                        order_writer.forget(worker);
                         names.workers.forget(worker.0);
                     }
                 }
-                let written = waits.values().sum::<f64>();
+                let written = unacknowledged.values().sum::<f64>();
                 assert!(
                     planner.unacknowledged_lines() >= written - 1e-6,
                     "seed {seed}: {} < {written}",
@@ -612,6 +709,9 @@
                 );
             }
         }
-        assert!(whole > 1000 && backs > 500, "{whole} tables, {backs} messages that let back");
+        assert!(
+            full_table_count > 1000 && included_count > 500,
+            "{full_table_count} full tables, {included_count} messages that include workers"
+        );
     }
 }
--- a/crates/manager/src/presence.rs
+++ b/crates/manager/src/presence.rs
@@ -1,4 +1,4 @@
-//! Which proxies are here: each stream with what it owes, and what silence makes of it.
+//! Tracks the streams of proxies: the marks that await acknowledgement, and timeouts of silent streams.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,203 +6,236 @@
 use bytes::Bytes;
 use juniperrail_interface::{MarkId, Ms, ProxyId, ZoneId};
 
-/// Messages to one proxy that are counted over the settings' span; no limit that we know is near this.
-const COUNTED: usize = 1024;
+/// Limit of the messages to one proxy that are counted over the message window. The limits of messages in use are far
+/// below it.
+const MAX_RECENT_MESSAGES: usize = 1024;
 
-/// A mark sent, with the turn that sent it.
-pub struct Owed {
+/// A mark that was sent and not acknowledged yet.
+pub struct PendingMark {
     pub mark: MarkId,
-    pub sent: Ms,
+    pub sent_at: Ms,
+    /// The planner turn in which it was sent.
     turn: u64,
 }
 
+/// The stream of a proxy.
 pub struct Stream {
     pub id: StreamId,
-    pub orders: Outbox,
+    pub outbox: Outbox,
     pub zone: ZoneId,
     pub inv_per_second: f64,
-    /// Marks sent that it has not answered, oldest first, and when something last came from it.
-    pub owed: VecDeque<Owed>,
-    pub spoke: Ms,
-    /// Since when the oldest of them is known to have left the channel.
-    due: Option<Ms>,
-    /// Since when it is told to the decisions as left, though its connection is open.
-    pub silent: Option<Ms>,
-    /// The last marks sent and answered, and when messages went out lately.
-    pub sent: Option<MarkId>,
-    pub answered: Option<MarkId>,
-    pub messages: VecDeque<Ms>,
+    /// Marks sent and not acknowledged, oldest first.
+    pub pending_marks: VecDeque<PendingMark>,
+    /// When the last message was received.
+    pub last_received_at: Ms,
+    /// Since when the oldest pending mark is known to have left the channel.
+    delivered_since: Option<Ms>,
+    /// Since when the proxy is reported to the planner as left although its connection is open.
+    pub silent_since: Option<Ms>,
+    pub last_mark_sent: Option<MarkId>,
+    pub last_mark_acknowledged: Option<MarkId>,
+    /// When each message within the message window was sent, oldest first.
+    pub recent_messages: VecDeque<Ms>,
 }
 
 impl Stream {
-    pub fn new(id: StreamId, orders: Outbox, zone: ZoneId, inv_per_second: f64, now: Ms) -> Stream {
-        let (owed, messages, due) = Default::default();
-        let (silent, sent, answered) = (None, None, None);
-        Stream { id, orders, zone, inv_per_second, owed, spoke: now, due, silent, sent, answered, messages }
+    pub fn new(id: StreamId, outbox: Outbox, zone: ZoneId, inv_per_second: f64, now: Ms) -> Stream {
+        Stream {
+            id,
+            outbox,
+            zone,
+            inv_per_second,
+            pending_marks: VecDeque::new(),
+            last_received_at: now,
+            delivered_since: None,
+            silent_since: None,
+            last_mark_sent: None,
+            last_mark_acknowledged: None,
+            recent_messages: VecDeque::new(),
+        }
     }
 
-    /// Nothing that it was sent is awaited any more.
-    pub fn absolve(&mut self) {
-        self.owed.clear();
-        self.due = None;
+    /// Forgets the pending marks, so that their acknowledgement is no longer awaited.
+    pub fn clear_pending_marks(&mut self) {
+        self.pending_marks.clear();
+        self.delivered_since = None;
     }
 
-    /// A message goes out. False if the proxy does not read, so that its stream has to be given up.
-    fn send(&mut self, owed: Option<Owed>, now: Ms, counted_over: Ms, bytes: Bytes) -> bool {
-        self.sent = owed.as_ref().map(|owed| owed.mark).or(self.sent);
-        self.owed.extend(owed);
-        self.messages.retain(|at| now - at <= counted_over);
-        if self.messages.len() == COUNTED {
-            self.messages.pop_front();
+    /// Queues a message. Returns false if the proxy reads too slowly, so that its connection has to be closed.
+    fn send(&mut self, pending_mark: Option<PendingMark>, now: Ms, message_window: Ms, bytes: Bytes) -> bool {
+        self.last_mark_sent = pending_mark.as_ref().map(|pending| pending.mark).or(self.last_mark_sent);
+        self.pending_marks.extend(pending_mark);
+        self.recent_messages.retain(|sent_at| now - sent_at <= message_window);
+        if self.recent_messages.len() == MAX_RECENT_MESSAGES {
+            self.recent_messages.pop_front();
         }
-        self.messages.push_back(now);
-        self.orders.put(bytes)
+        self.recent_messages.push_back(now);
+        self.outbox.put(bytes)
     }
 }
 
-/// What silence made of a stream.
-pub enum Lapse {
-    /// It owes answers and says nothing: it has left until it speaks again.
-    Silent { proxy: ProxyId, since: Ms, owed: usize },
-    /// It went on saying nothing; its connection is given back.
-    GivenUp(ProxyId),
+/// The timeout of a silent stream.
+pub enum StreamTimeout {
+    /// Acknowledgements are pending and nothing was received: the proxy counts as left until it sends a message.
+    Silent { proxy: ProxyId, idle_for: Ms, pending_count: usize },
+    /// The proxy stayed silent; its connection is closed.
+    Closed(ProxyId),
 }
 
-/// How a stream speaks.
-pub struct Word {
-    /// It had been told as left.
-    pub again: bool,
-    pub after: Ms,
-    pub owing: Ms,
+/// A message was received over a stream.
+pub struct Activity {
+    /// The proxy had been reported as left.
+    pub resumed: bool,
+    /// The time since the previous message.
+    pub idle_for: Ms,
+    /// The age of the oldest pending mark, or 0.
+    pub pending_for: Ms,
 }
 
-/// How long silence is borne.
+/// Timeouts of proxies that do not answer.
 #[derive(Clone, Copy)]
 pub struct SilenceTimeouts {
-    /// For an answer, once what it answers has left the channel.
+    /// For an acknowledgement, once the message with the mark has left the channel.
     pub answer_timeout: Ms,
-    /// For a channel as full as it may be to empty at its usual pace.
+    /// The time in which a full channel empties at its usual rate.
     pub queue_drain_time: Ms,
 }
 
-pub struct Presence {
+/// The streams of all connected proxies.
+pub struct ConnectionTracker {
     pub streams: BTreeMap<ProxyId, Stream>,
     silence_timeouts: SilenceTimeouts,
     turn: u64,
-    /// The newest turn of which a mark was answered, and when any last was.
-    proven: u64,
-    answered: Ms,
+    /// The newest turn of which a mark was acknowledged by any proxy.
+    newest_acknowledged_turn: u64,
+    /// When the last acknowledgement of any proxy was received.
+    last_acknowledged_at: Ms,
 }
 
-impl Presence {
-    pub fn new(silence_timeouts: SilenceTimeouts) -> Presence {
-        Presence {
+impl ConnectionTracker {
+    pub fn new(silence_timeouts: SilenceTimeouts) -> ConnectionTracker {
+        ConnectionTracker {
             streams: BTreeMap::new(),
             silence_timeouts,
             turn: 0,
-            proven: 0,
-            answered: f64::NEG_INFINITY,
+            newest_acknowledged_turn: 0,
+            last_acknowledged_at: f64::NEG_INFINITY,
         }
     }
 
-    /// Those that are told to the decisions as joined.
-    pub fn here(&self) -> impl Iterator<Item = (ProxyId, &Stream)> {
-        self.streams.iter().filter(|(_, stream)| stream.silent.is_none()).map(|(id, stream)| (*id, stream))
+    /// The proxies that are reported to the planner as joined.
+    pub fn joined(&self) -> impl Iterator<Item = (ProxyId, &Stream)> {
+        self.streams
+            .iter()
+            .filter(|(_, stream)| stream.silent_since.is_none())
+            .map(|(id, stream)| (*id, stream))
     }
 
-    /// Whose stream this is, if no other took its place.
+    /// The proxy of a stream, unless another stream has replaced it.
     pub fn proxy_of(&self, id: StreamId) -> Option<ProxyId> {
         self.streams.iter().find(|(_, stream)| stream.id == id).map(|(proxy, _)| *proxy)
     }
 
-    /// Whether it was told as joined till now.
-    pub fn leave(&mut self, proxy: ProxyId) -> bool {
-        self.streams.remove(&proxy).is_some_and(|stream| stream.silent.is_none())
+    /// Removes a proxy's stream. Returns whether the proxy was reported as joined until now.
+    pub fn remove(&mut self, proxy: ProxyId) -> bool {
+        self.streams.remove(&proxy).is_some_and(|stream| stream.silent_since.is_none())
     }
 
-    /// The messages that follow are another turn's.
-    pub fn next_turn(&mut self) {
+    /// Starts the next turn: marks sent from now on belong to it.
+    pub fn start_turn(&mut self) {
         self.turn += 1;
     }
 
-    /// A message goes out to one who is here. False if it does not read, so that its stream has to be given up.
+    /// Queues a message to a joined proxy. Returns false if the proxy reads too slowly, so that its connection has to be
+    /// closed.
     pub fn send(
         &mut self,
         proxy: ProxyId,
         now: Ms,
-        counted_over: Ms,
+        message_window: Ms,
         mark: Option<MarkId>,
         bytes: Bytes,
     ) -> bool {
-        let owed = mark.map(|mark| Owed { mark, sent: now, turn: self.turn });
+        let pending_mark = mark.map(|mark| PendingMark { mark, sent_at: now, turn: self.turn });
         let stream = self.streams.get_mut(&proxy).expect("a joined proxy has a stream");
-        stream.send(owed, now, counted_over, bytes)
+        stream.send(pending_mark, now, message_window, bytes)
     }
 
-    /// When a stream is told as left, or given up as it still says nothing. Guards against taking a proxy for
-    /// silent whose message waits in the channel, as at a start for seconds: messages leave it one after
-    /// another, so a mark is out once a later one was answered by anybody. Where nobody answers any more, the
-    /// whole queue is waited for.
-    fn silent_at(&self, stream: &Stream) -> Option<Ms> {
+    /// When a stream times out: first the proxy is reported as left, then its connection is closed.
+    ///
+    /// A proxy whose message still waits in the channel, which takes seconds at a start, must not count as silent.
+    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy acknowledged a later turn.
+    /// If no proxy acknowledges anything, the timeout starts once a full channel would have emptied.
+    fn times_out_at(&self, stream: &Stream) -> Option<Ms> {
         let SilenceTimeouts { answer_timeout, queue_drain_time } = self.silence_timeouts;
-        let since = stream.silent.or_else(|| {
-            let since = stream.due.or_else(|| {
-                let owed = stream.owed.front()?;
-                Some(owed.sent.max(self.answered) + queue_drain_time)
+        let silent_since = stream.silent_since.or_else(|| {
+            let delivered_since = stream.delivered_since.or_else(|| {
+                let oldest = stream.pending_marks.front()?;
+                Some(oldest.sent_at.max(self.last_acknowledged_at) + queue_drain_time)
             })?;
-            Some(since.max(stream.spoke))
+            Some(delivered_since.max(stream.last_received_at))
         })?;
-        Some(since + answer_timeout)
+        Some(silent_since + answer_timeout)
     }
 
-    pub fn next(&self) -> Option<Ms> {
-        self.streams.values().filter_map(|stream| self.silent_at(stream)).reduce(f64::min)
+    /// When the next stream times out.
+    pub fn next_timeout(&self) -> Option<Ms> {
+        self.streams.values().filter_map(|stream| self.times_out_at(stream)).reduce(f64::min)
     }
 
-    /// Guards against streams that fall silent without a reset: who owes an answer and says nothing has left,
-    /// until it speaks again. Its connection stays for as long again, since it may be sound, but no longer: a
-    /// machine that vanished would keep its descriptor for good.
-    pub fn lapses(&mut self, now: Ms) -> Vec<Lapse> {
-        let due = |stream: &Stream| self.silent_at(stream).is_some_and(|at| now >= at);
-        let due: Vec<ProxyId> = self.streams.iter().filter(|(_, s)| due(s)).map(|(id, _)| *id).collect();
-        let lapse = |proxy| {
+    /// Handles the streams that have timed out.
+    ///
+    /// A connection may fail without a reset. A proxy with pending acknowledgements that sends nothing counts as left
+    /// until it sends a message. Its connection stays open for one more timeout, since it may be healthy, and is then
+    /// closed: otherwise a machine that vanished would occupy a file descriptor forever.
+    pub fn handle_timeouts(&mut self, now: Ms) -> Vec<StreamTimeout> {
+        let is_due = |stream: &Stream| self.times_out_at(stream).is_some_and(|at| now >= at);
+        let due: Vec<ProxyId> =
+            self.streams.iter().filter(|(_, stream)| is_due(stream)).map(|(id, _)| *id).collect();
+        let time_out = |proxy| {
             let stream = self.streams.get_mut(&proxy).expect("a known stream");
-            if stream.silent.is_some() {
+            if stream.silent_since.is_some() {
                 self.streams.remove(&proxy);
-                return Lapse::GivenUp(proxy);
+                return StreamTimeout::Closed(proxy);
             }
-            let (since, owed) = (now - stream.spoke, stream.owed.len());
-            stream.silent = Some(now);
-            stream.absolve();
-            Lapse::Silent { proxy, since, owed }
+            let idle_for = now - stream.last_received_at;
+            let pending_count = stream.pending_marks.len();
+            stream.silent_since = Some(now);
+            stream.clear_pending_marks();
+            StreamTimeout::Silent { proxy, idle_for, pending_count }
         };
-        due.into_iter().map(lapse).collect()
+        due.into_iter().map(time_out).collect()
     }
 
-    /// Something came over a stream. `None` if another stream took its place.
-    pub fn spoke(&mut self, now: Ms, from: StreamId, proxy: ProxyId) -> Option<Word> {
+    /// Records that a message was received over a stream. Returns `None` if another stream has replaced it.
+    pub fn record_activity(&mut self, now: Ms, from: StreamId, proxy: ProxyId) -> Option<Activity> {
         let stream = self.streams.get_mut(&proxy).filter(|stream| stream.id == from)?;
-        let owing = stream.owed.front().map_or(0.0, |owed| now - owed.sent);
-        let after = now - stream.spoke;
-        stream.spoke = now;
-        Some(Word { again: stream.silent.take().is_some(), after, owing })
+        let pending_for = stream.pending_marks.front().map_or(0.0, |oldest| now - oldest.sent_at);
+        let idle_for = now - stream.last_received_at;
+        stream.last_received_at = now;
+        Some(Activity { resumed: stream.silent_since.take().is_some(), idle_for, pending_for })
     }
 
-    /// An answer over a stream that is here. Guards against an answer to what this stream never brought: the
-    /// module counts marks in rounds.
-    pub fn answered(&mut self, now: Ms, proxy: ProxyId, mark: MarkId) -> Result<(), String> {
+    /// Records that a proxy acknowledged a mark and all before it. Marks that this stream did not send are refused, since
+    /// their numbers wrap around and repeat.
+    pub fn acknowledge(&mut self, now: Ms, proxy: ProxyId, mark: MarkId) -> Result<(), String> {
         let stream = self.streams.get_mut(&proxy).expect("a known stream");
-        let place = stream.owed.iter().position(|owed| owed.mark == mark);
-        let place = place.ok_or_else(|| format!("proxy {} owes no answer to {}", proxy.0, mark.0))?;
-        let turn = stream.owed.drain(..=place).next_back().map_or(0, |owed| owed.turn);
-        stream.answered = Some(mark);
-        stream.due = stream.owed.front().filter(|owed| owed.turn < self.proven).map(|_| now);
-        self.answered = now;
-        if turn > self.proven {
-            self.proven = turn;
-            let waiting = self.streams.values_mut().filter(|stream| stream.due.is_none());
-            for stream in waiting {
-                stream.due = stream.owed.front().filter(|owed| owed.turn < turn).map(|_| now);
+        let index = stream.pending_marks.iter().position(|pending| pending.mark == mark);
+        let index = index.ok_or_else(|| format!("proxy {} has no pending mark {}", proxy.0, mark.0))?;
+        let turn = stream.pending_marks.drain(..=index).next_back().map_or(0, |pending| pending.turn);
+        stream.last_mark_acknowledged = Some(mark);
+        stream.delivered_since = stream
+            .pending_marks
+            .front()
+            .filter(|oldest| oldest.turn < self.newest_acknowledged_turn)
+            .map(|_| now);
+        self.last_acknowledged_at = now;
+        if turn > self.newest_acknowledged_turn {
+            self.newest_acknowledged_turn = turn;
+            let undelivered = self.streams.values_mut().filter(|stream| stream.delivered_since.is_none());
+            for stream in undelivered {
+                stream.delivered_since =
+                    stream.pending_marks.front().filter(|oldest| oldest.turn < turn).map(|_| now);
             }
         }
         Ok(())
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -1,4 +1,5 @@
-//! The workers by name as all sources word them, turned into what the decisions are told by id.
+//! Registry of the workers: composes what discovery, the operator and the failover plan say of each worker by name into
+//! the entries that the planner is given by id.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,29 +10,30 @@
 
 use crate::listing::{Departure, Entries, Listing, ReadEntry};
 
-/// All workers that some source names, and what the decisions were last told of each.
+/// All workers that some source names, and the entries last reported to the planner.
 #[derive(Default)]
-pub struct Roster {
+pub struct WorkerRegistry {
     composer: Composer,
-    /// As the decisions were last told; who is gone is not kept.
-    listed: BTreeMap<WorkerId, WorkerEntry>,
+    /// The entries as last reported to the planner, without workers that are gone.
+    entries: BTreeMap<WorkerId, WorkerEntry>,
     addresses: BTreeMap<WorkerId, SocketAddr>,
-    /// Of the last list.
+    /// The version of the last list.
     pub version: u64,
 }
 
-impl Roster {
-    /// Takes over what discovery says; the decisions are to be told the event.
+impl WorkerRegistry {
+    /// Applies a list of discovery. Returns the event for the planner.
     pub fn apply_list(&mut self, listing: &Listing, kind: ListKind, names: &mut Names) -> Event {
         let Entries { read: entries, unread } = listing.entries(names);
-        // Guards against an entry of which not even the worker can be read: a whole list without it would tell that one gone.
+        // If an entry's worker cannot be read, a full list is applied as changes: otherwise that worker would count as
+        // gone.
         let kind = if unread.iter().all(Option::is_some) { kind } else { ListKind::Changes };
         tracing::info!("list {}: {} entries, {kind:?}", listing.version, entries.len());
         self.version = listing.version;
         let mut workers = Vec::new();
-        let mut named = BTreeSet::new();
+        let mut listed_names = BTreeSet::new();
         if kind != ListKind::Changes {
-            self.listed.clear();
+            self.entries.clear();
             self.addresses.clear();
         }
         for entry in entries {
@@ -42,7 +44,7 @@
                     name
                 }
                 ReadEntry::Departure(Departure { worker, phase }) => {
-                    // Whom discovery does not name here any more can't leave either.
+                    // A worker that discovery does not list cannot leave.
                     if !self.composer.update_discovery_phase(&worker, phase) {
                         continue;
                     }
@@ -50,18 +52,21 @@
                 }
             };
             workers.extend(self.recompose(&name, names));
-            named.insert(name);
+            listed_names.insert(name);
         }
         if kind != ListKind::Changes {
-            // Guards against an entry that can't be read: what is known of its worker stays, and the list is whole for all others.
-            for name in
-                unread.into_iter().flatten().filter(|name| !named.contains(name)).collect::<BTreeSet<_>>()
+            // A worker whose entry cannot be read keeps its last state; the list is complete for all others.
+            for name in unread
+                .into_iter()
+                .flatten()
+                .filter(|name| !listed_names.contains(name))
+                .collect::<BTreeSet<_>>()
             {
                 workers.extend(self.recompose(&name, names));
-                named.insert(name);
+                listed_names.insert(name);
             }
-            self.composer.mark_unlisted_gone(&|name| named.contains(name));
-            // Who stands in no list of discovery's at all is not gone for that.
+            self.composer.mark_unlisted_gone(&|name| listed_names.contains(name));
+            // Workers that only the operator places are in no list, and are not gone because of that.
             self.assign_ids(names);
             let placed: Vec<String> =
                 self.composer.operator_placed().map(|(name, _)| name.to_string()).collect();
@@ -70,23 +75,23 @@
         Event::List { kind, version: listing.version, workers }
     }
 
-    /// Takes over what the operator wants; the decisions are to be told the event, if anything is new to them.
+    /// Applies the operator's intent. Returns the event for the planner if entries changed.
     pub fn apply_intent(&mut self, intent: &Intent, names: &mut Names) -> Option<Event> {
         let changed = self.composer.update_intent(intent);
         self.assign_ids(names);
         let mut workers = Vec::new();
         for name in changed {
             let Some(id) = names.workers.find_id(&name).map(WorkerId) else { continue };
-            let before = self.listed.get(&id).cloned();
+            let before = self.entries.get(&id).cloned();
             match self.recompose(&name, names) {
-                Some(listed) if before.as_ref() == Some(&listed) => {}
-                Some(listed) if before.is_none() && listed.phase == Phase::Gone => {}
-                Some(listed) => workers.push(listed),
-                // Nobody says any more where it is.
-                None => workers.extend(before.map(|listed| {
-                    self.listed.remove(&id);
+                Some(entry) if before.as_ref() == Some(&entry) => {}
+                Some(entry) if before.is_none() && entry.phase == Phase::Gone => {}
+                Some(entry) => workers.push(entry),
+                // No source places the worker any more.
+                None => workers.extend(before.map(|entry| {
+                    self.entries.remove(&id);
                     self.addresses.remove(&id);
-                    WorkerEntry { phase: Phase::Gone, ..listed }
+                    WorkerEntry { phase: Phase::Gone, ..entry }
                 })),
             }
         }
@@ -94,23 +99,23 @@
         (!workers.is_empty()).then_some(Event::List { kind, version, workers })
     }
 
-    /// Takes over what managers agreed on; the decisions are to be told the event, if anything is new to them.
+    /// Applies the plan that the managers agreed on. Returns the event for the planner if entries changed.
     pub fn apply_plan(&mut self, parts: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
         if !self.composer.update_plan(parts) {
             return None;
         }
-        let all: Vec<String> = self.composer.worker_names().map(str::to_string).collect();
+        let worker_names: Vec<String> = self.composer.worker_names().map(str::to_string).collect();
         let mut workers = Vec::new();
-        for name in all {
-            let before = names.workers.find_id(&name).and_then(|id| self.listed.get(&WorkerId(id)).cloned());
+        for name in worker_names {
+            let before = names.workers.find_id(&name).and_then(|id| self.entries.get(&WorkerId(id)).cloned());
             let Some(before) = before else { continue };
-            workers.extend(self.recompose(&name, names).filter(|listed| *listed != before));
+            workers.extend(self.recompose(&name, names).filter(|entry| *entry != before));
         }
         let (kind, version) = (ListKind::Changes, self.version);
         (!workers.is_empty()).then_some(Event::List { kind, version, workers })
     }
 
-    /// All workers as they would be with another plan in common.
+    /// All workers as they would be with another plan.
     pub fn composed_with_plan(
         &self,
         parts: &BTreeMap<ZoneId, f64>,
@@ -118,21 +123,21 @@
     ) -> BTreeMap<String, ComposedWorker> {
         let mut composer = self.composer.clone();
         composer.update_plan(parts.clone());
-        let one = |name: &str| Some((name.to_string(), compose(&composer, name, names)?));
-        composer.worker_names().filter_map(one).collect()
+        let compose_named = |name: &str| Some((name.to_string(), compose(&composer, name, names)?));
+        composer.worker_names().filter_map(compose_named).collect()
     }
 
-    /// Where a worker is, and its weight, as the decisions were last told.
+    /// A worker's entry as last reported to the planner.
     pub fn worker(&self, worker: WorkerId) -> Option<&WorkerEntry> {
-        self.listed.get(&worker)
+        self.entries.get(&worker)
     }
 
-    /// All workers as the decisions were last told.
+    /// All entries as last reported to the planner.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerEntry> {
-        self.listed.values()
+        self.entries.values()
     }
 
-    /// Gives ids to what the operator alone places.
+    /// Assigns ids to workers that only the operator places, and to their zones and machines.
     fn assign_ids(&self, names: &mut Names) {
         for (name, place) in self.composer.operator_placed() {
             names.worker(name);
@@ -141,75 +146,76 @@
         }
     }
 
-    /// One worker as the decisions are told it from now on.
+    /// Composes a worker's entry and stores it as reported to the planner.
     fn recompose(&mut self, name: &str, names: &Names) -> Option<WorkerEntry> {
         let ComposedWorker { entry, address, .. } = compose(&self.composer, name, names)?;
         self.addresses.remove(&entry.worker);
         if entry.phase == Phase::Gone {
-            self.listed.remove(&entry.worker);
+            self.entries.remove(&entry.worker);
         } else {
-            self.listed.insert(entry.worker, entry.clone());
+            self.entries.insert(entry.worker, entry.clone());
             self.addresses.extend(address.map(|address| (entry.worker, address)));
         }
         Some(entry)
     }
 
-    /// All workers as they are, and as they would be with another intent.
+    /// All workers as they are, or as they would be with another intent if one is given.
     pub fn composed(&self, intent: Option<&Intent>, names: &Names) -> BTreeMap<String, ComposedWorker> {
-        let every = |composer: &Composer| {
-            let one = |name: &str| Some((name.to_string(), compose(composer, name, names)?));
-            composer.worker_names().filter_map(one).collect()
+        let compose_all = |composer: &Composer| {
+            let compose_named = |name: &str| Some((name.to_string(), compose(composer, name, names)?));
+            composer.worker_names().filter_map(compose_named).collect()
         };
         match intent {
-            None => every(&self.composer),
+            None => compose_all(&self.composer),
             Some(intent) => {
                 let mut composer = self.composer.clone();
                 composer.update_intent(intent);
-                every(&composer)
+                compose_all(&composer)
             }
         }
     }
 
-    /// For decisions that start anew: the list as held.
-    pub fn remembered_list(&self) -> Event {
-        let workers = self.listed.values().cloned().collect();
+    /// The current entries as a list, for a restarted planner.
+    pub fn cached_list(&self) -> Event {
+        let workers = self.entries.values().cloned().collect();
         Event::List { kind: ListKind::Cached, version: 0, workers }
     }
 
-    /// Where a worker is probed.
+    /// The address at which a worker is probed.
     pub fn address(&self, worker: WorkerId) -> Option<SocketAddr> {
         self.addresses.get(&worker).copied()
     }
 
-    /// The decisions name it no more. Whom the operator alone took out stays known, by another id.
+    /// Forgets a worker that no order refers to any more. If only the operator took it out, it stays known by a new id.
     pub fn forget(&mut self, worker: WorkerId, names: &mut Names) {
         let name = names.workers.name(worker.0).to_string();
         tracing::debug!("{name} is forgotten");
         names.workers.forget(worker.0);
-        self.listed.remove(&worker);
+        self.entries.remove(&worker);
         self.addresses.remove(&worker);
         if self.composer.forget(&name) {
             self.composer.reassign_id(&name, names.worker(&name));
         }
     }
 
+    /// The number of entries and of addresses.
     #[cfg(test)]
     pub fn counts(&self) -> (usize, usize) {
-        (self.listed.len(), self.addresses.len())
+        (self.entries.len(), self.addresses.len())
     }
 }
 
 fn compose(composer: &Composer, name: &str, names: &Names) -> Option<ComposedWorker> {
-    // A change that is only judged may place workers that have no id yet: they are nobody's readers.
-    let placed = |wish: &WorkerIntent| {
-        let place = wish.placement.as_ref()?;
-        let small = |known: Option<u32>| known.map_or(u16::MAX, |id| id as u16);
+    // A change that is only checked may place workers that have no id yet; no table has a line of them.
+    let placed = |intent: &WorkerIntent| {
+        let place = intent.placement.as_ref()?;
+        let id_or_max = |known: Option<u32>| known.map_or(u16::MAX, |id| id as u16);
         Some(WorkerEntry {
             worker: WorkerId(names.workers.find_id(name).unwrap_or(u32::MAX)),
             phase: Phase::Ready,
             booted: None,
-            zone: ZoneId(small(names.zones.find_id(&place.zone))),
-            machine: MachineId(small(names.machines.find_id(&place.machine))),
+            zone: ZoneId(id_or_max(names.zones.find_id(&place.zone))),
+            machine: MachineId(id_or_max(names.machines.find_id(&place.machine))),
             cell: CellId(place.cell.unwrap_or(u32::MAX)),
             weight: 0.0,
         })
--- a/crates/manager/src/tally.rs
+++ b/crates/manager/src/tally.rs
@@ -1,51 +1,67 @@
-//! What is logged in sums.
+//! Summaries of frequent events for the log.
 
 use juniperrail_interface::Ms;
 
-/// How often a thing happened, and the last time's particulars.
+/// The number of times that an event occurred, and the details of the last occurrence.
 #[derive(Default)]
-pub struct Count(usize, String);
+pub struct EventCount(usize, String);
 
-impl Count {
-    pub fn add(&mut self, last: String) {
-        (self.0, self.1) = (self.0 + 1, last);
+impl EventCount {
+    pub fn record(&mut self, details: String) {
+        (self.0, self.1) = (self.0 + 1, details);
     }
 }
 
-/// What is logged in sums, at most once a report period, so that a storm of it floods no log.
+/// Events that are logged as one summary at most once per report period, so that a burst of them does not flood the
+/// log.
 #[derive(Default)]
-pub struct Tally {
+pub struct LogSummary {
+    /// Proxies reported to the planner as joined.
     pub joined: usize,
+    /// Proxies reported to the planner as left.
     pub left: usize,
-    pub broke: Count,
-    pub silent: Count,
-    pub spoke: usize,
-    pub odd: Count,
-    pub away: Count,
-    pub logged: Ms,
+    pub broken_connections: EventCount,
+    pub silent_proxies: EventCount,
+    /// Proxies that had been silent and sent a message again.
+    pub resumed_proxies: usize,
+    /// Lines that were invalid or could not be attributed.
+    pub ignored_lines: EventCount,
+    /// Connections that were rejected before they joined.
+    pub rejected_connections: EventCount,
+    /// When the last summary was logged.
+    pub logged_at: Ms,
 }
 
-impl Tally {
-    pub fn log(&mut self, now: Ms, open: usize) {
-        let tally = std::mem::replace(self, Tally { logged: now, ..Tally::default() });
-        if tally.joined + tally.left > 0 {
-            tracing::info!("{} proxies joined, {} left, {open} are here", tally.joined, tally.left);
+impl LogSummary {
+    /// Logs what occurred since the last summary and starts the next one. `joined_count` is the number of proxies that
+    /// are joined now.
+    pub fn log(&mut self, now: Ms, joined_count: usize) {
+        let summary = std::mem::replace(self, LogSummary { logged_at: now, ..LogSummary::default() });
+        if summary.joined + summary.left > 0 {
+            tracing::info!(
+                "{} proxies joined, {} left, {joined_count} currently joined",
+                summary.joined,
+                summary.left
+            );
         }
-        let Count(broke, last) = tally.broke;
-        if broke > 0 {
-            tracing::info!("{broke} connections broke, the last: {last}");
+        let EventCount(broken, last) = summary.broken_connections;
+        if broken > 0 {
+            tracing::info!("{broken} connections broke, the last: {last}");
         }
-        let Count(silent, last) = tally.silent;
-        if silent + tally.spoke > 0 {
-            tracing::warn!("{silent} proxies fell silent, {} spoke again, the last: {last}", tally.spoke);
+        let EventCount(silent, last) = summary.silent_proxies;
+        if silent + summary.resumed_proxies > 0 {
+            tracing::warn!(
+                "{silent} proxies fell silent, {} resumed, the last: {last}",
+                summary.resumed_proxies
+            );
         }
-        let Count(odd, last) = tally.odd;
-        if odd > 0 {
-            tracing::warn!("{odd} lines passed over, the last: {last}");
+        let EventCount(ignored, last) = summary.ignored_lines;
+        if ignored > 0 {
+            tracing::warn!("{ignored} lines ignored, the last: {last}");
         }
-        let Count(away, last) = tally.away;
-        if away > 0 {
-            tracing::warn!("{away} strangers turned away, the last: {last}");
+        let EventCount(rejected, last) = summary.rejected_connections;
+        if rejected > 0 {
+            tracing::warn!("{rejected} connections rejected before joining, the last: {last}");
         }
     }
 }
--- a/crates/manager/tests/line.rs
+++ b/crates/manager/tests/line.rs
@@ -153,7 +153,7 @@
     let changed = town.file("<worker><name>s-1</name><weight>2</weight></worker>");
     assert_eq!(town.line(&["config", "edit", &changed]).0, 0);
     let mut lines = town.log.by_ref().lines().map(Result::unwrap);
-    let taken = lines.find(|line| line.contains("is taken over")).unwrap();
+    let taken = lines.find(|line| line.contains("is accepted")).unwrap();
     let event: serde_json::Value = serde_json::from_str(&taken).unwrap();
     assert_eq!(
         (event["level"].as_str(), event["span"]["by"].as_str()),
