--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use juniperrail::Planner;
-use juniperrail_fleet::{Common, Parts};
+use juniperrail_fleet::{FleetHandle, ZoneWeightRatios};
 use juniperrail_intent::{ChangeTracker, Intent};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Settings, WorkerId};
 use juniperrail_northbound::{Notice, PlannerRequest};
@@ -24,10 +24,10 @@
 use crate::fleet::EvidenceCollector;
 use crate::inbound::Inbound;
 use crate::launch::Launch;
-use crate::limiter::Zones;
+use crate::limiter::KnownZones;
 use crate::plane::OrderWriter;
 use crate::presence::ConnectionTracker;
-use crate::probes::{Found, Probes};
+use crate::probes::{ProbeResult, ProbeService};
 use crate::roster::WorkerRegistry;
 use crate::tally::LogSummary;
 
@@ -87,28 +87,28 @@
     retry_at: Ms,
     /// Since when each worker is draining or gone, for as long as acknowledgements of that may be pending.
     leaving: BTreeMap<WorkerId, Ms>,
-    probes: Probes,
+    probes: ProbeService,
     inbound: mpsc::WeakSender<Inbound>,
     resync: Rc<Notify>,
     northbound: Option<NorthboundChannels>,
     /// The known zones, shared with the task that accepts connections.
-    zones: Rc<Zones>,
+    zones: Rc<KnownZones>,
     /// The consensus with other managers, and the evidence that is reported to it.
-    fleet: Option<(Common, EvidenceCollector)>,
+    fleet: Option<(FleetHandle, EvidenceCollector)>,
 }
 
 impl Decider {
     /// Runs a first turn on the cached worker list and the operator's file, before anything is received.
     pub fn new(
         launch: Launch,
-        probes: Probes,
+        probes: ProbeService,
         inbound: &mpsc::Sender<Inbound>,
         resync: Rc<Notify>,
         northbound: Option<NorthboundChannels>,
-        zones: Rc<Zones>,
+        zones: Rc<KnownZones>,
     ) -> Self {
         let clock = Clock::start();
-        let settings = launch.fixed.start;
+        let settings = launch.fixed.settings;
         let names = launch.names;
         let operation_name = |op| names.ops.name(op as u32).to_string();
         let mut decider = Decider {
@@ -141,10 +141,10 @@
             zones,
             fleet: None,
         };
-        let known = launch.known.unwrap_or_default();
-        let event = decider.registry.apply_list(&known, ListKind::Cached, &mut decider.names);
+        let cached_list = launch.cached_list.unwrap_or_default();
+        let event = decider.registry.apply_list(&cached_list, ListKind::Cached, &mut decider.names);
         decider.apply_list(event);
-        let intent = launch.operator.map(|operator| operator.intent).unwrap_or_default();
+        let intent = launch.operator_config.map(|config| config.intent).unwrap_or_default();
         // The cached list may be stale, so refusals are only logged; the planner handles missing workers as any loss.
         for refusal in decider.check_intent(&intent) {
             tracing::warn!("the operator's file: {refusal}");
@@ -155,8 +155,8 @@
     }
 
     /// Adds the consensus with other managers, if one is configured.
-    pub fn with_fleet(self, fleet: Option<Common>) -> Self {
-        Decider { fleet: fleet.map(|common| (common, EvidenceCollector::default())), ..self }
+    pub fn with_fleet(self, fleet: Option<FleetHandle>) -> Self {
+        Decider { fleet: fleet.map(|handle| (handle, EvidenceCollector::default())), ..self }
     }
 
     /// Runs turns until all senders of messages are dropped.
@@ -181,7 +181,7 @@
                     None => return,
                 },
                 next = next_request(&mut self.northbound) => request = Some(next),
-                parts = next_plan(&mut self.fleet) => plan = Some(parts),
+                ratios = next_plan(&mut self.fleet) => plan = Some(ratios),
                 () = sleep_until(self.clock.instant(wake_at)) => {}
             }
             sleep_until(last_turn + self.tick).await;
@@ -198,7 +198,7 @@
             self.events.extend(expired.into_iter().map(|(_, handle)| Event::TimerFired { handle }));
             last_turn = Instant::now();
             request.into_iter().for_each(|request| self.answer_request(request));
-            plan.into_iter().for_each(|parts| self.apply_plan(&parts));
+            plan.into_iter().for_each(|ratios| self.apply_plan(&ratios));
             self.report_evidence(now);
             if !self.events.is_empty() && now >= self.retry_at {
                 self.run_turn();
@@ -215,13 +215,13 @@
                 let event = self.registry.apply_list(&listing, kind, &mut self.names);
                 self.apply_list(event);
             }
-            Inbound::Joined { stream, hello, orders } => self.handle_join(stream, hello, orders),
+            Inbound::Joined { stream, hello, outbox } => self.handle_join(stream, hello, outbox),
             Inbound::Ended(stream, error) => {
                 error.into_iter().for_each(|error| self.log_summary.broken_connections.record(error));
                 let proxy = self.connections.proxy_of(stream);
                 proxy.into_iter().for_each(|proxy| self.remove_proxy(proxy));
             }
-            Inbound::Said(from, report) => match self.translate_report(from, report) {
+            Inbound::Reported(from, report) => match self.translate_report(from, report) {
                 Ok(event) => self.events.push(event),
                 Err(reason) => {
                     tracing::debug!("ignored: {reason}");
@@ -229,8 +229,8 @@
                 }
             },
             Inbound::Rejected(reason) => self.log_summary.rejected_connections.record(reason),
-            Inbound::Probed(worker, Found { ending, took, load }) => {
-                self.events.push(Event::Probed { worker, outcome: ending, took, load });
+            Inbound::Probed(worker, ProbeResult { outcome, latency, load }) => {
+                self.events.push(Event::Probed { worker, outcome, took: latency, load });
             }
         }
     }
@@ -245,7 +245,7 @@
                     Phase::Ready => _ = self.leaving.remove(&entry.worker),
                     Phase::Draining | Phase::Gone => _ = self.leaving.entry(entry.worker).or_insert(now),
                 }
-                self.zones.name(self.names.zones.name(entry.zone.0.into()));
+                self.zones.add(self.names.zones.name(entry.zone.0.into()));
             }
         }
         self.events.push(event);
@@ -265,9 +265,9 @@
 }
 
 /// The next plan that the managers agreed on; pending forever if no consensus is configured.
-async fn next_plan(fleet: &mut Option<(Common, EvidenceCollector)>) -> Arc<Parts> {
+async fn next_plan(fleet: &mut Option<(FleetHandle, EvidenceCollector)>) -> Arc<ZoneWeightRatios> {
     match fleet {
-        Some((common, _)) => common.next().await,
+        Some((handle, _)) => handle.next_weight_ratios().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use juniperrail_fleet::Parts;
+use juniperrail_fleet::ZoneWeightRatios;
 use juniperrail_intent::{check_change, AdmissionContext, ComposedWorker, Intent, Refusal};
 use juniperrail_interface::{Event, ZoneId};
 use juniperrail_northbound::{PlannerRequest, Verdict};
@@ -93,16 +93,16 @@
     }
 
     /// Applies the plan that the managers agreed on from this turn on, unless it leaves an operation without workers.
-    pub(super) fn apply_plan(&mut self, parts: &Parts) {
+    pub(super) fn apply_plan(&mut self, ratios: &ZoneWeightRatios) {
         let zone_id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
-        let parts: BTreeMap<ZoneId, f64> =
-            parts.iter().filter_map(|(zone, part)| Some((zone_id(&zone.0)?, *part))).collect();
+        let ratios: BTreeMap<ZoneId, f64> =
+            ratios.iter().filter_map(|(zone, ratio)| Some((zone_id(&zone.0)?, *ratio))).collect();
         let refusals =
-            self.check_composed(&self.registry.composed_with_plan(&parts, &self.names), &self.intent);
+            self.check_composed(&self.registry.composed_with_plan(&ratios, &self.names), &self.intent);
         if let Some(refusal) = refusals.first() {
             return tracing::warn!("the failover plan is not applied: {refusal}");
         }
-        if let Some(event) = self.registry.apply_plan(parts, &self.names) {
+        if let Some(event) = self.registry.apply_plan(ratios, &self.names) {
             self.apply_list(event);
         }
     }
--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -95,7 +95,7 @@
         }
         let is_foreign = |proxy| from.is_some_and(|(_, sender)| sender != proxy);
         match report? {
-            Report::Outcomes { zone, worker, tries, bad, mean, over, load } => {
+            Report::Outcomes { zone, worker, tries, failed, mean_latency, interval, load } => {
                 let known = self.names.workers.find_id(&worker).map(WorkerId);
                 let worker = known.ok_or_else(|| format!("unknown worker {worker:?}"))?;
                 let known = self.names.zones.find_id(&zone).map(|id| ZoneId(id as u16));
@@ -103,27 +103,19 @@
                 let zone = known.ok_or_else(|| format!("unknown zone {zone:?}"))?;
                 if let (Some((_, evidence)), Some(entry)) = (&mut self.fleet, self.registry.worker(worker)) {
                     let worker_zone = self.names.zones.name(entry.zone.0.into());
-                    evidence.record(zone_name, worker_zone, tries, bad, mean, load.utilization);
+                    evidence.record(zone_name, worker_zone, tries, failed, mean_latency, load.utilization);
                 }
-                Ok(Event::WorkerSums {
-                    zone,
-                    worker,
-                    tries,
-                    failed: bad,
-                    mean_latency: mean,
-                    period: over,
-                    load,
-                })
+                Ok(Event::WorkerSums { zone, worker, tries, failed, mean_latency, period: interval, load })
             }
-            Report::Demand { proxy, op, invs, unanswered, over } => {
+            Report::Demand { proxy, op, invocations, unanswered, interval } => {
                 let proxy = ProxyId(proxy);
                 if is_foreign(proxy) {
                     return Err(format!("a report of proxy {} on another proxy's stream", proxy.0));
                 }
                 let op = self.names.op(&op).ok_or_else(|| format!("unknown operation {op:?}"))?;
-                Ok(Event::ProxySums { proxy, op, invocations: invs, unanswered, period: over })
+                Ok(Event::ProxySums { proxy, op, invocations, unanswered, period: interval })
             }
-            Report::Ack { proxy, mark, took } => {
+            Report::Ack { proxy, mark, latency } => {
                 let (proxy, mark) = (ProxyId(proxy), MarkId(mark));
                 if from.is_none() || is_foreign(proxy) {
                     return Err(format!("an acknowledgement of proxy {} on another stream", proxy.0));
@@ -131,7 +123,7 @@
                 self.connections.acknowledge(self.clock.now(), proxy, mark)?;
                 Ok(Event::MarkAcknowledged {
                     mark: MarkId(mark.0.wrapping_sub(self.mark_offset)),
-                    took,
+                    took: latency,
                     proxy,
                 })
             }
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -74,13 +74,13 @@
             pending_lines: self.planner.unacknowledged_lines(),
             max_pending_lines: self.settings.max_pending_lines,
             changes: self.progress.all().map(change_state).collect(),
-            fleet: self.fleet.as_ref().map(|(common, _)| fleet::state(common)),
+            fleet: self.fleet.as_ref().map(|(handle, _)| fleet::state(handle)),
         }
     }
 
     /// Reports the evidence of the last report period to the consensus.
     pub(super) fn report_evidence(&mut self, now: Ms) {
-        let Some((common, evidence)) = &mut self.fleet else { return };
+        let Some((handle, evidence)) = &mut self.fleet else { return };
         let runtime = self.intent.runtime_settings(&self.settings, &self.operation_names);
         let warm_ratio = |booted: Option<Ms>| match booted {
             Some(booted) if now < booted + runtime.warm_up => runtime.cold_share,
@@ -94,6 +94,6 @@
         let proxies =
             streams.map(|stream| (names.zones.name(stream.zone.0.into()), stream.silent_since.is_some()));
         let report = evidence.report(now, self.settings.report_period, entries, proxies);
-        report.into_iter().for_each(|report| common.met(report));
+        report.into_iter().for_each(|report| handle.report_evidence(report));
     }
 }
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -21,17 +21,17 @@
     fn new() -> TestCluster {
         let launch = Launch::new(CONFIG, |_| None).unwrap();
         let (inbound, _) = mpsc::channel(1);
-        let probes = crate::probes::probes(Duration::ZERO, Duration::ZERO, 1);
+        let probes = crate::probes::probe_service(Duration::ZERO, Duration::ZERO, 1);
         TestCluster(Decider::new(launch, probes, &inbound, Rc::default(), None, Rc::default()), Vec::new())
     }
 
     /// Joins the proxy over a new stream.
     fn join(&mut self, fresh: bool) -> StreamId {
-        let (orders, messages, _) = Outbox::new(64);
+        let (outbox, messages, _) = Outbox::new(64);
         let stream = StreamId(self.1.len() as u64);
         self.1.push(messages);
         let hello = Hello { proxy: 2, zone: "a".into(), inv_per_second: 5.0, fresh };
-        self.0.receive(Inbound::Joined { stream, hello, orders });
+        self.0.receive(Inbound::Joined { stream, hello, outbox });
         stream
     }
 
@@ -57,8 +57,8 @@
     }
 
     fn ack(&mut self, from: StreamId, mark: u16) {
-        let report = Report::Ack { proxy: 2, mark, took: 1.0 };
-        self.0.receive(Inbound::Said(Some((from, ProxyId(2))), Ok(report)));
+        let report = Report::Ack { proxy: 2, mark, latency: 1.0 };
+        self.0.receive(Inbound::Reported(Some((from, ProxyId(2))), Ok(report)));
     }
 }
 
@@ -187,15 +187,23 @@
     let timeout = cluster.timeout();
     cluster.0.handle_timeouts(timeout);
     cluster.turn();
-    cluster.0.receive(Inbound::Said(Some((stream, ProxyId(2))), Err("latency is missing".into())));
+    cluster.0.receive(Inbound::Reported(Some((stream, ProxyId(2))), Err("latency is missing".into())));
     let events = cluster.turn();
     assert!(matches!(events[..], [Event::Joined { fresh: false, .. }]), "{events:?}");
     let (zone, worker) = ("b".into(), "s-1".into());
-    let invalid =
-        Report::Outcomes { zone, worker, tries: 1.0, bad: 1.0, mean: 0.0, over: 1.0, load: <_>::default() };
-    cluster.0.receive(Inbound::Said(None, Ok(invalid)));
-    let demand = Report::Demand { proxy: 2, op: "s-zz".into(), invs: 4.0, unanswered: 0.0, over: 2.0 };
-    cluster.0.receive(Inbound::Said(None, Ok(demand)));
+    let invalid = Report::Outcomes {
+        zone,
+        worker,
+        tries: 1.0,
+        failed: 1.0,
+        mean_latency: 0.0,
+        interval: 1.0,
+        load: <_>::default(),
+    };
+    cluster.0.receive(Inbound::Reported(None, Ok(invalid)));
+    let demand =
+        Report::Demand { proxy: 2, op: "s-zz".into(), invocations: 4.0, unanswered: 0.0, interval: 2.0 };
+    cluster.0.receive(Inbound::Reported(None, Ok(demand)));
     assert!(cluster.0.events.is_empty());
     let names = &cluster.0.names;
     assert_eq!([&names.zones, &names.workers, &names.ops].map(|named| named.count()), [1, 1, 1]);
@@ -210,9 +218,9 @@
     let events = cluster.turn();
     assert!(matches!(events[..], [LEFT, Event::Joined { .. }]), "{events:?}");
     cluster.ack(old, 1);
-    let (op, over) = ("lookup".into(), 2000.0);
-    let demand = Report::Demand { proxy: 2, op, invs: 4.0, unanswered: 0.0, over };
-    cluster.0.receive(Inbound::Said(Some((old, ProxyId(2))), Ok(demand)));
+    let (op, interval) = ("lookup".into(), 2000.0);
+    let demand = Report::Demand { proxy: 2, op, invocations: 4.0, unanswered: 0.0, interval };
+    cluster.0.receive(Inbound::Reported(Some((old, ProxyId(2))), Ok(demand)));
     cluster.0.receive(Inbound::Ended(old, None));
     assert!(cluster.0.events.is_empty());
     cluster.ack(new, 1);
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -12,7 +12,7 @@
 use crate::inbound::Inbound;
 use crate::plane::OutboundMessage;
 use crate::presence::Stream;
-use crate::probes::Found;
+use crate::probes::ProbeResult;
 
 impl Decider {
     /// Runs the planner on the events received since the last turn.
@@ -143,7 +143,8 @@
     /// Probes a worker; the result is received as a message.
     pub(super) fn probe(&mut self, worker: WorkerId) {
         let Some(address) = self.registry.address(worker) else {
-            let result = Found { ending: ProbeOutcome::Unreachable, took: 0.0, load: Load::default() };
+            let result =
+                ProbeResult { outcome: ProbeOutcome::Unreachable, latency: 0.0, load: Load::default() };
             return self.receive(Inbound::Probed(worker, result));
         };
         let probes = self.probes.clone();
--- a/crates/manager/src/plane.rs
+++ b/crates/manager/src/plane.rs
@@ -11,7 +11,7 @@
 use juniperrail_start::Names;
 
 use crate::presence::{ConnectionTracker, Stream};
-use crate::text::{self, Part};
+use crate::text::{self, MessagePart};
 
 /// An admission level with its retry policy.
 type Level = (f64, Retry);
@@ -321,12 +321,12 @@
                 continue;
             }
             let lines = lines.iter().map(|(id, weight)| (names.workers.name(id.0), *weight)).collect();
-            parts.push(Part {
+            parts.push(MessagePart {
                 ops: op_names(&ops, names),
-                whole: is_full,
+                full: is_full,
                 lines,
                 level: shared_level,
-                ..Part::default()
+                ..MessagePart::default()
             });
             if shared_level.is_none() {
                 parts.extend(levels.into_iter().map(|(level, ops)| level_part(&ops, level, names)));
@@ -335,26 +335,26 @@
         // Levels of operations that this manager has not bound to a table.
         parts.extend(remaining_levels.into_iter().map(|(op, level)| level_part(&[op], level, names)));
         if parts.is_empty() {
-            parts.push(Part::default());
+            parts.push(MessagePart::default());
         }
         let workers_with = |excluded: bool| {
             let workers = update.exclusions.iter().filter(move |(_, state)| **state == excluded);
             workers.map(|(id, _)| names.workers.name(id.0)).collect::<Vec<_>>()
         };
         let last_part = parts.last_mut().expect("a message has a part");
-        last_part.out = workers_with(true);
-        last_part.back = workers_with(false);
+        last_part.removed = workers_with(true);
+        last_part.restored = workers_with(false);
         last_part.mark = update.mark;
-        let line_count = |part: &Part| {
-            let single_lines = [part.whole, part.level.is_some(), part.mark.is_some()];
+        let line_count = |part: &MessagePart| {
+            let single_lines = [part.full, part.level.is_some(), part.mark.is_some()];
             part.lines.len()
-                + part.out.len()
-                + part.back.len()
+                + part.removed.len()
+                + part.restored.len()
                 + single_lines.iter().filter(|is_present| **is_present).count()
         };
         let lines = parts.iter().map(line_count).sum();
         let mark = update.mark;
-        let message = OutboundMessage { proxy: id, bytes: text::write(&parts), lines, mark };
+        let message = OutboundMessage { proxy: id, bytes: text::encode(&parts), lines, mark };
         self.proxies.get_mut(&id).expect("a joined proxy").exclusions.extend(update.exclusions);
         message
     }
@@ -374,8 +374,8 @@
     ops.iter().map(|op| names.ops.name(u32::from(op.0))).collect()
 }
 
-fn level_part<'a>(ops: &[OpId], level: Level, names: &'a Names) -> Part<'a> {
-    Part { ops: op_names(ops, names), level: Some(level), ..Part::default() }
+fn level_part<'a>(ops: &[OpId], level: Level, names: &'a Names) -> MessagePart<'a> {
+    MessagePart { ops: op_names(ops, names), level: Some(level), ..MessagePart::default() }
 }
 
 #[cfg(test)]
--- a/crates/manager/src/presence.rs
+++ b/crates/manager/src/presence.rs
@@ -70,7 +70,7 @@
             self.recent_messages.pop_front();
         }
         self.recent_messages.push_back(now);
-        self.outbox.put(bytes)
+        self.outbox.try_send(bytes)
     }
 }
 
--- a/crates/manager/src/roster.rs
+++ b/crates/manager/src/roster.rs
@@ -24,10 +24,10 @@
 impl WorkerRegistry {
     /// Applies a list of discovery. Returns the event for the planner.
     pub fn apply_list(&mut self, listing: &Listing, kind: ListKind, names: &mut Names) -> Event {
-        let Entries { read: entries, unread } = listing.entries(names);
+        let Entries { read: entries, unreadable } = listing.entries(names);
         // If an entry's worker cannot be read, a full list is applied as changes: otherwise that worker would count as
         // gone.
-        let kind = if unread.iter().all(Option::is_some) { kind } else { ListKind::Changes };
+        let kind = if unreadable.iter().all(Option::is_some) { kind } else { ListKind::Changes };
         tracing::info!("list {}: {} entries, {kind:?}", listing.version, entries.len());
         self.version = listing.version;
         let mut workers = Vec::new();
@@ -56,7 +56,7 @@
         }
         if kind != ListKind::Changes {
             // A worker whose entry cannot be read keeps its last state; the list is complete for all others.
-            for name in unread
+            for name in unreadable
                 .into_iter()
                 .flatten()
                 .filter(|name| !listed_names.contains(name))
@@ -100,8 +100,8 @@
     }
 
     /// Applies the plan that the managers agreed on. Returns the event for the planner if entries changed.
-    pub fn apply_plan(&mut self, parts: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
-        if !self.composer.update_plan(parts) {
+    pub fn apply_plan(&mut self, ratios: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
+        if !self.composer.update_plan(ratios) {
             return None;
         }
         let worker_names: Vec<String> = self.composer.worker_names().map(str::to_string).collect();
@@ -118,11 +118,11 @@
     /// All workers as they would be with another plan.
     pub fn composed_with_plan(
         &self,
-        parts: &BTreeMap<ZoneId, f64>,
+        ratios: &BTreeMap<ZoneId, f64>,
         names: &Names,
     ) -> BTreeMap<String, ComposedWorker> {
         let mut composer = self.composer.clone();
-        composer.update_plan(parts.clone());
+        composer.update_plan(ratios.clone());
         let compose_named = |name: &str| Some((name.to_string(), compose(&composer, name, names)?));
         composer.worker_names().filter_map(compose_named).collect()
     }
