--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -23,7 +23,7 @@
 /// Which worker gets what weight, and how many lines wait.
 pub const PLANNER: Mechanism = Mechanism::File("src/lib.rs");
 /// What the joined proxies hold.
-pub const PLANE: Mechanism = Mechanism::File("crates/manager/src/plane.rs");
+pub const PLANE: Mechanism = Mechanism::File("crates/manager/src/order_writer.rs");
 /// Descriptors by who needs them.
 pub const LIMITER: Mechanism = Mechanism::File("crates/manager/src/limiter.rs");
 /// Numbers of proxies, tables, operations and zones.
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -25,7 +25,7 @@
 use crate::inbound::Inbound;
 use crate::launch::Launch;
 use crate::limiter::KnownZones;
-use crate::plane::OrderWriter;
+use crate::order_writer::OrderWriter;
 use crate::presence::ConnectionTracker;
 use crate::probes::{ProbeResult, ProbeService};
 use crate::roster::WorkerRegistry;
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -10,7 +10,7 @@
 
 use super::{Decider, CHANNEL_WARNING_RATIO, DRAIN_GRACE_WARNING_RATIO};
 use crate::inbound::Inbound;
-use crate::plane::OutboundMessage;
+use crate::order_writer::OutboundMessage;
 use crate::presence::Stream;
 use crate::probes::ProbeResult;
 
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -25,7 +25,7 @@
 mod listening;
 mod listing;
 mod north;
-mod plane;
+mod order_writer;
 mod presence;
 mod probes;
 mod reload;
