--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -21,12 +21,12 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::clock::Clock;
+use crate::connection_tracker::ConnectionTracker;
 use crate::fleet::EvidenceCollector;
 use crate::inbound::Inbound;
 use crate::launch::Launch;
 use crate::limiter::KnownZones;
 use crate::order_writer::OrderWriter;
-use crate::presence::ConnectionTracker;
 use crate::probes::{ProbeResult, ProbeService};
 use crate::roster::WorkerRegistry;
 use crate::tally::LogSummary;
--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -3,8 +3,8 @@
 use juniperrail_interface::{Event, MarkId, Ms, ProxyId, WorkerId, ZoneId};
 
 use super::Decider;
+use crate::connection_tracker::{Stream, StreamTimeout};
 use crate::inbound::{Hello, Outbox, StreamId};
-use crate::presence::{Stream, StreamTimeout};
 use crate::text::Report;
 
 impl Decider {
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -9,9 +9,9 @@
 use tower::ServiceExt;
 
 use super::{Decider, CHANNEL_WARNING_RATIO, DRAIN_GRACE_WARNING_RATIO};
+use crate::connection_tracker::Stream;
 use crate::inbound::Inbound;
 use crate::order_writer::OutboundMessage;
-use crate::presence::Stream;
 use crate::probes::ProbeResult;
 
 impl Decider {
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -13,8 +13,8 @@
 use serde::Deserialize;
 use serde_json::Value;
 
+use crate::connection_tracker::SilenceTimeouts;
 use crate::listing::Listing;
-use crate::presence::SilenceTimeouts;
 use crate::scope_filter::ScopeFilter;
 use crate::subscription::Subscription;
 
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -12,6 +12,7 @@
 //! ```
 
 mod clock;
+mod connection_tracker;
 mod decider;
 mod discovery;
 mod fault;
@@ -26,7 +27,6 @@
 mod listing;
 mod north;
 mod order_writer;
-mod presence;
 mod probes;
 mod reload;
 mod roster;
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -10,7 +10,7 @@
 use juniperrail_northbound::{OperationState, ProxyState, TableState};
 use juniperrail_start::Names;
 
-use crate::presence::{ConnectionTracker, Stream};
+use crate::connection_tracker::{ConnectionTracker, Stream};
 use crate::text::{self, MessagePart};
 
 /// An admission level with its retry policy.
