--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -19,7 +19,7 @@
 /// The manager's watch of the list.
 pub const WATCH: Mechanism = Mechanism::File("crates/manager/src/discovery.rs");
 /// The workers by name.
-pub const ROSTER: Mechanism = Mechanism::File("crates/manager/src/roster.rs");
+pub const ROSTER: Mechanism = Mechanism::File("crates/manager/src/worker_registry.rs");
 /// Which worker gets what weight, and how many lines wait.
 pub const PLANNER: Mechanism = Mechanism::File("src/lib.rs");
 /// What the joined proxies hold.
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -28,8 +28,8 @@
 use crate::limiter::KnownZones;
 use crate::order_writer::OrderWriter;
 use crate::probes::{ProbeResult, ProbeService};
-use crate::roster::WorkerRegistry;
 use crate::tally::LogSummary;
+use crate::worker_registry::WorkerRegistry;
 
 /// The longest sleep without an event.
 const MAX_SLEEP_MS: Ms = 3_600_000.0;
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -29,13 +29,13 @@
 mod order_writer;
 mod probes;
 mod reload;
-mod roster;
 mod scope_filter;
 mod streams;
 mod subscription;
 mod tally;
 mod text;
 mod upstream;
+mod worker_registry;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
