--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -26,9 +26,9 @@
 use crate::inbound::Inbound;
 use crate::launch::Launch;
 use crate::limiter::KnownZones;
+use crate::log_summary::LogSummary;
 use crate::order_writer::OrderWriter;
 use crate::probes::{ProbeResult, ProbeService};
-use crate::tally::LogSummary;
 use crate::worker_registry::WorkerRegistry;
 
 /// The longest sleep without an event.
