--- a/crates/manager/src/connection_tracker.rs
+++ b/crates/manager/src/connection_tracker.rs
@@ -146,8 +146,8 @@
         self.turn += 1;
     }
 
-    /// Queues a message to a joined proxy. Returns false if the proxy reads too slowly, so that its connection has to be
-    /// closed.
+    /// Queues a message to a joined proxy. Returns false if the proxy reads too slowly, so that its connection has to
+    /// be closed.
     pub fn send(
         &mut self,
         proxy: ProxyId,
@@ -164,8 +164,8 @@
     /// When a stream times out: first the proxy is reported as left, then its connection is closed.
     ///
     /// A proxy whose message still waits in the channel, which takes seconds at a start, must not count as silent.
-    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy acknowledged a later turn.
-    /// If no proxy acknowledges anything, the timeout starts once a full channel would have emptied.
+    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy acknowledged a later
+    /// turn. If no proxy acknowledges anything, the timeout starts once a full channel would have emptied.
     fn times_out_at(&self, stream: &Stream) -> Option<Ms> {
         let SilenceTimeouts { answer_timeout, queue_drain_time } = self.silence_timeouts;
         let silent_since = stream.silent_since.or_else(|| {
@@ -216,8 +216,8 @@
         Some(Activity { resumed: stream.silent_since.take().is_some(), idle_for, pending_for })
     }
 
-    /// Records that a proxy acknowledged a mark and all before it. Marks that this stream did not send are refused, since
-    /// their numbers wrap around and repeat.
+    /// Records that a proxy acknowledged a mark and all before it. Marks that were not sent over this stream are
+    /// refused, since mark numbers wrap around and repeat.
     pub fn acknowledge(&mut self, now: Ms, proxy: ProxyId, mark: MarkId) -> Result<(), String> {
         let stream = self.streams.get_mut(&proxy).expect("a known stream");
         let index = stream.pending_marks.iter().position(|pending| pending.mark == mark);
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -1,4 +1,4 @@
-//! What is reported about this manager: its operational state, the progress of changes, and evidence for other managers.
+//! Reports about this manager: its operational state, the progress of changes, and evidence for other managers.
 
 use std::collections::BTreeSet;
 
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -28,11 +28,12 @@
 
 /// What a joined proxy was sent over its current stream.
 struct Proxy {
-    /// The proxy may exclude workers from this id on although it was not told so over this stream: all workers if it
-    /// holds orders of an earlier connection, and workers listed later if one that it excludes was forgotten.
+    /// The proxy may exclude workers from this id on although this stream did not say so: all workers if it holds
+    /// orders of an earlier connection, possibly to another manager, and workers listed later if one that it excludes
+    /// was forgotten.
     uncertain_from: WorkerId,
     bindings: BTreeMap<OpId, TableId>,
-    /// Whether a worker is excluded, for the workers that this stream was told about.
+    /// Whether a worker is excluded, for the workers whose exclusion was sent over this stream.
     exclusions: BTreeMap<WorkerId, bool>,
 }
 
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Records that proxies may exclude a worker: one that an operator brings back may be excluded wherever it was known
-    /// by an id that was forgotten.
+    /// Records that proxies may exclude a worker: one that an operator brings back may be excluded wherever it was
+    /// known by an id that was forgotten.
     pub fn mark_maybe_excluded(&mut self, worker: WorkerId) {
         self.maybe_excluded.insert(worker);
     }
@@ -438,7 +439,8 @@
             admit(AdmissionScope::Table(TABLE), 0, 0.9),
         ];
         let first = write(&mut order_writer, &orders);
-        // The exclusion goes to unbound proxies, which may hold other managers' tables; nothing else concerns a proxy yet.
+        // The exclusion goes to unbound proxies, which may hold other managers' tables. Nothing else concerns a proxy
+        // yet.
         assert_eq!(first.len(), 3);
         assert_eq!(first[0], (0, "push out=b\r\n".into(), 1));
         let bound = write(&mut order_writer, &[bind(TABLE, 0, 0), bind(TABLE, 0, 2), mark(905, false)]);
