--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -12,6 +12,7 @@
 //! ```
 
 mod clock;
+mod connection_tracker;
 mod decider;
 mod discovery;
 mod fault;
@@ -24,18 +25,17 @@
 mod list_assembler;
 mod listening;
 mod listing;
+mod log_summary;
 mod north;
-mod plane;
-mod presence;
+mod order_writer;
 mod probes;
 mod reload;
-mod roster;
 mod scope_filter;
 mod streams;
 mod subscription;
-mod tally;
 mod text;
 mod upstream;
+mod worker_registry;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
