--- a/crates/manager/src/clock.rs
+++ b/crates/manager/src/clock.rs
@@ -1,28 +1,33 @@
-//! The time as the decisions have it.
+//! The clock that the decisions use.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use juniperrail_interface::Ms;
 use tokio::time::Instant;
 
-/// Unix time at the start and monotonic time since, so that it compares with others' and never runs back.
+/// Unix time at the start plus the monotonic time since then: comparable with other machines' clocks, and it never
+/// goes backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix: Ms,
+    unix_at_start: Ms,
     started: Instant,
 }
 
 impl Clock {
+    /// Starts a clock at the system's time.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
-        Clock { unix, started: Instant::now() }
+        let unix_at_start =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
+        Clock { unix_at_start, started: Instant::now() }
     }
 
+    /// The time now, as Unix time.
     pub fn now(&self) -> Ms {
-        self.unix + self.started.elapsed().as_secs_f64() * 1000.0
+        self.unix_at_start + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
+    /// The monotonic instant of a Unix time; times before the start give the start.
     pub fn instant(&self, at: Ms) -> Instant {
-        self.started + Duration::from_secs_f64(((at - self.unix) / 1000.0).max(0.0))
+        self.started + Duration::from_secs_f64(((at - self.unix_at_start) / 1000.0).max(0.0))
     }
 }
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout_at, Instant};
 use tower::ServiceExt;
 
-use crate::fault::Fault;
+use crate::fault::ConnectionError;
 use crate::http;
 use crate::inbound::Inbound;
 use crate::launch::Launch;
@@ -35,7 +35,7 @@
 /// Why a watch ended.
 enum WatchEnd {
     /// It could not be begun, or broke.
-    Broken(Fault),
+    Broken(ConnectionError),
     /// Its lists stay older than the one held.
     Behind,
     /// Its list is larger than its limit.
@@ -51,8 +51,8 @@
     }
 }
 
-impl From<Fault> for WatchEnd {
-    fn from(fault: Fault) -> Self {
+impl From<ConnectionError> for WatchEnd {
+    fn from(fault: ConnectionError) -> Self {
         WatchEnd::Broken(fault)
     }
 }
@@ -60,7 +60,7 @@
 impl From<LineError> for WatchEnd {
     fn from(error: LineError) -> Self {
         match error {
-            LineError::Unreadable(cause) => WatchEnd::Broken(Fault::reading(cause.to_string())),
+            LineError::Unreadable(cause) => WatchEnd::Broken(ConnectionError::reading(cause.to_string())),
             LineError::OverLimit(over) => WatchEnd::TooLarge(over),
         }
     }
@@ -267,8 +267,8 @@
             // Guards against a watch that is silent for good, or that brings bytes without ever ending a line.
             let frame = match timeout_at(deadline, body.frame()).await {
                 Err(_) => return Err(self.timed_out()),
-                Ok(None) => return Err(Fault::reading("the watch ended").into()),
-                Ok(Some(Err(cause))) => return Err(Fault::reading(cause.to_string()).into()),
+                Ok(None) => return Err(ConnectionError::reading("the watch ended").into()),
+                Ok(Some(Err(cause))) => return Err(ConnectionError::reading(cause.to_string()).into()),
                 Ok(Some(Ok(frame))) => frame,
             };
             let data = frame.into_data().unwrap_or_default();
@@ -284,13 +284,17 @@
         }
     }
 
-    async fn dial(&self, exchange: &http::Exchange, address: SocketAddr) -> Result<Incoming, Fault> {
+    async fn dial(
+        &self,
+        exchange: &http::Exchange,
+        address: SocketAddr,
+    ) -> Result<Incoming, ConnectionError> {
         let index = self.held.map(|version| format!("&index={version}")).unwrap_or_default();
         let scope = self.filter.as_ref().map(|filter| filter.scope().to_query()).unwrap_or_default();
         let call = (address, format!("/v1/servers?stream=1{index}{scope}"));
         let answer = exchange.clone().oneshot(call).await?;
         if answer.status() != StatusCode::OK {
-            return Err(Fault::reading(format!("{address} answered {}", answer.status())));
+            return Err(ConnectionError::reading(format!("{address} answered {}", answer.status())));
         }
         let from = self.held.map(|held| format!(" from {held} on")).unwrap_or_default();
         tracing::info!("watching the list at {address}{from}");
@@ -332,7 +336,7 @@
     async fn take_over(&mut self, listing: Listing) -> Result<(), WatchEnd> {
         let (version, full) = (listing.version, listing.full);
         if self.inbound.send(Inbound::Listing(listing)).await.is_err() {
-            return Err(Fault::reading("nobody wants the list any more").into());
+            return Err(ConnectionError::reading("nobody wants the list any more").into());
         }
         // Only now: a watch given up while it waits to tell would count as told what nobody has received.
         self.session.advanced |= self.held != Some(version);
@@ -369,7 +373,10 @@
     fn timed_out(&self) -> WatchEnd {
         match self.behind.deadline() {
             Some(deadline) if deadline <= Instant::now() => WatchEnd::Behind,
-            _ => WatchEnd::Broken(Fault { late: true, ..Fault::reading("the watch is silent") }),
+            _ => WatchEnd::Broken(ConnectionError {
+                timed_out: true,
+                ..ConnectionError::reading("the watch is silent")
+            }),
         }
     }
 
--- a/crates/manager/src/fault.rs
+++ b/crates/manager/src/fault.rs
@@ -1,50 +1,58 @@
-//! What went wrong, as a value that carries how far the attempt had come.
+//! The error of a connection, with the stage that the attempt had reached.
 
 use std::error::Error;
 use std::fmt;
 
 use tower::timeout::error::Elapsed;
 
+/// How far an attempt had got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reached {
+pub enum Stage {
     /// Nothing was sent.
-    Dialling,
-    /// The other side may have acted on it; no answer began.
+    Connecting,
+    /// The peer may have acted on the request, but no response had begun.
     Sent,
+    /// A response, or a stream, was being read.
     Reading,
 }
 
+/// Why an exchange or a connection failed.
 #[derive(Debug)]
-pub struct Fault {
-    pub reached: Reached,
-    /// The time allowed for this step ran out.
-    pub late: bool,
-    pub what: String,
+pub struct ConnectionError {
+    /// The stage in which it failed.
+    pub stage: Stage,
+    /// The time allowed for this stage ran out.
+    pub timed_out: bool,
+    /// What happened.
+    pub message: String,
 }
 
-impl Fault {
-    pub fn reading(what: impl Into<String>) -> Self {
-        Fault { reached: Reached::Reading, late: false, what: what.into() }
+impl ConnectionError {
+    /// An error while reading that is no time-out.
+    pub fn reading(message: impl Into<String>) -> Self {
+        ConnectionError { stage: Stage::Reading, timed_out: false, message: message.into() }
     }
 
-    pub fn at(reached: Reached) -> impl Fn(Box<dyn Error + Send + Sync>) -> Fault + Clone {
-        move |cause| Fault { reached, late: cause.is::<Elapsed>(), what: cause.to_string() }
+    /// Converts the errors of a tower service at this stage, time-outs included.
+    pub fn at(stage: Stage) -> impl Fn(Box<dyn Error + Send + Sync>) -> ConnectionError + Clone {
+        move |cause| ConnectionError { stage, timed_out: cause.is::<Elapsed>(), message: cause.to_string() }
     }
 
-    pub fn io(reached: Reached) -> impl Fn(std::io::Error) -> Fault {
-        move |cause| Fault { reached, late: false, what: cause.to_string() }
+    /// Converts I/O errors at this stage.
+    pub fn io(stage: Stage) -> impl Fn(std::io::Error) -> ConnectionError {
+        move |cause| ConnectionError { stage, timed_out: false, message: cause.to_string() }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConnectionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let reached = match self.reached {
-            Reached::Dialling => "while dialling",
-            Reached::Sent => "once sent",
-            Reached::Reading => "while reading",
+        let stage = match self.stage {
+            Stage::Connecting => "while dialling",
+            Stage::Sent => "once sent",
+            Stage::Reading => "while reading",
         };
-        write!(f, "{} ({reached})", self.what)
+        write!(f, "{} ({stage})", self.message)
     }
 }
 
-impl Error for Fault {}
+impl Error for ConnectionError {}
--- a/crates/manager/src/http.rs
+++ b/crates/manager/src/http.rs
@@ -1,5 +1,5 @@
-//! One HTTP exchange as a tower service over a hyper client: a connection of its own for each, dialling and
-//! answering within limits that are layers.
+//! One HTTP exchange as a tower service over a hyper client. Each exchange has a connection of its own; connecting and
+//! answering have time-outs, which are tower layers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,34 +13,36 @@
 use tower::util::BoxCloneSyncService;
 use tower::{service_fn, BoxError, ServiceBuilder, ServiceExt};
 
-use crate::fault::{Fault, Reached};
+use crate::fault::{ConnectionError, Stage};
 
-/// Where to, and the path with its query.
+/// The address to connect to, and the path with its query.
 pub type Call = (SocketAddr, String);
-pub type Exchange = BoxCloneSyncService<Call, Response<Incoming>, Fault>;
 
-/// Answers as soon as the head of the response is there; its body is the caller's to read.
-pub fn exchange(dial_within: Duration, answer_within: Duration) -> Exchange {
-    let dial = ServiceBuilder::new()
-        .map_err(Fault::at(Reached::Dialling))
-        .timeout(dial_within)
+/// A service that performs GET requests.
+pub type Exchange = BoxCloneSyncService<Call, Response<Incoming>, ConnectionError>;
+
+/// Returns a service that answers once the head of the response is there; the caller reads the body.
+pub fn exchange(connect_timeout: Duration, response_timeout: Duration) -> Exchange {
+    let connect = ServiceBuilder::new()
+        .map_err(ConnectionError::at(Stage::Connecting))
+        .timeout(connect_timeout)
         .service(service_fn(TcpStream::connect::<SocketAddr>));
-    let ask = ServiceBuilder::new()
-        .map_err(Fault::at(Reached::Sent))
-        .timeout(answer_within)
-        .service(service_fn(|(socket, call): (TcpStream, Call)| ask(socket, call)));
+    let request = ServiceBuilder::new()
+        .map_err(ConnectionError::at(Stage::Sent))
+        .timeout(response_timeout)
+        .service(service_fn(|(socket, call): (TcpStream, Call)| send_request(socket, call)));
     BoxCloneSyncService::new(service_fn(move |call: Call| {
-        let (dial, ask) = (dial.clone(), ask.clone());
+        let (connect, request) = (connect.clone(), request.clone());
         async move {
-            let socket = dial.oneshot(call.0).await?;
-            ask.oneshot((socket, call)).await
+            let socket = connect.oneshot(call.0).await?;
+            request.oneshot((socket, call)).await
         }
     }))
 }
 
-async fn ask(socket: TcpStream, (address, path): Call) -> Result<Response<Incoming>, BoxError> {
+async fn send_request(socket: TcpStream, (address, path): Call) -> Result<Response<Incoming>, BoxError> {
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await?;
-    // Ends by itself with the response's body, or as that is dropped; its errors reach the body's reader.
+    // The task ends when the response's body ends or is dropped; its errors reach the reader of the body.
     tokio::spawn(connection);
     let request = Request::get(path).header(header::HOST, address.to_string()).body(Empty::<Bytes>::new())?;
     Ok(sender.send_request(request).await?)
--- a/crates/manager/src/listening.rs
+++ b/crates/manager/src/listening.rs
@@ -1,4 +1,4 @@
-//! Taking the address to listen on, also where whoever had it before is still ending.
+//! Binds the listening address, and retries while a predecessor that is still ending holds it.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -7,23 +7,24 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{sleep, Instant};
 
-/// A predecessor that was told to end is killed no sooner than 0.7 s after: that, and as long again for a busy machine
-/// to clear it away. Whose address is taken for longer is somebody else's.
-const PATIENCE: Duration = Duration::from_millis(1400);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// A predecessor that was asked to end is killed after 0.7 s at the earliest; on a busy machine its clean-up may take as
+/// long again. An address in use for longer belongs to another program.
+const BIND_RETRY_TIMEOUT: Duration = Duration::from_millis(1400);
 
-/// Listens, with room for so many connections that nobody took yet.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Listens, with room for `backlog` connections that are not accepted yet.
 pub async fn listen(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let until = Instant::now() + PATIENCE;
-    let mut told = false;
+    let deadline = Instant::now() + BIND_RETRY_TIMEOUT;
+    let mut logged = false;
     loop {
         match bind(at, backlog) {
-            // Guards against a restart that is refused as the old process has not quite ended.
-            Err(taken) if taken.kind() == ErrorKind::AddrInUse && Instant::now() < until => {
-                if !std::mem::replace(&mut told, true) {
-                    tracing::debug!("{at} is taken; it is tried for {} ms", PATIENCE.as_millis());
+            // On a restart the old process may not have ended yet.
+            Err(cause) if cause.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
+                if !std::mem::replace(&mut logged, true) {
+                    tracing::debug!("{at} is in use; retrying for {} ms", BIND_RETRY_TIMEOUT.as_millis());
                 }
-                sleep(LOOK_EVERY).await;
+                sleep(BIND_RETRY_INTERVAL).await;
             }
             bound => return bound,
         }
@@ -32,7 +33,7 @@
 
 fn bind(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // As the system's own listeners do: connections of a predecessor that linger hold no address.
+    // As listeners usually do, so that a predecessor's connections in TIME_WAIT do not block the address.
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
     socket.listen(backlog)
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -11,7 +11,7 @@
 use tower::util::BoxCloneSyncService;
 use tower::{service_fn, BoxError, ServiceBuilder, ServiceExt};
 
-use crate::fault::{Fault, Reached};
+use crate::fault::{ConnectionError, Stage};
 use crate::{http, text};
 
 /// What one probe found.
@@ -29,7 +29,7 @@
 pub fn probe_service(dial_within: Duration, answer_within: Duration, at_once: usize) -> ProbeService {
     let exchange = http::exchange(dial_within, answer_within);
     let read = ServiceBuilder::new()
-        .map_err(Fault::at(Reached::Reading))
+        .map_err(ConnectionError::at(Stage::Reading))
         .timeout(answer_within)
         .service(service_fn(whole));
     let probe = service_fn(move |worker: SocketAddr| {
@@ -58,10 +58,10 @@
 }
 
 /// Nothing ran where dialling failed; later the worker was there, and slow or broken.
-fn ending(fault: &Fault) -> ProbeOutcome {
-    match fault.reached {
-        Reached::Dialling => ProbeOutcome::Unreachable,
-        _ if fault.late => ProbeOutcome::TimedOut,
+fn ending(fault: &ConnectionError) -> ProbeOutcome {
+    match fault.stage {
+        Stage::Connecting => ProbeOutcome::Unreachable,
+        _ if fault.timed_out => ProbeOutcome::TimedOut,
         _ => ProbeOutcome::ConnectionLost,
     }
 }
--- a/crates/manager/src/streams.rs
+++ b/crates/manager/src/streams.rs
@@ -1,4 +1,4 @@
-//! Where proxies and collectors connect: accepting, and the life of each connection.
+//! Accepts the connections of proxies and collectors and runs each one until it ends.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -17,54 +17,58 @@
 use tokio::time::{sleep, timeout};
 use tracing::Instrument;
 
-use crate::fault::{Fault, Reached};
+use crate::fault::{ConnectionError, Stage};
 use crate::inbound::{Hello, Inbound, Outbox, StreamId};
 use crate::limiter::{ConnectionLimiter, KnownZones};
 use crate::lines::LineBuffer;
 use crate::text::{self, Message, ParseError};
 
-/// Messages that may wait for a proxy that reads slowly, besides what its socket holds.
-const WAITING: usize = 64;
+/// Messages queued for a proxy that reads slowly, in addition to what its socket buffers.
+const OUTBOX_CAPACITY: usize = 64;
 
-/// Bytes taken from a socket at a time, at least.
-const ROOM: usize = 4096;
+/// Minimum free space in the buffer before each read from a socket.
+const MIN_READ_BYTES: usize = 4096;
 
-/// Who has not joined so long after connecting is neither a proxy nor a collector; who is turned away has as
-/// long again to take its leave.
-const JOIN_WITHIN: Duration = Duration::from_secs(1);
+/// A connection has to introduce itself within this time. A rejected peer has as long again to close its side.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes that one who is turned away may still send without a reset.
-const FAREWELL: usize = 64 << 10;
+/// Bytes that are read and discarded from a rejected peer, so that closing does not reset the connection.
+const MAX_DISCARDED_BYTES: usize = 64 << 10;
 
-/// What all connections share.
+/// State that all connections share.
 pub struct AcceptorContext {
+    /// The queue to the decider.
     pub inbound: mpsc::Sender<Inbound>,
-    /// The proxies are numbered below this.
+    /// Valid proxy numbers are below this.
     pub proxy_count: u16,
-    /// Nobody comes from a zone that neither the settings nor the list ever named.
+    /// Introductions that name any other zone are rejected.
     pub zones: Rc<KnownZones>,
-    /// Connections that have not said who they are.
+    /// Connections that have not introduced themselves.
     pub unidentified: ConnectionLimiter,
+    /// Connections of collectors.
     pub collectors: ConnectionLimiter,
+    /// The number given to the latest connection.
     pub last_stream_id: Cell<u64>,
-    /// Connections that are open, and how many may be: beyond are the descriptors of the watch and the probes.
+    /// Open connections of any kind.
     pub open_count: Cell<usize>,
+    /// Limit on open connections. The descriptors beyond it are reserved for the watch and the probes.
     pub max_open: usize,
 }
 
-/// Takes connections for good.
+/// Accepts connections forever. After a failed accept it pauses for `pause`.
 pub async fn accept(listener: TcpListener, context: Rc<AcceptorContext>, pause: Duration) {
     let (mut failing, mut full) = (false, false);
     loop {
-        let taken = listener.accept().await;
-        let failed_before = std::mem::replace(&mut failing, taken.is_err());
-        match taken {
+        let accepted = listener.accept().await;
+        let failed_before = std::mem::replace(&mut failing, accepted.is_err());
+        match accepted {
             Ok((socket, from)) => {
-                // Guards against proxies that take the last descriptors: the watch could not be dialled again. A
-                // stranger gives way; where there is none the newcomer does, and whoever joined is kept.
+                // Without this limit proxies could use up the descriptors, and the watch could not reconnect. An
+                // unidentified connection is closed first; if there is none, the new connection is closed.
+                // Connections that have joined are kept.
                 let over = context.open_count.get() >= context.max_open;
                 if over && !std::mem::replace(&mut full, over) {
-                    tracing::warn!("{} connections are open: no room for all who come", context.max_open);
+                    tracing::warn!("{} connections are open: the limit is reached", context.max_open);
                 }
                 full = over;
                 if over && !context.unidentified.evict() {
@@ -76,15 +80,16 @@
                 context.last_stream_id.set(context.last_stream_id.get() + 1);
                 let id = StreamId(context.last_stream_id.get());
                 let evicted = context.unidentified.admit(id);
-                let life = life(id, socket, evicted, context.clone());
-                spawn_local(end(id, from, life, context.clone()));
-                // Guards against putting out, in a rush, who has joined already but was not yet read.
+                let connection = run_connection(id, socket, evicted, context.clone());
+                spawn_local(supervise(id, from, connection, context.clone()));
+                // In a burst of connections, lets those that have already sent their introduction be read before
+                // more are accepted; otherwise they could be evicted as unidentified.
                 yield_now().await;
             }
-            // Guards against running out of descriptors: a stranger's is taken back, all others stay.
+            // Usually out of descriptors: closes one unidentified connection and keeps the others.
             Err(cause) => {
                 if !failed_before {
-                    tracing::error!("no connection can be taken: {cause}");
+                    tracing::error!("no connection can be accepted: {cause}");
                 }
                 context.unidentified.evict();
                 sleep(pause).await;
@@ -93,88 +98,92 @@
     }
 }
 
-/// Waits for a connection's end, whatever that is: a fault or a panic in it ends nothing else.
-async fn end(
+/// Runs a connection as a task of its own, so that an error or a panic in it affects no other, and reports its end.
+async fn supervise(
     id: StreamId,
     from: SocketAddr,
-    life: impl Future<Output = Result<(), Fault>> + 'static,
+    connection: impl Future<Output = Result<(), ConnectionError>> + 'static,
     context: Rc<AcceptorContext>,
 ) {
-    // At debug, so that a stream pays nothing for it in an ordinary day.
-    let connection = tracing::debug_span!("connection", %from, stream = id.0);
-    let why = match spawn_local(life.instrument(connection)).await {
+    // At debug level, so that a stream has no cost for it at the default log level.
+    let span = tracing::debug_span!("connection", %from, stream = id.0);
+    let reason = match spawn_local(connection.instrument(span)).await {
         Ok(Ok(())) => None,
-        Ok(Err(fault)) => Some(format!("{from}: {fault}")),
+        Ok(Err(error)) => Some(format!("{from}: {error}")),
         Err(panic) => {
             tracing::error!("the connection from {from} failed: {panic}");
             Some(format!("{from}: {panic}"))
         }
     };
     context.open_count.set(context.open_count.get() - 1);
-    tracing::debug!("the connection from {from} ended: {why:?}");
+    tracing::debug!("the connection from {from} ended: {reason:?}");
     _ = context.unidentified.release(id) || context.collectors.release(id);
-    _ = context.inbound.send(Inbound::Ended(id, why)).await;
+    _ = context.inbound.send(Inbound::Ended(id, reason)).await;
 }
 
-/// One connection, from its introduction to its end.
-async fn life(
+/// Runs one connection, from its introduction to its end.
+async fn run_connection(
     id: StreamId,
     socket: TcpStream,
     evicted: Rc<Notify>,
     context: Rc<AcceptorContext>,
-) -> Result<(), Fault> {
-    socket.set_nodelay(true).map_err(Fault::io(Reached::Dialling))?;
+) -> Result<(), ConnectionError> {
+    socket.set_nodelay(true).map_err(ConnectionError::io(Stage::Connecting))?;
     let (read, mut write) = socket.into_split();
-    let mut lines = Lines { read, buffer: LineBuffer::default(), checked: 0 };
-    let first = tokio::select! {
+    let mut lines = LineReader { read, buffer: LineBuffer::default(), checked_bytes: 0 };
+    let introduction = tokio::select! {
         biased;
-        first = introduction(&mut lines, &mut write, &context) => first,
+        introduction = read_introduction(&mut lines, &mut write, &context) => introduction,
         () = evicted.notified() => return Ok(()),
-        () = sleep(JOIN_WITHIN) => Err(Fault { late: true, ..Fault::reading("it did not join in time") }),
+        () = sleep(JOIN_TIMEOUT) => Err(ConnectionError {
+            timed_out: true,
+            ..ConnectionError::reading("it did not join in time")
+        }),
     };
-    let first = match first {
-        Ok(Some(first)) => first,
+    let introduction = match introduction {
+        Ok(Some(introduction)) => introduction,
         Ok(None) => return Ok(()),
-        Err(fault) => {
-            _ = context.inbound.send(Inbound::Rejected(fault.to_string())).await;
+        Err(error) => {
+            _ = context.inbound.send(Inbound::Rejected(error.to_string())).await;
             tokio::select! {
                 () = evicted.notified() => {}
-                () = reject(&fault, lines, write) => {}
+                () = reject(&error, lines, write) => {}
             }
             return Ok(());
         }
     };
-    // Guards against more connections than there may be: whoever was told to go has given its descriptor to
-    // another, also where its introduction came at that very moment.
+    // An evicted connection has given its descriptor to another one, even if its introduction arrived at the same
+    // moment. Continuing it would exceed the limit on open connections.
     if !context.unidentified.release(id) {
         return Ok(());
     }
-    match first {
+    match introduction {
         Message::Hello { proxy, zone, inv_per_second, fresh } => {
             let hello = Hello { proxy, zone, inv_per_second, fresh };
-            proxy_stream(id, hello, lines, write, context).await
+            run_proxy(id, hello, lines, write, context).await
         }
         _ => {
             context.collectors.raise_limit(context.zones.max_collectors());
             let evicted = context.collectors.admit(id);
             tokio::select! {
-                end = collector(id, lines, write, context) => end,
+                end = run_collector(id, lines, write, context) => end,
                 () = evicted.notified() => Ok(()),
             }
         }
     }
 }
 
-/// What a connection is, its first message says; probes are answered before as well. A fault is a stranger's.
-async fn introduction(
-    lines: &mut Lines,
+/// Reads lines until the first one that is not a probe; probes are answered. `None` if the peer closes the connection
+/// before it introduces itself; an error if the line is not a valid introduction.
+async fn read_introduction(
+    lines: &mut LineReader,
     write: &mut OwnedWriteHalf,
     context: &AcceptorContext,
-) -> Result<Option<Message>, Fault> {
+) -> Result<Option<Message>, ConnectionError> {
     while let Some(line) = lines.next(text::MAX_FIRST_LINE_BYTES).await? {
-        let why = match text::parse(&line) {
+        let reason = match text::parse(&line) {
             Ok(Message::Probe) => {
-                write.write_all(&text::ALIVE).await.map_err(Fault::io(Reached::Sent))?;
+                write.write_all(&text::ALIVE).await.map_err(ConnectionError::io(Stage::Sent))?;
                 continue;
             }
             Ok(Message::Hello { proxy, .. }) if proxy >= context.proxy_count => {
@@ -185,52 +194,54 @@
             {
                 format!("there is no zone {zone:?}")
             }
-            Ok(Message::Report(_)) => "a report came before any introduction".into(),
-            Ok(first) => return Ok(Some(first)),
-            Err(ParseError::InvalidFields(why) | ParseError::NotAMessage(why)) => why,
+            Ok(Message::Report(_)) => "a report was sent before any introduction".into(),
+            Ok(introduction) => return Ok(Some(introduction)),
+            Err(ParseError::InvalidFields(reason) | ParseError::NotAMessage(reason)) => reason,
         };
-        return Err(Fault::reading(why));
+        return Err(ConnectionError::reading(reason));
     }
     Ok(None)
 }
 
-/// Says `error` and ends the connection so that the peer sees its end: closing on bytes unread would reset it.
-async fn reject(fault: &Fault, mut lines: Lines, mut write: OwnedWriteHalf) {
-    // Who does not even take this gets the end alone.
-    _ = write.try_write(if fault.late { text::LATE } else { text::REJECTED });
+/// Sends `error` and closes the connection gracefully: closing with unread bytes would reset it, and the peer might
+/// not receive the error.
+async fn reject(error: &ConnectionError, mut lines: LineReader, mut write: OwnedWriteHalf) {
+    // If the socket's buffer has no room for the error, the peer only sees the end.
+    _ = write.try_write(if error.timed_out { text::LATE } else { text::REJECTED });
     _ = write.shutdown().await;
-    _ = timeout(JOIN_WITHIN, async {
-        let mut left = FAREWELL;
-        while left > 0 {
+    _ = timeout(JOIN_TIMEOUT, async {
+        let mut remaining = MAX_DISCARDED_BYTES;
+        while remaining > 0 {
             lines.buffer.clear();
-            match lines.read.read_buf(lines.buffer.space(ROOM)).await {
+            match lines.read.read_buf(lines.buffer.space(MIN_READ_BYTES)).await {
                 Ok(0) | Err(_) => return,
-                Ok(read) => left = left.saturating_sub(read),
+                Ok(read) => remaining = remaining.saturating_sub(read),
             }
         }
     })
     .await;
 }
 
-/// Reads and writes go on side by side; a stream that brings what can't be read as messages has left.
-async fn proxy_stream(
+/// Runs the stream of a proxy that has joined. Reading and writing run concurrently; bytes that are no message end the
+/// stream.
+async fn run_proxy(
     id: StreamId,
     hello: Hello,
-    mut lines: Lines,
+    mut lines: LineReader,
     mut write: OwnedWriteHalf,
     context: Rc<AcceptorContext>,
-) -> Result<(), Fault> {
+) -> Result<(), ConnectionError> {
     let from = Some((id, ProxyId(hello.proxy)));
-    let (outbox, mut waiting, given_up) = Outbox::new(WAITING);
-    // Beside the orders, so that a burst of probes takes no order's place.
-    let (probed, mut probes) = mpsc::channel(WAITING);
+    let (outbox, mut queued, closed) = Outbox::new(OUTBOX_CAPACITY);
+    // Answers to probes have a queue of their own, so that a burst of probes does not fill the outbox.
+    let (probe_sender, mut probes) = mpsc::channel(OUTBOX_CAPACITY);
     _ = context.inbound.send(Inbound::Joined { stream: id, hello, outbox }).await;
     let reading = async {
         while let Some(line) = lines.next(text::MAX_LINE_BYTES).await? {
-            match heard(&line, from)? {
+            match parse_inbound(&line, from)? {
                 Some(inbound) => _ = context.inbound.send(inbound).await,
-                // Who asks faster than it reads the answers waits with its next lines.
-                None => _ = probed.send(()).await,
+                // If the proxy sends probes faster than it reads the answers, reading its next lines waits here.
+                None => _ = probe_sender.send(()).await,
             }
         }
         Ok(())
@@ -239,86 +250,87 @@
         loop {
             let message = tokio::select! {
                 biased;
-                Some(message) = waiting.recv() => message,
+                Some(message) = queued.recv() => message,
                 Some(()) = probes.recv() => text::ALIVE,
                 else => return Ok(()),
             };
-            write.write_all(&message).await.map_err(Fault::io(Reached::Sent))?;
+            write.write_all(&message).await.map_err(ConnectionError::io(Stage::Sent))?;
         }
     };
     tokio::select! {
         biased;
-        // Another stream of this proxy took its place, or it did not read, or it was silent for too long. Guards
-        // against a write that a peer which reads nothing holds up for good, and against orders that nobody waits
-        // for any more: what is left unwritten is unanswered, so it counts as unapplied.
-        () = ended(given_up) => Ok(()),
+        // The outbox is dropped when a newer stream of this proxy replaced this one, or when the proxy did not read
+        // or was silent for too long. Ending here at once avoids a write that blocks forever on a peer that does not
+        // read, and stale orders. Orders that are not written are not acknowledged, so they count as not applied.
+        () = outbox_dropped(closed) => Ok(()),
         end = reading => end,
         end = writing => end,
     }
 }
 
-/// Waits until whoever writes orders has let go of the stream.
-async fn ended(given_up: oneshot::Receiver<Infallible>) {
-    _ = given_up.await;
+/// Waits until the owner of the [`Outbox`] has dropped it.
+async fn outbox_dropped(closed: oneshot::Receiver<Infallible>) {
+    _ = closed.await;
 }
 
-/// Nothing is written to a collector but answers to probes.
-async fn collector(
+/// Runs the connection of a collector. Only answers to probes are written to it.
+async fn run_collector(
     id: StreamId,
-    mut lines: Lines,
+    mut lines: LineReader,
     mut write: OwnedWriteHalf,
     context: Rc<AcceptorContext>,
-) -> Result<(), Fault> {
+) -> Result<(), ConnectionError> {
     while let Some(line) = lines.next(text::MAX_LINE_BYTES).await? {
         context.collectors.touch(id);
-        match heard(&line, None)? {
+        match parse_inbound(&line, None)? {
             Some(inbound) => _ = context.inbound.send(inbound).await,
-            None => write.write_all(&text::ALIVE).await.map_err(Fault::io(Reached::Sent))?,
+            None => write.write_all(&text::ALIVE).await.map_err(ConnectionError::io(Stage::Sent))?,
         }
     }
     Ok(())
 }
 
-/// What a line of one who joined says; `None` is a probe. One spoilt message among sound ones costs itself
-/// alone; what is no message at all ends the connection.
-fn heard(line: &[u8], from: Option<(StreamId, ProxyId)>) -> Result<Option<Inbound>, Fault> {
+/// Parses a line of a peer that has joined; `None` is a probe. A message with invalid fields is reported and skipped;
+/// a line that is no message is an error, which ends the connection.
+fn parse_inbound(line: &[u8], from: Option<(StreamId, ProxyId)>) -> Result<Option<Inbound>, ConnectionError> {
     Ok(match text::parse(line) {
         Ok(Message::Probe) => None,
         Ok(Message::Report(report)) => Some(Inbound::Reported(from, Ok(report))),
-        Ok(other) => Some(Inbound::Reported(from, Err(format!("out of place: {other:?}")))),
-        Err(ParseError::InvalidFields(why)) => Some(Inbound::Reported(from, Err(why))),
-        Err(ParseError::NotAMessage(why)) => return Err(Fault::reading(why)),
+        Ok(other) => Some(Inbound::Reported(from, Err(format!("unexpected after joining: {other:?}")))),
+        Err(ParseError::InvalidFields(reason)) => Some(Inbound::Reported(from, Err(reason))),
+        Err(ParseError::NotAMessage(reason)) => return Err(ConnectionError::reading(reason)),
     })
 }
 
-/// Lines as they come: in pieces, or many at once.
-struct Lines {
+/// Reads lines from a socket. One read may bring a part of a line or several lines.
+struct LineReader {
     read: OwnedReadHalf,
     buffer: LineBuffer,
-    /// Bytes of the unfinished line already known to fit a message.
-    checked: usize,
+    /// Bytes of the unfinished line that [`text::may_become_one`] has checked.
+    checked_bytes: usize,
 }
 
-impl Lines {
-    async fn next(&mut self, longest: usize) -> Result<Option<BytesMut>, Fault> {
+impl LineReader {
+    /// The next line, of at most `max_bytes`; `None` at the end of the stream.
+    async fn next(&mut self, max_bytes: usize) -> Result<Option<BytesMut>, ConnectionError> {
         loop {
             if let Some(line) = self.buffer.next() {
-                self.checked = 0;
+                self.checked_bytes = 0;
                 return Ok(Some(line));
             }
             let start = self.buffer.unfinished();
-            let Some(checked) = text::may_become_one(start, self.checked) else {
-                return Err(Fault::reading("what can't be read"));
+            let Some(checked_bytes) = text::may_become_one(start, self.checked_bytes) else {
+                return Err(ConnectionError::reading("it sent bytes that are no message"));
             };
-            self.checked = checked;
-            if start.len() > longest {
-                return Err(Fault::reading(format!("a line is longer than {longest} bytes")));
+            self.checked_bytes = checked_bytes;
+            if start.len() > max_bytes {
+                return Err(ConnectionError::reading(format!("a line is longer than {max_bytes} bytes")));
             }
-            let space = self.buffer.space(ROOM);
-            if self.read.read_buf(space).await.map_err(Fault::io(Reached::Reading))? == 0 {
+            let space = self.buffer.space(MIN_READ_BYTES);
+            if self.read.read_buf(space).await.map_err(ConnectionError::io(Stage::Reading))? == 0 {
                 return match self.buffer.unfinished().is_empty() {
                     true => Ok(None),
-                    false => Err(Fault::reading("it ends within a line")),
+                    false => Err(ConnectionError::reading("it ended within a line")),
                 };
             }
         }
--- a/crates/manager/tests/crossings.rs
+++ b/crates/manager/tests/crossings.rs
@@ -234,7 +234,7 @@
     let mut child = program.spawn().unwrap();
     let mut log = std::io::BufReader::new(child.stderr.take().unwrap());
     let mut said = String::new();
-    while !said.contains(&format!("{address} is taken")) {
+    while !said.contains(&format!("{address} is in use")) {
         let read = std::io::BufRead::read_line(&mut log, &mut said).unwrap();
         assert!(read > 0, "it ended: {said}");
     }
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -170,7 +170,7 @@
     manager.kill().unwrap();
     let mut said = String::new();
     log.read_to_string(&mut said).unwrap();
-    assert!(said.contains("no connection can be taken: Too many open files"), "{said}");
+    assert!(said.contains("no connection can be accepted: Too many open files"), "{said}");
     drop(strangers);
     manager.wait().unwrap();
     std::fs::remove_file(&path).unwrap();
