--- a/crates/manager/src/inbound.rs
+++ b/crates/manager/src/inbound.rs
@@ -1,4 +1,4 @@
-//! What comes in to the decisions, from whichever connection.
+//! The messages that connections send to the decider.
 
 use std::convert::Infallible;
 
@@ -10,48 +10,54 @@
 use crate::probes::ProbeResult;
 use crate::text::Report;
 
+/// Numbers connections in the order in which they were accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
-/// What comes in, in the order of each connection.
+/// A message to the decider. Those of one connection keep their order.
 pub enum Inbound {
+    /// A list of workers, or changes of it.
     Listing(Listing),
-    Joined {
-        stream: StreamId,
-        hello: Hello,
-        outbox: Outbox,
-    },
-    /// A connection of whatever kind is over, and why if not by itself.
+    /// A proxy has introduced itself.
+    Joined { stream: StreamId, hello: Hello, outbox: Outbox },
+    /// A connection of any kind has ended, with the error if it did not end normally.
     Ended(StreamId, Option<String>),
-    /// From a proxy's own stream, or through a collector; or why a message is passed over.
+    /// A report, or why a message was skipped. It came over the proxy's own stream, or, without one, from a collector.
     Reported(Option<(StreamId, ProxyId)>, Result<Report, String>),
+    /// The result of a probe.
     Probed(WorkerId, ProbeResult),
-    /// Somebody who never joined, and why.
+    /// A connection was rejected before it joined, and why.
     Rejected(String),
 }
 
-/// The way to a proxy. Once it is dropped, the connection ends at once, whatever is still on its way.
+/// The queue of messages to a proxy. Dropping it ends the connection at once, even if messages are still queued.
 pub struct Outbox {
     messages: mpsc::Sender<Bytes>,
     _open: oneshot::Sender<Infallible>,
 }
 
 impl Outbox {
-    /// With room for so many messages: itself, what is put in, and its end.
-    pub fn new(room: usize) -> (Outbox, mpsc::Receiver<Bytes>, oneshot::Receiver<Infallible>) {
-        let ((messages, put), (_open, end)) = (mpsc::channel(room), oneshot::channel());
-        (Outbox { messages, _open }, put, end)
+    /// Returns an outbox for `capacity` messages, the receiver of its messages, and a receiver that ends when the
+    /// outbox is dropped.
+    pub fn new(capacity: usize) -> (Outbox, mpsc::Receiver<Bytes>, oneshot::Receiver<Infallible>) {
+        let ((messages, queued), (_open, dropped)) = (mpsc::channel(capacity), oneshot::channel());
+        (Outbox { messages, _open }, queued, dropped)
     }
 
-    /// False if there is no room.
+    /// Queues a message. False if the queue is full.
     pub fn try_send(&self, message: Bytes) -> bool {
         !matches!(self.messages.try_send(message), Err(mpsc::error::TrySendError::Full(_)))
     }
 }
 
+/// How a proxy introduces itself.
 pub struct Hello {
+    /// Its number.
     pub proxy: u16,
+    /// The name of its zone.
     pub zone: String,
+    /// Invocations per second that it receives.
     pub inv_per_second: f64,
+    /// It has no tables yet.
     pub fresh: bool,
 }
--- a/crates/manager/src/limiter.rs
+++ b/crates/manager/src/limiter.rs
@@ -1,4 +1,4 @@
-//! How many connections of a kind there may be, and who gives way: all from the one limit on descriptors.
+//! Limits on the connections of each kind, derived from the limit on file descriptors, and the eviction of idle ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
@@ -8,101 +8,114 @@
 
 use crate::inbound::StreamId;
 
-/// Descriptors that are nobody's: standard streams, the runtime's and the signals' own, the listener, a watch
-/// beside the one that follows it, a file that is read.
-const OWN: usize = 16;
-/// Collectors of a zone: the one, its next connection before the old one is seen to end, and some doubt.
-const COLLECTORS: usize = 4;
+/// Descriptors for everything else: standard streams, those of the runtime and of signal handling, the listener, a watch
+/// and the one that replaces it, a file being read.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// Connections of collectors per zone: the current one, the next one before the end of the old one is noticed, and a
+/// margin.
+const COLLECTORS_PER_ZONE: usize = 4;
 
-/// The descriptors dealt out. Every proxy may come here, so their part is whole before others have any.
+/// How the descriptors are divided. Every proxy may connect to this manager, so descriptors for all of them are set
+/// aside before the others get any.
 #[derive(Debug, PartialEq)]
 pub struct Budget {
-    /// Connections that may be open at once, of whatever kind.
+    /// Limit on open connections of any kind.
     pub open: usize,
+    /// Limit on connections that have not introduced themselves.
     pub unidentified: usize,
+    /// Limit on connections of collectors.
     pub collectors: usize,
+    /// Limit on concurrent probes.
     pub probes: usize,
 }
 
 impl Budget {
+    /// Divides `sockets` descriptors for a deployment of this size.
     pub fn new(sockets: usize, proxies: usize, zones: usize) -> Budget {
-        let collectors = COLLECTORS * zones.max(1);
-        // Where not even the proxies fit, an eighth still lets them come in.
-        let left = sockets.saturating_sub(OWN + proxies + collectors).max(sockets / 8).max(2);
-        let probes = (left / 4).max(1);
-        // Where the limit is told so low that nobody could come, the system's own limit is what holds.
-        let open = sockets.saturating_sub(OWN + probes).max(sockets / 2);
-        Budget { open, unidentified: left - left / 4, collectors, probes }
+        let collectors = COLLECTORS_PER_ZONE * zones.max(1);
+        // If there are too few even for the proxies, an eighth still lets new connections introduce themselves.
+        let remaining =
+            sockets.saturating_sub(RESERVED_DESCRIPTORS + proxies + collectors).max(sockets / 8).max(2);
+        let probes = (remaining / 4).max(1);
+        // If the configured limit leaves no room for connections, half of it is still allowed; the system's limit on
+        // descriptors then applies.
+        let open = sockets.saturating_sub(RESERVED_DESCRIPTORS + probes).max(sockets / 2);
+        Budget { open, unidentified: remaining - remaining / 4, collectors, probes }
     }
 }
 
-/// The zones that the settings name, and those that the list named since.
+/// The zones that the settings name, and those that lists have named since.
 #[derive(Default)]
 pub struct KnownZones(RefCell<BTreeSet<String>>);
 
 impl KnownZones {
+    /// Adds a zone.
     pub fn add(&self, zone: &str) {
         if !self.contains(zone) {
             self.0.borrow_mut().insert(zone.to_string());
         }
     }
 
+    /// Whether the zone has been named.
     pub fn contains(&self, zone: &str) -> bool {
         self.0.borrow().contains(zone)
     }
 
-    /// How many collectors there may be.
+    /// Limit on connections of collectors.
     pub fn max_collectors(&self) -> usize {
-        COLLECTORS * self.0.borrow().len().max(1)
+        COLLECTORS_PER_ZONE * self.0.borrow().len().max(1)
     }
 }
 
-/// Connections of one kind, whoever was silent the longest first.
+/// The connections of one kind, the longest idle one first.
 pub struct ConnectionLimiter {
-    taken: RefCell<VecDeque<(StreamId, Rc<Notify>)>>,
-    most: Cell<usize>,
+    admitted: RefCell<VecDeque<(StreamId, Rc<Notify>)>>,
+    limit: Cell<usize>,
 }
 
 impl ConnectionLimiter {
-    pub fn new(most: usize) -> ConnectionLimiter {
-        ConnectionLimiter { taken: RefCell::default(), most: Cell::new(most) }
+    /// A limiter with no connections.
+    pub fn new(limit: usize) -> ConnectionLimiter {
+        ConnectionLimiter { admitted: RefCell::default(), limit: Cell::new(limit) }
     }
 
-    /// From now on there may be so many, if not more already.
-    pub fn raise_limit(&self, most: usize) {
-        self.most.set(self.most.get().max(most));
+    /// Raises the limit to `limit`; a higher one stays.
+    pub fn raise_limit(&self, limit: usize) {
+        self.limit.set(self.limit.get().max(limit));
     }
 
-    /// The one that is told here has to go once the answer is notified.
+    /// Admits a connection, and evicts the longest idle one if the limit is reached. The new connection has to close
+    /// once the returned handle is notified.
     pub fn admit(&self, id: StreamId) -> Rc<Notify> {
-        if self.taken.borrow().len() >= self.most.get() {
+        if self.admitted.borrow().len() >= self.limit.get() {
             self.evict();
         }
-        let out = Rc::new(Notify::new());
-        self.taken.borrow_mut().push_back((id, out.clone()));
-        out
+        let evicted = Rc::new(Notify::new());
+        self.admitted.borrow_mut().push_back((id, evicted.clone()));
+        evicted
     }
 
-    /// False if it had no place any more: it was told to go.
+    /// Removes a connection. False if it is not there because it was evicted.
     pub fn release(&self, id: StreamId) -> bool {
-        let mut taken = self.taken.borrow_mut();
-        let place = taken.iter().position(|(taken, _)| *taken == id);
-        place.is_some_and(|place| taken.remove(place).is_some())
+        let mut admitted = self.admitted.borrow_mut();
+        let position = admitted.iter().position(|(admitted, _)| *admitted == id);
+        position.is_some_and(|position| admitted.remove(position).is_some())
     }
 
+    /// Records that a connection was active.
     pub fn touch(&self, id: StreamId) {
-        let mut taken = self.taken.borrow_mut();
-        if let Some(place) = taken.iter().position(|(taken, _)| *taken == id) {
-            let last = taken.remove(place).expect("a known place");
-            taken.push_back(last);
+        let mut admitted = self.admitted.borrow_mut();
+        if let Some(position) = admitted.iter().position(|(admitted, _)| *admitted == id) {
+            let latest = admitted.remove(position).expect("the position was just found");
+            admitted.push_back(latest);
         }
     }
 
-    /// Whoever was silent the longest has to go. False if there is nobody.
+    /// Evicts the longest idle connection. False if there is none.
     pub fn evict(&self) -> bool {
-        let first = self.taken.borrow_mut().pop_front();
-        first.iter().for_each(|(_, out)| out.notify_one());
-        first.is_some()
+        let longest_idle = self.admitted.borrow_mut().pop_front();
+        longest_idle.iter().for_each(|(_, evicted)| evicted.notify_one());
+        longest_idle.is_some()
     }
 }
 
--- a/crates/manager/src/limiter/tests.rs
+++ b/crates/manager/src/limiter/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn all_proxies_fit_beside_strangers_collectors_and_probes() {
+fn all_proxies_fit_beside_unidentified_connections_collectors_and_probes() {
     for (sockets, proxies) in [(256, 150), (384, 150), (512, 400), (1024, 400)] {
         let Budget { open, unidentified, collectors, probes } = Budget::new(sockets, proxies, 3);
-        assert!(OWN + proxies + unidentified + collectors + probes <= sockets);
+        assert!(RESERVED_DESCRIPTORS + proxies + unidentified + collectors + probes <= sockets);
         assert!(proxies + unidentified + collectors <= open);
         assert!(unidentified > 2 * probes && probes > 0 && collectors > 3);
     }
@@ -12,11 +12,11 @@
 }
 
 #[test]
-fn who_was_silent_the_longest_gives_way() {
+fn longest_idle_connection_is_evicted() {
     let limiter = ConnectionLimiter::new(2);
-    let out: Vec<Rc<Notify>> = [1, 2].map(|id| limiter.admit(StreamId(id))).into();
+    let handles: Vec<Rc<Notify>> = [1, 2].map(|id| limiter.admit(StreamId(id))).into();
     limiter.touch(StreamId(1));
     limiter.admit(StreamId(3));
-    let told = |of: &Rc<Notify>| std::pin::pin!(of.notified()).as_mut().enable();
-    assert_eq!(out.iter().map(told).collect::<Vec<_>>(), [false, true]);
+    let is_evicted = |handle: &Rc<Notify>| std::pin::pin!(handle.notified()).as_mut().enable();
+    assert_eq!(handles.iter().map(is_evicted).collect::<Vec<_>>(), [false, true]);
 }
--- a/crates/manager/src/lines.rs
+++ b/crates/manager/src/lines.rs
@@ -1,31 +1,31 @@
-//! Lines out of bytes, however those came: in pieces, or many lines at once. Each byte is looked at once, so that a long
-//! line in small pieces costs no more than one that comes whole.
+//! Splits received bytes into lines. Each byte is scanned once, so that a long line that arrives in small pieces costs no
+//! more than one that arrives at once.
 
 use bytes::BytesMut;
 
-/// Bytes that came, of which whole lines are taken.
+/// Received bytes that have not been returned as lines yet.
 #[derive(Default)]
 pub struct LineBuffer {
-    text: BytesMut,
-    /// Bytes already known to hold no end of a line.
-    seen: usize,
+    bytes: BytesMut,
+    /// Bytes at the front that have been scanned and contain no line feed.
+    scanned: usize,
 }
 
 impl LineBuffer {
-    /// Where what comes is to be put.
-    pub fn space(&mut self, least: usize) -> &mut BytesMut {
-        self.text.reserve(least);
-        &mut self.text
+    /// The buffer to append received bytes to, with at least `min_bytes` of free capacity.
+    pub fn space(&mut self, min_bytes: usize) -> &mut BytesMut {
+        self.bytes.reserve(min_bytes);
+        &mut self.bytes
     }
 
-    /// The next whole line without its end, CRLF or LF.
+    /// The next complete line, without its line ending (CRLF or LF).
     pub fn next(&mut self) -> Option<BytesMut> {
-        let Some(end) = self.text[self.seen..].iter().position(|byte| *byte == b'\n') else {
-            self.seen = self.text.len();
+        let Some(end) = self.bytes[self.scanned..].iter().position(|byte| *byte == b'\n') else {
+            self.scanned = self.bytes.len();
             return None;
         };
-        let mut line = self.text.split_to(self.seen + end + 1);
-        self.seen = 0;
+        let mut line = self.bytes.split_to(self.scanned + end + 1);
+        self.scanned = 0;
         line.truncate(line.len() - 1);
         if line.ends_with(b"\r") {
             line.truncate(line.len() - 1);
@@ -33,14 +33,15 @@
         Some(line)
     }
 
-    /// What came of the next line.
+    /// The bytes received of the next line.
     pub fn unfinished(&self) -> &[u8] {
-        &self.text
+        &self.bytes
     }
 
+    /// Discards all bytes.
     pub fn clear(&mut self) {
-        self.text.clear();
-        self.seen = 0;
+        self.bytes.clear();
+        self.scanned = 0;
     }
 }
 
--- a/crates/manager/src/lines/tests.rs
+++ b/crates/manager/src/lines/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-/// Lines out of these pieces, and how many bytes were left to look at in all.
+/// The lines in these pieces, and how many bytes were scanned in all.
 fn lines(pieces: &[&[u8]]) -> (Vec<Vec<u8>>, usize) {
-    let (mut buffer, mut lines, mut looked) = (LineBuffer::default(), Vec::new(), 0);
+    let (mut buffer, mut lines, mut scanned) = (LineBuffer::default(), Vec::new(), 0);
     for piece in pieces {
         buffer.space(piece.len()).extend_from_slice(piece);
         loop {
-            looked += buffer.text.len() - buffer.seen;
+            scanned += buffer.bytes.len() - buffer.scanned;
             let Some(line) = buffer.next() else { break };
             lines.push(line.to_vec());
         }
     }
-    (lines, looked)
+    (lines, scanned)
 }
 
 #[test]
-fn lines_are_the_same_however_they_are_cut() {
+fn lines_do_not_depend_on_how_the_bytes_are_split() {
     let text = b"one\r\n\ntwo\rthree\r\r\nfour\n";
     let whole = lines(&[text]).0;
     assert_eq!(whole, [&b"one"[..], b"", b"two\rthree\r", b"four"]);
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn a_long_line_in_small_pieces_is_looked_at_once() {
+fn each_byte_of_a_long_line_in_small_pieces_is_scanned_once() {
     let long = vec![b'x'; 1 << 20];
     let pieces: Vec<&[u8]> = long.chunks(64).chain([&b"\n"[..]]).collect();
-    let (lines, looked) = lines(&pieces);
-    assert_eq!((lines.len(), looked), (1, long.len() + 1));
+    let (lines, scanned) = lines(&pieces);
+    assert_eq!((lines.len(), scanned), (1, long.len() + 1));
 }
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of workers: one tower service call each, few at once.
+//! Probes of workers: one call of a tower service each, with a limit on concurrent ones.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,26 +14,36 @@
 use crate::fault::{ConnectionError, Stage};
 use crate::{http, text};
 
-/// What one probe found.
+/// The result of one probe.
 #[derive(Debug, PartialEq)]
 pub struct ProbeResult {
+    /// Whether the worker answered, and how.
     pub outcome: ProbeOutcome,
+    /// From the start of the probe to its end.
     pub latency: Ms,
+    /// The load that the worker reported; empty unless the probe succeeded.
     pub load: Load,
 }
 
+/// A service that probes the worker at an address.
 pub type ProbeService = BoxCloneSyncService<SocketAddr, ProbeResult, std::convert::Infallible>;
 
-const MOST_BODY: usize = 4096;
+/// Limit on the body of an answer.
+const MAX_BODY_BYTES: usize = 4096;
 
-pub fn probe_service(dial_within: Duration, answer_within: Duration, at_once: usize) -> ProbeService {
-    let exchange = http::exchange(dial_within, answer_within);
+/// Returns a service with these time-outs that runs at most `max_concurrent` probes at a time.
+pub fn probe_service(
+    connect_timeout: Duration,
+    response_timeout: Duration,
+    max_concurrent: usize,
+) -> ProbeService {
+    let exchange = http::exchange(connect_timeout, response_timeout);
     let read = ServiceBuilder::new()
         .map_err(ConnectionError::at(Stage::Reading))
-        .timeout(answer_within)
-        .service(service_fn(whole));
+        .timeout(response_timeout)
+        .service(service_fn(collect_body));
     let probe = service_fn(move |worker: SocketAddr| {
-        let (exchange, read, asked) = (exchange.clone(), read.clone(), Instant::now());
+        let (exchange, read, started) = (exchange.clone(), read.clone(), Instant::now());
         async move {
             let answer = async {
                 let (head, body) = exchange.oneshot((worker, "/load".into())).await?.into_parts();
@@ -45,23 +55,23 @@
                 }
                 Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => (ProbeOutcome::Rejected, Load::default()),
                 Ok(_) => (ProbeOutcome::ErrorResponse, Load::default()),
-                Err(fault) => (ending(&fault), Load::default()),
+                Err(error) => (outcome_of(&error), Load::default()),
             };
-            Ok(ProbeResult { outcome, latency: asked.elapsed().as_secs_f64() * 1000.0, load })
+            Ok(ProbeResult { outcome, latency: started.elapsed().as_secs_f64() * 1000.0, load })
         }
     });
-    BoxCloneSyncService::new(ServiceBuilder::new().concurrency_limit(at_once).service(probe))
+    BoxCloneSyncService::new(ServiceBuilder::new().concurrency_limit(max_concurrent).service(probe))
 }
 
-async fn whole(body: Incoming) -> Result<Bytes, BoxError> {
-    Ok(Limited::new(body, MOST_BODY).collect().await?.to_bytes())
+async fn collect_body(body: Incoming) -> Result<Bytes, BoxError> {
+    Ok(Limited::new(body, MAX_BODY_BYTES).collect().await?.to_bytes())
 }
 
-/// Nothing ran where dialling failed; later the worker was there, and slow or broken.
-fn ending(fault: &ConnectionError) -> ProbeOutcome {
-    match fault.stage {
+/// If connecting failed, the worker is not there; after that it is there, but slow or broken.
+fn outcome_of(error: &ConnectionError) -> ProbeOutcome {
+    match error.stage {
         Stage::Connecting => ProbeOutcome::Unreachable,
-        _ if fault.timed_out => ProbeOutcome::TimedOut,
+        _ if error.timed_out => ProbeOutcome::TimedOut,
         _ => ProbeOutcome::ConnectionLost,
     }
 }
@@ -72,17 +82,17 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpListener;
 
-    /// A worker that reads a question, says `answer` and, unless it is to hang, hangs up.
-    async fn worker(answer: &'static str, hangs: bool) -> SocketAddr {
+    /// A worker that reads a request, sends `answer` and closes the connection, unless it is to hang.
+    async fn worker(answer: &'static str, hang: bool) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::spawn(async move {
             let (mut socket, _) = listener.accept().await.unwrap();
-            let mut question = [0; 1024];
-            let read = socket.read(&mut question).await.unwrap();
-            assert!(question[..read].starts_with(b"GET /load HTTP/1.1\r\n"));
+            let mut request = [0; 1024];
+            let read = socket.read(&mut request).await.unwrap();
+            assert!(request[..read].starts_with(b"GET /load HTTP/1.1\r\n"));
             socket.write_all(answer.as_bytes()).await.unwrap();
-            if hangs {
+            if hang {
                 std::future::pending::<()>().await;
             }
         });
@@ -90,11 +100,11 @@
     }
 
     #[tokio::test]
-    async fn a_probe_tells_by_how_far_it_came_what_the_worker_does() {
+    async fn probe_outcome_depends_on_the_status_and_the_stage_reached() {
         let probes = probe_service(Duration::from_secs(5), Duration::from_millis(200), 2);
         let report = "HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ninflight=7,queue=2,util=1";
-        let nobody = "127.0.0.1:0".parse().unwrap();
-        for (worker, ending) in [
+        let unreachable = "127.0.0.1:0".parse().unwrap();
+        for (worker, expected) in [
             (worker(report, false).await, ProbeOutcome::Success),
             (worker("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false).await, ProbeOutcome::Rejected),
             (
@@ -108,11 +118,11 @@
             (worker("", false).await, ProbeOutcome::ConnectionLost),
             (worker("", true).await, ProbeOutcome::TimedOut),
             (worker("HTTP/1.1 200 OK\r\nContent-Length: 25\r\n\r\ninfl", true).await, ProbeOutcome::TimedOut),
-            (nobody, ProbeOutcome::Unreachable),
+            (unreachable, ProbeOutcome::Unreachable),
         ] {
-            let found = probes.clone().oneshot(worker).await.unwrap();
-            assert_eq!(found.outcome, ending);
-            assert_eq!(found.load.queued, (ending == ProbeOutcome::Success).then_some(2.0));
+            let result = probes.clone().oneshot(worker).await.unwrap();
+            assert_eq!(result.outcome, expected);
+            assert_eq!(result.load.queued, (expected == ProbeOutcome::Success).then_some(2.0));
         }
     }
 }
--- a/crates/manager/src/subscription.rs
+++ b/crates/manager/src/subscription.rs
@@ -1,23 +1,23 @@
-//! What the operator's file says of the list of workers: which part of it this manager needs, and from which relays
-//! it takes it.
+//! The part of the operator's configuration on the list of workers: which part of the list this manager needs, and from
+//! which relays it gets it.
 
 use std::net::SocketAddr;
 
 use juniperrail_distribution::Scope;
 use juniperrail_model::{Data, Schema, Value, View};
 
-/// The part of the list that this manager needs, and who has it. The default is the whole list, from the agent that
-/// the settings name.
+/// The scope of the list that this manager needs, and its sources. The default is the full list from the discovery agent
+/// that the settings name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscription {
-    /// Where the relays are; empty where the agent is followed.
+    /// The addresses of the relays. If empty, the agent is the source.
     pub relays: Vec<SocketAddr>,
-    /// What is needed of the list.
+    /// The part of the list that is needed.
     pub scope: Scope,
 }
 
 impl Subscription {
-    /// What the file says. The error names the path and the rule.
+    /// Reads it from the configuration data. An error names the path and the value.
     pub fn read(schema: &Schema, data: &Data) -> Result<Subscription, String> {
         let discovery = View::new(schema, data).inner("discovery");
         let scope = discovery.inner("scope");
@@ -34,8 +34,8 @@
 }
 
 fn relay(address: &str) -> Result<SocketAddr, String> {
-    let read: Option<SocketAddr> = address.parse().ok();
-    // Nobody can be dialled at port 0.
-    let read = read.filter(|address| address.port() != 0);
-    read.ok_or_else(|| format!("/jrm:discovery/relay[.='{address}']: {address:?} is no address of a relay"))
+    let parsed: Option<SocketAddr> = address.parse().ok();
+    // Port 0 cannot be connected to.
+    let parsed = parsed.filter(|address| address.port() != 0);
+    parsed.ok_or_else(|| format!("/jrm:discovery/relay[.='{address}']: {address:?} is no address of a relay"))
 }
