--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -17,7 +17,7 @@
 use crate::http;
 use crate::inbound::Inbound;
 use crate::launch::Launch;
-use crate::list_assembler::{Line, LineError, ListAssembler, OverLimit, MOST_KEPT};
+use crate::list_assembler::{Line, LineError, ListAssembler, OverLimit, MAX_LIST_BYTES};
 use crate::listing::Listing;
 use crate::scope_filter::ScopeFilter;
 use crate::upstream::{wait_too_large, Upstream};
@@ -389,7 +389,7 @@
     fn limits(&self) -> ListLimits {
         match self.filter {
             Some(_) => ListLimits::default(),
-            None => ListLimits { entry: MOST_KEPT, envelope: MOST_KEPT },
+            None => ListLimits { entry: MAX_LIST_BYTES, envelope: MAX_LIST_BYTES },
         }
     }
 
--- a/crates/manager/src/list_assembler.rs
+++ b/crates/manager/src/list_assembler.rs
@@ -1,4 +1,4 @@
-//! Puts lists together out of the bytes of a watch, keeping only what is in scope.
+//! Assembles lists from the bytes of a watch and keeps only the entries in scope.
 
 use std::fmt;
 
@@ -6,29 +6,29 @@
 use serde_json::value::RawValue;
 
 use crate::listing::{Instance, Listing};
-use crate::scope_filter::{ScopeFilter, Sorted};
+use crate::scope_filter::{Classified, ScopeFilter};
 
-/// Bytes of entries that one list may keep.
-pub const MOST_KEPT: usize = 16 << 20;
+/// Limit on the bytes of the kept entries of one list.
+pub const MAX_LIST_BYTES: usize = 16 << 20;
 
-/// What an entry counts at least, in bytes: as much as keeping it takes beside its text.
-const LEAST_COUNTED: usize = 64;
+/// An entry counts as at least this many bytes, which is the memory that keeping it takes besides its text.
+const MIN_ENTRY_BYTES: usize = 64;
 
-/// What a line of a watch is.
+/// One line of a watch.
 #[derive(Debug)]
 pub enum Line {
-    /// An empty line, which shows that the watch lives.
+    /// An empty line, which shows that the watch is alive.
     Heartbeat,
-    /// A list, or changes of it, as far as it is in scope.
+    /// The part of a list, or of changes of it, that is in scope.
     List(Listing),
 }
 
-/// Why a line is not taken. What was read of it does not count.
+/// Why a line is rejected. No entry that was read of it is used.
 #[derive(Debug)]
 pub enum LineError {
-    /// It is no list.
+    /// It is not a list.
     Unreadable(ListError),
-    /// It holds more than is kept of one list.
+    /// It exceeds a limit on lists.
     OverLimit(OverLimit),
 }
 
@@ -43,9 +43,9 @@
 /// The limit that a list exceeded.
 #[derive(Debug)]
 pub enum Limit {
-    /// On all that is kept.
+    /// On all kept entries together.
     Kept,
-    /// On one entry, or on what stands beside the entries.
+    /// On one entry, or on the fields besides the entries.
     Part(ListError),
 }
 
@@ -53,34 +53,36 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let entries = self.entries;
         match &self.limit {
-            Limit::Kept => write!(f, "its first {entries} entries exceed the limit of {MOST_KEPT} bytes"),
+            Limit::Kept => {
+                write!(f, "its first {entries} entries exceed the limit of {MAX_LIST_BYTES} bytes")
+            }
             Limit::Part(cause) => write!(f, "after {entries} entries: {cause}"),
         }
     }
 }
 
-/// Takes the bytes of one watch.
+/// Assembles the lists of one watch.
 pub struct ListAssembler {
     reader: ListReader,
     instances: Vec<Instance>,
     kept_bytes: usize,
-    /// Entries read of the line, in scope or not.
+    /// Entries read of the current line, in scope or not.
     entries: usize,
 }
 
 impl ListAssembler {
-    /// At the beginning of a watch.
+    /// An assembler for a new watch.
     pub fn new(limits: ListLimits) -> ListAssembler {
         let reader = ListReader::new(limits);
         ListAssembler { reader, instances: Vec::new(), kept_bytes: 0, entries: 0 }
     }
 
-    /// Entries read of the line that is under way.
+    /// Entries read of the current line.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// Takes bytes off the front of `bytes` up to the next end of a line; `None` once all are taken without one.
+    /// Consumes bytes from the front of `bytes` up to the next end of a line; `None` if all are consumed without one.
     /// Without a filter every entry is kept.
     pub fn next(
         &mut self,
@@ -93,9 +95,9 @@
                 Ok(Some(ListEvent::Heartbeat)) => return Ok(Some(Line::Heartbeat)),
                 Ok(Some(ListEvent::Entry(entry))) => {
                     self.entries += 1;
-                    if let Some((instance, bytes)) = kept(entry, filter)? {
+                    if let Some((instance, bytes)) = keep(entry, filter)? {
                         self.instances.push(instance);
-                        self.kept_bytes += bytes.max(LEAST_COUNTED);
+                        self.kept_bytes += bytes.max(MIN_ENTRY_BYTES);
                     }
                     self.check_limit()?;
                 }
@@ -116,25 +118,25 @@
     }
 
     fn check_limit(&self) -> Result<(), LineError> {
-        if self.kept_bytes <= MOST_KEPT {
+        if self.kept_bytes <= MAX_LIST_BYTES {
             return Ok(());
         }
         Err(LineError::OverLimit(OverLimit { entries: self.entries, limit: Limit::Kept }))
     }
 }
 
-/// What is kept of an entry, and how many bytes it had.
-fn kept(entry: &[u8], filter: &mut Option<ScopeFilter>) -> Result<Option<(Instance, usize)>, LineError> {
-    let sorted = filter.as_mut().map_or(Sorted::Kept, |filter| filter.sort(entry));
-    let instance = match sorted {
-        Sorted::Dropped => return Ok(None),
-        Sorted::Left(departure) => Instance::Departure(departure),
-        Sorted::Kept => Instance::Entry(raw(entry)?),
+/// What is kept of an entry, and how many bytes the entry had.
+fn keep(entry: &[u8], filter: &mut Option<ScopeFilter>) -> Result<Option<(Instance, usize)>, LineError> {
+    let classified = filter.as_mut().map_or(Classified::Kept, |filter| filter.classify(entry));
+    let instance = match classified {
+        Classified::Dropped => return Ok(None),
+        Classified::Left(departure) => Instance::Departure(departure),
+        Classified::Kept => Instance::Entry(to_raw(entry)?),
     };
     Ok(Some((instance, entry.len())))
 }
 
-fn raw(entry: &[u8]) -> Result<Box<RawValue>, LineError> {
+fn to_raw(entry: &[u8]) -> Result<Box<RawValue>, LineError> {
     serde_json::from_slice(entry)
-        .map_err(|cause| LineError::Unreadable(ListError::NotAList(format!("no JSON: {cause}"))))
+        .map_err(|cause| LineError::Unreadable(ListError::NotAList(format!("not JSON: {cause}"))))
 }
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -1,4 +1,4 @@
-//! The list of workers, as discovery words it.
+//! The list of workers in the form in which discovery sends it.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
-/// A list or its changes, as discovery words them; what no decision needs is not even read.
+/// A full list or changes of it, as discovery sends them. Fields that no decision needs are not parsed.
 #[derive(Debug, Default, Deserialize)]
 pub struct Listing {
-    /// The source's number of this state of the list.
+    /// The version that the source gave this state of the list.
     #[serde(rename = "generation")]
     pub version: u64,
-    /// Whether it is the whole list; otherwise these are changes.
+    /// Whether it is the full list; otherwise it holds changes.
     #[serde(default, rename = "reset")]
     pub full: bool,
-    /// The entries that are kept.
+    /// The entries, as far as they are in scope.
     #[serde(default)]
     pub instances: Vec<Instance>,
 }
@@ -25,9 +25,9 @@
 /// One element of a list.
 #[derive(Debug)]
 pub enum Instance {
-    /// An entry, as discovery words it.
+    /// An entry, as discovery sent it.
     Entry(Box<RawValue>),
-    /// A worker that is held has left the scope; nothing else of its entry is kept.
+    /// A worker of the held list has left the scope; nothing else of its entry is kept.
     Departure(Departure),
 }
 
@@ -40,9 +40,9 @@
 /// A worker that has left the scope of this manager.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Departure {
-    /// Its name.
+    /// The name of the worker.
     pub worker: String,
-    /// What it is for this manager from now on: draining, or gone if it is.
+    /// The phase that it has for this manager from now on: gone if the entry says so, else draining.
     pub phase: Phase,
 }
 
@@ -64,34 +64,34 @@
     started_at_ms: Option<f64>,
 }
 
-/// One element of a list that can be read.
+/// One valid element of a list.
 pub enum ReadEntry {
-    /// How a worker is, and where it is probed.
+    /// A worker, and the address at which it is probed.
     Listed { listed: WorkerEntry, address: Option<SocketAddr> },
     /// A worker has left the scope.
     Departure(Departure),
 }
 
-/// A list as far as it can be read.
+/// The elements of a list, parsed.
 pub struct Entries {
-    /// In the order of the list.
+    /// The valid elements, in the order of the list.
     pub read: Vec<ReadEntry>,
-    /// Whom the entries that can't be read are about, as far as at least that can be.
+    /// For each entry that cannot be parsed, the name of its worker if at least that can be.
     pub unreadable: Vec<Option<String>>,
 }
 
-/// Of an entry that can't be read whole: whom it is about.
+/// The worker of an entry that cannot be parsed in full.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct About {
+struct Identity {
     instance_id: String,
 }
 
 impl Listing {
-    /// What can be read; the other entries are passed over with a log line.
+    /// Parses the entries. Those that cannot be parsed are skipped, with one log line.
     pub fn entries(&self, names: &mut Names) -> Entries {
         let mut entries = Entries { read: Vec::with_capacity(self.instances.len()), unreadable: Vec::new() };
-        let mut last_fault = None;
+        let mut last_error = None;
         for instance in &self.instances {
             let raw = match instance {
                 Instance::Entry(raw) => raw.get(),
@@ -100,35 +100,38 @@
                     continue;
                 }
             };
-            match entry(raw, names) {
+            match parse_entry(raw, names) {
                 Ok((listed, address)) => entries.read.push(ReadEntry::Listed { listed, address }),
-                Err(fault) => {
+                Err(error) => {
                     entries
                         .unreadable
-                        .push(serde_json::from_str(raw).ok().map(|About { instance_id }| instance_id));
-                    last_fault = Some(fault);
+                        .push(serde_json::from_str(raw).ok().map(|Identity { instance_id }| instance_id));
+                    last_error = Some(error);
                 }
             }
         }
-        if let Some(last) = last_fault {
-            let odd = entries.unreadable.len();
-            tracing::warn!("list {}: {odd} entries are passed over, the last: {last}", self.version);
+        if let Some(last) = last_error {
+            let skipped = entries.unreadable.len();
+            tracing::warn!(
+                "list {}: {skipped} entries cannot be read and are skipped, the last: {last}",
+                self.version
+            );
         }
         entries
     }
 }
 
-fn entry(raw: &str, names: &mut Names) -> Result<(WorkerEntry, Option<SocketAddr>), String> {
-    let entry: Entry = serde_json::from_str(raw).map_err(|why| why.to_string())?;
+fn parse_entry(raw: &str, names: &mut Names) -> Result<(WorkerEntry, Option<SocketAddr>), String> {
+    let entry: Entry = serde_json::from_str(raw).map_err(|cause| cause.to_string())?;
     let phase = match &*entry.lifecycle {
         "ready" => Phase::Ready,
         "draining" => Phase::Draining,
         "gone" => Phase::Gone,
         other => return Err(format!("unknown lifecycle {other:?}")),
     };
-    // Names end up in orders, where these set words and lines apart.
+    // Names are written into messages to proxies, where these characters are separators.
     if entry.instance_id.is_empty() || entry.instance_id.contains([' ', ',', ':', '\r', '\n']) {
-        return Err(format!("no worker can be called {:?}", entry.instance_id));
+        return Err(format!("{:?} is not a valid worker name", entry.instance_id));
     }
     let listed = WorkerEntry {
         worker: names.worker(&entry.instance_id),
--- a/crates/manager/src/scope_filter.rs
+++ b/crates/manager/src/scope_filter.rs
@@ -1,8 +1,7 @@
-//! Sorts entries of a list by whether this manager needs them.
+//! Filters the entries of a list by the scope of this manager.
 //!
-//! Of what is out of scope nothing is kept. One exception makes that safe: a worker that was in scope, and stands in
-//! an entry that is not, has left the scope. Its proxies must learn that, or they would go on using a worker of which
-//! no drain would ever be told.
+//! Entries out of scope are dropped, with one exception: if the worker of such an entry was in scope before, it has left
+//! the scope. The proxies have to be told; otherwise they would keep using a worker whose drain they would never hear of.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
@@ -13,18 +12,18 @@
 
 use crate::listing::{Departure, Instance, Listing};
 
-/// What becomes of an entry.
+/// What to do with an entry.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Sorted {
-    /// It is in scope, or unfit in a way that whoever reads the list must know of.
+pub enum Classified {
+    /// Keep it: it is in scope, or invalid in a way that the reader of the list has to know of.
     Kept,
-    /// A worker that is held has left the scope.
+    /// A worker of the held list has left the scope.
     Left(Departure),
-    /// It is out of scope.
+    /// Drop it: it is out of scope.
     Dropped,
 }
 
-/// What tells whether an entry is in scope.
+/// The fields that decide whether an entry is in scope.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Placement<'a> {
@@ -37,7 +36,7 @@
     lifecycle: Cow<'a, str>,
 }
 
-/// Of an entry that can't be read whole: whom it is about.
+/// The worker of an entry that cannot be parsed in full.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Identity<'a> {
@@ -45,47 +44,47 @@
     instance_id: Cow<'a, str>,
 }
 
-/// A scope, and the workers that were passed on as being in it.
+/// A scope, and the workers of the held list that are in it.
 ///
-/// What a list says is staged until the list is taken over: one that breaks off says nothing.
+/// The entries of a list are staged until the list is committed, so that an incomplete list has no effect.
 #[derive(Clone, Debug)]
 pub struct ScopeFilter {
     scope: Scope,
     held: HashSet<String>,
-    /// By worker: whether it is held once the list that is being read is taken over.
+    /// By worker: whether it is held once the current list is committed.
     staged: HashMap<String, bool>,
-    /// The list that is being read has an entry of which not even the worker can be read.
+    /// The current list has an entry of which not even the worker can be parsed.
     unreadable: bool,
 }
 
 impl ScopeFilter {
-    /// A filter that holds nobody.
+    /// A filter that holds no workers.
     pub fn new(scope: Scope) -> ScopeFilter {
         ScopeFilter { scope, held: HashSet::new(), staged: HashMap::new(), unreadable: false }
     }
 
-    /// The scope that it goes by.
+    /// The scope.
     pub fn scope(&self) -> &Scope {
         &self.scope
     }
 
-    /// Whether no worker is held.
+    /// Whether it holds no workers.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Sorts one entry, which is sound JSON.
-    pub fn sort(&mut self, entry: &[u8]) -> Sorted {
+    /// Classifies one entry, which has to be valid JSON.
+    pub fn classify(&mut self, entry: &[u8]) -> Classified {
         match serde_json::from_slice(entry) {
-            Ok(placement) => self.sort_placed(placement),
-            Err(_) => self.sort_unfit(entry),
+            Ok(placement) => self.classify_placed(placement),
+            Err(_) => self.classify_invalid(entry),
         }
     }
 
-    /// The list whose entries were sorted is taken over.
-    pub fn commit(&mut self, whole: bool) {
-        // A whole list with an entry about nobody knows who counts as changes.
-        if whole && !self.unreadable {
+    /// Commits the list whose entries were classified.
+    pub fn commit(&mut self, full: bool) {
+        // A full list with an entry of an unknown worker is treated as changes: that worker may be a held one.
+        if full && !self.unreadable {
             self.held.clear();
         }
         for (worker, held) in self.staged.drain() {
@@ -98,64 +97,64 @@
         self.unreadable = false;
     }
 
-    /// The list whose entries were sorted does not count.
+    /// Discards the list whose entries were classified.
     pub fn discard(&mut self) {
         self.staged.clear();
         self.unreadable = false;
     }
 
-    /// What is in scope of a list that is taken over at once.
+    /// Reduces a list to its scope and commits it.
     pub fn filter(&mut self, listing: Listing) -> Listing {
         let mut kept = Vec::new();
         for instance in listing.instances {
-            let sorted = match &instance {
-                Instance::Entry(raw) => self.sort(raw.get().as_bytes()),
-                Instance::Departure(_) => Sorted::Kept,
+            let classified = match &instance {
+                Instance::Entry(raw) => self.classify(raw.get().as_bytes()),
+                Instance::Departure(_) => Classified::Kept,
             };
-            match sorted {
-                Sorted::Kept => kept.push(instance),
-                Sorted::Left(departure) => kept.push(Instance::Departure(departure)),
-                Sorted::Dropped => {}
+            match classified {
+                Classified::Kept => kept.push(instance),
+                Classified::Left(departure) => kept.push(Instance::Departure(departure)),
+                Classified::Dropped => {}
             }
         }
         self.commit(listing.full);
         Listing { instances: kept, ..listing }
     }
 
-    fn sort_placed(&mut self, entry: Placement<'_>) -> Sorted {
+    fn classify_placed(&mut self, entry: Placement<'_>) -> Classified {
         let place = Place { zone: &entry.zone, service: entry.service.as_deref() };
         let worker = &*entry.instance_id;
         if self.scope.contains(place) {
             self.staged.insert(worker.to_string(), entry.lifecycle != "gone");
-            return Sorted::Kept;
+            return Classified::Kept;
         }
         if !self.is_held(worker) {
-            return Sorted::Dropped;
+            return Classified::Dropped;
         }
         let phase = match &*entry.lifecycle {
             "ready" | "draining" => Phase::Draining,
             "gone" => Phase::Gone,
-            _ => return self.keep_unfit(worker),
+            _ => return self.keep_invalid(worker),
         };
         self.staged.insert(worker.to_string(), phase != Phase::Gone);
-        Sorted::Left(Departure { worker: worker.to_string(), phase })
+        Classified::Left(Departure { worker: worker.to_string(), phase })
     }
 
-    /// An entry that says nothing of the scope matters only as far as it may be about a worker that is held.
-    fn sort_unfit(&mut self, entry: &[u8]) -> Sorted {
+    /// An entry without a valid zone or service is kept only if its worker is held or unknown.
+    fn classify_invalid(&mut self, entry: &[u8]) -> Classified {
         match serde_json::from_slice::<Identity<'_>>(entry) {
-            Ok(identity) if self.is_held(&identity.instance_id) => self.keep_unfit(&identity.instance_id),
-            Ok(_) => Sorted::Dropped,
+            Ok(identity) if self.is_held(&identity.instance_id) => self.keep_invalid(&identity.instance_id),
+            Ok(_) => Classified::Dropped,
             Err(_) => {
                 self.unreadable = true;
-                Sorted::Kept
+                Classified::Kept
             }
         }
     }
 
-    fn keep_unfit(&mut self, worker: &str) -> Sorted {
+    fn keep_invalid(&mut self, worker: &str) -> Classified {
         self.staged.insert(worker.to_string(), true);
-        Sorted::Kept
+        Classified::Kept
     }
 
     fn is_held(&self, worker: &str) -> bool {
--- a/crates/manager/src/upstream.rs
+++ b/crates/manager/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Whom the list of workers is taken from, and how long to wait before it is asked for again.
+//! The source of the list of workers, and the wait before it is asked again.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use crate::discovery::HEARTBEAT;
 
 /// The wait after the first list that was too large; it doubles with each further one.
-const FIRST_WAIT_TOO_LARGE: Duration = Duration::from_secs(3);
-/// The longest wait after a list that was too large.
-const LONGEST_WAIT_TOO_LARGE: Duration = Duration::from_secs(300);
+const MIN_WAIT_TOO_LARGE: Duration = Duration::from_secs(3);
+/// Limit on the wait after a list that was too large.
+const MAX_WAIT_TOO_LARGE: Duration = Duration::from_secs(300);
 
-/// The other end of the watch.
+/// The source that the watch follows.
 pub enum Upstream {
-    /// The agent on this machine, wherever it is at the moment.
+    /// The agent on this machine, at its present address.
     Agent { address: watch::Receiver<SocketAddr>, failures: u32 },
     /// One of several relays.
     Relays(RelayChoice),
 }
 
 impl Upstream {
-    /// The relays if there are any, else the agent.
+    /// The relays if there are any, otherwise the agent.
     pub fn new(subscriber: &str, relays: &[SocketAddr], agent: watch::Receiver<SocketAddr>) -> Upstream {
         match RelayChoice::new(subscriber, relays.iter().copied()) {
             Some(relays) => Upstream::Relays(relays),
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Whether it is a relay.
+    /// Whether the source is a relay.
     pub fn is_relay(&self) -> bool {
         matches!(self, Upstream::Relays(_))
     }
 
-    /// Where to dial.
+    /// The address to connect to.
     pub fn address(&mut self) -> SocketAddr {
         match self {
             Upstream::Agent { address, .. } => *address.borrow_and_update(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Ends once the agent has another address; never where nobody can tell one any more.
+    /// Completes once the agent has another address; never with relays, or once no new address can be given.
     pub async fn moved(&mut self) {
         if let Upstream::Agent { address, failures } = self {
             if address.changed().await.is_ok() {
@@ -54,13 +54,13 @@
         std::future::pending().await
     }
 
-    /// A watch has ended. `served`: whether it brought anything until then.
+    /// Records that a watch has ended and returns when to retry. `served`: whether the watch had worked.
     pub fn ended(&mut self, failure: RelayFailure, served: bool, rng: &mut fastrand::Rng) -> Retry {
         match self {
             Upstream::Agent { failures, .. } => {
                 let behind = failure == RelayFailure::Behind;
                 *failures = if served || behind { 0 } else { failures.saturating_add(1) };
-                // From a 32nd of a heartbeat on, doubling up to one, apart from other managers.
+                // Starts at 1/32 of a heartbeat and doubles up to one, with jitter so that managers do not retry together.
                 let wait = HEARTBEAT.mul_f64(0.5 + rng.f64()) / (32 >> (*failures).min(5));
                 Retry { wait, round: if behind { Round::AllBehind } else { Round::UnderWay } }
             }
@@ -74,9 +74,9 @@
     }
 }
 
-/// The wait after the list was too large so many times before, apart from other managers.
-pub fn wait_too_large(times: u32, rng: &mut fastrand::Rng) -> Duration {
-    let wait = FIRST_WAIT_TOO_LARGE.saturating_mul(2u32.saturating_pow(times));
-    // Less than a doubling, so that each wait is longer than the one before.
-    wait.min(LONGEST_WAIT_TOO_LARGE).mul_f64(0.75 + rng.f64() / 2.0)
+/// The wait after a list that was too large, if the `previous` ones in a row were too. It has jitter.
+pub fn wait_too_large(previous: u32, rng: &mut fastrand::Rng) -> Duration {
+    let wait = MIN_WAIT_TOO_LARGE.saturating_mul(2u32.saturating_pow(previous));
+    // The jitter is less than a doubling, so that each wait is longer than the previous one.
+    wait.min(MAX_WAIT_TOO_LARGE).mul_f64(0.75 + rng.f64() / 2.0)
 }
