--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch that keeps the list of workers current.
+//! The watch of discovery, or of relays, that keeps the list of workers current.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -22,21 +22,21 @@
 use crate::scope_filter::ScopeFilter;
 use crate::upstream::{wait_too_large, Upstream};
 
-/// An empty line comes this often while nothing changes.
+/// While nothing changes, the source sends an empty line at this interval.
 pub const HEARTBEAT: Duration = Duration::from_secs(2);
-/// A watch that ends no line for so long is silent.
-const SILENCE: Duration = HEARTBEAT.saturating_mul(2);
-/// A relay sends a large list at a pace. A line that goes on bringing entries may take this long.
-const LONGEST_RELAYED_LINE: Duration = Duration::from_secs(30);
-/// Whatever discovery has to tell counts as told at the latest so long after, by the protocol: a peer that is further
-/// behind will not come up with what is held.
-const BEHIND: Duration = Duration::from_secs(6);
+/// A watch without a complete line for this long is considered dead.
+const SILENCE_TIMEOUT: Duration = HEARTBEAT.saturating_mul(2);
+/// Relays pace large lists. A line of which entries keep arriving may take this long.
+const RELAYED_LINE_TIMEOUT: Duration = Duration::from_secs(30);
+/// By the protocol, every change reaches all agents and relays within this time. A source that has been behind the held
+/// list for longer will not catch up.
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(6);
 
 /// Why a watch ended.
 enum WatchEnd {
-    /// It could not be begun, or broke.
+    /// It could not be started, or it broke.
     Broken(ConnectionError),
-    /// Its lists stay older than the one held.
+    /// Its lists stay older than the held one.
     Behind,
     /// Its list is larger than its limit.
     TooLarge(OverLimit),
@@ -76,11 +76,11 @@
     }
 }
 
-/// Follows the list for good, from whomever it is to be taken.
+/// Follows the list of workers forever.
 pub struct Watch {
     upstream: Upstream,
     follower: Follower,
-    /// Watches in a row that brought nothing.
+    /// Watches in a row that brought nothing new.
     failures: u32,
     /// Lists in a row that were too large.
     too_large: u32,
@@ -88,7 +88,7 @@
 }
 
 impl Watch {
-    /// `agent`: where discovery's agent is, for as long as no relays are named.
+    /// `agent`: the address of discovery's agent, which is followed if the subscription names no relays.
     pub fn new(
         launch: &mut Launch,
         agent: watch::Receiver<SocketAddr>,
@@ -108,9 +108,10 @@
         Watch { upstream, follower, failures: 0, too_large: 0, rng }
     }
 
-    /// A watch that breaks, or whose agent moves, is dialled again with what is held.
+    /// Reconnects whenever a watch ends or the agent moves, and resumes from the held version. After `resync` it requests
+    /// the full list.
     pub async fn run(mut self, resync: &Notify) {
-        let exchange = http::exchange(HEARTBEAT, SILENCE);
+        let exchange = http::exchange(HEARTBEAT, SILENCE_TIMEOUT);
         if let Some(held) = self.follower.held {
             self.follower.warn_if_empty(held);
         }
@@ -127,8 +128,8 @@
                     continue;
                 }
             };
-            let wait = self.ended(&end, address);
-            // Guards against a wait for an address that is no longer in force.
+            let wait = self.next_wait(&end, address);
+            // A new address is used at once, without the rest of the wait.
             tokio::select! {
                 () = sleep(wait) => {}
                 () = self.upstream.moved() => self.failures = 0,
@@ -136,11 +137,11 @@
         }
     }
 
-    /// Decides what is asked for next, and after which wait.
-    fn ended(&mut self, end: &WatchEnd, address: SocketAddr) -> Duration {
+    /// Decides what to request next, and returns the wait before that.
+    fn next_wait(&mut self, end: &WatchEnd, address: SocketAddr) -> Duration {
         let served = self.follower.served();
         self.failures = if served { 0 } else { self.failures.saturating_add(1) };
-        if self.follower.session.took_list {
+        if self.follower.session.accepted_list {
             self.too_large = 0;
         }
         let mut retry = self.upstream.ended(end.failure(), served, &mut self.rng);
@@ -149,9 +150,9 @@
             Round::Over => self.follower.behind = Behind::default(),
             Round::AllBehind => {
                 tracing::warn!(
-                    "whoever has the list has only older ones than the one held: the whole is asked for"
+                    "every source has only older lists than the one held: the full list is requested"
                 );
-                self.follower.begin_anew();
+                self.follower.reset();
             }
         }
         if let WatchEnd::TooLarge(over) = end {
@@ -159,7 +160,7 @@
             self.too_large = self.too_large.saturating_add(1);
             tracing::warn!(
                 "the list of {address} is too large and refused: {over}; {}, asked again in {} s",
-                self.follower.held_in_words(),
+                self.follower.describe_held(),
                 retry.wait.as_secs()
             );
         } else if self.failures.saturating_add(1).is_power_of_two() {
@@ -169,84 +170,86 @@
     }
 }
 
-/// Whether what the other end has is older than what is held.
+/// Tracks whether the sources are behind the held list.
 #[derive(Default)]
 struct Behind {
-    /// Since when nobody had the version held.
+    /// Since when no source has had the held version.
     since: Option<Instant>,
-    /// The present watch told an older list.
-    told: bool,
+    /// The current watch has sent an older list.
+    received_older: bool,
 }
 
 impl Behind {
-    /// When the present watch is given up for it.
+    /// When the current watch is given up because of this.
     fn deadline(&self) -> Option<Instant> {
-        self.since.filter(|_| self.told).map(|since| since + BEHIND)
+        self.since.filter(|_| self.received_older).map(|since| since + MAX_PROPAGATION_DELAY)
     }
 }
 
-/// What the present watch has brought.
+/// What the current watch has brought.
 struct Session {
-    began: Instant,
-    /// It brought a newer version than the one held before.
+    started: Instant,
+    /// It brought another version than the one held before.
     advanced: bool,
-    took_list: bool,
-    /// It was there for so long that the other end serves, although nothing changed.
+    /// It brought a list that was accepted.
+    accepted_list: bool,
+    /// It has lasted long enough to show that the source works, even if nothing changed.
     steady: bool,
 }
 
 impl Session {
     fn new() -> Session {
-        Session { began: Instant::now(), advanced: false, took_list: false, steady: false }
+        Session { started: Instant::now(), advanced: false, accepted_list: false, steady: false }
     }
 }
 
-/// By when a watch has to show that it lives.
-struct LifeSigns {
-    silent_at: Instant,
-    line_began: Instant,
-    /// Entries of the line that came so far.
+/// The time-out of a watch.
+struct Liveness {
+    deadline: Instant,
+    line_started: Instant,
+    /// Entries of the current line so far.
     entries: usize,
 }
 
-impl LifeSigns {
-    fn new() -> LifeSigns {
+impl Liveness {
+    fn new() -> Liveness {
         let now = Instant::now();
-        LifeSigns { silent_at: now + SILENCE, line_began: now, entries: 0 }
+        Liveness { deadline: now + SILENCE_TIMEOUT, line_started: now, entries: 0 }
     }
 
-    fn entries_came(&mut self, entries: usize) {
+    /// Extends the deadline if entries have arrived since the last call.
+    fn record_entries(&mut self, entries: usize) {
         if entries > self.entries {
             self.entries = entries;
-            self.silent_at = (Instant::now() + SILENCE).min(self.line_began + LONGEST_RELAYED_LINE);
+            self.deadline = (Instant::now() + SILENCE_TIMEOUT).min(self.line_started + RELAYED_LINE_TIMEOUT);
         }
     }
 }
 
-/// Takes over what watches bring, one watch after the other.
+/// Processes the lines of watches, one watch after the other, and passes lists on.
 struct Follower {
-    /// The version held; without one the whole list is asked for.
+    /// The version of the held list; without one the full list is requested.
     held: Option<u64>,
-    /// The other ends are relays.
+    /// The sources are relays.
     relayed: bool,
-    /// Keeps to the scope, if there is one.
+    /// Filters by the scope, if there is one.
     filter: Option<ScopeFilter>,
     inbound: mpsc::Sender<Inbound>,
     behind: Behind,
     session: Session,
-    /// That no worker is in scope was said already.
+    /// The warning that no worker is in scope has been logged.
     warned_empty: bool,
 }
 
 impl Follower {
-    /// One watch, from its dialling to its end.
+    /// Runs one watch, from connecting to its end.
     async fn follow(&mut self, exchange: &http::Exchange, address: SocketAddr) -> WatchEnd {
         self.session = Session::new();
         if let Some(filter) = &mut self.filter {
             filter.discard();
         }
         if self.relayed {
-            self.behind.told = false;
+            self.behind.received_older = false;
         }
         match self.watch(exchange, address).await {
             Err(end) => end,
@@ -259,12 +262,13 @@
         exchange: &http::Exchange,
         address: SocketAddr,
     ) -> Result<Infallible, WatchEnd> {
-        let mut body = self.dial(exchange, address).await?;
+        let mut body = self.connect(exchange, address).await?;
         let mut assembler = ListAssembler::new(self.limits());
-        let mut life = LifeSigns::new();
+        let mut liveness = Liveness::new();
         loop {
-            let deadline = self.behind.deadline().map_or(life.silent_at, |behind| behind.min(life.silent_at));
-            // Guards against a watch that is silent for good, or that brings bytes without ever ending a line.
+            let deadline =
+                self.behind.deadline().map_or(liveness.deadline, |behind| behind.min(liveness.deadline));
+            // Ends a watch that stays silent, or that sends bytes without ever ending a line.
             let frame = match timeout_at(deadline, body.frame()).await {
                 Err(_) => return Err(self.timed_out()),
                 Ok(None) => return Err(ConnectionError::reading("the watch ended").into()),
@@ -272,19 +276,19 @@
                 Ok(Some(Ok(frame))) => frame,
             };
             let data = frame.into_data().unwrap_or_default();
-            // Chunks split and join lines as they like.
+            // A chunk may hold a part of a line or several lines.
             let mut bytes = &data[..];
             while let Some(line) = assembler.next(&mut bytes, &mut self.filter)? {
-                self.take(line).await?;
-                life = LifeSigns::new();
+                self.process_line(line).await?;
+                liveness = Liveness::new();
             }
             if self.relayed {
-                life.entries_came(assembler.entries());
+                liveness.record_entries(assembler.entries());
             }
         }
     }
 
-    async fn dial(
+    async fn connect(
         &self,
         exchange: &http::Exchange,
         address: SocketAddr,
@@ -301,46 +305,48 @@
         Ok(answer.into_body())
     }
 
-    /// One line of a watch: a list, changes of it, or nothing, which shows that the watch lives.
-    async fn take(&mut self, line: Line) -> Result<(), WatchEnd> {
+    /// Processes one line of a watch.
+    async fn process_line(&mut self, line: Line) -> Result<(), WatchEnd> {
         match line {
             Line::Heartbeat => {}
             Line::List(listing) => match self.held.filter(|held| listing.version < *held) {
-                Some(held) => self.pass_over(listing.version, held),
-                None => self.take_over(listing).await?,
+                Some(held) => self.skip_older(listing.version, held),
+                None => self.accept(listing).await?,
             },
         }
-        if !self.behind.told && self.session.began.elapsed() >= BEHIND {
+        if !self.behind.received_older && self.session.started.elapsed() >= MAX_PROPAGATION_DELAY {
             self.session.steady = true;
             self.behind = Behind::default();
         }
-        // Guards against discovery that counts anew: its lists would be passed over for good.
+        // If discovery restarted its version numbers, its lists would otherwise be skipped forever.
         if self.behind.deadline().is_some_and(|deadline| deadline <= Instant::now()) {
             return Err(WatchEnd::Behind);
         }
         Ok(())
     }
 
-    /// Guards against a peer that is behind, as after a move: by its list, who left since would be back.
-    fn pass_over(&mut self, version: u64, held: u64) {
+    /// Skips a list of a source that is behind, for instance after the agent moved: the list would bring back workers that
+    /// have left since.
+    fn skip_older(&mut self, version: u64, held: u64) {
         if let Some(filter) = &mut self.filter {
             filter.discard();
         }
-        if !self.behind.told {
-            tracing::warn!("list {version} is older than {held}, which is held: it is passed over");
+        if !self.behind.received_older {
+            tracing::warn!("list {version} is older than the held list {held}: it is skipped");
         }
-        self.behind.told = true;
+        self.behind.received_older = true;
         self.behind.since.get_or_insert_with(Instant::now);
     }
 
-    async fn take_over(&mut self, listing: Listing) -> Result<(), WatchEnd> {
+    /// Passes a list on and holds it from now on.
+    async fn accept(&mut self, listing: Listing) -> Result<(), WatchEnd> {
         let (version, full) = (listing.version, listing.full);
         if self.inbound.send(Inbound::Listing(listing)).await.is_err() {
-            return Err(ConnectionError::reading("nobody wants the list any more").into());
+            return Err(ConnectionError::reading("the decider has stopped").into());
         }
-        // Only now: a watch given up while it waits to tell would count as told what nobody has received.
+        // Only after the send: if the watch is cancelled during the send, the list must not count as held.
         self.session.advanced |= self.held != Some(version);
-        self.session.took_list = true;
+        self.session.accepted_list = true;
         self.held = Some(version);
         self.behind = Behind::default();
         if let Some(filter) = &mut self.filter {
@@ -354,7 +360,7 @@
         Ok(())
     }
 
-    /// Says once that the scope names nobody, until it does.
+    /// Warns once that no worker is in scope, until one is.
     fn warn_if_empty(&mut self, version: u64) {
         let Some(filter) = &self.filter else { return };
         if filter.is_empty() && !std::mem::replace(&mut self.warned_empty, true) {
@@ -364,8 +370,8 @@
         }
     }
 
-    /// The source counts anew: the whole list is asked for, and taken whatever its version is.
-    fn begin_anew(&mut self) {
+    /// The source has restarted its version numbers: requests the full list and accepts any version.
+    fn reset(&mut self) {
         self.held = None;
         self.behind = Behind::default();
     }
@@ -380,12 +386,12 @@
         }
     }
 
-    /// Whether the watch that ended shows that its other end serves.
+    /// Whether the watch that ended has shown that its source works.
     fn served(&self) -> bool {
         self.session.advanced || (self.relayed && self.session.steady)
     }
 
-    /// With a scope one entry is small beside the list; without one, one may be as long as the list.
+    /// With a scope the default limits apply; without one, a single entry may be as large as the limit on the list.
     fn limits(&self) -> ListLimits {
         match self.filter {
             Some(_) => ListLimits::default(),
@@ -393,7 +399,7 @@
         }
     }
 
-    fn held_in_words(&self) -> String {
+    fn describe_held(&self) -> String {
         self.held.map_or("nothing is held".into(), |held| format!("{held} is still held"))
     }
 }
