--- a/crates/manager/tests/crossings.rs
+++ b/crates/manager/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, each pair forced into its bad order by what a peer holds back, or by the program being stopped
-//! while both come: never by a time that is hoped for.
+//! Races between two events. Each pair is forced into its bad order, by a peer that holds something back or by stopping the
+//! process while both arrive, and never by relying on timing.
 
 mod cluster;
 
@@ -14,14 +14,15 @@
 use cluster::{config, entry, watch, Program, TestCluster};
 use juniperrail_standins::{entry as entry_at, list, Answering, Peer, SETTINGS};
 
-const NOBODY: &str = "127.0.0.1:1";
+const UNREACHABLE: &str = "127.0.0.1:1";
 
-fn nobody() -> SocketAddr {
-    NOBODY.parse().unwrap()
+fn unreachable() -> SocketAddr {
+    UNREACHABLE.parse().unwrap()
 }
 
-/// A configuration whose whole table is some 300 kB, far more than [`Peer::narrow`] takes, and whose silences are short.
-fn wide(discovery: SocketAddr) -> String {
+/// A configuration with a table of about 300 kB, far more than a [`Peer::narrow`] buffers, and with short time-outs for
+/// silent proxies.
+fn large_table(discovery: SocketAddr) -> String {
     let name = "x".repeat(250);
     let entries: Vec<String> =
         (0..1100).map(|id| entry_at(&format!("s-{id}-{name}"), "a", "127.0.0.1:9", "ready")).collect();
@@ -38,19 +39,19 @@
 }
 
 #[test]
-fn a_stream_given_up_as_silent_gives_its_descriptor_back_though_a_write_to_it_never_ends() {
-    let program = Program::start("silent", &wide(nobody()));
+fn silent_stream_frees_its_descriptor_even_during_a_blocked_write() {
+    let program = Program::start("silent", &large_table(unreachable()));
     let mut proxy = Peer::narrow(program.address);
     proxy.say("hello node=1 locality=a w=2 cold=1");
     program.until_connections(1);
-    // It reads nothing for good: silent after a period and a transit, given up after as long again.
+    // It never reads: silent after a report period and a transit, closed after as long again.
     program.until_connections(0);
     drop(proxy);
 }
 
 #[test]
-fn a_stream_that_another_replaced_ends_at_once_with_what_is_queued_for_it() {
-    let cluster = TestCluster::with(wide);
+fn replaced_stream_ends_at_once_and_drops_its_queue() {
+    let cluster = TestCluster::with(large_table);
     let name = "x".repeat(250);
     let mut old = Peer::narrow(cluster.manager);
     old.say("hello node=1 locality=a w=2 cold=1");
@@ -58,22 +59,22 @@
     other.line_with("whole=1");
     let draining = entry_at(&format!("s-7-{name}"), "a", "127.0.0.1:9", "draining");
     cluster.watch("200 OK").1.chunk(&(list(42, false, &[draining]) + "\n"));
-    // Told in one turn to both: behind the table that the old stream does not take.
+    // Sent to both in one turn: on the old stream it is queued behind the table that the peer does not read.
     other.line_with("out=s-7-");
     let mut new = cluster.proxy(1);
     new.line_with("whole=1");
-    let told = old.rest();
+    let received = old.rest();
     assert!(
-        told.starts_with("push") && !told.contains("out=s-7-"),
-        "{} bytes: a stale order came",
-        told.len()
+        received.starts_with("push") && !received.contains("out=s-7-"),
+        "{} bytes: a stale order arrived",
+        received.len()
     );
 }
 
 #[test]
-fn an_introduction_that_comes_late_over_an_older_connection_takes_no_stream_away() {
+fn late_introduction_on_an_older_connection_does_not_replace_the_stream() {
     let cluster = TestCluster::new(64);
-    // Whoever does not join within 1 s is told so: on a machine so busy the story begins anew.
+    // A connection that does not join within 1 s is rejected as late. On a machine that busy the test tries again.
     for _ in 0..20 {
         let mut old = cluster.peer();
         old.raw("hello node=7 locality=a w=21.5");
@@ -82,7 +83,7 @@
         old.raw(" cold=1\r\n");
         match old.line() {
             Some(late) if late.starts_with("error why=late") => continue,
-            end => assert_eq!(end, None, "the older connection is ended"),
+            end => assert_eq!(end, None, "the older connection has ended"),
         }
         new.say("probe");
         new.line_with("alive");
@@ -92,23 +93,23 @@
 }
 
 #[test]
-fn a_stranger_told_to_go_as_it_joins_goes_so_that_there_are_no_more_connections_than_may_be() {
-    // With 28 descriptors, 14 connections may be open.
+fn connection_evicted_while_joining_ends_so_that_the_limit_holds() {
+    // With 28 descriptors, the limit is 14 open connections.
     for _ in 0..20 {
-        let program = Program::start("stranger", &config(nobody(), 28));
+        let program = Program::start("evicted", &config(unreachable(), 28));
         let mut joined: Vec<Peer> = (0..13).map(|number| Peer::joined(program.address, number)).collect();
         joined.iter_mut().for_each(|proxy| _ = proxy.line_with("whole=1"));
-        let mut stranger = Peer::dial(program.address);
+        let mut evicted = Peer::dial(program.address);
         program.until_connections(14);
         program.signal("STOP");
         let mut newcomer = Peer::dial(program.address);
         newcomer.say("hello node=14 locality=a w=2 cold=1");
-        stranger.say("hello node=13 locality=a w=2 cold=1");
+        evicted.say("hello node=13 locality=a w=2 cold=1");
         program.signal("CONT");
         newcomer.line_with("whole=1");
-        match stranger.line() {
+        match evicted.line() {
             Some(late) if late.starts_with("error why=late") => continue,
-            end => assert_eq!(end, None, "its descriptor is another's"),
+            end => assert_eq!(end, None, "its descriptor belongs to another connection"),
         }
         program.until_connections(14);
         return;
@@ -117,26 +118,26 @@
 }
 
 #[test]
-fn a_burst_of_probes_is_answered_whole_and_takes_no_orders_place() {
+fn burst_of_probes_is_answered_in_full_and_does_not_displace_orders() {
     let cluster = TestCluster::new(64);
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
     proxy.raw(&"probe\r\n".repeat(500));
-    for place in 0..500 {
-        assert_eq!(proxy.line().as_deref(), Some("alive"), "answer {place}");
+    for index in 0..500 {
+        assert_eq!(proxy.line().as_deref(), Some("alive"), "answer {index}");
     }
     cluster.watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
     proxy.line_with("out=s-2");
 }
 
 #[test]
-fn a_watch_that_drips_without_ever_ending_a_line_is_dialled_again() {
+fn watch_that_drips_bytes_without_ending_a_line_is_reconnected() {
     let cluster = TestCluster::new(64);
     let (_, mut agent) = cluster.watch("200 OK");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
     let dripping = thread::spawn(move || {
-        // Until the manager ends it: a byte of a line that never ends.
+        // Sends single bytes of a line that never ends, until the manager closes the connection.
         while matches!(stopped.try_recv(), Err(std::sync::mpsc::TryRecvError::Empty)) {
             if agent.try_raw("1\r\n{\r\n").is_err() {
                 return true;
@@ -145,19 +146,19 @@
         }
         false
     });
-    let asked = accepted(&cluster.discovery);
-    if asked.is_none() {
+    let request = next_watch(&cluster.discovery);
+    if request.is_none() {
         drop(stop);
     }
-    assert!(asked.is_some_and(|asked| asked.contains("index=42")), "it is dialled again");
-    assert!(dripping.join().unwrap(), "the dripping watch is ended");
+    assert!(request.is_some_and(|request| request.contains("index=42")), "it reconnects");
+    assert!(dripping.join().unwrap(), "the dripping watch is closed");
 }
 
-/// What the next watch asks for, if one comes in time.
-fn accepted(discovery: &TcpListener) -> Option<String> {
+/// The request of the next watch, if one arrives in time.
+fn next_watch(discovery: &TcpListener) -> Option<String> {
     discovery.set_nonblocking(true).unwrap();
-    let until = Instant::now() + Duration::from_secs(20);
-    while Instant::now() < until {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while Instant::now() < deadline {
         match discovery.accept() {
             Ok((socket, _)) => {
                 socket.set_nonblocking(false).unwrap();
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn a_list_older_than_the_one_held_brings_nobody_back_until_discovery_counts_anew() {
+fn older_list_restores_no_worker_until_discovery_restarts_its_versions() {
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
@@ -178,65 +179,65 @@
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     proxy.line_with("out=s-1");
     drop(agent);
-    // An agent that is behind tells all it knows, then what it is told itself.
-    let (asked, mut agent) = cluster.watch("200 OK");
-    assert!(asked.contains("index=42"), "{asked}");
-    let whole = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
-    agent.chunk(&(whole.clone() + "\n"));
+    // An agent that is behind sends its full list, then the changes that reach it.
+    let (request, mut agent) = cluster.watch("200 OK");
+    assert!(request.contains("index=42"), "{request}");
+    let full = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
+    agent.chunk(&(full.clone() + "\n"));
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     agent.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
-    let told = proxy.line_with("out=s-2");
-    assert!(!told.contains("s-1"), "{told}");
+    let message = proxy.line_with("out=s-2");
+    assert!(!message.contains("s-1"), "{message}");
     drop(agent);
-    // Discovery that counts anew stays behind: after 6 s its word is taken, whatever its number.
-    let (asked, mut agent) = cluster.watch("200 OK");
-    assert!(asked.contains("index=43"), "{asked}");
+    // Discovery that restarted its versions stays behind: after 6 s its list is accepted, whatever its version.
+    let (request, mut agent) = cluster.watch("200 OK");
+    assert!(request.contains("index=43"), "{request}");
     agent.chunk(&(list(1, true, &[]) + "\n"));
-    let again = loop {
+    let next = loop {
         if agent.try_raw("1\r\n\n\r\n").is_err() {
             break watch(&cluster.discovery, "200 OK");
         }
         thread::sleep(Duration::from_millis(500));
     };
-    assert!(!again.0.contains("index"), "the whole is asked for: {}", again.0);
-    let mut agent = again.1;
+    assert!(!next.0.contains("index"), "the full list is requested: {}", next.0);
+    let mut agent = next.1;
     agent.chunk(&(list(2, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready"))) + "\n"));
     assert!(proxy.line_with("back=").contains("s-1"));
 }
 
 #[test]
-fn whoever_reads_the_log_may_go_away_at_any_time() {
-    let mut program = Program::start("log", &config(nobody(), 64));
+fn closing_the_log_pipe_does_not_end_the_program() {
+    let mut program = Program::start("log", &config(unreachable(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     drop(program.log.take());
-    // Each of these is told in the log at once.
+    // Each of these writes to the log at once.
     for _ in 0..3 {
         program.signal("HUP");
         Peer::joined(program.address, 2).line_with("whole=1");
     }
     proxy.say("probe");
     proxy.line_with("alive");
-    assert!(program.child.try_wait().unwrap().is_none(), "it runs");
+    assert!(program.child.try_wait().unwrap().is_none(), "it is running");
     program.signal("TERM");
     assert!(program.child.wait().unwrap().success());
 }
 
 #[test]
-fn a_restart_waits_until_its_predecessor_has_let_go_of_the_address() {
+fn restart_waits_until_its_predecessor_frees_the_address() {
     let old = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = old.local_addr().unwrap();
     let path = std::env::temp_dir().join(format!("juniperrail-again-{}.json", std::process::id()));
-    std::fs::write(&path, config(nobody(), 64)).unwrap();
+    std::fs::write(&path, config(unreachable(), 64)).unwrap();
     let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
     program.env_clear().env("PROXY_CONFIG", &path).env("PROXY_LISTEN", address.to_string());
     program.env("RUST_LOG", "debug").stderr(Stdio::piped());
     let mut child = program.spawn().unwrap();
     let mut log = std::io::BufReader::new(child.stderr.take().unwrap());
-    let mut said = String::new();
-    while !said.contains(&format!("{address} is in use")) {
-        let read = std::io::BufRead::read_line(&mut log, &mut said).unwrap();
-        assert!(read > 0, "it ended: {said}");
+    let mut log_text = String::new();
+    while !log_text.contains(&format!("{address} is in use")) {
+        let read = std::io::BufRead::read_line(&mut log, &mut log_text).unwrap();
+        assert!(read > 0, "it ended: {log_text}");
     }
     drop(old);
     assert_eq!(juniperrail_standins::address_served(&mut log), address);
@@ -247,9 +248,9 @@
 }
 
 #[test]
-fn spans_that_no_clock_could_hold_are_a_fault_of_one_line() {
+fn durations_out_of_range_are_a_one_line_error() {
     let path = std::env::temp_dir().join(format!("juniperrail-spans-{}.json", std::process::id()));
-    let good = config(nobody(), 64);
+    let good = config(unreachable(), 64);
     for (from, to, expected) in [
         (r#""tick-ms":1"#, r#""tick-ms":1e300"#, "tick-ms"),
         (r#""dial-timeout-ms":250"#, r#""dial-timeout-ms":1e25"#, "dial-timeout-ms"),
@@ -260,66 +261,65 @@
         let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
         program.env_clear().env("PROXY_CONFIG", &path).stderr(Stdio::piped());
         let mut child = program.spawn().unwrap();
-        let mut said = String::new();
+        let mut output = String::new();
         let log = child.stderr.take().unwrap();
         let mut log = std::io::BufReader::new(log);
-        std::io::BufRead::read_line(&mut log, &mut said).unwrap();
-        // One that serves all the same would do so for good.
-        if !said.starts_with("juniperrail: ") {
+        std::io::BufRead::read_line(&mut log, &mut output).unwrap();
+        // A program that starts serving instead would never end.
+        if !output.starts_with("juniperrail: ") {
             child.kill().unwrap();
         }
-        log.read_to_string(&mut said).unwrap();
+        log.read_to_string(&mut output).unwrap();
         let code = child.wait().unwrap().code();
-        assert!(said.starts_with("juniperrail: ") && said.contains(expected), "{expected}: {said}");
-        assert_eq!((said.lines().count(), code), (1, Some(1)), "{said}");
+        assert!(output.starts_with("juniperrail: ") && output.contains(expected), "{expected}: {output}");
+        assert_eq!((output.lines().count(), code), (1, Some(1)), "{output}");
     }
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
-fn all_proxies_may_knock_while_nobody_is_taken() {
-    let most: usize =
+fn all_proxies_can_connect_while_no_connection_is_accepted() {
+    let backlog_limit: usize =
         std::fs::read_to_string("/proc/sys/net/core/somaxconn").unwrap().trim().parse().unwrap();
-    // As many as the system lets wait, but more than its usual listeners do.
-    let count = 1300.min(most);
+    // As many as the system allows to wait, but more than the usual backlog.
+    let count = 1300.min(backlog_limit);
     let settings = SETTINGS.replace("\"proxy-count\":20", &format!("\"proxy-count\":{count}"));
-    let config = config(nobody(), 4096).replace(SETTINGS, &settings);
-    let program = Program::start("knock", &config);
+    let config = config(unreachable(), 4096).replace(SETTINGS, &settings);
+    let program = Program::start("backlog", &config);
     program.signal("STOP");
     let address = program.address;
-    let knocking = (0..4).map(|part| {
+    let connecting = (0..4).map(|part| {
         thread::spawn(move || {
-            let dial = |_| TcpStream::connect_timeout(&address, Duration::from_secs(20));
-            (part..count).step_by(4).map(dial).collect::<Result<Vec<TcpStream>, _>>()
+            let connect = |_| TcpStream::connect_timeout(&address, Duration::from_secs(20));
+            (part..count).step_by(4).map(connect).collect::<Result<Vec<TcpStream>, _>>()
         })
     });
-    let knocking: Vec<_> = knocking.collect();
-    let waiting: Vec<_> = knocking.into_iter().map(|part| part.join().unwrap()).collect();
+    let connecting: Vec<_> = connecting.collect();
+    let waiting: Vec<_> = connecting.into_iter().map(|part| part.join().unwrap()).collect();
     program.signal("CONT");
     let waiting: Result<Vec<_>, _> = waiting.into_iter().collect();
-    let waiting: Vec<TcpStream> =
-        waiting.expect("the handshake of each is done").into_iter().flatten().collect();
+    let waiting: Vec<TcpStream> = waiting.expect("every handshake completes").into_iter().flatten().collect();
     assert_eq!(waiting.len(), count);
 }
 
 #[test]
-fn an_answer_whose_head_never_ends_is_given_up_and_its_connection_ended() {
+fn response_whose_head_never_ends_is_abandoned_and_its_connection_closed() {
     let cluster = TestCluster::new(64);
     let mut agent = Peer::new(cluster.discovery.accept().unwrap().0);
-    assert!(agent.line().is_some_and(|asked| asked.starts_with("GET /v1/servers?stream=1")));
+    assert!(agent.line().is_some_and(|request| request.starts_with("GET /v1/servers?stream=1")));
     agent.raw("HTTP/1.1 200 OK\r\nX-Never: a");
-    assert!(accepted(&cluster.discovery).is_some(), "it is dialled again");
-    // Nothing more is taken on the first; what is sent meets its end.
-    let until = Instant::now() + Duration::from_secs(20);
+    assert!(next_watch(&cluster.discovery).is_some(), "it reconnects");
+    // The first connection is closed, so that sending on it fails.
+    let deadline = Instant::now() + Duration::from_secs(20);
     while agent.try_raw("a").is_ok() {
-        assert!(Instant::now() < until, "the connection stays");
+        assert!(Instant::now() < deadline, "the connection stays open");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn signals_that_come_together_or_twice_end_it_once_and_well() {
-    let mut program = Program::start("signals", &config(nobody(), 64));
+fn simultaneous_and_repeated_signals_end_the_program_with_success() {
+    let mut program = Program::start("signals", &config(unreachable(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     program.signal("STOP");
@@ -331,28 +331,31 @@
 }
 
 #[test]
-fn a_restart_in_the_middle_of_a_write_cuts_one_line_and_the_successor_serves_at_once() {
-    let mut old = Program::start("half", &wide(nobody()));
+fn restart_during_a_write_cuts_one_line_and_the_successor_serves_at_once() {
+    let mut old = Program::start("half", &large_table(unreachable()));
     let address = old.address;
     let mut slow = Peer::narrow(address);
     slow.say("hello node=1 locality=a w=2 cold=1");
     let mut other = Peer::joined(address, 2);
     other.line_with("whole=1");
     old.signal("TERM");
-    assert!(old.child.wait().unwrap().success(), "whoever reads nothing holds up no end");
-    let successor =
-        Program::start_with("half-next", &wide(nobody()), &[("PROXY_LISTEN", &address.to_string())]);
+    assert!(old.child.wait().unwrap().success(), "a peer that does not read does not delay the end");
+    let successor = Program::start_with(
+        "half-next",
+        &large_table(unreachable()),
+        &[("PROXY_LISTEN", &address.to_string())],
+    );
     assert_eq!(successor.address, address);
-    // What came of the table ends within a line: no part of a message that a proxy could take for a whole one.
+    // The part of the table that arrived ends within a line, so a proxy cannot mistake it for a complete message.
     let cut = slow.rest();
     assert!(cut.starts_with("push") && !cut.ends_with("\r\n"), "{} bytes", cut.len());
-    let told = Peer::joined(address, 1).line_with("whole=1");
-    assert!(told.contains("ticket=1"), "it knows nothing of what its predecessor sent");
+    let table = Peer::joined(address, 1).line_with("whole=1");
+    assert!(table.contains("ticket=1"), "it starts without its predecessor's marks");
 }
 
 #[test]
-fn a_stream_that_ended_before_its_introduction_was_read_is_no_match_for_the_next_one() {
-    let program = Program::start("ended", &config(nobody(), 64));
+fn stream_that_ended_before_its_introduction_was_read_does_not_affect_the_next() {
+    let program = Program::start("ended", &config(unreachable(), 64));
     program.signal("STOP");
     for _ in 0..8 {
         drop(Peer::joined(program.address, 7));
@@ -366,7 +369,7 @@
 }
 
 #[test]
-fn a_proxy_that_closes_only_its_sending_half_has_left() {
+fn proxy_that_closes_its_sending_half_has_left() {
     let cluster = TestCluster::new(64);
     let mut half = cluster.proxy(1);
     let mark = half.line_with("ticket=").split("ticket=").nth(1).unwrap().to_string();
@@ -379,22 +382,22 @@
 }
 
 #[test]
-fn every_proxy_that_comes_back_amid_a_flood_of_strangers_is_taken() {
-    let program = Program::start("flood", &config(nobody(), 64));
+fn every_proxy_reconnects_amid_a_flood_of_unidentified_connections() {
+    let program = Program::start("flood", &config(unreachable(), 64));
     program.signal("STOP");
-    // More than may be open in all, each before any proxy.
-    let strangers: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
+    // More connections than the limit, all of them before any proxy.
+    let before: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
     let mut proxies: Vec<Peer> = (0..20).map(|number| Peer::joined(program.address, number)).collect();
-    let more: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
+    let after: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
     program.signal("CONT");
     for proxy in &mut proxies {
         proxy.line_with("whole=1");
     }
-    drop((strangers, more));
+    drop((before, after));
 }
 
 #[test]
-fn a_drain_comes_through_while_collectors_flood() {
+fn drain_reaches_proxies_while_collectors_flood() {
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
@@ -421,12 +424,12 @@
     }
     stopped.store(true, Ordering::Relaxed);
     let sent: usize = floods.into_iter().map(|flood| flood.join().unwrap()).sum();
-    assert!(sent > 4096, "{sent} reports are no flood: fewer than the queue holds");
+    assert!(sent > 4096, "{sent} reports are fewer than the queue holds");
 }
 
 #[test]
-fn a_reload_without_a_file_leaves_all_as_it_was() {
-    let mut program = Program::start("gone", &config(nobody(), 64));
+fn reload_without_a_file_keeps_the_configuration() {
+    let mut program = Program::start("gone", &config(unreachable(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     let json = std::fs::read_to_string(&program.path).unwrap();
@@ -441,16 +444,16 @@
 }
 
 #[test]
-fn a_whole_list_with_an_entry_that_cannot_be_read_still_tells_who_is_gone() {
+fn full_list_with_an_invalid_entry_still_shows_which_workers_are_gone() {
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
     let (_, mut agent) = cluster.watch("200 OK");
     let broken = r#"{"instanceId":"s-3","lifecycle":7}"#.to_string();
     agent.chunk(&(list(42, true, &[entry("s-2", "ready"), broken]) + "\n"));
-    let told = proxy.line_with("out=s-1");
-    assert!(!told.contains("s-3"), "what is known of it stays: {told}");
-    // Later changes do not name who was gone before.
+    let message = proxy.line_with("out=s-1");
+    assert!(!message.contains("s-3"), "what is known of it stays: {message}");
+    // Later changes do not name workers that were gone before.
     agent.chunk(&(list(43, false, &[entry("s-3", "draining")]) + "\n"));
     proxy.line_with("out=s-3");
 }
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Stories on real sockets: a manager, and stand-ins for discovery, proxies and collectors.
+//! End-to-end tests on real sockets: a manager, with stand-ins for discovery, proxies and collectors.
 
 mod cluster;
 
@@ -12,16 +12,16 @@
 use juniperrail_standins::{address_served, list, Peer, SETTINGS};
 
 #[test]
-fn a_proxy_that_joins_is_given_the_whole_table_of_the_list_last_held() {
+fn joining_proxy_gets_the_full_table_of_the_held_list() {
     let cluster = TestCluster::new(64);
     cluster.peer().alive();
-    let told = cluster.proxy(7).line_with("whole=1");
-    assert!(told.starts_with("push ") && told.contains("lines=s-1:1,s-2:1,s-3:1"), "{told}");
-    assert!(told.contains("level=1000000 retry=1") && told.contains("ticket="), "{told}");
+    let table = cluster.proxy(7).line_with("whole=1");
+    assert!(table.starts_with("push ") && table.contains("lines=s-1:1,s-2:1,s-3:1"), "{table}");
+    assert!(table.contains("level=1000000 retry=1") && table.contains("ticket="), "{table}");
 }
 
 #[test]
-fn messages_come_in_pieces_or_many_at_once() {
+fn messages_may_arrive_in_pieces_or_several_at_once() {
     let cluster = TestCluster::new(64);
     let mut peer = cluster.peer();
     for piece in ["pro", "be\r", "\nprobe\r\nhello node=3 loc", "ality=b w=1 cold=0\r\npro", "be\r\n"] {
@@ -33,25 +33,25 @@
 }
 
 #[test]
-fn a_new_stream_of_a_proxy_takes_the_place_of_the_old_one() {
+fn new_stream_of_a_proxy_replaces_the_old_one() {
     let cluster = TestCluster::new(64);
     let mut old = cluster.proxy(7);
     old.line_with("whole=1");
     let mut new = cluster.proxy(7);
     new.line_with("whole=1");
-    assert_eq!(old.line(), None, "the old stream is ended");
+    assert_eq!(old.line(), None, "the old stream has ended");
     new.alive();
     cluster.watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
     new.line_with("out=s-2");
 }
 
 #[test]
-fn a_spoilt_message_costs_itself_alone() {
+fn invalid_message_is_skipped_and_the_connection_kept() {
     let cluster = TestCluster::new(64);
     let (mut proxy, mut collector) = (cluster.proxy(1), cluster.peer());
     proxy.line_with("whole=1");
     collector.say("agent locality=a");
-    for spoilt in [
+    for invalid in [
         "ack node=1 nonce=70000 latency=1",
         "ack node=1 nonce=1",
         "ack node=1 nonce=999 latency=1",
@@ -65,19 +65,19 @@
         "outcomes locality=nowhere endpoint=s-1 total=1 errors=0 rtt=1 interval=1000",
         "hello node=2 locality=a w=1 cold=1",
     ] {
-        proxy.say(spoilt);
-        collector.say(spoilt);
+        proxy.say(invalid);
+        collector.say(invalid);
     }
     proxy.alive();
     collector.alive();
 }
 
 #[test]
-fn what_cannot_be_read_as_messages_ends_the_one_connection_concerned() {
+fn bytes_that_are_no_message_end_only_their_connection() {
     let cluster = TestCluster::new(64);
-    let mut sound = cluster.proxy(1);
-    sound.line_with("whole=1");
-    // Also where no end of a line ever comes.
+    let mut unaffected = cluster.proxy(1);
+    unaffected.line_with("whole=1");
+    // Some have no end of a line.
     for (number, bad) in (2..).zip(["shout\r\n", "\r\n", "GET / HTTP/1.1", "\u{16}\u{3}\u{1}", "ack \0"]) {
         let mut proxy = cluster.proxy(number);
         proxy.line_with("whole=1");
@@ -91,16 +91,16 @@
         assert_eq!(collector.line(), None, "{bad:?}");
     }
     drop(cluster.proxy(9));
-    sound.alive();
+    unaffected.alive();
 }
 
 #[test]
-fn strangers_are_told_an_error_and_see_their_connections_end() {
+fn rejected_peers_get_an_error_and_see_their_connections_end() {
     let cluster = TestCluster::new(64);
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
     let endless = "x".repeat(100_000);
-    for (first, why) in [
+    for (first, reason) in [
         ("hello node=20 locality=a w=1 cold=1\r\n", "unreadable"),
         ("hello node=2 locality=nowhere w=1 cold=1\r\n", "unreadable"),
         ("hello node=x locality=a\r\n", "unreadable"),
@@ -112,49 +112,49 @@
         ("hello node=2 loca", "late"),
         ("", "late"),
     ] {
-        let mut stranger = cluster.peer();
-        stranger.raw(first);
-        assert_eq!(stranger.line().as_deref(), Some(&*format!("error why={why}")), "{first:.20}");
-        assert_eq!(stranger.line(), None, "{first:.20}");
+        let mut peer = cluster.peer();
+        peer.raw(first);
+        assert_eq!(peer.line().as_deref(), Some(&*format!("error why={reason}")), "{first:.20}");
+        assert_eq!(peer.line(), None, "{first:.20}");
     }
-    let mut asked = cluster.peer();
-    asked.alive();
-    assert_eq!(asked.line().as_deref(), Some("error why=late"), "a sign of life is no joining");
+    let mut probing = cluster.peer();
+    probing.alive();
+    assert_eq!(probing.line().as_deref(), Some("error why=late"), "a probe is not an introduction");
     proxy.alive();
 }
 
 #[test]
-fn strangers_that_say_nothing_take_no_proxys_place() {
+fn silent_unidentified_connections_are_evicted_for_proxies() {
     let cluster = TestCluster::new(16);
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
-    let mut strangers: Vec<Peer> = (0..4).map(|_| cluster.peer()).collect();
-    let last = cluster.proxy(2).line_with("whole=1");
-    assert!(last.contains("s-1"), "{last}");
-    assert_eq!(strangers[0].line(), None, "the oldest is put out, before its time");
-    strangers[3].alive();
+    let mut unidentified: Vec<Peer> = (0..4).map(|_| cluster.peer()).collect();
+    let table = cluster.proxy(2).line_with("whole=1");
+    assert!(table.contains("s-1"), "{table}");
+    assert_eq!(unidentified[0].line(), None, "the oldest is evicted before its time-out");
+    unidentified[3].alive();
     proxy.alive();
 }
 
 #[test]
-fn collectors_that_say_nothing_give_way_to_those_that_report() {
+fn silent_collectors_are_evicted_for_active_ones() {
     let cluster = TestCluster::new(64);
     let mut collectors: Vec<Peer> = (0..9).map(|_| cluster.peer()).collect();
-    for (place, collector) in collectors.iter_mut().enumerate() {
+    for (index, collector) in collectors.iter_mut().enumerate() {
         collector.say("agent locality=a");
         collector.alive();
-        if place == 7 {
+        if index == 7 {
             break;
         }
     }
     collectors[0].alive();
     collectors[8].say("agent locality=b");
-    assert_eq!(collectors[1].line(), None, "eight at most, for two zones");
+    assert_eq!(collectors[1].line(), None, "at most eight for two zones");
     collectors[0].alive();
 }
 
 #[test]
-fn running_out_of_descriptors_costs_strangers_and_no_proxy() {
+fn running_out_of_descriptors_closes_unidentified_connections_but_no_proxy() {
     let path = std::env::temp_dir().join(format!("juniperrail-few-{}.json", std::process::id()));
     std::fs::write(&path, config("127.0.0.1:1".parse().unwrap(), 1024)).unwrap();
     let mut limited = Command::new("sh");
@@ -164,20 +164,20 @@
     let address = address_served(&mut log);
     let mut proxy = Peer::joined(address, 1);
     proxy.line_with("whole=1");
-    let strangers: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(address).unwrap()).collect();
+    let unidentified: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(address).unwrap()).collect();
     Peer::joined(address, 2).line_with("whole=1");
     proxy.alive();
     manager.kill().unwrap();
-    let mut said = String::new();
-    log.read_to_string(&mut said).unwrap();
-    assert!(said.contains("no connection can be accepted: Too many open files"), "{said}");
-    drop(strangers);
+    let mut log_text = String::new();
+    log.read_to_string(&mut log_text).unwrap();
+    assert!(log_text.contains("no connection can be accepted: Too many open files"), "{log_text}");
+    drop(unidentified);
     manager.wait().unwrap();
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
-fn who_joined_is_kept_and_the_list_is_followed_where_descriptors_are_fewer_than_proxies() {
+fn joined_proxies_and_the_watch_are_kept_with_fewer_descriptors_than_proxies() {
     let cluster = TestCluster::new(28);
     let (_, mut agent) = cluster.watch("200 OK");
     let mut proxies: Vec<Peer> = (0..20).map(|number| cluster.proxy(number)).collect();
@@ -189,16 +189,16 @@
     assert!((4..20).contains(&kept), "{kept} of 20 fit");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     drop(agent);
-    let (asked, mut agent) = cluster.watch("200 OK");
-    assert!(asked.contains("index=42"), "there is a descriptor for the next watch: {asked}");
+    let (request, mut agent) = cluster.watch("200 OK");
+    assert!(request.contains("index=42"), "there is a descriptor for the next watch: {request}");
     agent.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
-    let here = proxies.iter_mut().zip(joined).filter(|(_, joined)| *joined);
-    here.for_each(|(proxy, _)| _ = proxy.line_with("out=s-2"));
+    let connected = proxies.iter_mut().zip(joined).filter(|(_, joined)| *joined);
+    connected.for_each(|(proxy, _)| _ = proxy.line_with("out=s-2"));
 }
 
 #[test]
-fn a_thousand_workers_and_managers_and_zones_that_nobody_named_are_borne() {
-    let zone = |place: u32| format!("z{}", place % 12);
+fn a_thousand_workers_and_zones_missing_from_the_settings_are_served() {
+    let zone = |index: u32| format!("z{}", index % 12);
     let entries: Vec<String> = (0..1100)
         .map(|id| juniperrail_standins::entry(&format!("s-{id}"), &zone(id), "127.0.0.1:9", "ready"))
         .collect();
@@ -213,8 +213,8 @@
         )
     });
     let mut collectors: Vec<Peer> = (0..12).map(|_| cluster.peer()).collect();
-    for (place, collector) in (0..).zip(&mut collectors) {
-        collector.say(&format!("agent locality={}", zone(place)));
+    for (index, collector) in (0..).zip(&mut collectors) {
+        collector.say(&format!("agent locality={}", zone(index)));
         collector.alive();
     }
     let mut proxies: Vec<Peer> = (0..20).map(|_| cluster.peer()).collect();
@@ -222,11 +222,11 @@
         proxy.say(&format!("hello node={number} locality={} w=2 cold=1", zone(number)));
     }
     for proxy in &mut proxies {
-        let whole = proxy.line_with("whole=1");
-        let lines = whole.split("lines=").nth(1).unwrap().split(' ').next().unwrap();
+        let table = proxy.line_with("whole=1");
+        let lines = table.split("lines=").nth(1).unwrap().split(' ').next().unwrap();
         let weight = |line: &str| line.split_once(':').and_then(|(_, weight)| weight.parse::<f64>().ok());
-        assert!(lines.split(',').count() >= 16, "{whole}");
-        assert!(lines.split(',').all(|line| weight(line).is_some_and(|weight| weight > 0.0)), "{whole}");
+        assert!(lines.split(',').count() >= 16, "{table}");
+        assert!(lines.split(',').all(|line| weight(line).is_some_and(|weight| weight > 0.0)), "{table}");
     }
     for peer in proxies.iter_mut().chain(&mut collectors) {
         peer.say("probe");
@@ -235,19 +235,19 @@
 }
 
 #[test]
-fn hundreds_of_streams_within_a_moment_are_all_taken() {
+fn hundreds_of_streams_at_once_are_all_accepted() {
     let cluster = TestCluster::new(1024);
     let mut proxies: Vec<Peer> = (0..400).map(|number| cluster.proxy(number % 20)).collect();
-    // Each new stream of a proxy ends the one before: only the last twenty are left, and all are served.
+    // Each new stream of a proxy ends the previous one: only the last twenty remain, and all of them are served.
     proxies[380..].iter_mut().for_each(|proxy| _ = proxy.line_with("whole=1"));
     proxies[..380].iter_mut().for_each(|proxy| while proxy.line().is_some() {});
 }
 
 #[test]
-fn the_watch_is_read_however_its_chunks_cut_lines() {
+fn watch_is_parsed_however_chunks_split_its_lines() {
     let cluster = TestCluster::new(64);
-    let (asked, mut agent) = cluster.watch("200 OK");
-    assert_eq!(asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
+    let (request, mut agent) = cluster.watch("200 OK");
+    assert_eq!(request, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
     let broken = r#"{"instanceId":"s-3"}"#.to_string();
@@ -256,42 +256,42 @@
     agent.chunk("\n");
     agent.chunk(head);
     agent.chunk(&(tail.to_string() + "\n" + &list(43, false, &[entry("s-9", "ready")]) + "\n"));
-    let told = proxy.line_with("out=s-1");
-    assert!(!told.contains("s-3"), "an entry with missing fields is passed over: {told}");
+    let message = proxy.line_with("out=s-1");
+    assert!(!message.contains("s-3"), "an entry with missing fields is skipped: {message}");
     let broken = r#"{"instanceId":"s-3"}"#.to_string();
     agent.chunk(&(list(44, true, &[entry("s-2", "draining"), broken]) + "\n"));
-    let told = proxy.line_with("out=s-2");
-    assert!(!told.contains("s-3"), "nobody is gone whose entry can't be read: {told}");
+    let message = proxy.line_with("out=s-2");
+    assert!(!message.contains("s-3"), "a worker with an invalid entry is not gone: {message}");
     agent.chunk(&(list(45, true, &[entry("s-9", "ready")]) + "\n"));
     proxy.line_with("out=s-3");
 }
 
 #[test]
-fn a_watch_that_breaks_is_dialled_again_with_the_version_held() {
+fn broken_watch_reconnects_from_the_held_version() {
     let cluster = TestCluster::new(64);
     let (_, mut agent) = cluster.watch("200 OK");
     agent.chunk(&(list(42, false, &[]) + "\n"));
     drop(agent);
-    let (asked, mut agent) = cluster.watch("200 OK");
-    assert!(asked.contains("index=42"), "after an end: {asked}");
+    let (request, mut agent) = cluster.watch("200 OK");
+    assert!(request.contains("index=42"), "after the end of a watch: {request}");
     agent.chunk("{\"generation\":\n");
-    let (asked, agent) = cluster.watch("503 Service Unavailable");
-    assert!(asked.contains("index=42"), "after what is no JSON: {asked}");
-    let (asked, silent) = cluster.watch("200 OK");
-    assert!(asked.contains("index=42"), "after a refusal: {asked}");
-    let (asked, _) = cluster.watch("200 OK");
-    assert!(asked.contains("index=42"), "after a silence: {asked}");
+    let (request, agent) = cluster.watch("503 Service Unavailable");
+    assert!(request.contains("index=42"), "after invalid JSON: {request}");
+    let (request, silent) = cluster.watch("200 OK");
+    assert!(request.contains("index=42"), "after an error status: {request}");
+    let (request, _) = cluster.watch("200 OK");
+    assert!(request.contains("index=42"), "after silence: {request}");
     drop((agent, silent));
 }
 
 #[test]
-fn a_manager_that_is_stopped_ends_its_connections() {
+fn stopped_manager_closes_its_connections() {
     let mut cluster = TestCluster::new(64);
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
     drop(cluster.stop.take());
     while proxy.line().is_some() {}
-    // The listener goes with all the rest, in whatever order.
+    // The listener may be closed after the connections.
     let refused = (0..2000).any(|_| {
         thread::sleep(Duration::from_millis(10));
         TcpStream::connect(cluster.manager).is_err()
@@ -300,42 +300,43 @@
 }
 
 #[test]
-fn a_reload_moves_the_watch_and_keeps_all_streams() {
+fn reload_moves_the_watch_and_keeps_all_streams() {
     let path = std::env::temp_dir().join(format!("juniperrail-reload-{}.json", std::process::id()));
     let discoveries: Vec<TcpListener> = (0..3).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-    let addresses: Vec<SocketAddr> = discoveries.iter().map(|one| one.local_addr().unwrap()).collect();
+    let addresses: Vec<SocketAddr> =
+        discoveries.iter().map(|listener| listener.local_addr().unwrap()).collect();
     std::fs::write(&path, config(addresses[0], 64)).unwrap();
     let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
-    // What the variable says held at the start; the file's word goes before it from the first reload on.
+    // The variable applies at the start; from the first reload on the file has precedence.
     program.env("PROXY_CONFIG", &path).env("PROXY_DISCOVERY", addresses[0].to_string());
     let mut manager = program.stderr(Stdio::piped()).spawn().unwrap();
     let mut log = BufReader::new(manager.stderr.take().unwrap());
     let address = address_served(&mut log);
-    let mut told = |config: &str, answer: &str| {
+    let mut reload = |config: &str, expected: &str| {
         std::fs::write(&path, config).unwrap();
         Command::new("kill").args(["-HUP", &manager.id().to_string()]).status().unwrap();
         let mut lines = log.by_ref().lines().map(Result::unwrap);
-        lines.find(|line| line.contains(answer)).unwrap_or_else(|| panic!("{answer} is never said"))
+        lines.find(|line| line.contains(expected)).unwrap_or_else(|| panic!("{expected:?} is never logged"))
     };
     let mut proxy = Peer::joined(address, 7);
     proxy.line_with("whole=1");
     let (_, mut old) = watch(&discoveries[0], "200 OK");
     old.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     proxy.line_with("out=s-1");
-    for spoilt in ["", "{\"seed\":", &config(addresses[1], 64).replace("127.0.0.1:", "nowhere")] {
-        told(spoilt, "the configuration stays as it was");
+    for invalid in ["", "{\"seed\":", &config(addresses[1], 64).replace("127.0.0.1:", "nowhere")] {
+        reload(invalid, "the configuration stays as it was");
     }
     old.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
     proxy.line_with("out=s-2");
     let elsewhere = config(addresses[1], 64).replace("127.0.0.1:0\"", "127.0.0.1:9\"");
-    told(&elsewhere, "the address to listen on cannot change while running");
-    let (asked, mut new) = watch(&discoveries[1], "200 OK");
-    assert!(asked.contains("index=43"), "from the version held: {asked}");
-    assert_eq!(old.line(), None, "the old watch is let go");
+    reload(&elsewhere, "the address to listen on cannot change while running");
+    let (request, mut new) = watch(&discoveries[1], "200 OK");
+    assert!(request.contains("index=43"), "from the held version: {request}");
+    assert_eq!(old.line(), None, "the old watch is closed");
     new.chunk(&(list(44, false, &[entry("s-3", "draining"), entry("s-4", "ready")]) + "\n"));
     proxy.line_with("out=s-3");
-    told(&config(addresses[0], 64), "read again");
-    told(&config(addresses[2], 64), "read again");
+    reload(&config(addresses[0], 64), "read again");
+    reload(&config(addresses[2], 64), "read again");
     assert!(watch(&discoveries[2], "200 OK").0.contains("index=44"), "the last reload wins");
     proxy.alive();
     manager.kill().unwrap();
@@ -344,9 +345,9 @@
 }
 
 #[test]
-fn the_program_says_what_is_wrong_in_one_line_and_ends_well_when_told() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = taken.local_addr().unwrap().to_string();
+fn start_errors_are_one_line_and_sigterm_ends_with_success() {
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = occupied.local_addr().unwrap().to_string();
     let path = std::env::temp_dir().join(format!("juniperrail-{}.json", std::process::id()));
     let program = |config: &str, listen: &str| {
         std::fs::write(&path, config).unwrap();
@@ -354,7 +355,7 @@
         program.env_clear().env("PROXY_CONFIG", &path).env("PROXY_LISTEN", listen);
         program.stderr(Stdio::piped()).spawn().unwrap()
     };
-    // Nobody answers at the discovery named here: no reason to end.
+    // No discovery answers at this address; the manager runs all the same.
     let good = config("127.0.0.1:1".parse().unwrap(), 64);
     for (config, listen, expected) in [
         ("", "", "EOF"),
@@ -363,20 +364,20 @@
         (&good.replace("127.0.0.1:1\"", "nowhere\""), "", "PROXY_DISCOVERY is no address"),
         (&good.replace(r#""tick-ms":1"#, r#""tick-ms":-1"#), "", "tick-ms"),
         (&good, "nowhere", "PROXY_LISTEN is no address"),
-        (&good, &taken, "cannot be listened on"),
+        (&good, &occupied, "cannot be listened on"),
     ] {
         let output = program(config, listen).wait_with_output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert!(said.starts_with("juniperrail: ") && said.contains(expected), "{expected}: {said}");
-        assert_eq!((said.lines().count(), output.status.code()), (1, Some(1)), "{said}");
+        let error = String::from_utf8(output.stderr).unwrap();
+        assert!(error.starts_with("juniperrail: ") && error.contains(expected), "{expected}: {error}");
+        assert_eq!((error.lines().count(), output.status.code()), (1, Some(1)), "{error}");
     }
     let mut running = program(&good, "127.0.0.1:0");
     let mut log = BufReader::new(running.stderr.take().unwrap());
     address_served(&mut log);
     Command::new("kill").arg(running.id().to_string()).status().unwrap();
     assert!(running.wait().unwrap().success());
-    let mut said = String::new();
-    log.read_to_string(&mut said).unwrap();
-    assert!(said.contains("told to end"), "{said}");
+    let mut log_text = String::new();
+    log.read_to_string(&mut log_text).unwrap();
+    assert!(log_text.contains("told to end"), "{log_text}");
     std::fs::remove_file(&path).unwrap();
 }
