--- a/crates/manager/src/text/tests.rs
+++ b/crates/manager/src/text/tests.rs
@@ -50,17 +50,20 @@
         (b"ack node=70000 nonce=1", "node is not an integer in range"),
         (b"ack node=1 nonce=-1", "nonce is not an integer in range"),
         (b"hello node=1", "locality is missing"),
-        (b"hello node=1 locality=a w=inf", "w is not a number"),
+        (b"hello node=1 locality=a w=inf", "w is not a number within 0..3600000"),
         (b"demand node=1 route=r total=-1 errors=0 interval=1", "total is not an integer in range"),
         (b"demand node=1 route=r total=1e+3 errors=0 interval=1", "total is not an integer in range"),
         (b"demand node=1 route=r total=38654705664 errors=0 interval=1", "total is not an integer in range"),
         (b"outcomes locality=a endpoint=s total=1 errors=2 rtt=1 interval=1", "errors is more than total"),
         (b"demand node=1 route=r total=1 errors=1 interval=0", "interval is 0"),
-        (b"demand node=1 route=r total=1 errors=1 interval=nan", "interval is not a number"),
+        (
+            b"demand node=1 route=r total=1 errors=1 interval=nan",
+            "interval is not a number within 0..3600000",
+        ),
         (b"outcomes locality=a endpoint=s total=1 errors=0 interval=1", "rtt is missing"),
         (
             b"outcomes locality=a endpoint=s total=1 errors=0 rtt=38654705664 interval=1",
-            "rtt is not a number",
+            "rtt is not a number within 0..3600000",
         ),
         (
             b"outcomes locality=a endpoint=s total=1 errors=1 interval=1 metrics=util",
