--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use juniperrail::Planner;
-use juniperrail_fleet::{Common, Parts};
+use juniperrail_fleet::{FleetHandle, ZoneWeightRatios};
 use juniperrail_intent::{ChangeTracker, Intent};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Settings, WorkerId};
 use juniperrail_northbound::{Notice, PlannerRequest};
@@ -44,9 +44,9 @@
 const PROGRESS_CHECK_EVERY: Ms = 5.0;
 
 /// The ways to and from the north, where there is one.
-pub struct North {
+pub struct NorthboundChannels {
     /// Requests that are answered in the turn in which they are taken.
-    pub asks: mpsc::Receiver<PlannerRequest>,
+    pub requests: mpsc::Receiver<PlannerRequest>,
     /// What is told without being asked for.
     pub notices: mpsc::Sender<Notice>,
 }
@@ -82,11 +82,11 @@
     probes: ProbeService,
     inbound: mpsc::WeakSender<Inbound>,
     resync: Rc<Notify>,
-    north: Option<North>,
+    north: Option<NorthboundChannels>,
     /// Who may come from where, for whoever takes connections.
     zones: Rc<KnownZones>,
     /// What is decided in common, and what is told of it.
-    fleet: Option<(Common, EvidenceCollector)>,
+    fleet: Option<(FleetHandle, EvidenceCollector)>,
 }
 
 impl Decider {
@@ -96,10 +96,10 @@
         probes: ProbeService,
         inbound: &mpsc::Sender<Inbound>,
         resync: Rc<Notify>,
-        north: Option<North>,
+        north: Option<NorthboundChannels>,
         zones: Rc<KnownZones>,
     ) -> Self {
-        let (clock, start, names) = (Clock::start(), launch.fixed.start, launch.names);
+        let (clock, start, names) = (Clock::start(), launch.fixed.settings, launch.names);
         let operation = |op| names.ops.name(op as u32).to_string();
         let mut decider = Decider {
             name: launch.fixed.name,
@@ -112,7 +112,7 @@
             clock,
             tick: launch.fixed.tick,
             plane: Plane::default(),
-            presence: Presence::new(launch.patience),
+            presence: Presence::new(launch.silence_timeouts),
             roster: Roster::default(),
             progress: ChangeTracker::default(),
             progress_checked_at: 0.0,
@@ -129,10 +129,10 @@
             zones,
             fleet: None,
         };
-        let known = launch.known.unwrap_or_default();
+        let known = launch.cached_list.unwrap_or_default();
         let event = decider.roster.apply_list(&known, ListKind::Cached, &mut decider.names);
         decider.apply_list(event);
-        let wanted = launch.operator.map(|operator| operator.intent).unwrap_or_default();
+        let wanted = launch.operator_config.map(|config| config.intent).unwrap_or_default();
         // The list may be old: what it would not bear is said, and the decisions bear it as they bear any loss.
         for refusal in decider.check_intent(&wanted) {
             tracing::warn!("the operator's file: {refusal}");
@@ -143,7 +143,7 @@
     }
 
     /// What is decided in common with other managers is part of the state from now on.
-    pub fn in_common(self, fleet: Option<Common>) -> Self {
+    pub fn with_fleet(self, fleet: Option<FleetHandle>) -> Self {
         Decider { fleet: fleet.map(|common| (common, EvidenceCollector::default())), ..self }
     }
 
@@ -235,9 +235,9 @@
 }
 
 /// The north's next ask; never where there is no north, or none any more.
-async fn next_ask(north: &mut Option<North>) -> PlannerRequest {
+async fn next_ask(north: &mut Option<NorthboundChannels>) -> PlannerRequest {
     let Some(known) = north else { return std::future::pending().await };
-    match known.asks.recv().await {
+    match known.requests.recv().await {
         Some(ask) => ask,
         None => {
             *north = None;
@@ -247,9 +247,9 @@
 }
 
 /// The next plan in common; never where nothing is decided in common.
-async fn next_plan(fleet: &mut Option<(Common, EvidenceCollector)>) -> Arc<Parts> {
+async fn next_plan(fleet: &mut Option<(FleetHandle, EvidenceCollector)>) -> Arc<ZoneWeightRatios> {
     match fleet {
-        Some((common, _)) => common.next().await,
+        Some((common, _)) => common.next_weight_ratios().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/manager/tests/crossings.rs
+++ b/crates/manager/tests/crossings.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::{config, entry, watch, Program, TestCluster};
+use cluster::{accept_watch, config, entry, ManagerProcess, TestCluster};
 use juniperrail_standins::{entry as entry_at, list, Answering, Peer, SETTINGS};
 
 const UNREACHABLE: &str = "127.0.0.1:1";
@@ -40,25 +40,25 @@
 
 #[test]
 fn silent_stream_frees_its_descriptor_even_during_a_blocked_write() {
-    let program = Program::start("silent", &large_table(unreachable()));
+    let program = ManagerProcess::start("silent", &large_table(unreachable()));
     let mut proxy = Peer::narrow(program.address);
     proxy.say("hello node=1 locality=a w=2 cold=1");
-    program.until_connections(1);
+    program.wait_for_connection_count(1);
     // It never reads: silent after a report period and a transit, closed after as long again.
-    program.until_connections(0);
+    program.wait_for_connection_count(0);
     drop(proxy);
 }
 
 #[test]
 fn replaced_stream_ends_at_once_and_drops_its_queue() {
-    let cluster = TestCluster::with(large_table);
+    let cluster = TestCluster::with_config(large_table);
     let name = "x".repeat(250);
     let mut old = Peer::narrow(cluster.manager);
     old.say("hello node=1 locality=a w=2 cold=1");
     let mut other = cluster.proxy(2);
     other.line_with("whole=1");
     let draining = entry_at(&format!("s-7-{name}"), "a", "127.0.0.1:9", "draining");
-    cluster.watch("200 OK").1.chunk(&(list(42, false, &[draining]) + "\n"));
+    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[draining]) + "\n"));
     // Sent to both in one turn: on the old stream it is queued behind the table that the peer does not read.
     other.line_with("out=s-7-");
     let mut new = cluster.proxy(1);
@@ -96,11 +96,11 @@
 fn connection_evicted_while_joining_ends_so_that_the_limit_holds() {
     // With 28 descriptors, the limit is 14 open connections.
     for _ in 0..20 {
-        let program = Program::start("evicted", &config(unreachable(), 28));
+        let program = ManagerProcess::start("evicted", &config(unreachable(), 28));
         let mut joined: Vec<Peer> = (0..13).map(|number| Peer::joined(program.address, number)).collect();
         joined.iter_mut().for_each(|proxy| _ = proxy.line_with("whole=1"));
         let mut evicted = Peer::dial(program.address);
-        program.until_connections(14);
+        program.wait_for_connection_count(14);
         program.signal("STOP");
         let mut newcomer = Peer::dial(program.address);
         newcomer.say("hello node=14 locality=a w=2 cold=1");
@@ -111,7 +111,7 @@
             Some(late) if late.starts_with("error why=late") => continue,
             end => assert_eq!(end, None, "its descriptor belongs to another connection"),
         }
-        program.until_connections(14);
+        program.wait_for_connection_count(14);
         return;
     }
     panic!("the machine is too busy for two lines within a second");
@@ -126,14 +126,14 @@
     for index in 0..500 {
         assert_eq!(proxy.line().as_deref(), Some("alive"), "answer {index}");
     }
-    cluster.watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
+    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
     proxy.line_with("out=s-2");
 }
 
 #[test]
 fn watch_that_drips_bytes_without_ending_a_line_is_reconnected() {
     let cluster = TestCluster::new(64);
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
     let dripping = thread::spawn(move || {
@@ -175,12 +175,12 @@
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     proxy.line_with("out=s-1");
     drop(agent);
     // An agent that is behind sends its full list, then the changes that reach it.
-    let (request, mut agent) = cluster.watch("200 OK");
+    let (request, mut agent) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "{request}");
     let full = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
     agent.chunk(&(full.clone() + "\n"));
@@ -190,12 +190,12 @@
     assert!(!message.contains("s-1"), "{message}");
     drop(agent);
     // Discovery that restarted its versions stays behind: after 6 s its list is accepted, whatever its version.
-    let (request, mut agent) = cluster.watch("200 OK");
+    let (request, mut agent) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=43"), "{request}");
     agent.chunk(&(list(1, true, &[]) + "\n"));
     let next = loop {
         if agent.try_raw("1\r\n\n\r\n").is_err() {
-            break watch(&cluster.discovery, "200 OK");
+            break accept_watch(&cluster.discovery, "200 OK");
         }
         thread::sleep(Duration::from_millis(500));
     };
@@ -207,7 +207,7 @@
 
 #[test]
 fn closing_the_log_pipe_does_not_end_the_program() {
-    let mut program = Program::start("log", &config(unreachable(), 64));
+    let mut program = ManagerProcess::start("log", &config(unreachable(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     drop(program.log.take());
@@ -285,7 +285,7 @@
     let count = 1300.min(backlog_limit);
     let settings = SETTINGS.replace("\"proxy-count\":20", &format!("\"proxy-count\":{count}"));
     let config = config(unreachable(), 4096).replace(SETTINGS, &settings);
-    let program = Program::start("backlog", &config);
+    let program = ManagerProcess::start("backlog", &config);
     program.signal("STOP");
     let address = program.address;
     let connecting = (0..4).map(|part| {
@@ -319,7 +319,7 @@
 
 #[test]
 fn simultaneous_and_repeated_signals_end_the_program_with_success() {
-    let mut program = Program::start("signals", &config(unreachable(), 64));
+    let mut program = ManagerProcess::start("signals", &config(unreachable(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     program.signal("STOP");
@@ -332,7 +332,7 @@
 
 #[test]
 fn restart_during_a_write_cuts_one_line_and_the_successor_serves_at_once() {
-    let mut old = Program::start("half", &large_table(unreachable()));
+    let mut old = ManagerProcess::start("half", &large_table(unreachable()));
     let address = old.address;
     let mut slow = Peer::narrow(address);
     slow.say("hello node=1 locality=a w=2 cold=1");
@@ -340,7 +340,7 @@
     other.line_with("whole=1");
     old.signal("TERM");
     assert!(old.child.wait().unwrap().success(), "a peer that does not read does not delay the end");
-    let successor = Program::start_with(
+    let successor = ManagerProcess::start_with(
         "half-next",
         &large_table(unreachable()),
         &[("PROXY_LISTEN", &address.to_string())],
@@ -355,7 +355,7 @@
 
 #[test]
 fn stream_that_ended_before_its_introduction_was_read_does_not_affect_the_next() {
-    let program = Program::start("ended", &config(unreachable(), 64));
+    let program = ManagerProcess::start("ended", &config(unreachable(), 64));
     program.signal("STOP");
     for _ in 0..8 {
         drop(Peer::joined(program.address, 7));
@@ -363,7 +363,7 @@
     let mut last = Peer::joined(program.address, 7);
     program.signal("CONT");
     last.line_with("whole=1");
-    program.until_connections(1);
+    program.wait_for_connection_count(1);
     last.say("probe");
     last.line_with("alive");
 }
@@ -383,7 +383,7 @@
 
 #[test]
 fn every_proxy_reconnects_amid_a_flood_of_unidentified_connections() {
-    let program = Program::start("flood", &config(unreachable(), 64));
+    let program = ManagerProcess::start("flood", &config(unreachable(), 64));
     program.signal("STOP");
     // More connections than the limit, all of them before any proxy.
     let before: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
@@ -401,7 +401,7 @@
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     let stopped = Arc::new(AtomicBool::new(false));
     let floods: Vec<_> = (0..4)
         .map(|_| {
@@ -429,16 +429,16 @@
 
 #[test]
 fn reload_without_a_file_keeps_the_configuration() {
-    let mut program = Program::start("gone", &config(unreachable(), 64));
+    let mut program = ManagerProcess::start("gone", &config(unreachable(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     let json = std::fs::read_to_string(&program.path).unwrap();
     std::fs::remove_file(&program.path).unwrap();
     program.signal("HUP");
-    program.logged("the configuration stays as it was");
+    program.wait_for_log_line("the configuration stays as it was");
     std::fs::write(&program.path, json).unwrap();
     program.signal("HUP");
-    program.logged("the configuration was read again");
+    program.wait_for_log_line("the configuration was read again");
     proxy.say("probe");
     proxy.line_with("alive");
 }
@@ -448,7 +448,7 @@
     let cluster = TestCluster::new(64);
     let mut proxy = Answering::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.watch("200 OK");
+    let (_, mut agent) = cluster.accept_watch("200 OK");
     let broken = r#"{"instanceId":"s-3","lifecycle":7}"#.to_string();
     agent.chunk(&(list(42, true, &[entry("s-2", "ready"), broken]) + "\n"));
     let message = proxy.line_with("out=s-1");
