--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -28,7 +28,7 @@
 const SILENCE_TIMEOUT: Duration = HEARTBEAT.saturating_mul(2);
 /// Relays pace large lists. A line of which entries keep arriving may take this long.
 const RELAYED_LINE_TIMEOUT: Duration = Duration::from_secs(30);
-/// By the protocol, every change reaches all agents and relays within this time. A source that has been behind the held
+/// By the protocol, every change reaches all agents and relays within this time. A source that has been behind the current
 /// list for longer will not catch up.
 const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(6);
 
@@ -36,7 +36,7 @@
 enum WatchEnd {
     /// It could not be started, or it broke.
     Broken(ConnectionError),
-    /// Its lists stay older than the held one.
+    /// Its lists stay older than the current one.
     Behind,
     /// Its list is larger than its limit.
     TooLarge(OverLimit),
@@ -52,8 +52,8 @@
 }
 
 impl From<ConnectionError> for WatchEnd {
-    fn from(fault: ConnectionError) -> Self {
-        WatchEnd::Broken(fault)
+    fn from(error: ConnectionError) -> Self {
+        WatchEnd::Broken(error)
     }
 }
 
@@ -69,8 +69,8 @@
 impl fmt::Display for WatchEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WatchEnd::Broken(fault) => fault.fmt(f),
-            WatchEnd::Behind => f.write_str("its lists stay older than the one held"),
+            WatchEnd::Broken(error) => error.fmt(f),
+            WatchEnd::Behind => f.write_str("its lists stay older than the current one"),
             WatchEnd::TooLarge(over) => over.fmt(f),
         }
     }
@@ -83,7 +83,7 @@
     /// Watches in a row that brought nothing new.
     failures: u32,
     /// Lists in a row that were too large.
-    too_large: u32,
+    too_large_count: u32,
     rng: fastrand::Rng,
 }
 
@@ -96,7 +96,7 @@
     ) -> Watch {
         let upstream = Upstream::new(&launch.fixed.name, &launch.subscription.relays, agent);
         let follower = Follower {
-            held: launch.cached_list.as_ref().map(|known| known.version),
+            current_version: launch.cached_list.as_ref().map(|known| known.version),
             relayed: upstream.is_relay(),
             filter: launch.filter.take(),
             inbound,
@@ -105,15 +105,15 @@
             warned_empty: false,
         };
         let rng = fastrand::Rng::with_seed(launch.seed);
-        Watch { upstream, follower, failures: 0, too_large: 0, rng }
+        Watch { upstream, follower, failures: 0, too_large_count: 0, rng }
     }
 
-    /// Reconnects whenever a watch ends or the agent moves, and resumes from the held version. After `resync` it requests
+    /// Reconnects whenever a watch ends or the agent moves, and resumes from the current version. After `resync` it requests
     /// the full list.
     pub async fn run(mut self, resync: &Notify) {
         let exchange = http::exchange(HEARTBEAT, SILENCE_TIMEOUT);
-        if let Some(held) = self.follower.held {
-            self.follower.warn_if_empty(held);
+        if let Some(version) = self.follower.current_version {
+            self.follower.warn_if_empty(version);
         }
         loop {
             let address = self.upstream.address();
@@ -124,7 +124,7 @@
                     continue;
                 }
                 () = resync.notified() => {
-                    self.follower.held = None;
+                    self.follower.current_version = None;
                     continue;
                 }
             };
@@ -139,28 +139,28 @@
 
     /// Decides what to request next, and returns the wait before that.
     fn next_wait(&mut self, end: &WatchEnd, address: SocketAddr) -> Duration {
-        let served = self.follower.served();
-        self.failures = if served { 0 } else { self.failures.saturating_add(1) };
+        let source_works = self.follower.source_works();
+        self.failures = if source_works { 0 } else { self.failures.saturating_add(1) };
         if self.follower.session.accepted_list {
-            self.too_large = 0;
+            self.too_large_count = 0;
         }
-        let mut retry = self.upstream.ended(end.failure(), served, &mut self.rng);
+        let mut retry = self.upstream.ended(end.failure(), source_works, &mut self.rng);
         match retry.round {
             Round::UnderWay => {}
             Round::Over => self.follower.behind = Behind::default(),
             Round::AllBehind => {
                 tracing::warn!(
-                    "every source has only older lists than the one held: the full list is requested"
+                    "every source has only older lists than the current one: the full list is requested"
                 );
                 self.follower.reset();
             }
         }
         if let WatchEnd::TooLarge(over) = end {
-            retry.wait = wait_too_large(self.too_large, &mut self.rng);
-            self.too_large = self.too_large.saturating_add(1);
+            retry.wait = wait_too_large(self.too_large_count, &mut self.rng);
+            self.too_large_count = self.too_large_count.saturating_add(1);
             tracing::warn!(
-                "the list of {address} is too large and refused: {over}; {}, asked again in {} s",
-                self.follower.describe_held(),
+                "the list of {address} is too large and rejected: {over}; {}, asked again in {} s",
+                self.follower.describe_current(),
                 retry.wait.as_secs()
             );
         } else if self.failures.saturating_add(1).is_power_of_two() {
@@ -170,10 +170,10 @@
     }
 }
 
-/// Tracks whether the sources are behind the held list.
+/// Tracks whether the sources are behind the current list.
 #[derive(Default)]
 struct Behind {
-    /// Since when no source has had the held version.
+    /// Since when no source has had the current version.
     since: Option<Instant>,
     /// The current watch has sent an older list.
     received_older: bool,
@@ -189,7 +189,7 @@
 /// What the current watch has brought.
 struct Session {
     started: Instant,
-    /// It brought another version than the one held before.
+    /// It brought another version than the current one.
     advanced: bool,
     /// It brought a list that was accepted.
     accepted_list: bool,
@@ -228,8 +228,8 @@
 
 /// Processes the lines of watches, one watch after the other, and passes lists on.
 struct Follower {
-    /// The version of the held list; without one the full list is requested.
-    held: Option<u64>,
+    /// The version of the current list; without one the full list is requested.
+    current_version: Option<u64>,
     /// The sources are relays.
     relayed: bool,
     /// Filters by the scope, if there is one.
@@ -293,14 +293,14 @@
         exchange: &http::Exchange,
         address: SocketAddr,
     ) -> Result<Incoming, ConnectionError> {
-        let index = self.held.map(|version| format!("&index={version}")).unwrap_or_default();
+        let index = self.current_version.map(|version| format!("&index={version}")).unwrap_or_default();
         let scope = self.filter.as_ref().map(|filter| filter.scope().to_query()).unwrap_or_default();
         let call = (address, format!("/v1/servers?stream=1{index}{scope}"));
         let answer = exchange.clone().oneshot(call).await?;
         if answer.status() != StatusCode::OK {
             return Err(ConnectionError::reading(format!("{address} answered {}", answer.status())));
         }
-        let from = self.held.map(|held| format!(" from {held} on")).unwrap_or_default();
+        let from = self.current_version.map(|version| format!(" from {version} on")).unwrap_or_default();
         tracing::info!("watching the list at {address}{from}");
         Ok(answer.into_body())
     }
@@ -309,8 +309,8 @@
     async fn process_line(&mut self, line: Line) -> Result<(), WatchEnd> {
         match line {
             Line::Heartbeat => {}
-            Line::List(listing) => match self.held.filter(|held| listing.version < *held) {
-                Some(held) => self.skip_older(listing.version, held),
+            Line::List(listing) => match self.current_version.filter(|current| listing.version < *current) {
+                Some(current) => self.skip_older(listing.version, current),
                 None => self.accept(listing).await?,
             },
         }
@@ -327,27 +327,27 @@
 
     /// Skips a list of a source that is behind, for instance after the agent moved: the list would bring back workers that
     /// have left since.
-    fn skip_older(&mut self, version: u64, held: u64) {
+    fn skip_older(&mut self, version: u64, current: u64) {
         if let Some(filter) = &mut self.filter {
             filter.discard();
         }
         if !self.behind.received_older {
-            tracing::warn!("list {version} is older than the held list {held}: it is skipped");
+            tracing::warn!("list {version} is older than the current list {current}: it is skipped");
         }
         self.behind.received_older = true;
         self.behind.since.get_or_insert_with(Instant::now);
     }
 
-    /// Passes a list on and holds it from now on.
+    /// Passes a list on; it is the current one from now on.
     async fn accept(&mut self, listing: Listing) -> Result<(), WatchEnd> {
         let (version, full) = (listing.version, listing.full);
         if self.inbound.send(Inbound::Listing(listing)).await.is_err() {
             return Err(ConnectionError::reading("the decider has stopped").into());
         }
-        // Only after the send: if the watch is cancelled during the send, the list must not count as held.
-        self.session.advanced |= self.held != Some(version);
+        // Only after the send: if the watch is cancelled during the send, the list must not count as current.
+        self.session.advanced |= self.current_version != Some(version);
         self.session.accepted_list = true;
-        self.held = Some(version);
+        self.current_version = Some(version);
         self.behind = Behind::default();
         if let Some(filter) = &mut self.filter {
             filter.commit(full);
@@ -372,7 +372,7 @@
 
     /// The source has restarted its version numbers: requests the full list and accepts any version.
     fn reset(&mut self) {
-        self.held = None;
+        self.current_version = None;
         self.behind = Behind::default();
     }
 
@@ -387,7 +387,7 @@
     }
 
     /// Whether the watch that ended has shown that its source works.
-    fn served(&self) -> bool {
+    fn source_works(&self) -> bool {
         self.session.advanced || (self.relayed && self.session.steady)
     }
 
@@ -399,7 +399,8 @@
         }
     }
 
-    fn describe_held(&self) -> String {
-        self.held.map_or("nothing is held".into(), |held| format!("{held} is still held"))
+    fn describe_current(&self) -> String {
+        self.current_version
+            .map_or("there is no list yet".into(), |version| format!("list {version} stays in use"))
     }
 }
--- a/crates/manager/src/inbound.rs
+++ b/crates/manager/src/inbound.rs
@@ -58,6 +58,6 @@
     pub zone: String,
     /// Invocations per second that it receives.
     pub inv_per_second: f64,
-    /// It has no tables yet.
+    /// It has just started and has no tables.
     pub fresh: bool,
 }
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -27,7 +27,7 @@
 pub enum Instance {
     /// An entry, as discovery sent it.
     Entry(Box<RawValue>),
-    /// A worker of the held list has left the scope; nothing else of its entry is kept.
+    /// A worker of the current list has left the scope; nothing else of its entry is kept.
     Departure(Departure),
 }
 
--- a/crates/manager/src/scope_filter.rs
+++ b/crates/manager/src/scope_filter.rs
@@ -17,7 +17,7 @@
 pub enum Classified {
     /// Keep it: it is in scope, or invalid in a way that the reader of the list has to know of.
     Kept,
-    /// A worker of the held list has left the scope.
+    /// A worker of the committed lists has left the scope.
     Left(Departure),
     /// Drop it: it is out of scope.
     Dropped,
@@ -44,23 +44,23 @@
     instance_id: Cow<'a, str>,
 }
 
-/// A scope, and the workers of the held list that are in it.
+/// A scope, and the workers of the committed lists that are in it.
 ///
 /// The entries of a list are staged until the list is committed, so that an incomplete list has no effect.
 #[derive(Clone, Debug)]
 pub struct ScopeFilter {
     scope: Scope,
-    held: HashSet<String>,
-    /// By worker: whether it is held once the current list is committed.
+    workers: HashSet<String>,
+    /// By worker: whether it is in scope once the list being read is committed.
     staged: HashMap<String, bool>,
-    /// The current list has an entry of which not even the worker can be parsed.
+    /// The list being read has an entry of which not even the worker can be parsed.
     unreadable: bool,
 }
 
 impl ScopeFilter {
-    /// A filter that holds no workers.
+    /// A filter with no workers.
     pub fn new(scope: Scope) -> ScopeFilter {
-        ScopeFilter { scope, held: HashSet::new(), staged: HashMap::new(), unreadable: false }
+        ScopeFilter { scope, workers: HashSet::new(), staged: HashMap::new(), unreadable: false }
     }
 
     /// The scope.
@@ -68,9 +68,9 @@
         &self.scope
     }
 
-    /// Whether it holds no workers.
+    /// Whether no worker is in scope.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.workers.is_empty()
     }
 
     /// Classifies one entry, which has to be valid JSON.
@@ -83,15 +83,15 @@
 
     /// Commits the list whose entries were classified.
     pub fn commit(&mut self, full: bool) {
-        // A full list with an entry of an unknown worker is treated as changes: that worker may be a held one.
+        // A full list with an entry of an unknown worker is treated as changes: that worker may be one in scope.
         if full && !self.unreadable {
-            self.held.clear();
+            self.workers.clear();
         }
-        for (worker, held) in self.staged.drain() {
-            if held {
-                self.held.insert(worker);
+        for (worker, in_scope) in self.staged.drain() {
+            if in_scope {
+                self.workers.insert(worker);
             } else {
-                self.held.remove(&worker);
+                self.workers.remove(&worker);
             }
         }
         self.unreadable = false;
@@ -128,7 +128,7 @@
             self.staged.insert(worker.to_string(), entry.lifecycle != "gone");
             return Classified::Kept;
         }
-        if !self.is_held(worker) {
+        if !self.is_known(worker) {
             return Classified::Dropped;
         }
         let phase = match &*entry.lifecycle {
@@ -140,10 +140,10 @@
         Classified::Left(Departure { worker: worker.to_string(), phase })
     }
 
-    /// An entry without a valid zone or service is kept only if its worker is held or unknown.
+    /// An entry without a valid zone or service is kept only if its worker is in scope so far, or unknown.
     fn classify_invalid(&mut self, entry: &[u8]) -> Classified {
         match serde_json::from_slice::<Identity<'_>>(entry) {
-            Ok(identity) if self.is_held(&identity.instance_id) => self.keep_invalid(&identity.instance_id),
+            Ok(identity) if self.is_known(&identity.instance_id) => self.keep_invalid(&identity.instance_id),
             Ok(_) => Classified::Dropped,
             Err(_) => {
                 self.unreadable = true;
@@ -157,7 +157,7 @@
         Classified::Kept
     }
 
-    fn is_held(&self, worker: &str) -> bool {
-        self.staged.get(worker).copied().unwrap_or_else(|| self.held.contains(worker))
+    fn is_known(&self, worker: &str) -> bool {
+        self.staged.get(worker).copied().unwrap_or_else(|| self.workers.contains(worker))
     }
 }
--- a/crates/manager/src/upstream.rs
+++ b/crates/manager/src/upstream.rs
@@ -54,18 +54,19 @@
         std::future::pending().await
     }
 
-    /// Records that a watch has ended and returns when to retry. `served`: whether the watch had worked.
-    pub fn ended(&mut self, failure: RelayFailure, served: bool, rng: &mut fastrand::Rng) -> Retry {
+    /// Records that a watch has ended and returns when to retry. `source_works`: whether the watch has shown that its
+    /// source works.
+    pub fn ended(&mut self, failure: RelayFailure, source_works: bool, rng: &mut fastrand::Rng) -> Retry {
         match self {
             Upstream::Agent { failures, .. } => {
                 let behind = failure == RelayFailure::Behind;
-                *failures = if served || behind { 0 } else { failures.saturating_add(1) };
+                *failures = if source_works || behind { 0 } else { failures.saturating_add(1) };
                 // Starts at 1/32 of a heartbeat and doubles up to one, with jitter so that managers do not retry together.
                 let wait = HEARTBEAT.mul_f64(0.5 + rng.f64()) / (32 >> (*failures).min(5));
                 Retry { wait, round: if behind { Round::AllBehind } else { Round::UnderWay } }
             }
             Upstream::Relays(relays) => {
-                if served {
+                if source_works {
                     relays.succeeded();
                 }
                 relays.failed(failure, rng)
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -380,7 +380,7 @@
             "it is not read to its end"
         );
         let said = manager.wait_for_log_line("WARN");
-        assert!(said.contains("entries exceed the limit of 16777216 bytes; 41 is still held"), "{said}");
+        assert!(said.contains("entries exceed the limit of 16777216 bytes; list 41 stays in use"), "{said}");
         let wait = said.split_once("asked again in ").unwrap().1.trim_end_matches(" s");
         waits.push(wait.parse().unwrap());
         refused_at.push(Instant::now());
@@ -400,7 +400,7 @@
     proxy.line_with("out=s-1");
     _ = watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1));
     let said = manager.wait_for_log_line("too large");
-    assert!(said.contains("43 is still held, asked again in 2 s") || said.contains("in 3 s"), "{said}");
+    assert!(said.contains("list 43 stays in use, asked again in 2 s") || said.contains("in 3 s"), "{said}");
 }
 
 #[test]
@@ -476,7 +476,7 @@
     let refused = Instant::now();
     assert!(manager
         .wait_for_log_line("WARN")
-        .contains("exceed the limit of 16777216 bytes; 41 is still held"));
+        .contains("exceed the limit of 16777216 bytes; list 41 stays in use"));
     let (asked, mut watch) = relays.watch(0);
     assert!(refused.elapsed() >= Duration::from_secs(2) && asked.contains("index=41"), "{asked}");
     watch.chunk(&change(42, "s-1", "a", "draining"));
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -12,7 +12,7 @@
 use juniperrail_standins::{address_served, list, Peer, SETTINGS};
 
 #[test]
-fn joining_proxy_gets_the_full_table_of_the_held_list() {
+fn joining_proxy_gets_the_full_table_of_the_current_list() {
     let cluster = TestCluster::new(64);
     cluster.peer().alive();
     let table = cluster.proxy(7).line_with("whole=1");
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn broken_watch_reconnects_from_the_held_version() {
+fn broken_watch_reconnects_from_the_current_version() {
     let cluster = TestCluster::new(64);
     let (_, mut agent) = cluster.accept_watch("200 OK");
     agent.chunk(&(list(42, false, &[]) + "\n"));
@@ -331,7 +331,7 @@
     let elsewhere = config(addresses[1], 64).replace("127.0.0.1:0\"", "127.0.0.1:9\"");
     reload(&elsewhere, "the address to listen on cannot change while running");
     let (request, mut new) = accept_watch(&discoveries[1], "200 OK");
-    assert!(request.contains("index=43"), "from the held version: {request}");
+    assert!(request.contains("index=43"), "from the current version: {request}");
     assert_eq!(old.line(), None, "the old watch is closed");
     new.chunk(&(list(44, false, &[entry("s-3", "draining"), entry("s-4", "ready")]) + "\n"));
     proxy.line_with("out=s-3");
