--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -5,7 +5,7 @@
 use super::Decider;
 use crate::inbound::{Hello, Outbox, StreamId};
 use crate::presence::{Lapse, Stream};
-use crate::text::Report;
+use crate::protocol::Report;
 
 impl Decider {
     /// A proxy has introduced itself on a stream of its own.
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::inbound::{Hello, Outbox, StreamId};
-use crate::text::Report;
+use crate::protocol::Report;
 use bytes::Bytes;
 use juniperrail_intent::{DesiredState, WorkerIntent};
 use juniperrail_interface::{MarkId, Order, ProxyId};
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout_at, Instant};
 use tower::ServiceExt;
 
-use crate::fault::ConnectionError;
+use crate::connection_error::ConnectionError;
 use crate::http;
 use crate::inbound::Inbound;
 use crate::launch::Launch;
@@ -28,8 +28,8 @@
 const SILENCE_TIMEOUT: Duration = HEARTBEAT.saturating_mul(2);
 /// Relays pace large lists. A line of which entries keep arriving may take this long.
 const RELAYED_LINE_TIMEOUT: Duration = Duration::from_secs(30);
-/// By the protocol, every change reaches all agents and relays within this time. A source that has been behind the current
-/// list for longer will not catch up.
+/// By the protocol, every change reaches all agents and relays within this time. A source that has been behind the
+/// current list for longer will not catch up.
 const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(6);
 
 /// Why a watch ended.
@@ -108,8 +108,8 @@
         Watch { upstream, follower, failures: 0, too_large_count: 0, rng }
     }
 
-    /// Reconnects whenever a watch ends or the agent moves, and resumes from the current version. After `resync` it requests
-    /// the full list.
+    /// Reconnects whenever a watch ends or the agent moves, and resumes from the current version. After `resync` it
+    /// requests the full list.
     pub async fn run(mut self, resync: &Notify) {
         let exchange = http::exchange(HEARTBEAT, SILENCE_TIMEOUT);
         if let Some(version) = self.follower.current_version {
@@ -325,8 +325,8 @@
         Ok(())
     }
 
-    /// Skips a list of a source that is behind, for instance after the agent moved: the list would bring back workers that
-    /// have left since.
+    /// Skips a list of a source that is behind, for instance after the agent moved: the list would bring back workers
+    /// that have left since.
     fn skip_older(&mut self, version: u64, current: u64) {
         if let Some(filter) = &mut self.filter {
             filter.discard();
--- a/crates/manager/src/http.rs
+++ b/crates/manager/src/http.rs
@@ -1,5 +1,5 @@
-//! One HTTP exchange as a tower service over a hyper client. Each exchange has a connection of its own; connecting and
-//! answering have time-outs, which are tower layers.
+//! One HTTP exchange as a tower service over a hyper client. Each exchange has a connection of its own; connecting
+//! and answering have time-outs, which are tower layers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use tower::util::BoxCloneSyncService;
 use tower::{service_fn, BoxError, ServiceBuilder, ServiceExt};
 
-use crate::fault::{ConnectionError, Stage};
+use crate::connection_error::{ConnectionError, Stage};
 
 /// The address to connect to, and the path with its query.
 pub type Call = (SocketAddr, String);
--- a/crates/manager/src/inbound.rs
+++ b/crates/manager/src/inbound.rs
@@ -8,7 +8,7 @@
 
 use crate::listing::Listing;
 use crate::probes::ProbeResult;
-use crate::text::Report;
+use crate::protocol::Report;
 
 /// Numbers connections in the order in which they were accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,7 +22,8 @@
     Joined { stream: StreamId, hello: Hello, outbox: Outbox },
     /// A connection of any kind has ended, with the error if it did not end normally.
     Ended(StreamId, Option<String>),
-    /// A report, or why a message was skipped. It came over the proxy's own stream, or, without one, from a collector.
+    /// A report, or why a message was skipped. It came over the proxy's own stream, or, without one, from a
+    /// collector.
     Reported(Option<(StreamId, ProxyId)>, Result<Report, String>),
     /// The result of a probe.
     Probed(WorkerId, ProbeResult),
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -12,15 +12,15 @@
 //! ```
 
 mod clock;
+mod connection_error;
 mod decider;
 mod discovery;
-mod fault;
 mod fleet;
 mod http;
 mod inbound;
 mod launch;
 mod limiter;
-mod lines;
+mod line_buffer;
 mod list_assembler;
 mod listening;
 mod listing;
@@ -28,13 +28,13 @@
 mod plane;
 mod presence;
 mod probes;
+mod protocol;
 mod reload;
 mod roster;
 mod scope_filter;
 mod streams;
 mod subscription;
 mod tally;
-mod text;
 mod upstream;
 
 use std::net::SocketAddr;
--- a/crates/manager/src/limiter.rs
+++ b/crates/manager/src/limiter.rs
@@ -8,8 +8,8 @@
 
 use crate::inbound::StreamId;
 
-/// Descriptors for everything else: standard streams, those of the runtime and of signal handling, the listener, a watch
-/// and the one that replaces it, a file being read.
+/// Descriptors for everything else: standard streams, those of the runtime and of signal handling, the listener, a
+/// watch and the one that replaces it, a file being read.
 const RESERVED_DESCRIPTORS: usize = 16;
 /// Connections of collectors per zone: the current one, the next one before the end of the old one is noticed, and a
 /// margin.
--- a/crates/manager/src/lines.rs
+++ b/crates/manager/src/line_buffer.rs
@@ -1,5 +1,5 @@
-//! Splits received bytes into lines. Each byte is scanned once, so that a long line that arrives in small pieces costs no
-//! more than one that arrives at once.
+//! Splits received bytes into lines. Each byte is scanned once, so that a long line that arrives in small pieces
+//! costs no more than one that arrives at once.
 
 use bytes::BytesMut;
 
--- a/crates/manager/src/listening.rs
+++ b/crates/manager/src/listening.rs
@@ -7,8 +7,8 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{sleep, Instant};
 
-/// A predecessor that was asked to end is killed after 0.7 s at the earliest; on a busy machine its clean-up may take as
-/// long again. An address in use for longer belongs to another program.
+/// A predecessor that was asked to end is killed after 0.7 s at the earliest; on a busy machine its clean-up may take
+/// as long again. An address in use for longer belongs to another program.
 const BIND_RETRY_TIMEOUT: Duration = Duration::from_millis(1400);
 
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/manager/src/plane.rs
+++ b/crates/manager/src/plane.rs
@@ -9,7 +9,7 @@
 use juniperrail_start::Names;
 
 use crate::presence::{Presence, Stream};
-use crate::text::{self, MessagePart};
+use crate::protocol::{self, MessagePart};
 
 type Level = (f64, Retry);
 
@@ -311,7 +311,7 @@
             p.lines.len() + p.removed.len() + p.restored.len() + single.iter().filter(|one| **one).count()
         };
         let (lines, mark) = (parts.iter().map(cost).sum(), change.mark);
-        let parcel = OutboundMessage { proxy: id, bytes: text::encode(&parts), lines, mark };
+        let parcel = OutboundMessage { proxy: id, bytes: protocol::encode(&parts), lines, mark };
         self.proxies.get_mut(&id).expect("a joined proxy").told.extend(change.shut);
         parcel
     }
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -11,8 +11,8 @@
 use tower::util::BoxCloneSyncService;
 use tower::{service_fn, BoxError, ServiceBuilder, ServiceExt};
 
-use crate::fault::{ConnectionError, Stage};
-use crate::{http, text};
+use crate::connection_error::{ConnectionError, Stage};
+use crate::{http, protocol};
 
 /// The result of one probe.
 #[derive(Debug, PartialEq)]
@@ -51,7 +51,7 @@
             };
             let (outcome, load) = match answer.await {
                 Ok((StatusCode::OK, body)) => {
-                    (ProbeOutcome::Success, text::parse_load(&body).unwrap_or_default())
+                    (ProbeOutcome::Success, protocol::parse_load(&body).unwrap_or_default())
                 }
                 Ok((StatusCode::SERVICE_UNAVAILABLE, _)) => (ProbeOutcome::Rejected, Load::default()),
                 Ok(_) => (ProbeOutcome::ErrorResponse, Load::default()),
--- a/crates/manager/src/text.rs
+++ b/crates/manager/src/protocol.rs
@@ -85,9 +85,9 @@
 
 const KINDS: [&str; 6] = ["probe", "agent", "hello", "outcomes", "demand", "ack"];
 
-/// Whether the beginning of a line can still become a message. Returns how many of its bytes need not be checked again;
-/// `checked_bytes` is what an earlier call returned for a shorter beginning. A peer that sends bytes without an end of
-/// line is thus rejected at once instead of at the length limit.
+/// Whether the beginning of a line can still become a message. Returns how many of its bytes need not be checked
+/// again; `checked_bytes` is what an earlier call returned for a shorter beginning. A peer that sends bytes without
+/// an end of line is thus rejected at once instead of at the length limit.
 pub fn can_become_message(start: &[u8], checked_bytes: usize) -> Option<usize> {
     let start = start.strip_suffix(b"\r").unwrap_or(start);
     let max_kind_bytes = KINDS.iter().map(|kind| kind.len() + 1).max().unwrap_or(0);
--- a/crates/manager/src/streams.rs
+++ b/crates/manager/src/streams.rs
@@ -17,11 +17,11 @@
 use tokio::time::{sleep, timeout};
 use tracing::Instrument;
 
-use crate::fault::{ConnectionError, Stage};
+use crate::connection_error::{ConnectionError, Stage};
 use crate::inbound::{Hello, Inbound, Outbox, StreamId};
 use crate::limiter::{ConnectionLimiter, KnownZones};
-use crate::lines::LineBuffer;
-use crate::text::{self, Message, ParseError};
+use crate::line_buffer::LineBuffer;
+use crate::protocol::{self, Message, ParseError};
 
 /// Messages queued for a proxy that reads slowly, in addition to what its socket buffers.
 const OUTBOX_CAPACITY: usize = 64;
@@ -180,10 +180,10 @@
     write: &mut OwnedWriteHalf,
     context: &AcceptorContext,
 ) -> Result<Option<Message>, ConnectionError> {
-    while let Some(line) = lines.next(text::MAX_FIRST_LINE_BYTES).await? {
-        let reason = match text::parse(&line) {
+    while let Some(line) = lines.next(protocol::MAX_FIRST_LINE_BYTES).await? {
+        let reason = match protocol::parse(&line) {
             Ok(Message::Probe) => {
-                write.write_all(&text::ALIVE).await.map_err(ConnectionError::io(Stage::Sent))?;
+                write.write_all(&protocol::ALIVE).await.map_err(ConnectionError::io(Stage::Sent))?;
                 continue;
             }
             Ok(Message::Hello { proxy, .. }) if proxy >= context.proxy_count => {
@@ -207,7 +207,7 @@
 /// not receive the error.
 async fn reject(error: &ConnectionError, mut lines: LineReader, mut write: OwnedWriteHalf) {
     // If the socket's buffer has no room for the error, the peer only sees the end.
-    _ = write.try_write(if error.timed_out { text::LATE } else { text::REJECTED });
+    _ = write.try_write(if error.timed_out { protocol::LATE } else { protocol::REJECTED });
     _ = write.shutdown().await;
     _ = timeout(JOIN_TIMEOUT, async {
         let mut remaining = MAX_DISCARDED_BYTES;
@@ -222,8 +222,8 @@
     .await;
 }
 
-/// Runs the stream of a proxy that has joined. Reading and writing run concurrently; bytes that are no message end the
-/// stream.
+/// Runs the stream of a proxy that has joined. Reading and writing run concurrently; bytes that are no message end
+/// the stream.
 async fn run_proxy(
     id: StreamId,
     hello: Hello,
@@ -237,7 +237,7 @@
     let (probe_sender, mut probes) = mpsc::channel(OUTBOX_CAPACITY);
     _ = context.inbound.send(Inbound::Joined { stream: id, hello, outbox }).await;
     let reading = async {
-        while let Some(line) = lines.next(text::MAX_LINE_BYTES).await? {
+        while let Some(line) = lines.next(protocol::MAX_LINE_BYTES).await? {
             match parse_inbound(&line, from)? {
                 Some(inbound) => _ = context.inbound.send(inbound).await,
                 // If the proxy sends probes faster than it reads the answers, reading its next lines waits here.
@@ -251,7 +251,7 @@
             let message = tokio::select! {
                 biased;
                 Some(message) = queued.recv() => message,
-                Some(()) = probes.recv() => text::ALIVE,
+                Some(()) = probes.recv() => protocol::ALIVE,
                 else => return Ok(()),
             };
             write.write_all(&message).await.map_err(ConnectionError::io(Stage::Sent))?;
@@ -280,11 +280,11 @@
     mut write: OwnedWriteHalf,
     context: Rc<AcceptorContext>,
 ) -> Result<(), ConnectionError> {
-    while let Some(line) = lines.next(text::MAX_LINE_BYTES).await? {
+    while let Some(line) = lines.next(protocol::MAX_LINE_BYTES).await? {
         context.collectors.touch(id);
         match parse_inbound(&line, None)? {
             Some(inbound) => _ = context.inbound.send(inbound).await,
-            None => write.write_all(&text::ALIVE).await.map_err(ConnectionError::io(Stage::Sent))?,
+            None => write.write_all(&protocol::ALIVE).await.map_err(ConnectionError::io(Stage::Sent))?,
         }
     }
     Ok(())
@@ -293,7 +293,7 @@
 /// Parses a line of a peer that has joined; `None` is a probe. A message with invalid fields is reported and skipped;
 /// a line that is no message is an error, which ends the connection.
 fn parse_inbound(line: &[u8], from: Option<(StreamId, ProxyId)>) -> Result<Option<Inbound>, ConnectionError> {
-    Ok(match text::parse(line) {
+    Ok(match protocol::parse(line) {
         Ok(Message::Probe) => None,
         Ok(Message::Report(report)) => Some(Inbound::Reported(from, Ok(report))),
         Ok(other) => Some(Inbound::Reported(from, Err(format!("unexpected after joining: {other:?}")))),
@@ -306,7 +306,7 @@
 struct LineReader {
     read: OwnedReadHalf,
     buffer: LineBuffer,
-    /// Bytes of the unfinished line that [`text::can_become_message`] has checked.
+    /// Bytes of the unfinished line that [`protocol::can_become_message`] has checked.
     checked_bytes: usize,
 }
 
@@ -319,7 +319,7 @@
                 return Ok(Some(line));
             }
             let start = self.buffer.unfinished();
-            let Some(checked_bytes) = text::can_become_message(start, self.checked_bytes) else {
+            let Some(checked_bytes) = protocol::can_become_message(start, self.checked_bytes) else {
                 return Err(ConnectionError::reading("it sent bytes that are no message"));
             };
             self.checked_bytes = checked_bytes;
--- a/crates/manager/src/subscription.rs
+++ b/crates/manager/src/subscription.rs
@@ -1,13 +1,13 @@
-//! The part of the operator's configuration on the list of workers: which part of the list this manager needs, and from
-//! which relays it gets it.
+//! The part of the operator's configuration on the list of workers: which part of the list this manager needs, and
+//! from which relays it gets it.
 
 use std::net::SocketAddr;
 
 use juniperrail_distribution::Scope;
 use juniperrail_model::{Data, Schema, Value, View};
 
-/// The scope of the list that this manager needs, and its sources. The default is the full list from the discovery agent
-/// that the settings name.
+/// The scope of the list that this manager needs, and its sources. The default is the full list from the discovery
+/// agent that the settings name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscription {
     /// The addresses of the relays. If empty, the agent is the source.
--- a/crates/manager/src/upstream.rs
+++ b/crates/manager/src/upstream.rs
@@ -61,7 +61,8 @@
             Upstream::Agent { failures, .. } => {
                 let behind = failure == RelayFailure::Behind;
                 *failures = if source_works || behind { 0 } else { failures.saturating_add(1) };
-                // Starts at 1/32 of a heartbeat and doubles up to one, with jitter so that managers do not retry together.
+                // Starts at 1/32 of a heartbeat and doubles up to one, with jitter so that managers do not retry
+                // together.
                 let wait = HEARTBEAT.mul_f64(0.5 + rng.f64()) / (32 >> (*failures).min(5));
                 Retry { wait, round: if behind { Round::AllBehind } else { Round::UnderWay } }
             }
--- a/crates/manager/tests/line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line as an operator uses it: checking and writing files, and querying and changing a running manager over
-//! NETCONF, including exit codes and one-line errors.
+//! The command line as an operator uses it: checking and writing files, and querying and changing a running manager
+//! over NETCONF, including exit codes and one-line errors.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read};
--- a/crates/manager/tests/crossings.rs
+++ b/crates/manager/tests/races.rs
@@ -1,5 +1,5 @@
-//! Races between two events. Each pair is forced into its bad order, by a peer that holds something back or by stopping the
-//! process while both arrive, and never by relying on timing.
+//! Races between two events. Each pair is forced into its bad order, by a peer that holds something back or by
+//! stopping the process while both arrive, and never by relying on timing.
 
 mod cluster;
 
@@ -20,8 +20,8 @@
     UNREACHABLE.parse().unwrap()
 }
 
-/// A configuration with a table of about 300 kB, far more than a [`Peer::narrow`] buffers, and with short time-outs for
-/// silent proxies.
+/// A configuration with a table of about 300 kB, far more than a [`Peer::narrow`] buffers, and with short time-outs
+/// for silent proxies.
 fn large_table(discovery: SocketAddr) -> String {
     let name = "x".repeat(250);
     let entries: Vec<String> =
