--- a/crates/manager/src/line_buffer/tests.rs
+++ b/crates/manager/src/line_buffer/tests.rs
@@ -17,11 +17,11 @@
 #[test]
 fn lines_do_not_depend_on_how_the_bytes_are_split() {
     let text = b"one\r\n\ntwo\rthree\r\r\nfour\n";
-    let whole = lines(&[text]).0;
-    assert_eq!(whole, [&b"one"[..], b"", b"two\rthree\r", b"four"]);
+    let expected = lines(&[text]).0;
+    assert_eq!(expected, [&b"one"[..], b"", b"two\rthree\r", b"four"]);
     for size in 1..text.len() {
         let pieces: Vec<&[u8]> = text.chunks(size).collect();
-        assert_eq!(lines(&pieces).0, whole, "pieces of {size}");
+        assert_eq!(lines(&pieces).0, expected, "pieces of {size}");
     }
 }
 
--- a/crates/manager/src/list_assembler.rs
+++ b/crates/manager/src/list_assembler.rs
@@ -6,7 +6,7 @@
 use serde_json::value::RawValue;
 
 use crate::listing::{Instance, Listing};
-use crate::scope_filter::{Classified, ScopeFilter};
+use crate::scope_filter::{Classification, ScopeFilter};
 
 /// Limit on the bytes of the kept entries of one list.
 pub const MAX_LIST_BYTES: usize = 16 << 20;
@@ -127,11 +127,11 @@
 
 /// What is kept of an entry, and how many bytes the entry had.
 fn keep(entry: &[u8], filter: &mut Option<ScopeFilter>) -> Result<Option<(Instance, usize)>, LineError> {
-    let classified = filter.as_mut().map_or(Classified::Kept, |filter| filter.classify(entry));
-    let instance = match classified {
-        Classified::Dropped => return Ok(None),
-        Classified::Left(departure) => Instance::Departure(departure),
-        Classified::Kept => Instance::Entry(to_raw(entry)?),
+    let classification = filter.as_mut().map_or(Classification::Kept, |filter| filter.classify(entry));
+    let instance = match classification {
+        Classification::Dropped => return Ok(None),
+        Classification::Left(departure) => Instance::Departure(departure),
+        Classification::Kept => Instance::Entry(to_raw(entry)?),
     };
     Ok(Some((instance, entry.len())))
 }
--- a/crates/manager/src/protocol.rs
+++ b/crates/manager/src/protocol.rs
@@ -240,16 +240,16 @@
     let mut text = String::new();
     for (index, part) in parts.iter().enumerate() {
         text.push_str("push");
-        let mut list = |name: &str, separator: &str, entries: &[&str]| {
+        let mut write_field = |name: &str, separator: &str, entries: &[&str]| {
             if !entries.is_empty() {
                 _ = write!(text, " {name}={}", entries.join(separator));
             }
         };
-        list("classes", "+", &part.ops);
-        list("whole", "", if part.full { &["1"] } else { &[] });
+        write_field("classes", "+", &part.ops);
+        write_field("whole", "", if part.full { &["1"] } else { &[] });
         let lines: Vec<String> =
             part.lines.iter().map(|(worker, weight)| format!("{worker}:{weight}")).collect();
-        list("lines", ",", &lines.iter().map(String::as_str).collect::<Vec<_>>());
+        write_field("lines", ",", &lines.iter().map(String::as_str).collect::<Vec<_>>());
         if let Some((level, retry)) = part.level {
             let retry = match retry {
                 Retry::Never => "0",
@@ -257,15 +257,15 @@
                 Retry::OnceOnFailure => "2",
                 Retry::TwiceOnFailure => "3",
             };
-            list("level", "", &[&level.to_string()]);
-            list("retry", "", &[retry]);
+            write_field("level", "", &[&level.to_string()]);
+            write_field("retry", "", &[retry]);
         }
-        list("out", ",", &part.removed);
-        list("back", ",", &part.restored);
+        write_field("out", ",", &part.removed);
+        write_field("back", ",", &part.restored);
         if let Some(mark) = part.mark {
-            list("ticket", "", &[&mark.0.to_string()]);
+            write_field("ticket", "", &[&mark.0.to_string()]);
         }
-        list("more", "", if index + 1 < parts.len() { &["1"] } else { &[] });
+        write_field("more", "", if index + 1 < parts.len() { &["1"] } else { &[] });
         text.push_str("\r\n");
     }
     text.into()
--- a/crates/manager/src/scope_filter.rs
+++ b/crates/manager/src/scope_filter.rs
@@ -15,7 +15,7 @@
 
 /// What to do with an entry.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Classified {
+pub enum Classification {
     /// Keep it: it is in scope, or invalid in a way that the reader of the list has to know of.
     Kept,
     /// A worker of the committed lists has left the scope.
@@ -75,7 +75,7 @@
     }
 
     /// Classifies one entry, which has to be valid JSON.
-    pub fn classify(&mut self, entry: &[u8]) -> Classified {
+    pub fn classify(&mut self, entry: &[u8]) -> Classification {
         match serde_json::from_slice(entry) {
             Ok(placement) => self.classify_placed(placement),
             Err(_) => self.classify_invalid(entry),
@@ -108,29 +108,29 @@
     pub fn filter(&mut self, listing: Listing) -> Listing {
         let mut kept = Vec::new();
         for instance in listing.instances {
-            let classified = match &instance {
+            let classification = match &instance {
                 Instance::Entry(raw) => self.classify(raw.get().as_bytes()),
-                Instance::Departure(_) => Classified::Kept,
+                Instance::Departure(_) => Classification::Kept,
             };
-            match classified {
-                Classified::Kept => kept.push(instance),
-                Classified::Left(departure) => kept.push(Instance::Departure(departure)),
-                Classified::Dropped => {}
+            match classification {
+                Classification::Kept => kept.push(instance),
+                Classification::Left(departure) => kept.push(Instance::Departure(departure)),
+                Classification::Dropped => {}
             }
         }
         self.commit(listing.full);
         Listing { instances: kept, ..listing }
     }
 
-    fn classify_placed(&mut self, entry: Placement<'_>) -> Classified {
+    fn classify_placed(&mut self, entry: Placement<'_>) -> Classification {
         let place = Place { zone: &entry.zone, service: entry.service.as_deref() };
         let worker = &*entry.instance_id;
         if self.scope.contains(place) {
             self.staged.insert(worker.to_string(), entry.lifecycle != "gone");
-            return Classified::Kept;
+            return Classification::Kept;
         }
         if !self.is_known(worker) {
-            return Classified::Dropped;
+            return Classification::Dropped;
         }
         let phase = match &*entry.lifecycle {
             "ready" | "draining" => Phase::Draining,
@@ -138,24 +138,24 @@
             _ => return self.keep_invalid(worker),
         };
         self.staged.insert(worker.to_string(), phase != Phase::Gone);
-        Classified::Left(Departure { worker: worker.to_string(), phase })
+        Classification::Left(Departure { worker: worker.to_string(), phase })
     }
 
     /// An entry without a valid zone or service is kept only if its worker is in scope so far, or unknown.
-    fn classify_invalid(&mut self, entry: &[u8]) -> Classified {
+    fn classify_invalid(&mut self, entry: &[u8]) -> Classification {
         match serde_json::from_slice::<Identity<'_>>(entry) {
             Ok(identity) if self.is_known(&identity.instance_id) => self.keep_invalid(&identity.instance_id),
-            Ok(_) => Classified::Dropped,
+            Ok(_) => Classification::Dropped,
             Err(_) => {
                 self.unreadable = true;
-                Classified::Kept
+                Classification::Kept
             }
         }
     }
 
-    fn keep_invalid(&mut self, worker: &str) -> Classified {
+    fn keep_invalid(&mut self, worker: &str) -> Classification {
         self.staged.insert(worker.to_string(), true);
-        Classified::Kept
+        Classification::Kept
     }
 
     fn is_known(&self, worker: &str) -> bool {
