--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -5,7 +5,7 @@
 use super::Decider;
 use crate::connection_tracker::{Stream, StreamTimeout};
 use crate::inbound::{Hello, Outbox, StreamId};
-use crate::text::Report;
+use crate::protocol::Report;
 
 impl Decider {
     /// Handles a proxy's introduction on a new stream.
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -12,16 +12,16 @@
 //! ```
 
 mod clock;
+mod connection_error;
 mod connection_tracker;
 mod decider;
 mod discovery;
-mod fault;
 mod fleet;
 mod http;
 mod inbound;
 mod launch;
 mod limiter;
-mod lines;
+mod line_buffer;
 mod list_assembler;
 mod listening;
 mod listing;
@@ -29,11 +29,11 @@
 mod north;
 mod order_writer;
 mod probes;
+mod protocol;
 mod reload;
 mod scope_filter;
 mod streams;
 mod subscription;
-mod text;
 mod upstream;
 mod worker_registry;
 
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -11,7 +11,7 @@
 use juniperrail_start::Names;
 
 use crate::connection_tracker::{ConnectionTracker, Stream};
-use crate::text::{self, MessagePart};
+use crate::protocol::{self, MessagePart};
 
 /// An admission level with its retry policy.
 type Level = (f64, Retry);
@@ -355,7 +355,7 @@
         };
         let lines = parts.iter().map(line_count).sum();
         let mark = update.mark;
-        let message = OutboundMessage { proxy: id, bytes: text::encode(&parts), lines, mark };
+        let message = OutboundMessage { proxy: id, bytes: protocol::encode(&parts), lines, mark };
         self.proxies.get_mut(&id).expect("a joined proxy").exclusions.extend(update.exclusions);
         message
     }
