--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Without a command the manager serves.
+//! The command line. Without a command the program runs a manager.
 
 mod relay;
 mod remote;
@@ -15,27 +15,27 @@
 use juniperrail_model::{json, schema, xsd};
 use juniperrail_northbound::OperatorFile;
 
-use crate::logs::Form;
+use crate::logs::LogFormat;
 
-/// Where the operator's file is if nothing else is said.
+/// Path of the operator's file where neither a flag nor an environment variable names one.
 pub const OPERATOR_FILE: &str = "deploy/juniperrail.xml";
 
 /// A central planner for a layer of plain proxies.
 ///
-/// Without a command it serves, as PROXY_CONFIG and the operator's file say.
+/// Without a command it runs a manager, configured by the file that PROXY_CONFIG names and by the operator's file.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Exit codes: 0 done, 1 a fault here or on the way, 2 a wrong command line, 3 refused by the manager."
+    after_help = "Exit codes: 0 done, 1 local error or connection error, 2 invalid command line, 3 refused by the manager."
 )]
-pub struct Line {
-    /// What operators want beside the settings; `deploy/juniperrail.xml` is taken if it is there.
+pub struct CommandLine {
+    /// The operator's configuration, in addition to the settings [default: `deploy/juniperrail.xml`, if it exists].
     #[arg(long, env = "JUNIPERRAIL_FILE", value_name = "FILE", global = true)]
     pub operator_file: Option<PathBuf>,
 
-    /// How the log is written to standard error.
+    /// Format of the log on standard error.
     #[arg(long, env = "JUNIPERRAIL_LOG", value_enum, default_value_t, value_name = "FORM")]
-    pub log: Form,
+    pub log: LogFormat,
 
     #[command(subcommand)]
     pub command: Option<Command>,
@@ -43,160 +43,173 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Reads the operator's file, and the settings if PROXY_CONFIG names them, and says what is wrong.
+    /// Validates the operator's file, and the settings if PROXY_CONFIG names them, and prints the first error.
     Check,
-    /// Writes the model: its YANG modules, or an XML schema of the operator's file.
+    /// Prints the data model: its YANG modules, or an XML schema of the operator's file.
     Schema(SchemaArgs),
     /// Reads or changes the configuration of a running manager over NETCONF.
     Config {
         #[command(flatten)]
-        to: remote::To,
+        connection: remote::ConnectionArgs,
         #[command(subcommand)]
-        what: remote::ConfigCommand,
+        command: remote::ConfigCommand,
     },
-    /// Prints the state of a running manager: what the proxies were really told, and how far changes have come.
+    /// Prints the state of a running manager: what it sent to the proxies, and the progress of changes.
     State {
         #[command(flatten)]
-        to: remote::To,
+        connection: remote::ConnectionArgs,
         #[command(flatten)]
-        shown: remote::Shown,
+        output: remote::OutputArgs,
     },
-    /// Prints what happens at a running manager, one event a line as JSON, until it is ended.
+    /// Prints the notifications of a running manager as JSON, one event per line, until interrupted.
     Watch {
         #[command(flatten)]
-        to: remote::To,
-        /// Ends after so many events.
+        connection: remote::ConnectionArgs,
+        /// Exits after this number of events.
         #[arg(long, value_name = "COUNT")]
         events: Option<u64>,
     },
-    /// Relays the list of workers: holds it whole and serves each manager its part, until it is ended.
+    /// Runs a relay of the list of workers, which keeps the whole list and serves each manager its part, until SIGTERM.
     Relay(relay::RelayArgs),
-    /// Writes completions for a shell to standard output.
+    /// Prints a completion script for a shell.
     Completions { shell: Shell },
 }
 
+/// Arguments of the `schema` command.
 #[derive(Args)]
 pub struct SchemaArgs {
-    /// An XML schema (XSD 1.0), in one document for each namespace.
+    /// Prints an XML schema (XSD 1.0), one document for each namespace.
     #[arg(long, conflicts_with = "yang")]
     xsd: bool,
-    /// The YANG modules; this is what is written if nothing is said.
+    /// Prints the YANG modules; this is the default.
     #[arg(long)]
     yang: bool,
-    /// The folder to write to, one file a document; without it all goes to standard output.
+    /// Folder to write to, one file per document, in place of standard output.
     #[arg(short, long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
 
-/// Why a command was not done.
+/// Why a command failed.
 #[derive(Debug)]
-pub enum Trouble {
-    Fault(String),
+pub enum CommandError {
+    /// An error of this process: arguments, files, settings.
+    Local(String),
+    /// An error of the connection to a manager, or a refusal by it.
     Remote(Failed),
 }
 
-impl Trouble {
-    pub fn code(&self) -> ExitCode {
+impl CommandError {
+    /// The exit code of the process: 3 where the manager refused the request, else 1.
+    pub fn exit_code(&self) -> ExitCode {
         match self {
-            Trouble::Remote(Failed { reason: Reason::Refused(_), .. }) => ExitCode::from(3),
+            CommandError::Remote(Failed { reason: Reason::Refused(_), .. }) => ExitCode::from(3),
             _ => ExitCode::FAILURE,
         }
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Trouble::Fault(what) => f.write_str(what),
-            Trouble::Remote(failed) => failed.fmt(f),
+            CommandError::Local(message) => f.write_str(message),
+            CommandError::Remote(failed) => failed.fmt(f),
         }
     }
 }
 
-impl From<Failed> for Trouble {
+impl From<Failed> for CommandError {
     fn from(failed: Failed) -> Self {
-        Trouble::Remote(failed)
+        CommandError::Remote(failed)
     }
 }
 
 impl Command {
-    /// Whether it serves until it is ended, and logs meanwhile.
+    /// Whether the command is a server, which logs while it runs.
     pub fn serves(&self) -> bool {
         matches!(self, Command::Relay(_))
     }
 
-    pub async fn run(self, operator_file: Option<PathBuf>) -> Result<(), Trouble> {
+    /// Runs the command to its end.
+    pub async fn run(self, operator_file: Option<PathBuf>) -> Result<(), CommandError> {
         match self {
-            Command::Check => check(operator_file).map_err(Trouble::Fault),
-            Command::Schema(args) => written(&args).map_err(Trouble::Fault),
-            Command::Config { to, what } => what.run(&to).await,
-            Command::State { to, shown } => remote::state(&to, &shown).await,
-            Command::Watch { to, events } => remote::watch(&to, events).await,
+            Command::Check => check(operator_file).map_err(CommandError::Local),
+            Command::Schema(args) => write_schema(&args).map_err(CommandError::Local),
+            Command::Config { connection, command } => command.run(&connection).await,
+            Command::State { connection, output } => remote::print_state(&connection, &output).await,
+            Command::Watch { connection, events } => remote::watch(&connection, events).await,
             Command::Relay(args) => relay::run(args).await,
             Command::Completions { shell } => {
-                clap_complete::generate(shell, &mut Line::command(), "juniperrail", &mut io::stdout());
+                clap_complete::generate(shell, &mut CommandLine::command(), "juniperrail", &mut io::stdout());
                 Ok(())
             }
         }
     }
 }
 
-/// Prints, unless whoever reads has gone away: that is no fault.
-pub fn print(text: &str) -> Result<(), Trouble> {
+/// Writes to standard output. A closed pipe is not an error.
+pub fn print(text: &str) -> Result<(), CommandError> {
     match io::stdout().write_all(text.as_bytes()).and_then(|()| io::stdout().flush()) {
-        Err(why) if why.kind() != io::ErrorKind::BrokenPipe => Err(Trouble::Fault(why.to_string())),
+        Err(error) if error.kind() != io::ErrorKind::BrokenPipe => {
+            Err(CommandError::Local(error.to_string()))
+        }
         _ => Ok(()),
     }
 }
 
 fn check(operator_file: Option<PathBuf>) -> Result<(), String> {
     if std::env::var("PROXY_CONFIG").is_ok_and(|path| !path.is_empty()) {
-        crate::launched(operator_file).map(drop)?;
-        println!("the settings and the operator's file are sound");
+        crate::read_launch(operator_file).map(drop)?;
+        println!("the settings and the operator's file are valid");
         return Ok(());
     }
     let file = OperatorFile::new(operator_file.unwrap_or_else(|| OPERATOR_FILE.into()));
-    let shown = file.path().display();
-    let data = file.read(&schema())?.ok_or_else(|| format!("{shown} is not there"))?;
-    Launch::check_operator_data(&data).map_err(|why| format!("{shown}: {why}"))?;
-    println!("{shown} is sound by itself; with PROXY_CONFIG it is held against the settings too");
+    let path = file.path().display();
+    let data = file.read(&schema())?.ok_or_else(|| format!("{path} does not exist"))?;
+    Launch::check_operator_data(&data).map_err(|error| format!("{path}: {error}"))?;
+    println!("{path} is valid; set PROXY_CONFIG to check it against the settings too");
     Ok(())
 }
 
-fn written(args: &SchemaArgs) -> Result<(), String> {
+fn write_schema(args: &SchemaArgs) -> Result<(), String> {
     let schema = schema();
     let documents: Vec<(String, String)> = match args.xsd {
         true => xsd::documents(&schema),
-        false => schema.modules.iter().map(|of| (format!("{}.yang", of.name), of.text.clone())).collect(),
+        false => schema
+            .modules
+            .iter()
+            .map(|module| (format!("{}.yang", module.name), module.text.clone()))
+            .collect(),
     };
     for (name, text) in documents {
         match &args.out {
-            None => print(&text).map_err(|trouble| trouble.to_string())?,
+            None => print(&text).map_err(|error| error.to_string())?,
             Some(folder) => {
                 let path = folder.join(name);
-                let failed = |why: io::Error| format!("{} cannot be written: {why}", path.display());
-                std::fs::create_dir_all(folder).and_then(|()| std::fs::write(&path, text)).map_err(failed)?;
+                let write_error = |error: io::Error| format!("cannot write {}: {error}", path.display());
+                std::fs::create_dir_all(folder)
+                    .and_then(|()| std::fs::write(&path, text))
+                    .map_err(write_error)?;
             }
         }
     }
     Ok(())
 }
 
-/// A file's text, or standard input's for `-`.
-pub fn text_of(path: &Path) -> Result<String, Trouble> {
-    let read = match path == Path::new("-") {
+/// Reads a file, or standard input if the path is `-`.
+pub fn read_text(path: &Path) -> Result<String, CommandError> {
+    let text = match path == Path::new("-") {
         true => io::read_to_string(io::stdin()),
         false => std::fs::read_to_string(path),
     };
-    read.map_err(|why| Trouble::Fault(format!("{} cannot be read: {why}", path.display())))
+    text.map_err(|error| CommandError::Local(format!("{} cannot be read: {error}", path.display())))
 }
 
-/// JSON as the commands print it.
-pub fn print_json(value: &serde_json::Value) -> Result<(), Trouble> {
+/// Prints JSON, indented.
+pub fn print_json(value: &serde_json::Value) -> Result<(), CommandError> {
     print(&format!("{value:#}\n"))
 }
 
-/// Elements as JSON of the model.
+/// Converts XML elements of the model to JSON (RFC 7951).
 pub fn as_json(elements: &[juniperrail_model::xml::Element]) -> serde_json::Value {
     json::from_xml(&schema(), elements)
 }
--- a/crates/manager/src/cli/relay.rs
+++ b/crates/manager/src/cli/relay.rs
@@ -1,4 +1,4 @@
-//! The command that relays the list of workers to managers, each the part it asks for.
+//! The `relay` command: a server that relays the list of workers to managers, each the part that it needs.
 
 use std::net::SocketAddr;
 
@@ -6,26 +6,27 @@
 use juniperrail_relay::{Options, Relay};
 use tokio::signal::unix::{signal, SignalKind};
 
-use super::Trouble;
+use super::CommandError;
 
+/// Arguments of the `relay` command.
 #[derive(Args)]
 pub struct RelayArgs {
-    /// Where managers find it, as 127.0.0.1:7070.
+    /// Address to listen on for managers, such as 127.0.0.1:7070.
     #[arg(long, value_name = "ADDRESS")]
     listen: SocketAddr,
-    /// Whose list is relayed: discovery, or another relay.
+    /// Address of the source of the list: discovery or another relay.
     #[arg(long, value_name = "ADDRESS")]
     source: SocketAddr,
-    /// Managers served at a time; fewer if the process may not open as many sockets.
+    /// Maximum number of managers served at a time; lower if the process may not open as many sockets.
     #[arg(long, value_name = "COUNT", default_value_t = 1_024)]
     subscribers: usize,
-    /// Workers remembered after they left, so that managers that were away can be told.
+    /// Number of removed workers that are remembered, so that managers that reconnect learn of the removal.
     #[arg(long, value_name = "COUNT", default_value_t = 65_536)]
     tombstones: usize,
-    /// The longest entry of one worker, in KiB.
+    /// Maximum size of the entry of one worker, in KiB.
     #[arg(long, value_name = "KIB", default_value_t = 63, value_parser = clap::value_parser!(u32).range(1..=63))]
     entry_kib: u32,
-    /// What is written to one manager at a time, in KiB.
+    /// Maximum size of a single write to one manager, in KiB.
     #[arg(long, value_name = "KIB", default_value_t = 64, value_parser = clap::value_parser!(u32).range(4..=65_536))]
     chunk_kib: u32,
 }
@@ -35,25 +36,26 @@
         let mut options = Options::new(self.listen, self.source);
         options.limits.subscribers = self.subscribers;
         options.limits.list.tombstones = self.tombstones;
-        options.limits.line.entry = bytes_of(self.entry_kib);
-        options.limits.cursor.chunk = bytes_of(self.chunk_kib);
+        options.limits.line.entry = kib_to_bytes(self.entry_kib);
+        options.limits.cursor.chunk = kib_to_bytes(self.chunk_kib);
         options
     }
 }
 
-fn bytes_of(kib: u32) -> usize {
+fn kib_to_bytes(kib: u32) -> usize {
     kib as usize * 1024
 }
 
 /// Serves until SIGTERM.
-pub async fn run(args: RelayArgs) -> Result<(), Trouble> {
-    let mut ended = signal(SignalKind::terminate()).map_err(|why| Trouble::Fault(why.to_string()))?;
+pub async fn run(args: RelayArgs) -> Result<(), CommandError> {
+    let mut sigterm =
+        signal(SignalKind::terminate()).map_err(|error| CommandError::Local(error.to_string()))?;
     let listen = args.listen;
     let bound = Relay::bind(args.options()).await;
-    let relay = bound.map_err(|why| Trouble::Fault(format!("{listen} can't be listened on: {why}")))?;
+    let relay = bound.map_err(|error| CommandError::Local(format!("cannot listen on {listen}: {error}")))?;
     tokio::select! {
         () = relay.serve() => {}
-        _ = ended.recv() => tracing::info!("told to end"),
+        _ = sigterm.recv() => tracing::info!("received SIGTERM, shutting down"),
     }
     Ok(())
 }
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -1,54 +1,55 @@
-//! Commands that speak with a running manager over NETCONF.
+//! Commands that connect to a running manager over NETCONF.
 
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand, ValueEnum};
-use juniperrail_client::{Client, Commit, Data as Got, Dial, Store};
+use juniperrail_client::{Client, Commit, Data as XmlData, Dial, Store};
 use juniperrail_model::xml::{self, Element, NETCONF};
 use juniperrail_model::{diff, schema, Data, Difference, Path, Schema, Value};
 
-use super::{as_json, print, print_json, text_of, Trouble};
+use super::{as_json, print, print_json, read_text, CommandError};
 
-/// Where the manager is and who asks. Nothing is trusted that is not named.
+/// Address and credentials of a connection to a manager. Only the keys and authorities given here are trusted.
 #[derive(Args)]
 #[group(skip)]
-pub struct To {
-    /// The manager's address for NETCONF over SSH.
+pub struct ConnectionArgs {
+    /// Address of the manager's NETCONF server over SSH.
     #[arg(long, env = "JUNIPERRAIL_SSH", value_name = "ADDRESS", conflicts_with = "tls", required_unless_present = "tls", requires_all = ["user", "key", "host_key"])]
     ssh: Option<String>,
-    /// The manager's address for NETCONF over TLS.
+    /// Address of the manager's NETCONF server over TLS.
     #[arg(long, env = "JUNIPERRAIL_TLS", value_name = "ADDRESS", requires_all = ["name", "authorities", "certificate", "key"])]
     tls: Option<String>,
-    /// The user to be, with SSH.
+    /// User name, for SSH.
     #[arg(long, env = "JUNIPERRAIL_USER", value_name = "NAME")]
     user: Option<String>,
-    /// The private key: in OpenSSH form with SSH, in PEM with TLS.
+    /// Private key, in OpenSSH format for SSH and in PEM format for TLS.
     #[arg(long, env = "JUNIPERRAIL_KEY", value_name = "FILE")]
     key: Option<PathBuf>,
-    /// The manager's public host key, one line in OpenSSH form.
+    /// The manager's public host key, one line in OpenSSH format.
     #[arg(long, env = "JUNIPERRAIL_HOST_KEY", value_name = "FILE")]
     host_key: Option<PathBuf>,
-    /// The name that the manager's certificate holds.
+    /// Name that the manager's certificate must contain, for TLS.
     #[arg(long, env = "JUNIPERRAIL_NAME", value_name = "NAME")]
     name: Option<String>,
-    /// Who vouches for the manager, in PEM.
+    /// Certificate authorities trusted to have issued the manager's certificate, in PEM format.
     #[arg(long, env = "JUNIPERRAIL_AUTHORITIES", value_name = "FILE")]
     authorities: Option<PathBuf>,
-    /// The certificate to come with, in PEM.
+    /// Client certificate, in PEM format.
     #[arg(long, env = "JUNIPERRAIL_CERTIFICATE", value_name = "FILE")]
     certificate: Option<PathBuf>,
 }
 
-impl To {
-    async fn dial(&self) -> Result<Client, Trouble> {
-        let text = |of: &Option<String>| of.clone().unwrap_or_default();
-        let file = |of: &Option<PathBuf>| of.clone().unwrap_or_default();
+impl ConnectionArgs {
+    async fn dial(&self) -> Result<Client, CommandError> {
+        let text = |value: &Option<String>| value.clone().unwrap_or_default();
+        let file = |path: &Option<PathBuf>| path.clone().unwrap_or_default();
         let dial = match (&self.ssh, &self.tls) {
             (Some(address), _) => {
                 Dial::ssh(address, text(&self.user), file(&self.key)).trusting_host(file(&self.host_key))
             }
             (None, address) => {
-                let (authorities, certificate) = (file(&self.authorities), file(&self.certificate));
+                let authorities = file(&self.authorities);
+                let certificate = file(&self.certificate);
                 Dial::tls(text(address), text(&self.name), authorities, certificate, file(&self.key))
             }
         };
@@ -56,141 +57,147 @@
     }
 }
 
+/// What part of the data is printed, and in which format.
 #[derive(Args)]
-pub struct Shown {
-    /// Only what lies at this path, as `/workers/worker[name='s-1']`.
+pub struct OutputArgs {
+    /// Prints only the data at this path, such as `/workers/worker[name='s-1']`.
     path: Option<String>,
-    /// As JSON (RFC 7951) in place of XML.
+    /// Prints JSON (RFC 7951) instead of XML.
     #[arg(long)]
     json: bool,
 }
 
+/// A NETCONF datastore.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Which {
+pub enum Datastore {
     Running,
     Candidate,
     Startup,
 }
 
-impl Which {
-    fn store(self) -> Store {
+impl Datastore {
+    fn to_store(self) -> Store {
         match self {
-            Which::Running => Store::Running,
-            Which::Candidate => Store::Candidate,
-            Which::Startup => Store::Startup,
+            Datastore::Running => Store::Running,
+            Datastore::Candidate => Store::Candidate,
+            Datastore::Startup => Store::Startup,
         }
     }
 }
 
+/// Value of `default-operation` in an `edit-config` (RFC 6241).
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Default {
+pub enum DefaultOperation {
     Merge,
     Replace,
     None,
 }
 
-impl Default {
-    fn name(self) -> &'static str {
+impl DefaultOperation {
+    fn as_str(self) -> &'static str {
         match self {
-            Default::Merge => "merge",
-            Default::Replace => "replace",
-            Default::None => "none",
+            DefaultOperation::Merge => "merge",
+            DefaultOperation::Replace => "replace",
+            DefaultOperation::None => "none",
         }
     }
 }
 
+/// Arguments of a confirmed commit (RFC 6241).
 #[derive(Args)]
-pub struct Confirmed {
-    /// It is undone after so many seconds unless it is confirmed.
+pub struct ConfirmedCommitArgs {
+    /// Reverts the commit after this number of seconds unless it is confirmed.
     #[arg(long, value_name = "SECONDS")]
     confirm: Option<u32>,
-    /// The name by which any session may confirm it. A commit that is to outlive this command needs one.
+    /// Name by which any session can confirm the commit. Without one it is reverted when this command exits.
     #[arg(long, value_name = "NAME", requires = "confirm")]
     persist: Option<String>,
 }
 
+/// Subcommands of `config`.
 #[derive(Subcommand)]
 pub enum ConfigCommand {
     /// Prints a datastore.
     Get {
         #[arg(long, value_enum, default_value = "running")]
-        store: Which,
+        store: Datastore,
         #[command(flatten)]
-        shown: Shown,
+        output: OutputArgs,
     },
-    /// Lays XML over the candidate and commits it, whole or not at all.
+    /// Applies XML to the candidate and commits it, all or nothing.
     Edit {
-        /// The operator's form: a <config> with what is to change. `-` is standard input.
+        /// File with a <config> element that holds the changes, or `-` for standard input.
         file: PathBuf,
-        /// What is done with elements that say nothing themselves.
+        /// Operation for elements without an operation attribute.
         #[arg(long, value_enum, default_value = "merge")]
-        default_operation: Default,
-        /// Leaves it in the candidate.
+        default_operation: DefaultOperation,
+        /// Leaves the change in the candidate.
         #[arg(long)]
         no_commit: bool,
         #[command(flatten)]
-        confirmed: Confirmed,
+        confirmed: ConfirmedCommitArgs,
     },
-    /// Prints what is different between two datastores, a line a leaf.
+    /// Prints the differences between two datastores, one line per leaf.
     Diff {
         #[arg(long, value_enum, default_value = "running")]
-        from: Which,
+        from: Datastore,
         #[arg(long, value_enum, default_value = "candidate")]
-        to: Which,
-        /// As JSON.
+        to: Datastore,
+        /// Prints JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Makes the candidate running, or confirms a commit.
+    /// Commits the candidate to running, or confirms a commit.
     Commit {
         #[command(flatten)]
-        confirmed: Confirmed,
-        /// The name of the commit to confirm.
+        confirmed: ConfirmedCommitArgs,
+        /// Name of the commit to confirm.
         #[arg(long, value_name = "NAME")]
         persist_id: Option<String>,
     },
-    /// Takes back a commit that waits for its confirmation.
+    /// Cancels a commit that awaits confirmation.
     Cancel {
-        /// Its name.
+        /// Name of the commit to cancel.
         #[arg(long, value_name = "NAME")]
         persist_id: Option<String>,
     },
-    /// Drops what the candidate holds.
+    /// Discards the changes in the candidate.
     Discard,
-    /// Goes back to an older version of running; `state /state/versions` names them.
+    /// Restores an older version of running; `state /state/versions` lists them.
     Rollback {
         version: u64,
-        /// Leaves it in the candidate.
+        /// Leaves the change in the candidate.
         #[arg(long)]
         no_commit: bool,
     },
-    /// Copies running to startup, which is the operator's file.
+    /// Copies running to startup, which is stored in the operator's file.
     Save,
 }
 
 impl ConfigCommand {
-    pub async fn run(self, to: &To) -> Result<(), Trouble> {
-        // What is given is read before anybody is dialled.
+    /// Runs the command in a session of its own.
+    pub async fn run(self, connection: &ConnectionArgs) -> Result<(), CommandError> {
+        // Read the input first, so that a bad file fails before a connection is opened.
         let edits = match &self {
-            ConfigCommand::Edit { file, .. } => Some(config_of(&text_of(file)?)?),
+            ConfigCommand::Edit { file, .. } => Some(edit_content(&read_text(file)?)?),
             _ => None,
         };
-        let mut client = to.dial().await?;
+        let mut client = connection.dial().await?;
         match self {
-            ConfigCommand::Get { store, shown } => {
-                let got = client.get_config(store.store(), None).await?;
-                print_data(got, &shown)?;
+            ConfigCommand::Get { store, output } => {
+                let reply = client.get_config(store.to_store(), None).await?;
+                print_data(reply, &output)?;
             }
             ConfigCommand::Edit { default_operation, no_commit, confirmed, .. } => {
                 let edits = edits.unwrap_or_default();
-                client.edit_with(&edits, default_operation.name(), "test-then-set").await?;
+                client.edit_with(&edits, default_operation.as_str(), "test-then-set").await?;
                 if !no_commit {
                     commit(&mut client, confirmed, None).await?;
                 }
             }
             ConfigCommand::Diff { from, to, json } => {
-                let from = config(&mut client, from).await?;
-                let to = config(&mut client, to).await?;
+                let from = read_datastore(&mut client, from).await?;
+                let to = read_datastore(&mut client, to).await?;
                 print_differences(&schema(), &diff(&schema(), &from, &to), json)?;
             }
             ConfigCommand::Commit { confirmed, persist_id } => {
@@ -201,7 +208,7 @@
             ConfigCommand::Rollback { version, no_commit } => {
                 client.rollback(version).await?;
                 if !no_commit {
-                    commit(&mut client, Confirmed { confirm: None, persist: None }, None).await?;
+                    commit(&mut client, ConfirmedCommitArgs { confirm: None, persist: None }, None).await?;
                 }
             }
             ConfigCommand::Save => client.copy(Store::Running, Store::Startup).await?,
@@ -210,15 +217,16 @@
     }
 }
 
-/// A commit that is refused leaves nothing in the candidate that the next one would trip over.
+/// Commits the candidate. If the manager refuses, the changes are discarded, because the next commit would fail on them
+/// too.
 async fn commit(
     client: &mut Client,
-    confirmed: Confirmed,
+    confirmed: ConfirmedCommitArgs,
     persist_id: Option<String>,
-) -> Result<(), Trouble> {
-    let Confirmed { confirm, persist } = confirmed;
-    let done = client.commit(&Commit { confirm_within: confirm, persist, persist_id }).await;
-    if let Err(failed) = done {
+) -> Result<(), CommandError> {
+    let ConfirmedCommitArgs { confirm, persist } = confirmed;
+    let result = client.commit(&Commit { confirm_within: confirm, persist, persist_id }).await;
+    if let Err(failed) = result {
         if !failed.refusals().is_empty() {
             _ = client.discard().await;
         }
@@ -227,32 +235,37 @@
     Ok(())
 }
 
-/// The elements within a file's <config>, as text for an edit.
-fn config_of(text: &str) -> Result<String, Trouble> {
-    let bad = |what: String| Trouble::Fault(what);
-    let root = xml::read(text.as_bytes()).map_err(|why| bad(format!("line {}: {}", why.line, why.what)))?;
+/// The child elements of a file's <config> element, as XML text for an `edit-config`.
+fn edit_content(text: &str) -> Result<String, CommandError> {
+    let error = |message: String| CommandError::Local(message);
+    let root =
+        xml::read(text.as_bytes()).map_err(|fault| error(format!("line {}: {}", fault.line, fault.what)))?;
     if !root.is(NETCONF, "config") {
-        return Err(bad(format!("<{}> is no <config xmlns=\"{NETCONF}\">", root.name)));
+        return Err(error(format!("expected <config xmlns=\"{NETCONF}\">, found <{}>", root.name)));
     }
     Ok(root.children.iter().map(|child| xml::write(child, false)).collect())
 }
 
-async fn config(client: &mut Client, which: Which) -> Result<Data, Trouble> {
-    let got = client.get_config(which.store(), None).await?;
+async fn read_datastore(client: &mut Client, datastore: Datastore) -> Result<Data, CommandError> {
+    let reply = client.get_config(datastore.to_store(), None).await?;
     let schema = schema();
-    let drafts = xml::drafts(&schema, &got.0, false).and_then(|drafts| Data::from_drafts(&schema, &drafts));
-    drafts.map_err(|fault| Trouble::Fault(format!("the manager speaks another model: {fault}")))
+    let drafts = xml::drafts(&schema, &reply.0, false).and_then(|drafts| Data::from_drafts(&schema, &drafts));
+    drafts.map_err(|fault| {
+        CommandError::Local(format!(
+            "the manager's configuration does not fit the model of this program: {fault}"
+        ))
+    })
 }
 
-fn print_differences(schema: &Schema, found: &[Difference], json: bool) -> Result<(), Trouble> {
+fn print_differences(schema: &Schema, differences: &[Difference], json: bool) -> Result<(), CommandError> {
     let text = |value: &Option<Value>| value.as_ref().map(Value::to_string);
     if json {
-        let each = |d: &Difference| serde_json::json!({"path": d.path.spelled(schema), "old": text(&d.old), "new": text(&d.new)});
-        return print_json(&found.iter().map(each).collect());
+        let to_json = |difference: &Difference| serde_json::json!({"path": difference.path.spelled(schema), "old": text(&difference.old), "new": text(&difference.new)});
+        return print_json(&differences.iter().map(to_json).collect());
     }
-    for d in found {
-        let path = d.path.spelled(schema);
-        let line = match (&d.old, &d.new) {
+    for difference in differences {
+        let path = difference.path.spelled(schema);
+        let line = match (&difference.old, &difference.new) {
             (Some(old), Some(new)) => format!("~ {path} {old} -> {new}\n"),
             (Some(old), None) => format!("- {path} {old}\n"),
             (None, new) => format!("+ {path} {}\n", text(new).unwrap_or_default()),
@@ -262,82 +275,86 @@
     Ok(())
 }
 
-fn print_data(got: Got, shown: &Shown) -> Result<(), Trouble> {
-    let elements = match &shown.path {
-        None => got.0,
+fn print_data(reply: XmlData, output: &OutputArgs) -> Result<(), CommandError> {
+    let elements = match &output.path {
+        None => reply.0,
         Some(path) => {
-            let path = Path::read(&schema(), path).map_err(|fault| Trouble::Fault(fault.to_string()))?;
-            cut(&schema(), &got.0, &path)
+            let path = Path::read(&schema(), path).map_err(|fault| CommandError::Local(fault.to_string()))?;
+            select(&schema(), &reply.0, &path)
         }
     };
-    match shown.json {
+    match output.json {
         true => print_json(&as_json(&elements)),
-        false => print(&Got(elements).text()),
+        false => print(&XmlData(elements).text()),
     }
 }
 
-/// The elements at a path, with those that lead to them and the keys on the way.
-fn cut(schema: &Schema, elements: &[Element], path: &Path) -> Vec<Element> {
+/// The elements at a path, with their ancestors and the keys of those ancestors.
+fn select(schema: &Schema, elements: &[Element], path: &Path) -> Vec<Element> {
     let Some((step, rest)) = path.0.split_first() else { return elements.to_vec() };
     let node = schema.node(step.node);
-    let names = |of: &&Element| of.name == node.name && *of.ns == *schema.modules[node.module].namespace;
+    let is_node = |element: &&Element| {
+        element.name == node.name && *element.ns == *schema.modules[node.module].namespace
+    };
     let key_names: Vec<&str> = node.keys().iter().map(|key| schema.node(*key).name.as_str()).collect();
     let is_key = |child: &&Element| key_names.contains(&child.name.as_str());
-    let fits = |of: &&Element| {
+    let has_keys = |element: &&Element| {
         step.keys.iter().zip(&key_names).all(|(value, name)| {
-            of.children.iter().any(|child| child.name == *name && child.text == value.to_string())
+            element.children.iter().any(|child| child.name == *name && child.text == value.to_string())
         })
     };
     let mut found = Vec::new();
-    for element in elements.iter().filter(names).filter(fits) {
+    for element in elements.iter().filter(is_node).filter(has_keys) {
         if rest.is_empty() {
             found.push(element.clone());
             continue;
         }
-        let below = cut(schema, &element.children, &Path(rest.to_vec()));
-        if !below.is_empty() {
-            let keys = element.children.iter().filter(is_key).filter(|key| !below.contains(key)).cloned();
-            let children = keys.chain(below.iter().cloned()).collect();
+        let selected = select(schema, &element.children, &Path(rest.to_vec()));
+        if !selected.is_empty() {
+            let keys = element.children.iter().filter(is_key).filter(|key| !selected.contains(key)).cloned();
+            let children = keys.chain(selected.iter().cloned()).collect();
             found.push(Element { children, ..element.clone() });
         }
     }
     found
 }
 
-pub async fn state(to: &To, shown: &Shown) -> Result<(), Trouble> {
-    let mut client = to.dial().await?;
-    let got = client.get(Some("<state xmlns=\"tag:juniperrail.example,2026:yang:state\"/>")).await?;
-    print_data(got, shown)?;
+/// Prints the state of a running manager.
+pub async fn print_state(connection: &ConnectionArgs, output: &OutputArgs) -> Result<(), CommandError> {
+    let mut client = connection.dial().await?;
+    let reply = client.get(Some("<state xmlns=\"tag:juniperrail.example,2026:yang:state\"/>")).await?;
+    print_data(reply, output)?;
     Ok(client.close().await?)
 }
 
-pub async fn watch(to: &To, events: Option<u64>) -> Result<(), Trouble> {
-    let mut client = to.dial().await?;
+/// Prints notifications of a running manager, one JSON object per line.
+pub async fn watch(connection: &ConnectionArgs, events: Option<u64>) -> Result<(), CommandError> {
+    let mut client = connection.dial().await?;
     client.subscribe(None).await?;
     for _ in 0..events.unwrap_or(u64::MAX) {
-        let told = client.notification().await?;
+        let notification = client.notification().await?;
         let mut line = serde_json::Map::new();
-        for child in &told.children {
-            line.insert(child.name.clone(), plain(child));
+        for child in &notification.children {
+            line.insert(child.name.clone(), element_to_json(child));
         }
         print(&format!("{}\n", serde_json::Value::Object(line)))?;
     }
     Ok(client.close().await?)
 }
 
-/// An event's elements as JSON; those of one name become an array.
-fn plain(element: &Element) -> serde_json::Value {
+/// Converts an element of a notification to JSON; elements of the same name become an array.
+fn element_to_json(element: &Element) -> serde_json::Value {
     if element.children.is_empty() {
         return element.text.clone().into();
     }
     let mut object = serde_json::Map::new();
     for child in &element.children {
-        let value = plain(child);
+        let value = element_to_json(child);
         match object.remove(&child.name) {
             None => _ = object.insert(child.name.clone(), value),
-            Some(serde_json::Value::Array(mut all)) => {
-                all.push(value);
-                object.insert(child.name.clone(), all.into());
+            Some(serde_json::Value::Array(mut values)) => {
+                values.push(value);
+                object.insert(child.name.clone(), values.into());
             }
             Some(first) => _ = object.insert(child.name.clone(), vec![first, value].into()),
         }
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -1,4 +1,5 @@
-//! What a manager is told at its start: the `PROXY_*` variables and the JSON file that one of them names.
+//! Start-up configuration of a manager: the `PROXY_*` environment variables, the JSON file that `PROXY_CONFIG` names, and
+//! the operator's file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,69 +19,70 @@
 use crate::scope_filter::ScopeFilter;
 use crate::subscription::Subscription;
 
-/// All that a manager is told at its start, checked.
+/// The validated start-up configuration of a manager.
 pub struct Launch {
-    pub(crate) fixed: Fixed,
+    pub(crate) fixed: FixedConfig,
     pub(crate) discovery: SocketAddr,
     pub(crate) seed: u64,
-    /// The list as last held; it may be old.
+    /// The list of workers from the last run, which may be out of date.
     pub(crate) cached_list: Option<Listing>,
     pub(crate) names: Names,
-    /// As the settings name them; the list may bring others.
+    /// Names of the zones in the settings; the list can add others.
     pub(crate) zones: Vec<String>,
-    /// A stream that owes an answer and says nothing for longer is taken for lost.
+    /// A stream that has not answered within these time-outs is considered lost.
     pub(crate) silence_timeouts: Patience,
-    /// What the operator's file says, if it says anything.
+    /// The operator's file, unless it is absent or empty.
     pub(crate) operator_config: Option<OperatorConfig>,
-    /// Which part of the list is needed, and from whom it is taken.
+    /// Which part of the list is needed, and the relays to take it from.
     pub(crate) subscription: Subscription,
-    /// Keeps to that part; `None` where all of the list is needed.
+    /// Drops entries out of scope; `None` where the whole list is needed.
     pub(crate) filter: Option<ScopeFilter>,
 }
 
-/// The operator's file as read at the start.
+/// The operator's file, as read at start-up.
 pub(crate) struct OperatorConfig {
     pub file: OperatorFile,
     pub schema: Arc<Schema>,
     pub data: Data,
     pub intent: Intent,
-    /// What is decided in common with other managers, if anything is.
+    /// Consensus with other managers; `None` where the file does not configure it.
     pub fleet: Option<juniperrail_fleet::Setting>,
 }
 
-/// No span in the settings is longer, in ms: a day.
-const LONGEST: f64 = 86_400_000.0;
+/// Upper limit of each duration in the settings: one day.
+const MAX_DURATION_MS: f64 = 86_400_000.0;
 
-const DISCOVERY: &str = "PROXY_DISCOVERY";
+const DISCOVERY_VARIABLE: &str = "PROXY_DISCOVERY";
 
-/// What stays for as long as a manager runs.
+/// The part of the configuration that cannot change while a manager runs.
 #[derive(Clone)]
-pub(crate) struct Fixed {
+pub(crate) struct FixedConfig {
     pub name: String,
     pub listen: SocketAddr,
-    /// File descriptors that this process may hold.
-    pub sockets: usize,
+    /// Limit of open file descriptors of this process.
+    pub max_sockets: usize,
     pub settings: Settings,
     pub tick: Duration,
-    pub dial_within: Duration,
+    pub dial_timeout: Duration,
 }
 
-impl Fixed {
-    /// What another configuration says otherwise.
-    pub fn other_than(&self, other: &Fixed) -> impl Iterator<Item = &'static str> {
-        let settings = |of: &Fixed| (of.settings.clone(), of.tick, of.dial_within);
-        let differ = [
+impl FixedConfig {
+    /// Names the parts in which another configuration differs.
+    pub fn changed_settings(&self, other: &FixedConfig) -> impl Iterator<Item = &'static str> {
+        let settings = |config: &FixedConfig| (config.settings.clone(), config.tick, config.dial_timeout);
+        let comparisons = [
             ("the name", self.name != other.name),
             ("the address to listen on", self.listen != other.listen),
-            ("the limit on sockets", self.sockets != other.sockets),
+            ("the limit on sockets", self.max_sockets != other.max_sockets),
             ("a setting", settings(self) != settings(other)),
         ];
-        differ.into_iter().filter(|(_, differs)| *differs).map(|(what, _)| what)
+        comparisons.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name)
     }
 }
 
+/// The JSON file that `PROXY_CONFIG` names.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -103,67 +105,77 @@
 }
 
 impl Launch {
-    /// From the `PROXY_*` variables and the file that `PROXY_CONFIG` names. The error is one plain line.
+    /// Reads the `PROXY_*` variables and the file that `PROXY_CONFIG` names. The error is one line of text.
     pub fn from_env() -> Result<Launch, String> {
         Launch::read(Launch::new)
     }
 
-    /// The same once the file was replaced, with [`Launch::anew`].
-    pub fn anew_from_env() -> Result<Launch, String> {
-        Launch::read(Launch::anew)
+    /// Reads the same configuration again for a reload, with [`Launch::new_reloaded`].
+    pub fn reloaded_from_env() -> Result<Launch, String> {
+        Launch::read(Launch::new_reloaded)
     }
 
     fn read(
-        launch: impl Fn(&str, fn(&str) -> Option<String>) -> Result<Launch, String>,
+        parse: impl Fn(&str, fn(&str) -> Option<String>) -> Result<Launch, String>,
     ) -> Result<Launch, String> {
-        let told = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
-        let path = told("PROXY_CONFIG").ok_or("PROXY_CONFIG names no file")?;
-        let json = std::fs::read_to_string(&path).map_err(|why| format!("{path} cannot be read: {why}"))?;
-        launch(&json, told).map_err(|why| format!("{path}: {why}"))
+        let variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
+        let path = variable("PROXY_CONFIG").ok_or("PROXY_CONFIG is not set")?;
+        let json =
+            std::fs::read_to_string(&path).map_err(|error| format!("{path} cannot be read: {error}"))?;
+        parse(&json, variable).map_err(|error| format!("{path}: {error}"))
     }
 
-    /// From the text of such a file. `told`: what the variables say; they go before the file.
-    pub fn new(json: &str, told: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
-        Launch::decode(serde_json::from_str(json).map_err(|why| why.to_string())?, told)
+    /// Parses the text of such a file. `variable` looks up environment variables, which take precedence over the file.
+    pub fn new(json: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
+        Launch::decode(serde_json::from_str(json).map_err(|error| error.to_string())?, variable)
     }
 
-    /// From the text of the file that takes its place while a manager runs: where it says that discovery is
-    /// goes before the variable, which can only say where that was at the start.
-    pub fn anew(json: &str, told: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
-        let file: File = serde_json::from_str(json).map_err(|why| why.to_string())?;
-        let moved = file.discovery.clone();
-        let told = |name: &str| moved.clone().filter(|_| name == DISCOVERY).or_else(|| told(name));
-        Launch::decode(file, told)
+    /// Parses the text of a file that is reloaded while a manager runs. Its discovery address takes precedence over the
+    /// environment variable, which still has its value from the start of the process.
+    pub fn new_reloaded(json: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
+        let file: ConfigFile = serde_json::from_str(json).map_err(|error| error.to_string())?;
+        let discovery = file.discovery.clone();
+        let variable_or_discovery =
+            |name: &str| discovery.clone().filter(|_| name == DISCOVERY_VARIABLE).or_else(|| variable(name));
+        Launch::decode(file, variable_or_discovery)
     }
 
-    fn decode(file: File, told: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
-        let address = |variable: &str, value: Option<String>| {
-            let value = told(variable).or(value).ok_or_else(|| format!("{variable} is told nowhere"))?;
-            value.parse().map_err(|_| format!("{variable} is no address with a port: {value:?}"))
+    fn decode(file: ConfigFile, variable: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
+        let address = |name: &str, value: Option<String>| {
+            let value = variable(name)
+                .or(value)
+                .ok_or_else(|| format!("{name} is set neither in the environment nor in the file"))?;
+            value.parse().map_err(|_| format!("{name} is not an address with a port: {value:?}"))
         };
-        let (start, names) = juniperrail_start::decode(&file.settings)?;
-        let span = |path: &str| match juniperrail_start::number(&file.settings, path)? {
-            span if span <= LONGEST => Duration::try_from_secs_f64(span / 1000.0)
-                .map_err(|why| format!("the setting {path} is no span: {span:?}: {why}")),
-            span => Err(format!("the setting {path} is no span: {span:?} is over {LONGEST} ms")),
+        let (settings, names) = juniperrail_start::decode(&file.settings)?;
+        let duration = |path: &str| match juniperrail_start::number(&file.settings, path)? {
+            ms if ms <= MAX_DURATION_MS => Duration::try_from_secs_f64(ms / 1000.0)
+                .map_err(|error| format!("the setting {path} is not a valid duration: {ms:?} ms: {error}")),
+            ms => Err(format!(
+                "the setting {path} is not a valid duration: {ms:?} ms is over {MAX_DURATION_MS} ms"
+            )),
         };
-        if let Some(odd) = start.operations.iter().map(|op| op.latency_objective).find(|of| *of < 0.0) {
-            return Err(format!("a latency objective is no span: {odd:?}"));
+        let mut latency_objectives = settings.operations.iter().map(|operation| operation.latency_objective);
+        if let Some(negative) = latency_objectives.find(|objective| *objective < 0.0) {
+            return Err(format!("a latency objective is negative: {negative:?}"));
         }
-        let zones = start.zones.iter().map(|zone| names.zones.name(zone.0.into()).to_string()).collect();
-        let fixed = Fixed {
-            name: told("PROXY_NAME").or(file.name).ok_or("PROXY_NAME is told nowhere")?,
+        let zones = settings.zones.iter().map(|zone| names.zones.name(zone.0.into()).to_string()).collect();
+        let fixed = FixedConfig {
+            name: variable("PROXY_NAME")
+                .or(file.name)
+                .ok_or("PROXY_NAME is set neither in the environment nor in the file")?,
             listen: address("PROXY_LISTEN", file.listen)?,
-            sockets: file.limits.sockets,
-            tick: span("tick-ms")?,
-            dial_within: span("allowed.dial-timeout-ms")?,
-            settings: start,
+            max_sockets: file.limits.sockets,
+            tick: duration("tick-ms")?,
+            dial_timeout: duration("allowed.dial-timeout-ms")?,
+            settings,
         };
         Ok(Launch {
-            discovery: address(DISCOVERY, file.discovery)?,
-            seed: u64::from_str_radix(&file.seed, 16).map_err(|_| format!("no seed: {:?}", file.seed))?,
+            discovery: address(DISCOVERY_VARIABLE, file.discovery)?,
+            seed: u64::from_str_radix(&file.seed, 16)
+                .map_err(|_| format!("the seed is not a 64-bit hexadecimal number: {:?}", file.seed))?,
             cached_list: file.known,
-            // An answer was due since, and if the proxy is slow a report at least.
+            // Within this time an answer is due, or at least the periodic report of a slow proxy.
             silence_timeouts: Patience {
                 answer: fixed.settings.report_period + fixed.settings.max_transit,
                 queue: fixed.settings.max_pending_lines * 1000.0 / fixed.settings.channel_rate.max(1.0),
@@ -177,55 +189,58 @@
         })
     }
 
-    /// Whether an operator's data is sound by itself, whatever the settings are.
+    /// Checks the operator's data on its own, without the settings.
     pub fn check_operator_data(data: &Data) -> Result<(), String> {
         let schema = Arc::new(juniperrail_model::schema());
         crate::fleet::setting(&OperatorFile::new(""), &schema, data, 0, &Settings::default())?;
         Subscription::read(&schema, data)?;
-        Datastores::new(schema, 0.0, data.clone()).map(drop).map_err(|refused| refused.to_string())
+        Datastores::new(schema, 0.0, data.clone()).map(drop).map_err(|refusal| refusal.to_string())
     }
 
-    /// Takes what the operator's file says beside the settings. One that is not there says nothing, unless it
-    /// `must` be; what does not fit the model or the settings is a fault, told in one line.
-    pub fn with_operator_file(mut self, path: impl Into<PathBuf>, must: bool) -> Result<Launch, String> {
-        let (file, schema) = (OperatorFile::new(path), Arc::new(juniperrail_model::schema()));
-        let shown = file.path().display().to_string();
+    /// Adds the operator's file to the settings. A file that does not exist is an error only if it is `required`. Data that
+    /// does not fit the model or the settings is an error of one line.
+    pub fn with_operator_file(mut self, path: impl Into<PathBuf>, required: bool) -> Result<Launch, String> {
+        let file = OperatorFile::new(path);
+        let schema = Arc::new(juniperrail_model::schema());
+        let file_path = file.path().display().to_string();
         let data = match file.read(&schema)? {
-            None if must => return Err(format!("{shown} is not there")),
+            None if required => return Err(format!("{file_path} does not exist")),
             None => return Ok(self),
-            // It says nothing, so nothing is on.
+            // An empty configuration is the same as no file: NETCONF and the fleet are off.
             Some(data) if data.is_empty() => return Ok(self),
             Some(data) => data,
         };
-        Launch::check_operator_data(&data).map_err(|why| format!("{shown}: {why}"))?;
+        Launch::check_operator_data(&data).map_err(|error| format!("{file_path}: {error}"))?;
         let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.settings);
-        let fleet = fleet.map_err(|why| format!("{shown}: {why}"))?;
+        let fleet = fleet.map_err(|error| format!("{file_path}: {error}"))?;
         let intent = Intent::from_data(&schema, &data);
         let names = &self.names;
-        let operation = |op| names.ops.name(op as u32).to_string();
-        let operations: Vec<String> = (0..self.fixed.settings.operations.len()).map(operation).collect();
-        let world = AdmissionContext {
+        let operation_name = |index| names.ops.name(index as u32).to_string();
+        let operation_names: Vec<String> =
+            (0..self.fixed.settings.operations.len()).map(operation_name).collect();
+        let context = AdmissionContext {
             now: 0.0,
             settings: &self.fixed.settings,
-            operation_names: &operations,
+            operation_names: &operation_names,
             zone_name: &|_| String::new(),
-            is_known_zone: &|zone| self.zones.iter().any(|known| known == zone),
+            is_known_zone: &|zone| self.zones.iter().any(|name| name == zone),
             joined_proxies: 0,
             proxies_with_line: &|_| 0,
         };
-        if let Some(refusal) = check_against_settings(&world, &intent).first() {
-            return Err(format!("{shown}: {}: {refusal}", refusal.path()));
+        if let Some(refusal) = check_against_settings(&context, &intent).first() {
+            return Err(format!("{file_path}: {}: {refusal}", refusal.path()));
         }
-        let subscription = Subscription::read(&schema, &data).map_err(|why| format!("{shown}: {why}"))?;
+        let subscription =
+            Subscription::read(&schema, &data).map_err(|error| format!("{file_path}: {error}"))?;
         self.operator_config = Some(OperatorConfig { file, schema, data, intent, fleet });
-        Ok(self.subscribed(subscription))
+        Ok(self.with_subscription(subscription))
     }
 
-    /// Keeps to the scope from the list last held on.
-    fn subscribed(mut self, subscription: Subscription) -> Launch {
+    /// Sets the subscription, and applies its scope to the cached list.
+    fn with_subscription(mut self, subscription: Subscription) -> Launch {
         if !subscription.scope.is_everything() {
             let mut filter = ScopeFilter::new(subscription.scope.clone());
-            self.cached_list = self.cached_list.map(|known| filter.filter(known));
+            self.cached_list = self.cached_list.map(|list| filter.filter(list));
             self.filter = Some(filter);
         }
         self.subscription = subscription;
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -1,12 +1,12 @@
-//! A juniperrail manager: the decision module behind real sockets, for embedding.
+//! A juniperrail manager as a library: the planner with its network connections.
 //!
 //! ```no_run
 //! use juniperrail_manager::{Launch, Manager};
 //!
-//! # async fn started() -> Result<(), String> {
+//! # async fn run() -> Result<(), String> {
 //! let manager = Manager::bind(Launch::from_env()?).await?;
 //! println!("listening on {}", manager.address());
-//! manager.serve().await; // for good: dropping it stops the manager and ends its connections
+//! manager.serve().await; // never returns; dropping the future stops the manager and closes its connections
 //! # Ok(())
 //! # }
 //! ```
@@ -51,93 +51,99 @@
 pub use launch::Launch;
 pub use reload::Reloader;
 
-/// Inbound that may wait for the next turn; who brings more has to wait.
-const INBOX: usize = 4096;
+/// Inbound messages that can be queued for the next turn. When the queue is full, senders wait.
+const INBOX_CAPACITY: usize = 4096;
 
-/// Connections that may wait to be taken, at least: as many as the system's own listeners have.
-const LEAST_BACKLOG: u32 = 1024;
+/// Minimum listen backlog: that of tokio's own listeners.
+const MIN_BACKLOG: u32 = 1024;
 
-/// A manager that listens already and serves once it is asked to, on a runtime of one thread.
+/// Upper limit of the time in which a worker must answer a probe.
+const MAX_PROBE_ANSWER_MS: f64 = 60_000.0;
+
+/// A manager whose sockets are bound. [`Manager::serve`] runs it on a single-threaded runtime.
 pub struct Manager {
     launch: Launch,
     listener: TcpListener,
     address: SocketAddr,
     reloader: Reloader,
-    north: Option<north::Northbound>,
+    northbound: Option<north::Northbound>,
     fleet: Option<Arc<Fleet>>,
 }
 
-/// To let a manager hand over what it leads in common before it ends.
+/// Hands over the leadership of the fleet before a manager shuts down.
 #[derive(Clone)]
-pub struct Leaver(Option<Arc<Fleet>>);
+pub struct ShutdownHandle(Option<Arc<Fleet>>);
 
-impl Leaver {
-    /// Waits until that is done, and no longer than `within`. At once where nothing is decided in common.
-    pub async fn leave(self, within: Duration) {
+impl ShutdownHandle {
+    /// Transfers the leadership and waits until that is done, at most for `timeout`. Returns at once without a fleet.
+    pub async fn hand_over_leadership(self, timeout: Duration) {
         if let Some(fleet) = self.0 {
-            // It waits on a lock's condition, so it must not stand on the loop.
-            _ = tokio::task::spawn_blocking(move || fleet.leave(within)).await;
+            // `Fleet::leave` blocks on a condition variable, so it must not run on the event loop.
+            _ = tokio::task::spawn_blocking(move || fleet.leave(timeout)).await;
         }
     }
 }
 
 impl Manager {
-    /// Listens on the address told and nowhere else; nobody is answered yet.
+    /// Binds the listeners and joins the fleet. Connections are not served yet.
     pub async fn bind(mut launch: Launch) -> Result<Manager, String> {
         let listen = launch.fixed.listen;
-        let failed = |why| format!("{listen} cannot be listened on: {why}");
-        // Guards against proxies that all come at once, as after a manager's death, while a turn is under way: who finds
-        // no room waits a second before it knocks again.
-        let backlog = (launch.fixed.settings.proxy_count as u32).max(LEAST_BACKLOG);
-        let listener = listening::listen(listen, backlog).await.map_err(failed)?;
-        let address = listener.local_addr().map_err(failed)?;
+        let listen_error = |error| format!("cannot listen on {listen}: {error}");
+        // After another manager dies, all its proxies may connect here during a single turn. A connection attempt that
+        // finds the backlog full is retried only after a second.
+        let backlog = (launch.fixed.settings.proxy_count as u32).max(MIN_BACKLOG);
+        let listener = listening::listen(listen, backlog).await.map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
         let reloader = Reloader::new(&launch);
-        let north = north::Northbound::bind(&launch)?;
-        let fleet = launch.operator_config.as_mut().and_then(|operator| operator.fleet.take());
+        let northbound = north::Northbound::bind(&launch)?;
+        let fleet = launch.operator_config.as_mut().and_then(|config| config.fleet.take());
         let fleet = match fleet {
-            Some(setting) => Some(Arc::new(joined(setting).await?)),
+            Some(config) => Some(Arc::new(join_fleet(config).await?)),
             None => None,
         };
-        Ok(Manager { launch, listener, address, reloader, north, fleet })
+        Ok(Manager { launch, listener, address, reloader, northbound, fleet })
     }
 
-    /// Where it listens, with the port that was found if port 0 was told.
+    /// The address that it listens on, with the actual port if port 0 was configured.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where it speaks NETCONF over SSH and over TLS, if the operator's file says so.
+    /// The addresses of NETCONF over SSH and over TLS, where the operator's file configures them.
     pub fn netconf_addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
-        self.north.as_ref().map_or((None, None), north::Northbound::addresses)
+        self.northbound.as_ref().map_or((None, None), north::Northbound::addresses)
     }
 
-    /// To hand it its configuration anew while it serves.
+    /// Returns a handle that reloads the configuration while the manager serves.
     pub fn reloader(&self) -> Reloader {
         self.reloader.clone()
     }
 
-    /// To hand over what it leads in common before it ends.
-    pub fn leaver(&self) -> Leaver {
-        Leaver(self.fleet.clone())
+    /// Returns a handle that hands over the leadership of the fleet before shutdown.
+    pub fn shutdown_handle(&self) -> ShutdownHandle {
+        ShutdownHandle(self.fleet.clone())
     }
 
-    /// Serves for good. Dropping the future stops the manager and ends all its connections.
+    /// Serves and never returns. Dropping the future stops the manager and closes all its connections.
     pub async fn serve(self) {
-        let Manager { mut launch, listener, address, reloader, north, fleet } = self;
+        let Manager { mut launch, listener, address, reloader, northbound, fleet } = self;
         let fixed = launch.fixed.clone();
-        let (inbound, inbox) = mpsc::channel(INBOX);
+        let (inbound, inbox) = mpsc::channel(INBOX_CAPACITY);
         let resync = Rc::new(Notify::new());
-        let objectives = fixed.settings.operations.iter().map(|op| op.latency_objective);
-        // What answers later than an invocation should is as good as silent.
-        let answer_within = Duration::from_secs_f64(objectives.fold(60_000.0, f64::min) / 1000.0);
-        let (zones, proxies) = (Rc::<limiter::Zones>::default(), fixed.settings.proxy_count as u16);
+        let latency_objectives =
+            fixed.settings.operations.iter().map(|operation| operation.latency_objective);
+        // A worker whose answer takes longer than the strictest latency objective counts as not answering.
+        let answer_timeout =
+            Duration::from_secs_f64(latency_objectives.fold(MAX_PROBE_ANSWER_MS, f64::min) / 1000.0);
+        let zones = Rc::<limiter::Zones>::default();
+        let proxy_count = fixed.settings.proxy_count as u16;
         launch.zones.iter().for_each(|zone| zones.name(zone));
-        let budget = limiter::Budget::new(fixed.sockets, proxies.into(), launch.zones.len());
-        let probes = probes::probes(fixed.dial_within, answer_within, budget.probes);
+        let budget = limiter::Budget::new(fixed.max_sockets, proxy_count.into(), launch.zones.len());
+        let probes = probes::probes(fixed.dial_timeout, answer_timeout, budget.probes);
         let watch = discovery::Watch::new(&mut launch, reloader.discovery(), inbound.clone());
         let context = Rc::new(streams::AcceptorContext {
             inbound: inbound.clone(),
-            proxies,
+            proxies: proxy_count,
             zones: zones.clone(),
             unidentified: limiter::ConnectionLimiter::new(budget.unidentified),
             collectors: limiter::ConnectionLimiter::new(budget.collectors),
@@ -145,13 +151,13 @@
             open: Default::default(),
             most: budget.open,
         });
-        // Ends the north's thread as this is dropped.
-        let (north, _north) = north.map(north::Northbound::start).unzip();
-        let decider = decider::Decider::new(launch, probes, &inbound, resync.clone(), north, zones)
+        // Dropping the stop handle ends the northbound thread.
+        let (northbound, _stop_northbound) = northbound.map(north::Northbound::start).unzip();
+        let decider = decider::Decider::new(launch, probes, &inbound, resync.clone(), northbound, zones)
             .in_common(fleet.as_ref().map(|fleet| fleet.common()));
         drop(inbound);
         tracing::info!("{} serves on {address}", fixed.name);
-        tracing::debug!("of {} descriptors beside {proxies} proxies: {budget:?}", fixed.sockets);
+        tracing::debug!("of {} descriptors beside {proxy_count} proxies: {budget:?}", fixed.max_sockets);
         let tasks = async {
             tokio::join!(
                 decider.run(inbox),
@@ -163,14 +169,15 @@
     }
 }
 
-/// Takes part in what is decided in common.
-async fn joined(setting: Setting) -> Result<Fleet, String> {
-    let at = setting.listen;
-    // What was led in common is handed over while this address is still held.
-    let listener = listening::listen(at, LEAST_BACKLOG).await.and_then(TcpListener::into_std);
-    let listener = listener.map_err(|why| format!("{at} cannot be listened on for other managers: {why}"))?;
+/// Joins the fleet: the managers that decide together by consensus.
+async fn join_fleet(setting: Setting) -> Result<Fleet, String> {
+    let listen = setting.listen;
+    // A predecessor that hands over its leadership keeps this address until that is done.
+    let listener = listening::listen(listen, MIN_BACKLOG).await.and_then(TcpListener::into_std);
+    let listener = listener
+        .map_err(|error| format!("cannot listen on {listen} for connections from other managers: {error}"))?;
     let bound = Bound::new(setting, listener);
-    let address = bound.address().map(|at| at.to_string()).unwrap_or_default();
-    tracing::info!("fleet: links of other managers come to {address}");
+    let address = bound.address().map(|address| address.to_string()).unwrap_or_default();
+    tracing::info!("fleet: accepting connections from other managers on {address}");
     bound.start()
 }
--- a/crates/manager/src/main.rs
+++ b/crates/manager/src/main.rs
@@ -9,57 +9,60 @@
 use juniperrail_manager::{Launch, Manager};
 use tokio::signal::unix::{signal, SignalKind};
 
-use crate::cli::{Line, Trouble};
+use crate::cli::{CommandError, CommandLine};
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
-    let line = Line::parse();
-    let done = match line.command {
+    let command_line = CommandLine::parse();
+    let result = match command_line.command {
         None => {
-            logs::start(line.log);
-            serve(line.operator_file).await.map_err(Trouble::Fault)
+            logs::start(command_line.log);
+            serve(command_line.operator_file).await.map_err(CommandError::Local)
         }
         Some(command) => {
             if command.serves() {
-                logs::start(line.log);
+                logs::start(command_line.log);
             }
-            command.run(line.operator_file).await
+            command.run(command_line.operator_file).await
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(trouble) => {
-            eprintln!("juniperrail: {trouble}");
-            trouble.code()
+        Err(error) => {
+            eprintln!("juniperrail: {error}");
+            error.exit_code()
         }
     }
 }
 
-/// What is led in common is handed over within this time; the platform's SIGKILL follows SIGTERM no sooner than 0.7 s.
-const LEAVING: Duration = Duration::from_millis(400);
+/// Limit for the transfer of leadership on SIGTERM. The platform sends SIGKILL no sooner than 0.7 s after SIGTERM.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The launch with what the operator's file says; a file that is named has to be there.
-fn launched(operator_file: Option<PathBuf>) -> Result<Launch, String> {
-    let must = operator_file.is_some();
+/// Reads the settings and the operator's file. A file that is named explicitly must exist; the default one may be absent.
+fn read_launch(operator_file: Option<PathBuf>) -> Result<Launch, String> {
+    let required = operator_file.is_some();
     let path = operator_file.unwrap_or_else(|| cli::OPERATOR_FILE.into());
-    Launch::from_env()?.with_operator_file(path, must)
+    Launch::from_env()?.with_operator_file(path, required)
 }
 
+/// Runs a manager until SIGTERM, and reloads its configuration on SIGHUP.
 async fn serve(operator_file: Option<PathBuf>) -> Result<(), String> {
-    let told = |kind| signal(kind).map_err(|why| why.to_string());
-    let (mut ended, mut replaced) = (told(SignalKind::terminate())?, told(SignalKind::hangup())?);
-    let manager = Manager::bind(launched(operator_file)?).await?;
-    let (reloader, leaver) = (manager.reloader(), manager.leaver());
-    let reloading = async {
-        while replaced.recv().await.is_some() {
-            reloader.reload(Launch::anew_from_env());
+    let listen_for = |kind| signal(kind).map_err(|error| error.to_string());
+    let mut sigterm = listen_for(SignalKind::terminate())?;
+    let mut sighup = listen_for(SignalKind::hangup())?;
+    let manager = Manager::bind(read_launch(operator_file)?).await?;
+    let reloader = manager.reloader();
+    let shutdown_handle = manager.shutdown_handle();
+    let reload_on_sighup = async {
+        while sighup.recv().await.is_some() {
+            reloader.reload(Launch::reloaded_from_env());
         }
     };
     tokio::select! {
-        _ = async { tokio::join!(manager.serve(), reloading) } => {}
-        _ = ended.recv() => {
-            tracing::info!("told to end");
-            leaver.leave(LEAVING).await;
+        _ = async { tokio::join!(manager.serve(), reload_on_sighup) } => {}
+        _ = sigterm.recv() => {
+            tracing::info!("received SIGTERM, shutting down");
+            shutdown_handle.hand_over_leadership(HANDOVER_TIMEOUT).await;
         }
     }
     Ok(())
--- a/crates/manager/src/north.rs
+++ b/crates/manager/src/north.rs
@@ -1,5 +1,5 @@
-//! The northbound side: a thread and a runtime of its own, so that handshakes and XML never take a turn's time. All
-//! that passes between it and the decisions are two bounded queues.
+//! The northbound management interface (NETCONF). It has a thread and a runtime of its own, so that handshakes and XML
+//! never delay a planner turn. Two bounded queues connect it with the decider.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -13,61 +13,65 @@
 use crate::decider::North;
 use crate::launch::Launch;
 
-/// How much this thread gives way to the one that decides where they share a core.
-const NICE: i32 = 19;
+/// Priority of this thread: the lowest, so that the decider's thread comes first where they share a core.
+const NICENESS: i32 = 19;
 
-/// What listens for the north, before anybody is served.
+/// The bound NETCONF listeners and the datastores, not served yet.
 pub struct Northbound {
     listeners: Listeners,
-    keeper: DatastoreManager,
-    asks: mpsc::Receiver<juniperrail_northbound::PlannerRequest>,
+    datastore_manager: DatastoreManager,
+    requests: mpsc::Receiver<juniperrail_northbound::PlannerRequest>,
 }
 
 impl Northbound {
-    /// Listens where the operator's file says; `None` where it says nothing of the kind.
+    /// Binds the listeners of the operator's file; `None` where it configures none.
     pub fn bind(launch: &Launch) -> Result<Option<Northbound>, String> {
-        let Some(operator) = &launch.operator_config else { return Ok(None) };
-        let netconf = View::new(&operator.schema, &operator.data).inner("northbound").inner("netconf");
-        let beside = |name: &str| operator.file.resolve(name);
-        let shown = operator.file.path().display();
-        let listeners = Listeners::bind(netconf, &beside).map_err(|why| format!("{shown}: {why}"))?;
+        let Some(config) = &launch.operator_config else { return Ok(None) };
+        let netconf = View::new(&config.schema, &config.data).inner("northbound").inner("netconf");
+        let resolve = |name: &str| config.file.resolve(name);
+        let file_path = config.file.path().display();
+        let listeners =
+            Listeners::bind(netconf, &resolve).map_err(|error| format!("{file_path}: {error}"))?;
         let Some(listeners) = listeners else { return Ok(None) };
-        let (asks, asked) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
-        let (schema, data, file) = (operator.schema.clone(), operator.data.clone(), operator.file.clone());
-        let keeper = DatastoreManager::new(schema, unix, data, Some(file), asks)
-            .map_err(|why| format!("{shown}: {why}"))?;
-        Ok(Some(Northbound { listeners, keeper, asks: asked }))
+        let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
+        let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
+        let schema = config.schema.clone();
+        let data = config.data.clone();
+        let file = config.file.clone();
+        let datastore_manager = DatastoreManager::new(schema, unix_ms, data, Some(file), request_sender)
+            .map_err(|error| format!("{file_path}: {error}"))?;
+        Ok(Some(Northbound { listeners, datastore_manager, requests }))
     }
 
+    /// The addresses of NETCONF over SSH and over TLS.
     pub fn addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
         self.listeners.addresses()
     }
 
-    /// Serves on a thread of its own until the second value is dropped. A panic there ends the north alone.
+    /// Serves on a thread of its own until the returned sender is dropped. A panic there ends only the northbound interface.
     pub fn start(self) -> (North, oneshot::Sender<()>) {
-        let Northbound { listeners, keeper, asks } = self;
-        let (notices, noticed) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
-        let (stop, stopped) = oneshot::channel::<()>();
+        let Northbound { listeners, datastore_manager, requests } = self;
+        let (notices, notice_receiver) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
+        let (stop, stop_receiver) = oneshot::channel::<()>();
         let serve = move || {
-            if let Err(why) = rustix::process::nice(NICE) {
-                tracing::warn!("the northbound thread cannot give way to others: {why}");
+            if let Err(error) = rustix::process::nice(NICENESS) {
+                tracing::warn!("cannot lower the priority of the northbound thread: {error}");
             }
             let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
                 Ok(runtime) => runtime,
-                Err(why) => return tracing::error!("nobody is served from the north: {why}"),
+                Err(error) => return tracing::error!("NETCONF is not served: {error}"),
             };
             runtime.block_on(async {
                 tokio::select! {
-                    () = keeper.run(noticed) => {}
-                    () = listeners.serve(keeper.clone()) => {}
-                    _ = stopped => {}
+                    () = datastore_manager.run(notice_receiver) => {}
+                    () = listeners.serve(datastore_manager.clone()) => {}
+                    _ = stop_receiver => {}
                 }
             });
         };
-        if let Err(why) = thread::Builder::new().name("north".into()).spawn(serve) {
-            tracing::error!("nobody is served from the north: {why}");
+        if let Err(error) = thread::Builder::new().name("north".into()).spawn(serve) {
+            tracing::error!("NETCONF is not served: {error}");
         }
-        (North { asks, notices }, stop)
+        (North { asks: requests, notices }, stop)
     }
 }
--- a/crates/manager/src/reload.rs
+++ b/crates/manager/src/reload.rs
@@ -1,46 +1,48 @@
-//! What a running manager takes over from a configuration that took the place of the one it started with.
+//! Reload of the configuration of a running manager.
 
 use std::net::SocketAddr;
 
 use tokio::sync::watch;
 
-use crate::launch::{Fixed, Launch};
+use crate::launch::{FixedConfig, Launch};
 
-/// Hands a running manager its configuration anew, from any thread.
+/// Gives a running manager a new configuration, from any thread.
 #[derive(Clone)]
 pub struct Reloader {
-    fixed: Fixed,
+    fixed: FixedConfig,
     discovery: watch::Sender<SocketAddr>,
-    /// The list is taken from relays, so that nobody dials discovery.
-    relayed: bool,
+    /// Whether the list of workers comes from relays, in which case discovery is not dialled.
+    uses_relays: bool,
 }
 
 impl Reloader {
     pub(crate) fn new(launch: &Launch) -> Reloader {
         let discovery = watch::Sender::new(launch.discovery);
-        let relayed = !launch.subscription.relays.is_empty();
-        Reloader { fixed: launch.fixed.clone(), discovery, relayed }
+        let uses_relays = !launch.subscription.relays.is_empty();
+        Reloader { fixed: launch.fixed.clone(), discovery, uses_relays }
     }
 
+    /// The address of discovery, with its later changes.
     pub(crate) fn discovery(&self) -> watch::Receiver<SocketAddr> {
         self.discovery.subscribe()
     }
 
-    /// Takes over what may change while running, which is where discovery is; what may not is said in the log
-    /// and stays, and a fault leaves all as it was. The last reload wins; connections and tables stay.
-    pub fn reload(&self, told: Result<Launch, String>) {
-        let launch = match told {
+    /// Applies the discovery address of the new configuration, the only setting that can change at run time. Other
+    /// changes are logged and ignored; an invalid configuration changes nothing. The last reload wins. Open connections
+    /// and tables are kept.
+    pub fn reload(&self, new_config: Result<Launch, String>) {
+        let launch = match new_config {
             Ok(launch) => launch,
-            Err(why) => return tracing::error!("the configuration stays as it was: {why}"),
+            Err(error) => return tracing::error!("the configuration stays as it was: {error}"),
         };
-        for what in self.fixed.other_than(&launch.fixed) {
-            tracing::warn!("{what} cannot change while running and stays as it was");
+        for setting in self.fixed.changed_settings(&launch.fixed) {
+            tracing::warn!("{setting} cannot change while running and stays as it was");
         }
-        let moved = self
+        let address_changed = self
             .discovery
-            .send_if_modified(|known| std::mem::replace(known, launch.discovery) != launch.discovery);
-        if moved && self.relayed {
-            tracing::warn!("that discovery has moved has no effect: the list is taken from relays");
+            .send_if_modified(|address| std::mem::replace(address, launch.discovery) != launch.discovery);
+        if address_changed && self.uses_relays {
+            tracing::warn!("the new discovery address has no effect: the list is taken from relays");
         }
         tracing::info!("the configuration was read again: discovery is at {}", launch.discovery);
     }
--- a/crates/manager/tests/line.rs
+++ b/crates/manager/tests/line.rs
@@ -231,7 +231,7 @@
         output(command.args(["--operator-file", operator]))
     };
     let (code, _, why) = serve("/nothing/there.xml");
-    assert!(code == 1 && why.contains("/nothing/there.xml is not there"), "{why}");
+    assert!(code == 1 && why.contains("/nothing/there.xml does not exist"), "{why}");
     let admin = "<user><name>a</name><role>admin</role></user>";
     fs::write(
         &operator,
--- a/crates/manager/tests/relay.rs
+++ b/crates/manager/tests/relay.rs
@@ -106,6 +106,6 @@
     let mut said = String::new();
     child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(1));
-    assert!(said.starts_with(&format!("juniperrail: {address} can't be listened on: ")), "{said}");
+    assert!(said.starts_with(&format!("juniperrail: cannot listen on {address}: ")), "{said}");
     assert_eq!(said.lines().count(), 1, "{said}");
 }
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -359,11 +359,11 @@
     for (config, listen, expected) in [
         ("", "", "EOF"),
         ("{}", "", "seed"),
-        (&good.replace("8c1f", "seed"), "", "no seed"),
-        (&good.replace("127.0.0.1:1\"", "nowhere\""), "", "PROXY_DISCOVERY is no address"),
+        (&good.replace("8c1f", "seed"), "", "the seed is not a 64-bit hexadecimal number"),
+        (&good.replace("127.0.0.1:1\"", "nowhere\""), "", "PROXY_DISCOVERY is not an address"),
         (&good.replace(r#""tick-ms":1"#, r#""tick-ms":-1"#), "", "tick-ms"),
-        (&good, "nowhere", "PROXY_LISTEN is no address"),
-        (&good, &taken, "cannot be listened on"),
+        (&good, "nowhere", "PROXY_LISTEN is not an address"),
+        (&good, &taken, "cannot listen on"),
     ] {
         let output = program(config, listen).wait_with_output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
@@ -377,6 +377,6 @@
     assert!(running.wait().unwrap().success());
     let mut said = String::new();
     log.read_to_string(&mut said).unwrap();
-    assert!(said.contains("told to end"), "{said}");
+    assert!(said.contains("received SIGTERM, shutting down"), "{said}");
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -269,7 +269,7 @@
         ..ClusterConfig::default()
     });
     for manager in cluster.managers.values() {
-        manager.wait_for_log("links of other managers come to", 1);
+        manager.wait_for_log("accepting connections from other managers on", 1);
     }
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(cluster.leader(), None);
