--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What the operator's file says of deciding in common, as the runtime in `crates/fleet` takes it, and what people read of
-//! it.
+//! Configuration of the fleet, the managers that decide together by consensus: reads it from the operator's file for the
+//! runtime in `crates/fleet`, reports its state, and collects evidence on the health of zones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,83 +15,98 @@
 };
 use juniperrail_store::Limits;
 
-/// Entries in one message, and those that may wait to be agreed.
-const BATCH: usize = 64;
-const WAITING: usize = 4096;
-/// Words of a sight in one message.
-const WORDS: usize = 16;
-/// Managers asked to probe in another's place, as in SWIM's evaluation.
-const BY_OTHERS: usize = 3;
+/// Log entries in one message.
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
 
-/// What the file says; `None` where it says nothing of it. The error names the path and the rule.
-pub fn setting(
+/// Log entries that are proposed and not yet committed.
+const MAX_UNCOMMITTED_ENTRIES: usize = 4096;
+
+/// Membership updates (SWIM gossip) in one message.
+const MAX_UPDATES_PER_MESSAGE: usize = 16;
+
+/// Managers that are asked for an indirect probe, as in the evaluation of the SWIM paper.
+const INDIRECT_PROBE_COUNT: usize = 3;
+
+/// Smallest weight that a worker counts with in a report.
+const MIN_WORKER_WEIGHT: f64 = 1e-3;
+
+/// Reads the fleet's configuration; `None` where the file has none. An error names the path and the violated rule.
+pub fn read_config(
     file: &OperatorFile,
     schema: &Schema,
     data: &Data,
     seed: u64,
-    start: &Settings,
+    settings: &Settings,
 ) -> Result<Option<Setting>, String> {
     let data = data.with_defaults(schema);
     let fleet = View::new(schema, &data).inner("fleet");
     if !fleet.is_there() {
         return Ok(None);
     }
-    let at = |path: &str, why: &str| format!("/jrm:fleet{path}: {why}");
-    let figure = |name: &str| fleet.figure(name).unwrap_or_default();
-    let number =
+    let error_at = |path: &str, reason: &str| format!("/jrm:fleet{path}: {reason}");
+    let decimal = |name: &str| fleet.figure(name).unwrap_or_default();
+    let integer =
         |view: &View<'_>, name: &str| view.leaf(name).and_then(|leaf| leaf.as_u64()).unwrap_or_default();
     let member = |view: &View<'_>| {
-        (MemberId(number(view, "number") as u16), view.text("address").unwrap_or_default().to_string())
+        (MemberId(integer(view, "number") as u16), view.text("address").unwrap_or_default().to_string())
     };
     let members: BTreeMap<MemberId, String> = fleet.entries("member-of").iter().map(member).collect();
-    let me = MemberId(number(&fleet, "member") as u16);
+    let me = MemberId(integer(&fleet, "member") as u16);
     if !members.contains_key(&me) {
-        return Err(at("/member", &format!("{} is not among the managers listed as member-of", me.0)));
+        return Err(error_at("/member", &format!("{} is not among the managers listed as member-of", me.0)));
     }
     for (id, address) in &members {
         if address.parse::<SocketAddr>().is_err() {
-            return Err(at(
+            return Err(error_at(
                 &format!("/member-of[number='{}']/address", id.0),
-                &format!("{address:?} is no address"),
+                &format!("{address:?} is not an address with a port"),
             ));
         }
     }
-    let (heartbeat, election) = (figure("heartbeat"), figure("election"));
-    if election < 4.0 * heartbeat {
-        return Err(at(
+    let heartbeat_ms = decimal("heartbeat");
+    let election_ms = decimal("election");
+    if election_ms < 4.0 * heartbeat_ms {
+        return Err(error_at(
             "/election",
-            &format!("{election} ms are fewer than four heartbeats of {heartbeat} ms"),
+            &format!("{election_ms} ms is less than four heartbeats of {heartbeat_ms} ms"),
         ));
     }
-    let (period, answer) = (figure("probe-period"), figure("probe-answer"));
-    if answer > period / 2.0 {
-        return Err(at(
+    let probe_period_ms = decimal("probe-period");
+    let probe_timeout_ms = decimal("probe-answer");
+    if probe_timeout_ms > probe_period_ms / 2.0 {
+        return Err(error_at(
             "/probe-answer",
-            &format!("{answer} ms are over half of the probe-period of {period} ms"),
+            &format!("{probe_timeout_ms} ms is more than half of the probe-period of {probe_period_ms} ms"),
         ));
     }
     let listen = fleet.text("listen").unwrap_or_default();
-    let listen = listen.parse().map_err(|_| at("/listen", &format!("{listen:?} is no address")))?;
+    let listen = listen
+        .parse()
+        .map_err(|_| error_at("/listen", &format!("{listen:?} is not an address with a port")))?;
     let mut schedules = BTreeMap::new();
     for view in fleet.entries("schedule") {
         let name = view.text("name").unwrap_or_default().to_string();
-        let read = schedule(&name, &view, election);
-        let read = read.map_err(|why| at(&format!("/schedule[name='{name}']"), &why))?;
-        schedules.insert(name, read);
+        let schedule = read_schedule(&name, &view, election_ms);
+        let schedule = schedule.map_err(|reason| error_at(&format!("/schedule[name='{name}']"), &reason))?;
+        schedules.insert(name, schedule);
     }
     let failover = fleet.inner("failover");
-    let lease = failover.figure("plan-lease").unwrap_or_default();
-    let (period, transit) = (start.report_period, start.max_transit);
-    // A plan whose lease is shorter than what it goes by is old would come and go.
-    if failover.is_there() && lease < 3.0 * (period + transit) {
-        let why = format!("{lease} ms are shorter than thrice what sums are late, {} ms", period + transit);
-        return Err(at("/failover/plan-lease", &why));
+    let plan_lease_ms = failover.figure("plan-lease").unwrap_or_default();
+    let report_period_ms = settings.report_period;
+    let max_transit_ms = settings.max_transit;
+    // The lease must outlast the age of the sums that a plan is based on; otherwise plans would expire and return in turn.
+    if failover.is_there() && plan_lease_ms < 3.0 * (report_period_ms + max_transit_ms) {
+        let reason = format!(
+            "{plan_lease_ms} ms is less than three times the maximum age of sums, {} ms",
+            report_period_ms + max_transit_ms
+        );
+        return Err(error_at("/failover/plan-lease", &reason));
     }
     Ok(Some(Setting {
         failover: failover.is_there().then_some(juniperrail_failover::FailoverConfig {
-            report_period: period,
-            max_transit: transit,
-            plan_lease: lease,
+            report_period: report_period_ms,
+            max_transit: max_transit_ms,
+            plan_lease: plan_lease_ms,
         }),
         me,
         fleet: fleet.text("name").unwrap_or_default().to_string(),
@@ -99,67 +114,68 @@
         store: file.resolve(fleet.text("store").unwrap_or_default()),
         limits: Limits::default(),
         members,
-        generation: number(&fleet, "generation"),
+        generation: integer(&fleet, "generation"),
         figures: RaftConfig {
-            heartbeat_interval_ms: heartbeat,
-            election_timeout_ms: election,
-            max_clock_drift_ratio: figure("drift"),
-            max_entries_per_message: BATCH,
-            max_uncommitted_entries: WAITING,
+            heartbeat_interval_ms: heartbeat_ms,
+            election_timeout_ms: election_ms,
+            max_clock_drift_ratio: decimal("drift"),
+            max_entries_per_message: MAX_ENTRIES_PER_MESSAGE,
+            max_uncommitted_entries: MAX_UNCOMMITTED_ENTRIES,
         },
         sight: SwimConfig {
-            probe_period_ms: period,
-            probe_timeout_ms: answer,
-            indirect_probe_count: BY_OTHERS,
-            max_updates_per_message: WORDS,
+            // This is the report period: the file's probe-period is only checked against the probe time-out above.
+            probe_period_ms: report_period_ms,
+            probe_timeout_ms,
+            indirect_probe_count: INDIRECT_PROBE_COUNT,
+            max_updates_per_message: MAX_UPDATES_PER_MESSAGE,
         },
         schedules,
         seed,
-        entries: number(&fleet, "entries") as usize,
+        entries: integer(&fleet, "entries") as usize,
     }))
 }
 
-fn schedule(name: &str, view: &View<'_>, election: f64) -> Result<Schedule, String> {
+fn read_schedule(name: &str, view: &View<'_>, election_ms: f64) -> Result<Schedule, String> {
     let text = |name: &str| view.text(name).unwrap_or_default();
-    let figure = |name: &str| view.figure(name).unwrap_or_default();
-    let count = |name: &str| view.leaf(name).and_then(|leaf| leaf.as_u64()).unwrap_or_default() as u32;
-    let gap = if text("left-out") == "skip" { GapPolicy::Skip } else { GapPolicy::AtGapEnd };
-    let fold = match text("repeated") {
+    let decimal = |name: &str| view.figure(name).unwrap_or_default();
+    let integer = |name: &str| view.leaf(name).and_then(|leaf| leaf.as_u64()).unwrap_or_default() as u32;
+    let gap_policy = if text("left-out") == "skip" { GapPolicy::Skip } else { GapPolicy::AtGapEnd };
+    let fold_policy = match text("repeated") {
         "second" => FoldPolicy::Second,
         "both" => FoldPolicy::Both,
         _ => FoldPolicy::First,
     };
-    let in_quiet = if text("in-quiet") == "defer" { QuietPolicy::Defer } else { QuietPolicy::Skip };
-    let quiets = view.entries("quiet");
-    let quiets = quiets
+    let quiet_policy = if text("in-quiet") == "defer" { QuietPolicy::Defer } else { QuietPolicy::Skip };
+    let quiet_entries = view.entries("quiet");
+    let quiet_times = quiet_entries
         .iter()
         .map(|quiet| (quiet.text("from").unwrap_or_default(), quiet.text("until").unwrap_or_default()));
     let timing = Timing::parse(name, text("cron"), text("time-zone"))
         .and_then(|timing| timing.with_window(view.text("from"), view.text("until")))
-        .and_then(|timing| timing.with_quiet_times(quiets, in_quiet))
+        .and_then(|timing| timing.with_quiet_times(quiet_times, quiet_policy))
         .map_err(|fault| fault.to_string())?;
     if text("worker").parse::<SocketAddr>().is_err() {
-        return Err(format!("worker: {:?} is no address", text("worker")));
+        return Err(format!("worker: {:?} is not an address with a port", text("worker")));
     }
-    let lease = figure("lease");
-    if lease < 2.0 * election {
-        return Err(format!("lease: {lease} ms are shorter than two elections of {election} ms"));
+    let claim_lease_ms = decimal("lease");
+    if claim_lease_ms < 2.0 * election_ms {
+        return Err(format!("lease: {claim_lease_ms} ms is less than two elections of {election_ms} ms"));
     }
     Ok(Schedule {
-        timing: timing.with_clock_changes(gap, fold).with_jitter(figure("jitter")),
+        timing: timing.with_clock_changes(gap_policy, fold_policy).with_jitter(decimal("jitter")),
         action: Action {
             address: text("worker").into(),
             path: text("path").into(),
             idempotent: text("effect") == "idempotent",
-            max_tries: count("tries"),
-            backoff: figure("backoff"),
-            claim_lease: lease,
+            max_tries: integer("tries"),
+            backoff: decimal("backoff"),
+            claim_lease: claim_lease_ms,
         },
-        deadline: figure("deadline"),
-        catch_up: match count("catch-up") {
+        deadline: decimal("deadline"),
+        catch_up: match integer("catch-up") {
             0 => CatchUp::None,
             1 => CatchUp::Last,
-            most => CatchUp::LastCount(most),
+            count => CatchUp::LastCount(count),
         },
         overlap: match text("overlap") {
             "queue" => OverlapPolicy::Queue,
@@ -169,29 +185,29 @@
     })
 }
 
-/// As the model words it.
+/// The fleet's state, in the words of the YANG model.
 pub fn state(common: &Common) -> FleetState {
-    let seen = common.seen();
-    let end = |end: OccurrenceOutcome| match end {
+    let status = common.seen();
+    let outcome_name = |outcome: OccurrenceOutcome| match outcome {
         OccurrenceOutcome::Succeeded => "succeeded",
         OccurrenceOutcome::Failed => "failed",
         OccurrenceOutcome::GivenUp => "given-up",
         OccurrenceOutcome::Unknown => "unknown",
         OccurrenceOutcome::Replaced => "replaced",
     };
-    let health = |health: Health| match health {
+    let health_name = |health: Health| match health {
         Health::Alive => "alive",
         Health::Suspect => "suspect",
         Health::Dead => "dead",
         Health::Left => "left",
     };
-    let reach = |reach: Reach| match reach {
+    let reach_name = |reach: Reach| match reach {
         Reach::Unknown => "unknown",
         Reach::Direct => "direct",
         Reach::Indirect => "by-others",
         Reach::Unreachable => "nobody",
     };
-    let why = |health: juniperrail_failover::ZoneHealth| match health {
+    let reason_name = |reason: juniperrail_failover::ZoneHealth| match reason {
         juniperrail_failover::ZoneHealth::Unknown => "unknown",
         juniperrail_failover::ZoneHealth::Well => "well",
         juniperrail_failover::ZoneHealth::Silent => "silent",
@@ -201,60 +217,82 @@
         juniperrail_failover::ZoneHealth::Lost => "lost",
     };
     FleetState {
-        member: seen.me.0,
-        role: if seen.role.is_empty() { "follower" } else { seen.role },
-        leader: seen.leader.map(|leader| leader.0),
-        term: seen.term.0,
-        recovery_state: match seen.standing {
+        member: status.me.0,
+        role: if status.role.is_empty() { "follower" } else { status.role },
+        leader: status.leader.map(|leader| leader.0),
+        term: status.term.0,
+        recovery_state: match status.standing {
             None | Some(RecoveryState::Empty) => "fresh",
             Some(RecoveryState::Verifying { .. }) => "settling",
             Some(RecoveryState::Recovering { .. }) => "doubtful",
             Some(RecoveryState::Ready) => "whole",
         },
-        committed: seen.committed.0,
-        store_failing: seen.store_failing,
-        store_size: seen.store_size,
-        plan: seen.plan.version,
-        plan_lease_expired: seen.plan_lapsed,
-        zones: seen
+        committed: status.committed.0,
+        store_failing: status.store_failing,
+        store_size: status.store_size,
+        plan: status.plan.version,
+        plan_lease_expired: status.plan_lapsed,
+        zones: status
             .plan
             .shares
             .iter()
-            .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, why(share.reason)))
+            .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, reason_name(share.reason)))
             .collect(),
-        messages_lost: seen.lost,
-        own_health: seen.own_health,
-        members: seen.members.iter().map(|(id, of, by)| (id.0, health(*of), reach(*by))).collect(),
-        schedules: seen
+        messages_lost: status.lost,
+        own_health: status.own_health,
+        members: status
+            .members
+            .iter()
+            .map(|(id, health, reach)| (id.0, health_name(*health), reach_name(*reach)))
+            .collect(),
+        schedules: status
             .schedules
             .iter()
-            .map(|told| ScheduleState {
-                name: told.name.clone(),
-                through: told.through,
-                open: told.open,
-                finished: told.ends,
-                skipped: told.passed,
-                last: told.last.as_ref().map(|ended| (ended.due_ms, end(ended.outcome), ended.owner.0)),
+            .map(|schedule| ScheduleState {
+                name: schedule.name.clone(),
+                through: schedule.through,
+                open: schedule.open,
+                finished: schedule.ends,
+                skipped: schedule.passed,
+                last: schedule
+                    .last
+                    .as_ref()
+                    .map(|ended| (ended.due_ms, outcome_name(ended.outcome), ended.owner.0)),
             })
             .collect(),
     }
 }
 
-/// What the proxies of this manager have met since it last reported, and when that was.
+/// Collects what the proxies of this manager observed at workers, for periodic reports to the fleet.
 #[derive(Default)]
 pub struct EvidenceCollector {
-    gather: EvidenceAccumulator,
-    told: Ms,
+    accumulator: EvidenceAccumulator,
+    last_report_at: Ms,
 }
 
 impl EvidenceCollector {
-    /// What proxies of one zone met at a worker of another, or of their own.
-    pub fn record(&mut self, from: &str, to: &str, tries: f64, bad: f64, mean: Ms, busy: Option<f64>) {
-        self.gather.record(&Zone(from.into()), &Zone(to.into()), tries, bad, mean, busy);
+    /// Records the tries of proxies in zone `from` at a worker in zone `to`.
+    pub fn record(
+        &mut self,
+        from: &str,
+        to: &str,
+        tries: f64,
+        failed_tries: f64,
+        mean_latency: Ms,
+        utilization: Option<f64>,
+    ) {
+        self.accumulator.record(
+            &Zone(from.into()),
+            &Zone(to.into()),
+            tries,
+            failed_tries,
+            mean_latency,
+            utilization,
+        );
     }
 
-    /// One report a period: `warmth` tells what part of its weight a worker has by now, `proxies` the zone of each that is
-    /// joined and whether it is silent.
+    /// Returns a report once per period, else `None`. `listed` has each worker's entry, zone and warm-up share of its weight;
+    /// `proxies` has the zone of each joined proxy and whether it is silent.
     pub fn report<'a>(
         &mut self,
         now: Ms,
@@ -262,20 +300,21 @@
         listed: impl Iterator<Item = (&'a WorkerEntry, &'a str, f64)>,
         proxies: impl Iterator<Item = (&'a str, bool)>,
     ) -> Option<Evidence> {
-        if now < self.told + period {
+        if now < self.last_report_at + period {
             return None;
         }
-        self.told = now;
-        let mut weight: BTreeMap<Zone, f64> = BTreeMap::new();
-        for (listed, zone, warmth) in listed {
-            let ready = if listed.phase == Phase::Gone { 0.0 } else { warmth };
-            *weight.entry(Zone(zone.into())).or_default() += ready * listed.weight.max(1e-3);
+        self.last_report_at = now;
+        let mut weight_by_zone: BTreeMap<Zone, f64> = BTreeMap::new();
+        for (entry, zone, warm_ratio) in listed {
+            let ready_ratio = if entry.phase == Phase::Gone { 0.0 } else { warm_ratio };
+            *weight_by_zone.entry(Zone(zone.into())).or_default() +=
+                ready_ratio * entry.weight.max(MIN_WORKER_WEIGHT);
         }
-        let mut all: BTreeMap<Zone, (u32, u32)> = BTreeMap::new();
+        let mut proxy_counts: BTreeMap<Zone, (u32, u32)> = BTreeMap::new();
         for (zone, silent) in proxies {
-            let count = all.entry(Zone(zone.into())).or_default();
-            (count.0, count.1) = (count.0 + 1, count.1 + u32::from(silent));
+            let counts = proxy_counts.entry(Zone(zone.into())).or_default();
+            (counts.0, counts.1) = (counts.0 + 1, counts.1 + u32::from(silent));
         }
-        Some(self.gather.take_evidence(now, weight, all))
+        Some(self.accumulator.take_evidence(now, weight_by_zone, proxy_counts))
     }
 }
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -192,7 +192,7 @@
     /// Checks the operator's data on its own, without the settings.
     pub fn check_operator_data(data: &Data) -> Result<(), String> {
         let schema = Arc::new(juniperrail_model::schema());
-        crate::fleet::setting(&OperatorFile::new(""), &schema, data, 0, &Settings::default())?;
+        crate::fleet::read_config(&OperatorFile::new(""), &schema, data, 0, &Settings::default())?;
         Subscription::read(&schema, data)?;
         Datastores::new(schema, 0.0, data.clone()).map(drop).map_err(|refusal| refusal.to_string())
     }
@@ -211,7 +211,7 @@
             Some(data) => data,
         };
         Launch::check_operator_data(&data).map_err(|error| format!("{file_path}: {error}"))?;
-        let fleet = crate::fleet::setting(&file, &schema, &data, self.seed, &self.fixed.settings);
+        let fleet = crate::fleet::read_config(&file, &schema, &data, self.seed, &self.fixed.settings);
         let fleet = fleet.map_err(|error| format!("{file_path}: {error}"))?;
         let intent = Intent::from_data(&schema, &data);
         let names = &self.names;
