--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -69,18 +69,18 @@
 
 /// A NETCONF datastore.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Datastore {
+pub enum DatastoreArg {
     Running,
     Candidate,
     Startup,
 }
 
-impl Datastore {
+impl DatastoreArg {
     fn to_store(self) -> Store {
         match self {
-            Datastore::Running => Store::Running,
-            Datastore::Candidate => Store::Candidate,
-            Datastore::Startup => Store::Startup,
+            DatastoreArg::Running => Store::Running,
+            DatastoreArg::Candidate => Store::Candidate,
+            DatastoreArg::Startup => Store::Startup,
         }
     }
 }
@@ -120,7 +120,7 @@
     /// Prints a datastore.
     Get {
         #[arg(long, value_enum, default_value = "running")]
-        store: Datastore,
+        store: DatastoreArg,
         #[command(flatten)]
         output: OutputArgs,
     },
@@ -140,9 +140,9 @@
     /// Prints the differences between two datastores, one line per leaf.
     Diff {
         #[arg(long, value_enum, default_value = "running")]
-        from: Datastore,
+        from: DatastoreArg,
         #[arg(long, value_enum, default_value = "candidate")]
-        to: Datastore,
+        to: DatastoreArg,
         /// Prints JSON.
         #[arg(long)]
         json: bool,
@@ -246,7 +246,7 @@
     Ok(root.children.iter().map(|child| xml::write(child, false)).collect())
 }
 
-async fn read_datastore(client: &mut Client, datastore: Datastore) -> Result<Data, CommandError> {
+async fn read_datastore(client: &mut Client, datastore: DatastoreArg) -> Result<Data, CommandError> {
     let reply = client.get_config(datastore.to_store(), None).await?;
     let schema = schema();
     let drafts = xml::drafts(&schema, &reply.0, false).and_then(|drafts| Data::from_drafts(&schema, &drafts));
--- a/crates/manager/tests/cluster/mod.rs
+++ b/crates/manager/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
-//! A manager in this process, or the program as a process of its own, with discovery played by hand.
+//! Test harness: a manager in this process or as a process of its own, with a discovery server that the test plays.
 
-#![allow(dead_code)] // Each file of stories uses a part of it.
+#![allow(dead_code)] // Each test file uses a part of it.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -13,27 +13,31 @@
 use juniperrail_manager::{Launch, Manager};
 use juniperrail_standins::{address_served, list, Discovery, Peer, SETTINGS};
 
-/// A listener, as the system words it in its table of connections.
-const LISTENS: &str = "0A";
+/// The state of a listening socket in /proc/net/tcp.
+const TCP_LISTEN_STATE: &str = "0A";
 
-/// Nothing that is waited for takes so long, however busy the machine is.
-const WITHIN: Duration = Duration::from_secs(20);
+/// Time limit of a wait, generous because the machine can be busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// The list entry of a worker in zone a.
 pub fn entry(id: &str, lifecycle: &str) -> String {
     juniperrail_standins::entry(id, "a", "127.0.0.1:9", lifecycle)
 }
 
+/// A configuration file with workers s-1 to s-3 in its cached list, version 41.
 pub fn config(discovery: SocketAddr, sockets: usize) -> String {
-    let known = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
+    let cached_list = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"sockets":{sockets}}},"known":{known},"settings":{SETTINGS}}}"#
+        "limits":{{"sockets":{sockets}}},"known":{cached_list},"settings":{SETTINGS}}}"#
     )
 }
 
+/// A manager that runs in this process, with a listener in place of its discovery server.
 pub struct TestCluster {
     pub manager: SocketAddr,
     pub discovery: TcpListener,
+    /// Dropping or using this stops the manager.
     pub stop: Option<tokio::sync::oneshot::Sender<()>>,
 }
 
@@ -45,38 +49,41 @@
     pub fn with_config(config: impl FnOnce(SocketAddr) -> String) -> TestCluster {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let config = config(discovery.local_addr().unwrap());
-        let (tell, told) = mpsc::channel();
-        let (stop, stopped) = tokio::sync::oneshot::channel();
+        let (address_sender, address) = mpsc::channel();
+        let (stop, stop_receiver) = tokio::sync::oneshot::channel();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
                 let manager = Manager::bind(Launch::new(&config, |_| None).unwrap()).await.unwrap();
-                tell.send(manager.address()).unwrap();
-                tokio::select! { () = manager.serve() => {}, _ = stopped => {} }
+                address_sender.send(manager.address()).unwrap();
+                tokio::select! { () = manager.serve() => {}, _ = stop_receiver => {} }
             });
         });
-        TestCluster { manager: told.recv().unwrap(), discovery, stop: Some(stop) }
+        TestCluster { manager: address.recv().unwrap(), discovery, stop: Some(stop) }
     }
 
+    /// Connects to the manager.
     pub fn peer(&self) -> Peer {
         Peer::dial(self.manager)
     }
 
+    /// Connects to the manager and joins as a proxy.
     pub fn proxy(&self, number: u16) -> Peer {
         Peer::joined(self.manager, number)
     }
 
-    /// Takes the next watch: what was asked for, and the connection with a head already answered.
+    /// Accepts the next watch and answers with a response head. Returns the request line and the connection.
     pub fn accept_watch(&self, status: &str) -> (String, Peer) {
         accept_watch(&self.discovery, status)
     }
 }
 
+/// Accepts the next watch at a discovery listener; see [`TestCluster::accept_watch`].
 pub fn accept_watch(discovery: &TcpListener, status: &str) -> (String, Peer) {
     Discovery::accept(discovery, status)
 }
 
-/// The program as a process of its own, with its configuration in a file that goes with it.
+/// A manager as a process of its own. Its configuration file is removed when it is dropped.
 pub struct ManagerProcess {
     pub child: Child,
     pub address: SocketAddr,
@@ -85,11 +92,13 @@
 }
 
 impl ManagerProcess {
-    /// `name` sets its file apart from those of other stories.
+    /// Starts the manager and waits until it serves. `name` must differ from those of other tests, because it is part of the
+    /// configuration file's name.
     pub fn start(name: &str, config: &str) -> ManagerProcess {
         ManagerProcess::start_with(name, config, &[])
     }
 
+    /// Like [`ManagerProcess::start`], with environment variables.
     pub fn start_with(name: &str, config: &str, variables: &[(&str, &str)]) -> ManagerProcess {
         let path = std::env::temp_dir().join(format!("juniperrail-{name}-{}.json", std::process::id()));
         std::fs::write(&path, config).unwrap();
@@ -101,36 +110,43 @@
         ManagerProcess { child, address, log: Some(log), path }
     }
 
+    /// Sends a signal, such as `TERM`.
     pub fn signal(&self, signal: &str) {
         let sent = Command::new("kill").args([&format!("-{signal}"), &self.child.id().to_string()]).status();
         assert!(sent.unwrap().success());
     }
 
-    /// The next line of the log that holds the part.
-    pub fn wait_for_log_line(&mut self, part: &str) -> String {
-        let lines = self.log.as_mut().expect("its log is read").by_ref().lines();
+    /// Waits for the next log line that contains the text, and returns it.
+    pub fn wait_for_log_line(&mut self, text: &str) -> String {
+        let lines = self.log.as_mut().expect("the log was taken by the test").by_ref().lines();
         let mut lines = lines.map(Result::unwrap);
-        lines.find(|line| line.contains(part)).unwrap_or_else(|| panic!("{part} is never said"))
+        lines
+            .find(|line| line.contains(text))
+            .unwrap_or_else(|| panic!("the log ended without a line with {text:?}"))
     }
 
-    /// Connections to its address that it holds: taken and not closed. Those that the system alone still keeps, before or
-    /// after, belong to no descriptor.
+    /// Number of connections to its address that are accepted and not closed. Connections in the backlog or in TIME_WAIT
+    /// have no inode, and are not counted.
     pub fn connection_count(&self) -> usize {
         let port = format!(":{:04X}", self.address.port());
-        let all = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        let held = |line: &&str| {
-            let of: Vec<&str> = line.split_whitespace().collect();
-            let (local, state, inode) = (of[1], of[3], of[9]);
-            local.ends_with(&port) && state != LISTENS && inode != "0"
+        let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+        let is_open = |line: &&str| {
+            let columns: Vec<&str> = line.split_whitespace().collect();
+            let (local, state, inode) = (columns[1], columns[3], columns[9]);
+            local.ends_with(&port) && state != TCP_LISTEN_STATE && inode != "0"
         };
-        all.lines().skip(1).filter(held).count()
+        table.lines().skip(1).filter(is_open).count()
     }
 
-    /// Waits until it holds so many.
+    /// Waits until this number of connections is open.
     pub fn wait_for_connection_count(&self, count: usize) {
-        let until = Instant::now() + WITHIN;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.connection_count() != count {
-            assert!(Instant::now() < until, "{} connections, not {count}", self.connection_count());
+            assert!(
+                Instant::now() < deadline,
+                "{} connections are open, expected {count}",
+                self.connection_count()
+            );
             thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/manager/tests/north.rs
+++ b/crates/manager/tests/north.rs
@@ -1,5 +1,5 @@
-//! Stories from the north: managers on real sockets, stand-in proxies and discovery, and clients over SSH and TLS
-//! that change what is wanted. The checker of the rules watches the proxies all the while.
+//! The northbound interface: managers on real sockets with stand-in proxies and discovery, and NETCONF clients over SSH and
+//! TLS that change the configuration. The stand-in proxies check the rules for tables throughout.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -15,13 +15,14 @@
 use tokio::time::timeout;
 
 const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
-const WITHIN: Duration = Duration::from_secs(20);
+/// Time limit for each wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Workers of zone a, and of zone b.
+/// All workers, with their zones.
 const WORKERS: [(&str, &str); 4] = [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b")];
 
-/// What all managers of a story share: discovery, keys, certificates.
-struct Ground {
+/// What the managers of a test share: discovery, keys and certificates.
+struct TestEnvironment {
     folder: PathBuf,
     discovery: Discovery,
     keys: Vec<(&'static str, &'static str, SshKeys)>,
@@ -29,24 +30,25 @@
     host: SshKeys,
 }
 
-impl Ground {
-    fn new(name: &str) -> Ground {
+impl TestEnvironment {
+    fn new(name: &str) -> TestEnvironment {
         let folder = std::env::temp_dir().join(format!("juniperrail-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         let users = [("ann", "admin"), ("bob", "operator"), ("eve", "reader")];
-        let keys = users.into_iter().zip(1..);
-        let keys = keys.map(|((user, role), seed)| (user, role, SshKeys::write(&folder, user, seed)));
+        let seeded_users = users.into_iter().zip(1..);
+        let keys = seeded_users.map(|((user, role), seed)| (user, role, SshKeys::write(&folder, user, seed)));
         let discovery = Discovery::start();
         let entries = WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"));
         discovery.tell(&list(1, true, &entries));
-        let (keys, host) = (keys.collect(), SshKeys::write(&folder, "host", 99));
-        Ground { discovery, keys, authority: Authority::new(&folder, "authority"), host, folder }
+        let keys = keys.collect();
+        let host = SshKeys::write(&folder, "host", 99);
+        TestEnvironment { discovery, keys, authority: Authority::new(&folder, "authority"), host, folder }
     }
 
-    /// The operator's file, with both listeners and `more` beside them.
-    fn file(&self, name: &str, tls_more: &str, more: &str) -> PathBuf {
+    /// Writes an operator's file with an SSH and a TLS listener, `tls_extra` within the latter and `extra` after them.
+    fn write_operator_file(&self, name: &str, tls_extra: &str, extra: &str) -> PathBuf {
         let (certificate, key, _) = self.authority.issue("manager.example", (-1, 1));
-        let shown = |path: &Path| path.file_name().unwrap().to_str().unwrap().to_string();
+        let file_name = |path: &Path| path.file_name().unwrap().to_str().unwrap().to_string();
         let users: String = self
             .keys
             .iter()
@@ -58,10 +60,10 @@
             r#"<config xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><northbound xmlns="{MANAGER}"><netconf>
             <ssh><listen>127.0.0.1:0</listen><host-key>host</host-key></ssh>
             <tls><listen>127.0.0.1:0</listen><certificate>{}</certificate><key>{}</key>
-            <client-authorities>authority.pem</client-authorities>{tls_more}</tls></netconf>{users}
-            </northbound>{more}</config>"#,
-            shown(&certificate),
-            shown(&key)
+            <client-authorities>authority.pem</client-authorities>{tls_extra}</tls></netconf>{users}
+            </northbound>{extra}</config>"#,
+            file_name(&certificate),
+            file_name(&key)
         );
         let path = self.folder.join(name);
         fs::write(&path, text).unwrap();
@@ -69,57 +71,58 @@
     }
 
     fn config(&self, name: &str) -> String {
-        let known = list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready")));
+        let cached_list = list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready")));
         let discovery = self.discovery.address;
         format!(
             r#"{{"name":"{name}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-            "limits":{{"sockets":256}},"known":{known},"settings":{SETTINGS}}}"#
+            "limits":{{"sockets":256}},"known":{cached_list},"settings":{SETTINGS}}}"#
         )
     }
 
-    fn manager(&self, file: &Path) -> Running {
-        let (config, file) = (self.config("n0"), file.to_path_buf());
-        let (tell, told) = mpsc::channel();
-        let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
+    fn start_manager(&self, file: &Path) -> RunningManager {
+        let config = self.config("n0");
+        let file = file.to_path_buf();
+        let (address_sender, addresses) = mpsc::channel();
+        let (stop, stop_receiver) = tokio::sync::oneshot::channel::<()>();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
                 let launch = Launch::new(&config, |_| None).unwrap().with_operator_file(file, true).unwrap();
                 let manager = Manager::bind(launch).await.unwrap();
-                tell.send((manager.address(), manager.netconf_addresses())).unwrap();
-                tokio::select! { () = manager.serve() => {}, _ = stopped => {} }
+                address_sender.send((manager.address(), manager.netconf_addresses())).unwrap();
+                tokio::select! { () = manager.serve() => {}, _ = stop_receiver => {} }
             });
         });
-        let (address, (ssh, tls)) = told.recv().unwrap();
-        Running { address, ssh: ssh.unwrap(), tls: tls.unwrap(), _stop: stop }
+        let (address, (ssh, tls)) = addresses.recv().unwrap();
+        RunningManager { address, ssh: ssh.unwrap(), tls: tls.unwrap(), _stop: stop }
     }
 
-    fn ssh(&self, manager: &Running, user: &str) -> Dial {
+    fn ssh(&self, manager: &RunningManager, user: &str) -> Dial {
         let key = &self.keys.iter().find(|(name, ..)| *name == user).unwrap().2.private;
         Dial::ssh(manager.ssh.to_string(), user, key).trusting_host(&self.host.public)
     }
 
-    async fn dial(&self, manager: &Running, user: &str) -> Client {
+    async fn dial(&self, manager: &RunningManager, user: &str) -> Client {
         Client::dial(&self.ssh(manager, user)).await.unwrap()
     }
 }
 
-impl Drop for Ground {
+impl Drop for TestEnvironment {
     fn drop(&mut self) {
         _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-struct Running {
+struct RunningManager {
     address: SocketAddr,
     ssh: SocketAddr,
     tls: SocketAddr,
-    /// The manager ends as this is dropped.
+    /// Dropping this stops the manager.
     _stop: tokio::sync::oneshot::Sender<()>,
 }
 
 fn rules() -> Rules {
-    // The grace on a machine that does much else besides; the lab holds managers to the real one.
+    // Generous limits, because a test machine can be busy; the lab checks managers against the real ones.
     let limits = Limits {
         drain_grace: 15_000.0,
         messages_most: usize::MAX,
@@ -136,81 +139,82 @@
     format!("<workers xmlns=\"{MANAGER}\"><worker><name>{name}</name>{body}</worker></workers>")
 }
 
-async fn changed(client: &mut Client, config: &str) -> Result<(), Failed> {
+async fn edit_and_commit(client: &mut Client, config: &str) -> Result<(), Failed> {
     client.edit(config).await?;
-    let done = client.commit(&Commit::default()).await;
-    if done.is_err() {
+    let result = client.commit(&Commit::default()).await;
+    if result.is_err() {
         client.discard().await?;
     }
-    done
+    result
 }
 
-async fn weight(client: &mut Client, name: &str) -> Option<String> {
-    let got = client.get_config(Store::Running, None).await.unwrap();
-    let workers = got.find(&["workers"])?;
-    let found = workers.children.iter().find(|of| of.children.iter().any(|leaf| leaf.text == name))?;
-    found.children.iter().find(|leaf| leaf.name == "weight").map(|leaf| leaf.text.clone())
+async fn read_weight(client: &mut Client, name: &str) -> Option<String> {
+    let running = client.get_config(Store::Running, None).await.unwrap();
+    let workers = running.find(&["workers"])?;
+    let worker =
+        workers.children.iter().find(|worker| worker.children.iter().any(|leaf| leaf.text == name))?;
+    worker.children.iter().find(|leaf| leaf.name == "weight").map(|leaf| leaf.text.clone())
 }
 
-async fn state(client: &mut Client) -> Element {
+async fn read_state(client: &mut Client) -> Element {
     let filter = "<state xmlns=\"tag:juniperrail.example,2026:yang:state\"/>";
     client.get(Some(filter)).await.unwrap().0.remove(0)
 }
 
-fn below<'a>(element: &'a Element, names: &[&str]) -> Vec<&'a Element> {
+fn descendants<'a>(element: &'a Element, names: &[&str]) -> Vec<&'a Element> {
     let Some((first, rest)) = names.split_first() else { return vec![element] };
-    let fitting = element.children.iter().filter(|child| child.name == *first);
-    fitting.flat_map(|child| below(child, rest)).collect()
+    let matching = element.children.iter().filter(|child| child.name == *first);
+    matching.flat_map(|child| descendants(child, rest)).collect()
 }
 
 fn text<'a>(element: &'a Element, name: &str) -> &'a str {
-    below(element, &[name]).first().map_or("", |leaf| leaf.text.as_str())
+    descendants(element, &[name]).first().map_or("", |leaf| leaf.text.as_str())
 }
 
-fn run(story: impl std::future::Future<Output = ()>) {
+fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async {
-        timeout(Duration::from_secs(120), story).await.expect("the story comes to its end")
-    });
+    runtime.block_on(async { timeout(Duration::from_secs(120), test).await.expect("the test timed out") });
 }
 
 #[test]
-fn a_change_reaches_every_proxy_whole_and_the_state_says_so() {
+fn a_committed_change_reaches_every_proxy_and_shows_in_the_state() {
     run(async {
-        let ground = Ground::new("whole");
-        let manager = ground.manager(&ground.file("operator.xml", "", ""));
+        let env = TestEnvironment::new("commit");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 6, &["a", "b"], rules());
         proxies.until("tables", |rules| (0..6).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut client = ground.dial(&manager, "bob").await;
-        let mut watcher = ground.dial(&manager, "ann").await;
-        watcher.subscribe(None).await.unwrap();
+        let mut client = env.dial(&manager, "bob").await;
+        let mut subscriber = env.dial(&manager, "ann").await;
+        subscriber.subscribe(None).await.unwrap();
         proxies.rules(|rules| rules.leaves("s-1", 0.0));
         proxies.rules(|rules| rules.returns("s-1"));
         let now = proxies.now();
-        changed(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
         proxies.rules(|rules| rules.leaves("s-1", now));
-        proxies.until("s-1 is out", |rules| (0..6).all(|proxy| !rules.holds(proxy).contains_key("s-1")));
-        // The event of the change, then that all hold it.
+        proxies.until("s-1 is removed", |rules| (0..6).all(|proxy| !rules.holds(proxy).contains_key("s-1")));
+        // The event of the change comes first, then the one that all proxies have applied it.
         let mut events = Vec::new();
         while events.last() != Some(&"change-held".to_string()) {
-            let told = timeout(WITHIN, watcher.notification()).await.unwrap().unwrap();
-            events.push(told.children[1].name.clone());
+            let notification = timeout(WAIT_TIMEOUT, subscriber.notification()).await.unwrap().unwrap();
+            events.push(notification.children[1].name.clone());
         }
         assert!(events.contains(&"netconf-config-change".to_string()), "{events:?}");
-        let state = state(&mut client).await;
-        let change = below(&state, &["changes", "change"]).pop().unwrap().clone();
+        let state = read_state(&mut client).await;
+        let change = descendants(&state, &["changes", "change"]).pop().unwrap().clone();
         assert_eq!(
             (text(&change, "progress"), text(&change, "held-by"), text(&change, "by")),
             ("held", "6", "bob")
         );
-        let of = below(&state, &["workers", "worker"]);
-        let drained = of.iter().find(|worker| text(worker, "name") == "s-1").unwrap();
+        let workers = descendants(&state, &["workers", "worker"]);
+        let drained = workers.iter().find(|worker| text(worker, "name") == "s-1").unwrap();
         assert_eq!((text(drained, "phase"), text(drained, "phase-from")), ("draining", "operator"));
         assert_eq!(text(drained, "discovery-phase"), "ready");
-        for proxy in below(&state, &["proxies", "proxy"]) {
+        for proxy in descendants(&state, &["proxies", "proxy"]) {
             assert_eq!(text(proxy, "shut-out"), "s-1");
         }
-        changed(&mut client, &worker("s-1", "<wanted>follow</wanted><weight>0.5</weight>")).await.unwrap();
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>follow</wanted><weight>0.5</weight>"))
+            .await
+            .unwrap();
         proxies.rules(|rules| rules.returns("s-1"));
         proxies.until("s-1 is back", |rules| (0..6).all(|proxy| rules.holds(proxy).contains_key("s-1")));
         proxies.until("its weight", |rules| (0..6).all(|proxy| rules.holds(proxy)["s-1"] < 0.6));
@@ -221,13 +225,13 @@
 }
 
 #[test]
-fn what_would_leave_an_operation_bare_or_is_looser_than_the_settings_is_refused_with_the_reason() {
+fn commits_that_leave_an_operation_without_workers_or_exceed_the_settings_are_refused_with_the_reason() {
     run(async {
-        let ground = Ground::new("bare");
-        let manager = ground.manager(&ground.file("operator.xml", "", ""));
+        let env = TestEnvironment::new("refused");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 4, &["a", "b"], rules());
         proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut client = ground.dial(&manager, "bob").await;
+        let mut client = env.dial(&manager, "bob").await;
         let all = |body: &str| WORKERS.map(|(name, _)| worker(name, body)).concat();
         for (config, tag, path) in [
             (all("<wanted>draining</wanted>"), "no-ready-worker", "/jrm:workers"),
@@ -249,7 +253,7 @@
                 "/jrm:workers/worker[name='s-9']/place/zone",
             ),
         ] {
-            let failed = changed(&mut client, &config).await.unwrap_err();
+            let failed = edit_and_commit(&mut client, &config).await.unwrap_err();
             let refusal = &failed.refusals()[0];
             assert_eq!(
                 (refusal.app_tag.as_deref(), refusal.path.as_deref()),
@@ -258,64 +262,72 @@
             );
             assert_eq!(refusal.tag, "operation-failed");
         }
-        // Two that are each fine alone.
+        // Changes that are each valid alone, but not together.
         for (name, _) in &WORKERS[..3] {
-            changed(&mut client, &worker(name, "<wanted>draining</wanted>")).await.unwrap();
+            edit_and_commit(&mut client, &worker(name, "<wanted>draining</wanted>")).await.unwrap();
         }
-        let failed = changed(&mut client, &worker("s-4", "<weight>0</weight>")).await.unwrap_err();
+        let failed = edit_and_commit(&mut client, &worker("s-4", "<weight>0</weight>")).await.unwrap_err();
         assert!(failed.to_string().contains("lookup would have no ready, warm worker"), "{failed}");
-        proxies.until("one is left", |rules| (0..4).all(|p| rules.holds(p).keys().eq(["s-4"])));
-        // What discovery takes away meanwhile is not the commit's to give: gone stays gone, and back again.
-        ground.discovery.tell(&list(2, false, &[entry("s-1", "a", "127.0.0.1:9", "gone")]));
+        proxies.until("only s-4 is left", |rules| (0..4).all(|proxy| rules.holds(proxy).keys().eq(["s-4"])));
+        // A worker that discovery lists as gone stays removed, even if a commit wants it ready, until discovery lists it again.
+        env.discovery.tell(&list(2, false, &[entry("s-1", "a", "127.0.0.1:9", "gone")]));
         let mut phase = String::new();
         while phase != "gone" {
-            let state = state(&mut client).await;
-            let workers = below(&state, &["workers", "worker"]);
-            phase =
-                workers.iter().find(|w| text(w, "name") == "s-1").map_or("gone", |w| text(w, "phase")).into();
+            let state = read_state(&mut client).await;
+            let workers = descendants(&state, &["workers", "worker"]);
+            phase = workers
+                .iter()
+                .find(|worker| text(worker, "name") == "s-1")
+                .map_or("gone", |worker| text(worker, "phase"))
+                .into();
         }
-        changed(&mut client, &worker("s-1", "<wanted>ready</wanted>")).await.unwrap();
-        assert!(proxies.rules(|rules| (0..4).all(|p| !rules.holds(p).contains_key("s-1"))));
-        ground.discovery.tell(&list(3, false, &[entry("s-1", "a", "127.0.0.1:9", "ready")]));
-        proxies.until("s-1 is back", |rules| (0..4).all(|p| rules.holds(p).contains_key("s-1")));
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>ready</wanted>")).await.unwrap();
+        assert!(proxies.rules(|rules| (0..4).all(|proxy| !rules.holds(proxy).contains_key("s-1"))));
+        env.discovery.tell(&list(3, false, &[entry("s-1", "a", "127.0.0.1:9", "ready")]));
+        proxies.until("s-1 is back", |rules| (0..4).all(|proxy| rules.holds(proxy).contains_key("s-1")));
         assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
     });
 }
 
 #[test]
-fn a_change_shows_as_not_held_where_one_manager_is_slow() {
+fn a_change_shows_as_not_applied_where_the_proxies_of_one_manager_stall() {
     run(async {
-        let ground = Ground::new("slow");
-        let file = ground.file("operator.xml", "", "");
-        let (quick, slow) = (ground.manager(&file), ground.manager(&file));
+        let env = TestEnvironment::new("slow");
+        let file = env.write_operator_file("operator.xml", "", "");
+        let quick = env.start_manager(&file);
+        let slow = env.start_manager(&file);
         let quick_proxies = Proxies::start(quick.address, 0, 4, &["a", "b"], rules());
         let slow_proxies = Proxies::start(slow.address, 4, 4, &["a", "b"], rules());
         quick_proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
         slow_proxies.until("tables", |rules| (4..8).all(|proxy| rules.holds(proxy).len() == 4));
-        let (mut one, mut other) = (ground.dial(&quick, "bob").await, ground.dial(&slow, "bob").await);
+        let mut quick_client = env.dial(&quick, "bob").await;
+        let mut slow_client = env.dial(&slow, "bob").await;
         slow_proxies.stall(true);
-        for client in [&mut one, &mut other] {
-            changed(client, &worker("s-2", "<wanted>draining</wanted>")).await.unwrap();
+        for client in [&mut quick_client, &mut slow_client] {
+            edit_and_commit(client, &worker("s-2", "<wanted>draining</wanted>")).await.unwrap();
         }
-        quick_proxies.until("out", |rules| (0..4).all(|proxy| !rules.holds(proxy).contains_key("s-2")));
-        let change = |state: &Element| below(state, &["changes", "change"]).pop().unwrap().clone();
+        quick_proxies
+            .until("s-2 is removed", |rules| (0..4).all(|proxy| !rules.holds(proxy).contains_key("s-2")));
+        let last_change = |state: &Element| descendants(state, &["changes", "change"]).pop().unwrap().clone();
         loop {
-            let change = change(&state(&mut one).await);
+            let change = last_change(&read_state(&mut quick_client).await);
             if text(&change, "progress") == "held" {
                 break;
             }
         }
-        let waits = change(&state(&mut other).await);
-        assert_eq!((text(&waits, "progress"), text(&waits, "held-by")), ("going-out", "0"));
-        // A later change of the same worker supersedes what nobody holds yet.
-        changed(&mut other, &worker("s-2", "<wanted>follow</wanted>")).await.unwrap();
-        let states = state(&mut other).await;
-        let all: Vec<&str> =
-            below(&states, &["changes", "change"]).iter().map(|c| text(c, "progress")).collect();
-        assert_eq!(all, ["superseded", "going-out"]);
+        let pending = last_change(&read_state(&mut slow_client).await);
+        assert_eq!((text(&pending, "progress"), text(&pending, "held-by")), ("going-out", "0"));
+        // A later change of the same worker supersedes one that no proxy has applied yet.
+        edit_and_commit(&mut slow_client, &worker("s-2", "<wanted>follow</wanted>")).await.unwrap();
+        let state = read_state(&mut slow_client).await;
+        let progress: Vec<&str> = descendants(&state, &["changes", "change"])
+            .iter()
+            .map(|change| text(change, "progress"))
+            .collect();
+        assert_eq!(progress, ["superseded", "going-out"]);
         slow_proxies.stall(false);
-        slow_proxies.until("back", |rules| (4..8).all(|proxy| rules.holds(proxy).contains_key("s-2")));
-        while text(&change(&state(&mut other).await), "progress") != "held" {}
+        slow_proxies.until("s-2 is back", |rules| (4..8).all(|proxy| rules.holds(proxy).contains_key("s-2")));
+        while text(&last_change(&read_state(&mut slow_client).await), "progress") != "held" {}
         for proxies in [&quick_proxies, &slow_proxies] {
             assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
         }
@@ -323,13 +335,13 @@
 }
 
 #[test]
-fn a_confirmed_commit_is_taken_back_as_its_session_is_cut_or_its_time_is_over() {
+fn a_confirmed_commit_is_reverted_when_its_session_ends_or_its_timeout_expires() {
     run(async {
-        let ground = Ground::new("confirmed");
-        let file = ground.file("operator.xml", "", "");
-        let manager = ground.manager(&file);
-        let mut other = ground.dial(&manager, "ann").await;
-        let mut client = ground.dial(&manager, "bob").await;
+        let env = TestEnvironment::new("confirmed");
+        let file = env.write_operator_file("operator.xml", "", "");
+        let manager = env.start_manager(&file);
+        let mut other = env.dial(&manager, "ann").await;
+        let mut client = env.dial(&manager, "bob").await;
         let confirm = |seconds, persist: Option<&str>| Commit {
             confirm_within: Some(seconds),
             persist: persist.map(str::to_string),
@@ -337,124 +349,137 @@
         };
         client.edit(&worker("s-1", "<weight>2</weight>")).await.unwrap();
         client.commit(&confirm(600, None)).await.unwrap();
-        assert_eq!(weight(&mut other, "s-1").await.as_deref(), Some("2.0"));
+        assert_eq!(read_weight(&mut other, "s-1").await.as_deref(), Some("2.0"));
         let failed = other.commit(&Commit::default()).await.unwrap_err();
         assert_eq!(failed.refusals()[0].tag, "in-use");
-        // Another session holds the candidate meanwhile.
+        // Another session locks the candidate in the meantime.
         other.lock(Store::Candidate).await.unwrap();
         assert_eq!(other.lock(Store::Running).await.unwrap_err().refusals()[0].tag, "lock-denied");
         drop(client);
-        while weight(&mut other, "s-1").await.is_some() {}
+        while read_weight(&mut other, "s-1").await.is_some() {}
         other.unlock(Store::Candidate).await.unwrap();
-        let mut client = ground.dial(&manager, "bob").await;
+        let mut client = env.dial(&manager, "bob").await;
         client.edit(&worker("s-1", "<weight>3</weight>")).await.unwrap();
         client.commit(&confirm(1, Some("night"))).await.unwrap();
         client.close().await.unwrap();
         assert_eq!(
-            weight(&mut other, "s-1").await.as_deref(),
+            read_weight(&mut other, "s-1").await.as_deref(),
             Some("3.0"),
-            "it has a name and outlives its session"
+            "a commit with a persist name outlives its session"
         );
-        while weight(&mut other, "s-1").await.is_some() {}
-        // Confirmed by another session in time, it stays, and startup holds it over a restart; what waits does not.
+        while read_weight(&mut other, "s-1").await.is_some() {}
+        // A commit that another session confirms in time stays, and survives a restart in startup; an unconfirmed commit
+        // does not.
         other.edit(&worker("s-1", "<weight>4</weight>")).await.unwrap();
         other.commit(&confirm(600, Some("day"))).await.unwrap();
-        let mut client = ground.dial(&manager, "bob").await;
+        let mut client = env.dial(&manager, "bob").await;
         let day = Commit { persist_id: Some("day".into()), ..Commit::default() };
         client.commit(&day).await.unwrap();
         client.edit(&worker("s-1", "<weight>5</weight>")).await.unwrap();
-        let failed = client.copy(Store::Running, Store::Startup).await;
-        assert_eq!(failed, Ok(()));
+        let saved = client.copy(Store::Running, Store::Startup).await;
+        assert_eq!(saved, Ok(()));
         client.commit(&confirm(600, Some("late"))).await.unwrap();
-        assert_eq!(weight(&mut client, "s-1").await.as_deref(), Some("5.0"));
+        assert_eq!(read_weight(&mut client, "s-1").await.as_deref(), Some("5.0"));
         drop((manager, client, other));
-        let again = ground.manager(&file);
-        let mut client = ground.dial(&again, "bob").await;
-        assert_eq!(weight(&mut client, "s-1").await.as_deref(), Some("4.0"));
+        let restarted = env.start_manager(&file);
+        let mut client = env.dial(&restarted, "bob").await;
+        assert_eq!(read_weight(&mut client, "s-1").await.as_deref(), Some("4.0"));
     });
 }
 
 #[test]
-fn a_roll_back_that_would_leave_an_operation_bare_waits_and_says_why() {
+fn a_rollback_that_would_leave_an_operation_without_workers_is_deferred_and_reports_why() {
     run(async {
-        let ground = Ground::new("overdue");
-        let manager = ground.manager(&ground.file("operator.xml", "", ""));
+        let env = TestEnvironment::new("overdue");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 2, &["a", "b"], rules());
         proxies.until("tables", |rules| (0..2).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut client = ground.dial(&manager, "ann").await;
-        changed(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
+        let mut client = env.dial(&manager, "ann").await;
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
         client.edit(&worker("s-1", "<wanted>follow</wanted>")).await.unwrap();
         let persist = Some("night".to_string());
         client.commit(&Commit { confirm_within: Some(5), persist, persist_id: None }).await.unwrap();
-        // Drained before the replacement is there, the others would go when their patience is over.
+        // s-1 must be back before the others drain: a worker that drains without a replacement is removed when its grace
+        // ends.
         proxies.until("s-1 is back", |rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1")));
-        let all = |phase| ["s-2", "s-3", "s-4"].map(|id| entry(id, "a", "127.0.0.1:9", phase));
-        ground.discovery.tell(&list(2, false, &all("draining")));
+        let others = |phase| ["s-2", "s-3", "s-4"].map(|id| entry(id, "a", "127.0.0.1:9", phase));
+        env.discovery.tell(&list(2, false, &others("draining")));
         proxies.until("s-1 alone", |rules| (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-1"])));
-        let versions = |state: &Element| below(state, &["versions"])[0].clone();
+        let versions = |state: &Element| descendants(state, &["versions"])[0].clone();
         let mut overdue = String::new();
         while overdue.is_empty() {
-            overdue = text(&versions(&state(&mut client).await), "overdue").to_string();
+            overdue = text(&versions(&read_state(&mut client).await), "overdue").to_string();
         }
         assert!(overdue.contains("would have no ready, warm worker"), "{overdue}");
         assert!(proxies.rules(|rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1"))));
-        ground.discovery.tell(&list(3, false, &all("ready")));
-        proxies.until("taken back", |rules| (0..2).all(|p| rules.holds(p).keys().eq(["s-2", "s-3", "s-4"])));
-        assert_eq!(text(&versions(&state(&mut client).await), "overdue"), "");
+        env.discovery.tell(&list(3, false, &others("ready")));
+        proxies.until("the commit is reverted", |rules| {
+            (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-2", "s-3", "s-4"]))
+        });
+        assert_eq!(text(&versions(&read_state(&mut client).await), "overdue"), "");
         assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
     });
 }
 
 #[test]
-fn only_who_is_known_comes_in_and_each_does_what_the_role_allows() {
+fn only_known_users_are_authenticated_and_roles_limit_their_access() {
     run(async {
-        let ground = Ground::new("known");
-        let (bob_crt, bob_key, bob_print) = ground.authority.issue("bob.example", (-1, 1));
-        let (ann_crt, ann_key, ann_print) = ground.authority.issue("ann", (-1, 1));
-        let (old_crt, old_key, old_print) = ground.authority.issue("old.example", (-2, -1));
-        let (odd_crt, odd_key, _) = ground.authority.issue("odd.example", (-1, 1));
-        let stranger = Authority::new(&ground.folder, "strangers");
-        let (forged_crt, forged_key, forged_print) = stranger.issue("forged.example", (-1, 1));
-        let client =
-            |print: &str, more: &str| format!("<client><fingerprint>{print}</fingerprint>{more}</client>");
+        let env = TestEnvironment::new("known");
+        let (bob_certificate, bob_key, bob_fingerprint) = env.authority.issue("bob.example", (-1, 1));
+        let (ann_certificate, ann_key, ann_fingerprint) = env.authority.issue("ann", (-1, 1));
+        let (expired_certificate, expired_key, expired_fingerprint) =
+            env.authority.issue("old.example", (-2, -1));
+        let (unmapped_certificate, unmapped_key, _) = env.authority.issue("odd.example", (-1, 1));
+        let untrusted_authority = Authority::new(&env.folder, "untrusted");
+        let (forged_certificate, forged_key, forged_fingerprint) =
+            untrusted_authority.issue("forged.example", (-1, 1));
+        let client = |fingerprint: &str, mapping: &str| {
+            format!("<client><fingerprint>{fingerprint}</fingerprint>{mapping}</client>")
+        };
         let tls = [
-            client(&bob_print, "<user>bob</user>"),
-            client(&ann_print, "<name-from>common-name</name-from>"),
-            client(&old_print, "<user>ann</user>"),
-            client(&forged_print, "<user>ann</user>"),
+            client(&bob_fingerprint, "<user>bob</user>"),
+            client(&ann_fingerprint, "<name-from>common-name</name-from>"),
+            client(&expired_fingerprint, "<user>ann</user>"),
+            client(&forged_fingerprint, "<user>ann</user>"),
         ];
-        let manager = ground.manager(&ground.file("operator.xml", &tls.concat(), ""));
-        let over_tls = |crt: &Path, key: &Path| {
-            let authorities = &ground.authority.certificate;
-            Dial::tls(manager.tls.to_string(), "manager.example", authorities, crt, key)
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", &tls.concat(), ""));
+        let over_tls = |certificate: &Path, key: &Path| {
+            let authorities = &env.authority.certificate;
+            Dial::tls(manager.tls.to_string(), "manager.example", authorities, certificate, key)
         };
-        let mut bob = Client::dial(&over_tls(&bob_crt, &bob_key)).await.unwrap();
-        changed(&mut bob, &worker("s-1", "<weight>2</weight>")).await.unwrap();
-        let mut ann = Client::dial(&over_tls(&ann_crt, &ann_key)).await.unwrap();
+        let mut bob = Client::dial(&over_tls(&bob_certificate, &bob_key)).await.unwrap();
+        edit_and_commit(&mut bob, &worker("s-1", "<weight>2</weight>")).await.unwrap();
+        let mut ann = Client::dial(&over_tls(&ann_certificate, &ann_key)).await.unwrap();
         let sessions = ann.get(Some("<netconf-state xmlns=\"urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring\"><sessions/></netconf-state>"));
         let sessions = sessions.await.unwrap();
-        let users: Vec<&str> =
-            below(&sessions.0[0], &["sessions", "session"]).iter().map(|s| text(s, "username")).collect();
+        let users: Vec<&str> = descendants(&sessions.0[0], &["sessions", "session"])
+            .iter()
+            .map(|session| text(session, "username"))
+            .collect();
         assert_eq!(users, ["bob", "ann"]);
-        // A stale certificate, one that stands for nobody, and one that nobody we trust vouches for.
-        for (crt, key) in [(&old_crt, &old_key), (&odd_crt, &odd_key), (&forged_crt, &forged_key)] {
-            let failed = Client::dial(&over_tls(crt, key)).await.map(|_| ()).unwrap_err();
+        // An expired certificate, one that is not mapped to a user, and one of an untrusted authority.
+        for (certificate, key) in [
+            (&expired_certificate, &expired_key),
+            (&unmapped_certificate, &unmapped_key),
+            (&forged_certificate, &forged_key),
+        ] {
+            let failed = Client::dial(&over_tls(certificate, key)).await.map(|_| ()).unwrap_err();
             assert!(failed.reached != Reached::Answered, "{failed}");
         }
-        // An unknown key, a user that nobody named, a host that is not the one.
-        let mallory = SshKeys::write(&ground.folder, "mallory", 66);
+        // An unknown key, an unknown user, and a wrong host key.
+        let mallory = SshKeys::write(&env.folder, "mallory", 66);
         for (user, key) in [("ann", &mallory.private), ("mallory", &mallory.private)] {
-            let dial = Dial::ssh(manager.ssh.to_string(), user, key).trusting_host(&ground.host.public);
+            let dial = Dial::ssh(manager.ssh.to_string(), user, key).trusting_host(&env.host.public);
             let failed = Client::dial(&dial).await.map(|_| ()).unwrap_err();
             assert!(matches!(failed.reason, Reason::NotTrusted(_)), "{failed}");
         }
-        let other_host = ground.ssh(&manager, "ann").trusting_host(&mallory.public);
+        let other_host = env.ssh(&manager, "ann").trusting_host(&mallory.public);
         let failed = Client::dial(&other_host).await.map(|_| ()).unwrap_err();
         assert!(matches!(failed.reason, Reason::NotTrusted(_)), "{failed}");
-        // A user without rights sees and does what the role allows.
-        let mut eve = ground.dial(&manager, "eve").await;
-        let got = eve.get_config(Store::Running, None).await.unwrap();
-        assert!(got.find(&["workers"]).is_some() && got.find(&["northbound"]).is_none());
+        // A reader can read part of the configuration and change nothing.
+        let mut eve = env.dial(&manager, "eve").await;
+        let running = eve.get_config(Store::Running, None).await.unwrap();
+        assert!(running.find(&["workers"]).is_some() && running.find(&["northbound"]).is_none());
         let failed = eve.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap_err();
         let refusal = &failed.refusals()[0];
         assert_eq!(refusal.tag, "access-denied");
@@ -465,20 +490,20 @@
             assert_eq!(
                 refused.unwrap_err().refusals()[0].tag,
                 "access-denied",
-                "nor does a reader hold others up"
+                "a reader must not block other sessions"
             );
         }
-        let raise = format!(
+        let promote_bob = format!(
             "<northbound xmlns=\"{MANAGER}\"><user><name>bob</name><role>admin</role></user></northbound>"
         );
-        assert_eq!(bob.edit(&raise).await.unwrap_err().refusals()[0].tag, "access-denied");
-        // An admin's change of users holds at once, for those who come from then on.
-        let gone = format!(
+        assert_eq!(bob.edit(&promote_bob).await.unwrap_err().refusals()[0].tag, "access-denied");
+        // An admin's change of users applies at once to new sessions.
+        let delete_eve = format!(
             "<northbound xmlns=\"{MANAGER}\" xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
              <user n:operation=\"delete\"><name>eve</name></user></northbound>"
         );
-        changed(&mut ann, &gone).await.unwrap();
-        assert!(Client::dial(&ground.ssh(&manager, "eve")).await.is_err());
+        edit_and_commit(&mut ann, &delete_eve).await.unwrap();
+        assert!(Client::dial(&env.ssh(&manager, "eve")).await.is_err());
         let kill =
             Element::new("urn:ietf:params:xml:ns:netconf:base:1.0", "kill-session").with(Element::with_text(
                 "urn:ietf:params:xml:ns:netconf:base:1.0",
@@ -486,17 +511,17 @@
                 eve.session.to_string(),
             ));
         ann.rpc(kill).await.unwrap();
-        assert!(eve.get_config(Store::Running, None).await.is_err(), "ended");
+        assert!(eve.get_config(Store::Running, None).await.is_err(), "the session is closed");
     });
 }
 
 #[test]
-fn what_cannot_be_read_gets_an_error_or_an_end_and_changes_nothing() {
+fn malformed_requests_get_an_error_or_close_the_session_and_change_nothing() {
     run(async {
-        let ground = Ground::new("spoilt");
-        let manager = ground.manager(&ground.file("operator.xml", "", ""));
-        let mut sound = ground.dial(&manager, "bob").await;
-        let before = sound.get_config(Store::Running, None).await.unwrap();
+        let env = TestEnvironment::new("malformed");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let mut other_client = env.dial(&manager, "bob").await;
+        let before = other_client.get_config(Store::Running, None).await.unwrap();
         let rpc = |body: &str| {
             format!("<rpc message-id=\"7\" xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">{body}</rpc>")
         };
@@ -504,8 +529,8 @@
             rpc(&format!("<edit-config><target><candidate/></target><config>{config}</config></edit-config>"))
         };
         let chunked = |text: &str| format!("\n#{}\n{text}\n##\n", text.len());
-        // Each is answered and the session goes on.
-        let mut client = ground.dial(&manager, "bob").await;
+        // Each gets an error, and the session stays open.
+        let mut client = env.dial(&manager, "bob").await;
         for (message, tag) in [
             ("<rpc".to_string(), "malformed-message"),
             (rpc("<get>"), "malformed-message"),
@@ -544,7 +569,7 @@
             client.send_raw(chunked(&message).as_bytes()).await.unwrap();
             let failed = client.reply().await.unwrap_err();
             assert_eq!(
-                failed.refusals().first().map(|r| r.tag.as_str()),
+                failed.refusals().first().map(|refusal| refusal.tag.as_str()),
                 Some(tag),
                 "{message:.200}: {failed}"
             );
@@ -553,27 +578,29 @@
         assert_eq!(client.reply().await.unwrap_err().refusals()[0].tag, "malformed-message");
         client.send_raw(b"\n#4\n<a>\xff\n##\n").await.unwrap();
         assert_eq!(client.reply().await.unwrap_err().refusals()[0].tag, "malformed-message");
-        // These end the one session.
-        for bad in [&b"\n#0\n"[..], b"\n#4294967295\n", b"\n#99999999999\n", b"<rpc>]]>]]>", b"\n##\n"] {
-            let mut client = ground.dial(&manager, "bob").await;
-            client.send_raw(bad).await.unwrap();
-            let end = timeout(WITHIN, client.reply()).await.expect("an end, not a silence");
+        // Errors of the message framing close the session, and no other.
+        for invalid_frame in
+            [&b"\n#0\n"[..], b"\n#4294967295\n", b"\n#99999999999\n", b"<rpc>]]>]]>", b"\n##\n"]
+        {
+            let mut client = env.dial(&manager, "bob").await;
+            client.send_raw(invalid_frame).await.unwrap();
+            let end = timeout(WAIT_TIMEOUT, client.reply()).await.expect("the session was not closed");
             assert!(matches!(end.unwrap_err().reason, Reason::Lost(_)));
         }
-        assert_eq!(sound.get_config(Store::Running, None).await.unwrap(), before);
-        assert_eq!(sound.get_config(Store::Candidate, None).await.unwrap(), before);
+        assert_eq!(other_client.get_config(Store::Running, None).await.unwrap(), before);
+        assert_eq!(other_client.get_config(Store::Candidate, None).await.unwrap(), before);
     });
 }
 
-/// As the common SSH client: one that exits with what the server says, and drops what it has not yet printed when
-/// it is disconnected first.
+/// The OpenSSH client exits with the status that the server sends, and discards output that it has not printed yet if it is
+/// disconnected first.
 #[test]
-fn a_session_ends_with_a_status_and_is_not_disconnected_on_its_last_reply() {
+fn a_closed_session_sends_its_last_reply_and_an_exit_status_before_it_disconnects() {
     use russh::client::{connect, Config, Handler};
     use russh::keys::{load_secret_key, PrivateKeyWithHashAlg, PublicKeyOrCertificate};
 
-    struct Anybody;
-    impl Handler for Anybody {
+    struct AcceptAnyHostKey;
+    impl Handler for AcceptAnyHostKey {
         type Error = russh::Error;
 
         async fn check_server_key(&mut self, _: &PublicKeyOrCertificate) -> Result<bool, russh::Error> {
@@ -581,10 +608,11 @@
         }
     }
     run(async {
-        let ground = Ground::new("status");
-        let manager = ground.manager(&ground.file("operator.xml", "", ""));
-        let mut ssh = connect(std::sync::Arc::new(Config::default()), manager.ssh, Anybody).await.unwrap();
-        let key = load_secret_key(&ground.keys[1].2.private, None).unwrap();
+        let env = TestEnvironment::new("status");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let mut ssh =
+            connect(std::sync::Arc::new(Config::default()), manager.ssh, AcceptAnyHostKey).await.unwrap();
+        let key = load_secret_key(&env.keys[1].2.private, None).unwrap();
         let key = PrivateKeyWithHashAlg::new(std::sync::Arc::new(key), None);
         assert!(ssh.authenticate_publickey("bob", key).await.unwrap().success());
         let mut channel = ssh.channel_open_session().await.unwrap();
@@ -596,78 +624,86 @@
         );
         channel.data(text.as_bytes()).await.unwrap();
         channel.eof().await.unwrap();
-        let (mut said, mut status) = (String::new(), None);
+        let mut output = String::new();
+        let mut status = None;
         while let Some(message) = channel.wait().await {
             match message {
-                russh::ChannelMsg::Data { data } => said += std::str::from_utf8(&data).unwrap(),
+                russh::ChannelMsg::Data { data } => output += std::str::from_utf8(&data).unwrap(),
                 russh::ChannelMsg::ExitStatus { exit_status } => status = Some(exit_status),
                 _ => {}
             }
         }
-        assert!(said.ends_with("message-id=\"1\"><ok/></rpc-reply>]]>]]>"), "{said}");
+        assert!(output.ends_with("message-id=\"1\"><ok/></rpc-reply>]]>]]>"), "{output}");
         assert_eq!(status, Some(0));
     });
 }
 
 #[test]
-fn who_stalls_in_a_message_or_never_says_hello_gives_the_place_back() {
+fn sessions_that_stall_in_a_message_or_send_no_hello_are_closed() {
     run(async {
-        let ground = Ground::new("stalls");
-        let file = ground.file("operator.xml", "", "");
+        let env = TestEnvironment::new("stalls");
+        let file = env.write_operator_file("operator.xml", "", "");
         let limits =
             "<netconf><sessions>2</sessions><hello-within>1500</hello-within><idle-within>3000</idle-within>";
         fs::write(&file, fs::read_to_string(&file).unwrap().replace("<netconf>", limits)).unwrap();
-        let manager = ground.manager(&file);
-        let strangers: Vec<std::net::TcpStream> =
+        let manager = env.start_manager(&file);
+        let unauthenticated: Vec<std::net::TcpStream> =
             (0..4).map(|_| std::net::TcpStream::connect(manager.ssh).unwrap()).collect();
-        // One place is for strangers here: it comes free as the first says nothing.
-        // On a busy machine a dial may take longer than a hello may, so both are dialled until both are there.
+        // Only one connection may be unauthenticated at a time here; its place becomes free when the first one times out
+        // without a hello. On a busy machine connecting can take longer than the hello time-out, so both clients are
+        // connected again until both succeed.
         let (mut first, mut second) = loop {
-            let Ok(first) = Client::dial(&ground.ssh(&manager, "bob")).await else { continue };
-            if let Ok(second) = Client::dial(&ground.ssh(&manager, "ann")).await {
+            let Ok(first) = Client::dial(&env.ssh(&manager, "bob")).await else { continue };
+            if let Ok(second) = Client::dial(&env.ssh(&manager, "ann")).await {
                 break (first, second);
             }
         };
         first.send_raw(b"\n#1000\n<rpc").await.unwrap();
         second.send_raw(b"\n#").await.unwrap();
         for client in [&mut first, &mut second] {
-            let end = timeout(WITHIN, client.reply()).await.expect("an end");
+            let end = timeout(WAIT_TIMEOUT, client.reply()).await.expect("the session was not closed");
             assert!(matches!(end.unwrap_err().reason, Reason::Lost(_)));
         }
         loop {
-            if let Ok(mut again) = Client::dial(&ground.ssh(&manager, "ann")).await {
-                assert!(again.get_config(Store::Running, None).await.is_ok());
+            if let Ok(mut client) = Client::dial(&env.ssh(&manager, "ann")).await {
+                assert!(client.get_config(Store::Running, None).await.is_ok());
                 break;
             }
         }
-        drop(strangers);
+        drop(unauthenticated);
     });
 }
 
 #[test]
-fn a_client_may_be_dropped_outside_of_its_runtime() {
-    let ground = Ground::new("dropped");
-    let manager = ground.manager(&ground.file("operator.xml", "", ""));
+fn a_client_can_be_dropped_outside_its_runtime() {
+    let env = TestEnvironment::new("dropped");
+    let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let client = runtime.block_on(ground.dial(&manager, "bob"));
+    let client = runtime.block_on(env.dial(&manager, "bob"));
     drop(client);
-    runtime.block_on(async { ground.dial(&manager, "bob").await.close().await.unwrap() });
-    let late = runtime.block_on(ground.dial(&manager, "bob"));
+    runtime.block_on(async { env.dial(&manager, "bob").await.close().await.unwrap() });
+    let open_client = runtime.block_on(env.dial(&manager, "bob"));
     drop(runtime);
-    drop(late);
+    drop(open_client);
 }
 
 #[test]
-fn two_sessions_edit_at_once_and_locks_keep_them_apart() {
+fn two_sessions_edit_concurrently_and_locks_exclude_each_other() {
     run(async {
-        let ground = Ground::new("two");
-        let manager = ground.manager(&ground.file("operator.xml", "", ""));
-        let (mut ann, mut bob) = (ground.dial(&manager, "ann").await, ground.dial(&manager, "bob").await);
-        let (first, second) = (worker("s-1", "<weight>2</weight>"), worker("s-2", "<weight>3</weight>"));
-        let (one, other) = tokio::join!(ann.edit(&first), bob.edit(&second));
-        assert_eq!((one, other), (Ok(()), Ok(())));
+        let env = TestEnvironment::new("two");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let mut ann = env.dial(&manager, "ann").await;
+        let mut bob = env.dial(&manager, "bob").await;
+        let first = worker("s-1", "<weight>2</weight>");
+        let second = worker("s-2", "<weight>3</weight>");
+        let (ann_result, bob_result) = tokio::join!(ann.edit(&first), bob.edit(&second));
+        assert_eq!((ann_result, bob_result), (Ok(()), Ok(())));
         bob.commit(&Commit::default()).await.unwrap();
-        assert_eq!(weight(&mut ann, "s-1").await.as_deref(), Some("2.0"), "one candidate holds both");
+        assert_eq!(
+            read_weight(&mut ann, "s-1").await.as_deref(),
+            Some("2.0"),
+            "the shared candidate holds both changes"
+        );
         ann.lock(Store::Candidate).await.unwrap();
         let failed = bob.edit(&first).await.unwrap_err();
         assert_eq!(failed.refusals()[0].tag, "in-use");
@@ -676,13 +712,13 @@
         assert!(denied.to_string().contains(&format!("session {} holds the lock", ann.session)), "{denied}");
         ann.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap();
         drop(ann);
-        // Its lock goes with its session, and so do its changes.
+        // When a session ends, its lock is released and its uncommitted changes are discarded.
         while bob.lock(Store::Candidate).await.is_err() {}
         bob.commit(&Commit::default()).await.unwrap();
-        assert_eq!(weight(&mut bob, "s-1").await.as_deref(), Some("2.0"));
+        assert_eq!(read_weight(&mut bob, "s-1").await.as_deref(), Some("2.0"));
         bob.rollback(1).await.unwrap();
         bob.commit(&Commit::default()).await.unwrap();
-        assert_eq!(weight(&mut bob, "s-1").await, None);
+        assert_eq!(read_weight(&mut bob, "s-1").await, None);
         assert_eq!(bob.rollback(77).await.unwrap_err().refusals()[0].tag, "invalid-value");
         let yang = bob.schema("juniperrail-manager").await.unwrap();
         assert_eq!(yang, include_str!("../../../yang/juniperrail-manager.yang"));
--- a/crates/manager/tests/relay.rs
+++ b/crates/manager/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay as an operator starts it: its log, its faults, and what a subscriber sees when it is stopped or killed.
+//! The `relay` command as a process: its log, its errors, and what a subscriber receives when it is stopped or killed.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -10,10 +10,10 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperrail");
 
-/// How many workers make a snapshot that no connection holds by itself.
-const MANY: usize = 20_000;
+/// Enough workers for a snapshot that does not fit into the socket buffers.
+const WORKER_COUNT: usize = 20_000;
 
-/// A started relay, killed when it is dropped.
+/// A relay process, killed when it is dropped.
 struct Relay {
     child: Child,
     address: SocketAddr,
@@ -29,7 +29,7 @@
         let mut line = String::new();
         while !line.contains("relays the list of ") {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it serves");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the relay ended before it served");
         }
         let address = line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
         Relay { child, address, _log: log }
@@ -40,7 +40,7 @@
         assert!(sent.unwrap().success());
     }
 
-    fn until_served(&self) {
+    fn wait_until_serving(&self) {
         while ListSubscriber::ask(self.address, "/healthz").status != 200 {
             thread::yield_now();
         }
@@ -54,42 +54,43 @@
     }
 }
 
-/// A relay of many workers, with the line that its source sent, and a subscriber that has taken the head of its answer.
-fn within_a_snapshot() -> (Relay, String, ListSubscriber, Peer) {
+/// Starts a relay of many workers and a subscriber that has read only the head of the response, so that the relay is in the
+/// midst of a snapshot. Also returns the list as sent, and the connection of the source, which must stay open.
+fn relay_in_snapshot() -> (Relay, String, ListSubscriber, Peer) {
     let source = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(source.local_addr().unwrap());
     let (_, mut watch) = Discovery::accept(&source, "200 OK");
     let workers: Vec<String> =
-        (0..MANY).map(|id| entry(&format!("s-{id}"), "a", "127.0.0.1:9", "ready")).collect();
-    let whole = list(7, true, &workers);
-    watch.chunk(&format!("{whole}\n"));
-    relay.until_served();
+        (0..WORKER_COUNT).map(|id| entry(&format!("s-{id}"), "a", "127.0.0.1:9", "ready")).collect();
+    let full_list = list(7, true, &workers);
+    watch.chunk(&format!("{full_list}\n"));
+    relay.wait_until_serving();
     let subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
-    (relay, whole, subscriber, watch)
+    (relay, full_list, subscriber, watch)
 }
 
 #[test]
-fn killed_within_a_snapshot_it_leaves_a_broken_line() {
-    let (relay, whole, mut subscriber, _watch) = within_a_snapshot();
+fn a_relay_killed_during_a_snapshot_leaves_an_incomplete_line() {
+    let (relay, full_list, mut subscriber, _watch) = relay_in_snapshot();
     relay.signal("KILL");
-    let (told, ending) = subscriber.rest();
+    let (received, ending) = subscriber.rest();
     assert_eq!(ending, Ending::Broken);
-    assert!(told.len() < whole.len() && whole.starts_with(&told));
+    assert!(received.len() < full_list.len() && full_list.starts_with(&received));
 }
 
 #[test]
-fn stopped_within_a_snapshot_it_stalls_and_goes_on_where_it_was() {
-    let (relay, whole, mut subscriber, _watch) = within_a_snapshot();
+fn a_relay_stopped_during_a_snapshot_continues_where_it_was() {
+    let (relay, full_list, mut subscriber, _watch) = relay_in_snapshot();
     relay.signal("STOP");
-    // What the connection held is all that comes.
-    let stalled_after = subscriber.read_until_silent(Duration::from_millis(500));
-    assert!(stalled_after < whole.len(), "{stalled_after} of {}", whole.len());
+    // Only what was already in the socket buffers arrives.
+    let received_bytes = subscriber.read_until_silent(Duration::from_millis(500));
+    assert!(received_bytes < full_list.len(), "{received_bytes} of {}", full_list.len());
     relay.signal("CONT");
-    assert_eq!(subscriber.list(), Some(whole));
+    assert_eq!(subscriber.list(), Some(full_list));
 }
 
 #[test]
-fn sigterm_ends_it_well() {
+fn sigterm_ends_a_relay_with_exit_code_0() {
     let source = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut relay = Relay::start(source.local_addr().unwrap());
     relay.signal("TERM");
@@ -97,15 +98,15 @@
 }
 
 #[test]
-fn an_address_that_is_taken_is_one_clear_line() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = taken.local_addr().unwrap().to_string();
+fn an_address_in_use_is_reported_in_one_line() {
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = occupied.local_addr().unwrap().to_string();
     let mut program = Command::new(PROGRAM);
     program.env_clear().args(["relay", "--listen", &address, "--source", "127.0.0.1:1"]);
     let mut child = program.stderr(Stdio::piped()).spawn().unwrap();
-    let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+    let mut stderr = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut stderr).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(1));
-    assert!(said.starts_with(&format!("juniperrail: cannot listen on {address}: ")), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
+    assert!(stderr.starts_with(&format!("juniperrail: cannot listen on {address}: ")), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -1,5 +1,5 @@
-//! A manager that takes its part of the list from relays, each played by hand. What happens first is forced by what a
-//! relay holds back.
+//! A manager that takes its part of the list from relays. The test plays each relay, and orders events by what it sends
+//! when.
 
 mod cluster;
 
@@ -13,85 +13,86 @@
 use juniperrail_distribution::RelayChoice;
 use juniperrail_standins::{entry as entry_at, list, Answering, Peer};
 
-/// Nothing that is waited for takes so long, however busy the machine is.
-const WITHIN: Duration = Duration::from_secs(40);
+/// Time limit of a wait, generous because the machine can be busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// An agent that nobody may dial.
-const NOBODY: &str = "127.0.0.1:1";
+/// A discovery address that must not be dialled.
+const UNUSED_DISCOVERY: &str = "127.0.0.1:1";
 
-/// The name that the manager has by its configuration.
-const MANAGER: &str = "n0";
+/// The manager's name in its configuration.
+const MANAGER_NAME: &str = "n0";
 
 fn entry(id: &str, zone: &str, lifecycle: &str) -> String {
     entry_at(id, zone, "127.0.0.1:9", lifecycle)
 }
 
-/// Relays in the order in which the manager prefers them, and what it needs of the list.
+/// Relays in the manager's order of preference, and the operator's file that names them.
 struct Relays {
     listeners: Vec<TcpListener>,
     operator_file: PathBuf,
 }
 
 impl Relays {
-    /// `story` sets its files apart from those of other stories; `scope` is the body of that container.
-    fn new(story: &str, count: usize, scope: &str) -> Relays {
+    /// `test` is part of the files' names, and must differ from that of other tests; `scope` is the body of that container.
+    fn new(test: &str, count: usize, scope: &str) -> Relays {
         let listener = |_| TcpListener::bind("127.0.0.1:0").unwrap();
         let mut by_address: Vec<(SocketAddr, TcpListener)> =
-            (0..count).map(listener).map(|it| (it.local_addr().unwrap(), it)).collect();
+            (0..count).map(listener).map(|listener| (listener.local_addr().unwrap(), listener)).collect();
         let addresses: Vec<SocketAddr> = by_address.iter().map(|(address, _)| *address).collect();
         let order = order_of_preference(&addresses);
-        by_address.sort_by_key(|(address, _)| order.iter().position(|of| of == address));
-        let named: String = addresses.iter().map(|address| format!("<relay>{address}</relay>")).collect();
-        let operator_file = write_operator_file(story, &format!("{named}<scope>{scope}</scope>"));
+        by_address.sort_by_key(|(address, _)| order.iter().position(|preferred| preferred == address));
+        let relay_elements: String =
+            addresses.iter().map(|address| format!("<relay>{address}</relay>")).collect();
+        let operator_file = write_operator_file(test, &format!("{relay_elements}<scope>{scope}</scope>"));
         Relays { listeners: by_address.into_iter().map(|(_, listener)| listener).collect(), operator_file }
     }
 
-    /// Three relays of a manager that needs the workers of zone a, and holds s-1 to s-3 as of version 41.
-    fn of_zone_a(story: &str) -> (Relays, ManagerProcess) {
-        let relays = Relays::new(story, 3, "<zone>a</zone>");
-        let manager = relays.manager(story, &config(NOBODY.parse().unwrap(), 64));
+    /// Three relays and a manager whose scope is zone a, and whose cached list has s-1 to s-3 at version 41.
+    fn of_zone_a(test: &str) -> (Relays, ManagerProcess) {
+        let relays = Relays::new(test, 3, "<zone>a</zone>");
+        let manager = relays.start_manager(test, &config(UNUSED_DISCOVERY.parse().unwrap(), 64));
         (relays, manager)
     }
 
-    fn manager(&self, story: &str, config: &str) -> ManagerProcess {
+    fn start_manager(&self, test: &str, config: &str) -> ManagerProcess {
         let variables = [("JUNIPERRAIL_FILE", self.operator_file.to_str().unwrap())];
-        ManagerProcess::start_with(&format!("relays-{story}"), config, &variables)
+        ManagerProcess::start_with(&format!("relays-{test}"), config, &variables)
     }
 
-    /// Takes the next watch at this relay: what was asked for, and the connection with a head already answered.
-    fn watch(&self, relay: usize) -> (String, Peer) {
+    /// Accepts the next watch at this relay and answers with a response head. Returns the request line and the connection.
+    fn accept_watch(&self, relay: usize) -> (String, Peer) {
         self.answer(relay, "200 OK")
     }
 
-    /// The same, answered with this status. Panics where nobody dials.
+    /// Like [`Relays::accept_watch`], with this status. Panics if the manager does not connect.
     fn answer(&self, relay: usize, status: &str) -> (String, Peer) {
-        let mut peer = Peer::new(self.taken(relay));
-        let asked = peer.line().expect("a question");
+        let mut peer = Peer::new(self.accept(relay));
+        let asked = peer.line().expect("a request line");
         while peer.line().is_some_and(|line| !line.is_empty()) {}
         peer.raw(&format!("HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n"));
         (asked, peer)
     }
 
-    /// Takes the next watch at this relay, which asks with this index.
-    fn watch_from(&self, relay: usize, index: u64) -> Peer {
-        let (asked, watch) = self.watch(relay);
+    /// Accepts the next watch at this relay, which must ask from this index on.
+    fn accept_watch_from(&self, relay: usize, index: u64) -> Peer {
+        let (asked, watch) = self.accept_watch(relay);
         assert_eq!(asked, format!("GET /v1/servers?stream=1&index={index}&zones=a HTTP/1.1"));
         watch
     }
 
-    /// Takes the next connection at this relay and says nothing on it.
-    fn taken(&self, relay: usize) -> TcpStream {
-        let until = Instant::now() + WITHIN;
+    /// Accepts the next connection at this relay and sends nothing on it.
+    fn accept(&self, relay: usize) -> TcpStream {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(socket) = self.next_connection(relay) {
                 return socket;
             }
-            assert!(Instant::now() < until, "nobody dials relay {relay}");
+            assert!(Instant::now() < deadline, "no connection to relay {relay}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Who has dialled this relay and was not taken yet.
+    /// The next connection to this relay that was not accepted yet.
     fn next_connection(&self, relay: usize) -> Option<TcpStream> {
         let listener = &self.listeners[relay];
         listener.set_nonblocking(true).unwrap();
@@ -108,7 +109,7 @@
 }
 
 fn order_of_preference(relays: &[SocketAddr]) -> Vec<SocketAddr> {
-    let mut choice = RelayChoice::new(MANAGER, relays.iter().copied()).unwrap();
+    let mut choice = RelayChoice::new(MANAGER_NAME, relays.iter().copied()).unwrap();
     let mut rng = fastrand::Rng::with_seed(1);
     let next = |_| {
         let relay = choice.current();
@@ -118,8 +119,8 @@
     relays.iter().map(next).collect()
 }
 
-fn write_operator_file(story: &str, discovery: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("juniperrail-relays-{story}-{}.xml", std::process::id()));
+fn write_operator_file(test: &str, discovery: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("juniperrail-relays-{test}-{}.xml", std::process::id()));
     let text = format!(
         "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
          <discovery xmlns=\"tag:juniperrail.example,2026:yang:manager\">{discovery}</discovery></config>"
@@ -128,227 +129,237 @@
     path
 }
 
-fn line(text: String) -> String {
+fn with_newline(text: String) -> String {
     text + "\n"
 }
 
-/// What the relay has: the workers of zone a in this state.
-fn whole(version: u64, lifecycles: &[(&str, &str)]) -> String {
+/// A full list with these workers of zone a.
+fn full_list(version: u64, lifecycles: &[(&str, &str)]) -> String {
     let entries: Vec<String> = lifecycles.iter().map(|(id, lifecycle)| entry(id, "a", lifecycle)).collect();
-    line(list(version, true, &entries))
+    with_newline(list(version, true, &entries))
 }
 
 fn change(version: u64, id: &str, zone: &str, lifecycle: &str) -> String {
-    line(list(version, false, &[entry(id, zone, lifecycle)]))
+    with_newline(list(version, false, &[entry(id, zone, lifecycle)]))
 }
 
-/// Heartbeats on a watch until the manager has ended it. They come on a thread of their own.
-fn beat_until_ended(mut watch: Peer) -> mpsc::Receiver<()> {
-    let (ended, over) = mpsc::channel();
+/// Sends heartbeats on a watch from a thread of its own, and reports when the manager has closed the watch.
+fn send_heartbeats_until_closed(mut watch: Peer) -> mpsc::Receiver<()> {
+    let (closed_sender, closed) = mpsc::channel();
     thread::spawn(move || {
         while watch.try_raw("1\r\n\n\r\n").is_ok() {
             thread::sleep(Duration::from_millis(200));
         }
-        ended.send(())
+        closed_sender.send(())
     });
-    over
+    closed
 }
 
-/// The proxy has applied all that was told so far: a later drain comes without any word on others before it.
-fn assert_only(told: &str, expected: &str) {
+/// Asserts that the messages which the proxy received name no worker but those in `expected`.
+fn assert_names_only(messages: &str, expected: &str) {
     for id in ["s-1", "s-2", "s-3", "s-4"].into_iter().filter(|id| !expected.contains(id)) {
-        assert!(!told.contains(id), "nobody told of {id}: {told}");
+        assert!(!messages.contains(id), "unexpected {id}: {messages}");
     }
 }
 
 #[test]
-fn a_relay_killed_in_the_midst_of_a_snapshot_changes_nothing_and_the_next_is_asked_with_what_is_held() {
+fn a_relay_killed_during_a_snapshot_changes_nothing_and_the_next_is_asked_from_the_current_version() {
     let (relays, manager) = Relays::of_zone_a("snapshot");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut first = relays.watch_from(0, 41);
-    let snapshot = whole(900, &[("s-1", "draining"), ("s-4", "ready"), ("s-5", "ready")]);
-    // The whole of two entries, and a part of the third.
+    let mut first = relays.accept_watch_from(0, 41);
+    let snapshot = full_list(900, &[("s-1", "draining"), ("s-4", "ready"), ("s-5", "ready")]);
+    // Two complete entries, and a part of the third.
     first.chunk(&snapshot[..snapshot.len() - 60]);
     drop(first);
-    let mut second = relays.watch_from(1, 41);
+    let mut second = relays.accept_watch_from(1, 41);
     second.chunk(&change(42, "s-2", "a", "draining"));
-    let told = proxy.line_with("out=");
-    assert_only(&told, "s-2");
+    let messages = proxy.line_with("out=");
+    assert_names_only(&messages, "s-2");
     second.chunk(&change(43, "s-3", "a", "gone"));
     assert!(!proxy.line_with("out=s-3").contains("s-1"));
 }
 
 #[test]
-fn a_watch_cut_in_the_middle_of_an_entry_says_nothing_of_it() {
+fn a_watch_cut_within_an_entry_applies_none_of_that_line() {
     let (relays, manager) = Relays::of_zone_a("entry");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut first = relays.watch_from(0, 41);
-    let changes = line(list(42, false, &[entry("s-1", "a", "draining"), entry("s-2", "a", "draining")]));
+    let mut first = relays.accept_watch_from(0, 41);
+    let changes =
+        with_newline(list(42, false, &[entry("s-1", "a", "draining"), entry("s-2", "a", "draining")]));
     let middle = changes.find("s-2").unwrap() + 1;
     first.chunk(&changes[..middle]);
-    // A line that ends there, as a peer that is confused might end it.
+    // A line break there, as a faulty peer might send it.
     first.chunk("\n");
-    let mut second = relays.watch_from(1, 41);
+    let mut second = relays.accept_watch_from(1, 41);
     second.chunk(&changes[..middle]);
-    // A body that ends there, in good order.
+    // A regular end of the chunked body there.
     second.raw("0\r\n\r\n");
-    let mut third = relays.watch_from(2, 41);
+    let mut third = relays.accept_watch_from(2, 41);
     third.chunk(&change(43, "s-3", "a", "draining"));
-    assert_only(&proxy.line_with("out="), "s-3");
+    assert_names_only(&proxy.line_with("out="), "s-3");
 }
 
 #[test]
-fn a_relay_that_stalls_and_holds_its_connections_is_left_for_the_next() {
+fn a_relay_that_stalls_with_open_connections_is_replaced_by_the_next() {
     let (relays, manager) = Relays::of_zone_a("stall");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    // The first takes the connection and never answers, the second answers and stops within an entry.
-    let silent = relays.taken(0);
-    let mut stalled = relays.watch_from(1, 41);
-    let snapshot = whole(42, &[("s-1", "draining"), ("s-2", "ready")]);
+    // The first relay accepts the connection and never answers; the second answers and stops within an entry.
+    let silent = relays.accept(0);
+    let mut stalled = relays.accept_watch_from(1, 41);
+    let snapshot = full_list(42, &[("s-1", "draining"), ("s-2", "ready")]);
     stalled.chunk(&snapshot[..snapshot.len() - 60]);
-    let mut third = relays.watch_from(2, 41);
+    let mut third = relays.accept_watch_from(2, 41);
     third.chunk(&change(42, "s-2", "a", "draining"));
-    assert_only(&proxy.line_with("out="), "s-2");
-    assert_eq!(stalled.line(), None, "its connection is given back");
+    assert_names_only(&proxy.line_with("out="), "s-2");
+    assert_eq!(stalled.line(), None, "the stalled connection is closed");
     drop(silent);
 }
 
 #[test]
-fn a_relay_far_behind_the_one_left_is_left_for_the_next_and_nothing_of_it_is_taken() {
+fn a_relay_far_behind_the_previous_one_is_skipped_and_its_list_is_ignored() {
     let (relays, manager) = Relays::of_zone_a("behind");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut first = relays.watch_from(0, 41);
+    let mut first = relays.accept_watch_from(0, 41);
     first.chunk(&change(1041, "s-1", "a", "draining"));
     proxy.line_with("out=s-1");
     drop(first);
-    let mut second = relays.watch_from(1, 1041);
-    second.chunk(&line(list(41, false, &[])));
-    second.chunk(&whole(41, &[("s-1", "ready"), ("s-2", "gone"), ("s-3", "ready")]));
-    let ended = beat_until_ended(second);
-    let mut third = relays.watch_from(2, 1041);
-    ended.recv_timeout(WITHIN).expect("the one behind is left");
+    let mut second = relays.accept_watch_from(1, 1041);
+    second.chunk(&with_newline(list(41, false, &[])));
+    second.chunk(&full_list(41, &[("s-1", "ready"), ("s-2", "gone"), ("s-3", "ready")]));
+    let closed = send_heartbeats_until_closed(second);
+    let mut third = relays.accept_watch_from(2, 1041);
+    closed.recv_timeout(WAIT_TIMEOUT).expect("the watch of the relay behind was not closed");
     third.chunk(&change(1042, "s-3", "a", "draining"));
-    let told = proxy.line_with("out=s-3");
-    assert!(!told.contains("back=") && !told.contains("s-2"), "{told}");
+    let messages = proxy.line_with("out=s-3");
+    assert!(!messages.contains("back=") && !messages.contains("s-2"), "{messages}");
     third.chunk(&change(1043, "s-2", "a", "draining"));
     assert!(!proxy.line_with("out=s-2").contains("s-1"));
-    assert!(relays.next_connection(0).is_none(), "the one that serves is kept");
+    assert!(relays.next_connection(0).is_none(), "the manager stays with the relay that serves");
 }
 
 #[test]
-fn a_source_that_counts_anew_is_taken_once_every_relay_is_behind() {
+fn a_source_with_restarted_versions_is_accepted_once_every_relay_is_behind() {
     let (relays, manager) = Relays::of_zone_a("anew");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut beaten = Vec::new();
+    let mut closed_watches = Vec::new();
     for relay in 0..3 {
-        let mut watch = relays.watch_from(relay, 41);
-        watch.chunk(&line(list(2, false, &[])));
-        beaten.push(beat_until_ended(watch));
+        let mut watch = relays.accept_watch_from(relay, 41);
+        watch.chunk(&with_newline(list(2, false, &[])));
+        closed_watches.push(send_heartbeats_until_closed(watch));
     }
-    let (asked, mut watch) = relays.watch(0);
-    assert_eq!(asked, "GET /v1/servers?stream=1&zones=a HTTP/1.1", "the whole list is asked for");
-    beaten.iter().for_each(|ended| ended.recv_timeout(WITHIN).expect("each is left"));
-    watch.chunk(&whole(3, &[("s-1", "ready"), ("s-2", "draining"), ("s-4", "ready")]));
-    let told = proxy.line_with("out=");
-    assert!(told.contains("s-2") && told.contains("s-3") && !told.contains("s-1"), "{told}");
+    let (asked, mut watch) = relays.accept_watch(0);
+    assert_eq!(
+        asked, "GET /v1/servers?stream=1&zones=a HTTP/1.1",
+        "the request has no index, so it is for the full list"
+    );
+    closed_watches
+        .iter()
+        .for_each(|closed| closed.recv_timeout(WAIT_TIMEOUT).expect("a watch was not closed"));
+    watch.chunk(&full_list(3, &[("s-1", "ready"), ("s-2", "draining"), ("s-4", "ready")]));
+    let messages = proxy.line_with("out=");
+    assert!(messages.contains("s-2") && messages.contains("s-3") && !messages.contains("s-1"), "{messages}");
     drop(watch);
-    relays.watch_from(1, 3);
+    relays.accept_watch_from(1, 3);
 }
 
 #[test]
-fn a_drain_that_comes_through_the_next_relay_is_kept_after_being_cut_off_from_all() {
+fn a_drain_from_the_next_relay_is_applied_after_all_relays_were_unreachable() {
     let (relays, manager) = Relays::of_zone_a("cut");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    drop(relays.watch_from(0, 41));
-    // Each refuses in turn, for two rounds: there is nobody to hear anything from.
+    drop(relays.accept_watch_from(0, 41));
+    // Each relay refuses in turn, for two rounds, so that the manager has no source.
     for relay in [1, 2, 0, 1, 2] {
         let (asked, _) = relays.answer(relay, "503 Service Unavailable");
         assert!(asked.contains("index=41"), "{asked}");
     }
-    // What is held goes on: whoever joins is given the table of it.
+    // The current list stays in use: a proxy that joins gets a table of it.
     let mut late = Answering::joined(manager.address, 2);
     let table = late.line_with("whole=1");
     assert!(["s-1", "s-2", "s-3"].iter().all(|id| table.contains(id)), "{table}");
-    let mut next = relays.watch_from(0, 41);
+    let mut next = relays.accept_watch_from(0, 41);
     next.chunk(&change(42, "s-1", "a", "draining"));
     for proxy in [&mut proxy, &mut late] {
-        let told = proxy.line_with("out=s-1");
-        assert_only(&told, "s-1");
+        let messages = proxy.line_with("out=s-1");
+        assert_names_only(&messages, "s-1");
         let removed = proxy.line_with("lines=");
         assert!(removed.contains("s-1:0"), "{removed}");
     }
 }
 
 #[test]
-fn a_worker_that_leaves_the_scope_drains_and_one_that_comes_back_is_used_again() {
+fn a_worker_that_leaves_the_scope_drains_and_is_used_again_when_it_returns() {
     let (relays, manager) = Relays::of_zone_a("moves");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut watch = relays.watch_from(0, 41);
+    let mut watch = relays.accept_watch_from(0, 41);
     watch.chunk(&change(42, "s-1", "b", "ready"));
-    assert_only(&proxy.line_with("out=s-1"), "s-1");
+    assert_names_only(&proxy.line_with("out=s-1"), "s-1");
     watch.chunk(&change(43, "s-1", "a", "ready"));
-    assert_only(&proxy.line_with("back=s-1"), "s-1");
-    // It leaves again, and is told as gone where it is now: it is forgotten here as well, and nobody else is.
+    assert_names_only(&proxy.line_with("back=s-1"), "s-1");
+    // It leaves again and is gone in its new zone, so this manager forgets it, and no other worker.
     watch.chunk(&change(44, "s-1", "b", "ready"));
     proxy.line_with("out=s-1");
     watch.chunk(&change(45, "s-1", "b", "gone"));
     watch.chunk(&change(46, "s-1", "b", "ready"));
-    // A worker that never was in scope says nothing, whatever becomes of it.
+    // Changes of a worker that never was in scope cause no message.
     watch.chunk(&change(47, "s-4", "b", "ready"));
     watch.chunk(&change(48, "s-4", "b", "draining"));
     watch.chunk(&change(49, "s-4", "b", "gone"));
     watch.chunk(&change(50, "s-2", "a", "draining"));
-    assert_only(&proxy.line_with("out=s-2"), "s-2");
+    assert_names_only(&proxy.line_with("out=s-2"), "s-2");
 }
 
 #[test]
-fn entries_out_of_scope_make_nobody_gone_and_are_never_kept() {
+fn entries_out_of_scope_remove_no_other_worker_and_are_not_stored() {
     let (relays, manager) = Relays::of_zone_a("whole");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut watch = relays.watch_from(0, 41);
-    // A whole list in which s-3 stands in another zone by now, amid many that this manager never hears of.
+    let mut watch = relays.accept_watch_from(0, 41);
+    // A full list in which s-3 has moved to another zone, among many entries that are out of scope.
     let others = (0..2000).map(|id| entry(&format!("far-{id}"), "b", "ready"));
     let own = ["s-1", "s-2", "s-4"].map(|id| entry(id, "a", "ready"));
     let moved = entry("s-3", "b", "ready");
     let entries: Vec<String> = others.chain(own).chain([moved]).collect();
-    watch.chunk(&line(list(42, true, &entries)));
-    let told = proxy.line_with("out=");
-    assert_only(&told, "s-3, lines=s-4:1");
-    // One that is unfit, of a worker that is held, makes that one gone no more than without a scope.
-    let unfit = r#"{"instanceId":"s-1"}"#.to_string();
-    watch.chunk(&line(list(43, true, &[unfit, entry("s-2", "a", "draining"), entry("s-4", "a", "ready")])));
-    let told = proxy.line_with("out=s-2");
-    assert!(!told.contains("s-1"), "{told}");
+    watch.chunk(&with_newline(list(42, true, &entries)));
+    let messages = proxy.line_with("out=");
+    assert_names_only(&messages, "s-3, lines=s-4:1");
+    // An invalid entry of a known worker does not remove it, as without a scope.
+    let invalid = r#"{"instanceId":"s-1"}"#.to_string();
+    watch.chunk(&with_newline(list(
+        43,
+        true,
+        &[invalid, entry("s-2", "a", "draining"), entry("s-4", "a", "ready")],
+    )));
+    let messages = proxy.line_with("out=s-2");
+    assert!(!messages.contains("s-1"), "{messages}");
     let table = Answering::joined(manager.address, 2).line_with("whole=1");
     assert!(table.contains("s-1") && table.contains("s-4") && !table.contains("far-"), "{table}");
-    // One of which not even the worker can be read: nobody is gone for not being named.
-    let nobody = r#"{"zone":"a"}"#.to_string();
-    watch.chunk(&line(list(44, true, &[nobody, entry("s-4", "a", "draining")])));
-    let told = proxy.line_with("out=s-4");
-    assert!(!told.contains("s-1"), "{told}");
-    // A whole list that lacks it tells it gone, as ever.
-    watch.chunk(&line(list(45, true, &[entry("s-5", "a", "ready"), entry("s-1", "a", "ready")])));
-    watch.chunk(&line(list(46, true, &[entry("s-5", "a", "ready")])));
+    // An entry without a readable worker id: no worker is removed for its absence from this list.
+    let without_id = r#"{"zone":"a"}"#.to_string();
+    watch.chunk(&with_newline(list(44, true, &[without_id, entry("s-4", "a", "draining")])));
+    let messages = proxy.line_with("out=s-4");
+    assert!(!messages.contains("s-1"), "{messages}");
+    // A worker that is absent from a full list is gone, as always.
+    watch.chunk(&with_newline(list(45, true, &[entry("s-5", "a", "ready"), entry("s-1", "a", "ready")])));
+    watch.chunk(&with_newline(list(46, true, &[entry("s-5", "a", "ready")])));
     proxy.line_with("out=s-1");
 }
 
 #[test]
-fn a_scope_that_names_nothing_that_exists_is_said_once_and_takes_workers_once_they_appear() {
+fn a_scope_without_workers_is_warned_of_once_and_accepts_workers_that_appear_later() {
     let relays = Relays::new("nothing", 1, "<zone>nowhere</zone><service>quiz</service>");
-    let mut manager = relays.manager("nothing", &config(NOBODY.parse().unwrap(), 64));
+    let mut manager = relays.start_manager("nothing", &config(UNUSED_DISCOVERY.parse().unwrap(), 64));
     let mut proxy = Answering::joined(manager.address, 1);
-    let (asked, mut watch) = relays.watch(0);
+    let (asked, mut watch) = relays.accept_watch(0);
     assert_eq!(asked, "GET /v1/servers?stream=1&index=41&zones=nowhere&services=quiz HTTP/1.1");
-    watch.chunk(&whole(42, &[("s-1", "ready")]));
-    watch.chunk(&line(list(43, true, &[entry("s-9", "nowhere", "ready")])));
+    watch.chunk(&full_list(42, &[("s-1", "ready")]));
+    watch.chunk(&with_newline(list(43, true, &[entry("s-9", "nowhere", "ready")])));
     let table = proxy.line_with("s-9:1");
     assert!(!table.contains("s-1"), "{table}");
     manager.signal("TERM");
@@ -362,136 +373,148 @@
 }
 
 #[test]
-fn a_list_over_its_limit_is_refused_in_one_line_and_asked_for_ever_more_rarely() {
+fn a_list_over_its_limit_is_refused_in_one_log_line_and_requested_with_growing_delays() {
     let (relays, mut manager) = Relays::of_zone_a("limit");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    // Of 40 MB in scope: it is refused while it comes.
+    // 40 MB of entries in scope: the list is refused while it is received.
     let name = "x".repeat(16_000);
     let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
     let huge = list(42, true, &entries);
     let mut waits: Vec<u64> = Vec::new();
     let mut refused_at = Vec::new();
     for relay in [0, 1, 2] {
-        let (asked, mut watch) = relays.watch(relay);
+        let (asked, mut watch) = relays.accept_watch(relay);
         assert!(asked.contains("index=41"), "{asked}");
         assert!(
             watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
-            "it is not read to its end"
+            "the manager must not read the list to its end"
+        );
+        let warning = manager.wait_for_log_line("WARN");
+        assert!(
+            warning.contains("entries exceed the limit of 16777216 bytes; 41 is still held"),
+            "{warning}"
         );
-        let said = manager.wait_for_log_line("WARN");
-        assert!(said.contains("entries exceed the limit of 16777216 bytes; 41 is still held"), "{said}");
-        let wait = said.split_once("asked again in ").unwrap().1.trim_end_matches(" s");
+        let wait = warning.split_once("asked again in ").unwrap().1.trim_end_matches(" s");
         waits.push(wait.parse().unwrap());
         refused_at.push(Instant::now());
     }
-    // 3, 6 and 12 s, by up to a quarter more or less, in whole seconds.
+    // 3, 6 and 12 s with a jitter of up to a quarter, in whole seconds.
     assert!(
         (2..=3).contains(&waits[0]) && (4..=7).contains(&waits[1]) && (9..=15).contains(&waits[2]),
         "{waits:?}"
     );
     let gaps: Vec<Duration> = refused_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps[0] >= Duration::from_secs(2) && gaps[1] >= Duration::from_secs(4), "{gaps:?}");
-    // What is held goes on, and a list that is taken ends the wait's growth.
+    // The current list stays in use, and an accepted list resets the delay.
     let table = Answering::joined(manager.address, 2).line_with("whole=1");
     assert!(["s-1", "s-2", "s-3"].iter().all(|id| table.contains(id)) && !table.contains("w-"), "{table}");
-    let mut watch = relays.watch_from(0, 41);
+    let mut watch = relays.accept_watch_from(0, 41);
     watch.chunk(&change(43, "s-1", "a", "draining"));
     proxy.line_with("out=s-1");
     _ = watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1));
-    let said = manager.wait_for_log_line("too large");
-    assert!(said.contains("43 is still held, asked again in 2 s") || said.contains("in 3 s"), "{said}");
+    let warning = manager.wait_for_log_line("too large");
+    assert!(
+        warning.contains("43 is still held, asked again in 2 s") || warning.contains("in 3 s"),
+        "{warning}"
+    );
 }
 
 #[test]
-fn a_list_far_over_the_limit_is_taken_where_little_of_it_is_in_scope() {
+fn a_list_far_over_the_limit_is_accepted_where_little_of_it_is_in_scope() {
     let (relays, manager) = Relays::of_zone_a("large");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut watch = relays.watch_from(0, 41);
+    let mut watch = relays.accept_watch_from(0, 41);
     let own = |id: usize| entry(&format!("s-{id}"), "a", if id == 1 { "draining" } else { "ready" });
     let other = |id: usize| entry(&format!("far-{id}"), "b", "ready");
     let entries: Vec<String> =
         (0..140_000).map(|id| if id > 0 && id % 3000 == 0 { own(id / 3000) } else { other(id) }).collect();
-    let text = line(list(42, true, &entries));
+    let text = with_newline(list(42, true, &entries));
     assert!(text.len() > 18 << 20, "{}", text.len());
     watch.chunk(&text);
     assert!(proxy.line_with("out=s-1").contains("out=s-1"));
     let status = std::fs::read_to_string(format!("/proc/{}/status", manager.child.id())).unwrap();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     let peak: usize = peak.trim().trim_end_matches(" kB").trim().parse().unwrap();
-    assert!(peak < 40 << 10, "{peak} kB at the most, for a list of {} bytes", text.len());
+    assert!(peak < 40 << 10, "a peak of {peak} kB for a list of {} bytes", text.len());
 }
 
 #[test]
-fn a_move_of_discovery_has_no_effect_beside_relays_and_is_said() {
+fn a_new_discovery_address_has_no_effect_with_relays_and_is_warned_of() {
     let relays = Relays::new("reload", 1, "");
-    let agents: Vec<TcpListener> = (0..2).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
-    let config_at = |agent: usize| config(agents[agent].local_addr().unwrap(), 64);
-    let mut manager = relays.manager("reload", &config_at(0));
+    let discoveries: Vec<TcpListener> = (0..2).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
+    let config_at = |discovery: usize| config(discoveries[discovery].local_addr().unwrap(), 64);
+    let mut manager = relays.start_manager("reload", &config_at(0));
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let (asked, mut watch) = relays.watch(0);
-    assert_eq!(asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1", "without a scope all is asked for");
+    let (asked, mut watch) = relays.accept_watch(0);
+    assert_eq!(
+        asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1",
+        "without a scope the request is for all workers"
+    );
     std::fs::write(&manager.path, config_at(1)).unwrap();
     manager.signal("HUP");
     manager.wait_for_log_line("has no effect: the list is taken from relays");
     watch.chunk(&change(42, "s-1", "b", "draining"));
     proxy.line_with("out=s-1");
-    for agent in &agents {
-        agent.set_nonblocking(true).unwrap();
-        assert!(agent.accept().is_err(), "the agent is not dialled");
+    for discovery in &discoveries {
+        discovery.set_nonblocking(true).unwrap();
+        assert!(discovery.accept().is_err(), "discovery must not be dialled");
     }
 }
 
 #[test]
-fn an_address_that_is_none_is_one_line_that_names_its_path() {
-    for (story, address) in [("odd", "999.0.0.1:7100"), ("port", "127.0.0.1:0")] {
+fn an_invalid_relay_address_is_reported_in_one_line_with_its_path() {
+    for (test, address) in [("odd", "999.0.0.1:7100"), ("port", "127.0.0.1:0")] {
         let file =
-            write_operator_file(story, &format!("<relay>127.0.0.1:7100</relay><relay>{address}</relay>"));
+            write_operator_file(test, &format!("<relay>127.0.0.1:7100</relay><relay>{address}</relay>"));
         let mut check = std::process::Command::new(env!("CARGO_BIN_EXE_juniperrail"));
         check.env_clear().arg("check").arg("--operator-file").arg(&file);
         let output = check.output().unwrap();
-        let said = String::from_utf8(output.stderr).unwrap();
-        assert_eq!((output.status.code(), said.lines().count()), (Some(1), 1), "{said}");
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!((output.status.code(), stderr.lines().count()), (Some(1), 1), "{stderr}");
         let expected = format!("/jrm:discovery/relay[.='{address}']: {address:?} is no address of a relay");
-        assert!(said.contains(&expected), "{said}");
+        assert!(stderr.contains(&expected), "{stderr}");
         std::fs::remove_file(&file).unwrap();
     }
 }
 
 #[test]
-fn without_relays_and_scope_a_list_over_its_limit_is_refused_alike() {
-    let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut manager = ManagerProcess::start("relays-agent", &config(agent.local_addr().unwrap(), 64));
+fn a_list_over_its_limit_is_refused_without_relays_and_scope_too() {
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut manager = ManagerProcess::start("relays-discovery", &config(discovery.local_addr().unwrap(), 64));
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let relays = Relays { listeners: vec![agent], operator_file: PathBuf::new() };
-    let (asked, mut watch) = relays.watch(0);
+    let relays = Relays { listeners: vec![discovery], operator_file: PathBuf::new() };
+    let (asked, mut watch) = relays.accept_watch(0);
     assert_eq!(asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
     let name = "x".repeat(16_000);
     let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
     let huge = list(42, true, &entries);
-    assert!(watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(), "it is not read to its end");
-    let refused = Instant::now();
+    assert!(
+        watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
+        "the manager must not read the list to its end"
+    );
+    let refused_at = Instant::now();
     assert!(manager
         .wait_for_log_line("WARN")
         .contains("exceed the limit of 16777216 bytes; 41 is still held"));
-    let (asked, mut watch) = relays.watch(0);
-    assert!(refused.elapsed() >= Duration::from_secs(2) && asked.contains("index=41"), "{asked}");
+    let (asked, mut watch) = relays.accept_watch(0);
+    assert!(refused_at.elapsed() >= Duration::from_secs(2) && asked.contains("index=41"), "{asked}");
     watch.chunk(&change(42, "s-1", "a", "draining"));
     proxy.line_with("out=s-1");
 }
 
 #[test]
-fn a_list_that_a_relay_sends_at_a_pace_is_taken_though_its_line_takes_longer_than_a_silence() {
+fn a_list_sent_slowly_is_accepted_even_if_its_line_takes_longer_than_the_silence_timeout() {
     let (relays, manager) = Relays::of_zone_a("pace");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let mut watch = relays.watch_from(0, 41);
+    let mut watch = relays.accept_watch_from(0, 41);
     let entries = ["s-1", "s-2", "s-3", "s-4"].map(|id| entry(id, "a", "draining"));
     watch.chunk(r#"{"generation":42,"reset":true,"instances":["#);
-    // An entry every 2 s: a line of 8 s, of which no 4 s pass in silence.
+    // An entry every 2 s: the line takes 8 s, but no silence reaches the time-out of 4 s.
     for (place, entry) in entries.iter().enumerate() {
         let comma = if place > 0 { "," } else { "" };
         watch.chunk(&format!("{comma}{entry}"));
@@ -499,5 +522,5 @@
     }
     watch.chunk("]}\n");
     proxy.line_with("out=s-1,s-2,s-3");
-    assert!(relays.next_connection(1).is_none(), "nobody else is asked");
+    assert!(relays.next_connection(1).is_none(), "the manager stays with this relay");
 }
