--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -10,7 +10,7 @@
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
-use juniperrail_client::{Failed, Reason};
+use juniperrail_client::{ClientError, ErrorKind};
 use juniperrail_manager::Launch;
 use juniperrail_model::{json, schema, xsd};
 use juniperrail_northbound::OperatorFile;
@@ -95,14 +95,14 @@
     /// An error of this process: arguments, files, settings.
     Local(String),
     /// An error of the connection to a manager, or a refusal by it.
-    Remote(Failed),
+    Remote(ClientError),
 }
 
 impl CommandError {
     /// The exit code of the process: 3 where the manager refused the request, else 1.
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            CommandError::Remote(Failed { reason: Reason::Refused(_), .. }) => ExitCode::from(3),
+            CommandError::Remote(ClientError { kind: ErrorKind::RpcErrors(_), .. }) => ExitCode::from(3),
             _ => ExitCode::FAILURE,
         }
     }
@@ -112,14 +112,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CommandError::Local(message) => f.write_str(message),
-            CommandError::Remote(failed) => failed.fmt(f),
+            CommandError::Remote(error) => error.fmt(f),
         }
     }
 }
 
-impl From<Failed> for CommandError {
-    fn from(failed: Failed) -> Self {
-        CommandError::Remote(failed)
+impl From<ClientError> for CommandError {
+    fn from(error: ClientError) -> Self {
+        CommandError::Remote(error)
     }
 }
 
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use clap::{Args, Subcommand, ValueEnum};
-use juniperrail_client::{Client, Commit, Data as XmlData, Dial, Store};
+use juniperrail_client::{Client, Commit, Data as XmlData, Datastore, Endpoint};
 use juniperrail_model::xml::{self, Element, NETCONF};
 use juniperrail_model::{diff, schema, Data, Difference, Path, Schema, Value};
 
@@ -40,20 +40,20 @@
 }
 
 impl ConnectionArgs {
-    async fn dial(&self) -> Result<Client, CommandError> {
+    async fn connect(&self) -> Result<Client, CommandError> {
         let text = |value: &Option<String>| value.clone().unwrap_or_default();
         let file = |path: &Option<PathBuf>| path.clone().unwrap_or_default();
-        let dial = match (&self.ssh, &self.tls) {
+        let endpoint = match (&self.ssh, &self.tls) {
             (Some(address), _) => {
-                Dial::ssh(address, text(&self.user), file(&self.key)).trusting_host(file(&self.host_key))
+                Endpoint::ssh(address, text(&self.user), file(&self.key)).with_host_key(file(&self.host_key))
             }
             (None, address) => {
                 let authorities = file(&self.authorities);
                 let certificate = file(&self.certificate);
-                Dial::tls(text(address), text(&self.name), authorities, certificate, file(&self.key))
+                Endpoint::tls(text(address), text(&self.name), authorities, certificate, file(&self.key))
             }
         };
-        Ok(Client::dial(&dial).await?)
+        Ok(Client::connect(&endpoint).await?)
     }
 }
 
@@ -76,11 +76,11 @@
 }
 
 impl DatastoreArg {
-    fn to_store(self) -> Store {
+    fn to_datastore(self) -> Datastore {
         match self {
-            DatastoreArg::Running => Store::Running,
-            DatastoreArg::Candidate => Store::Candidate,
-            DatastoreArg::Startup => Store::Startup,
+            DatastoreArg::Running => Datastore::Running,
+            DatastoreArg::Candidate => Datastore::Candidate,
+            DatastoreArg::Startup => Datastore::Startup,
         }
     }
 }
@@ -182,10 +182,10 @@
             ConfigCommand::Edit { file, .. } => Some(edit_content(&read_text(file)?)?),
             _ => None,
         };
-        let mut client = connection.dial().await?;
+        let mut client = connection.connect().await?;
         match self {
             ConfigCommand::Get { store, output } => {
-                let reply = client.get_config(store.to_store(), None).await?;
+                let reply = client.get_config(store.to_datastore(), None).await?;
                 print_data(reply, &output)?;
             }
             ConfigCommand::Edit { default_operation, no_commit, confirmed, .. } => {
@@ -211,7 +211,7 @@
                     commit(&mut client, ConfirmedCommitArgs { confirm: None, persist: None }, None).await?;
                 }
             }
-            ConfigCommand::Save => client.copy(Store::Running, Store::Startup).await?,
+            ConfigCommand::Save => client.copy(Datastore::Running, Datastore::Startup).await?,
         }
         Ok(client.close().await?)
     }
@@ -225,12 +225,12 @@
     persist_id: Option<String>,
 ) -> Result<(), CommandError> {
     let ConfirmedCommitArgs { confirm, persist } = confirmed;
-    let result = client.commit(&Commit { confirm_within: confirm, persist, persist_id }).await;
-    if let Err(failed) = result {
-        if !failed.refusals().is_empty() {
+    let result = client.commit(&Commit { confirm_timeout_s: confirm, persist, persist_id }).await;
+    if let Err(error) = result {
+        if !error.rpc_errors().is_empty() {
             _ = client.discard().await;
         }
-        return Err(failed.into());
+        return Err(error.into());
     }
     Ok(())
 }
@@ -247,7 +247,7 @@
 }
 
 async fn read_datastore(client: &mut Client, datastore: DatastoreArg) -> Result<Data, CommandError> {
-    let reply = client.get_config(datastore.to_store(), None).await?;
+    let reply = client.get_config(datastore.to_datastore(), None).await?;
     let schema = schema();
     let drafts = xml::drafts(&schema, &reply.0, false).and_then(|drafts| Data::from_drafts(&schema, &drafts));
     drafts.map_err(|fault| {
@@ -321,7 +321,7 @@
 
 /// Prints the state of a running manager.
 pub async fn print_state(connection: &ConnectionArgs, output: &OutputArgs) -> Result<(), CommandError> {
-    let mut client = connection.dial().await?;
+    let mut client = connection.connect().await?;
     let reply = client.get(Some("<state xmlns=\"tag:juniperrail.example,2026:yang:state\"/>")).await?;
     print_data(reply, output)?;
     Ok(client.close().await?)
@@ -329,10 +329,10 @@
 
 /// Prints notifications of a running manager, one JSON object per line.
 pub async fn watch(connection: &ConnectionArgs, events: Option<u64>) -> Result<(), CommandError> {
-    let mut client = connection.dial().await?;
+    let mut client = connection.connect().await?;
     client.subscribe(None).await?;
     for _ in 0..events.unwrap_or(u64::MAX) {
-        let notification = client.notification().await?;
+        let notification = client.next_notification().await?;
         let mut line = serde_json::Map::new();
         for child in &notification.children {
             line.insert(child.name.clone(), element_to_json(child));
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use juniperrail::Planner;
-use juniperrail_fleet::{Common, Parts};
+use juniperrail_fleet::{FleetHandle, ZoneWeightRatios};
 use juniperrail_intent::{ChangeTracker, Intent};
 use juniperrail_interface::{Event, ListKind, Ms, Phase, Settings, WorkerId};
 use juniperrail_northbound::{Notice, PlannerRequest};
@@ -24,10 +24,10 @@
 use crate::fleet::EvidenceCollector;
 use crate::inbound::Inbound;
 use crate::launch::Launch;
-use crate::limiter::Zones;
+use crate::limiter::KnownZones;
 use crate::plane::Plane;
 use crate::presence::Presence;
-use crate::probes::{Found, Probes};
+use crate::probes::{ProbeResult, ProbeService};
 use crate::roster::Roster;
 use crate::tally::Tally;
 
@@ -44,9 +44,9 @@
 const PROGRESS_CHECK_EVERY: Ms = 5.0;
 
 /// The ways to and from the north, where there is one.
-pub struct North {
+pub struct NorthboundChannels {
     /// Requests that are answered in the turn in which they are taken.
-    pub asks: mpsc::Receiver<PlannerRequest>,
+    pub requests: mpsc::Receiver<PlannerRequest>,
     /// What is told without being asked for.
     pub notices: mpsc::Sender<Notice>,
 }
@@ -79,25 +79,25 @@
     failed: (u32, Ms),
     /// Who leaves and since when that was told, for as long as it may be owed.
     leaving: BTreeMap<WorkerId, Ms>,
-    probes: Probes,
+    probes: ProbeService,
     inbound: mpsc::WeakSender<Inbound>,
     resync: Rc<Notify>,
-    north: Option<North>,
+    north: Option<NorthboundChannels>,
     /// Who may come from where, for whoever takes connections.
-    zones: Rc<Zones>,
+    zones: Rc<KnownZones>,
     /// What is decided in common, and what is told of it.
-    fleet: Option<(Common, EvidenceCollector)>,
+    fleet: Option<(FleetHandle, EvidenceCollector)>,
 }
 
 impl Decider {
     /// Decides on the list as last held, and on what the operator's file wants, before anything comes in.
     pub fn new(
         launch: Launch,
-        probes: Probes,
+        probes: ProbeService,
         inbound: &mpsc::Sender<Inbound>,
         resync: Rc<Notify>,
-        north: Option<North>,
-        zones: Rc<Zones>,
+        north: Option<NorthboundChannels>,
+        zones: Rc<KnownZones>,
     ) -> Self {
         let (clock, start, names) = (Clock::start(), launch.fixed.settings, launch.names);
         let operation = |op| names.ops.name(op as u32).to_string();
@@ -143,7 +143,7 @@
     }
 
     /// What is decided in common with other managers is part of the state from now on.
-    pub fn in_common(self, fleet: Option<Common>) -> Self {
+    pub fn with_fleet(self, fleet: Option<FleetHandle>) -> Self {
         Decider { fleet: fleet.map(|common| (common, EvidenceCollector::default())), ..self }
     }
 
@@ -197,13 +197,13 @@
                 let event = self.roster.apply_list(&listing, kind, &mut self.names);
                 self.apply_list(event);
             }
-            Inbound::Joined { stream, hello, orders } => self.join(stream, hello, orders),
+            Inbound::Joined { stream, hello, outbox } => self.join(stream, hello, outbox),
             Inbound::Ended(stream, why) => {
                 why.into_iter().for_each(|why| self.tally.broke.add(why));
                 let left = self.presence.proxy_of(stream);
                 left.into_iter().for_each(|proxy| self.leave(proxy));
             }
-            Inbound::Said(from, report) => match self.report(from, report) {
+            Inbound::Reported(from, report) => match self.report(from, report) {
                 Ok(event) => self.events.push(event),
                 Err(why) => {
                     tracing::debug!("passed over: {why}");
@@ -211,8 +211,8 @@
                 }
             },
             Inbound::Rejected(why) => self.tally.away.add(why),
-            Inbound::Probed(worker, Found { ending, took, load }) => {
-                self.events.push(Event::Probed { worker, outcome: ending, took, load });
+            Inbound::Probed(worker, ProbeResult { outcome, latency, load }) => {
+                self.events.push(Event::Probed { worker, outcome, took: latency, load });
             }
         }
     }
@@ -227,7 +227,7 @@
                     Phase::Ready => _ = self.leaving.remove(&listed.worker),
                     Phase::Draining | Phase::Gone => _ = self.leaving.entry(listed.worker).or_insert(now),
                 }
-                self.zones.name(self.names.zones.name(listed.zone.0.into()));
+                self.zones.add(self.names.zones.name(listed.zone.0.into()));
             }
         }
         self.events.push(event);
@@ -235,9 +235,9 @@
 }
 
 /// The north's next ask; never where there is no north, or none any more.
-async fn next_ask(north: &mut Option<North>) -> PlannerRequest {
+async fn next_ask(north: &mut Option<NorthboundChannels>) -> PlannerRequest {
     let Some(known) = north else { return std::future::pending().await };
-    match known.asks.recv().await {
+    match known.requests.recv().await {
         Some(ask) => ask,
         None => {
             *north = None;
@@ -247,9 +247,9 @@
 }
 
 /// The next plan in common; never where nothing is decided in common.
-async fn next_plan(fleet: &mut Option<(Common, EvidenceCollector)>) -> Arc<Parts> {
+async fn next_plan(fleet: &mut Option<(FleetHandle, EvidenceCollector)>) -> Arc<ZoneWeightRatios> {
     match fleet {
-        Some((common, _)) => common.next().await,
+        Some((common, _)) => common.next_weight_ratios().await,
         None => std::future::pending().await,
     }
 }
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use juniperrail_consensus::{Health, MemberId, RaftConfig, Reach, RecoveryState, SwimConfig};
 use juniperrail_failover::{Evidence, EvidenceAccumulator, Zone};
-use juniperrail_fleet::{Common, Setting};
+use juniperrail_fleet::{FleetConfig, FleetHandle};
 use juniperrail_interface::{Ms, Phase, Settings, WorkerEntry};
 use juniperrail_model::{Data, Schema, View};
 use juniperrail_northbound::{FleetState, OperatorFile, ScheduleState};
@@ -37,7 +37,7 @@
     data: &Data,
     seed: u64,
     settings: &Settings,
-) -> Result<Option<Setting>, String> {
+) -> Result<Option<FleetConfig>, String> {
     let data = data.with_defaults(schema);
     let fleet = View::new(schema, &data).inner("fleet");
     if !fleet.is_there() {
@@ -51,9 +51,12 @@
         (MemberId(integer(view, "number") as u16), view.text("address").unwrap_or_default().to_string())
     };
     let members: BTreeMap<MemberId, String> = fleet.entries("member-of").iter().map(member).collect();
-    let me = MemberId(integer(&fleet, "member") as u16);
-    if !members.contains_key(&me) {
-        return Err(error_at("/member", &format!("{} is not among the managers listed as member-of", me.0)));
+    let member_id = MemberId(integer(&fleet, "member") as u16);
+    if !members.contains_key(&member_id) {
+        return Err(error_at(
+            "/member",
+            &format!("{} is not among the managers listed as member-of", member_id.0),
+        ));
     }
     for (id, address) in &members {
         if address.parse::<SocketAddr>().is_err() {
@@ -102,27 +105,27 @@
         );
         return Err(error_at("/failover/plan-lease", &reason));
     }
-    Ok(Some(Setting {
+    Ok(Some(FleetConfig {
         failover: failover.is_there().then_some(juniperrail_failover::FailoverConfig {
             report_period: report_period_ms,
             max_transit: max_transit_ms,
             plan_lease: plan_lease_ms,
         }),
-        me,
-        fleet: fleet.text("name").unwrap_or_default().to_string(),
+        member_id,
+        fleet_name: fleet.text("name").unwrap_or_default().to_string(),
         listen,
-        store: file.resolve(fleet.text("store").unwrap_or_default()),
-        limits: Limits::default(),
+        store_path: file.resolve(fleet.text("store").unwrap_or_default()),
+        store_limits: Limits::default(),
         members,
         generation: integer(&fleet, "generation"),
-        figures: RaftConfig {
+        raft: RaftConfig {
             heartbeat_interval_ms: heartbeat_ms,
             election_timeout_ms: election_ms,
             max_clock_drift_ratio: decimal("drift"),
             max_entries_per_message: MAX_ENTRIES_PER_MESSAGE,
             max_uncommitted_entries: MAX_UNCOMMITTED_ENTRIES,
         },
-        sight: SwimConfig {
+        swim: SwimConfig {
             // This is the report period: the file's probe-period is only checked against the probe time-out above.
             probe_period_ms: report_period_ms,
             probe_timeout_ms,
@@ -131,7 +134,7 @@
         },
         schedules,
         seed,
-        entries: integer(&fleet, "entries") as usize,
+        max_log_entries: integer(&fleet, "entries") as usize,
     }))
 }
 
@@ -186,8 +189,8 @@
 }
 
 /// The fleet's state, in the words of the YANG model.
-pub fn state(common: &Common) -> FleetState {
-    let status = common.seen();
+pub fn state(handle: &FleetHandle) -> FleetState {
+    let status = handle.status();
     let outcome_name = |outcome: OccurrenceOutcome| match outcome {
         OccurrenceOutcome::Succeeded => "succeeded",
         OccurrenceOutcome::Failed => "failed",
@@ -217,29 +220,29 @@
         juniperrail_failover::ZoneHealth::Lost => "lost",
     };
     FleetState {
-        member: status.me.0,
+        member: status.member_id.0,
         role: if status.role.is_empty() { "follower" } else { status.role },
         leader: status.leader.map(|leader| leader.0),
         term: status.term.0,
-        recovery_state: match status.standing {
+        recovery_state: match status.recovery_state {
             None | Some(RecoveryState::Empty) => "fresh",
             Some(RecoveryState::Verifying { .. }) => "settling",
             Some(RecoveryState::Recovering { .. }) => "doubtful",
             Some(RecoveryState::Ready) => "whole",
         },
-        committed: status.committed.0,
+        committed: status.commit_index.0,
         store_failing: status.store_failing,
-        store_size: status.store_size,
+        store_size: status.store_bytes,
         plan: status.plan.version,
-        plan_lease_expired: status.plan_lapsed,
+        plan_lease_expired: status.plan_lease_expired,
         zones: status
             .plan
             .shares
             .iter()
             .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, reason_name(share.reason)))
             .collect(),
-        messages_lost: status.lost,
-        own_health: status.own_health,
+        messages_lost: status.messages_lost,
+        own_health: status.local_health,
         members: status
             .members
             .iter()
@@ -250,12 +253,12 @@
             .iter()
             .map(|schedule| ScheduleState {
                 name: schedule.name.clone(),
-                through: schedule.through,
-                open: schedule.open,
-                finished: schedule.ends,
-                skipped: schedule.passed,
+                through: schedule.decided_through,
+                open: schedule.open_count,
+                finished: schedule.ended_count,
+                skipped: schedule.skipped_count,
                 last: schedule
-                    .last
+                    .last_ended
                     .as_ref()
                     .map(|ended| (ended.due_ms, outcome_name(ended.outcome), ended.owner.0)),
             })
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -15,7 +15,7 @@
 use serde_json::Value;
 
 use crate::listing::Listing;
-use crate::presence::Patience;
+use crate::presence::SilenceTimeouts;
 use crate::scope_filter::ScopeFilter;
 use crate::subscription::Subscription;
 
@@ -30,7 +30,7 @@
     /// Names of the zones in the settings; the list can add others.
     pub(crate) zones: Vec<String>,
     /// A stream that has not answered within these time-outs is considered lost.
-    pub(crate) silence_timeouts: Patience,
+    pub(crate) silence_timeouts: SilenceTimeouts,
     /// The operator's file, unless it is absent or empty.
     pub(crate) operator_config: Option<OperatorConfig>,
     /// Which part of the list is needed, and the relays to take it from.
@@ -46,7 +46,7 @@
     pub data: Data,
     pub intent: Intent,
     /// Consensus with other managers; `None` where the file does not configure it.
-    pub fleet: Option<juniperrail_fleet::Setting>,
+    pub fleet: Option<juniperrail_fleet::FleetConfig>,
 }
 
 /// Upper limit of each duration in the settings: one day.
@@ -176,9 +176,10 @@
                 .map_err(|_| format!("the seed is not a 64-bit hexadecimal number: {:?}", file.seed))?,
             cached_list: file.known,
             // Within this time an answer is due, or at least the periodic report of a slow proxy.
-            silence_timeouts: Patience {
-                answer: fixed.settings.report_period + fixed.settings.max_transit,
-                queue: fixed.settings.max_pending_lines * 1000.0 / fixed.settings.channel_rate.max(1.0),
+            silence_timeouts: SilenceTimeouts {
+                answer_timeout: fixed.settings.report_period + fixed.settings.max_transit,
+                queue_drain_time: fixed.settings.max_pending_lines * 1000.0
+                    / fixed.settings.channel_rate.max(1.0),
             },
             fixed,
             names,
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -42,7 +42,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use juniperrail_fleet::{Bound, Fleet, Setting};
+use juniperrail_fleet::{Fleet, FleetConfig, FleetListener};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, Notify};
 use tokio::task::LocalSet;
@@ -135,26 +135,26 @@
         // A worker whose answer takes longer than the strictest latency objective counts as not answering.
         let answer_timeout =
             Duration::from_secs_f64(latency_objectives.fold(MAX_PROBE_ANSWER_MS, f64::min) / 1000.0);
-        let zones = Rc::<limiter::Zones>::default();
+        let zones = Rc::<limiter::KnownZones>::default();
         let proxy_count = fixed.settings.proxy_count as u16;
-        launch.zones.iter().for_each(|zone| zones.name(zone));
+        launch.zones.iter().for_each(|zone| zones.add(zone));
         let budget = limiter::Budget::new(fixed.max_sockets, proxy_count.into(), launch.zones.len());
-        let probes = probes::probes(fixed.dial_timeout, answer_timeout, budget.probes);
+        let probes = probes::probe_service(fixed.dial_timeout, answer_timeout, budget.probes);
         let watch = discovery::Watch::new(&mut launch, reloader.discovery(), inbound.clone());
         let context = Rc::new(streams::AcceptorContext {
             inbound: inbound.clone(),
-            proxies: proxy_count,
+            proxy_count,
             zones: zones.clone(),
             unidentified: limiter::ConnectionLimiter::new(budget.unidentified),
             collectors: limiter::ConnectionLimiter::new(budget.collectors),
-            last: Default::default(),
-            open: Default::default(),
-            most: budget.open,
+            last_stream_id: Default::default(),
+            open_count: Default::default(),
+            max_open: budget.open,
         });
         // Dropping the stop handle ends the northbound thread.
         let (northbound, _stop_northbound) = northbound.map(north::Northbound::start).unzip();
         let decider = decider::Decider::new(launch, probes, &inbound, resync.clone(), northbound, zones)
-            .in_common(fleet.as_ref().map(|fleet| fleet.common()));
+            .with_fleet(fleet.as_ref().map(|fleet| fleet.handle()));
         drop(inbound);
         tracing::info!("{} serves on {address}", fixed.name);
         tracing::debug!("of {} descriptors beside {proxy_count} proxies: {budget:?}", fixed.max_sockets);
@@ -170,14 +170,14 @@
 }
 
 /// Joins the fleet: the managers that decide together by consensus.
-async fn join_fleet(setting: Setting) -> Result<Fleet, String> {
-    let listen = setting.listen;
+async fn join_fleet(config: FleetConfig) -> Result<Fleet, String> {
+    let listen = config.listen;
     // A predecessor that hands over its leadership keeps this address until that is done.
     let listener = listening::listen(listen, MIN_BACKLOG).await.and_then(TcpListener::into_std);
     let listener = listener
         .map_err(|error| format!("cannot listen on {listen} for connections from other managers: {error}"))?;
-    let bound = Bound::new(setting, listener);
-    let address = bound.address().map(|address| address.to_string()).unwrap_or_default();
+    let fleet_listener = FleetListener::new(config, listener);
+    let address = fleet_listener.address().map(|address| address.to_string()).unwrap_or_default();
     tracing::info!("fleet: accepting connections from other managers on {address}");
-    bound.start()
+    fleet_listener.start()
 }
--- a/crates/manager/src/north.rs
+++ b/crates/manager/src/north.rs
@@ -10,7 +10,7 @@
 use juniperrail_northbound::{DatastoreManager, NOTICE_QUEUE_CAPACITY, REQUEST_QUEUE_CAPACITY};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::decider::North;
+use crate::decider::NorthboundChannels;
 use crate::launch::Launch;
 
 /// Priority of this thread: the lowest, so that the decider's thread comes first where they share a core.
@@ -49,7 +49,7 @@
     }
 
     /// Serves on a thread of its own until the returned sender is dropped. A panic there ends only the northbound interface.
-    pub fn start(self) -> (North, oneshot::Sender<()>) {
+    pub fn start(self) -> (NorthboundChannels, oneshot::Sender<()>) {
         let Northbound { listeners, datastore_manager, requests } = self;
         let (notices, notice_receiver) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
         let (stop, stop_receiver) = oneshot::channel::<()>();
@@ -72,6 +72,6 @@
         if let Err(error) = thread::Builder::new().name("north".into()).spawn(serve) {
             tracing::error!("NETCONF is not served: {error}");
         }
-        (North { asks: requests, notices }, stop)
+        (NorthboundChannels { requests, notices }, stop)
     }
 }
--- a/crates/manager/tests/north.rs
+++ b/crates/manager/tests/north.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use juniperrail_client::{Client, Commit, Dial, Failed, Reached, Reason, Store};
+use juniperrail_client::{Client, ClientError, Commit, Datastore, Endpoint, ErrorKind, Stage};
 use juniperrail_manager::{Launch, Manager};
 use juniperrail_model::xml::Element;
 use juniperrail_standins::{entry, list, Authority, Discovery, Limits, Proxies, Rules, SshKeys, SETTINGS};
@@ -97,13 +97,13 @@
         RunningManager { address, ssh: ssh.unwrap(), tls: tls.unwrap(), _stop: stop }
     }
 
-    fn ssh(&self, manager: &RunningManager, user: &str) -> Dial {
+    fn ssh(&self, manager: &RunningManager, user: &str) -> Endpoint {
         let key = &self.keys.iter().find(|(name, ..)| *name == user).unwrap().2.private;
-        Dial::ssh(manager.ssh.to_string(), user, key).trusting_host(&self.host.public)
+        Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&self.host.public)
     }
 
-    async fn dial(&self, manager: &RunningManager, user: &str) -> Client {
-        Client::dial(&self.ssh(manager, user)).await.unwrap()
+    async fn connect(&self, manager: &RunningManager, user: &str) -> Client {
+        Client::connect(&self.ssh(manager, user)).await.unwrap()
     }
 }
 
@@ -139,7 +139,7 @@
     format!("<workers xmlns=\"{MANAGER}\"><worker><name>{name}</name>{body}</worker></workers>")
 }
 
-async fn edit_and_commit(client: &mut Client, config: &str) -> Result<(), Failed> {
+async fn edit_and_commit(client: &mut Client, config: &str) -> Result<(), ClientError> {
     client.edit(config).await?;
     let result = client.commit(&Commit::default()).await;
     if result.is_err() {
@@ -149,7 +149,7 @@
 }
 
 async fn read_weight(client: &mut Client, name: &str) -> Option<String> {
-    let running = client.get_config(Store::Running, None).await.unwrap();
+    let running = client.get_config(Datastore::Running, None).await.unwrap();
     let workers = running.find(&["workers"])?;
     let worker =
         workers.children.iter().find(|worker| worker.children.iter().any(|leaf| leaf.text == name))?;
@@ -183,8 +183,8 @@
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 6, &["a", "b"], rules());
         proxies.until("tables", |rules| (0..6).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut client = env.dial(&manager, "bob").await;
-        let mut subscriber = env.dial(&manager, "ann").await;
+        let mut client = env.connect(&manager, "bob").await;
+        let mut subscriber = env.connect(&manager, "ann").await;
         subscriber.subscribe(None).await.unwrap();
         proxies.rules(|rules| rules.leaves("s-1", 0.0));
         proxies.rules(|rules| rules.returns("s-1"));
@@ -195,7 +195,7 @@
         // The event of the change comes first, then the one that all proxies have applied it.
         let mut events = Vec::new();
         while events.last() != Some(&"change-held".to_string()) {
-            let notification = timeout(WAIT_TIMEOUT, subscriber.notification()).await.unwrap().unwrap();
+            let notification = timeout(WAIT_TIMEOUT, subscriber.next_notification()).await.unwrap().unwrap();
             events.push(notification.children[1].name.clone());
         }
         assert!(events.contains(&"netconf-config-change".to_string()), "{events:?}");
@@ -231,7 +231,7 @@
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 4, &["a", "b"], rules());
         proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut client = env.dial(&manager, "bob").await;
+        let mut client = env.connect(&manager, "bob").await;
         let all = |body: &str| WORKERS.map(|(name, _)| worker(name, body)).concat();
         for (config, tag, path) in [
             (all("<wanted>draining</wanted>"), "no-ready-worker", "/jrm:workers"),
@@ -253,12 +253,12 @@
                 "/jrm:workers/worker[name='s-9']/place/zone",
             ),
         ] {
-            let failed = edit_and_commit(&mut client, &config).await.unwrap_err();
-            let refusal = &failed.refusals()[0];
+            let error = edit_and_commit(&mut client, &config).await.unwrap_err();
+            let refusal = &error.rpc_errors()[0];
             assert_eq!(
                 (refusal.app_tag.as_deref(), refusal.path.as_deref()),
                 (Some(tag), Some(path)),
-                "{failed}"
+                "{error}"
             );
             assert_eq!(refusal.tag, "operation-failed");
         }
@@ -266,8 +266,8 @@
         for (name, _) in &WORKERS[..3] {
             edit_and_commit(&mut client, &worker(name, "<wanted>draining</wanted>")).await.unwrap();
         }
-        let failed = edit_and_commit(&mut client, &worker("s-4", "<weight>0</weight>")).await.unwrap_err();
-        assert!(failed.to_string().contains("lookup would have no ready, warm worker"), "{failed}");
+        let error = edit_and_commit(&mut client, &worker("s-4", "<weight>0</weight>")).await.unwrap_err();
+        assert!(error.to_string().contains("lookup would have no ready, warm worker"), "{error}");
         proxies.until("only s-4 is left", |rules| (0..4).all(|proxy| rules.holds(proxy).keys().eq(["s-4"])));
         // A worker that discovery lists as gone stays removed, even if a commit wants it ready, until discovery lists it again.
         env.discovery.tell(&list(2, false, &[entry("s-1", "a", "127.0.0.1:9", "gone")]));
@@ -300,8 +300,8 @@
         let slow_proxies = Proxies::start(slow.address, 4, 4, &["a", "b"], rules());
         quick_proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
         slow_proxies.until("tables", |rules| (4..8).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut quick_client = env.dial(&quick, "bob").await;
-        let mut slow_client = env.dial(&slow, "bob").await;
+        let mut quick_client = env.connect(&quick, "bob").await;
+        let mut slow_client = env.connect(&slow, "bob").await;
         slow_proxies.stall(true);
         for client in [&mut quick_client, &mut slow_client] {
             edit_and_commit(client, &worker("s-2", "<wanted>draining</wanted>")).await.unwrap();
@@ -340,25 +340,25 @@
         let env = TestEnvironment::new("confirmed");
         let file = env.write_operator_file("operator.xml", "", "");
         let manager = env.start_manager(&file);
-        let mut other = env.dial(&manager, "ann").await;
-        let mut client = env.dial(&manager, "bob").await;
+        let mut other = env.connect(&manager, "ann").await;
+        let mut client = env.connect(&manager, "bob").await;
         let confirm = |seconds, persist: Option<&str>| Commit {
-            confirm_within: Some(seconds),
+            confirm_timeout_s: Some(seconds),
             persist: persist.map(str::to_string),
             persist_id: None,
         };
         client.edit(&worker("s-1", "<weight>2</weight>")).await.unwrap();
         client.commit(&confirm(600, None)).await.unwrap();
         assert_eq!(read_weight(&mut other, "s-1").await.as_deref(), Some("2.0"));
-        let failed = other.commit(&Commit::default()).await.unwrap_err();
-        assert_eq!(failed.refusals()[0].tag, "in-use");
+        let error = other.commit(&Commit::default()).await.unwrap_err();
+        assert_eq!(error.rpc_errors()[0].tag, "in-use");
         // Another session locks the candidate in the meantime.
-        other.lock(Store::Candidate).await.unwrap();
-        assert_eq!(other.lock(Store::Running).await.unwrap_err().refusals()[0].tag, "lock-denied");
+        other.lock(Datastore::Candidate).await.unwrap();
+        assert_eq!(other.lock(Datastore::Running).await.unwrap_err().rpc_errors()[0].tag, "lock-denied");
         drop(client);
         while read_weight(&mut other, "s-1").await.is_some() {}
-        other.unlock(Store::Candidate).await.unwrap();
-        let mut client = env.dial(&manager, "bob").await;
+        other.unlock(Datastore::Candidate).await.unwrap();
+        let mut client = env.connect(&manager, "bob").await;
         client.edit(&worker("s-1", "<weight>3</weight>")).await.unwrap();
         client.commit(&confirm(1, Some("night"))).await.unwrap();
         client.close().await.unwrap();
@@ -372,17 +372,17 @@
         // does not.
         other.edit(&worker("s-1", "<weight>4</weight>")).await.unwrap();
         other.commit(&confirm(600, Some("day"))).await.unwrap();
-        let mut client = env.dial(&manager, "bob").await;
+        let mut client = env.connect(&manager, "bob").await;
         let day = Commit { persist_id: Some("day".into()), ..Commit::default() };
         client.commit(&day).await.unwrap();
         client.edit(&worker("s-1", "<weight>5</weight>")).await.unwrap();
-        let saved = client.copy(Store::Running, Store::Startup).await;
+        let saved = client.copy(Datastore::Running, Datastore::Startup).await;
         assert_eq!(saved, Ok(()));
         client.commit(&confirm(600, Some("late"))).await.unwrap();
         assert_eq!(read_weight(&mut client, "s-1").await.as_deref(), Some("5.0"));
         drop((manager, client, other));
         let restarted = env.start_manager(&file);
-        let mut client = env.dial(&restarted, "bob").await;
+        let mut client = env.connect(&restarted, "bob").await;
         assert_eq!(read_weight(&mut client, "s-1").await.as_deref(), Some("4.0"));
     });
 }
@@ -394,11 +394,11 @@
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 2, &["a", "b"], rules());
         proxies.until("tables", |rules| (0..2).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut client = env.dial(&manager, "ann").await;
+        let mut client = env.connect(&manager, "ann").await;
         edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
         client.edit(&worker("s-1", "<wanted>follow</wanted>")).await.unwrap();
         let persist = Some("night".to_string());
-        client.commit(&Commit { confirm_within: Some(5), persist, persist_id: None }).await.unwrap();
+        client.commit(&Commit { confirm_timeout_s: Some(5), persist, persist_id: None }).await.unwrap();
         // s-1 must be back before the others drain: a worker that drains without a replacement is removed when its grace
         // ends.
         proxies.until("s-1 is back", |rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1")));
@@ -445,11 +445,11 @@
         let manager = env.start_manager(&env.write_operator_file("operator.xml", &tls.concat(), ""));
         let over_tls = |certificate: &Path, key: &Path| {
             let authorities = &env.authority.certificate;
-            Dial::tls(manager.tls.to_string(), "manager.example", authorities, certificate, key)
+            Endpoint::tls(manager.tls.to_string(), "manager.example", authorities, certificate, key)
         };
-        let mut bob = Client::dial(&over_tls(&bob_certificate, &bob_key)).await.unwrap();
+        let mut bob = Client::connect(&over_tls(&bob_certificate, &bob_key)).await.unwrap();
         edit_and_commit(&mut bob, &worker("s-1", "<weight>2</weight>")).await.unwrap();
-        let mut ann = Client::dial(&over_tls(&ann_certificate, &ann_key)).await.unwrap();
+        let mut ann = Client::connect(&over_tls(&ann_certificate, &ann_key)).await.unwrap();
         let sessions = ann.get(Some("<netconf-state xmlns=\"urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring\"><sessions/></netconf-state>"));
         let sessions = sessions.await.unwrap();
         let users: Vec<&str> = descendants(&sessions.0[0], &["sessions", "session"])
@@ -463,32 +463,32 @@
             (&unmapped_certificate, &unmapped_key),
             (&forged_certificate, &forged_key),
         ] {
-            let failed = Client::dial(&over_tls(certificate, key)).await.map(|_| ()).unwrap_err();
-            assert!(failed.reached != Reached::Answered, "{failed}");
+            let error = Client::connect(&over_tls(certificate, key)).await.map(|_| ()).unwrap_err();
+            assert!(error.stage != Stage::Replied, "{error}");
         }
         // An unknown key, an unknown user, and a wrong host key.
         let mallory = SshKeys::write(&env.folder, "mallory", 66);
         for (user, key) in [("ann", &mallory.private), ("mallory", &mallory.private)] {
-            let dial = Dial::ssh(manager.ssh.to_string(), user, key).trusting_host(&env.host.public);
-            let failed = Client::dial(&dial).await.map(|_| ()).unwrap_err();
-            assert!(matches!(failed.reason, Reason::NotTrusted(_)), "{failed}");
+            let endpoint = Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&env.host.public);
+            let error = Client::connect(&endpoint).await.map(|_| ()).unwrap_err();
+            assert!(matches!(error.kind, ErrorKind::Authentication(_)), "{error}");
         }
-        let other_host = env.ssh(&manager, "ann").trusting_host(&mallory.public);
-        let failed = Client::dial(&other_host).await.map(|_| ()).unwrap_err();
-        assert!(matches!(failed.reason, Reason::NotTrusted(_)), "{failed}");
+        let other_host = env.ssh(&manager, "ann").with_host_key(&mallory.public);
+        let error = Client::connect(&other_host).await.map(|_| ()).unwrap_err();
+        assert!(matches!(error.kind, ErrorKind::Authentication(_)), "{error}");
         // A reader can read part of the configuration and change nothing.
-        let mut eve = env.dial(&manager, "eve").await;
-        let running = eve.get_config(Store::Running, None).await.unwrap();
+        let mut eve = env.connect(&manager, "eve").await;
+        let running = eve.get_config(Datastore::Running, None).await.unwrap();
         assert!(running.find(&["workers"]).is_some() && running.find(&["northbound"]).is_none());
-        let failed = eve.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap_err();
-        let refusal = &failed.refusals()[0];
+        let error = eve.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap_err();
+        let refusal = &error.rpc_errors()[0];
         assert_eq!(refusal.tag, "access-denied");
         assert_eq!(refusal.path.as_deref(), Some("/jrm:workers/worker[name='s-1']/weight"));
         for refused in
-            [eve.lock(Store::Running).await, eve.discard().await, eve.commit(&Commit::default()).await]
+            [eve.lock(Datastore::Running).await, eve.discard().await, eve.commit(&Commit::default()).await]
         {
             assert_eq!(
-                refused.unwrap_err().refusals()[0].tag,
+                refused.unwrap_err().rpc_errors()[0].tag,
                 "access-denied",
                 "a reader must not block other sessions"
             );
@@ -496,22 +496,22 @@
         let promote_bob = format!(
             "<northbound xmlns=\"{MANAGER}\"><user><name>bob</name><role>admin</role></user></northbound>"
         );
-        assert_eq!(bob.edit(&promote_bob).await.unwrap_err().refusals()[0].tag, "access-denied");
+        assert_eq!(bob.edit(&promote_bob).await.unwrap_err().rpc_errors()[0].tag, "access-denied");
         // An admin's change of users applies at once to new sessions.
         let delete_eve = format!(
             "<northbound xmlns=\"{MANAGER}\" xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
              <user n:operation=\"delete\"><name>eve</name></user></northbound>"
         );
         edit_and_commit(&mut ann, &delete_eve).await.unwrap();
-        assert!(Client::dial(&env.ssh(&manager, "eve")).await.is_err());
+        assert!(Client::connect(&env.ssh(&manager, "eve")).await.is_err());
         let kill =
             Element::new("urn:ietf:params:xml:ns:netconf:base:1.0", "kill-session").with(Element::with_text(
                 "urn:ietf:params:xml:ns:netconf:base:1.0",
                 "session-id",
-                eve.session.to_string(),
+                eve.session_id.to_string(),
             ));
         ann.rpc(kill).await.unwrap();
-        assert!(eve.get_config(Store::Running, None).await.is_err(), "the session is closed");
+        assert!(eve.get_config(Datastore::Running, None).await.is_err(), "the session is closed");
     });
 }
 
@@ -520,8 +520,8 @@
     run(async {
         let env = TestEnvironment::new("malformed");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
-        let mut other_client = env.dial(&manager, "bob").await;
-        let before = other_client.get_config(Store::Running, None).await.unwrap();
+        let mut other_client = env.connect(&manager, "bob").await;
+        let before = other_client.get_config(Datastore::Running, None).await.unwrap();
         let rpc = |body: &str| {
             format!("<rpc message-id=\"7\" xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">{body}</rpc>")
         };
@@ -530,7 +530,7 @@
         };
         let chunked = |text: &str| format!("\n#{}\n{text}\n##\n", text.len());
         // Each gets an error, and the session stays open.
-        let mut client = env.dial(&manager, "bob").await;
+        let mut client = env.connect(&manager, "bob").await;
         for (message, tag) in [
             ("<rpc".to_string(), "malformed-message"),
             (rpc("<get>"), "malformed-message"),
@@ -567,28 +567,28 @@
             ),
         ] {
             client.send_raw(chunked(&message).as_bytes()).await.unwrap();
-            let failed = client.reply().await.unwrap_err();
+            let error = client.read_reply().await.unwrap_err();
             assert_eq!(
-                failed.refusals().first().map(|refusal| refusal.tag.as_str()),
+                error.rpc_errors().first().map(|refusal| refusal.tag.as_str()),
                 Some(tag),
-                "{message:.200}: {failed}"
+                "{message:.200}: {error}"
             );
         }
         client.send_raw(chunked("<a>\u{1}").as_bytes()).await.unwrap();
-        assert_eq!(client.reply().await.unwrap_err().refusals()[0].tag, "malformed-message");
+        assert_eq!(client.read_reply().await.unwrap_err().rpc_errors()[0].tag, "malformed-message");
         client.send_raw(b"\n#4\n<a>\xff\n##\n").await.unwrap();
-        assert_eq!(client.reply().await.unwrap_err().refusals()[0].tag, "malformed-message");
+        assert_eq!(client.read_reply().await.unwrap_err().rpc_errors()[0].tag, "malformed-message");
         // Errors of the message framing close the session, and no other.
         for invalid_frame in
             [&b"\n#0\n"[..], b"\n#4294967295\n", b"\n#99999999999\n", b"<rpc>]]>]]>", b"\n##\n"]
         {
-            let mut client = env.dial(&manager, "bob").await;
+            let mut client = env.connect(&manager, "bob").await;
             client.send_raw(invalid_frame).await.unwrap();
-            let end = timeout(WAIT_TIMEOUT, client.reply()).await.expect("the session was not closed");
-            assert!(matches!(end.unwrap_err().reason, Reason::Lost(_)));
+            let end = timeout(WAIT_TIMEOUT, client.read_reply()).await.expect("the session was not closed");
+            assert!(matches!(end.unwrap_err().kind, ErrorKind::ConnectionLost(_)));
         }
-        assert_eq!(other_client.get_config(Store::Running, None).await.unwrap(), before);
-        assert_eq!(other_client.get_config(Store::Candidate, None).await.unwrap(), before);
+        assert_eq!(other_client.get_config(Datastore::Running, None).await.unwrap(), before);
+        assert_eq!(other_client.get_config(Datastore::Candidate, None).await.unwrap(), before);
     });
 }
 
@@ -653,20 +653,20 @@
         // without a hello. On a busy machine connecting can take longer than the hello time-out, so both clients are
         // connected again until both succeed.
         let (mut first, mut second) = loop {
-            let Ok(first) = Client::dial(&env.ssh(&manager, "bob")).await else { continue };
-            if let Ok(second) = Client::dial(&env.ssh(&manager, "ann")).await {
+            let Ok(first) = Client::connect(&env.ssh(&manager, "bob")).await else { continue };
+            if let Ok(second) = Client::connect(&env.ssh(&manager, "ann")).await {
                 break (first, second);
             }
         };
         first.send_raw(b"\n#1000\n<rpc").await.unwrap();
         second.send_raw(b"\n#").await.unwrap();
         for client in [&mut first, &mut second] {
-            let end = timeout(WAIT_TIMEOUT, client.reply()).await.expect("the session was not closed");
-            assert!(matches!(end.unwrap_err().reason, Reason::Lost(_)));
+            let end = timeout(WAIT_TIMEOUT, client.read_reply()).await.expect("the session was not closed");
+            assert!(matches!(end.unwrap_err().kind, ErrorKind::ConnectionLost(_)));
         }
         loop {
-            if let Ok(mut client) = Client::dial(&env.ssh(&manager, "ann")).await {
-                assert!(client.get_config(Store::Running, None).await.is_ok());
+            if let Ok(mut client) = Client::connect(&env.ssh(&manager, "ann")).await {
+                assert!(client.get_config(Datastore::Running, None).await.is_ok());
                 break;
             }
         }
@@ -679,10 +679,10 @@
     let env = TestEnvironment::new("dropped");
     let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let client = runtime.block_on(env.dial(&manager, "bob"));
+    let client = runtime.block_on(env.connect(&manager, "bob"));
     drop(client);
-    runtime.block_on(async { env.dial(&manager, "bob").await.close().await.unwrap() });
-    let open_client = runtime.block_on(env.dial(&manager, "bob"));
+    runtime.block_on(async { env.connect(&manager, "bob").await.close().await.unwrap() });
+    let open_client = runtime.block_on(env.connect(&manager, "bob"));
     drop(runtime);
     drop(open_client);
 }
@@ -692,8 +692,8 @@
     run(async {
         let env = TestEnvironment::new("two");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
-        let mut ann = env.dial(&manager, "ann").await;
-        let mut bob = env.dial(&manager, "bob").await;
+        let mut ann = env.connect(&manager, "ann").await;
+        let mut bob = env.connect(&manager, "bob").await;
         let first = worker("s-1", "<weight>2</weight>");
         let second = worker("s-2", "<weight>3</weight>");
         let (ann_result, bob_result) = tokio::join!(ann.edit(&first), bob.edit(&second));
@@ -704,22 +704,25 @@
             Some("2.0"),
             "the shared candidate holds both changes"
         );
-        ann.lock(Store::Candidate).await.unwrap();
-        let failed = bob.edit(&first).await.unwrap_err();
-        assert_eq!(failed.refusals()[0].tag, "in-use");
-        assert_eq!(bob.commit(&Commit::default()).await.unwrap_err().refusals()[0].tag, "in-use");
-        let denied = bob.lock(Store::Candidate).await.unwrap_err();
-        assert!(denied.to_string().contains(&format!("session {} holds the lock", ann.session)), "{denied}");
+        ann.lock(Datastore::Candidate).await.unwrap();
+        let error = bob.edit(&first).await.unwrap_err();
+        assert_eq!(error.rpc_errors()[0].tag, "in-use");
+        assert_eq!(bob.commit(&Commit::default()).await.unwrap_err().rpc_errors()[0].tag, "in-use");
+        let denied = bob.lock(Datastore::Candidate).await.unwrap_err();
+        assert!(
+            denied.to_string().contains(&format!("session {} holds the lock", ann.session_id)),
+            "{denied}"
+        );
         ann.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap();
         drop(ann);
         // When a session ends, its lock is released and its uncommitted changes are discarded.
-        while bob.lock(Store::Candidate).await.is_err() {}
+        while bob.lock(Datastore::Candidate).await.is_err() {}
         bob.commit(&Commit::default()).await.unwrap();
         assert_eq!(read_weight(&mut bob, "s-1").await.as_deref(), Some("2.0"));
         bob.rollback(1).await.unwrap();
         bob.commit(&Commit::default()).await.unwrap();
         assert_eq!(read_weight(&mut bob, "s-1").await, None);
-        assert_eq!(bob.rollback(77).await.unwrap_err().refusals()[0].tag, "invalid-value");
+        assert_eq!(bob.rollback(77).await.unwrap_err().rpc_errors()[0].tag, "invalid-value");
         let yang = bob.schema("juniperrail-manager").await.unwrap();
         assert_eq!(yang, include_str!("../../../yang/juniperrail-manager.yang"));
     });
