--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -24,7 +24,7 @@
 mod list_assembler;
 mod listening;
 mod listing;
-mod north;
+mod northbound;
 mod plane;
 mod presence;
 mod probes;
@@ -66,7 +66,7 @@
     listener: TcpListener,
     address: SocketAddr,
     reloader: Reloader,
-    northbound: Option<north::Northbound>,
+    northbound: Option<northbound::Northbound>,
     fleet: Option<Arc<Fleet>>,
 }
 
@@ -95,7 +95,7 @@
         let listener = listening::listen(listen, backlog).await.map_err(listen_error)?;
         let address = listener.local_addr().map_err(listen_error)?;
         let reloader = Reloader::new(&launch);
-        let northbound = north::Northbound::bind(&launch)?;
+        let northbound = northbound::Northbound::bind(&launch)?;
         let fleet = launch.operator_config.as_mut().and_then(|config| config.fleet.take());
         let fleet = match fleet {
             Some(config) => Some(Arc::new(join_fleet(config).await?)),
@@ -111,7 +111,7 @@
 
     /// The addresses of NETCONF over SSH and over TLS, where the operator's file configures them.
     pub fn netconf_addresses(&self) -> (Option<SocketAddr>, Option<SocketAddr>) {
-        self.northbound.as_ref().map_or((None, None), north::Northbound::addresses)
+        self.northbound.as_ref().map_or((None, None), northbound::Northbound::addresses)
     }
 
     /// Returns a handle that reloads the configuration while the manager serves.
@@ -152,7 +152,7 @@
             max_open: budget.open,
         });
         // Dropping the stop handle ends the northbound thread.
-        let (northbound, _stop_northbound) = northbound.map(north::Northbound::start).unzip();
+        let (northbound, _stop_northbound) = northbound.map(northbound::Northbound::start).unzip();
         let decider = decider::Decider::new(launch, probes, &inbound, resync.clone(), northbound, zones)
             .with_fleet(fleet.as_ref().map(|fleet| fleet.handle()));
         drop(inbound);
