--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -41,6 +41,7 @@
     pub command: Option<Command>,
 }
 
+/// Subcommands of the program.
 #[derive(Subcommand)]
 pub enum Command {
     /// Validates the operator's file, and the settings if PROXY_CONFIG names them, and prints the first error.
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -243,7 +243,7 @@
 
 #[test]
 fn a_source_with_restarted_versions_is_accepted_once_every_relay_is_behind() {
-    let (relays, manager) = Relays::of_zone_a("anew");
+    let (relays, manager) = Relays::of_zone_a("restarted");
     let mut proxy = Answering::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut closed_watches = Vec::new();
