--- a/crates/manager/tests/command_line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -235,7 +235,7 @@
         output(command.args(["--operator-file", operator]))
     };
     let (code, _, error) = serve("/nothing/there.xml");
-    assert!(code == 1 && error.contains("/nothing/there.xml is not there"), "{error}");
+    assert!(code == 1 && error.contains("/nothing/there.xml does not exist"), "{error}");
     let admin = "<user><name>a</name><role>admin</role></user>";
     fs::write(
         &operator,
--- /dev/null
+++ b/crates/manager/tests/northbound.rs
@@ -0,0 +1,729 @@
+//! The northbound interface: managers on real sockets with stand-in proxies and discovery, and NETCONF clients over SSH and
+//! TLS that change the configuration. The stand-in proxies check the rules for tables throughout.
+
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::mpsc;
+use std::thread;
+use std::time::Duration;
+
+use juniperrail_client::{Client, ClientError, Commit, Datastore, Endpoint, ErrorKind, Stage};
+use juniperrail_manager::{Launch, Manager};
+use juniperrail_model::xml::Element;
+use juniperrail_standins::{entry, list, Authority, Discovery, Limits, Proxies, Rules, SshKeys, SETTINGS};
+use tokio::time::timeout;
+
+const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
+/// Time limit for each wait.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// All workers, with their zones.
+const WORKERS: [(&str, &str); 4] = [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b")];
+
+/// What the managers of a test share: discovery, keys and certificates.
+struct TestEnvironment {
+    folder: PathBuf,
+    discovery: Discovery,
+    keys: Vec<(&'static str, &'static str, SshKeys)>,
+    authority: Authority,
+    host: SshKeys,
+}
+
+impl TestEnvironment {
+    fn new(name: &str) -> TestEnvironment {
+        let folder = std::env::temp_dir().join(format!("juniperrail-{name}-{}", std::process::id()));
+        fs::create_dir_all(&folder).unwrap();
+        let users = [("ann", "admin"), ("bob", "operator"), ("eve", "reader")];
+        let seeded_users = users.into_iter().zip(1..);
+        let keys = seeded_users.map(|((user, role), seed)| (user, role, SshKeys::write(&folder, user, seed)));
+        let discovery = Discovery::start();
+        let entries = WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"));
+        discovery.tell(&list(1, true, &entries));
+        let keys = keys.collect();
+        let host = SshKeys::write(&folder, "host", 99);
+        TestEnvironment { discovery, keys, authority: Authority::new(&folder, "authority"), host, folder }
+    }
+
+    /// Writes an operator's file with an SSH and a TLS listener, `tls_extra` within the latter and `extra` after them.
+    fn write_operator_file(&self, name: &str, tls_extra: &str, extra: &str) -> PathBuf {
+        let (certificate, key, _) = self.authority.issue("manager.example", (-1, 1));
+        let file_name = |path: &Path| path.file_name().unwrap().to_str().unwrap().to_string();
+        let users: String = self
+            .keys
+            .iter()
+            .map(|(user, role, keys)| {
+                format!("<user><name>{user}</name><role>{role}</role><ssh-key>{}</ssh-key></user>", keys.line)
+            })
+            .collect();
+        let text = format!(
+            r#"<config xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><northbound xmlns="{MANAGER}"><netconf>
+            <ssh><listen>127.0.0.1:0</listen><host-key>host</host-key></ssh>
+            <tls><listen>127.0.0.1:0</listen><certificate>{}</certificate><key>{}</key>
+            <client-authorities>authority.pem</client-authorities>{tls_extra}</tls></netconf>{users}
+            </northbound>{extra}</config>"#,
+            file_name(&certificate),
+            file_name(&key)
+        );
+        let path = self.folder.join(name);
+        fs::write(&path, text).unwrap();
+        path
+    }
+
+    fn config(&self, name: &str) -> String {
+        let cached_list = list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready")));
+        let discovery = self.discovery.address;
+        format!(
+            r#"{{"name":"{name}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+            "limits":{{"sockets":256}},"known":{cached_list},"settings":{SETTINGS}}}"#
+        )
+    }
+
+    fn start_manager(&self, file: &Path) -> RunningManager {
+        let config = self.config("n0");
+        let file = file.to_path_buf();
+        let (address_sender, addresses) = mpsc::channel();
+        let (stop, stop_receiver) = tokio::sync::oneshot::channel::<()>();
+        thread::spawn(move || {
+            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+            runtime.block_on(async {
+                let launch = Launch::new(&config, |_| None).unwrap().with_operator_file(file, true).unwrap();
+                let manager = Manager::bind(launch).await.unwrap();
+                address_sender.send((manager.address(), manager.netconf_addresses())).unwrap();
+                tokio::select! { () = manager.serve() => {}, _ = stop_receiver => {} }
+            });
+        });
+        let (address, (ssh, tls)) = addresses.recv().unwrap();
+        RunningManager { address, ssh: ssh.unwrap(), tls: tls.unwrap(), _stop: stop }
+    }
+
+    fn ssh(&self, manager: &RunningManager, user: &str) -> Endpoint {
+        let key = &self.keys.iter().find(|(name, ..)| *name == user).unwrap().2.private;
+        Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&self.host.public)
+    }
+
+    async fn connect(&self, manager: &RunningManager, user: &str) -> Client {
+        Client::connect(&self.ssh(manager, user)).await.unwrap()
+    }
+}
+
+impl Drop for TestEnvironment {
+    fn drop(&mut self) {
+        _ = fs::remove_dir_all(&self.folder);
+    }
+}
+
+struct RunningManager {
+    address: SocketAddr,
+    ssh: SocketAddr,
+    tls: SocketAddr,
+    /// Dropping this stops the manager.
+    _stop: tokio::sync::oneshot::Sender<()>,
+}
+
+fn rules() -> Rules {
+    // Generous limits, because a test machine can be busy; the lab checks managers against the real ones.
+    let limits = Limits {
+        drain_grace: 15_000.0,
+        messages_most: usize::MAX,
+        messages_over: 10_000.0,
+        lines_waiting_most: 5000.0,
+        message_overhead: 4.0,
+    };
+    let mut rules = Rules::new(limits);
+    WORKERS.iter().for_each(|(worker, _)| rules.knows(worker));
+    rules
+}
+
+fn worker(name: &str, body: &str) -> String {
+    format!("<workers xmlns=\"{MANAGER}\"><worker><name>{name}</name>{body}</worker></workers>")
+}
+
+async fn edit_and_commit(client: &mut Client, config: &str) -> Result<(), ClientError> {
+    client.edit(config).await?;
+    let result = client.commit(&Commit::default()).await;
+    if result.is_err() {
+        client.discard().await?;
+    }
+    result
+}
+
+async fn read_weight(client: &mut Client, name: &str) -> Option<String> {
+    let running = client.get_config(Datastore::Running, None).await.unwrap();
+    let workers = running.find(&["workers"])?;
+    let worker =
+        workers.children.iter().find(|worker| worker.children.iter().any(|leaf| leaf.text == name))?;
+    worker.children.iter().find(|leaf| leaf.name == "weight").map(|leaf| leaf.text.clone())
+}
+
+async fn read_state(client: &mut Client) -> Element {
+    let filter = "<state xmlns=\"tag:juniperrail.example,2026:yang:state\"/>";
+    client.get(Some(filter)).await.unwrap().0.remove(0)
+}
+
+fn descendants<'a>(element: &'a Element, names: &[&str]) -> Vec<&'a Element> {
+    let Some((first, rest)) = names.split_first() else { return vec![element] };
+    let matching = element.children.iter().filter(|child| child.name == *first);
+    matching.flat_map(|child| descendants(child, rest)).collect()
+}
+
+fn text<'a>(element: &'a Element, name: &str) -> &'a str {
+    descendants(element, &[name]).first().map_or("", |leaf| leaf.text.as_str())
+}
+
+fn run(test: impl std::future::Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(async { timeout(Duration::from_secs(120), test).await.expect("the test timed out") });
+}
+
+#[test]
+fn a_committed_change_reaches_every_proxy_and_shows_in_the_state() {
+    run(async {
+        let env = TestEnvironment::new("commit");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let proxies = Proxies::start(manager.address, 0, 6, &["a", "b"], rules());
+        proxies.until("tables", |rules| (0..6).all(|proxy| rules.holds(proxy).len() == 4));
+        let mut client = env.connect(&manager, "bob").await;
+        let mut subscriber = env.connect(&manager, "ann").await;
+        subscriber.subscribe(None).await.unwrap();
+        proxies.rules(|rules| rules.leaves("s-1", 0.0));
+        proxies.rules(|rules| rules.returns("s-1"));
+        let now = proxies.now();
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
+        proxies.rules(|rules| rules.leaves("s-1", now));
+        proxies.until("s-1 is removed", |rules| (0..6).all(|proxy| !rules.holds(proxy).contains_key("s-1")));
+        // The event of the change comes first, then the one that all proxies have applied it.
+        let mut events = Vec::new();
+        while events.last() != Some(&"change-held".to_string()) {
+            let notification = timeout(WAIT_TIMEOUT, subscriber.next_notification()).await.unwrap().unwrap();
+            events.push(notification.children[1].name.clone());
+        }
+        assert!(events.contains(&"netconf-config-change".to_string()), "{events:?}");
+        let state = read_state(&mut client).await;
+        let change = descendants(&state, &["changes", "change"]).pop().unwrap().clone();
+        assert_eq!(
+            (text(&change, "progress"), text(&change, "held-by"), text(&change, "by")),
+            ("held", "6", "bob")
+        );
+        let workers = descendants(&state, &["workers", "worker"]);
+        let drained = workers.iter().find(|worker| text(worker, "name") == "s-1").unwrap();
+        assert_eq!((text(drained, "phase"), text(drained, "phase-from")), ("draining", "operator"));
+        assert_eq!(text(drained, "discovery-phase"), "ready");
+        for proxy in descendants(&state, &["proxies", "proxy"]) {
+            assert_eq!(text(proxy, "shut-out"), "s-1");
+        }
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>follow</wanted><weight>0.5</weight>"))
+            .await
+            .unwrap();
+        proxies.rules(|rules| rules.returns("s-1"));
+        proxies.until("s-1 is back", |rules| (0..6).all(|proxy| rules.holds(proxy).contains_key("s-1")));
+        proxies.until("its weight", |rules| (0..6).all(|proxy| rules.holds(proxy)["s-1"] < 0.6));
+        client.close().await.unwrap();
+        assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+        drop(manager);
+    });
+}
+
+#[test]
+fn commits_that_leave_an_operation_without_workers_or_exceed_the_settings_are_refused_with_the_reason() {
+    run(async {
+        let env = TestEnvironment::new("refused");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let proxies = Proxies::start(manager.address, 0, 4, &["a", "b"], rules());
+        proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
+        let mut client = env.connect(&manager, "bob").await;
+        let all = |body: &str| WORKERS.map(|(name, _)| worker(name, body)).concat();
+        for (config, tag, path) in [
+            (all("<wanted>draining</wanted>"), "no-ready-worker", "/jrm:workers"),
+            (all("<wanted>out</wanted>"), "no-ready-worker", "/jrm:workers"),
+            (all("<weight>0</weight>"), "no-ready-worker", "/jrm:workers"),
+            (
+                format!("<figures xmlns=\"{MANAGER}\"><drain-grace>3000.5</drain-grace></figures>"),
+                "looser-than-settings",
+                "/jrm:figures/drain-grace",
+            ),
+            (
+                format!("<figures xmlns=\"{MANAGER}\"><drain-grace>900</drain-grace></figures>"),
+                "grace-too-short",
+                "/jrm:figures/drain-grace",
+            ),
+            (
+                worker("s-9", "<place><zone>nowhere</zone></place>"),
+                "unknown-zone",
+                "/jrm:workers/worker[name='s-9']/place/zone",
+            ),
+        ] {
+            let error = edit_and_commit(&mut client, &config).await.unwrap_err();
+            let refusal = &error.rpc_errors()[0];
+            assert_eq!(
+                (refusal.app_tag.as_deref(), refusal.path.as_deref()),
+                (Some(tag), Some(path)),
+                "{error}"
+            );
+            assert_eq!(refusal.tag, "operation-failed");
+        }
+        // Changes that are each valid alone, but not together.
+        for (name, _) in &WORKERS[..3] {
+            edit_and_commit(&mut client, &worker(name, "<wanted>draining</wanted>")).await.unwrap();
+        }
+        let error = edit_and_commit(&mut client, &worker("s-4", "<weight>0</weight>")).await.unwrap_err();
+        assert!(error.to_string().contains("lookup would have no ready, warm worker"), "{error}");
+        proxies.until("only s-4 is left", |rules| (0..4).all(|proxy| rules.holds(proxy).keys().eq(["s-4"])));
+        // A worker that discovery lists as gone stays removed, even if a commit wants it ready, until discovery lists it again.
+        env.discovery.tell(&list(2, false, &[entry("s-1", "a", "127.0.0.1:9", "gone")]));
+        let mut phase = String::new();
+        while phase != "gone" {
+            let state = read_state(&mut client).await;
+            let workers = descendants(&state, &["workers", "worker"]);
+            phase = workers
+                .iter()
+                .find(|worker| text(worker, "name") == "s-1")
+                .map_or("gone", |worker| text(worker, "phase"))
+                .into();
+        }
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>ready</wanted>")).await.unwrap();
+        assert!(proxies.rules(|rules| (0..4).all(|proxy| !rules.holds(proxy).contains_key("s-1"))));
+        env.discovery.tell(&list(3, false, &[entry("s-1", "a", "127.0.0.1:9", "ready")]));
+        proxies.until("s-1 is back", |rules| (0..4).all(|proxy| rules.holds(proxy).contains_key("s-1")));
+        assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+    });
+}
+
+#[test]
+fn a_change_shows_as_not_applied_where_the_proxies_of_one_manager_stall() {
+    run(async {
+        let env = TestEnvironment::new("slow");
+        let file = env.write_operator_file("operator.xml", "", "");
+        let quick = env.start_manager(&file);
+        let slow = env.start_manager(&file);
+        let quick_proxies = Proxies::start(quick.address, 0, 4, &["a", "b"], rules());
+        let slow_proxies = Proxies::start(slow.address, 4, 4, &["a", "b"], rules());
+        quick_proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
+        slow_proxies.until("tables", |rules| (4..8).all(|proxy| rules.holds(proxy).len() == 4));
+        let mut quick_client = env.connect(&quick, "bob").await;
+        let mut slow_client = env.connect(&slow, "bob").await;
+        slow_proxies.stall(true);
+        for client in [&mut quick_client, &mut slow_client] {
+            edit_and_commit(client, &worker("s-2", "<wanted>draining</wanted>")).await.unwrap();
+        }
+        quick_proxies
+            .until("s-2 is removed", |rules| (0..4).all(|proxy| !rules.holds(proxy).contains_key("s-2")));
+        let last_change = |state: &Element| descendants(state, &["changes", "change"]).pop().unwrap().clone();
+        loop {
+            let change = last_change(&read_state(&mut quick_client).await);
+            if text(&change, "progress") == "held" {
+                break;
+            }
+        }
+        let pending = last_change(&read_state(&mut slow_client).await);
+        assert_eq!((text(&pending, "progress"), text(&pending, "held-by")), ("going-out", "0"));
+        // A later change of the same worker supersedes one that no proxy has applied yet.
+        edit_and_commit(&mut slow_client, &worker("s-2", "<wanted>follow</wanted>")).await.unwrap();
+        let state = read_state(&mut slow_client).await;
+        let progress: Vec<&str> = descendants(&state, &["changes", "change"])
+            .iter()
+            .map(|change| text(change, "progress"))
+            .collect();
+        assert_eq!(progress, ["superseded", "going-out"]);
+        slow_proxies.stall(false);
+        slow_proxies.until("s-2 is back", |rules| (4..8).all(|proxy| rules.holds(proxy).contains_key("s-2")));
+        while text(&last_change(&read_state(&mut slow_client).await), "progress") != "held" {}
+        for proxies in [&quick_proxies, &slow_proxies] {
+            assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+        }
+    });
+}
+
+#[test]
+fn a_confirmed_commit_is_reverted_when_its_session_ends_or_its_timeout_expires() {
+    run(async {
+        let env = TestEnvironment::new("confirmed");
+        let file = env.write_operator_file("operator.xml", "", "");
+        let manager = env.start_manager(&file);
+        let mut other = env.connect(&manager, "ann").await;
+        let mut client = env.connect(&manager, "bob").await;
+        let confirm = |seconds, persist: Option<&str>| Commit {
+            confirm_timeout_s: Some(seconds),
+            persist: persist.map(str::to_string),
+            persist_id: None,
+        };
+        client.edit(&worker("s-1", "<weight>2</weight>")).await.unwrap();
+        client.commit(&confirm(600, None)).await.unwrap();
+        assert_eq!(read_weight(&mut other, "s-1").await.as_deref(), Some("2.0"));
+        let error = other.commit(&Commit::default()).await.unwrap_err();
+        assert_eq!(error.rpc_errors()[0].tag, "in-use");
+        // Another session locks the candidate in the meantime.
+        other.lock(Datastore::Candidate).await.unwrap();
+        assert_eq!(other.lock(Datastore::Running).await.unwrap_err().rpc_errors()[0].tag, "lock-denied");
+        drop(client);
+        while read_weight(&mut other, "s-1").await.is_some() {}
+        other.unlock(Datastore::Candidate).await.unwrap();
+        let mut client = env.connect(&manager, "bob").await;
+        client.edit(&worker("s-1", "<weight>3</weight>")).await.unwrap();
+        client.commit(&confirm(1, Some("night"))).await.unwrap();
+        client.close().await.unwrap();
+        assert_eq!(
+            read_weight(&mut other, "s-1").await.as_deref(),
+            Some("3.0"),
+            "a commit with a persist name outlives its session"
+        );
+        while read_weight(&mut other, "s-1").await.is_some() {}
+        // A commit that another session confirms in time stays, and survives a restart in startup; an unconfirmed commit
+        // does not.
+        other.edit(&worker("s-1", "<weight>4</weight>")).await.unwrap();
+        other.commit(&confirm(600, Some("day"))).await.unwrap();
+        let mut client = env.connect(&manager, "bob").await;
+        let day = Commit { persist_id: Some("day".into()), ..Commit::default() };
+        client.commit(&day).await.unwrap();
+        client.edit(&worker("s-1", "<weight>5</weight>")).await.unwrap();
+        let saved = client.copy(Datastore::Running, Datastore::Startup).await;
+        assert_eq!(saved, Ok(()));
+        client.commit(&confirm(600, Some("late"))).await.unwrap();
+        assert_eq!(read_weight(&mut client, "s-1").await.as_deref(), Some("5.0"));
+        drop((manager, client, other));
+        let restarted = env.start_manager(&file);
+        let mut client = env.connect(&restarted, "bob").await;
+        assert_eq!(read_weight(&mut client, "s-1").await.as_deref(), Some("4.0"));
+    });
+}
+
+#[test]
+fn a_rollback_that_would_leave_an_operation_without_workers_is_deferred_and_reports_why() {
+    run(async {
+        let env = TestEnvironment::new("overdue");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let proxies = Proxies::start(manager.address, 0, 2, &["a", "b"], rules());
+        proxies.until("tables", |rules| (0..2).all(|proxy| rules.holds(proxy).len() == 4));
+        let mut client = env.connect(&manager, "ann").await;
+        edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
+        client.edit(&worker("s-1", "<wanted>follow</wanted>")).await.unwrap();
+        let persist = Some("night".to_string());
+        client.commit(&Commit { confirm_timeout_s: Some(5), persist, persist_id: None }).await.unwrap();
+        // s-1 must be back before the others drain: a worker that drains without a replacement is removed when its grace
+        // ends.
+        proxies.until("s-1 is back", |rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1")));
+        let others = |phase| ["s-2", "s-3", "s-4"].map(|id| entry(id, "a", "127.0.0.1:9", phase));
+        env.discovery.tell(&list(2, false, &others("draining")));
+        proxies.until("s-1 alone", |rules| (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-1"])));
+        let versions = |state: &Element| descendants(state, &["versions"])[0].clone();
+        let mut overdue = String::new();
+        while overdue.is_empty() {
+            overdue = text(&versions(&read_state(&mut client).await), "overdue").to_string();
+        }
+        assert!(overdue.contains("would have no ready, warm worker"), "{overdue}");
+        assert!(proxies.rules(|rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1"))));
+        env.discovery.tell(&list(3, false, &others("ready")));
+        proxies.until("the commit is reverted", |rules| {
+            (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-2", "s-3", "s-4"]))
+        });
+        assert_eq!(text(&versions(&read_state(&mut client).await), "overdue"), "");
+        assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+    });
+}
+
+#[test]
+fn only_known_users_are_authenticated_and_roles_limit_their_access() {
+    run(async {
+        let env = TestEnvironment::new("known");
+        let (bob_certificate, bob_key, bob_fingerprint) = env.authority.issue("bob.example", (-1, 1));
+        let (ann_certificate, ann_key, ann_fingerprint) = env.authority.issue("ann", (-1, 1));
+        let (expired_certificate, expired_key, expired_fingerprint) =
+            env.authority.issue("old.example", (-2, -1));
+        let (unmapped_certificate, unmapped_key, _) = env.authority.issue("odd.example", (-1, 1));
+        let untrusted_authority = Authority::new(&env.folder, "untrusted");
+        let (forged_certificate, forged_key, forged_fingerprint) =
+            untrusted_authority.issue("forged.example", (-1, 1));
+        let client = |fingerprint: &str, mapping: &str| {
+            format!("<client><fingerprint>{fingerprint}</fingerprint>{mapping}</client>")
+        };
+        let tls = [
+            client(&bob_fingerprint, "<user>bob</user>"),
+            client(&ann_fingerprint, "<name-from>common-name</name-from>"),
+            client(&expired_fingerprint, "<user>ann</user>"),
+            client(&forged_fingerprint, "<user>ann</user>"),
+        ];
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", &tls.concat(), ""));
+        let over_tls = |certificate: &Path, key: &Path| {
+            let authorities = &env.authority.certificate;
+            Endpoint::tls(manager.tls.to_string(), "manager.example", authorities, certificate, key)
+        };
+        let mut bob = Client::connect(&over_tls(&bob_certificate, &bob_key)).await.unwrap();
+        edit_and_commit(&mut bob, &worker("s-1", "<weight>2</weight>")).await.unwrap();
+        let mut ann = Client::connect(&over_tls(&ann_certificate, &ann_key)).await.unwrap();
+        let sessions = ann.get(Some("<netconf-state xmlns=\"urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring\"><sessions/></netconf-state>"));
+        let sessions = sessions.await.unwrap();
+        let users: Vec<&str> = descendants(&sessions.0[0], &["sessions", "session"])
+            .iter()
+            .map(|session| text(session, "username"))
+            .collect();
+        assert_eq!(users, ["bob", "ann"]);
+        // An expired certificate, one that is not mapped to a user, and one of an untrusted authority.
+        for (certificate, key) in [
+            (&expired_certificate, &expired_key),
+            (&unmapped_certificate, &unmapped_key),
+            (&forged_certificate, &forged_key),
+        ] {
+            let error = Client::connect(&over_tls(certificate, key)).await.map(|_| ()).unwrap_err();
+            assert!(error.stage != Stage::Replied, "{error}");
+        }
+        // An unknown key, an unknown user, and a wrong host key.
+        let mallory = SshKeys::write(&env.folder, "mallory", 66);
+        for (user, key) in [("ann", &mallory.private), ("mallory", &mallory.private)] {
+            let endpoint = Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&env.host.public);
+            let error = Client::connect(&endpoint).await.map(|_| ()).unwrap_err();
+            assert!(matches!(error.kind, ErrorKind::Authentication(_)), "{error}");
+        }
+        let other_host = env.ssh(&manager, "ann").with_host_key(&mallory.public);
+        let error = Client::connect(&other_host).await.map(|_| ()).unwrap_err();
+        assert!(matches!(error.kind, ErrorKind::Authentication(_)), "{error}");
+        // A reader can read part of the configuration and change nothing.
+        let mut eve = env.connect(&manager, "eve").await;
+        let running = eve.get_config(Datastore::Running, None).await.unwrap();
+        assert!(running.find(&["workers"]).is_some() && running.find(&["northbound"]).is_none());
+        let error = eve.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap_err();
+        let refusal = &error.rpc_errors()[0];
+        assert_eq!(refusal.tag, "access-denied");
+        assert_eq!(refusal.path.as_deref(), Some("/jrm:workers/worker[name='s-1']/weight"));
+        for refused in
+            [eve.lock(Datastore::Running).await, eve.discard().await, eve.commit(&Commit::default()).await]
+        {
+            assert_eq!(
+                refused.unwrap_err().rpc_errors()[0].tag,
+                "access-denied",
+                "a reader must not block other sessions"
+            );
+        }
+        let promote_bob = format!(
+            "<northbound xmlns=\"{MANAGER}\"><user><name>bob</name><role>admin</role></user></northbound>"
+        );
+        assert_eq!(bob.edit(&promote_bob).await.unwrap_err().rpc_errors()[0].tag, "access-denied");
+        // An admin's change of users applies at once to new sessions.
+        let delete_eve = format!(
+            "<northbound xmlns=\"{MANAGER}\" xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
+             <user n:operation=\"delete\"><name>eve</name></user></northbound>"
+        );
+        edit_and_commit(&mut ann, &delete_eve).await.unwrap();
+        assert!(Client::connect(&env.ssh(&manager, "eve")).await.is_err());
+        let kill =
+            Element::new("urn:ietf:params:xml:ns:netconf:base:1.0", "kill-session").with(Element::with_text(
+                "urn:ietf:params:xml:ns:netconf:base:1.0",
+                "session-id",
+                eve.session_id.to_string(),
+            ));
+        ann.rpc(kill).await.unwrap();
+        assert!(eve.get_config(Datastore::Running, None).await.is_err(), "the session is closed");
+    });
+}
+
+#[test]
+fn malformed_requests_get_an_error_or_close_the_session_and_change_nothing() {
+    run(async {
+        let env = TestEnvironment::new("malformed");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let mut other_client = env.connect(&manager, "bob").await;
+        let before = other_client.get_config(Datastore::Running, None).await.unwrap();
+        let rpc = |body: &str| {
+            format!("<rpc message-id=\"7\" xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">{body}</rpc>")
+        };
+        let edit = |config: &str| {
+            rpc(&format!("<edit-config><target><candidate/></target><config>{config}</config></edit-config>"))
+        };
+        let chunked = |text: &str| format!("\n#{}\n{text}\n##\n", text.len());
+        // Each gets an error, and the session stays open.
+        let mut client = env.connect(&manager, "bob").await;
+        for (message, tag) in [
+            ("<rpc".to_string(), "malformed-message"),
+            (rpc("<get>"), "malformed-message"),
+            ("<hello/>".into(), "malformed-message"),
+            (rpc(""), "malformed-message"),
+            (rpc("<get/><get/>"), "malformed-message"),
+            (rpc(&"<a>".repeat(10_000)), "malformed-message"),
+            (format!("<!DOCTYPE a [<!ENTITY b 'b'>]>{}", rpc("<get>&b;</get>")), "malformed-message"),
+            (rpc("<get>&unknown;</get>"), "malformed-message"),
+            (rpc("<get/>").replace(" message-id=\"7\"", ""), "missing-attribute"),
+            (rpc("<shout/>"), "operation-not-supported"),
+            (rpc("<get xmlns='urn:none'/>"), "operation-not-supported"),
+            (rpc("<get><loud/></get>"), "unknown-element"),
+            (rpc("<get loud='1'/>"), "unknown-attribute"),
+            (rpc("<get-config/>"), "missing-element"),
+            (rpc("<get-config><source><somewhere/></source></get-config>"), "unknown-element"),
+            (rpc("<get><filter type='xpath' select='/'/></get>"), "bad-attribute"),
+            (edit("<workers xmlns='urn:none'/>"), "unknown-namespace"),
+            (edit(&format!("<strollers xmlns='{MANAGER}'/>")), "unknown-element"),
+            (edit(&worker("s-1", "<hue>red</hue>")), "unknown-element"),
+            (edit(&worker("s-1", "<weight>NaN</weight>")), "invalid-value"),
+            (edit(&worker("s-1", "<weight>-1</weight>")), "invalid-value"),
+            (edit(&worker("s-1", "<weight>inf</weight>")), "invalid-value"),
+            (edit(&worker("s 1", "")), "invalid-value"),
+            (edit("<state xmlns='tag:juniperrail.example,2026:yang:state'/>"), "unknown-element"),
+            (edit(&worker("s-1", "<wanted hue='red'>out</wanted>")), "unknown-attribute"),
+            (rpc("<commit><confirm-timeout>0</confirm-timeout></commit>"), "invalid-value"),
+            (rpc("<cancel-commit/>"), "operation-failed"),
+            (rpc("<unlock><target><running/></target></unlock>"), "operation-failed"),
+            (rpc("<kill-session><session-id>999</session-id></kill-session>"), "invalid-value"),
+            (
+                rpc("<copy-config><target><running/></target><source><startup/></source></copy-config>"),
+                "operation-not-supported",
+            ),
+        ] {
+            client.send_raw(chunked(&message).as_bytes()).await.unwrap();
+            let error = client.read_reply().await.unwrap_err();
+            assert_eq!(
+                error.rpc_errors().first().map(|refusal| refusal.tag.as_str()),
+                Some(tag),
+                "{message:.200}: {error}"
+            );
+        }
+        client.send_raw(chunked("<a>\u{1}").as_bytes()).await.unwrap();
+        assert_eq!(client.read_reply().await.unwrap_err().rpc_errors()[0].tag, "malformed-message");
+        client.send_raw(b"\n#4\n<a>\xff\n##\n").await.unwrap();
+        assert_eq!(client.read_reply().await.unwrap_err().rpc_errors()[0].tag, "malformed-message");
+        // Errors of the message framing close the session, and no other.
+        for invalid_frame in
+            [&b"\n#0\n"[..], b"\n#4294967295\n", b"\n#99999999999\n", b"<rpc>]]>]]>", b"\n##\n"]
+        {
+            let mut client = env.connect(&manager, "bob").await;
+            client.send_raw(invalid_frame).await.unwrap();
+            let end = timeout(WAIT_TIMEOUT, client.read_reply()).await.expect("the session was not closed");
+            assert!(matches!(end.unwrap_err().kind, ErrorKind::ConnectionLost(_)));
+        }
+        assert_eq!(other_client.get_config(Datastore::Running, None).await.unwrap(), before);
+        assert_eq!(other_client.get_config(Datastore::Candidate, None).await.unwrap(), before);
+    });
+}
+
+/// The OpenSSH client exits with the status that the server sends, and discards output that it has not printed yet if it is
+/// disconnected first.
+#[test]
+fn a_closed_session_sends_its_last_reply_and_an_exit_status_before_it_disconnects() {
+    use russh::client::{connect, Config, Handler};
+    use russh::keys::{load_secret_key, PrivateKeyWithHashAlg, PublicKeyOrCertificate};
+
+    struct AcceptAnyHostKey;
+    impl Handler for AcceptAnyHostKey {
+        type Error = russh::Error;
+
+        async fn check_server_key(&mut self, _: &PublicKeyOrCertificate) -> Result<bool, russh::Error> {
+            Ok(true)
+        }
+    }
+    run(async {
+        let env = TestEnvironment::new("status");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let mut ssh =
+            connect(std::sync::Arc::new(Config::default()), manager.ssh, AcceptAnyHostKey).await.unwrap();
+        let key = load_secret_key(&env.keys[1].2.private, None).unwrap();
+        let key = PrivateKeyWithHashAlg::new(std::sync::Arc::new(key), None);
+        assert!(ssh.authenticate_publickey("bob", key).await.unwrap().success());
+        let mut channel = ssh.channel_open_session().await.unwrap();
+        channel.request_subsystem(true, "netconf").await.unwrap();
+        let base = "urn:ietf:params:xml:ns:netconf:base:1.0";
+        let text = format!(
+            "<hello xmlns=\"{base}\"><capabilities><capability>urn:ietf:params:netconf:base:1.0</capability>\
+             </capabilities></hello>]]>]]><rpc message-id=\"1\" xmlns=\"{base}\"><close-session/></rpc>]]>]]>"
+        );
+        channel.data(text.as_bytes()).await.unwrap();
+        channel.eof().await.unwrap();
+        let mut output = String::new();
+        let mut status = None;
+        while let Some(message) = channel.wait().await {
+            match message {
+                russh::ChannelMsg::Data { data } => output += std::str::from_utf8(&data).unwrap(),
+                russh::ChannelMsg::ExitStatus { exit_status } => status = Some(exit_status),
+                _ => {}
+            }
+        }
+        assert!(output.ends_with("message-id=\"1\"><ok/></rpc-reply>]]>]]>"), "{output}");
+        assert_eq!(status, Some(0));
+    });
+}
+
+#[test]
+fn sessions_that_stall_in_a_message_or_send_no_hello_are_closed() {
+    run(async {
+        let env = TestEnvironment::new("stalls");
+        let file = env.write_operator_file("operator.xml", "", "");
+        let limits =
+            "<netconf><sessions>2</sessions><hello-within>1500</hello-within><idle-within>3000</idle-within>";
+        fs::write(&file, fs::read_to_string(&file).unwrap().replace("<netconf>", limits)).unwrap();
+        let manager = env.start_manager(&file);
+        let unauthenticated: Vec<std::net::TcpStream> =
+            (0..4).map(|_| std::net::TcpStream::connect(manager.ssh).unwrap()).collect();
+        // Only one connection may be unauthenticated at a time here; its place becomes free when the first one times out
+        // without a hello. On a busy machine connecting can take longer than the hello time-out, so both clients are
+        // connected again until both succeed.
+        let (mut first, mut second) = loop {
+            let Ok(first) = Client::connect(&env.ssh(&manager, "bob")).await else { continue };
+            if let Ok(second) = Client::connect(&env.ssh(&manager, "ann")).await {
+                break (first, second);
+            }
+        };
+        first.send_raw(b"\n#1000\n<rpc").await.unwrap();
+        second.send_raw(b"\n#").await.unwrap();
+        for client in [&mut first, &mut second] {
+            let end = timeout(WAIT_TIMEOUT, client.read_reply()).await.expect("the session was not closed");
+            assert!(matches!(end.unwrap_err().kind, ErrorKind::ConnectionLost(_)));
+        }
+        loop {
+            if let Ok(mut client) = Client::connect(&env.ssh(&manager, "ann")).await {
+                assert!(client.get_config(Datastore::Running, None).await.is_ok());
+                break;
+            }
+        }
+        drop(unauthenticated);
+    });
+}
+
+#[test]
+fn a_client_can_be_dropped_outside_its_runtime() {
+    let env = TestEnvironment::new("dropped");
+    let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let client = runtime.block_on(env.connect(&manager, "bob"));
+    drop(client);
+    runtime.block_on(async { env.connect(&manager, "bob").await.close().await.unwrap() });
+    let open_client = runtime.block_on(env.connect(&manager, "bob"));
+    drop(runtime);
+    drop(open_client);
+}
+
+#[test]
+fn two_sessions_edit_concurrently_and_locks_exclude_each_other() {
+    run(async {
+        let env = TestEnvironment::new("two");
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
+        let mut ann = env.connect(&manager, "ann").await;
+        let mut bob = env.connect(&manager, "bob").await;
+        let first = worker("s-1", "<weight>2</weight>");
+        let second = worker("s-2", "<weight>3</weight>");
+        let (ann_result, bob_result) = tokio::join!(ann.edit(&first), bob.edit(&second));
+        assert_eq!((ann_result, bob_result), (Ok(()), Ok(())));
+        bob.commit(&Commit::default()).await.unwrap();
+        assert_eq!(
+            read_weight(&mut ann, "s-1").await.as_deref(),
+            Some("2.0"),
+            "the shared candidate holds both changes"
+        );
+        ann.lock(Datastore::Candidate).await.unwrap();
+        let error = bob.edit(&first).await.unwrap_err();
+        assert_eq!(error.rpc_errors()[0].tag, "in-use");
+        assert_eq!(bob.commit(&Commit::default()).await.unwrap_err().rpc_errors()[0].tag, "in-use");
+        let denied = bob.lock(Datastore::Candidate).await.unwrap_err();
+        assert!(
+            denied.to_string().contains(&format!("session {} holds the lock", ann.session_id)),
+            "{denied}"
+        );
+        ann.edit(&worker("s-1", "<weight>9</weight>")).await.unwrap();
+        drop(ann);
+        // When a session ends, its lock is released and its uncommitted changes are discarded.
+        while bob.lock(Datastore::Candidate).await.is_err() {}
+        bob.commit(&Commit::default()).await.unwrap();
+        assert_eq!(read_weight(&mut bob, "s-1").await.as_deref(), Some("2.0"));
+        bob.rollback(1).await.unwrap();
+        bob.commit(&Commit::default()).await.unwrap();
+        assert_eq!(read_weight(&mut bob, "s-1").await, None);
+        assert_eq!(bob.rollback(77).await.unwrap_err().rpc_errors()[0].tag, "invalid-value");
+        let yang = bob.schema("juniperrail-manager").await.unwrap();
+        assert_eq!(yang, include_str!("../../../yang/juniperrail-manager.yang"));
+    });
+}
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -360,11 +360,11 @@
     for (config, listen, expected) in [
         ("", "", "EOF"),
         ("{}", "", "seed"),
-        (&good.replace("8c1f", "seed"), "", "no seed"),
-        (&good.replace("127.0.0.1:1\"", "nowhere\""), "", "PROXY_DISCOVERY is no address"),
+        (&good.replace("8c1f", "seed"), "", "the seed is not a 64-bit hexadecimal number"),
+        (&good.replace("127.0.0.1:1\"", "nowhere\""), "", "PROXY_DISCOVERY is not an address"),
         (&good.replace(r#""tick-ms":1"#, r#""tick-ms":-1"#), "", "tick-ms"),
-        (&good, "nowhere", "PROXY_LISTEN is no address"),
-        (&good, &occupied, "cannot be listened on"),
+        (&good, "nowhere", "PROXY_LISTEN is not an address"),
+        (&good, &occupied, "cannot listen on"),
     ] {
         let output = program(config, listen).wait_with_output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
@@ -378,6 +378,6 @@
     assert!(running.wait().unwrap().success());
     let mut log_text = String::new();
     log.read_to_string(&mut log_text).unwrap();
-    assert!(log_text.contains("told to end"), "{log_text}");
+    assert!(log_text.contains("received SIGTERM, shutting down"), "{log_text}");
     std::fs::remove_file(&path).unwrap();
 }
