--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -144,7 +144,7 @@
     /// The complete list.
     Full,
     /// The complete list as this manager last stored it; it may be stale.
-    Cached,
+    Remembered,
     /// The list could not be fetched.
     Failed,
 }
--- a/crates/lab/src/turns.rs
+++ b/crates/lab/src/turns.rs
@@ -55,7 +55,7 @@
     let (mut rng, mut now) = (fastrand::Rng::with_seed(seed), 1000.0);
     let mut planner = Planner::new(now, seed, start(proxies));
     let all = |phase| (0..workers).map(|worker| listed(worker, phase, None)).collect();
-    let mut events = vec![Event::List { kind: ListKind::Cached, version: 1, workers: all(Phase::Ready) }];
+    let mut events = vec![Event::List { kind: ListKind::Remembered, version: 1, workers: all(Phase::Ready) }];
     for proxy in 0..proxies {
         let (zone, inv_per_second) = (ZoneId(proxy % 3), rng.f64());
         events.push(Event::Joined { proxy: ProxyId(proxy), fresh: true, inv_per_second, zone });
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -142,7 +142,7 @@
             fleet: None,
         };
         let cached_list = launch.cached_list.unwrap_or_default();
-        let event = decider.registry.apply_list(&cached_list, ListKind::Cached, &mut decider.names);
+        let event = decider.registry.apply_list(&cached_list, ListKind::Remembered, &mut decider.names);
         decider.apply_list(event);
         let intent = launch.operator_config.map(|config| config.intent).unwrap_or_default();
         // The cached list may be stale, so refusals are only logged; the planner handles missing workers as any loss.
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -72,7 +72,9 @@
     assert!(cluster.sent(stream).contains("whole=1 lines=s-1:1"));
     cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
     let events = cluster.turn();
-    assert!(matches!(&events[0], Event::List { kind: ListKind::Cached, workers, .. } if workers.len() == 1));
+    assert!(
+        matches!(&events[0], Event::List { kind: ListKind::Remembered, workers, .. } if workers.len() == 1)
+    );
     assert!(matches!(events[1], Event::Joined { proxy: ProxyId(2), fresh: false, .. }));
     cluster.turn();
     assert!(
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -637,7 +637,7 @@
                 listed.push(entry(id.0, Phase::Ready, rng.bool().then_some(900.0)));
             }
             listed.iter().for_each(|entry| order_writer.record_entry(entry));
-            events.push(Event::List { kind: ListKind::Cached, version: 1, workers: listed.clone() });
+            events.push(Event::List { kind: ListKind::Remembered, version: 1, workers: listed.clone() });
             for _ in 0..400 {
                 now += f64::from(rng.u32(5..250));
                 let proxy = ProxyId(rng.u16(0..24));
--- a/crates/manager/src/worker_registry.rs
+++ b/crates/manager/src/worker_registry.rs
@@ -178,7 +178,7 @@
     /// The current entries as a list, for a restarted planner.
     pub fn cached_list(&self) -> Event {
         let workers = self.entries.values().cloned().collect();
-        Event::List { kind: ListKind::Cached, version: 0, workers }
+        Event::List { kind: ListKind::Remembered, version: 0, workers }
     }
 
     /// The address at which a worker is probed.
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -144,7 +144,7 @@
             let kind = match line.word("kind")? {
                 "delta" => ListKind::Changes,
                 "full" => ListKind::Full,
-                "cached" => ListKind::Cached,
+                "cached" => ListKind::Remembered,
                 "failed" => ListKind::Failed,
                 other => return Err(line.fault(format!("unknown list kind {other:?}"))),
             };
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -124,7 +124,7 @@
     pub fn running(settings: Settings, workers: u32, proxies: u16) -> Self {
         let mut host = Host::new(settings);
         let ready = (0..workers).map(|worker| entry(worker, Phase::Ready)).collect();
-        host.turn(&[list(ListKind::Cached, ready)]);
+        host.turn(&[list(ListKind::Remembered, ready)]);
         host.advance(10.0, &(0..proxies).map(joined).collect::<Vec<_>>());
         host.acknowledge(proxies);
         host
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -139,7 +139,7 @@
 fn unacknowledged_lines_stay_below_half_the_backlog() {
     let slow_channel = Settings { max_pending_lines: 100.0, channel_rate: 1.0, ..settings() };
     let mut host = Host::new(slow_channel);
-    host.turn(&[list(ListKind::Cached, (0..10).map(|worker| entry(worker, Phase::Ready)).collect())]);
+    host.turn(&[list(ListKind::Remembered, (0..10).map(|worker| entry(worker, Phase::Ready)).collect())]);
     host.advance(10.0, &(0..8).map(joined).collect::<Vec<_>>());
     let bound = host.bindings.len();
     assert!((1..=2).contains(&bound), "18 lines each: {bound} bound");
@@ -353,7 +353,7 @@
     let seen = host.bindings.len();
     host.planner = juniperrail::Planner::new(host.now, 8, settings());
     host.bindings.clear();
-    host.turn(&[list(ListKind::Cached, (0..4).map(|worker| entry(worker, Phase::Ready)).collect())]);
+    host.turn(&[list(ListKind::Remembered, (0..4).map(|worker| entry(worker, Phase::Ready)).collect())]);
     host.advance(50.0, &(0..3).map(joined).collect::<Vec<_>>());
     assert_eq!((seen, host.bindings.len()), (3, 3));
 }
@@ -655,7 +655,7 @@
             zone: ZoneId(if worker.is_multiple_of(3) { 9 } else { (worker % 2) as u16 }),
             ..entry(worker, Phase::Ready)
         };
-        host.turn(&[list(ListKind::Cached, (0..workers).map(elsewhere).collect())]);
+        host.turn(&[list(ListKind::Remembered, (0..workers).map(elsewhere).collect())]);
         let from = |proxy| Event::Joined {
             proxy: ProxyId(proxy),
             fresh: true,
@@ -728,7 +728,7 @@
 #[test]
 fn proxy_with_high_demand_gets_whole_fleet() {
     let mut host = Host::new(settings());
-    host.turn(&[list(ListKind::Cached, (0..60).map(|worker| entry(worker, Phase::Ready)).collect())]);
+    host.turn(&[list(ListKind::Remembered, (0..60).map(|worker| entry(worker, Phase::Ready)).collect())]);
     let heavy = Event::Joined { proxy: ProxyId(0), fresh: true, inv_per_second: 900.0, zone: ZoneId(0) };
     host.advance(10.0, &(1..60).map(joined).chain([heavy]).collect::<Vec<_>>());
     host.run_seconds(8, 60, &[]);
