--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -215,9 +215,9 @@
     }
 
     /// The health of a member; a member that is not watched counts as dead.
-    pub fn health(&self, of: MemberId) -> Health {
-        match self.peers.get(&of) {
-            _ if of == self.id => Health::Alive,
+    pub fn health(&self, member: MemberId) -> Health {
+        match self.peers.get(&member) {
+            _ if member == self.id => Health::Alive,
             Some(peer) => peer.health,
             None => Health::Dead,
         }
@@ -231,8 +231,8 @@
     }
 
     /// How this member reaches another one, by the probes of the last two rounds.
-    pub fn reach(&self, now: Ms, of: MemberId) -> Reach {
-        let Some(peer) = self.peers.get(&of) else { return Reach::Unknown };
+    pub fn reach(&self, now: Ms, member: MemberId) -> Reach {
+        let Some(peer) = self.peers.get(&member) else { return Reach::Unknown };
         let max_age = self.round_duration() * 2.0;
         let is_recent = |at: Option<Ms>| at.is_some_and(|at| now <= at + max_age);
         match (is_recent(peer.direct_ack_at), is_recent(peer.indirect_ack_at)) {
@@ -463,7 +463,7 @@
     }
 
     /// Handles a message from another member. `clock` is this member's wall clock.
-    pub fn handle_message(&mut self, now: Ms, clock: Ms, from: MemberId, message: SwimMessage) {
+    pub fn handle_message(&mut self, now: Ms, clock: Ms, sender: MemberId, message: SwimMessage) {
         let updates = match &message {
             SwimMessage::Ping { updates, .. }
             | SwimMessage::Ack { updates, .. }
@@ -473,8 +473,8 @@
         updates.iter().for_each(|update| self.apply_update(now, *update));
         match message {
             SwimMessage::Ping { sequence, .. } => {
-                let updates = self.updates_for(from);
-                self.messages.push((from, SwimMessage::Ack { sequence, clock, updates }));
+                let updates = self.updates_for(sender);
+                self.messages.push((sender, SwimMessage::Ack { sequence, clock, updates }));
             }
             SwimMessage::PingRequest { sequence: requester_sequence, target, .. } => {
                 if self.relayed_probes.len() < MAX_RELAYED_PROBES {
@@ -482,7 +482,7 @@
                     let (sequence, deadline) = (self.last_sequence, now + self.probe_timeout());
                     self.relayed_probes.push(RelayedProbe {
                         sequence,
-                        requester: from,
+                        requester: sender,
                         requester_sequence,
                         deadline,
                     });
@@ -491,7 +491,7 @@
                 }
             }
             SwimMessage::Ack { sequence, clock: target_clock, .. } => {
-                self.handle_ack(now, from, sequence, target_clock)
+                self.handle_ack(now, sender, sequence, target_clock)
             }
             SwimMessage::Nack { sequence } => {
                 let probe = self.probe.as_mut().filter(|probe| probe.sequence == sequence);
@@ -500,7 +500,7 @@
         }
     }
 
-    fn handle_ack(&mut self, now: Ms, from: MemberId, sequence: u64, target_clock: Ms) {
+    fn handle_ack(&mut self, now: Ms, sender: MemberId, sequence: u64, target_clock: Ms) {
         if let Some(position) = self.relayed_probes.iter().position(|relayed| relayed.sequence == sequence) {
             let relayed = self.relayed_probes.swap_remove(position);
             let updates = self.updates_for(relayed.requester);
@@ -510,7 +510,7 @@
         }
         let Some(probe) = self.probe.filter(|probe| probe.sequence == sequence) else { return };
         let Some(peer) = self.peers.get_mut(&probe.target) else { return };
-        if from == probe.target {
+        if sender == probe.target {
             // The way back took at most one probe period, so the offset is exact to within that.
             peer.direct_ack_at = Some(now);
             peer.clock_offset = Some((target_clock - now, now));
--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -412,7 +412,7 @@
                 }
             }
             RecoveryState::Verifying { until } => {
-                let answered = self.handshake.count(self.other_voters()) + 1;
+                let answered = self.handshake.answered_count(self.other_voters()) + 1;
                 if now >= until || answered > self.voters().count() / 2 {
                     self.recovery = RecoveryState::Ready;
                 }
@@ -450,8 +450,8 @@
         self.actions.events.push(RaftEvent::RecoveryStarted);
     }
 
-    /// Finishes the recovery if the own log, which matches the leader's up to `match_index`, holds all that the leader
-    /// held when it was asked: this member may not have forgotten more than that.
+    /// Finishes the recovery if the own log, which matches the leader's up to `match_index`, holds all that the leader's
+    /// log held when the leader was asked: this member may not have forgotten more than that.
     fn finish_recovery(&mut self, leader: MemberId, match_index: Index) {
         let RecoveryState::Recovering { term: Some(adopted_term) } = self.recovery else { return };
         let required_index = self.handshake.leader_last_index(leader, self.term);
@@ -534,7 +534,7 @@
         self.state = RoleState::Follower { leader };
     }
 
-    fn handle_request_vote(&mut self, now: Ms, from: MemberId, request: (Term, (Index, Term), bool, bool)) {
+    fn handle_request_vote(&mut self, now: Ms, sender: MemberId, request: (Term, (Index, Term), bool, bool)) {
         let (term, last, pre_vote, leadership_transfer) = request;
         // A leader that was heard from within the shortest election timeout may hold a lease that relies on this member
         // granting no vote (Ongaro's dissertation, 4.2.3 and 6.4.1).
@@ -549,21 +549,21 @@
         if pre_vote {
             let granted = term > self.term && up_to_date && self.may_vote();
             return self.send_now(
-                from,
+                sender,
                 Message::RequestVoteReply { term: if granted { term } else { self.term }, granted, pre_vote },
             );
         }
         if term > self.term {
             self.become_follower(now, term, None, "another member stands for election in a later term");
         }
-        let vote_free = self.voted_for.is_none_or(|candidate| candidate == from);
+        let vote_free = self.voted_for.is_none_or(|candidate| candidate == sender);
         let granted = term == self.term && vote_free && up_to_date && self.may_vote();
         if granted && self.voted_for.is_none() {
-            self.voted_for = Some(from);
+            self.voted_for = Some(sender);
             self.write(Record::TermAndVote(self.term, self.voted_for));
             self.reset_election_timer(now);
         }
-        self.send_when_durable(from, Message::RequestVoteReply { term: self.term, granted, pre_vote });
+        self.send_when_durable(sender, Message::RequestVoteReply { term: self.term, granted, pre_vote });
     }
 
     /// A member that has just started may have supported a leader's lease before, so it waits for an election timeout
@@ -575,11 +575,11 @@
         }
     }
 
-    fn handle_vote_reply(&mut self, now: Ms, from: MemberId, term: Term, granted: bool, pre_vote: bool) {
+    fn handle_vote_reply(&mut self, now: Ms, sender: MemberId, term: Term, granted: bool, pre_vote: bool) {
         let RoleState::Candidate { pre_vote: in_pre_vote, votes, .. } = &mut self.state else { return };
         let election_term = if pre_vote { Term(self.term.0 + 1) } else { self.term };
         if granted && *in_pre_vote == pre_vote && term == election_term {
-            votes.insert(from);
+            votes.insert(sender);
             self.count_votes(now);
         }
     }
@@ -676,10 +676,10 @@
         self.send_now(to, message);
     }
 
-    fn handle_append_reply(&mut self, now: Ms, from: MemberId, sent_at: Ms, success: bool, index: Index) {
+    fn handle_append_reply(&mut self, now: Ms, sender: MemberId, sent_at: Ms, success: bool, index: Index) {
         let last_index = self.log.last().0;
         let RoleState::Leader(leadership) = &mut self.state else { return };
-        let Some(peer) = leadership.peers.get_mut(&from) else { return };
+        let Some(peer) = leadership.peers.get_mut(&sender) else { return };
         peer.acknowledged_at = peer.acknowledged_at.max(sent_at.min(now));
         if success {
             peer.match_index = peer.match_index.max(index.min(last_index));
@@ -688,7 +688,7 @@
             peer.next_index = index.next().min(last_index.next()).max(peer.match_index.next());
         }
         if peer.next_index <= last_index {
-            self.replicate_to(now, from);
+            self.replicate_to(now, sender);
         }
         self.advance_commit_index(now);
         self.send_timeout_now();
@@ -835,12 +835,12 @@
     // Following.
 
     /// Accepts the sender as leader, unless its term has ended.
-    fn accept_leader(&mut self, now: Ms, from: MemberId, term: Term) -> bool {
+    fn accept_leader(&mut self, now: Ms, sender: MemberId, term: Term) -> bool {
         if term < self.term {
-            self.actions.events.push(RaftEvent::StaleLeader(from, term));
+            self.actions.events.push(RaftEvent::StaleLeader(sender, term));
             // Tells the sender of the later term; the reply has nothing to do with an election.
             self.send_when_durable(
-                from,
+                sender,
                 Message::RequestVoteReply { term: self.term, granted: false, pre_vote: false },
             );
             return false;
@@ -849,7 +849,7 @@
             // The group was bootstrapped without this member's store.
             self.start_recovery(now);
         }
-        self.become_follower(now, term, Some(from), "another member leads in a later term");
+        self.become_follower(now, term, Some(sender), "another member leads in a later term");
         self.leader_contact_at = now;
         self.reset_election_timer(now);
         true
@@ -857,7 +857,7 @@
 
     fn handle_append_entries(
         &mut self,
-        from: MemberId,
+        sender: MemberId,
         sent_at: Ms,
         previous: (Index, Term),
         entries: Vec<Entry>,
@@ -870,7 +870,7 @@
         let matches = previous.0 < snapshot_index || self.log.term_at(previous.0) == Some(previous.1);
         if !matches {
             let hint = previous.0.previous().min(last_index).max(snapshot_index);
-            return self.send_when_durable(from, rejection(hint));
+            return self.send_when_durable(sender, rejection(hint));
         }
         let match_index = Index(previous.0 .0 + entries.len() as u64);
         let differs =
@@ -884,13 +884,13 @@
         let match_index = match_index.max(snapshot_index);
         self.commit_up_to(leader_commit.min(match_index));
         self.send_when_durable(
-            from,
+            sender,
             Message::AppendEntriesReply { term, sent_at, success: true, index: match_index },
         );
-        self.finish_recovery(from, match_index);
+        self.finish_recovery(sender, match_index);
     }
 
-    fn handle_install_snapshot(&mut self, from: MemberId, sent_at: Ms, snapshot: Snapshot) {
+    fn handle_install_snapshot(&mut self, sender: MemberId, sent_at: Ms, snapshot: Snapshot) {
         let (term, match_index) = (self.term, snapshot.last_index);
         if match_index > self.commit_index {
             self.log = Log::new(snapshot.clone());
@@ -902,16 +902,16 @@
             self.actions.committed.push(Committed::Snapshot(snapshot));
         }
         self.send_when_durable(
-            from,
+            sender,
             Message::AppendEntriesReply { term, sent_at, success: true, index: match_index },
         );
-        self.finish_recovery(from, match_index);
+        self.finish_recovery(sender, match_index);
     }
 
     /// Handles a message from another member.
-    pub fn handle_message(&mut self, now: Ms, from: MemberId, message: Message) {
+    pub fn handle_message(&mut self, now: Ms, sender: MemberId, message: Message) {
         match message {
-            Message::HandshakeRequest { run, nonce } => self.handle_handshake_request(from, run, nonce),
+            Message::HandshakeRequest { run, nonce } => self.handle_handshake_request(sender, run, nonce),
             Message::HandshakeReply {
                 run,
                 known_run,
@@ -924,12 +924,12 @@
                 if run == self.run {
                     let answer =
                         Answer { known_run, term, last_index, is_leader, store_id, bootstrap_stores };
-                    self.handshake.record(from, answer);
+                    self.handshake.record(sender, answer);
                     self.update_recovery(now);
                 }
             }
             Message::RequestVote { term, last, pre_vote, leadership_transfer } => {
-                self.handle_request_vote(now, from, (term, last, pre_vote, leadership_transfer));
+                self.handle_request_vote(now, sender, (term, last, pre_vote, leadership_transfer));
             }
             // A granted pre-vote names the next term, which has not started.
             Message::RequestVoteReply { term, granted, pre_vote }
@@ -938,16 +938,16 @@
                 self.become_follower(now, term, None, "another member is in a later term");
             }
             Message::RequestVoteReply { term, granted, pre_vote } => {
-                self.handle_vote_reply(now, from, term, granted, pre_vote)
+                self.handle_vote_reply(now, sender, term, granted, pre_vote)
             }
             Message::AppendEntries { term, sent_at, previous, entries, commit_index } => {
-                if self.accept_leader(now, from, term) {
-                    self.handle_append_entries(from, sent_at, previous, entries, commit_index);
+                if self.accept_leader(now, sender, term) {
+                    self.handle_append_entries(sender, sent_at, previous, entries, commit_index);
                 }
             }
             Message::InstallSnapshot { term, sent_at, snapshot } => {
-                if self.accept_leader(now, from, term) {
-                    self.handle_install_snapshot(from, sent_at, snapshot);
+                if self.accept_leader(now, sender, term) {
+                    self.handle_install_snapshot(sender, sent_at, snapshot);
                 }
             }
             Message::AppendEntriesReply { term, .. } if term > self.term => {
@@ -955,11 +955,11 @@
             }
             Message::AppendEntriesReply { term, sent_at, success, index } => {
                 if term == self.term {
-                    self.handle_append_reply(now, from, sent_at, success, index);
+                    self.handle_append_reply(now, sender, sent_at, success, index);
                 }
             }
             Message::TimeoutNow { term } => {
-                if term == self.term && self.leader() == Some(from) && self.may_vote() && self.is_voter() {
+                if term == self.term && self.leader() == Some(sender) && self.may_vote() && self.is_voter() {
                     self.start_election(now, false, true);
                 }
             }
@@ -968,14 +968,14 @@
         }
     }
 
-    fn handle_handshake_request(&mut self, from: MemberId, run: Run, nonce: u64) {
-        let (known_run, is_new) = self.peer_runs.entry(from).or_default().observe(run, nonce);
+    fn handle_handshake_request(&mut self, sender: MemberId, run: Run, nonce: u64) {
+        let (known_run, is_new) = self.peer_runs.entry(sender).or_default().observe(run, nonce);
         if is_new {
-            self.write(Record::PeerRun(from, run, nonce));
+            self.write(Record::PeerRun(sender, run, nonce));
             let next_index = self.log.last().0.next();
             if let RoleState::Leader(leadership) = &mut self.state {
                 // Replies of the previous run no longer count: the member may have lost the entries that it confirmed.
-                let peer = leadership.peers.get_mut(&from);
+                let peer = leadership.peers.get_mut(&sender);
                 peer.into_iter()
                     .for_each(|peer| (peer.next_index, peer.match_index) = (next_index, Index(0)));
             }
@@ -993,7 +993,7 @@
             store_id,
             bootstrap_stores,
         };
-        self.send_when_durable(from, reply);
+        self.send_when_durable(sender, reply);
     }
 
     // The store.
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -2,9 +2,9 @@
 //!
 //! Raft assumes that what was synced is there after a restart. If a store is lost, or an older copy of it is restored,
 //! the member has forgotten votes and entries that others counted on, and could help to elect a leader that lacks
-//! committed entries. So at each start a member asks the others what they know of it. If they know of a later run than
-//! its own store does, it grants no vote until it holds all that the leader held when it was asked. The idea is that of
-//! Viewstamped Replication's recovery (Liskov and Cowling, 2012).
+//! committed entries. So at each start a member asks the others what they know of it. If they know of a later run (start
+//! of the member) than its own store does, the member grants no vote until its log holds all that the leader's log held
+//! when the leader was asked. The idea is that of Viewstamped Replication's recovery (Liskov and Cowling, 2012).
 
 use std::collections::BTreeMap;
 
@@ -53,14 +53,15 @@
     }
 
     /// Adds an answer, in place of an earlier one of the same member.
-    pub fn record(&mut self, from: MemberId, answer: Answer) {
-        let earlier = self.answers.get(&from);
-        // The leader's log grows while this member catches up: the index of its first answer in a term is enough.
+    pub fn record(&mut self, sender: MemberId, answer: Answer) {
+        let earlier = self.answers.get(&sender);
+        // The leader's log grows while this member catches up: to recover, the last index in the leader's first answer of
+        // a term is enough.
         let same_leadership =
             |earlier: &&Answer| earlier.is_leader && answer.is_leader && earlier.term == answer.term;
         let last_index =
             earlier.filter(same_leadership).map_or(answer.last_index, |earlier| earlier.last_index);
-        self.answers.insert(from, Answer { last_index, ..answer });
+        self.answers.insert(sender, Answer { last_index, ..answer });
     }
 
     /// The latest run of this member that any other member knew before this start.
@@ -71,7 +72,7 @@
     /// The stores that bootstrapped the group, if any member answered that it is bootstrapped.
     pub fn bootstrap_stores(&self) -> Option<&BTreeMap<MemberId, u64>> {
         // A member that joined later or lost its store answers with an empty map: it knows that the group is
-        // bootstrapped and not by which stores. So the longest map is taken.
+        // bootstrapped, but not by which stores. So the longest map is taken.
         self.answers
             .values()
             .filter_map(|answer| answer.bootstrap_stores.as_ref())
@@ -83,16 +84,16 @@
         &self,
         mut others: impl Iterator<Item = &'a MemberId>,
     ) -> Option<BTreeMap<MemberId, u64>> {
-        let is_empty = |stores: &mut BTreeMap<MemberId, u64>, id: &MemberId| {
+        let record_if_empty = |stores: &mut BTreeMap<MemberId, u64>, id: &MemberId| {
             let answer = self.answers.get(id).filter(|answer| answer.bootstrap_stores.is_none());
             answer.map(|answer| _ = stores.insert(*id, answer.store_id)).is_some()
         };
         let mut stores = BTreeMap::new();
-        others.all(|id| is_empty(&mut stores, id)).then_some(stores)
+        others.all(|id| record_if_empty(&mut stores, id)).then_some(stores)
     }
 
     /// How many of these members have answered.
-    pub fn count<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> usize {
+    pub fn answered_count<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> usize {
         others.filter(|id| self.answers.contains_key(id)).count()
     }
 
@@ -101,19 +102,20 @@
     pub fn highest_term<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> Option<Term> {
         let others: Vec<&MemberId> = others.collect();
         let voters = others.len() + 1;
-        let bootstrapped =
+        let bootstrapped_answer =
             |id: &&MemberId| self.answers.get(id).filter(|answer| answer.bootstrap_stores.is_some());
-        let terms: Vec<Term> = others.iter().filter_map(bootstrapped).map(|answer| answer.term).collect();
+        let terms: Vec<Term> =
+            others.iter().filter_map(bootstrapped_answer).map(|answer| answer.term).collect();
         (terms.len() >= voters - voters / 2).then(|| terms.into_iter().max()).flatten()
     }
 
-    /// The last index of this leader's log when it was asked.
+    /// The last index of this leader's log when the leader was asked.
     pub fn leader_last_index(&self, leader: MemberId, term: Term) -> Option<Index> {
         let answer = self.answers.get(&leader)?;
         (answer.is_leader && answer.term == term).then_some(answer.last_index)
     }
 
-    /// Drops the answers, as the run that they answered is no longer the current one.
+    /// Drops the answers: they are about a run that is no longer the current one.
     pub fn clear(&mut self) {
         self.answers.clear();
     }
--- a/crates/consensus/tests/failure_detector.rs
+++ b/crates/consensus/tests/failure_detector.rs
@@ -89,9 +89,9 @@
     }
 
     /// A member's health as each of the other live members sees it.
-    fn healths(&self, of: u16) -> Vec<Health> {
-        let others = self.detectors.iter().filter(|(id, detector)| id.0 != of && detector.is_some());
-        others.map(|(_, detector)| detector.as_ref().unwrap().health(MemberId(of))).collect()
+    fn healths(&self, member: u16) -> Vec<Health> {
+        let others = self.detectors.iter().filter(|(id, detector)| id.0 != member && detector.is_some());
+        others.map(|(_, detector)| detector.as_ref().unwrap().health(MemberId(member))).collect()
     }
 }
 
--- a/crates/consensus/tests/histories.rs
+++ b/crates/consensus/tests/histories.rs
@@ -20,7 +20,7 @@
 enum Event {
     Message {
         to: MemberId,
-        from: MemberId,
+        sender: MemberId,
         sender_generation: u64,
         message: Message,
     },
@@ -187,7 +187,10 @@
             for _ in 0..copies {
                 let delay = 0.2 + self.rng.f64() * if self.rng.u8(..30) == 0 { 200.0 } else { 8.0 };
                 let message = message.clone();
-                self.schedule(delay, Event::Message { to, from: id, sender_generation: generation, message });
+                self.schedule(
+                    delay,
+                    Event::Message { to, sender: id, sender_generation: generation, message },
+                );
             }
         }
         for committed in actions.committed {
@@ -251,9 +254,9 @@
                 process.suspended = false;
                 let inbox = std::mem::take(&mut process.inbox);
                 let now = self.clock(id);
-                for (from, _, message) in inbox {
+                for (sender, _, message) in inbox {
                     if let Some(node) = &mut self.processes.get_mut(&id).unwrap().node {
-                        node.handle_message(now, from, message);
+                        node.handle_message(now, sender, message);
                     }
                 }
                 self.tick(id);
@@ -275,19 +278,19 @@
                     self.settle(id);
                 }
             }
-            Event::Message { to, from, sender_generation, message } => {
+            Event::Message { to, sender, sender_generation, message } => {
                 // A connection ends with the process that opened it.
-                if self.cut_links.contains(&(from, to))
-                    || self.processes[&from].generation != sender_generation
+                if self.cut_links.contains(&(sender, to))
+                    || self.processes[&sender].generation != sender_generation
                 {
                     return true;
                 }
                 let now = self.clock(to);
                 let process = self.processes.get_mut(&to).unwrap();
                 if process.suspended {
-                    process.inbox.push((from, sender_generation, message));
+                    process.inbox.push((sender, sender_generation, message));
                 } else if let Some(node) = &mut process.node {
-                    node.handle_message(now, from, message);
+                    node.handle_message(now, sender, message);
                     self.settle(to);
                 }
             }
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -3,8 +3,8 @@
 //! occurs at which pass of which point, and every pass is recorded in a file. A trial can thus inject each fault in turn
 //! and name the points that were never reached. Without the feature, [`Point::pass`] does nothing.
 //!
-//! The crate `fail` does not fit: its points act by name and by probability or count, but it does not record passes, can't
-//! ask a caller to lose, repeat or tear, and has no abort action.
+//! The crate `fail` does not fit: its points are selected by name and act by probability or count, but the crate records
+//! no passes, can't ask a caller to lose, repeat or tear a step, and has no abort action.
 
 use std::fmt;
 
@@ -116,14 +116,15 @@
 }
 
 impl Point {
-    /// Passes the point. Returns the fault that the caller has to perform, if any.
+    /// Does nothing without the feature `points`. With it, returns the fault that the caller has to perform, if any.
     #[cfg(not(feature = "points"))]
     #[inline(always)]
     pub fn pass(self) -> Option<Fault> {
         None
     }
 
-    /// Passes the point. Returns the fault that the caller has to perform, if any.
+    /// Records that this point was reached, and injects the fault that is selected for this pass. Returns the fault if
+    /// the caller has to perform it.
     #[cfg(feature = "points")]
     pub fn pass(self) -> Option<Fault> {
         injection::pass(self)
@@ -150,15 +151,18 @@
 
     use super::{Fault, Point};
 
-    /// The faults to inject: `POINT:PASSING:FAULT`, separated by commas. A passing of `*` means each pass.
+    /// The faults to inject: `POINT:PASS:FAULT`, separated by commas. PASS is the number of the pass, from 1, or `*` for
+    /// each pass.
     const FAULTS_VARIABLE: &str = "JUNIPERRAIL_POINTS";
-    /// The path of a file that only one process can create. That process injects the fault, the others continue.
+    /// The path of a file that only one process can create. That process injects the fault, once; the others continue
+    /// without it.
     const ONCE_FILE_VARIABLE: &str = "JUNIPERRAIL_POINTS_ONCE";
     /// The path of the file that passes are recorded in, one point number per line.
     const PASSED_FILE_VARIABLE: &str = "JUNIPERRAIL_POINTS_PASSED";
     /// The path of a file with the offset of the clock in milliseconds; it is read again at each use of the clock.
     const CLOCK_FILE_VARIABLE: &str = "JUNIPERRAIL_CLOCK";
-    /// Only this many passes of one point are recorded.
+    /// Limits the passes recorded of one point, and so the size of the file. Trials choose the passes to inject faults at
+    /// among those recorded.
     const MAX_RECORDED_PASSES: u64 = 200;
     /// Longer than a lease and an election in the trials, but shorter than their wait time-outs.
     const STALL: Duration = Duration::from_millis(2500);
@@ -176,31 +180,31 @@
             let selection = std::env::var(FAULTS_VARIABLE).unwrap_or_default();
             let words = selection.split(',').filter(|word| !word.is_empty());
             let passed_path = std::env::var_os(PASSED_FILE_VARIABLE);
-            let open = |path| OpenOptions::new().append(true).create(true).open(path).ok();
+            let open_file = |path| OpenOptions::new().append(true).create(true).open(path).ok();
             Mutex::new(Injector {
                 faults: words.map(parse_fault).collect(),
-                passed_file: passed_path.and_then(open),
+                passed_file: passed_path.and_then(open_file),
                 pass_counts: <_>::default(),
             })
         })
     }
 
-    /// Parses `POINT:PASSING:FAULT`; exits the process if the text is invalid.
+    /// Parses `POINT:PASS:FAULT`; exits the process if the text is invalid.
     fn parse_fault(word: &str) -> (Point, Option<u64>, Fault) {
         let parse = || {
             let mut parts = word.split(':');
             let point = Point(parts.next()?.parse().ok()?);
-            let passing = match parts.next()? {
+            let pass_number = match parts.next()? {
                 "*" => None,
-                passing => Some(passing.parse().ok()?),
+                text => Some(text.parse().ok()?),
             };
             let name = parts.next()?;
             let fault = Fault::ALL.iter().find(|(known, _)| *known == name)?.1;
-            Some((point, passing, fault))
+            Some((point, pass_number, fault))
         };
         // Without this check, a trial that selects an unknown fault would pass without testing anything.
         parse().unwrap_or_else(|| {
-            eprintln!("{FAULTS_VARIABLE} contains an invalid POINT:PASSING:FAULT: {word:?}");
+            eprintln!("{FAULTS_VARIABLE} contains an invalid POINT:PASS:FAULT: {word:?}");
             std::process::exit(2)
         })
     }
@@ -215,8 +219,8 @@
                 // If this fails, the trial reports the point as not reached.
                 _ = writeln!(file, "{}", point.0);
             }
-            let matches_pass = |(at, passing, _): &&(Point, Option<u64>, Fault)| {
-                *at == point && passing.is_none_or(|passing| passing == *count)
+            let matches_pass = |(selected_point, pass_number, _): &&(Point, Option<u64>, Fault)| {
+                *selected_point == point && pass_number.is_none_or(|number| number == *count)
             };
             faults.iter().find(matches_pass).map(|(_, _, fault)| *fault).filter(|_| claim_once_file())
         };
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -51,8 +51,8 @@
             let name_or_empty = |name: Option<&str>| name.unwrap_or_default().to_string();
             WorkerState {
                 name,
-                zone: name_or_empty(self.names.zones.get(composed.entry.zone.0.into())),
-                machine: name_or_empty(self.names.machines.get(composed.entry.machine.0.into())),
+                zone: name_or_empty(self.names.zones.find_name(composed.entry.zone.0.into())),
+                machine: name_or_empty(self.names.machines.find_name(composed.entry.machine.0.into())),
                 warm: composed.entry.booted.is_none_or(|booted| now >= booted + warm_up),
                 composed,
             }
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -70,7 +70,7 @@
         let synced = self.planner.synced_proxy_count(&overdue.keys().copied().collect());
         let oldest = overdue.iter().min_by(|a, b| a.1.total_cmp(b.1)).filter(|_| synced < joined);
         let drain_warning = oldest.map(|(id, since)| {
-            let name = self.names.workers.get(id.0).unwrap_or("a removed worker");
+            let name = self.names.workers.find_name(id.0).unwrap_or("a removed worker");
             let leaving_for = now - since;
             let missing = joined - synced;
             format!(
--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -12,7 +12,10 @@
 }
 
 fn bytes(digits: &str) -> Vec<u8> {
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    (0..digits.len())
+        .step_by(2)
+        .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
+        .collect()
 }
 
 fn records() -> Vec<(&'static str, Record)> {
@@ -20,12 +23,12 @@
     let from = MarkPosition { run: 3, mark: 130 };
     let to = MarkPosition { run: 4, mark: 2 };
     let ended = Authorisation { from, since: 12.5, to: Some((to, 99.25)) };
-    let open = Authorisation { from, since: 12.5, to: None };
+    let in_force = Authorisation { from, since: 12.5, to: None };
     vec![
         ("opened", Record::Authorised { key: key(), from, since: 12.5 }),
         ("closed", Record::Revoked { key: key(), to, at: 99.25 }),
         ("snapshot-ended", Record::Snapshot { key: key(), authorisation: ended }),
-        ("snapshot-open", Record::Snapshot { key: key(), authorisation: open }),
+        ("snapshot-open", Record::Snapshot { key: key(), authorisation: in_force }),
     ]
 }
 
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -33,13 +33,13 @@
 /// Answers batches of events with the planners' orders until the input ends.
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
-    let mut lines = input.lines().enumerate().map(|(at, text)| match text {
-        Ok(text) => Ok((at + 1, text)),
-        Err(err) => Err(Fault::at(at + 1, format!("read error: {err}"))),
+    let mut lines = input.lines().enumerate().map(|(index, text)| match text {
+        Ok(text) => Ok((index + 1, text)),
+        Err(err) => Err(Fault::at_line(index + 1, format!("read error: {err}"))),
     });
     while let Some(first) = lines.next() {
-        let (at, text) = first?;
-        let mut head = Line::new(at, &text);
+        let (line_number, text) = first?;
+        let mut head = Line::new(line_number, &text);
         match head.word("message")? {
             "TURN" => {}
             other => return Err(head.fault(format!("expected TURN, found {other:?}"))),
@@ -64,7 +64,7 @@
         output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush())
-            .map_err(|err| Fault::at(at, format!("cannot write the reply: {err}")))?;
+            .map_err(|err| Fault::at_line(line_number, format!("cannot write the reply: {err}")))?;
     }
     Ok(())
 }
@@ -76,11 +76,11 @@
     instances: &mut BTreeMap<u32, Instance>,
 ) -> Result<(), Fault> {
     let mut current: Option<u32> = None;
-    let mut last = 0;
+    let mut last_line_number = 0;
     while let Some(next) = lines.next() {
-        let (at, text) = next?;
-        last = at;
-        let mut line = Line::new(at, &text);
+        let (line_number, text) = next?;
+        last_line_number = line_number;
+        let mut line = Line::new(line_number, &text);
         let name = line.word("message")?;
         match name {
             "GO" => return line.finish(),
@@ -117,7 +117,7 @@
         instance.has_events = true;
         instance.events.push(event);
     }
-    Err(Fault::at(last + 1, "input ends within a batch".into()))
+    Err(Fault::at_line(last_line_number + 1, "input ends within a batch".into()))
 }
 
 /// The text of a panic, on one line.
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -15,7 +15,7 @@
 
 impl Fault {
     /// An error at the line of that number, counted from 1.
-    pub fn at(line: usize, message: String) -> Self {
+    pub fn at_line(line: usize, message: String) -> Self {
         Fault { line, message }
     }
 }
@@ -44,7 +44,7 @@
     /// An error at this line.
     pub fn fault(&self, message: impl Into<String>) -> Fault {
         let shown: String = self.text.chars().take(60).collect();
-        Fault::at(self.number, format!("{} (in {shown:?})", message.into()))
+        Fault::at_line(self.number, format!("{} (in {shown:?})", message.into()))
     }
 
     /// Everything up to the end of the line.
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -1,5 +1,5 @@
-//! Decodes the JSON settings object that both hosts receive, and maps names to ids. Unknown keys are ignored and an
-//! absent number is 0; a value of the wrong type is an error.
+//! Decodes the JSON settings object that the manager and `simhost` receive, and maps names to ids. Unknown keys are
+//! ignored and an absent number is 0; a value of the wrong type is an error.
 
 use std::collections::HashMap;
 
@@ -45,7 +45,7 @@
     }
 
     /// The name of an id, if it is known.
-    pub fn get(&self, id: u32) -> Option<&str> {
+    pub fn find_name(&self, id: u32) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 
@@ -87,60 +87,60 @@
 }
 
 /// The value at a dotted path; null where it is absent.
-fn value_at<'a>(from: &'a Value, path: &str) -> &'a Value {
-    path.split('.').fold(from, |value, key| &value[key])
+fn value_at<'a>(object: &'a Value, path: &str) -> &'a Value {
+    path.split('.').fold(object, |value, key| &value[key])
 }
 
 /// The number at a dotted path; 0 where it is absent.
-pub fn number(from: &Value, path: &str) -> Result<f64, String> {
-    match value_at(from, path) {
+pub fn number(object: &Value, path: &str) -> Result<f64, String> {
+    match value_at(object, path) {
         Value::Null => Ok(0.0),
         value => value.as_f64().ok_or_else(|| format!("setting {path} is not a number: {value}")),
     }
 }
 
 /// The number at a dotted path as an integer; 0 where it is absent.
-fn count(from: &Value, path: &str) -> Result<usize, String> {
-    number(from, path).map(|number| number as usize)
+fn count(object: &Value, path: &str) -> Result<usize, String> {
+    number(object, path).map(|number| number as usize)
 }
 
 /// The string at a dotted path; empty where it is absent.
-fn text<'a>(from: &'a Value, path: &str) -> Result<&'a str, String> {
-    match value_at(from, path) {
+fn text<'a>(object: &'a Value, path: &str) -> Result<&'a str, String> {
+    match value_at(object, path) {
         Value::Null => Ok(""),
         value => value.as_str().ok_or_else(|| format!("setting {path} is not a string: {value}")),
     }
 }
 
 /// The array at a dotted path; empty where it is absent.
-fn list<'a>(from: &'a Value, path: &str) -> Result<&'a [Value], String> {
-    match value_at(from, path) {
+fn list<'a>(object: &'a Value, path: &str) -> Result<&'a [Value], String> {
+    match value_at(object, path) {
         Value::Null => Ok(&[]),
         value => Ok(value.as_array().ok_or_else(|| format!("setting {path} is not an array: {value}"))?),
     }
 }
 
 /// The strings of the array at a dotted path; empty where it is absent.
-fn texts<'a>(from: &'a Value, path: &str) -> Result<Vec<&'a str>, String> {
+fn texts<'a>(object: &'a Value, path: &str) -> Result<Vec<&'a str>, String> {
     let to_text = |value: &'a Value| {
         value.as_str().ok_or_else(|| format!("setting {path} contains a value that is not a string: {value}"))
     };
-    list(from, path)?.iter().map(to_text).collect()
+    list(object, path)?.iter().map(to_text).collect()
 }
 
-/// Decodes the settings object to settings and the names of their ids.
-pub fn decode(info: &Value) -> Result<(Settings, Names), String> {
-    if !info.is_object() {
+/// Decodes the settings object. Returns the settings and the names that the ids in them stand for.
+pub fn decode(object: &Value) -> Result<(Settings, Names), String> {
+    if !object.is_object() {
         return Err("the settings are not a JSON object".into());
     }
     let mut names = Names::default();
-    let zones = texts(info, "zones")?.into_iter().map(|zone| names.zone(zone)).collect();
-    for machine in texts(info, "skus")? {
+    let zones = texts(object, "zones")?.into_iter().map(|zone| names.zone(zone)).collect();
+    for machine in texts(object, "skus")? {
         names.machine(machine);
     }
-    let own_zone_only = list(info, "domain.class-own-zone")?;
+    let own_zone_only = list(object, "domain.class-own-zone")?;
     let mut operations = Vec::new();
-    for (index, lane) in list(info, "lanes")?.iter().enumerate() {
+    for (index, lane) in list(object, "lanes")?.iter().enumerate() {
         names.ops.id_for(text(lane, "name")?);
         operations.push(Operation {
             latency_objective: number(lane, "on-time-ms")?,
@@ -159,33 +159,33 @@
     let settings = Settings {
         operations,
         zones,
-        slice_count: count(info, "domain.key-ranges")?,
-        level_kind: match text(info, "domain.level-kind")? {
+        slice_count: count(object, "domain.key-ranges")?,
+        level_kind: match text(object, "domain.level-kind")? {
             "share" => LevelKind::Share,
             "rate" => LevelKind::PerSecond,
             _ => LevelKind::Unsupported,
         },
-        proxies_avoid_outliers: number(info, "domain.outlier-after")? > 0.0,
-        cross_zone_cost: number(info, "charges.cross-zone")?,
-        channel_cost: number(info, "domain.cost-per-line")?,
-        channel_rate: number(info, "domain.channel-rate")?,
-        max_pending_lines: number(info, "domain.pending-max")?,
-        message_overhead: number(info, "domain.overhead")?,
-        max_messages_per_window: match number(info, "domain.messages-most")? {
+        proxies_avoid_outliers: number(object, "domain.outlier-after")? > 0.0,
+        cross_zone_cost: number(object, "charges.cross-zone")?,
+        channel_cost: number(object, "domain.cost-per-line")?,
+        channel_rate: number(object, "domain.channel-rate")?,
+        max_pending_lines: number(object, "domain.pending-max")?,
+        message_overhead: number(object, "domain.overhead")?,
+        max_messages_per_window: match number(object, "domain.messages-most")? {
             0.0 => f64::INFINITY,
             limit => limit,
         },
-        message_window: number(info, "domain.counted-over-ms")?,
-        max_transit: number(info, "domain.worst-transit-ms")?,
-        report_period: number(info, "domain.period-ms")?,
-        drain_grace: number(info, "rules.drain-grace-ms")?,
-        warm_up: number(info, "rules.warm-up-ms")?,
-        cold_share: number(info, "rules.cold-share")?,
-        overload_factor: number(info, "rules.overload-factor")?,
-        proxy_count: number(info, "domain.proxy-count")?,
-        manager_count: number(info, "n-instances")?,
-        list_on_request: text(info, "registry-mode")? == "ask",
-        list_request_deadline: number(info, "rules.must-ask-in-ms")?,
+        message_window: number(object, "domain.counted-over-ms")?,
+        max_transit: number(object, "domain.worst-transit-ms")?,
+        report_period: number(object, "domain.period-ms")?,
+        drain_grace: number(object, "rules.drain-grace-ms")?,
+        warm_up: number(object, "rules.warm-up-ms")?,
+        cold_share: number(object, "rules.cold-share")?,
+        overload_factor: number(object, "rules.overload-factor")?,
+        proxy_count: number(object, "domain.proxy-count")?,
+        manager_count: number(object, "n-instances")?,
+        list_on_request: text(object, "registry-mode")? == "ask",
+        list_request_deadline: number(object, "rules.must-ask-in-ms")?,
     };
     Ok((settings, names))
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -11,7 +11,7 @@
 const MAX_DEMAND_SAMPLES: usize = 3;
 
 impl Planner {
-    /// Takes one event into the state; decisions follow once all events of the turn are in.
+    /// Applies one event to the state; the planner decides once all events of the turn are applied.
     pub(crate) fn handle_event(&mut self, event: &Event) {
         match event {
             Event::List { kind: ListKind::Failed, .. } => {
@@ -20,12 +20,13 @@
                 self.list_request_at = self.settings.list_on_request.then_some(self.now + delay);
             }
             Event::List { kind, workers, .. } => {
-                let listed = |id| *kind == ListKind::Changes || workers.iter().any(|of| of.worker == id);
-                let missing = self.workers.values().filter(|worker| !listed(worker.listed.worker));
-                let gone = |worker: &Worker| WorkerEntry { phase: Phase::Gone, ..worker.listed.clone() };
-                let gone: Vec<_> = missing.map(gone).collect();
+                let still_listed =
+                    |id| *kind == ListKind::Changes || workers.iter().any(|entry| entry.worker == id);
+                let missing = self.workers.values().filter(|worker| !still_listed(worker.listed.worker));
+                let as_gone = |worker: &Worker| WorkerEntry { phase: Phase::Gone, ..worker.listed.clone() };
+                let gone: Vec<_> = missing.map(as_gone).collect();
                 let is_change = *kind == ListKind::Changes;
-                gone.iter().chain(workers).for_each(|listed| self.apply_listed(listed.clone(), is_change));
+                gone.iter().chain(workers).for_each(|entry| self.apply_listed(entry.clone(), is_change));
             }
             Event::SettingsChanged(changed) => {
                 let settings = &mut self.settings;
@@ -37,7 +38,7 @@
                     (op.latency_objective, op.billed_value) = *values;
                 }
             }
-            Event::TimerFired { .. } => self.wake_due = true,
+            Event::TimerFired { .. } => self.timer_due = true,
             Event::Joined { proxy, inv_per_second, zone, .. } => {
                 let (zone, inv_per_second) = (*zone, *inv_per_second);
                 let acknowledged_mark = self.last_mark;
@@ -51,8 +52,8 @@
                 self.proxies.insert(*proxy, joined);
             }
             Event::Left { proxy } => {
-                // Its bindings end: updates that only it had to acknowledge become idle, and its next bind carries
-                // all values.
+                // Its bindings end: updates that only it still had to acknowledge become idle, so they are to be sent
+                // again. Its next bind carries all values.
                 self.proxies.remove(proxy);
                 self.tables.iter_mut().for_each(|table| _ = table.bound_proxies.remove(proxy));
             }
@@ -64,7 +65,7 @@
                 let Some(known) = known.filter(|known| known.acknowledged_mark < mark) else { return };
                 known.acknowledged_mark = mark;
                 self.progress_at = self.now;
-                // One proxy's acknowledgement proves that all earlier marks have left the shared channel.
+                // One proxy's acknowledgement shows that all earlier marks have left the shared channel.
                 self.unacknowledged = self.unacknowledged.split_off(&(mark, ProxyId(0)));
                 self.unacknowledged.remove(&(mark, *proxy));
             }
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Takes one entry of the worker list. `is_change`: the entry is from a change of the list, not a whole list.
+    /// Applies one entry of the worker list. `is_change`: the entry is from a change of the list, not a whole list.
     fn apply_listed(&mut self, mut listed: WorkerEntry, is_change: bool) {
         let known_weights = self.workers.values().map(|worker| worker.listed.weight);
         listed.weight = if listed.weight > 0.0 { listed.weight } else { mean(known_weights).unwrap_or(1.0) };
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,12 @@
 use juniperrail_interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What an update sets. Updates of equal rank are sent in the order of the keys.
+/// Timers ordered in a report period, unless they would be shorter than [`MIN_TIMER`].
+const TIMERS_PER_REPORT_PERIOD: f64 = 8.0;
+/// The shortest timer that is ordered.
+const MIN_TIMER: Ms = 20.0;
+
+/// What an update sets. Updates of the same priority (see `Planner::send_updates`) are sent in the order of the keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum UpdateKey {
     /// Whether proxies may pick a worker at all: 1 excludes it, 0 readmits it.
@@ -28,8 +33,8 @@
     Level(TableId, OpId),
 }
 
-/// State of an update: idle while `desired` differs from `sent`, scheduled while a mark awaits acknowledgement, else
-/// completed.
+/// State of an update, in the terms of the design: idle (to be sent) while `desired` differs from `sent`, scheduled
+/// while a mark awaits acknowledgement, else completed.
 #[derive(Default)]
 struct UpdateState {
     desired: f64,
@@ -37,7 +42,7 @@
     sent: f64,
     /// The mark sent after the last write, until all bound proxies have acknowledged it.
     awaited_mark: Option<u64>,
-    /// The worker became possibly excluded while this line was in force: the next write may have to readmit it.
+    /// Another manager may have excluded the worker since this line was sent: the next write may have to readmit it.
     readmission_uncertain: bool,
 }
 
@@ -56,7 +61,8 @@
     listed: WorkerEntry,
     /// When it last left the phase ready, or else when it was first listed.
     drain_requested_at: Ms,
-    /// Multiple of the listed weight, by what its tries cost.
+    /// Factor on the listed weight. It falls while the worker's tries cost more than its peers' or its cores are busier,
+    /// and rises in the opposite case.
     weight_factor: f64,
     weight_adjusted_at: Ms,
     /// The newest first.
@@ -80,7 +86,7 @@
 /// A table that proxies are bound to: the workers of some operations, for proxies of one zone or of all.
 struct Table {
     id: TableId,
-    /// Places of its operations in the settings.
+    /// Indices of its operations in `Settings::operations`.
     ops: Vec<usize>,
     /// The first of its operations; all have the same restrictions on workers.
     operation: Operation,
@@ -114,11 +120,11 @@
     now: Ms,
     workers: BTreeMap<WorkerId, Worker>,
     proxies: BTreeMap<ProxyId, Proxy>,
-    /// When messages were sent to each proxy, within the span of the message limit.
+    /// When messages were sent to each proxy, as far as they may still count within `Settings::message_window`.
     message_times: BTreeMap<ProxyId, VecDeque<Ms>>,
     /// By table id.
     tables: Vec<Table>,
-    /// Indices of each partition's tables, and (`None`) of those of the whole fleet.
+    /// Indices into `tables`, by partition; those under `None` are of the tables of the whole fleet.
     partition_tables: BTreeMap<Option<usize>, Vec<usize>>,
     updates: BTreeMap<UpdateKey, UpdateState>,
     /// The updates that are not completed.
@@ -129,11 +135,13 @@
     /// at which the pair was added.
     ordered_pairs: BTreeMap<(UpdateKey, UpdateKey), Ms>,
     last_mark: u64,
-    /// Lines sent with a mark to a proxy that no acknowledgement has proven to have left the channel.
+    /// By mark and proxy: the lines sent, with overhead, of which no acknowledgement has yet shown that they left the
+    /// channel.
     unacknowledged: BTreeMap<(u64, ProxyId), f64>,
-    /// When the channel last proved progress: the last acknowledgement, or the last send into an empty channel.
+    /// When the channel was last known to make progress: at the last acknowledgement, or at the last send into an empty
+    /// channel.
     progress_at: Ms,
-    /// Lines, with overhead, of the message to each proxy that this turn sends.
+    /// Size, in lines and with overhead, of the message that this turn sends to each proxy.
     message_lines: BTreeMap<ProxyId, f64>,
     /// The sum of `message_lines`.
     turn_lines: f64,
@@ -148,9 +156,10 @@
     overloaded_ratio: f64,
     /// The last change of the admission ratio was a raise.
     admission_rising: bool,
+    /// When admission was last adjusted, the estimated capacity was so low that the fleet counts as near overload.
     near_overload: bool,
-    /// A wake-up has to be ordered at the end of this turn.
-    wake_due: bool,
+    /// A timer has to be ordered at the end of this turn.
+    timer_due: bool,
     /// When the worker list is to be requested.
     list_request_at: Option<Ms>,
     orders: Vec<Order>,
@@ -165,7 +174,7 @@
             admission_ratio: 1.0,
             overloaded_ratio: 1.0,
             exclusions_sent_at: f64::NEG_INFINITY,
-            wake_due: true,
+            timer_due: true,
             list_request_at: settings.list_on_request.then_some(now),
             settings,
             ..Planner::default()
@@ -190,33 +199,35 @@
         self.send_updates();
         self.orders
             .extend(self.list_request_at.take_if(|at| now >= *at).map(|_| Order::SubscribeToList(true)));
-        let after = (self.settings.report_period / 8.0).max(20.0);
+        let after = (self.settings.report_period / TIMERS_PER_REPORT_PERIOD).max(MIN_TIMER);
         let handle = "beat".into();
-        self.orders.extend(std::mem::take(&mut self.wake_due).then_some(Order::SetTimer { after, handle }));
+        self.orders.extend(std::mem::take(&mut self.timer_due).then_some(Order::SetTimer { after, handle }));
         std::mem::take(&mut self.orders)
     }
 
     /// How many joined proxies have acknowledged all that is desired of these workers.
     pub fn synced_proxy_count(&self, workers: &BTreeSet<WorkerId>) -> usize {
-        // The removal of a line makes no difference where the worker is excluded already.
+        // Removals of lines are left out: they make no difference where the worker is already excluded.
         let concerns = |key: &&UpdateKey| match key {
             UpdateKey::Exclusion(id) => workers.contains(id),
             UpdateKey::Line(_, id) => workers.contains(id) && self.updates[key].desired > 0.0,
             UpdateKey::Level(..) => false,
         };
-        let open = self.pending.iter().filter(concerns).map(|key| (&self.updates[key], self.receivers(*key)));
-        let open: Vec<(&UpdateState, BTreeSet<ProxyId>)> = open.collect();
+        let concerned_keys = self.pending.iter().filter(concerns);
+        let concerned_updates: Vec<(&UpdateState, BTreeSet<ProxyId>)> =
+            concerned_keys.map(|key| (&self.updates[key], self.receivers(*key))).collect();
         let acknowledged = |proxy: &Proxy, update: &UpdateState| {
             update.awaited_mark.is_none_or(|mark| proxy.acknowledged_mark >= mark)
         };
         let synced = |(id, proxy): &(&ProxyId, &Proxy)| {
             let done = |update: &UpdateState| update.desired == update.sent && acknowledged(proxy, update);
-            proxy.bound && open.iter().all(|(update, receivers)| !receivers.contains(id) || done(update))
+            proxy.bound
+                && concerned_updates.iter().all(|(update, receivers)| !receivers.contains(id) || done(update))
         };
         self.proxies.iter().filter(synced).count()
     }
 
-    /// Lines sent that no acknowledgement has proven to have left the channel.
+    /// Lines sent, with overhead, of which no acknowledgement has yet shown that they left the channel.
     pub fn unacknowledged_lines(&self) -> f64 {
         self.unacknowledged.values().sum()
     }
--- a/src/planning.rs
+++ b/src/planning.rs
@@ -56,9 +56,10 @@
             let cold_ratio = self.cold_weight_ratio(&workers, total_weight);
             // Operations with many workers prefer those that narrower operations load less, and proxies prefer their
             // own zone where crossing zones is expensive.
-            let already = workers.iter().filter_map(|w| planned_loads.get(&w.listed.worker)).sum::<f64>();
+            let already_planned =
+                workers.iter().filter_map(|w| planned_loads.get(&w.listed.worker)).sum::<f64>();
             let group_demand = group.iter().map(|table| table_demand[&table.id]).sum::<f64>();
-            let load_per_weight = (group_demand + already) / total_weight;
+            let load_per_weight = (group_demand + already_planned) / total_weight;
             let mut room: Vec<f64> = Vec::new();
             for worker in &workers {
                 let load = load_per_weight * self.effective_weight(worker);
--- a/src/sending.rs
+++ b/src/sending.rs
@@ -18,8 +18,8 @@
 const OVERDUE_DRAIN_GRACE_RATIO: f64 = 0.4;
 
 impl Planner {
-    /// Sends idle updates and a mark: exclusions, then binds, then levels and the largest changes of weights, up to
-    /// [`SEND_BACKLOG_RATIO`] of the backlog. Overdue drains may use more.
+    /// Sends idle updates (those to be sent) and a mark: exclusions, then binds, then levels and the largest changes of
+    /// weights, up to [`SEND_BACKLOG_RATIO`] of the backlog. Overdue drains may use more.
     pub(crate) fn send_updates(&mut self) {
         let now = self.now;
         let backlog = self.settings.max_pending_lines;
@@ -38,8 +38,8 @@
         let overhead_interval = if self.partition_count > 0 { overhead_interval } else { 0.0 };
         let ordinary_interval =
             message_interval.max(self.settings.report_period / 2.0).max(overhead_interval);
-        let behind: BTreeSet<UpdateKey> = self.ordered_pairs.keys().map(|pair| pair.1).collect();
-        let unread = |table: &TableId| self.tables[usize::from(table.0)].bound_proxies.is_empty();
+        let blocked: BTreeSet<UpdateKey> = self.ordered_pairs.keys().map(|pair| pair.1).collect();
+        let has_no_proxies = |table: &TableId| self.tables[usize::from(table.0)].bound_proxies.is_empty();
         // Exclusions are gathered: sent one by one as room appears, they would take a message each until the proxies
         // may be sent no more.
         let exclusion_interval = self.settings.message_window
@@ -49,7 +49,7 @@
         let exclusions_due = now >= self.exclusions_sent_at + exclusion_interval;
         let due = |key: &&UpdateKey| match key {
             UpdateKey::Line(table, _) | UpdateKey::Level(table, _) => {
-                now >= self.ordinary_sent_at + ordinary_interval || unread(table)
+                now >= self.ordinary_sent_at + ordinary_interval || has_no_proxies(table)
             }
             UpdateKey::Exclusion(_) => exclusions_due || self.updates[key].desired == 0.0,
         };
@@ -58,7 +58,7 @@
         let mut changes = Vec::new();
         for key in idle.filter(due).copied().collect::<Vec<UpdateKey>>() {
             let update = &self.updates[&key];
-            let ready = !behind.contains(&key);
+            let ready = !blocked.contains(&key);
             if let (UpdateKey::Exclusion(id), true) = (key, update.desired > 0.0) {
                 let overdue_after = OVERDUE_DRAIN_GRACE_RATIO * self.settings.drain_grace;
                 let overdue = now >= self.workers[&id].drain_requested_at + overdue_after;
--- a/src/updates.rs
+++ b/src/updates.rs
@@ -82,21 +82,21 @@
         let last_key = UpdateKey::Level(TableId(u16::MAX), OpId(u8::MAX));
         let mut reached_from = BTreeMap::new();
         let mut queue = VecDeque::from([through]);
-        while let Some(from) = queue.pop_front() {
-            let successors = (from, UpdateKey::Exclusion(WorkerId(0)))..=(from, last_key);
+        while let Some(reached) = queue.pop_front() {
+            let successors = (reached, UpdateKey::Exclusion(WorkerId(0)))..=(reached, last_key);
             for (pair, _) in self.ordered_pairs.range(successors) {
                 if pair.1 == through {
                     let mut cycle = vec![*pair];
-                    let mut at = from;
-                    while let Some(predecessor) = reached_from.get(&at) {
-                        cycle.push((*predecessor, at));
-                        at = *predecessor;
+                    let mut second = reached;
+                    while let Some(first) = reached_from.get(&second) {
+                        cycle.push((*first, second));
+                        second = *first;
                     }
                     return Some(cycle);
                 }
                 reached_from.entry(pair.1).or_insert_with(|| {
                     queue.push_back(pair.1);
-                    from
+                    reached
                 });
             }
         }
@@ -104,7 +104,7 @@
     }
 
     /// Completes each update that every proxy concerned has acknowledged, by a mark sent after it. An update that no
-    /// proxy is left to acknowledge becomes idle.
+    /// proxy is left to acknowledge becomes idle: it is to be sent again.
     pub(crate) fn complete_updates(&mut self) {
         let acknowledged = |id: &ProxyId| self.proxies[id].acknowledged_mark;
         let by_table: Vec<_> =
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -9,8 +9,8 @@
     orders.iter().filter(|order| matches!(order, Order::SetLine { .. })).count()
 }
 
-fn restarted_entry(worker: u32, at: Ms) -> WorkerEntry {
-    WorkerEntry { booted: Some(at), ..entry(worker, Phase::Ready) }
+fn restarted_entry(worker: u32, booted: Ms) -> WorkerEntry {
+    WorkerEntry { booted: Some(booted), ..entry(worker, Phase::Ready) }
 }
 
 fn weight_change(worker: u32, weight: f64) -> Event {
@@ -173,9 +173,10 @@
             host.acknowledge(2);
         }
     }
-    let since =
-        |from: &Ms| host.message_times.iter().filter(|at| (*from..from + 10_000.0).contains(at)).count();
-    assert!(host.message_times.iter().map(since).max() <= Some(8));
+    let count_since = |start: &Ms| {
+        host.message_times.iter().filter(|time| (*start..start + 10_000.0).contains(time)).count()
+    };
+    assert!(host.message_times.iter().map(count_since).max() <= Some(8));
 }
 
 #[test]
@@ -656,18 +657,18 @@
             ..entry(worker, Phase::Ready)
         };
         host.turn(&[list(ListKind::Remembered, (0..workers).map(elsewhere).collect())]);
-        let from = |proxy| Event::Joined {
+        let joined = |proxy| Event::Joined {
             proxy: ProxyId(proxy),
             fresh: true,
             inv_per_second: 10.0,
             zone: ZoneId([0, 1, 9][usize::from(proxy % 3)]),
         };
-        host.advance(10.0, &(0..60).map(from).collect::<Vec<_>>());
+        host.advance(10.0, &(0..60).map(joined).collect::<Vec<_>>());
         host.run_seconds(8, 60, &[]);
         for proxy in 0..60 {
             let bound = &host.bindings[&ProxyId(proxy)];
             assert_eq!(bound.len(), if own_zone_only { 2 } else { 1 }, "{workers} workers, {own_zone_only}");
-            let lines = |of: &TableId| host.weights.keys().filter(|(table, _)| table == of).count();
+            let lines = |id: &TableId| host.weights.keys().filter(|(table, _)| table == id).count();
             assert!(bound.iter().all(|table| lines(table) > 0));
         }
     }
@@ -767,9 +768,10 @@
     let mut host = Host::running(settings(), 60, 60);
     host.run_seconds(4, 60, &[]);
     let part = *host.bindings[&ProxyId(0)].last().unwrap();
-    let of: Vec<u32> = host.weights.keys().filter(|(table, _)| *table == part).map(|key| key.1 .0).collect();
+    let members: Vec<u32> =
+        host.weights.keys().filter(|(table, _)| *table == part).map(|key| key.1 .0).collect();
     let reports: Vec<Event> = (0..60).map(|worker| worker_report(worker, 10.0, 3.0, 500.0)).collect();
-    let gone = of.iter().skip(2).map(|worker| entry(*worker, Phase::Gone)).collect();
+    let gone = members.iter().skip(2).map(|worker| entry(*worker, Phase::Gone)).collect();
     host.advance(100.0, &[list_change(gone)]);
     host.run_seconds(6, 60, &reports);
     let levels = host.levels.iter().filter(|((_, op), _)| *op == OpId(0));
@@ -805,13 +807,13 @@
     assert!(!host.is_excluded(0) && host.weight(0) > 0.0);
 }
 
-fn runtime_settings(of: &Settings) -> RuntimeSettings {
+fn runtime_settings(settings: &Settings) -> RuntimeSettings {
     RuntimeSettings {
-        drain_grace: of.drain_grace,
-        warm_up: of.warm_up,
-        cold_share: of.cold_share,
-        overload_factor: of.overload_factor,
-        operations: of.operations.iter().map(|op| (op.latency_objective, op.billed_value)).collect(),
+        drain_grace: settings.drain_grace,
+        warm_up: settings.warm_up,
+        cold_share: settings.cold_share,
+        overload_factor: settings.overload_factor,
+        operations: settings.operations.iter().map(|op| (op.latency_objective, op.billed_value)).collect(),
     }
 }
 
@@ -849,23 +851,23 @@
 
 #[test]
 fn synced_proxy_count_follows_acknowledgements_only() {
-    let of = std::collections::BTreeSet::from([WorkerId(1)]);
+    let workers = std::collections::BTreeSet::from([WorkerId(1)]);
     let mut host = Host::running(settings(), 4, 3);
-    assert_eq!(host.planner.synced_proxy_count(&of), 3, "nothing is pending");
+    assert_eq!(host.planner.synced_proxy_count(&workers), 3, "nothing is pending");
     host.advance(600.0, &[list_change(vec![entry(1, Phase::Draining)])]);
-    assert_eq!(host.planner.synced_proxy_count(&of), 0, "sent and not acknowledged");
+    assert_eq!(host.planner.synced_proxy_count(&workers), 0, "sent and not acknowledged");
     let mark = *host.marks.last().unwrap();
     let answer = |proxy| Event::MarkAcknowledged { mark, took: 1.0, proxy: ProxyId(proxy) };
     host.advance(50.0, &[answer(0), answer(2)]);
     host.advance(600.0, &[]);
-    assert!(host.planner.synced_proxy_count(&of) < 3, "one proxy has not acknowledged");
+    assert!(host.planner.synced_proxy_count(&workers) < 3, "one proxy has not acknowledged");
     host.acknowledge(3);
     host.advance(600.0, &[]);
     host.acknowledge(3);
-    assert_eq!(host.planner.synced_proxy_count(&of), 3);
+    assert_eq!(host.planner.synced_proxy_count(&workers), 3);
     host.advance(600.0, &[weight_change(1, 2.0), joined(7)]);
     assert_eq!(
-        host.planner.synced_proxy_count(&of),
+        host.planner.synced_proxy_count(&workers),
         0,
         "neither the new proxy nor the others have acknowledged"
     );
@@ -874,6 +876,6 @@
     host.acknowledge(8);
     host.advance(600.0, &[]);
     host.acknowledge(8);
-    assert_eq!(host.planner.synced_proxy_count(&of), 4);
+    assert_eq!(host.planner.synced_proxy_count(&workers), 4);
     assert_eq!(host.planner.unacknowledged_lines(), 0.0);
 }
