--- a/crates/failover/src/health.rs
+++ b/crates/failover/src/health.rs
@@ -98,7 +98,8 @@
     /// Whether the proxies of `from` reach any zone other than their own and `except`. If they reach none, the fault may
     /// be theirs, and their failures prove nothing about `except`.
     fn reaches_others(&self, from: &Zone, except: &Zone) -> bool {
-        let beyond = self.pair_stats.iter().filter(|((of, to), _)| of == from && to != from && to != except);
+        let beyond =
+            self.pair_stats.iter().filter(|((origin, to), _)| origin == from && to != from && to != except);
         let mut beyond = beyond.peekable();
         // If there is no third zone, results within their own zone show whether the proxies work.
         let own = || is_failing(&self.stats(from, from)) != Some(true);
--- a/crates/failover/src/pilot.rs
+++ b/crates/failover/src/pilot.rs
@@ -28,13 +28,13 @@
     }
 }
 
-/// Weight ratios on the way back. The first is a trial: low enough that a zone that is still lost costs little.
+/// Weight ratios on the way back. The first tests the zone: low enough that a zone that is still lost costs little.
 const RESTORE_STEPS: [f64; 4] = [0.1, 0.3, 0.6, 1.0];
 /// One step moves at most this ratio of an overloaded zone's load away.
 const MAX_MOVED_RATIO: f64 = 0.5;
 /// Only this ratio of a receiver's free capacity is used for planning.
 const USABLE_CAPACITY_RATIO: f64 = 0.8;
-/// Each relapse doubles the wait before the next trial, up to this exponent.
+/// Each relapse doubles the wait before the next attempt to restore the zone, up to this exponent.
 const MAX_BACKOFF_EXPONENT: u32 = 5;
 /// After this many settling times without trouble a new loss does not count as a relapse.
 const RELAPSE_SETTLING_TIMES: f64 = 16.0;
@@ -198,13 +198,14 @@
         _ => false,
     };
     if lost && weight_ratio > 0.0 {
-        // A loss during or soon after the way back is a relapse: the next trial waits longer.
+        // A loss during or soon after the way back is a relapse: the next attempt to restore the zone waits longer.
         let relapse = weight_ratio < 1.0 || now < changed + RELAPSE_SETTLING_TIMES * settling_time;
         let relapses = if relapse && changed.is_finite() { relapses + 1 } else { 0 };
         return change_to(0.0, relapses);
     }
     if lost {
-        // While discovery lists no ready worker there is no trial, and the wait starts once it lists one again.
+        // While discovery lists no ready worker, no attempt is made to restore the zone, and the wait starts once it
+        // lists one again.
         let empty = view.ready_weight.get(zone).is_some_and(|weight| *weight <= 0.0);
         return if empty { change_to(0.0, relapses) } else { decision };
     }
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -15,10 +15,11 @@
     Zone(name.into())
 }
 
-/// The failure ratio of tries from one zone to another, and the mean response time of the others in milliseconds.
-type Results<'a> = &'a dyn Fn(&str, &str) -> (f64, f64);
+/// The failure ratio of tries from one zone to another, and the mean response time, in milliseconds, of the tries that
+/// do not fail.
+type TryResults<'a> = &'a dyn Fn(&str, &str) -> (f64, f64);
 
-fn evidence(zones: &[&str], results: Results<'_>, weight_ratio: &dyn Fn(&str) -> f64) -> Evidence {
+fn evidence(zones: &[&str], results: TryResults<'_>, weight_ratio: &dyn Fn(&str) -> f64) -> Evidence {
     let mut accumulator = EvidenceAccumulator::default();
     accumulator.take_evidence(0.0, BTreeMap::new(), BTreeMap::new());
     for from in zones {
@@ -31,11 +32,12 @@
         }
     }
     let ready_weight = zones.iter().map(|name| (zone(name), 10.0)).collect();
+    // By zone: how many proxies are joined, and how many of them have an overdue acknowledgement.
     let proxies = zones.iter().map(|name| (zone(name), (10, 0))).collect();
     accumulator.take_evidence(1000.0, ready_weight, proxies)
 }
 
-fn view(results: Results<'_>) -> FleetView {
+fn view(results: TryResults<'_>) -> FleetView {
     let evidence = evidence(&["a", "b", "c"], results, &|_| 1.0);
     FleetView::from_evidence(
         [(MemberId(1), 0.0, &evidence), (MemberId(2), 100.0, &evidence)].into_iter(),
@@ -43,7 +45,7 @@
     )
 }
 
-fn healths(results: Results<'_>) -> [ZoneHealth; 3] {
+fn assess_zones(results: TryResults<'_>) -> [ZoneHealth; 3] {
     let view = view(results);
     ["a", "b", "c"].map(|name| assess_zone(&view, &zone(name)))
 }
@@ -51,23 +53,23 @@
 #[test]
 fn zone_states_are_distinguished() {
     use ZoneHealth::*;
-    assert_eq!(healths(&|_, _| (0.0, 50.0)), [Well; 3]);
-    assert_eq!(healths(&|_, to| (f64::from(u8::from(to == "b")), 50.0)), [Well, Lost, Well]);
+    assert_eq!(assess_zones(&|_, _| (0.0, 50.0)), [Well; 3]);
+    assert_eq!(assess_zones(&|_, to| (f64::from(u8::from(to == "b")), 50.0)), [Well, Lost, Well]);
     // No try crosses the border of b; tries inside it succeed.
     assert_eq!(
-        healths(&|from, to| (f64::from(u8::from((from == "b") != (to == "b"))), 50.0)),
+        assess_zones(&|from, to| (f64::from(u8::from((from == "b") != (to == "b"))), 50.0)),
         [Well, CutOff, Well]
     );
     // The proxies of b reach no zone, not even their own: their evidence about other zones does not count.
     assert_eq!(
-        healths(&|from, to| (f64::from(u8::from(from == "b" || to == "b")), 50.0)),
+        assess_zones(&|from, to| (f64::from(u8::from(from == "b" || to == "b")), 50.0)),
         [Well, Lost, Well]
     );
-    assert_eq!(healths(&|_, to| (0.0, if to == "c" { 400.0 } else { 50.0 })), [Well, Well, Slow]);
+    assert_eq!(assess_zones(&|_, to| (0.0, if to == "c" { 400.0 } else { 50.0 })), [Well, Well, Slow]);
     assert_eq!(
-        healths(&|_, to| (if to == "c" { 0.4 } else { 0.0 }, 50.0)),
+        assess_zones(&|_, to| (if to == "c" { 0.4 } else { 0.0 }, 50.0)),
         [Well; 3],
-        "a few failures are left to the decision module"
+        "a failure ratio of 0.4 is left to the planner"
     );
     let mut busy = view(&|_, to| (if to == "c" { 0.2 } else { 0.0 }, 50.0));
     busy.utilization.insert(zone("c"), 0.97);
@@ -96,7 +98,8 @@
     );
 }
 
-/// A fleet with one controller: the weight that a zone keeps shows in the tries of the next report.
+/// A fleet with one controller. The next evidence has tries to each zone in proportion to the zone's weight ratio under
+/// the plan.
 struct Fleet {
     now: f64,
     controller: FailoverController,
@@ -121,7 +124,7 @@
     }
 
     /// Runs for `duration` ms; every second three managers report their evidence.
-    fn run(&mut self, duration: f64, results: Results<'_>) {
+    fn run(&mut self, duration: f64, results: TryResults<'_>) {
         let end = self.now + duration;
         while self.now < end {
             self.now += 250.0;
@@ -145,19 +148,19 @@
     }
 }
 
-const WELL: Results<'static> = &|_, _| (0.0, 50.0);
-const B_LOST: Results<'static> = &|_, to| if to.as_bytes()[0] == b'b' { (1.0, 50.0) } else { (0.0, 50.0) };
+const ALL_WELL: TryResults<'static> = &|_, _| (0.0, 50.0);
+const B_LOST: TryResults<'static> = &|_, to| if to.as_bytes()[0] == b'b' { (1.0, 50.0) } else { (0.0, 50.0) };
 
 #[test]
 fn a_lost_zone_is_removed_at_once_and_restored_in_steps() {
     let mut fleet = Fleet::new();
-    fleet.run(5_000.0, WELL);
+    fleet.run(5_000.0, ALL_WELL);
     assert!(fleet.changes.is_empty());
     fleet.run(3_000.0, B_LOST);
     assert_eq!((fleet.weight_ratio("b"), fleet.changes.len()), (0.0, 1));
     let removed_after = fleet.changes[0].0 - 5_000.0;
     assert!(removed_after <= 2.0 * CONFIG.report_period, "removed after {removed_after} ms");
-    fleet.run(40_000.0, WELL);
+    fleet.run(40_000.0, ALL_WELL);
     assert_eq!(fleet.weight_ratio("b"), 1.0);
     let ratios: Vec<f64> =
         fleet.changes.iter().map(|(_, ratios)| ratios.get(&zone("b")).copied().unwrap_or(1.0)).collect();
@@ -170,14 +173,16 @@
 }
 
 #[test]
-fn trials_of_a_zone_that_stays_lost_back_off() {
+fn attempts_to_restore_a_lost_zone_back_off() {
     let mut fleet = Fleet::new();
-    fleet.run(2_000.0, WELL);
+    fleet.run(2_000.0, ALL_WELL);
     fleet.run(200_000.0, B_LOST);
-    let trials: Vec<f64> =
-        fleet.changes.iter().filter(|(_, ratios)| ratios[&zone("b")] > 0.0).map(|(at, _)| *at).collect();
-    assert!((3..=7).contains(&trials.len()), "{} trials in 200 s", trials.len());
-    let intervals: Vec<f64> = trials.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    let restore_attempts: Vec<f64> =
+        fleet.changes.iter().filter(|(_, ratios)| ratios[&zone("b")] > 0.0).map(|(time, _)| *time).collect();
+    assert!((3..=7).contains(&restore_attempts.len()), "{} attempts in 200 s", restore_attempts.len());
+    let intervals: Vec<f64> = restore_attempts.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    // Each interval is longer than the one before by half at least, up to the limit of the wait: 96 s, which is twice
+    // the settling time of 1.5 s, doubled five times.
     assert!(intervals.windows(2).all(|pair| pair[1] >= 1.5 * pair[0] || pair[1] > 90_000.0), "{intervals:?}");
 }
 
@@ -186,9 +191,10 @@
     let mut fleet = Fleet::new();
     for _ in 0..40 {
         fleet.run(3_000.0, B_LOST);
-        fleet.run(3_000.0, WELL);
+        fleet.run(3_000.0, ALL_WELL);
     }
-    // The zone failed and recovered 40 times; the plan may follow only a few of them.
+    // The zone failed and recovered 40 times; the plan may remove it at most 8 times and, with the steps back, change
+    // at most 30 times.
     assert!(fleet.changes.len() <= 30, "{} changes", fleet.changes.len());
     let removals = fleet.changes.iter().filter(|(_, ratios)| ratios.get(&zone("b")) == Some(&0.0)).count();
     assert!(removals <= 8, "removed {removals} times");
@@ -197,11 +203,11 @@
 #[test]
 fn if_all_zones_are_lost_one_is_kept() {
     let mut fleet = Fleet::new();
-    fleet.run(2_000.0, WELL);
+    fleet.run(2_000.0, ALL_WELL);
     fleet.run(4_000.0, &|_, to| (f64::from(u8::from(to != "a")), 50.0));
     assert_eq!((fleet.weight_ratio("a"), fleet.weight_ratio("b"), fleet.weight_ratio("c")), (1.0, 0.0, 0.0));
     let mut all_lost = Fleet::new();
-    all_lost.run(2_000.0, WELL);
+    all_lost.run(2_000.0, ALL_WELL);
     all_lost.run(20_000.0, &|_, _| (1.0, 50.0));
     let remaining: f64 = ["a", "b", "c"].iter().map(|name| all_lost.weight_ratio(name)).sum();
     assert!(remaining >= 1.0, "one zone keeps its weight: {remaining}");
@@ -247,7 +253,7 @@
     let mut agreed = plan.clone();
     assert!(
         !agreed.adopt_if_newer(&Plan { version: 2, renewal: 9, ..plan.clone() }),
-        "a deposed leader's plan"
+        "a deposed leader's plan is not adopted"
     );
     assert!(agreed.adopt_if_newer(&Plan { renewal: 2, ..plan }));
 }
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -635,7 +635,7 @@
                 .iter()
                 .map(|(name, record)| ScheduleStatus {
                     name: name.clone(),
-                    decided_through: record.decided_through,
+                    decided_through: record.decided_through_ms,
                     open_count: record.open.len(),
                     ended_count: record.ended_count,
                     skipped_count: record.skipped.values().sum(),
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -239,7 +239,7 @@
     let finished =
         |outcome| Command::FinishTry { occurrence: occurrence(), fence: Index(130), outcome, at: 77.5 };
     vec![
-        ("opened", Command::AddSchedule { schedule: "nightly".into(), decided_through: -5 }),
+        ("opened", Command::AddSchedule { schedule: "nightly".into(), decided_through_ms: -5 }),
         ("skipped-missed", skipped(SkipReason::Missed)),
         ("skipped-quiet", skipped(SkipReason::Quiet)),
         ("skipped-overlap", skipped(SkipReason::Overlap)),
@@ -289,7 +289,7 @@
         owner: MemberId(1),
     };
     let record = ScheduleRecord {
-        decided_through: 1_700_000_060_000,
+        decided_through_ms: 1_700_000_060_000,
         open: BTreeMap::from([(1_700_000_060_000, open), (1_700_000_120_000, unclaimed)]),
         ended: (10..).zip(ends).map(ended).collect::<VecDeque<EndedOccurrence>>(),
         skipped: BTreeMap::from([(SkipReason::Missed, 1), (SkipReason::Quiet, 2), (SkipReason::Overlap, 3)]),
--- a/crates/gangs/src/gang.rs
+++ b/crates/gangs/src/gang.rs
@@ -38,7 +38,7 @@
     Cold,
     /// It reports nothing; that neither shows progress nor excludes it.
     Silent,
-    /// All workers of its zone report nothing; failover between zones handles that.
+    /// All workers of its zone report nothing, which is left to the failover between zones.
     ZoneSilent,
     /// Its part is done and it waits for the others.
     AtBarrier,
@@ -136,7 +136,10 @@
 
     /// The baseline of an attempt: the rates of its peers, over all points kept of them.
     fn baseline(&self, part: PartId, worker: WorkerId) -> Option<Baseline> {
-        let own = self.attempts().find(|(of, attempt)| *of == part && attempt.worker == worker)?.1;
+        let own = self
+            .attempts()
+            .find(|(attempt_part, attempt)| *attempt_part == part && attempt.worker == worker)?
+            .1;
         let others =
             || self.attempts().map(|(_, attempt)| attempt).filter(|attempt| attempt.worker != worker);
         let same_kind = |attempt: &&Attempt| {
--- a/crates/gangs/src/progress.rs
+++ b/crates/gangs/src/progress.rs
@@ -30,7 +30,7 @@
     /// The ratio of the part that is done, 0 to 1.
     pub done: f64,
     /// When the worker reported, by the reporter's clock.
-    pub at: Ms,
+    pub reported_at: Ms,
 }
 
 /// Points of progress kept per attempt.
@@ -54,7 +54,7 @@
 impl Attempt {
     /// Starts tracking with the first report on the attempt.
     pub fn new(report: &ProgressReport) -> Attempt {
-        let points = VecDeque::from([(report.at, report.done)]);
+        let points = VecDeque::from([(report.reported_at, report.done)]);
         Attempt {
             worker: report.worker,
             kind: report.kind,
@@ -70,11 +70,11 @@
     /// was reordered on its way and is ignored.
     pub fn record(&mut self, report: &ProgressReport) -> bool {
         let Some((at, done)) = self.points.back().copied() else { return false };
-        if report.at <= at || report.done < done || !report.done.is_finite() {
+        if report.reported_at <= at || report.done < done || !report.done.is_finite() {
             return false;
         }
         self.kind = report.kind;
-        self.points.push_back((report.at, report.done.min(1.0)));
+        self.points.push_back((report.reported_at, report.done.min(1.0)));
         if self.points.len() > MAX_POINTS {
             self.points.pop_front();
         }
--- a/crates/gangs/tests/gangs.rs
+++ b/crates/gangs/tests/gangs.rs
@@ -6,7 +6,8 @@
 use juniperrail_gangs::*;
 use juniperrail_interface::{CellId, MachineId, WorkerId, ZoneId};
 
-const PERIOD: f64 = 1000.0;
+/// Milliseconds between two progress reports of a worker.
+const REPORT_PERIOD: f64 = 1000.0;
 
 #[derive(Clone, Copy)]
 struct SimulatedWorker {
@@ -14,6 +15,7 @@
     size: f64,
     /// Mean work per millisecond.
     speed: f64,
+    /// The time in milliseconds from which its reports stop.
     silent_from: f64,
 }
 
@@ -21,6 +23,7 @@
     rng: fastrand::Rng,
     gang: Gang,
     workers: Vec<SimulatedWorker>,
+    /// By worker, the ratio of its part that is done.
     done: Vec<f64>,
     now: f64,
     in_transit: Vec<(f64, ProgressReport)>,
@@ -43,7 +46,7 @@
         let simulation_rng = rng.fork();
         Simulation {
             rng: simulation_rng,
-            gang: Gang::new(PERIOD, true),
+            gang: Gang::new(REPORT_PERIOD, true),
             done: vec![0.0; count],
             workers,
             now: 0.0,
@@ -54,13 +57,13 @@
     /// Advances by one period: every worker progresses by its speed with random noise and reports; some reports are delayed
     /// and some are lost.
     fn run_period(&mut self) {
-        self.now += PERIOD;
+        self.now += REPORT_PERIOD;
         for n in 0..self.workers.len() {
             let worker = self.workers[n];
             // The sum of twelve uniform values is approximately normal.
             let normal = (0..12).map(|_| self.rng.f64()).sum::<f64>() - 6.0;
             self.done[n] =
-                (self.done[n] + worker.speed * (0.15 * normal).exp() * PERIOD / worker.size).min(1.0);
+                (self.done[n] + worker.speed * (0.15 * normal).exp() * REPORT_PERIOD / worker.size).min(1.0);
             let report = ProgressReport {
                 round: 1,
                 part: PartId(n as u32),
@@ -68,7 +71,7 @@
                 kind: worker.kind,
                 size: worker.size,
                 done: self.done[n],
-                at: self.now,
+                reported_at: self.now,
             };
             if self.now < worker.silent_from && self.rng.f64() > 0.05 {
                 let max_delay = if self.rng.u8(..10) == 0 { 2500.0 } else { 300.0 };
@@ -77,7 +80,7 @@
         }
         let now = self.now;
         let arrived: Vec<(f64, ProgressReport)> =
-            self.in_transit.extract_if(.., |(at, _)| *at <= now).collect();
+            self.in_transit.extract_if(.., |(arrival, _)| *arrival <= now).collect();
         arrived.iter().for_each(|(_, report)| self.gang.record(report));
     }
 
@@ -133,7 +136,7 @@
     assert_eq!(
         simulation.workers_with(Cause::ZoneSilent),
         (22..30).collect::<Vec<_>>(),
-        "failover between zones handles that"
+        "a silent zone is left to the failover between zones"
     );
     assert!(simulation.workers_with(Cause::AtBarrier).contains(&30));
 }
@@ -161,15 +164,15 @@
 
 #[test]
 fn old_reordered_and_invalid_reports_are_ignored() {
-    let mut gang = Gang::new(PERIOD, true);
-    let report = |round, done, at| ProgressReport {
+    let mut gang = Gang::new(REPORT_PERIOD, true);
+    let report = |round, done, reported_at| ProgressReport {
         round,
         part: PartId(0),
         worker: WorkerId(0),
         kind: warm(0, 0),
         size: 10.0,
         done,
-        at,
+        reported_at,
     };
     gang.record(&report(2, 0.5, 1000.0));
     for invalid in [
@@ -234,7 +237,7 @@
     // A second attempt for a nearly finished part saves nothing.
     simulation.gang.idempotent = true;
     simulation.done[1] = 0.97;
-    // A single report may be lost or delayed.
+    // Three periods, because a single report may be lost or delayed.
     (0..3).for_each(|_| simulation.run_period());
     let verdicts = simulation.gang.verdicts(simulation.now);
     let nearly_done = verdicts.iter().find(|verdict| verdict.worker == WorkerId(1)).unwrap();
--- a/crates/intent/src/access.rs
+++ b/crates/intent/src/access.rs
@@ -93,7 +93,7 @@
             let operations = leaf_list(&rule, "access");
             let path = rule.text("path").unwrap_or_default();
             let number = rule.leaf("number").map(ToString::to_string).unwrap_or_default();
-            let path = Path::read(schema, path).map_err(|fault| {
+            let path = Path::parse(schema, path).map_err(|fault| {
                 format!("the path of rule {number} does not match the data model: {fault}")
             })?;
             let covers = |operation: &str| operations.is_empty() || operations.contains(operation);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The data without what the user may not read. The list keys on the path to a readable node stay.
+    /// The part of the data that the user may read, with the list keys on the paths to it.
     pub fn filter_readable(&self, schema: &Schema, user: &str, data: &Data) -> Data {
         if self.role(user) == Some(Role::Admin) && self.rules.is_empty() {
             return data.clone();
@@ -220,7 +220,7 @@
 
     fn load(rules: &str) -> (Schema, Data, AccessControl) {
         let schema = juniperrail_model::schema();
-        let data = xml::file(&schema, FILE.replace("RULES", rules).as_bytes()).unwrap();
+        let data = xml::from_file(&schema, FILE.replace("RULES", rules).as_bytes()).unwrap();
         let access = AccessControl::from_data(&schema, &data).unwrap();
         (schema, data, access)
     }
@@ -236,7 +236,7 @@
         let (schema, data, access) = load(rules);
         let changed = FILE.replace("RULES", rules).replace(old, new);
         assert_ne!(changed, FILE.replace("RULES", rules));
-        let changed = xml::file(&schema, changed.as_bytes()).unwrap();
+        let changed = xml::from_file(&schema, changed.as_bytes()).unwrap();
         access.first_denied_write(&schema, user, &data, &changed).map(|path| path.spelled(&schema))
     }
 
@@ -281,7 +281,10 @@
             denied_write(&rules, "bob", "<weight>1", "<weight>3").is_some(),
             "a rule for all users precedes the roles"
         );
-        assert!(denied_write(&rules, "ann", "<weight>1", "<weight>3").is_some(), "also that of an admin");
+        assert!(
+            denied_write(&rules, "ann", "<weight>1", "<weight>3").is_some(),
+            "a rule for all users precedes also the role of an admin"
+        );
         let hidden = rule(10, "", worker, "read", "deny");
         assert!(
             !readable_file(&hidden, "ann").contains("<name>s-1")
@@ -301,7 +304,7 @@
     fn a_rule_whose_path_is_not_in_the_model_is_an_error() {
         let rule = "<rule><number>7</number><path>/workers/shift</path><action>deny</action></rule>";
         let schema = juniperrail_model::schema();
-        let data = xml::file(&schema, FILE.replace("RULES", rule).as_bytes()).unwrap();
+        let data = xml::from_file(&schema, FILE.replace("RULES", rule).as_bytes()).unwrap();
         let error = AccessControl::from_data(&schema, &data).unwrap_err();
         assert!(error.contains("rule 7") && error.contains("there is no \"shift\""), "{error}");
     }
--- a/crates/intent/src/admission.rs
+++ b/crates/intent/src/admission.rs
@@ -470,7 +470,7 @@
             let mut manager = TestManager::new();
             assert!(
                 manager.commit(manager.with_worker("s-1", departure.clone())).is_empty(),
-                "admitted alone"
+                "the first departure is admitted"
             );
             let refusals = manager.commit(manager.with_worker("s-3", departure.clone()));
             assert_eq!(
@@ -481,7 +481,10 @@
             let message = refusals[0].to_string();
             assert!(message.contains("order would have no ready, warm worker without s-3"), "{message}");
             assert_eq!(refusals[0].path(), "/jrm:workers/worker[name='s-3']");
-            assert!(manager.commit(manager.with_worker("s-2", departure)).is_empty(), "lookup has others");
+            assert!(
+                manager.commit(manager.with_worker("s-2", departure)).is_empty(),
+                "the operation lookup has other ready workers"
+            );
         }
         let manager = TestManager::new();
         let mut both = manager.with_worker("s-1", desired(DesiredState::Out));
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -152,7 +152,8 @@
         let before = std::mem::take(&mut self.operator);
         for (name, worker_intent) in &intent.workers {
             let known = before.get(name);
-            let changed_at = |unchanged: bool, at: u64| if unchanged { at } else { self.last_sequence };
+            let changed_at =
+                |unchanged: bool, sequence: u64| if unchanged { sequence } else { self.last_sequence };
             let entry = OperatorEntry {
                 desired_state_at: known.map_or(self.last_sequence, |known| {
                     changed_at(
@@ -369,7 +370,7 @@
         worker.discover(Ready, 1.0);
         assert_eq!(worker.phase(), (Ready, Discovery));
         assert!(worker.0.mark_unlisted_gone(&|_| false) == ["s-1"] && worker.phase() == (Gone, Discovery));
-        assert!(worker.0.mark_unlisted_gone(&|_| false).is_empty(), "reported once");
+        assert!(worker.0.mark_unlisted_gone(&|_| false).is_empty(), "a gone worker is reported once");
     }
 
     #[test]
@@ -382,7 +383,7 @@
         worker.0.update_plan(plan(0.0));
         assert_eq!(worker.phase(), (Draining, Origin::Plan));
         worker.discover(Gone, 2.0);
-        assert_eq!(worker.phase(), (Gone, Discovery), "it brings no worker back");
+        assert_eq!(worker.phase(), (Gone, Discovery), "a plan brings no worker back");
         worker.discover(Ready, 2.0);
         worker.0.update_intent(&desired(DesiredState::Out, None));
         assert_eq!(worker.phase(), (Gone, Operator));
@@ -410,7 +411,11 @@
             worker.discover(Draining, 1.0);
             worker.discover(Ready, 1.0);
             worker.0.update_discovery("s-1", listed(Ready, 1.0, Some(5.0)), None);
-            assert_eq!(worker.phase(), (Draining, Operator), "not even a restart undoes it");
+            assert_eq!(
+                worker.phase(),
+                (Draining, Operator),
+                "not even a restart undoes the operator's draining"
+            );
         }
         worker.0.update_intent(&desired(DesiredState::Out, None));
         assert_eq!(worker.phase(), (Gone, Operator));
--- a/crates/intent/src/datastores.rs
+++ b/crates/intent/src/datastores.rs
@@ -144,7 +144,7 @@
 #[derive(Clone, Debug)]
 pub struct Version {
     pub number: u64,
-    pub at: Ms,
+    pub committed_at: Ms,
     pub author: String,
     pub data: Data,
 }
@@ -179,7 +179,7 @@
     /// Starts with startup as the running configuration.
     pub fn new(schema: Arc<Schema>, now: Ms, startup: Data) -> Result<Datastores, DatastoreError> {
         validate_data(&schema, &startup)?;
-        let first = Version { number: 1, at: now, author: "startup".into(), data: startup.clone() };
+        let first = Version { number: 1, committed_at: now, author: "startup".into(), data: startup.clone() };
         Ok(Datastores {
             schema,
             running: startup.clone(),
@@ -375,7 +375,7 @@
             self.versions.pop_front();
         }
         let author = if kind == ProposalKind::Rollback { format!("roll-back of {author}") } else { author };
-        self.versions.push_back(Version { number, at: now, author, data });
+        self.versions.push_back(Version { number, committed_at: now, author, data });
         CommitOutcome { number, confirm_deadline: self.pending.as_ref().map(|pending| pending.deadline) }
     }
 
--- a/crates/intent/src/progress.rs
+++ b/crates/intent/src/progress.rs
@@ -21,10 +21,11 @@
 /// One commit of the configuration and the state of its distribution.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The version of running that it made.
+    /// The number of the version of the running datastore that it created.
     pub number: u64,
     pub author: String,
-    pub at: Ms,
+    /// When the planner accepted it, as a step of its commit.
+    pub committed_at: Ms,
     /// The workers that it affects.
     pub workers: BTreeSet<String>,
     pub stage: Stage,
@@ -32,9 +33,10 @@
     pub joined_proxies: usize,
 }
 
-/// The newest changes, oldest first.
+/// Tracks the latest [`MAX_TRACKED_CHANGES`] changes.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeTracker {
+    /// The oldest first.
     changes: VecDeque<Change>,
 }
 
@@ -54,7 +56,7 @@
         self.changes.push_back(Change {
             number,
             author,
-            at: now,
+            committed_at: now,
             workers,
             stage,
             applied_proxies: 0,
@@ -67,8 +69,9 @@
         self.changes.iter().filter(|change| change.stage == Stage::Distributing)
     }
 
-    /// Records how many of the joined proxies have applied a change. Returns true if that completes it. A completed
-    /// change stays so, as later updates may replace its weights; without joined proxies none can complete.
+    /// Records how many of the joined proxies have applied a change. Returns true if the change becomes applied by
+    /// that. It stays applied, because later updates may replace its weights. Without joined proxies no change becomes
+    /// applied.
     pub fn update(&mut self, now: Ms, number: u64, applied_proxies: usize, joined_proxies: usize) -> bool {
         let Some(change) = self.changes.iter_mut().find(|change| change.number == number) else {
             return false;
@@ -80,7 +83,7 @@
         if joined_proxies == 0 || applied_proxies < joined_proxies {
             return false;
         }
-        change.stage = Stage::Applied { after: now - change.at };
+        change.stage = Stage::Applied { after: now - change.committed_at };
         true
     }
 
@@ -108,7 +111,7 @@
             tracker.distributing().map(|change| (change.applied_proxies, change.joined_proxies)).collect();
         assert_eq!(distributing, [(2, 3)], "one proxy has not applied it yet");
         assert!(tracker.update(1500.0, 1, 3, 3));
-        assert!(!tracker.update(1600.0, 1, 2, 3), "reported once");
+        assert!(!tracker.update(1600.0, 1, 2, 3), "a change is reported as applied once");
         assert_eq!(tracker.all().next().unwrap().stage, Stage::Applied { after: 500.0 });
         assert!(!tracker.update(1.0, 7, 1, 1), "the number is unknown");
     }
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -143,11 +143,11 @@
 
 fn drafts(schema: &Schema, worker: &str, op: Option<Op>, weight: Option<u32>) -> Vec<Draft> {
     let below = weight.map(|weight| {
-        let path = Path::read(schema, "/workers/worker/weight").unwrap();
+        let path = Path::parse(schema, "/workers/worker/weight").unwrap();
         let value = Some(Value::Decimal(i64::from(weight) * 10_000, 4));
         Draft { node: path.0[2].node, keys: vec![], value, op: None, line: 0, below: vec![] }
     });
-    let path = Path::read(schema, &format!("/workers/worker[name='{worker}']")).unwrap();
+    let path = Path::parse(schema, &format!("/workers/worker[name='{worker}']")).unwrap();
     Draft::at(schema, &path, op, None, below.into_iter().collect())
 }
 
--- a/crates/lab/src/gangs.rs
+++ b/crates/lab/src/gangs.rs
@@ -105,7 +105,7 @@
                 let (kind, size, done) = (drawn.kinds[n], drawn.sizes[n], done[n]);
                 under_way.push((
                     now + rng.f64() * late,
-                    ProgressReport { round: 1, part, worker, kind, size, done, at: now },
+                    ProgressReport { round: 1, part, worker, kind, size, done, reported_at: now },
                 ));
             }
         }
@@ -235,7 +235,7 @@
                                         warm: true,
                                     };
                                     let done = f64::from(word) / f64::from(WORDS + 1);
-                                    let (part, worker, at) =
+                                    let (part, worker, reported_at) =
                                         (PartId(worker), WorkerId(worker), f64::from(word) * PERIOD);
                                     own.record(&ProgressReport {
                                         round: 1,
@@ -244,7 +244,7 @@
                                         kind,
                                         size: 1000.0,
                                         done,
-                                        at,
+                                        reported_at,
                                     });
                                 }
                             });
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -279,7 +279,8 @@
     let elements = match &output.path {
         None => reply.0,
         Some(path) => {
-            let path = Path::read(&schema(), path).map_err(|fault| CommandError::Local(fault.to_string()))?;
+            let path =
+                Path::parse(&schema(), path).map_err(|fault| CommandError::Local(fault.to_string()))?;
             select(&schema(), &reply.0, &path)
         }
     };
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -28,7 +28,7 @@
                     .progress
                     .all()
                     .find(|change| change.number == number)
-                    .map_or(0.0, |change| now - change.at);
+                    .map_or(0.0, |change| now - change.committed_at);
                 tracing::info!("change {number} is applied by all {joined} proxies after {after:.0} ms");
                 let northbound = self.northbound.as_ref();
                 northbound
@@ -60,7 +60,7 @@
         let change_state = |change: &Change| ChangeState {
             number: change.number,
             by: change.author.clone(),
-            age: now - change.at,
+            age: now - change.committed_at,
             stage: change.stage,
             applied_by: change.applied_proxies,
             joined: change.joined_proxies,
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -253,8 +253,8 @@
             .iter()
             .map(|schedule| ScheduleState {
                 name: schedule.name.clone(),
-                through: schedule.decided_through,
-                open: schedule.open_count,
+                decided_through_ms: schedule.decided_through,
+                open_count: schedule.open_count,
                 finished: schedule.ended_count,
                 skipped: schedule.skipped_count,
                 last: schedule
--- a/crates/model/src/path.rs
+++ b/crates/model/src/path.rs
@@ -63,7 +63,7 @@
 
     /// Reads such a path. A prefix or a module's name may stand before each name, and must before the first
     /// only where names clash. A list may stand without keys.
-    pub fn read(schema: &Schema, text: &str) -> Result<Path, Fault> {
+    pub fn parse(schema: &Schema, text: &str) -> Result<Path, Fault> {
         let bad = |what: String| Fault::new(Rule::Malformed, text, "path", what);
         let mut rest = text.strip_prefix('/').ok_or_else(|| bad("a path starts with /".into()))?;
         let (mut path, mut at) = (Path::default(), None);
@@ -140,12 +140,12 @@
             "/jrm:northbound/user[name='ann']/ssh-key[.='ssh-ed25519 AAAAC3NzaC1=']",
             "/jrs:state/proxies/proxy[number='7']/operation[name=\"it's\"]",
         ] {
-            assert_eq!(Path::read(&schema, text).unwrap().spelled(&schema), text);
+            assert_eq!(Path::parse(&schema, text).unwrap().spelled(&schema), text);
         }
-        let long = Path::read(&schema, "/juniperrail-manager:workers/jrm:worker[jrm:name=\"s-1\"]").unwrap();
+        let long = Path::parse(&schema, "/juniperrail-manager:workers/jrm:worker[jrm:name=\"s-1\"]").unwrap();
         assert_eq!(long.spelled(&schema), "/jrm:workers/worker[name='s-1']");
-        assert!(Path::read(&schema, "/workers/worker").unwrap().covers(&long));
-        assert!(!long.covers(&Path::read(&schema, "/workers/worker[name='s-2']/weight").unwrap()));
+        assert!(Path::parse(&schema, "/workers/worker").unwrap().covers(&long));
+        assert!(!long.covers(&Path::parse(&schema, "/workers/worker[name='s-2']/weight").unwrap()));
         for (text, why) in [
             ("workers", "starts with /"),
             ("/nothing", "there is no \"nothing\""),
@@ -157,7 +157,7 @@
             ("/workers/worker[name='a,b']", "does not match"),
             ("/workers[name='a']", "has the keys []"),
         ] {
-            let fault = Path::read(&schema, text).unwrap_err();
+            let fault = Path::parse(&schema, text).unwrap_err();
             assert!(fault.what.contains(why), "{text}: {fault}");
         }
     }
--- a/crates/model/src/xml.rs
+++ b/crates/model/src/xml.rs
@@ -470,7 +470,7 @@
 }
 
 /// A file of configuration: the element `config`, or any of ours, with data below it.
-pub fn file(schema: &Schema, text: &[u8]) -> Result<Data, Fault> {
+pub fn from_file(schema: &Schema, text: &[u8]) -> Result<Data, Fault> {
     let root = read(text).map_err(|malformed| malformed.fault())?;
     if !root.is(NETCONF, "config") {
         let what = format!("the file holds <{}> and should hold <config xmlns=\"{NETCONF}\">", root.name);
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -20,7 +20,7 @@
 </config>"#;
 
 fn file(text: &str) -> Data {
-    xml::file(&schema(), text.as_bytes()).unwrap()
+    xml::from_file(&schema(), text.as_bytes()).unwrap()
 }
 
 #[test]
@@ -124,7 +124,7 @@
     ] {
         let text = FILE.replace(old, new);
         assert_ne!(text, FILE, "{old}");
-        let fault = xml::file(&schema, text.as_bytes()).unwrap_err();
+        let fault = xml::from_file(&schema, text.as_bytes()).unwrap_err();
         assert_eq!((fault.rule, fault.line), (rule, line), "{fault}");
         assert!(fault.path == path && fault.what.contains(why), "{fault}");
     }
@@ -181,7 +181,7 @@
                 _ => bytes[place] = b"<>&;'\"/! \0\xff0a"[rng.usize(..13)],
             }
         }
-        match xml::file(&schema, &bytes) {
+        match xml::from_file(&schema, &bytes) {
             Err(fault) => {
                 assert!(!fault.what.is_empty() && fault.to_string().len() < 600, "{fault}");
                 refused += 1;
@@ -255,7 +255,7 @@
 #[test]
 fn a_path_cuts_out_what_lies_there_with_its_keys() {
     let (schema, data) = (schema(), file(FILE));
-    let cut = |path: &str| xml::to_file(&schema, &data.cut(&schema, &Path::read(&schema, path).unwrap()));
+    let cut = |path: &str| xml::to_file(&schema, &data.cut(&schema, &Path::parse(&schema, path).unwrap()));
     let weight = cut("/workers/worker[name='s-2']/weight");
     assert!(
         weight.contains("<name>s-2</name>") && weight.contains("0.5") && !weight.contains("s-1"),
@@ -298,7 +298,7 @@
         ("s-2<", "s-1<"),
     ] {
         let text = FILE.replace(old, new);
-        assert!(xml::file(&schema, text.as_bytes()).is_err(), "{new}");
+        assert!(xml::from_file(&schema, text.as_bytes()).is_err(), "{new}");
         assert!(!faults(&text).is_empty(), "the schema takes {new:?} for {old:?}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/netconf/src/notification.rs
+++ b/crates/netconf/src/notification.rs
@@ -37,8 +37,8 @@
         Notification::ConfirmedCommit { how } => {
             element("netconf-confirmed-commit").with(leaf("confirm-event", how))
         }
-        Notification::SessionStarted { caller, from } => {
-            let host = from.split(' ').nth(1).unwrap_or_default();
+        Notification::SessionStarted { caller, client_origin } => {
+            let host = client_origin.split(' ').nth(1).unwrap_or_default();
             with_session(element("netconf-session-start"), &caller.user, caller.session.0)
                 .with(leaf("source-host", host))
         }
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -679,7 +679,7 @@
 
     /// Whether the user may read the path. False for a path that the schema does not have.
     pub async fn may_read(&self, path: &str) -> bool {
-        match Path::read(self.context.datastore_manager.schema(), path) {
+        match Path::parse(self.context.datastore_manager.schema(), path) {
             Ok(path) => self.context.datastore_manager.may_read(&self.caller, &path).await,
             Err(_) => false,
         }
--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -55,7 +55,8 @@
     },
     SessionStarted {
         caller: Caller,
-        from: String,
+        /// The transport and the address of the client.
+        client_origin: String,
     },
     SessionEnded {
         caller: Caller,
@@ -79,7 +80,8 @@
 /// An open session.
 struct OpenSession {
     user: String,
-    from: String,
+    /// The transport and the address of the client.
+    client_origin: String,
     /// Tells the protocol server to end the session.
     end: Arc<Notify>,
     killed_by: Option<Session>,
@@ -274,18 +276,26 @@
     }
 
     /// Opens a session for an authenticated user. `None` if the user is not configured.
-    pub async fn open_session(&self, user: &str, from: &str) -> Option<(Caller, Arc<Notify>)> {
+    pub async fn open_session(&self, user: &str, client_origin: &str) -> Option<(Caller, Arc<Notify>)> {
         let mut inner = self.0.inner.lock().await;
         inner.access.role(user)?;
         inner.last_session += 1;
         let session = Session(inner.last_session);
         let end = Arc::new(Notify::new());
-        let open = OpenSession { user: user.into(), from: from.into(), end: end.clone(), killed_by: None };
+        let open = OpenSession {
+            user: user.into(),
+            client_origin: client_origin.into(),
+            end: end.clone(),
+            killed_by: None,
+        };
         inner.sessions.insert(session, open);
         drop(inner);
         let caller = Caller { session, user: user.into() };
-        tracing::info!("session {} of {user} from {from} is open", session.0);
-        self.notify(Notification::SessionStarted { caller: caller.clone(), from: from.into() });
+        tracing::info!("session {} of {user} from {client_origin} is open", session.0);
+        self.notify(Notification::SessionStarted {
+            caller: caller.clone(),
+            client_origin: client_origin.into(),
+        });
         Some((caller, end))
     }
 
@@ -296,7 +306,12 @@
         inner.datastores.end_session(self.now(), caller.session);
         drop(inner);
         let how = closed.killed_by.map_or(how, TerminationReason::Killed);
-        tracing::info!("session {} of {} from {} ended: {how:?}", caller.session.0, caller.user, closed.from);
+        tracing::info!(
+            "session {} of {} from {} ended: {how:?}",
+            caller.session.0,
+            caller.user,
+            closed.client_origin
+        );
         self.0.rescheduled.notify_one();
         self.notify(Notification::SessionEnded { caller: caller.clone(), how });
     }
@@ -316,10 +331,10 @@
         Ok(())
     }
 
-    /// Every session with its user and its origin (transport and peer address).
+    /// Every session with its user and the client's origin (transport and address).
     pub async fn sessions(&self) -> Vec<(Session, String, String)> {
         let inner = self.0.inner.lock().await;
-        inner.sessions.iter().map(|(id, open)| (*id, open.user.clone(), open.from.clone())).collect()
+        inner.sessions.iter().map(|(id, open)| (*id, open.user.clone(), open.client_origin.clone())).collect()
     }
 
     /// The locked datastores with the sessions that hold the locks.
@@ -344,7 +359,7 @@
         let versions = inner.datastores.versions().map(|version| VersionState {
             number: version.number,
             by: version.author.clone(),
-            age: now - version.at,
+            age: now - version.committed_at,
         });
         let pending = inner.datastores.pending_confirmation();
         let versions = VersionsState {
--- a/crates/northbound/src/file.rs
+++ b/crates/northbound/src/file.rs
@@ -30,7 +30,8 @@
         self.path.parent().unwrap_or(Path::new("")).join(path)
     }
 
-    /// Reads the data; `None` if there is no file. The error is one line that names file, line, path and rule.
+    /// Reads the data; `None` if there is no file. The error is one line that names the file and, for
+    /// invalid content, the line, the path of the node and what is wrong there.
     pub fn read(&self, schema: &Schema) -> Result<Option<Data>, String> {
         let path = self.path.display();
         let read_error = |why: io::Error| format!("{path} cannot be read: {why}");
@@ -46,7 +47,7 @@
             Ok(_) => {}
         }
         let text = fs::read(&self.path).map_err(read_error)?;
-        xml::file(schema, &text).map(Some).map_err(|fault| format!("{path}: {fault}"))
+        xml::from_file(schema, &text).map(Some).map_err(|fault| format!("{path}: {fault}"))
     }
 
     /// Replaces the file atomically: a concurrent reader, or one after a crash at any step, finds either the old or
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -105,10 +105,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct ScheduleState {
     pub name: String,
-    /// The time through which occurrences have been handled.
-    pub through: i64,
+    /// Every occurrence that was due up to this time is decided on, in Unix milliseconds.
+    pub decided_through_ms: i64,
     /// Occurrences in progress.
-    pub open: usize,
+    pub open_count: usize,
     /// Occurrences that finished.
     pub finished: u64,
     /// Occurrences that were skipped.
@@ -138,13 +138,13 @@
 /// Writes child nodes by name below one node of the data tree.
 struct Writer<'a> {
     schema: &'a Schema,
-    at: NodeId,
+    node: NodeId,
     data: &'a mut Data,
 }
 
 impl Writer<'_> {
     fn id(&self, name: &str) -> NodeId {
-        let id = self.schema.child(Some(self.at), name, None);
+        let id = self.schema.child(Some(self.node), name, None);
         // Can't panic outside of development: a test writes every name that is used.
         id.unwrap_or_else(|| panic!("no node {name} in the module"))
     }
@@ -173,13 +173,13 @@
     }
 
     fn inner<R>(&mut self, name: &str, write: impl FnOnce(&mut Writer<'_>) -> R) -> R {
-        let at = self.id(name);
-        write(&mut Writer { schema: self.schema, at, data: self.data.inner(at) })
+        let node = self.id(name);
+        write(&mut Writer { schema: self.schema, node, data: self.data.inner(node) })
     }
 
     fn entry<R>(&mut self, name: &str, keys: &[Value], write: impl FnOnce(&mut Writer<'_>) -> R) -> R {
-        let at = self.id(name);
-        write(&mut Writer { schema: self.schema, at, data: self.data.entry(self.schema, at, keys) })
+        let node = self.id(name);
+        write(&mut Writer { schema: self.schema, node, data: self.data.entry(self.schema, node, keys) })
     }
 }
 
@@ -207,8 +207,8 @@
     /// The state as data of the module `juniperrail-state`.
     pub fn data(&self, schema: &Schema, versions: &VersionsState) -> Data {
         let mut data = Data::default();
-        let at = schema.find(&["state"]).expect("the module has a state container");
-        let mut top = Writer { schema, at, data: data.inner(at) };
+        let node = schema.find(&["state"]).expect("the module has a state container");
+        let mut top = Writer { schema, node, data: data.inner(node) };
         top.text("manager", &self.manager).integer("list-version", self.list_version);
         top.inner("workers", |all| self.workers.iter().for_each(|worker| worker.write(all)));
         top.inner("tables", |all| self.tables.iter().for_each(|table| table.write(all)));
@@ -233,8 +233,8 @@
             &self.composed;
         all.entry("worker", &[Value::text(&*self.name)], |worker| {
             worker.text("phase", phase_name(entry.phase)).text("phase-from", phase_origin.name());
-            if let Some(from) = weight_origin {
-                worker.decimal("weight", entry.weight, 4).text("weight-from", from.name());
+            if let Some(origin) = weight_origin {
+                worker.decimal("weight", entry.weight, 4).text("weight-from", origin.name());
             }
             worker.text("zone", &self.zone).text("machine", &self.machine);
             worker.text("place-from", Origin::name(*placement_origin)).set("warm", Value::Boolean(self.warm));
@@ -307,7 +307,9 @@
         }
         for state in &self.schedules {
             all.entry("schedule", &[Value::text(&*state.name)], |schedule| {
-                schedule.integer("through", state.through).integer("open", state.open as u64);
+                schedule
+                    .integer("through", state.decided_through_ms)
+                    .integer("open", state.open_count as u64);
                 schedule.integer("ended", state.finished).integer("passed", state.skipped);
                 if let Some((due, end, owner)) = state.last {
                     schedule.integer("last-due", due).text("last-end", end).integer("last-owner", owner);
@@ -443,7 +445,7 @@
                 zones: vec![("b".into(), 0.3, "cut-off")],
                 schedules: vec![ScheduleState {
                     name: "warm".into(),
-                    through: -1,
+                    decided_through_ms: -1,
                     last: Some((i64::MAX, "given-up", 3)),
                     ..ScheduleState::default()
                 }],
--- a/crates/northbound/tests/datastore_manager.rs
+++ b/crates/northbound/tests/datastore_manager.rs
@@ -17,7 +17,7 @@
 /// A datastore manager, and the receiver of its requests to the planner task.
 fn manager() -> (DatastoreManager, mpsc::Receiver<PlannerRequest>) {
     let schema = Arc::new(schema());
-    let data = xml::file(&schema, FILE.as_bytes()).unwrap();
+    let data = xml::from_file(&schema, FILE.as_bytes()).unwrap();
     let (sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
     (DatastoreManager::new(schema, 1e12, data, None, sender).unwrap(), requests)
 }
@@ -65,12 +65,12 @@
         manager.commit(&ann, Commit::default()).await.unwrap();
         let first = notifications.recv().await.unwrap();
         assert!(
-            matches!(&*first, Notification::ConfigChanged { number: of, .. } if *of == u64::from(number)),
+            matches!(&*first, Notification::ConfigChanged { number: notified, .. } if *notified == u64::from(number)),
             "{first:?}"
         );
         let second = notifications.recv().await.unwrap();
         assert!(
-            matches!(&*second, Notification::ChangeApplied { number: of, .. } if *of == u64::from(number)),
+            matches!(&*second, Notification::ChangeApplied { number: notified, .. } if *notified == u64::from(number)),
             "{second:?}"
         );
     }
--- a/crates/schedule/src/books.rs
+++ b/crates/schedule/src/books.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Ended occurrences kept per schedule, for display.
-const MAX_ENDED_KEPT: usize = 32;
+const MAX_ENDED_OCCURRENCES: usize = 32;
 
 /// One occurrence of a schedule, named by its due time in Unix milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     pub path: String,
     /// Whether it may run again. A side-effecting action is started at most once.
     pub idempotent: bool,
-    /// Total number of tries.
+    /// Limit on the tries of one occurrence, the first included.
     pub max_tries: u32,
     /// Wait before the second try; it doubles before each further one.
     pub backoff: Ms,
@@ -46,6 +46,7 @@
 pub enum SkipReason {
     /// No manager could claim it before its deadline.
     Missed,
+    /// It was due in a period in which the schedule is not to run.
     Quiet,
     Overlap,
 }
@@ -83,7 +84,8 @@
     pub owner: MemberId,
     /// The fencing token: the index of the log entry that granted the claim. Executors reject lower ones.
     pub fence: Index,
-    /// The run of the owner that started the action. For side-effecting actions it is agreed before the request is sent.
+    /// The owner's run in which the action was started. For side-effecting actions the entry that records it is
+    /// committed before the request is sent.
     pub started_by: Option<Run>,
 }
 
@@ -93,7 +95,7 @@
     pub action: Action,
     pub tries: u32,
     pub claim: Option<Claim>,
-    /// When the last try ended, by the agreed time of day.
+    /// When the last try ended, in the agreed time of day (Unix milliseconds).
     pub last_try_ended: Ms,
 }
 
@@ -111,7 +113,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ScheduleRecord {
     /// Every occurrence due up to this time has been claimed or skipped.
-    pub decided_through: i64,
+    pub decided_through_ms: i64,
     /// Claimed occurrences that have not ended, by their due time.
     pub open: BTreeMap<i64, OpenOccurrence>,
     /// The latest occurrences that ended, oldest first.
@@ -125,8 +127,8 @@
 /// state, or proposed it twice.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Adds a schedule; occurrences that were due before are not caught up on.
-    AddSchedule { schedule: String, decided_through: i64 },
+    /// Adds a schedule; occurrences that were due up to `decided_through_ms` are not run.
+    AddSchedule { schedule: String, decided_through_ms: i64 },
     /// Skips `count` occurrences, the last of which is `occurrence`.
     Skip { occurrence: Occurrence, reason: SkipReason, count: u64 },
     /// Claims an occurrence for `owner`.
@@ -148,14 +150,14 @@
 }
 
 impl Ledger {
-    /// Applies the command of the committed log entry `at` and returns whether it changed anything.
-    pub fn apply(&mut self, at: Index, command: &Command) -> bool {
+    /// Applies the command of the committed log entry `index` and returns whether it changed anything.
+    pub fn apply(&mut self, index: Index, command: &Command) -> bool {
         match command {
-            Command::AddSchedule { schedule, decided_through } => {
+            Command::AddSchedule { schedule, decided_through_ms } => {
                 let new = !self.schedules.contains_key(schedule);
                 let record = self.schedules.entry(schedule.clone()).or_default();
                 if new {
-                    record.decided_through = *decided_through;
+                    record.decided_through_ms = *decided_through_ms;
                 }
                 new
             }
@@ -170,16 +172,16 @@
                 let Some(record) = self
                     .schedules
                     .get_mut(&occurrence.schedule)
-                    .filter(|record| occurrence.due_ms > record.decided_through)
+                    .filter(|record| occurrence.due_ms > record.decided_through_ms)
                 else {
                     return false;
                 };
-                record.decided_through = occurrence.due_ms;
+                record.decided_through_ms = occurrence.due_ms;
                 *record.skipped.entry(*reason).or_default() += count;
                 true
             }
             Command::Claim { occurrence, owner, action, overlap } => {
-                self.claim(at, occurrence, *owner, action, *overlap)
+                self.claim(index, occurrence, *owner, action, *overlap)
             }
             Command::Start { occurrence, fence, run } => {
                 let claim = self.claim_mut(occurrence, *fence);
@@ -214,14 +216,14 @@
 
     fn claim(
         &mut self,
-        at: Index,
+        index: Index,
         occurrence: &Occurrence,
         owner: MemberId,
         action: &Action,
         overlap: OverlapPolicy,
     ) -> bool {
         let Some(record) = self.schedules.get_mut(&occurrence.schedule) else { return false };
-        let claim = Some(Claim { owner, fence: at, started_by: None });
+        let claim = Some(Claim { owner, fence: index, started_by: None });
         if let Some(open) = record.open.get_mut(&occurrence.due_ms) {
             let unclaimed = open.claim.is_none();
             if unclaimed {
@@ -229,7 +231,7 @@
             }
             return unclaimed;
         }
-        if occurrence.due_ms <= record.decided_through {
+        if occurrence.due_ms <= record.decided_through_ms {
             return false;
         }
         if !record.open.is_empty() {
@@ -242,7 +244,7 @@
                 }
             }
         }
-        record.decided_through = occurrence.due_ms;
+        record.decided_through_ms = occurrence.due_ms;
         record.open.insert(
             occurrence.due_ms,
             OpenOccurrence { action: action.clone(), tries: 1, claim, last_try_ended: f64::NEG_INFINITY },
@@ -258,7 +260,9 @@
         let end = match outcome {
             TryOutcome::Succeeded => Some(OccurrenceOutcome::Succeeded),
             TryOutcome::Failed => Some(OccurrenceOutcome::Failed),
-            // If a later claim of this occurrence ran, that claim's owner reports the outcome. Otherwise it stays unknown.
+            // The action may have taken effect and must not be started again, so its outcome stays unknown. If the
+            // occurrence has been claimed again, this outcome has the earlier claim's token and is ignored: the later
+            // claim's owner reports the outcome.
             TryOutcome::Overtaken | TryOutcome::Unanswered if !open.action.idempotent => {
                 Some(OccurrenceOutcome::Unknown)
             }
@@ -273,11 +277,11 @@
         }
     }
 
-    /// The open claims of one member.
-    pub fn claims(&self, of: MemberId) -> impl Iterator<Item = (Occurrence, &OpenOccurrence, &Claim)> {
+    /// The claims of one member on occurrences that have not ended.
+    pub fn claims(&self, owner: MemberId) -> impl Iterator<Item = (Occurrence, &OpenOccurrence, &Claim)> {
         self.schedules.iter().flat_map(move |(name, record)| {
             record.open.iter().filter_map(move |(due_ms, open)| {
-                let claim = open.claim.as_ref().filter(|claim| claim.owner == of)?;
+                let claim = open.claim.as_ref().filter(|claim| claim.owner == owner)?;
                 Some((Occurrence { schedule: name.clone(), due_ms: *due_ms }, open, claim))
             })
         })
@@ -290,7 +294,7 @@
         let (fence, owner) = open.claim.map_or_else(<_>::default, |claim| (claim.fence, claim.owner));
         self.ended_count += 1;
         self.ended.push_back(EndedOccurrence { due_ms, outcome, tries: open.tries, fence, owner });
-        if self.ended.len() > MAX_ENDED_KEPT {
+        if self.ended.len() > MAX_ENDED_OCCURRENCES {
             self.ended.pop_front();
         }
     }
--- a/crates/schedule/src/decide.rs
+++ b/crates/schedule/src/decide.rs
@@ -12,7 +12,7 @@
 };
 use crate::timing::{ScheduledTime, Timing};
 
-/// How many missed occurrences are caught up on.
+/// How many missed occurrences are run late.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CatchUp {
     #[default]
@@ -63,7 +63,7 @@
 
 /// Changes whenever an occurrence of the schedule is claimed, skipped or ended.
 fn fingerprint(record: &ScheduleRecord) -> (i64, u64, usize) {
-    (record.decided_through, record.ended_count, record.open.len())
+    (record.decided_through_ms, record.ended_count, record.open.len())
 }
 
 impl LeaderState {
@@ -134,7 +134,7 @@
     for (name, schedule) in schedules {
         let command = match ledger.schedules.get(name) {
             None => {
-                Some(Command::AddSchedule { schedule: name.clone(), decided_through: time_of_day as i64 })
+                Some(Command::AddSchedule { schedule: name.clone(), decided_through_ms: time_of_day as i64 })
             }
             Some(record) => {
                 let pass = Pass { now, time_of_day, retry_after, alive };
@@ -214,8 +214,8 @@
     }
 }
 
-/// The command for what has become due since `decided_through`: at most one, as the next depends on it. If nothing is due,
-/// returns when the next occurrence is.
+/// The command for what has become due since `decided_through_ms`: at most one, as the next command depends on it. If
+/// nothing is due, returns when the next occurrence is.
 fn next_command(
     name: &str,
     schedule: &Schedule,
@@ -225,7 +225,7 @@
 ) -> (Option<Command>, Option<Ms>) {
     let mut due: Vec<ScheduledTime> = Vec::new();
     let mut next = f64::INFINITY;
-    for time in schedule.timing.after(record.decided_through as Ms).take(MAX_COMMANDS_PER_PASS) {
+    for time in schedule.timing.after(record.decided_through_ms as Ms).take(MAX_COMMANDS_PER_PASS) {
         if time.run_at > time_of_day {
             next = time.run_at;
             break;
@@ -262,7 +262,7 @@
         CatchUp::Last => 1,
         CatchUp::LastCount(count) => count as usize,
     };
-    // Only the last missed ones are caught up on. If the pass is full of missed ones, more may follow: skip all of these.
+    // Only the last missed ones are run late. If the pass is full of missed ones, more may follow: skip all of these.
     let catch_up_count =
         if due.len() == MAX_COMMANDS_PER_PASS && late_count == due.len() { 0 } else { catch_up_count };
     if late_count > catch_up_count {
--- a/crates/schedule/tests/histories.rs
+++ b/crates/schedule/tests/histories.rs
@@ -260,15 +260,15 @@
         for (name, schedule) in &self.schedules {
             let record = &ledger.schedules[name];
             let added_at = self.log.iter().find_map(|command| match command {
-                Command::AddSchedule { schedule, decided_through } if schedule == name => {
-                    Some(*decided_through)
+                Command::AddSchedule { schedule, decided_through_ms } if schedule == name => {
+                    Some(*decided_through_ms)
                 }
                 _ => None,
             });
             let due_times = schedule
                 .timing
                 .after(added_at.unwrap() as Ms)
-                .take_while(|time| time.due <= record.decided_through as Ms);
+                .take_while(|time| time.due <= record.decided_through_ms as Ms);
             let skipped: u64 = record.skipped.values().sum();
             assert_eq!(
                 due_times.count() as u64,
