--- a/crates/schedule/src/decide.rs
+++ b/crates/schedule/src/decide.rs
@@ -7,7 +7,7 @@
 use juniperrail_interface::Ms;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::books::{
+use crate::ledger::{
     Action, Command, Ledger, Occurrence, OpenOccurrence, OverlapPolicy, ScheduleRecord, SkipReason,
 };
 use crate::timing::{ScheduledTime, Timing};
--- a/crates/schedule/src/duty.rs
+++ b/crates/schedule/src/duty.rs
@@ -6,7 +6,7 @@
 use juniperrail_consensus::{Index, MemberId, Run};
 use juniperrail_interface::Ms;
 
-use crate::books::{Action, Command, Ledger, Occurrence, TryOutcome};
+use crate::ledger::{Action, Command, Ledger, Occurrence, TryOutcome};
 
 /// A task for the caller of [`ClaimTracker::next_tasks`].
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -14,15 +14,15 @@
 //! Fencing tokens are indices of the consensus log. An executor that rejects lower tokens than it has seen never runs a
 //! superseded claim.
 
-mod books;
 mod decide;
 mod duty;
+mod ledger;
 mod timing;
 
-pub use books::{
+pub use decide::{propose_commands, CatchUp, LeaderState, Schedule, MAX_COMMANDS_PER_PASS};
+pub use duty::{ClaimProgress, ClaimTask, ClaimTracker};
+pub use ledger::{
     Action, Claim, Command, EndedOccurrence, Ledger, Occurrence, OccurrenceOutcome, OpenOccurrence,
     OverlapPolicy, ScheduleRecord, SkipReason, TryOutcome,
 };
-pub use decide::{propose_commands, CatchUp, LeaderState, Schedule, MAX_COMMANDS_PER_PASS};
-pub use duty::{ClaimProgress, ClaimTask, ClaimTracker};
 pub use timing::{FoldPolicy, GapPolicy, QuietPolicy, ScheduledTime, Timing, TimingError};
