--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -29,12 +29,13 @@
     after_help = "Exit codes: 0 done, 1 local error or connection error, 2 invalid command line, 3 refused by the manager."
 )]
 pub struct CommandLine {
-    /// The operator's configuration, in addition to the settings [default: `deploy/juniperrail.xml`, if it exists].
+    /// File with the operator's configuration, read in addition to the settings that PROXY_CONFIG names
+    /// [default: `deploy/juniperrail.xml`, if it exists].
     #[arg(long, env = "JUNIPERRAIL_FILE", value_name = "FILE", global = true)]
     pub operator_file: Option<PathBuf>,
 
     /// Format of the log on standard error.
-    #[arg(long, env = "JUNIPERRAIL_LOG", value_enum, default_value_t, value_name = "FORM")]
+    #[arg(long, env = "JUNIPERRAIL_LOG", value_enum, default_value_t, value_name = "FORMAT")]
     pub log: LogFormat,
 
     #[command(subcommand)]
--- a/crates/manager/src/clock.rs
+++ b/crates/manager/src/clock.rs
@@ -27,7 +27,7 @@
     }
 
     /// The monotonic instant of a Unix time; times before the start give the start.
-    pub fn instant(&self, at: Ms) -> Instant {
-        self.started + Duration::from_secs_f64(((at - self.unix_at_start) / 1000.0).max(0.0))
+    pub fn instant(&self, unix_time: Ms) -> Instant {
+        self.started + Duration::from_secs_f64(((unix_time - self.unix_at_start) / 1000.0).max(0.0))
     }
 }
--- a/crates/manager/src/connection_tracker.rs
+++ b/crates/manager/src/connection_tracker.rs
@@ -189,7 +189,7 @@
     /// until it sends a message. Its connection stays open for one more timeout, since it may be healthy, and is then
     /// closed: otherwise a machine that vanished would occupy a file descriptor forever.
     pub fn handle_timeouts(&mut self, now: Ms) -> Vec<StreamTimeout> {
-        let is_due = |stream: &Stream| self.times_out_at(stream).is_some_and(|at| now >= at);
+        let is_due = |stream: &Stream| self.times_out_at(stream).is_some_and(|timeout| now >= timeout);
         let due: Vec<ProxyId> =
             self.streams.iter().filter(|(_, stream)| is_due(stream)).map(|(id, _)| *id).collect();
         let time_out = |proxy| {
@@ -208,8 +208,8 @@
     }
 
     /// Records that a message was received over a stream. Returns `None` if another stream has replaced it.
-    pub fn record_activity(&mut self, now: Ms, from: StreamId, proxy: ProxyId) -> Option<Activity> {
-        let stream = self.streams.get_mut(&proxy).filter(|stream| stream.id == from)?;
+    pub fn record_activity(&mut self, now: Ms, stream_id: StreamId, proxy: ProxyId) -> Option<Activity> {
+        let stream = self.streams.get_mut(&proxy).filter(|stream| stream.id == stream_id)?;
         let pending_for = stream.pending_marks.front().map_or(0.0, |oldest| now - oldest.sent_at);
         let idle_for = now - stream.last_received_at;
         stream.last_received_at = now;
--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -66,8 +66,8 @@
     }
 
     /// Records that a message was received over a stream. Returns false if another stream has replaced it.
-    pub(super) fn record_activity(&mut self, from: StreamId, proxy: ProxyId) -> bool {
-        let Some(activity) = self.connections.record_activity(self.clock.now(), from, proxy) else {
+    pub(super) fn record_activity(&mut self, stream_id: StreamId, proxy: ProxyId) -> bool {
+        let Some(activity) = self.connections.record_activity(self.clock.now(), stream_id, proxy) else {
             return false;
         };
         tracing::trace!(
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -14,31 +14,39 @@
     "domain":{"channel-rate":5000,"pending-max":5000,"overhead":4,"worst-transit-ms":1000,"period-ms":2000,
     "proxy-count":4},"rules":{"drain-grace-ms":3000},"n-instances":1}}"#;
 
-/// A manager with one worker, and the message queues of the streams that the proxy 2 opened, by stream number.
-struct TestCluster(Decider, Vec<mpsc::Receiver<Bytes>>);
+/// So late that a check of the progress is due.
+const LATER: Ms = 1e18;
 
-impl TestCluster {
-    fn new() -> TestCluster {
+/// The decider of a manager with one worker, driven without sockets.
+struct TestManager {
+    decider: Decider,
+    /// The message queues of the streams that proxy 2 opened, by stream number.
+    queues: Vec<mpsc::Receiver<Bytes>>,
+}
+
+impl TestManager {
+    fn new() -> TestManager {
         let launch = Launch::new(CONFIG, |_| None).unwrap();
         let (inbound, _) = mpsc::channel(1);
         let probes = crate::probes::probe_service(Duration::ZERO, Duration::ZERO, 1);
-        TestCluster(Decider::new(launch, probes, &inbound, Rc::default(), None, Rc::default()), Vec::new())
+        let decider = Decider::new(launch, probes, &inbound, Rc::default(), None, Rc::default());
+        TestManager { decider, queues: Vec::new() }
     }
 
-    /// Joins the proxy over a new stream.
+    /// Lets proxy 2 join over a new stream. `fresh`: it has just started and has no tables.
     fn join(&mut self, fresh: bool) -> StreamId {
         let (outbox, messages, _) = Outbox::new(64);
-        let stream = StreamId(self.1.len() as u64);
-        self.1.push(messages);
+        let stream = StreamId(self.queues.len() as u64);
+        self.queues.push(messages);
         let hello = Hello { proxy: 2, zone: "a".into(), inv_per_second: 5.0, fresh };
-        self.0.receive(Inbound::Joined { stream, hello, outbox });
+        self.decider.receive(Inbound::Joined { stream, hello, outbox });
         stream
     }
 
     /// Runs a turn. Returns the events that the planner was given.
     fn turn(&mut self) -> Vec<Event> {
         let mut planner_events = Vec::new();
-        self.0.run_turn_with(|planner, now, events| {
+        self.decider.run_turn_with(|planner, now, events| {
             planner_events = events.to_vec();
             planner.process_events(now, events)
         });
@@ -47,18 +55,18 @@
 
     /// When the stream of the proxy times out.
     fn timeout(&self) -> Ms {
-        self.0.connections.next_timeout().expect("an acknowledgement is pending")
+        self.decider.connections.next_timeout().expect("an acknowledgement is pending")
     }
 
     /// The messages sent over a stream since the last call.
     fn sent(&mut self, stream: StreamId) -> String {
-        let messages = std::iter::from_fn(|| self.1[stream.0 as usize].try_recv().ok());
+        let messages = std::iter::from_fn(|| self.queues[stream.0 as usize].try_recv().ok());
         messages.map(|bytes| String::from_utf8(bytes.to_vec()).unwrap()).collect()
     }
 
-    fn ack(&mut self, from: StreamId, mark: u16) {
+    fn ack(&mut self, stream: StreamId, mark: u16) {
         let report = Report::Ack { proxy: 2, mark, latency: 1.0 };
-        self.0.receive(Inbound::Reported(Some((from, ProxyId(2))), Ok(report)));
+        self.decider.receive(Inbound::Reported(Some((stream, ProxyId(2))), Ok(report)));
     }
 }
 
@@ -66,131 +74,132 @@
 
 #[test]
 fn after_a_panic_the_planner_restarts_and_all_streams_stay_open() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.turn();
-    assert!(cluster.sent(stream).contains("whole=1 lines=s-1:1"));
-    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
-    let events = cluster.turn();
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.turn();
+    assert!(manager.sent(stream).contains("whole=1 lines=s-1:1"));
+    manager.decider.run_turn_with(|_, _, _| panic!("out of range"));
+    let events = manager.turn();
     assert!(
         matches!(&events[0], Event::List { kind: ListKind::Remembered, workers, .. } if workers.len() == 1)
     );
     assert!(matches!(events[1], Event::Joined { proxy: ProxyId(2), fresh: false, .. }));
-    cluster.turn();
+    manager.turn();
     assert!(
-        cluster.sent(stream).contains("whole=1 lines=s-1:1"),
+        manager.sent(stream).contains("whole=1 lines=s-1:1"),
         "the proxy is bound again over the same stream"
     );
 }
 
 #[test]
 fn a_planner_that_keeps_failing_is_restarted_after_growing_delays() {
-    let mut cluster = TestCluster::new();
-    cluster.join(true);
+    let mut manager = TestManager::new();
+    manager.join(true);
     let mut delays = Vec::new();
     for _ in 0..14 {
-        let before = cluster.0.clock.now();
-        cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
-        // Measured from shortly before the failure.
-        delays.push(cluster.0.retry_at - before);
+        let before = manager.decider.clock.now();
+        manager.decider.run_turn_with(|_, _, _| panic!("out of range"));
+        // `before` is read shortly before the failure, so each delay is measured slightly too long.
+        delays.push(manager.decider.retry_at - before);
     }
     // In ticks of 2 ms: 0, 1, 3, ..., up to a report period.
     for (failures, delay) in delays.iter().enumerate() {
         let min_delay = (2.0 * (2f64.powi(failures as i32) - 1.0)).min(2000.0);
         assert!(*delay >= min_delay, "{failures}: {delays:?}");
     }
-    let now = cluster.0.clock.now();
-    assert!(cluster.0.retry_at <= now + 2000.0, "{delays:?}");
-    cluster.turn();
+    let now = manager.decider.clock.now();
+    assert!(manager.decider.retry_at <= now + 2000.0, "{delays:?}");
+    manager.turn();
     assert_eq!(
-        (cluster.0.failure_count, cluster.0.retry_at),
+        (manager.decider.failure_count, manager.decider.retry_at),
         (0, 0.0),
         "a turn that succeeds ends the delays"
     );
-    let before = cluster.0.clock.now();
-    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
+    let before = manager.decider.clock.now();
+    manager.decider.run_turn_with(|_, _, _| panic!("out of range"));
     assert!(
-        cluster.0.retry_at <= cluster.0.clock.now() && cluster.0.retry_at >= before,
+        manager.decider.retry_at <= manager.decider.clock.now() && manager.decider.retry_at >= before,
         "the first retry is immediate"
     );
 }
 
 /// A restarted planner numbers its marks from the start: an acknowledgement of a mark of the failed planner must not
-/// count for the new one's.
+/// count as one of a mark of the new planner.
 #[test]
 fn acknowledgements_of_marks_of_a_failed_planner_are_ignored() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.turn();
-    assert!(cluster.sent(stream).contains("ticket=1\r\n"));
-    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
-    cluster.turn();
-    cluster.turn();
-    let sent = cluster.sent(stream);
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.turn();
+    assert!(manager.sent(stream).contains("ticket=1\r\n"));
+    manager.decider.run_turn_with(|_, _, _| panic!("out of range"));
+    manager.turn();
+    manager.turn();
+    let sent = manager.sent(stream);
     assert!(sent.contains("whole=1"), "{sent}");
     assert!(sent.contains("ticket=2\r\n") && sent.contains("ticket=3\r\n"), "{sent}");
     // A late acknowledgement does not cover the table that was sent since.
-    cluster.ack(stream, 1);
+    manager.ack(stream, 1);
     assert!(
-        cluster.0.events.is_empty() && cluster.0.connections.streams[&ProxyId(2)].pending_marks.len() == 2
+        manager.decider.events.is_empty()
+            && manager.decider.connections.streams[&ProxyId(2)].pending_marks.len() == 2
     );
-    cluster.ack(stream, 3);
+    manager.ack(stream, 3);
     assert!(
-        matches!(cluster.0.events[..], [Event::MarkAcknowledged { mark: MarkId(2), .. }]),
+        matches!(manager.decider.events[..], [Event::MarkAcknowledged { mark: MarkId(2), .. }]),
         "the new planner numbers its marks from 1: {:?}",
-        cluster.0.events
+        manager.decider.events
     );
 }
 
 #[test]
 fn a_silent_proxy_with_pending_marks_counts_as_left_until_it_sends_a_message() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.turn();
-    let timeout = cluster.timeout();
-    cluster.0.handle_timeouts(timeout - 1.0);
-    assert!(cluster.0.events.is_empty(), "not yet");
-    cluster.0.handle_timeouts(timeout);
-    assert_eq!(cluster.turn(), [LEFT]);
-    cluster.0.handle_timeouts(timeout + 1.0);
-    assert!(cluster.0.events.is_empty(), "reported once");
-    let sent = cluster.sent(stream);
-    cluster.ack(stream, 1);
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.turn();
+    let timeout = manager.timeout();
+    manager.decider.handle_timeouts(timeout - 1.0);
+    assert!(manager.decider.events.is_empty(), "the stream has not timed out yet");
+    manager.decider.handle_timeouts(timeout);
+    assert_eq!(manager.turn(), [LEFT]);
+    manager.decider.handle_timeouts(timeout + 1.0);
+    assert!(manager.decider.events.is_empty(), "the time-out of a stream is reported once");
+    let sent = manager.sent(stream);
+    manager.ack(stream, 1);
     assert!(
-        matches!(cluster.turn()[..], [Event::Joined { fresh: false, .. }]),
+        matches!(manager.turn()[..], [Event::Joined { fresh: false, .. }]),
         "earlier acknowledgements do not count"
     );
-    assert!(sent.contains("whole=1") && cluster.sent(stream).contains("whole=1"));
-    cluster.ack(stream, 2);
-    cluster.turn();
-    cluster.0.handle_timeouts(timeout * 3.0);
-    assert!(cluster.0.events.is_empty(), "a proxy without pending marks may be silent");
+    assert!(sent.contains("whole=1") && manager.sent(stream).contains("whole=1"));
+    manager.ack(stream, 2);
+    manager.turn();
+    manager.decider.handle_timeouts(timeout * 3.0);
+    assert!(manager.decider.events.is_empty(), "a proxy without pending marks may be silent");
 }
 
 #[test]
 fn the_connection_of_a_stream_that_stays_silent_is_closed() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.turn();
-    let timeout = cluster.timeout();
-    cluster.0.handle_timeouts(timeout);
-    assert_eq!(cluster.turn(), [LEFT]);
-    cluster.sent(stream);
-    cluster.0.handle_timeouts(cluster.timeout());
-    let end = cluster.1[0].try_recv();
-    assert_eq!((end, cluster.turn()), (Err(mpsc::error::TryRecvError::Disconnected), vec![]));
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.turn();
+    let timeout = manager.timeout();
+    manager.decider.handle_timeouts(timeout);
+    assert_eq!(manager.turn(), [LEFT]);
+    manager.sent(stream);
+    manager.decider.handle_timeouts(manager.timeout());
+    let end = manager.queues[0].try_recv();
+    assert_eq!((end, manager.turn()), (Err(mpsc::error::TryRecvError::Disconnected), vec![]));
 }
 
 #[test]
 fn an_invalid_message_counts_as_activity_and_has_no_other_effect() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.turn();
-    let timeout = cluster.timeout();
-    cluster.0.handle_timeouts(timeout);
-    cluster.turn();
-    cluster.0.receive(Inbound::Reported(Some((stream, ProxyId(2))), Err("latency is missing".into())));
-    let events = cluster.turn();
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.turn();
+    let timeout = manager.timeout();
+    manager.decider.handle_timeouts(timeout);
+    manager.turn();
+    manager.decider.receive(Inbound::Reported(Some((stream, ProxyId(2))), Err("latency is missing".into())));
+    let events = manager.turn();
     assert!(matches!(events[..], [Event::Joined { fresh: false, .. }]), "{events:?}");
     let (zone, worker) = ("b".into(), "s-1".into());
     let invalid = Report::Outcomes {
@@ -202,84 +211,89 @@
         interval: 1.0,
         load: <_>::default(),
     };
-    cluster.0.receive(Inbound::Reported(None, Ok(invalid)));
+    manager.decider.receive(Inbound::Reported(None, Ok(invalid)));
     let demand =
         Report::Demand { proxy: 2, op: "s-zz".into(), invocations: 4.0, unanswered: 0.0, interval: 2.0 };
-    cluster.0.receive(Inbound::Reported(None, Ok(demand)));
-    assert!(cluster.0.events.is_empty());
-    let names = &cluster.0.names;
+    manager.decider.receive(Inbound::Reported(None, Ok(demand)));
+    assert!(manager.decider.events.is_empty());
+    let names = &manager.decider.names;
     assert_eq!([&names.zones, &names.workers, &names.ops].map(|named| named.count()), [1, 1, 1]);
 }
 
 #[test]
 fn messages_over_a_replaced_stream_are_ignored() {
-    let mut cluster = TestCluster::new();
-    let old = cluster.join(true);
-    cluster.turn();
-    let new = cluster.join(false);
-    let events = cluster.turn();
+    let mut manager = TestManager::new();
+    let old = manager.join(true);
+    manager.turn();
+    let new = manager.join(false);
+    let events = manager.turn();
     assert!(matches!(events[..], [LEFT, Event::Joined { .. }]), "{events:?}");
-    cluster.ack(old, 1);
+    manager.ack(old, 1);
     let (op, interval) = ("lookup".into(), 2000.0);
     let demand = Report::Demand { proxy: 2, op, invocations: 4.0, unanswered: 0.0, interval };
-    cluster.0.receive(Inbound::Reported(Some((old, ProxyId(2))), Ok(demand)));
-    cluster.0.receive(Inbound::Ended(old, None));
-    assert!(cluster.0.events.is_empty());
-    cluster.ack(new, 1);
-    assert!(cluster.0.events.is_empty(), "mark 1 was sent over the old stream");
-    cluster.ack(new, 2);
-    cluster.ack(new, 2);
-    assert_eq!(cluster.0.events.len(), 1, "an acknowledgement counts once");
+    manager.decider.receive(Inbound::Reported(Some((old, ProxyId(2))), Ok(demand)));
+    manager.decider.receive(Inbound::Ended(old, None));
+    assert!(manager.decider.events.is_empty());
+    manager.ack(new, 1);
+    assert!(manager.decider.events.is_empty(), "mark 1 was sent over the old stream");
+    manager.ack(new, 2);
+    manager.ack(new, 2);
+    assert_eq!(manager.decider.events.len(), 1, "an acknowledgement counts once");
 }
 
 #[test]
 fn a_proxy_that_does_not_read_is_disconnected() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.turn();
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.turn();
     let mut mark_count = 0;
-    while cluster.0.connections.streams.contains_key(&ProxyId(2)) {
+    while manager.decider.connections.streams.contains_key(&ProxyId(2)) {
         let mark = Order::Mark { number: MarkId(mark_count), all_proxies: true };
-        cluster.0.run_turn_with(|_, _, _| vec![mark]);
+        manager.decider.run_turn_with(|_, _, _| vec![mark]);
         mark_count += 1;
     }
     assert_eq!(mark_count, 64);
-    assert_eq!(cluster.0.events, [LEFT]);
-    assert!(cluster.sent(stream).contains("ticket=62"));
+    assert_eq!(manager.decider.events, [LEFT]);
+    assert!(manager.sent(stream).contains("ticket=62"));
 }
 
 #[test]
 fn no_state_is_kept_of_forgotten_workers() {
-    let mut cluster = TestCluster::new();
+    let mut manager = TestManager::new();
     let entry = |id: u64, lifecycle: &str| {
-        let about = r#""hostPort":"127.0.0.1:1","zone":"a","weight":1"#;
-        format!(r#"{{"instanceId":"s-{id}","lifecycle":"{lifecycle}",{about}}}"#)
+        let other_fields = r#""hostPort":"127.0.0.1:1","zone":"a","weight":1"#;
+        format!(r#"{{"instanceId":"s-{id}","lifecycle":"{lifecycle}",{other_fields}}}"#)
     };
-    let stream = cluster.join(true);
-    cluster.turn();
+    let stream = manager.join(true);
+    manager.turn();
     for id in 2..40 {
         let entries = [entry(id, "ready"), entry(id - 1, "gone")].join(",");
         let listing = format!(r#"{{"generation":{id},"instances":[{entries}]}}"#);
-        cluster.0.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
-        cluster.turn();
-        for mark in cluster.sent(stream).split("ticket=").skip(1) {
-            cluster.ack(stream, mark.split_whitespace().next().unwrap().parse().unwrap());
+        manager.decider.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
+        manager.turn();
+        for mark in manager.sent(stream).split("ticket=").skip(1) {
+            manager.ack(stream, mark.split_whitespace().next().unwrap().parse().unwrap());
         }
-        cluster.0.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id as u32 - 2) }]);
+        // Ids are assigned from 0, and s-1 has the id 0: this is the worker s-(id - 1), which is gone.
+        manager.decider.dispatch_orders(
+            0.0,
+            Vec::new(),
+            vec![Order::Forget { worker: WorkerId(id as u32 - 2) }],
+        );
     }
-    assert_eq!((cluster.0.names.workers.count(), cluster.0.registry.counts()), (1, (1, 1)));
-    assert_eq!(cluster.0.names.workers.find_id("s-39"), Some(38), "ids are not reused");
+    assert_eq!((manager.decider.names.workers.count(), manager.decider.registry.counts()), (1, (1, 1)));
+    assert_eq!(manager.decider.names.workers.find_id("s-39"), Some(38), "ids are not reused");
 }
 
-impl TestCluster {
+impl TestManager {
     fn list(&mut self, version: u64, entries: &[(&str, &str)]) {
         let entry = |(id, lifecycle): &(&str, &str)| {
-            let about = r#""hostPort":"127.0.0.1:1","zone":"a","weight":1"#;
-            format!(r#"{{"instanceId":"{id}","lifecycle":"{lifecycle}",{about}}}"#)
+            let other_fields = r#""hostPort":"127.0.0.1:1","zone":"a","weight":1"#;
+            format!(r#"{{"instanceId":"{id}","lifecycle":"{lifecycle}",{other_fields}}}"#)
         };
         let entries: Vec<String> = entries.iter().map(entry).collect();
         let listing = format!(r#"{{"generation":{version},"instances":[{}]}}"#, entries.join(","));
-        self.0.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
+        self.decider.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
     }
 
     /// Requests a change of the operator's intent.
@@ -290,11 +304,11 @@
         let workers = desired_states.iter().map(worker_intent).collect();
         let intent = Box::new(Intent { workers, drain_grace: Some(2500.0), ..Intent::default() });
         let (verdict, mut reply) = oneshot::channel();
-        self.0.answer_request(PlannerRequest::Apply { number, by: "ann".into(), intent, verdict });
+        self.decider.answer_request(PlannerRequest::Apply { number, by: "ann".into(), intent, verdict });
         reply.try_recv().expect("answered at once")
     }
 
-    /// Runs turns and acknowledges every message. Returns the messages.
+    /// Runs five turns. After each of the first four, acknowledges all marks received. Returns the messages received.
     fn settle(&mut self, stream: StreamId) -> String {
         let mut all_messages = String::new();
         for _ in 0..4 {
@@ -311,7 +325,7 @@
 
     /// Each worker's name and phase, and the source of the phase.
     fn phases(&self) -> Vec<(String, Phase, &'static str)> {
-        let state = self.0.operational_state();
+        let state = self.decider.operational_state();
         let phase = |worker: &WorkerState| {
             (worker.name.clone(), worker.composed.entry.phase, worker.composed.phase_origin.name())
         };
@@ -321,148 +335,152 @@
 
 #[test]
 fn a_change_is_applied_completely_in_the_turn_of_its_request_or_refused_without_effect() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.list(5, &[("s-2", "ready")]);
-    cluster.settle(stream);
-    let refused = cluster
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.list(5, &[("s-2", "ready")]);
+    manager.settle(stream);
+    let refused = manager
         .request_change(2, &[("s-1", DesiredState::Out), ("s-2", DesiredState::Draining)])
         .unwrap_err();
     assert_eq!(refused[0].error_app_tag(), "no-ready-worker");
-    assert!(cluster.0.events.is_empty() && cluster.0.progress.all().next().is_none());
-    assert_eq!(cluster.request_change(2, &[("s-1", DesiredState::Draining)]), Ok(()));
-    let events = cluster.turn();
+    assert!(manager.decider.events.is_empty() && manager.decider.progress.all().next().is_none());
+    assert_eq!(manager.request_change(2, &[("s-1", DesiredState::Draining)]), Ok(()));
+    let events = manager.turn();
     assert!(
-        matches!(&events[..], [Event::SettingsChanged(runtime), Event::List { kind: ListKind::Changes, workers, .. }]
-        if runtime.drain_grace == 2500.0 && workers.len() == 1 && workers[0].phase == Phase::Draining),
+        matches!(&events[..], [Event::SettingsChanged(changed), Event::List { kind: ListKind::Changes, workers, .. }]
+        if changed.drain_grace == 2500.0 && workers.len() == 1 && workers[0].phase == Phase::Draining),
         "{events:?}"
     );
-    let sent = cluster.sent(stream);
+    let sent = manager.sent(stream);
     assert!(sent.contains("out=s-1"), "{sent}");
-    cluster.0.check_progress(1e18);
+    manager.decider.check_progress(LATER);
     assert_eq!(
-        cluster.0.operational_state().changes[0].applied_by,
+        manager.decider.operational_state().changes[0].applied_by,
         0,
         "a change that was sent and not acknowledged is not applied"
     );
     let mark = sent.split("ticket=").nth(1).unwrap().trim().parse().unwrap();
-    cluster.ack(stream, mark);
-    cluster.settle(stream);
-    cluster.0.check_progress(2e18);
-    let change = &cluster.0.operational_state().changes[0];
+    manager.ack(stream, mark);
+    manager.settle(stream);
+    manager.decider.check_progress(2.0 * LATER);
+    let change = &manager.decider.operational_state().changes[0];
     assert!(matches!(change.stage, juniperrail_intent::Stage::Applied { .. }), "{change:?}");
     assert_eq!((change.number, change.applied_by, change.joined), (2, 1, 1));
-    let proxy = &cluster.0.operational_state().proxies[0];
+    let proxy = &manager.decider.operational_state().proxies[0];
     assert_eq!(
         (proxy.excluded_workers.as_slice(), proxy.unacknowledged, proxy.mark_sent),
         (&["s-1".to_string()][..], 0, proxy.mark_acknowledged)
     );
-    let lines = cluster.0.operational_state().tables.into_iter().flat_map(|table| table.lines);
+    let lines = manager.decider.operational_state().tables.into_iter().flat_map(|table| table.lines);
     assert_eq!(
         lines.map(|(worker, _)| worker).collect::<Vec<_>>(),
         ["s-1", "s-2"],
-        "its line is removed with the next batch"
+        "the line of s-1 is removed only with later updates"
     );
 }
 
 #[test]
-fn the_planner_is_given_what_discovery_and_the_operator_compose_to() {
-    let mut cluster = TestCluster::new();
-    cluster.turn();
-    cluster.list(5, &[("s-2", "ready"), ("s-3", "draining")]);
-    cluster.turn();
+fn the_planner_is_given_the_composition_of_discovery_and_the_operators_intent() {
+    let mut manager = TestManager::new();
+    manager.turn();
+    manager.list(5, &[("s-2", "ready"), ("s-3", "draining")]);
+    manager.turn();
     assert_eq!(
-        cluster.request_change(2, &[("s-3", DesiredState::Ready), ("s-9", DesiredState::Ready)]),
+        manager.request_change(2, &[("s-3", DesiredState::Ready), ("s-9", DesiredState::Ready)]),
         Ok(())
     );
-    let phase = |cluster: &TestCluster, name: &str| {
-        cluster.phases().into_iter().find(|worker| worker.0 == name).map(|worker| (worker.1, worker.2))
+    let phase = |manager: &TestManager, name: &str| {
+        manager.phases().into_iter().find(|worker| worker.0 == name).map(|worker| (worker.1, worker.2))
     };
-    assert_eq!(phase(&cluster, "s-3"), Some((Phase::Ready, "operator")));
-    assert_eq!(phase(&cluster, "s-9"), None, "a worker that no source places is not reported");
-    cluster.list(6, &[("s-3", "gone")]);
-    cluster.turn();
-    assert_eq!(phase(&cluster, "s-3"), Some((Phase::Gone, "discovery")));
-    assert_eq!(cluster.request_change(3, &[("s-3", DesiredState::Follow)]), Ok(()));
-    assert_eq!(cluster.request_change(4, &[("s-3", DesiredState::Ready)]), Ok(()));
+    assert_eq!(phase(&manager, "s-3"), Some((Phase::Ready, "operator")));
+    assert_eq!(phase(&manager, "s-9"), None, "a worker whose zone no source names is not reported");
+    manager.list(6, &[("s-3", "gone")]);
+    manager.turn();
+    assert_eq!(phase(&manager, "s-3"), Some((Phase::Gone, "discovery")));
+    assert_eq!(manager.request_change(3, &[("s-3", DesiredState::Follow)]), Ok(()));
+    assert_eq!(manager.request_change(4, &[("s-3", DesiredState::Ready)]), Ok(()));
     assert_eq!(
-        phase(&cluster, "s-3"),
+        phase(&manager, "s-3"),
         Some((Phase::Gone, "discovery")),
         "an operator does not bring back a worker that is gone"
     );
-    cluster.list(7, &[("s-3", "ready"), ("s-9", "draining")]);
-    assert_eq!(phase(&cluster, "s-3"), Some((Phase::Ready, "discovery")));
-    assert_eq!(phase(&cluster, "s-9"), Some((Phase::Draining, "discovery")));
+    manager.list(7, &[("s-3", "ready"), ("s-9", "draining")]);
+    assert_eq!(phase(&manager, "s-3"), Some((Phase::Ready, "discovery")));
+    assert_eq!(phase(&manager, "s-9"), Some((Phase::Draining, "discovery")));
 }
 
 #[test]
 fn a_worker_that_the_operator_took_out_is_forgotten_and_returns_with_a_new_id() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.list(5, &[("s-2", "ready")]);
-    cluster.settle(stream);
-    assert_eq!(cluster.request_change(2, &[("s-2", DesiredState::Out)]), Ok(()));
-    assert!(cluster.settle(stream).contains("out=s-2"));
-    let id = cluster.0.names.workers.find_id("s-2").unwrap();
-    cluster.0.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id) }]);
-    let new_id = cluster.0.names.workers.find_id("s-2").unwrap();
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.list(5, &[("s-2", "ready")]);
+    manager.settle(stream);
+    assert_eq!(manager.request_change(2, &[("s-2", DesiredState::Out)]), Ok(()));
+    assert!(manager.settle(stream).contains("out=s-2"));
+    let id = manager.decider.names.workers.find_id("s-2").unwrap();
+    manager.decider.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id) }]);
+    let new_id = manager.decider.names.workers.find_id("s-2").unwrap();
     assert_ne!(new_id, id);
     // It stays out although a full list names it.
-    cluster.list(6, &[("s-1", "ready"), ("s-2", "ready")]);
-    cluster.settle(stream);
-    assert_eq!(cluster.request_change(3, &[]), Ok(()));
-    let events = cluster.turn();
+    manager.list(6, &[("s-1", "ready"), ("s-2", "ready")]);
+    manager.settle(stream);
+    assert_eq!(manager.request_change(3, &[]), Ok(()));
+    let events = manager.turn();
     assert!(
         matches!(&events[..], [Event::List { workers, .. }]
         if workers[0].worker == WorkerId(new_id) && workers[0].phase == Phase::Ready),
         "{events:?}"
     );
     assert!(
-        cluster.0.order_writer.is_maybe_excluded(WorkerId(new_id)),
+        manager.decider.order_writer.is_maybe_excluded(WorkerId(new_id)),
         "the proxy excludes it under the old id and has to include it again"
     );
 }
 
 #[test]
 fn a_restarted_planner_keeps_the_operators_intent() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.list(5, &[("s-2", "ready")]);
-    cluster.settle(stream);
-    assert_eq!(cluster.request_change(2, &[("s-1", DesiredState::Draining)]), Ok(()));
-    cluster.settle(stream);
-    cluster.0.run_turn_with(|_, _, _| panic!("out of range"));
-    let events = cluster.turn();
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.list(5, &[("s-2", "ready")]);
+    manager.settle(stream);
+    assert_eq!(manager.request_change(2, &[("s-1", DesiredState::Draining)]), Ok(()));
+    manager.settle(stream);
+    manager.decider.run_turn_with(|_, _, _| panic!("out of range"));
+    let events = manager.turn();
     let Event::List { workers, .. } = &events[0] else { panic!("{events:?}") };
     assert_eq!(
         workers.iter().map(|worker| worker.phase).collect::<Vec<_>>(),
         [Phase::Draining, Phase::Ready]
     );
-    assert!(matches!(&events[1], Event::SettingsChanged(runtime) if runtime.drain_grace == 2500.0));
+    assert!(matches!(&events[1], Event::SettingsChanged(changed) if changed.drain_grace == 2500.0));
 }
 
 #[test]
 fn warnings_are_logged_for_a_full_channel_and_a_drain_close_to_its_grace() {
-    let mut cluster = TestCluster::new();
-    let stream = cluster.join(true);
-    cluster.list(5, &[("s-2", "ready")]);
-    cluster.settle(stream);
-    cluster.list(6, &[("s-1", "draining")]);
-    cluster.turn();
-    let now = cluster.0.clock.now();
-    assert_eq!(cluster.0.limit_warnings(now), Vec::<String>::new(), "below both limits");
-    let max_pending_lines = std::mem::replace(&mut cluster.0.settings.max_pending_lines, 5.0);
-    let full = cluster.0.limit_warnings(now);
+    let mut manager = TestManager::new();
+    let stream = manager.join(true);
+    manager.list(5, &[("s-2", "ready")]);
+    manager.settle(stream);
+    manager.list(6, &[("s-1", "draining")]);
+    manager.turn();
+    let now = manager.decider.clock.now();
+    assert_eq!(manager.decider.limit_warnings(now), Vec::<String>::new(), "no warning below both limits");
+    let max_pending_lines = std::mem::replace(&mut manager.decider.settings.max_pending_lines, 5.0);
+    let full = manager.decider.limit_warnings(now);
     assert!(matches!(&full[..], [full] if full.ends_with("of 5 lines wait in the channel")), "{full:?}");
-    cluster.0.settings.max_pending_lines = max_pending_lines;
-    let late = cluster.0.limit_warnings(now + 2000.0);
+    manager.decider.settings.max_pending_lines = max_pending_lines;
+    let late = manager.decider.limit_warnings(now + 2000.0);
     assert!(
         matches!(&late[..], [late] if late.starts_with("1 of 1 proxies have not acknowledged the removal of 1 workers")
             && late.contains("s-1 for 20") && late.ends_with("ms of 3000")),
         "{late:?}"
     );
-    cluster.settle(stream);
-    assert_eq!(cluster.0.limit_warnings(now + 2000.0), Vec::<String>::new(), "acknowledged");
+    manager.settle(stream);
+    assert_eq!(
+        manager.decider.limit_warnings(now + 2000.0),
+        Vec::<String>::new(),
+        "no warning once the removal is acknowledged"
+    );
 }
 
 #[test]
@@ -470,42 +488,46 @@
     use crate::scope_filter::ScopeFilter;
     use juniperrail_distribution::Scope;
 
-    let mut cluster = TestCluster::new();
-    cluster.turn();
+    let mut manager = TestManager::new();
+    manager.turn();
     let mut filter = ScopeFilter::new(Scope::new(["a".to_string()], []));
-    let mut list = |cluster: &mut TestCluster, full: bool, entries: &[(&str, &str, &str)]| {
+    let mut list = |manager: &mut TestManager, full: bool, entries: &[(&str, &str, &str)]| {
         let entry = |(id, zone, lifecycle): &(&str, &str, &str)| {
             format!(r#"{{"instanceId":"{id}","zone":"{zone}","lifecycle":"{lifecycle}","weight":1}}"#)
         };
         let entries: Vec<String> = entries.iter().map(entry).collect();
         let listing = format!(r#"{{"generation":5,"reset":{full},"instances":[{}]}}"#, entries.join(","));
         let listing = filter.filter(serde_json::from_str(&listing).unwrap());
-        cluster.0.receive(Inbound::Listing(listing));
-        cluster.turn();
+        manager.decider.receive(Inbound::Listing(listing));
+        manager.turn();
     };
-    let place = |cluster: &TestCluster, name: &str| {
-        let state = cluster.0.operational_state();
+    let phase_and_zone = |manager: &TestManager, name: &str| {
+        let state = manager.decider.operational_state();
         let worker = state.workers.into_iter().find(|worker| worker.name == name);
         worker.map(|worker| (worker.composed.entry.phase, worker.zone))
     };
     let in_zone_a = |phase: Phase| Some((phase, "a".to_string()));
 
-    list(&mut cluster, true, &[("s-1", "a", "ready"), ("s-2", "a", "ready"), ("s-9", "b", "ready")]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Ready));
-    assert_eq!(place(&cluster, "s-9"), None);
-    list(&mut cluster, false, &[("s-1", "b", "ready"), ("s-9", "b", "draining")]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "moved by a list of changes");
-    list(&mut cluster, true, &[("s-1", "b", "ready"), ("s-2", "c", "draining")]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Draining), "named in another zone by a full list");
-    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Draining), "moved by a full list");
-    list(&mut cluster, false, &[("s-1", "a", "ready"), ("s-2", "c", "gone")]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Ready), "back in the scope");
-    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "gone in its new zone");
-    list(&mut cluster, false, &[("s-2", "c", "ready"), ("s-1", "b", "ready")]);
-    assert_eq!(place(&cluster, "s-2"), in_zone_a(Phase::Gone), "not brought back by another zone");
-    list(&mut cluster, true, &[]);
-    assert_eq!(place(&cluster, "s-1"), in_zone_a(Phase::Gone), "missing from a full list");
-    let names = &cluster.0.names;
+    list(&mut manager, true, &[("s-1", "a", "ready"), ("s-2", "a", "ready"), ("s-9", "b", "ready")]);
+    assert_eq!(phase_and_zone(&manager, "s-1"), in_zone_a(Phase::Ready));
+    assert_eq!(phase_and_zone(&manager, "s-9"), None);
+    list(&mut manager, false, &[("s-1", "b", "ready"), ("s-9", "b", "draining")]);
+    assert_eq!(phase_and_zone(&manager, "s-1"), in_zone_a(Phase::Draining), "moved by a list of changes");
+    list(&mut manager, true, &[("s-1", "b", "ready"), ("s-2", "c", "draining")]);
+    assert_eq!(
+        phase_and_zone(&manager, "s-1"),
+        in_zone_a(Phase::Draining),
+        "named in another zone by a full list"
+    );
+    assert_eq!(phase_and_zone(&manager, "s-2"), in_zone_a(Phase::Draining), "moved by a full list");
+    list(&mut manager, false, &[("s-1", "a", "ready"), ("s-2", "c", "gone")]);
+    assert_eq!(phase_and_zone(&manager, "s-1"), in_zone_a(Phase::Ready), "back in the scope");
+    assert_eq!(phase_and_zone(&manager, "s-2"), in_zone_a(Phase::Gone), "gone in its new zone");
+    list(&mut manager, false, &[("s-2", "c", "ready"), ("s-1", "b", "ready")]);
+    assert_eq!(phase_and_zone(&manager, "s-2"), in_zone_a(Phase::Gone), "not brought back by another zone");
+    list(&mut manager, true, &[]);
+    assert_eq!(phase_and_zone(&manager, "s-1"), in_zone_a(Phase::Gone), "missing from a full list");
+    let names = &manager.decider.names;
     assert_eq!(
         (names.workers.find_id("s-9"), names.zones.find_id("b"), names.zones.find_id("c")),
         (None, None, None)
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -159,7 +159,7 @@
             retry.wait = wait_too_large(self.too_large_count, &mut self.rng);
             self.too_large_count = self.too_large_count.saturating_add(1);
             tracing::warn!(
-                "the list of {address} is too large and rejected: {over}; {}, asked again in {} s",
+                "the list of {address} is too large and rejected: {over}; {}; the list is requested again in {} s",
                 self.follower.describe_current(),
                 retry.wait.as_secs()
             );
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -70,13 +70,13 @@
     fleet: Option<Arc<Fleet>>,
 }
 
-/// Hands over the leadership of the fleet before a manager shuts down.
+/// Transfers the leadership of the fleet before a manager shuts down.
 #[derive(Clone)]
 pub struct ShutdownHandle(Option<Arc<Fleet>>);
 
 impl ShutdownHandle {
     /// Transfers the leadership and waits until that is done, at most for `timeout`. Returns at once without a fleet.
-    pub async fn hand_over_leadership(self, timeout: Duration) {
+    pub async fn transfer_leadership(self, timeout: Duration) {
         if let Some(fleet) = self.0 {
             // `Fleet::leave` blocks on a condition variable, so it must not run on the event loop.
             _ = tokio::task::spawn_blocking(move || fleet.leave(timeout)).await;
@@ -145,8 +145,8 @@
             inbound: inbound.clone(),
             proxy_count,
             zones: zones.clone(),
-            unidentified: limiter::ConnectionLimiter::new(budget.unidentified),
-            collectors: limiter::ConnectionLimiter::new(budget.collectors),
+            unidentified_limiter: limiter::ConnectionLimiter::new(budget.unidentified),
+            collector_limiter: limiter::ConnectionLimiter::new(budget.collectors),
             last_stream_id: Default::default(),
             open_count: Default::default(),
             max_open: budget.open,
--- a/crates/manager/src/listening.rs
+++ b/crates/manager/src/listening.rs
@@ -14,15 +14,18 @@
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Listens, with room for `backlog` connections that are not accepted yet.
-pub async fn listen(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+pub async fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let deadline = Instant::now() + BIND_RETRY_TIMEOUT;
     let mut logged = false;
     loop {
-        match bind(at, backlog) {
+        match bind(address, backlog) {
             // On a restart the old process may not have ended yet.
             Err(cause) if cause.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
                 if !std::mem::replace(&mut logged, true) {
-                    tracing::debug!("{at} is in use; retrying for {} ms", BIND_RETRY_TIMEOUT.as_millis());
+                    tracing::debug!(
+                        "{address} is in use; retrying for {} ms",
+                        BIND_RETRY_TIMEOUT.as_millis()
+                    );
                 }
                 sleep(BIND_RETRY_INTERVAL).await;
             }
@@ -31,10 +34,10 @@
     }
 }
 
-fn bind(at: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+fn bind(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     // As listeners usually do, so that a predecessor's connections in TIME_WAIT do not block the address.
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(backlog)
 }
--- a/crates/manager/src/main.rs
+++ b/crates/manager/src/main.rs
@@ -36,7 +36,7 @@
 }
 
 /// Limit for the transfer of leadership on SIGTERM. The platform sends SIGKILL no sooner than 0.7 s after SIGTERM.
-const HANDOVER_TIMEOUT: Duration = Duration::from_millis(400);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Reads the settings and the operator's file. A file that is named explicitly must exist; the default one may be absent.
 fn read_launch(operator_file: Option<PathBuf>) -> Result<Launch, String> {
@@ -62,7 +62,7 @@
         _ = async { tokio::join!(manager.serve(), reload_on_sighup) } => {}
         _ = sigterm.recv() => {
             tracing::info!("received SIGTERM, shutting down");
-            shutdown_handle.hand_over_leadership(HANDOVER_TIMEOUT).await;
+            shutdown_handle.transfer_leadership(LEADERSHIP_TRANSFER_TIMEOUT).await;
         }
     }
     Ok(())
--- a/crates/manager/src/protocol.rs
+++ b/crates/manager/src/protocol.rs
@@ -1,7 +1,7 @@
 //! The line protocol of proxies and collectors: parses lines into typed messages and encodes messages. No I/O.
 
 use std::collections::HashMap;
-use std::fmt::Write;
+use std::fmt::{Display, Write};
 use std::str::FromStr;
 
 use bytes::Bytes;
@@ -128,13 +128,14 @@
         self.value(name).and_then(|ms| if ms > 0.0 { Ok(ms) } else { Err(format!("{name} is 0")) })
     }
 
-    fn integer<N: FromStr>(&self, name: &str) -> Result<N, String> {
+    /// An integer of the type `N`; the error names `max`, the largest value of that type.
+    fn integer<N: FromStr + Display>(&self, name: &str, max: N) -> Result<N, String> {
         let text = self.text(name)?;
-        text.parse().map_err(|_| format!("{name} is not an integer in range: {text:?}"))
+        text.parse().map_err(|_| format!("{name} is not an integer within 0..{max}: {text:?}"))
     }
 
     fn count(&self, name: &str) -> Result<f64, String> {
-        self.integer::<u32>(name).map(f64::from)
+        self.integer(name, u32::MAX).map(f64::from)
     }
 
     fn load(&self) -> Result<Load, String> {
@@ -196,7 +197,7 @@
         "probe" => Message::Probe,
         "agent" => Message::Agent { zone: fields.owned("locality")? },
         "hello" => Message::Hello {
-            proxy: fields.integer("node")?,
+            proxy: fields.integer("node", u16::MAX)?,
             zone: fields.owned("locality")?,
             inv_per_second: if fields.0.contains_key("w") { fields.value("w")? } else { 0.0 },
             fresh: fields.0.get("cold").is_some_and(|cold| *cold == "1"),
@@ -218,7 +219,7 @@
             })
         }
         "demand" => Message::Report(Report::Demand {
-            proxy: fields.integer("node")?,
+            proxy: fields.integer("node", u16::MAX)?,
             op: fields.owned("route")?,
             invocations: fields.count("total")?,
             // May exceed the total: invocations of the previous interval may fail to be answered in this one.
@@ -226,8 +227,8 @@
             interval: fields.duration("interval")?,
         }),
         "ack" => Message::Report(Report::Ack {
-            proxy: fields.integer("node")?,
-            mark: fields.integer("nonce")?,
+            proxy: fields.integer("node", u16::MAX)?,
+            mark: fields.integer("nonce", u16::MAX)?,
             latency: fields.value("latency")?,
         }),
         other => unreachable!("{other:?} is not one of KINDS"),
--- a/crates/manager/src/protocol/tests.rs
+++ b/crates/manager/src/protocol/tests.rs
@@ -47,13 +47,22 @@
         (&b"ack node"[..], "\"node\" has no value"),
         (b"ack node=1 nonce=1", "latency is missing"),
         (b"ack node=1 nonce=1 latency=", "latency is not a number within 0..3600000: \"\""),
-        (b"ack node=70000 nonce=1", "node is not an integer in range"),
-        (b"ack node=1 nonce=-1", "nonce is not an integer in range"),
+        (b"ack node=70000 nonce=1", "node is not an integer within 0..65535: \"70000\""),
+        (b"ack node=1 nonce=-1", "nonce is not an integer within 0..65535: \"-1\""),
         (b"hello node=1", "locality is missing"),
         (b"hello node=1 locality=a w=inf", "w is not a number within 0..3600000"),
-        (b"demand node=1 route=r total=-1 errors=0 interval=1", "total is not an integer in range"),
-        (b"demand node=1 route=r total=1e+3 errors=0 interval=1", "total is not an integer in range"),
-        (b"demand node=1 route=r total=38654705664 errors=0 interval=1", "total is not an integer in range"),
+        (
+            b"demand node=1 route=r total=-1 errors=0 interval=1",
+            "total is not an integer within 0..4294967295",
+        ),
+        (
+            b"demand node=1 route=r total=1e+3 errors=0 interval=1",
+            "total is not an integer within 0..4294967295",
+        ),
+        (
+            b"demand node=1 route=r total=38654705664 errors=0 interval=1",
+            "total is not an integer within 0..4294967295",
+        ),
         (b"outcomes locality=a endpoint=s total=1 errors=2 rtt=1 interval=1", "errors is more than total"),
         (b"demand node=1 route=r total=1 errors=1 interval=0", "interval is 0"),
         (
--- a/crates/manager/src/streams.rs
+++ b/crates/manager/src/streams.rs
@@ -43,10 +43,10 @@
     pub proxy_count: u16,
     /// Introductions that name any other zone are rejected.
     pub zones: Rc<KnownZones>,
-    /// Connections that have not introduced themselves.
-    pub unidentified: ConnectionLimiter,
-    /// Connections of collectors.
-    pub collectors: ConnectionLimiter,
+    /// Limits the connections that have not introduced themselves.
+    pub unidentified_limiter: ConnectionLimiter,
+    /// Limits the connections of collectors.
+    pub collector_limiter: ConnectionLimiter,
     /// The number given to the latest connection.
     pub last_stream_id: Cell<u64>,
     /// Open connections of any kind.
@@ -71,7 +71,7 @@
                     tracing::warn!("{} connections are open: the limit is reached", context.max_open);
                 }
                 full = over;
-                if over && !context.unidentified.evict() {
+                if over && !context.unidentified_limiter.evict() {
                     drop(socket);
                     yield_now().await;
                     continue;
@@ -79,7 +79,7 @@
                 context.open_count.set(context.open_count.get() + 1);
                 context.last_stream_id.set(context.last_stream_id.get() + 1);
                 let id = StreamId(context.last_stream_id.get());
-                let evicted = context.unidentified.admit(id);
+                let evicted = context.unidentified_limiter.admit(id);
                 let connection = run_connection(id, socket, evicted, context.clone());
                 spawn_local(supervise(id, from, connection, context.clone()));
                 // In a burst of connections, lets those that have already sent their introduction be read before
@@ -91,7 +91,7 @@
                 if !failed_before {
                     tracing::error!("no connection can be accepted: {cause}");
                 }
-                context.unidentified.evict();
+                context.unidentified_limiter.evict();
                 sleep(pause).await;
             }
         }
@@ -101,23 +101,23 @@
 /// Runs a connection as a task of its own, so that an error or a panic in it affects no other, and reports its end.
 async fn supervise(
     id: StreamId,
-    from: SocketAddr,
+    peer_address: SocketAddr,
     connection: impl Future<Output = Result<(), ConnectionError>> + 'static,
     context: Rc<AcceptorContext>,
 ) {
     // At debug level, so that a stream has no cost for it at the default log level.
-    let span = tracing::debug_span!("connection", %from, stream = id.0);
+    let span = tracing::debug_span!("connection", from = %peer_address, stream = id.0);
     let reason = match spawn_local(connection.instrument(span)).await {
         Ok(Ok(())) => None,
-        Ok(Err(error)) => Some(format!("{from}: {error}")),
+        Ok(Err(error)) => Some(format!("{peer_address}: {error}")),
         Err(panic) => {
-            tracing::error!("the connection from {from} failed: {panic}");
-            Some(format!("{from}: {panic}"))
+            tracing::error!("the connection from {peer_address} failed: {panic}");
+            Some(format!("{peer_address}: {panic}"))
         }
     };
     context.open_count.set(context.open_count.get() - 1);
-    tracing::debug!("the connection from {from} ended: {reason:?}");
-    _ = context.unidentified.release(id) || context.collectors.release(id);
+    tracing::debug!("the connection from {peer_address} ended: {reason:?}");
+    _ = context.unidentified_limiter.release(id) || context.collector_limiter.release(id);
     _ = context.inbound.send(Inbound::Ended(id, reason)).await;
 }
 
@@ -154,7 +154,7 @@
     };
     // An evicted connection has given its descriptor to another one, even if its introduction arrived at the same
     // moment. Continuing it would exceed the limit on open connections.
-    if !context.unidentified.release(id) {
+    if !context.unidentified_limiter.release(id) {
         return Ok(());
     }
     match introduction {
@@ -163,8 +163,8 @@
             run_proxy(id, hello, lines, write, context).await
         }
         _ => {
-            context.collectors.raise_limit(context.zones.max_collectors());
-            let evicted = context.collectors.admit(id);
+            context.collector_limiter.raise_limit(context.zones.max_collectors());
+            let evicted = context.collector_limiter.admit(id);
             tokio::select! {
                 end = run_collector(id, lines, write, context) => end,
                 () = evicted.notified() => Ok(()),
@@ -231,14 +231,14 @@
     mut write: OwnedWriteHalf,
     context: Rc<AcceptorContext>,
 ) -> Result<(), ConnectionError> {
-    let from = Some((id, ProxyId(hello.proxy)));
+    let sender = Some((id, ProxyId(hello.proxy)));
     let (outbox, mut queued, closed) = Outbox::new(OUTBOX_CAPACITY);
     // Answers to probes have a queue of their own, so that a burst of probes does not fill the outbox.
     let (probe_sender, mut probes) = mpsc::channel(OUTBOX_CAPACITY);
     _ = context.inbound.send(Inbound::Joined { stream: id, hello, outbox }).await;
     let reading = async {
         while let Some(line) = lines.next(protocol::MAX_LINE_BYTES).await? {
-            match parse_inbound(&line, from)? {
+            match parse_inbound(&line, sender)? {
                 Some(inbound) => _ = context.inbound.send(inbound).await,
                 // If the proxy sends probes faster than it reads the answers, reading its next lines waits here.
                 None => _ = probe_sender.send(()).await,
@@ -281,7 +281,7 @@
     context: Rc<AcceptorContext>,
 ) -> Result<(), ConnectionError> {
     while let Some(line) = lines.next(protocol::MAX_LINE_BYTES).await? {
-        context.collectors.touch(id);
+        context.collector_limiter.touch(id);
         match parse_inbound(&line, None)? {
             Some(inbound) => _ = context.inbound.send(inbound).await,
             None => write.write_all(&protocol::ALIVE).await.map_err(ConnectionError::io(Stage::Sent))?,
@@ -292,12 +292,15 @@
 
 /// Parses a line of a peer that has joined; `None` is a probe. A message with invalid fields is reported and skipped;
 /// a line that is no message is an error, which ends the connection.
-fn parse_inbound(line: &[u8], from: Option<(StreamId, ProxyId)>) -> Result<Option<Inbound>, ConnectionError> {
+fn parse_inbound(
+    line: &[u8],
+    sender: Option<(StreamId, ProxyId)>,
+) -> Result<Option<Inbound>, ConnectionError> {
     Ok(match protocol::parse(line) {
         Ok(Message::Probe) => None,
-        Ok(Message::Report(report)) => Some(Inbound::Reported(from, Ok(report))),
-        Ok(other) => Some(Inbound::Reported(from, Err(format!("unexpected after joining: {other:?}")))),
-        Err(ParseError::InvalidFields(reason)) => Some(Inbound::Reported(from, Err(reason))),
+        Ok(Message::Report(report)) => Some(Inbound::Reported(sender, Ok(report))),
+        Ok(other) => Some(Inbound::Reported(sender, Err(format!("unexpected after joining: {other:?}")))),
+        Err(ParseError::InvalidFields(reason)) => Some(Inbound::Reported(sender, Err(reason))),
         Err(ParseError::NotAMessage(reason)) => return Err(ConnectionError::reading(reason)),
     })
 }
--- a/crates/manager/src/streams/tests.rs
+++ b/crates/manager/src/streams/tests.rs
@@ -3,7 +3,7 @@
 #[tokio::test]
 async fn panic_in_a_connection_ends_only_that_connection() {
     let (inbound, mut received) = mpsc::channel(8);
-    let (unidentified, collectors, last_stream_id) =
+    let (unidentified_limiter, collector_limiter, last_stream_id) =
         (ConnectionLimiter::new(1), ConnectionLimiter::new(1), Cell::default());
     let zones = Rc::default();
     let (open_count, max_open) = (Cell::new(2), 2);
@@ -11,18 +11,23 @@
         inbound,
         proxy_count: 1,
         zones,
-        unidentified,
-        collectors,
+        unidentified_limiter,
+        collector_limiter,
         last_stream_id,
         open_count,
         max_open,
     });
-    let from = "127.0.0.1:1".parse().unwrap();
+    let peer_address = "127.0.0.1:1".parse().unwrap();
     let tasks = tokio::task::LocalSet::new();
-    tasks.spawn_local(supervise(StreamId(1), from, async { panic!("out of range") }, context.clone()));
+    tasks.spawn_local(supervise(
+        StreamId(1),
+        peer_address,
+        async { panic!("out of range") },
+        context.clone(),
+    ));
     tasks.spawn_local(supervise(
         StreamId(2),
-        from,
+        peer_address,
         async { Err(ConnectionError::reading("half a line")) },
         context,
     ));
--- a/crates/manager/tests/command_line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
 
-use juniperrail_standins::{address_served, entry, list, Answering, Discovery, Peer, SshKeys, SETTINGS};
+use juniperrail_standins::{address_served, entry, list, AnsweringProxy, Discovery, Peer, SshKeys, SETTINGS};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperrail");
 
@@ -107,7 +107,7 @@
 #[test]
 fn running_manager_is_queried_and_changed() {
     let manager = TestManager::new("changed");
-    let mut proxy = Answering::joined(manager.address, 7);
+    let mut proxy = AnsweringProxy::joined(manager.address, 7);
     proxy.line_with("whole=1");
     let drained = manager.file("<worker><name>s-1</name><wanted>draining</wanted></worker>");
     assert_eq!(manager.command(&["config", "edit", &drained]), (0, String::new(), String::new()));
--- a/crates/manager/tests/races.rs
+++ b/crates/manager/tests/races.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use cluster::{accept_watch, config, entry, ManagerProcess, TestCluster};
-use juniperrail_standins::{entry as entry_at, list, Answering, Peer, SETTINGS};
+use juniperrail_standins::{entry as entry_at, list, AnsweringProxy, Peer, SETTINGS};
 
 const UNREACHABLE: &str = "127.0.0.1:1";
 
@@ -150,7 +150,7 @@
     if request.is_none() {
         drop(stop);
     }
-    assert!(request.is_some_and(|request| request.contains("index=42")), "it reconnects");
+    assert!(request.is_some_and(|request| request.contains("index=42")), "the manager reconnects");
     assert!(dripping.join().unwrap(), "the dripping watch is closed");
 }
 
@@ -173,7 +173,7 @@
 #[test]
 fn older_list_restores_no_worker_until_discovery_restarts_its_versions() {
     let cluster = TestCluster::new(64);
-    let mut proxy = Answering::joined(cluster.manager, 1);
+    let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
     let (_, mut agent) = cluster.accept_watch("200 OK");
     agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
@@ -308,7 +308,7 @@
     let mut agent = Peer::new(cluster.discovery.accept().unwrap().0);
     assert!(agent.line().is_some_and(|request| request.starts_with("GET /v1/servers?stream=1")));
     agent.raw("HTTP/1.1 200 OK\r\nX-Never: a");
-    assert!(next_watch(&cluster.discovery).is_some(), "it reconnects");
+    assert!(next_watch(&cluster.discovery).is_some(), "the manager reconnects");
     // The first connection is closed, so that sending on it fails.
     let deadline = Instant::now() + Duration::from_secs(20);
     while agent.try_raw("a").is_ok() {
@@ -399,7 +399,7 @@
 #[test]
 fn drain_reaches_proxies_while_collectors_flood() {
     let cluster = TestCluster::new(64);
-    let mut proxy = Answering::joined(cluster.manager, 1);
+    let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
     let (_, mut agent) = cluster.accept_watch("200 OK");
     let stopped = Arc::new(AtomicBool::new(false));
@@ -446,7 +446,7 @@
 #[test]
 fn full_list_with_an_invalid_entry_still_shows_which_workers_are_gone() {
     let cluster = TestCluster::new(64);
-    let mut proxy = Answering::joined(cluster.manager, 1);
+    let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
     let (_, mut agent) = cluster.accept_watch("200 OK");
     let broken = r#"{"instanceId":"s-3","lifecycle":7}"#.to_string();
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -1,5 +1,5 @@
-//! A manager that takes its part of the list from relays. The test plays each relay, and orders events by what it sends
-//! when.
+//! A manager that takes its part of the list from relays. The test acts as each relay, and determines the order of
+//! events by when it sends what.
 
 mod cluster;
 
@@ -11,7 +11,7 @@
 
 use cluster::{config, ManagerProcess};
 use juniperrail_distribution::RelayChoice;
-use juniperrail_standins::{entry as entry_at, list, Answering, Peer};
+use juniperrail_standins::{entry as entry_at, list, AnsweringProxy, Peer};
 
 /// Time limit of a wait, generous because the machine can be busy.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -33,7 +33,8 @@
 }
 
 impl Relays {
-    /// `test` is part of the files' names, and must differ from that of other tests; `scope` is the body of that container.
+    /// `test` is part of the files' names, and must differ from that of other tests; `scope` is the content of the
+    /// element `scope` in the operator's file.
     fn new(test: &str, count: usize, scope: &str) -> Relays {
         let listener = |_| TcpListener::bind("127.0.0.1:0").unwrap();
         let mut by_address: Vec<(SocketAddr, TcpListener)> =
@@ -67,16 +68,16 @@
     /// Like [`Relays::accept_watch`], with this status. Panics if the manager does not connect.
     fn answer(&self, relay: usize, status: &str) -> (String, Peer) {
         let mut peer = Peer::new(self.accept(relay));
-        let asked = peer.line().expect("a request line");
+        let request_line = peer.line().expect("a request line");
         while peer.line().is_some_and(|line| !line.is_empty()) {}
         peer.raw(&format!("HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n"));
-        (asked, peer)
+        (request_line, peer)
     }
 
-    /// Accepts the next watch at this relay, which must ask from this index on.
+    /// Accepts the next watch at this relay, whose request must name this index.
     fn accept_watch_from(&self, relay: usize, index: u64) -> Peer {
-        let (asked, watch) = self.accept_watch(relay);
-        assert_eq!(asked, format!("GET /v1/servers?stream=1&index={index}&zones=a HTTP/1.1"));
+        let (request_line, watch) = self.accept_watch(relay);
+        assert_eq!(request_line, format!("GET /v1/servers?stream=1&index={index}&zones=a HTTP/1.1"));
         watch
     }
 
@@ -155,8 +156,8 @@
     closed
 }
 
-/// Asserts that the messages which the proxy received name no worker but those in `expected`.
-fn assert_names_only(messages: &str, expected: &str) {
+/// Asserts that the messages which the proxy received name none of the workers s-1 to s-4 but those in `expected`.
+fn assert_names_only(messages: &str, expected: &[&str]) {
     for id in ["s-1", "s-2", "s-3", "s-4"].into_iter().filter(|id| !expected.contains(id)) {
         assert!(!messages.contains(id), "unexpected {id}: {messages}");
     }
@@ -165,7 +166,7 @@
 #[test]
 fn a_relay_killed_during_a_snapshot_changes_nothing_and_the_next_is_asked_from_the_current_version() {
     let (relays, manager) = Relays::of_zone_a("snapshot");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut first = relays.accept_watch_from(0, 41);
     let snapshot = full_list(900, &[("s-1", "draining"), ("s-4", "ready"), ("s-5", "ready")]);
@@ -175,7 +176,7 @@
     let mut second = relays.accept_watch_from(1, 41);
     second.chunk(&change(42, "s-2", "a", "draining"));
     let messages = proxy.line_with("out=");
-    assert_names_only(&messages, "s-2");
+    assert_names_only(&messages, &["s-2"]);
     second.chunk(&change(43, "s-3", "a", "gone"));
     assert!(!proxy.line_with("out=s-3").contains("s-1"));
 }
@@ -183,7 +184,7 @@
 #[test]
 fn a_watch_cut_within_an_entry_applies_none_of_that_line() {
     let (relays, manager) = Relays::of_zone_a("entry");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut first = relays.accept_watch_from(0, 41);
     let changes =
@@ -198,13 +199,13 @@
     second.raw("0\r\n\r\n");
     let mut third = relays.accept_watch_from(2, 41);
     third.chunk(&change(43, "s-3", "a", "draining"));
-    assert_names_only(&proxy.line_with("out="), "s-3");
+    assert_names_only(&proxy.line_with("out="), &["s-3"]);
 }
 
 #[test]
 fn a_relay_that_stalls_with_open_connections_is_replaced_by_the_next() {
     let (relays, manager) = Relays::of_zone_a("stall");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     // The first relay accepts the connection and never answers; the second answers and stops within an entry.
     let silent = relays.accept(0);
@@ -213,7 +214,7 @@
     stalled.chunk(&snapshot[..snapshot.len() - 60]);
     let mut third = relays.accept_watch_from(2, 41);
     third.chunk(&change(42, "s-2", "a", "draining"));
-    assert_names_only(&proxy.line_with("out="), "s-2");
+    assert_names_only(&proxy.line_with("out="), &["s-2"]);
     assert_eq!(stalled.line(), None, "the stalled connection is closed");
     drop(silent);
 }
@@ -221,7 +222,7 @@
 #[test]
 fn a_relay_far_behind_the_previous_one_is_skipped_and_its_list_is_ignored() {
     let (relays, manager) = Relays::of_zone_a("behind");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut first = relays.accept_watch_from(0, 41);
     first.chunk(&change(1041, "s-1", "a", "draining"));
@@ -242,9 +243,9 @@
 }
 
 #[test]
-fn a_source_with_restarted_versions_is_accepted_once_every_relay_is_behind() {
+fn a_source_whose_version_numbers_restarted_is_accepted_once_every_relay_is_behind() {
     let (relays, manager) = Relays::of_zone_a("restarted");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut closed_watches = Vec::new();
     for relay in 0..3 {
@@ -252,9 +253,9 @@
         watch.chunk(&with_newline(list(2, false, &[])));
         closed_watches.push(send_heartbeats_until_closed(watch));
     }
-    let (asked, mut watch) = relays.accept_watch(0);
+    let (request_line, mut watch) = relays.accept_watch(0);
     assert_eq!(
-        asked, "GET /v1/servers?stream=1&zones=a HTTP/1.1",
+        request_line, "GET /v1/servers?stream=1&zones=a HTTP/1.1",
         "the request has no index, so it is for the full list"
     );
     closed_watches
@@ -268,25 +269,25 @@
 }
 
 #[test]
-fn a_drain_from_the_next_relay_is_applied_after_all_relays_were_unreachable() {
+fn a_drain_from_the_next_relay_is_applied_after_all_relays_refused() {
     let (relays, manager) = Relays::of_zone_a("cut");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     drop(relays.accept_watch_from(0, 41));
     // Each relay refuses in turn, for two rounds, so that the manager has no source.
     for relay in [1, 2, 0, 1, 2] {
-        let (asked, _) = relays.answer(relay, "503 Service Unavailable");
-        assert!(asked.contains("index=41"), "{asked}");
+        let (request_line, _) = relays.answer(relay, "503 Service Unavailable");
+        assert!(request_line.contains("index=41"), "{request_line}");
     }
     // The current list stays in use: a proxy that joins gets a table of it.
-    let mut late = Answering::joined(manager.address, 2);
+    let mut late = AnsweringProxy::joined(manager.address, 2);
     let table = late.line_with("whole=1");
     assert!(["s-1", "s-2", "s-3"].iter().all(|id| table.contains(id)), "{table}");
     let mut next = relays.accept_watch_from(0, 41);
     next.chunk(&change(42, "s-1", "a", "draining"));
     for proxy in [&mut proxy, &mut late] {
         let messages = proxy.line_with("out=s-1");
-        assert_names_only(&messages, "s-1");
+        assert_names_only(&messages, &["s-1"]);
         let removed = proxy.line_with("lines=");
         assert!(removed.contains("s-1:0"), "{removed}");
     }
@@ -295,13 +296,13 @@
 #[test]
 fn a_worker_that_leaves_the_scope_drains_and_is_used_again_when_it_returns() {
     let (relays, manager) = Relays::of_zone_a("moves");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
     watch.chunk(&change(42, "s-1", "b", "ready"));
-    assert_names_only(&proxy.line_with("out=s-1"), "s-1");
+    assert_names_only(&proxy.line_with("out=s-1"), &["s-1"]);
     watch.chunk(&change(43, "s-1", "a", "ready"));
-    assert_names_only(&proxy.line_with("back=s-1"), "s-1");
+    assert_names_only(&proxy.line_with("back=s-1"), &["s-1"]);
     // It leaves again and is gone in its new zone, so this manager forgets it, and no other worker.
     watch.chunk(&change(44, "s-1", "b", "ready"));
     proxy.line_with("out=s-1");
@@ -312,13 +313,13 @@
     watch.chunk(&change(48, "s-4", "b", "draining"));
     watch.chunk(&change(49, "s-4", "b", "gone"));
     watch.chunk(&change(50, "s-2", "a", "draining"));
-    assert_names_only(&proxy.line_with("out=s-2"), "s-2");
+    assert_names_only(&proxy.line_with("out=s-2"), &["s-2"]);
 }
 
 #[test]
 fn entries_out_of_scope_remove_no_other_worker_and_are_not_stored() {
     let (relays, manager) = Relays::of_zone_a("whole");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
     // A full list in which s-3 has moved to another zone, among many entries that are out of scope.
@@ -328,8 +329,8 @@
     let entries: Vec<String> = others.chain(own).chain([moved]).collect();
     watch.chunk(&with_newline(list(42, true, &entries)));
     let messages = proxy.line_with("out=");
-    assert_names_only(&messages, "s-3, lines=s-4:1");
-    // An invalid entry of a known worker does not remove it, as without a scope.
+    assert_names_only(&messages, &["s-3", "s-4"]);
+    // An invalid entry of a known worker does not remove the worker; the same holds without a scope.
     let invalid = r#"{"instanceId":"s-1"}"#.to_string();
     watch.chunk(&with_newline(list(
         43,
@@ -338,9 +339,10 @@
     )));
     let messages = proxy.line_with("out=s-2");
     assert!(!messages.contains("s-1"), "{messages}");
-    let table = Answering::joined(manager.address, 2).line_with("whole=1");
+    let table = AnsweringProxy::joined(manager.address, 2).line_with("whole=1");
     assert!(table.contains("s-1") && table.contains("s-4") && !table.contains("far-"), "{table}");
-    // An entry without a readable worker id: no worker is removed for its absence from this list.
+    // An entry has no readable worker id and could be any worker's: no worker is removed for being absent from this
+    // list.
     let without_id = r#"{"zone":"a"}"#.to_string();
     watch.chunk(&with_newline(list(44, true, &[without_id, entry("s-4", "a", "draining")])));
     let messages = proxy.line_with("out=s-4");
@@ -355,9 +357,9 @@
 fn a_scope_without_workers_is_warned_of_once_and_accepts_workers_that_appear_later() {
     let relays = Relays::new("nothing", 1, "<zone>nowhere</zone><service>quiz</service>");
     let mut manager = relays.start_manager("nothing", &config(UNUSED_DISCOVERY.parse().unwrap(), 64));
-    let mut proxy = Answering::joined(manager.address, 1);
-    let (asked, mut watch) = relays.accept_watch(0);
-    assert_eq!(asked, "GET /v1/servers?stream=1&index=41&zones=nowhere&services=quiz HTTP/1.1");
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
+    let (request_line, mut watch) = relays.accept_watch(0);
+    assert_eq!(request_line, "GET /v1/servers?stream=1&index=41&zones=nowhere&services=quiz HTTP/1.1");
     watch.chunk(&full_list(42, &[("s-1", "ready")]));
     watch.chunk(&with_newline(list(43, true, &[entry("s-9", "nowhere", "ready")])));
     let table = proxy.line_with("s-9:1");
@@ -375,7 +377,7 @@
 #[test]
 fn a_list_over_its_limit_is_refused_in_one_log_line_and_requested_with_growing_delays() {
     let (relays, mut manager) = Relays::of_zone_a("limit");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     // 40 MB of entries in scope: the list is refused while it is received.
     let name = "x".repeat(16_000);
@@ -384,8 +386,8 @@
     let mut waits: Vec<u64> = Vec::new();
     let mut refused_at = Vec::new();
     for relay in [0, 1, 2] {
-        let (asked, mut watch) = relays.accept_watch(relay);
-        assert!(asked.contains("index=41"), "{asked}");
+        let (request_line, mut watch) = relays.accept_watch(relay);
+        assert!(request_line.contains("index=41"), "{request_line}");
         assert!(
             watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
             "the manager must not read the list to its end"
@@ -395,7 +397,7 @@
             warning.contains("entries exceed the limit of 16777216 bytes; list 41 stays in use"),
             "{warning}"
         );
-        let wait = warning.split_once("asked again in ").unwrap().1.trim_end_matches(" s");
+        let wait = warning.split_once("the list is requested again in ").unwrap().1.trim_end_matches(" s");
         waits.push(wait.parse().unwrap());
         refused_at.push(Instant::now());
     }
@@ -407,7 +409,7 @@
     let gaps: Vec<Duration> = refused_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps[0] >= Duration::from_secs(2) && gaps[1] >= Duration::from_secs(4), "{gaps:?}");
     // The current list stays in use, and an accepted list resets the delay.
-    let table = Answering::joined(manager.address, 2).line_with("whole=1");
+    let table = AnsweringProxy::joined(manager.address, 2).line_with("whole=1");
     assert!(["s-1", "s-2", "s-3"].iter().all(|id| table.contains(id)) && !table.contains("w-"), "{table}");
     let mut watch = relays.accept_watch_from(0, 41);
     watch.chunk(&change(43, "s-1", "a", "draining"));
@@ -415,7 +417,8 @@
     _ = watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1));
     let warning = manager.wait_for_log_line("too large");
     assert!(
-        warning.contains("list 43 stays in use, asked again in 2 s") || warning.contains("in 3 s"),
+        warning.contains("list 43 stays in use; the list is requested again in 2 s")
+            || warning.contains("in 3 s"),
         "{warning}"
     );
 }
@@ -423,7 +426,7 @@
 #[test]
 fn a_list_far_over_the_limit_is_accepted_where_little_of_it_is_in_scope() {
     let (relays, manager) = Relays::of_zone_a("large");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
     let own = |id: usize| entry(&format!("s-{id}"), "a", if id == 1 { "draining" } else { "ready" });
@@ -431,12 +434,14 @@
     let entries: Vec<String> =
         (0..140_000).map(|id| if id > 0 && id % 3000 == 0 { own(id / 3000) } else { other(id) }).collect();
     let text = with_newline(list(42, true, &entries));
+    // Above the limit of 16 MiB, which counts only what is in scope.
     assert!(text.len() > 18 << 20, "{}", text.len());
     watch.chunk(&text);
     assert!(proxy.line_with("out=s-1").contains("out=s-1"));
     let status = std::fs::read_to_string(format!("/proc/{}/status", manager.child.id())).unwrap();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     let peak: usize = peak.trim().trim_end_matches(" kB").trim().parse().unwrap();
+    // 40 MiB: the peak is in kB.
     assert!(peak < 40 << 10, "a peak of {peak} kB for a list of {} bytes", text.len());
 }
 
@@ -446,11 +451,11 @@
     let discoveries: Vec<TcpListener> = (0..2).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let config_at = |discovery: usize| config(discoveries[discovery].local_addr().unwrap(), 64);
     let mut manager = relays.start_manager("reload", &config_at(0));
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let (asked, mut watch) = relays.accept_watch(0);
+    let (request_line, mut watch) = relays.accept_watch(0);
     assert_eq!(
-        asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1",
+        request_line, "GET /v1/servers?stream=1&index=41 HTTP/1.1",
         "without a scope the request is for all workers"
     );
     std::fs::write(&manager.path, config_at(1)).unwrap();
@@ -481,14 +486,15 @@
 }
 
 #[test]
-fn a_list_over_its_limit_is_refused_without_relays_and_scope_too() {
+fn a_list_over_its_limit_is_also_refused_without_relays_and_scope() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut manager = ManagerProcess::start("relays-discovery", &config(discovery.local_addr().unwrap(), 64));
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
-    let relays = Relays { listeners: vec![discovery], operator_file: PathBuf::new() };
-    let (asked, mut watch) = relays.accept_watch(0);
-    assert_eq!(asked, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
+    // The discovery server, with the functions of a relay.
+    let source = Relays { listeners: vec![discovery], operator_file: PathBuf::new() };
+    let (request_line, mut watch) = source.accept_watch(0);
+    assert_eq!(request_line, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
     let name = "x".repeat(16_000);
     let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
     let huge = list(42, true, &entries);
@@ -500,8 +506,11 @@
     assert!(manager
         .wait_for_log_line("WARN")
         .contains("exceed the limit of 16777216 bytes; list 41 stays in use"));
-    let (asked, mut watch) = relays.accept_watch(0);
-    assert!(refused_at.elapsed() >= Duration::from_secs(2) && asked.contains("index=41"), "{asked}");
+    let (request_line, mut watch) = source.accept_watch(0);
+    assert!(
+        refused_at.elapsed() >= Duration::from_secs(2) && request_line.contains("index=41"),
+        "{request_line}"
+    );
     watch.chunk(&change(42, "s-1", "a", "draining"));
     proxy.line_with("out=s-1");
 }
@@ -509,14 +518,14 @@
 #[test]
 fn a_list_sent_slowly_is_accepted_even_if_its_line_takes_longer_than_the_silence_timeout() {
     let (relays, manager) = Relays::of_zone_a("pace");
-    let mut proxy = Answering::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
     let entries = ["s-1", "s-2", "s-3", "s-4"].map(|id| entry(id, "a", "draining"));
     watch.chunk(r#"{"generation":42,"reset":true,"instances":["#);
     // An entry every 2 s: the line takes 8 s, but no silence reaches the time-out of 4 s.
-    for (place, entry) in entries.iter().enumerate() {
-        let comma = if place > 0 { "," } else { "" };
+    for (index, entry) in entries.iter().enumerate() {
+        let comma = if index > 0 { "," } else { "" };
         watch.chunk(&format!("{comma}{entry}"));
         thread::sleep(Duration::from_secs(2));
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -13,7 +13,7 @@
 pub use credentials::{Authority, SshKeys};
 pub use discovery::{entry, list, Discovery};
 pub use list_subscriber::{Ending, ListSubscriber};
-pub use peer::{address_served, Answering, Peer};
+pub use peer::{address_served, AnsweringProxy, Peer};
 pub use proxies::{Proxies, Table};
 pub use rules::{Broken, Limits, Rules};
 pub use worker::Worker;
--- a/crates/standins/src/peer.rs
+++ b/crates/standins/src/peer.rs
@@ -107,10 +107,10 @@
 
 /// A proxy of zone a that has joined and answers every mark at once, whoever reads its lines and when: one that owes
 /// answers for long is rightly given up.
-pub struct Answering(Receiver<String>);
+pub struct AnsweringProxy(Receiver<String>);
 
-impl Answering {
-    pub fn joined(manager: SocketAddr, number: u16) -> Answering {
+impl AnsweringProxy {
+    pub fn joined(manager: SocketAddr, number: u16) -> AnsweringProxy {
         let mut peer = Peer::joined(manager, number);
         let (lines, read) = mpsc::channel();
         thread::spawn(move || loop {
@@ -132,7 +132,7 @@
                 return;
             }
         });
-        Answering(read)
+        AnsweringProxy(read)
     }
 
     /// The first line from here on that holds the part.
