--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -11,8 +11,8 @@
     NotStarted,
     /// Connecting to the server. No operation was sent.
     Connecting,
-    /// Sending the request. The server may have executed it.
-    Sent,
+    /// Sending the request. It may have arrived, and the server may have executed it.
+    Sending,
     /// Waiting for a message or decoding it. The server may have executed the request.
     Receiving,
     /// The server replied with errors and did not execute the operation.
@@ -64,7 +64,8 @@
     pub(crate) fn check_reply(reply: Element) -> Result<Element, ClientError> {
         let error_elements = reply.children.iter().filter(|child| child.is(NETCONF, "rpc-error"));
         let to_rpc_error = |error: &Element| {
-            let text = |name: &str| error.get(NETCONF, name).map(|element| element.word().to_string());
+            let text =
+                |name: &str| error.get(NETCONF, name).map(|element| element.trimmed_text().to_string());
             RpcError {
                 tag: text("error-tag").unwrap_or_default(),
                 app_tag: text("error-app-tag"),
@@ -95,7 +96,7 @@
             ErrorKind::ConnectionLost(message) | ErrorKind::MalformedMessage(message) => match self.stage {
                 Stage::NotStarted | Stage::Replied => f.write_str(message),
                 Stage::Connecting => write!(f, "{message} (while connecting)"),
-                Stage::Sent => write!(f, "{message} (while sending)"),
+                Stage::Sending => write!(f, "{message} (while sending)"),
                 Stage::Receiving => write!(f, "{message} (while receiving)"),
             },
             ErrorKind::RpcErrors(rpc_errors) => {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -148,10 +148,10 @@
         if !hello.is(NETCONF, "hello") {
             return Err(malformed("the first message of the server is not a hello"));
         }
-        let session_id = hello.get(NETCONF, "session-id").and_then(|id| id.word().parse().ok());
+        let session_id = hello.get(NETCONF, "session-id").and_then(|id| id.trimmed_text().parse().ok());
         client.session_id = session_id.ok_or_else(|| malformed("the server's hello has no session-id"))?;
         let listed = hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
-        client.capabilities = listed.iter().map(|item| item.word().to_string()).collect();
+        client.capabilities = listed.iter().map(|item| item.trimmed_text().to_string()).collect();
         if client.capabilities.iter().any(|name| name == BASE_1_1) {
             client.framing = Framing::Chunked;
             client.decoder.set_framing(Framing::Chunked);
@@ -165,33 +165,36 @@
 
     /// Sends bytes without framing, for tests of how a server handles malformed input.
     pub async fn send_raw(&mut self, bytes: &[u8]) -> Result<(), ClientError> {
-        let failed = |error: std::io::Error| {
-            ClientError::new(Stage::Sent, ErrorKind::ConnectionLost(error.to_string()))
+        let send_error = |error: std::io::Error| {
+            ClientError::new(Stage::Sending, ErrorKind::ConnectionLost(error.to_string()))
         };
         let Some(stream) = &mut self.stream else { return Ok(()) };
-        stream.write_all(bytes).await.map_err(failed)?;
-        stream.flush().await.map_err(failed)
+        stream.write_all(bytes).await.map_err(send_error)?;
+        stream.flush().await.map_err(send_error)
     }
 
     async fn receive(&mut self) -> Result<Element, ClientError> {
-        let failed = |kind| ClientError::new(Stage::Receiving, kind);
+        let receive_error = |kind| ClientError::new(Stage::Receiving, kind);
         let mut buffer = [0; READ_BUFFER_BYTES];
         loop {
             let message = self.decoder.next_message();
             if let Some(message) =
-                message.map_err(|error| failed(ErrorKind::MalformedMessage(error.to_string())))?
+                message.map_err(|error| receive_error(ErrorKind::MalformedMessage(error.to_string())))?
             {
-                return xml::read(&message).map_err(|error| failed(ErrorKind::MalformedMessage(error.what)));
+                return xml::read(&message)
+                    .map_err(|error| receive_error(ErrorKind::MalformedMessage(error.what)));
             }
             let Some(stream) = &mut self.stream else {
-                return Err(failed(ErrorKind::ConnectionLost("the session is closed".into())));
+                return Err(receive_error(ErrorKind::ConnectionLost("the session is closed".into())));
             };
             match stream.read(&mut buffer).await {
                 Ok(0) => {
-                    return Err(failed(ErrorKind::ConnectionLost("the server closed the session".into())))
+                    return Err(receive_error(ErrorKind::ConnectionLost(
+                        "the server closed the session".into(),
+                    )))
                 }
                 Ok(read) => self.decoder.push(&buffer[..read]),
-                Err(error) => return Err(failed(ErrorKind::ConnectionLost(error.to_string()))),
+                Err(error) => return Err(receive_error(ErrorKind::ConnectionLost(error.to_string()))),
             }
         }
     }
@@ -220,12 +223,14 @@
     }
 
     /// Executes an operation that replies with data.
-    async fn data(&mut self, operation: Element) -> Result<Data, ClientError> {
+    async fn request_data(&mut self, operation: Element) -> Result<Data, ClientError> {
         let reply = self.rpc(operation).await?;
-        Ok(Data(reply.children.into_iter().next().map(|data| data.children).unwrap_or_default()))
+        Ok(Data(
+            reply.children.into_iter().next().map(|data_element| data_element.children).unwrap_or_default(),
+        ))
     }
 
-    /// The `filter` element for the elements of a subtree filter as XML text.
+    /// Wraps the elements of a subtree filter, given as XML text, in a `filter` element.
     fn filter(text: Option<&str>) -> Result<Option<Element>, ClientError> {
         let Some(text) = text else { return Ok(None) };
         let filter = format!("<filter xmlns=\"{NETCONF}\">{text}</filter>");
@@ -238,14 +243,18 @@
     /// Reads configuration and state. `filter` is the elements of a subtree filter as XML text.
     pub async fn get(&mut self, filter: Option<&str>) -> Result<Data, ClientError> {
         let filter = Client::filter(filter)?;
-        self.data(element("get").with_all(filter)).await
+        self.request_data(element("get").with_all(filter)).await
     }
 
     /// Reads a datastore; `filter` as in [`Client::get`].
-    pub async fn get_config(&mut self, store: Datastore, filter: Option<&str>) -> Result<Data, ClientError> {
+    pub async fn get_config(
+        &mut self,
+        datastore: Datastore,
+        filter: Option<&str>,
+    ) -> Result<Data, ClientError> {
         let filter = Client::filter(filter)?;
-        let source = element("source").with(element(store.name()));
-        self.data(element("get-config").with(source).with_all(filter)).await
+        let source = element("source").with(element(datastore.name()));
+        self.request_data(element("get-config").with(source).with_all(filter)).await
     }
 
     /// Merges XML elements into the candidate, except where they have an `operation` attribute.
@@ -296,18 +305,18 @@
     }
 
     /// Validates the content of a datastore.
-    pub async fn validate(&mut self, store: Datastore) -> Result<(), ClientError> {
-        self.rpc(element("validate").with(element("source").with(element(store.name())))).await.map(drop)
+    pub async fn validate(&mut self, datastore: Datastore) -> Result<(), ClientError> {
+        self.rpc(element("validate").with(element("source").with(element(datastore.name())))).await.map(drop)
     }
 
     /// Locks a datastore for this session.
-    pub async fn lock(&mut self, store: Datastore) -> Result<(), ClientError> {
-        self.rpc(element("lock").with(element("target").with(element(store.name())))).await.map(drop)
+    pub async fn lock(&mut self, datastore: Datastore) -> Result<(), ClientError> {
+        self.rpc(element("lock").with(element("target").with(element(datastore.name())))).await.map(drop)
     }
 
     /// Releases the lock of a datastore.
-    pub async fn unlock(&mut self, store: Datastore) -> Result<(), ClientError> {
-        self.rpc(element("unlock").with(element("target").with(element(store.name())))).await.map(drop)
+    pub async fn unlock(&mut self, datastore: Datastore) -> Result<(), ClientError> {
+        self.rpc(element("unlock").with(element("target").with(element(datastore.name())))).await.map(drop)
     }
 
     /// Replaces the content of one datastore by that of another.
@@ -317,7 +326,7 @@
         self.rpc(element("copy-config").with(target).with(source)).await.map(drop)
     }
 
-    /// Loads an earlier version of running into the candidate.
+    /// Loads an earlier version of the running datastore into the candidate.
     pub async fn rollback(&mut self, version: u64) -> Result<(), ClientError> {
         const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
         let version = Element::with_text(MANAGER, "version", version.to_string());
--- a/crates/fleet/src/channels.rs
+++ b/crates/fleet/src/channels.rs
@@ -48,7 +48,7 @@
 struct QueueState {
     inbox: VecDeque<PeerMessage>,
     outbox: VecDeque<PeerMessage>,
-    /// The run of the peer that the inbox is from.
+    /// The run of the peer whose messages the inbox holds.
     run: Run,
     /// The peer's latest connection; messages of earlier ones are dropped.
     connection: ConnectionNumber,
--- a/crates/fleet/src/disk.rs
+++ b/crates/fleet/src/disk.rs
@@ -7,19 +7,19 @@
 use juniperrail_store::{DirectoryDisk, Disk};
 
 /// A directory whose operations can fail at fault points. Without the feature `points` it is a plain directory.
-pub struct FaultDisk(DirectoryDisk);
+pub struct DiskWithFaultPoints(DirectoryDisk);
 
 fn injected_error(point: Point) -> io::Error {
     io::Error::other(format!("{point} fails"))
 }
 
-impl FaultDisk {
-    pub fn open(path: &Path) -> io::Result<FaultDisk> {
-        DirectoryDisk::open(path).map(FaultDisk)
+impl DiskWithFaultPoints {
+    pub fn open(path: &Path) -> io::Result<DiskWithFaultPoints> {
+        DirectoryDisk::open(path).map(DiskWithFaultPoints)
     }
 }
 
-impl Disk for FaultDisk {
+impl Disk for DiskWithFaultPoints {
     fn list(&self) -> io::Result<Vec<String>> {
         self.0.list()
     }
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/fleet_thread.rs
@@ -19,7 +19,7 @@
 
 use crate::channels::{Channels, PeerMessage};
 use crate::config::FleetConfig;
-use crate::disk::FaultDisk;
+use crate::disk::DiskWithFaultPoints;
 use crate::links::PeerTable;
 use crate::replicated_state::{LogCommand, ReplicatedState};
 use crate::status::{FleetStatus, ScheduleStatus};
@@ -36,12 +36,12 @@
 const PROPOSAL_RETRY_ELECTIONS: f64 = 2.0;
 
 /// The state of the fleet thread.
-pub struct Core {
+pub struct FleetThread {
     config: FleetConfig,
     started: Instant,
     raft: RaftNode,
     failure_detector: FailureDetector,
-    writer: Writer<FaultDisk>,
+    writer: Writer<DiskWithFaultPoints>,
     /// Records that the writer has not accepted yet.
     unwritten: VecDeque<Vec<u8>>,
     store_failing: bool,
@@ -61,15 +61,15 @@
     leaving_since: Option<Ms>,
 }
 
-impl Core {
+impl FleetThread {
     pub fn new(
         config: &FleetConfig,
         stored_state: StoredState,
-        writer: Writer<FaultDisk>,
+        writer: Writer<DiskWithFaultPoints>,
         channels: Arc<Channels>,
         status: Arc<Mutex<FleetStatus>>,
         weight_ratios: watch::Sender<Arc<ZoneWeightRatios>>,
-    ) -> Core {
+    ) -> FleetThread {
         let voter = |(id, address): (&MemberId, &String)| {
             (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
@@ -80,7 +80,7 @@
         let raft = RaftNode::start(config.member_id, config.raft, voters, seed, 0.0, stored_state);
         let run = raft.run();
         let failure_detector = FailureDetector::start(config.member_id, config.swim, run.0, seed ^ 1, 0.0);
-        Core {
+        FleetThread {
             started: Instant::now(),
             raft,
             failure_detector,
@@ -196,15 +196,15 @@
     /// Handles received messages, completed effects and evidence of the planner.
     fn handle_input(&mut self, now: Ms) {
         let (received, more) = self.channels.take_received();
-        let unix_time = Core::unix_time();
-        for (from, messages) in received {
+        let unix_time = FleetThread::unix_time();
+        for (sender, messages) in received {
             for message in messages {
                 match message {
-                    PeerMessage::Consensus(message) => self.raft.handle_message(now, from, message),
+                    PeerMessage::Consensus(message) => self.raft.handle_message(now, sender, message),
                     PeerMessage::Membership(message) => {
-                        self.failure_detector.handle_message(now, unix_time, from, message)
+                        self.failure_detector.handle_message(now, unix_time, sender, message)
                     }
-                    PeerMessage::Evidence(evidence) => self.record_evidence(now, from, evidence),
+                    PeerMessage::Evidence(evidence) => self.record_evidence(now, sender, evidence),
                 }
             }
         }
@@ -480,7 +480,7 @@
         if is_leader != self.was_leader {
             (self.was_leader, self.leader_state) = (is_leader, LeaderState::default());
         }
-        let clocks = self.failure_detector.clocks(now, Core::unix_time());
+        let clocks = self.failure_detector.clocks(now, FleetThread::unix_time());
         let has_majority = clocks.len() > self.raft.members().len() / 2;
         if let Some(unix_time) = median_clock(clocks).filter(|_| is_leader && has_majority) {
             let alive: Vec<MemberId> = self.failure_detector.alive().collect();
@@ -505,8 +505,12 @@
                 }
             }
         }
-        let tasks =
-            self.claim_tracker.next_tasks(&self.replicated.ledger, now, Core::unix_time(), retry_after);
+        let tasks = self.claim_tracker.next_tasks(
+            &self.replicated.ledger,
+            now,
+            FleetThread::unix_time(),
+            retry_after,
+        );
         for task in tasks {
             self.run_claim_task(now, task);
         }
@@ -524,8 +528,12 @@
                 let fence = *fence;
                 if !self.channels.queue_effect(execute) {
                     // The queue is full: nothing was sent, so another manager may execute the occurrence.
-                    let command =
-                        self.claim_tracker.record_outcome(fence, TryOutcome::Unsent, now, Core::unix_time());
+                    let command = self.claim_tracker.record_outcome(
+                        fence,
+                        TryOutcome::Unsent,
+                        now,
+                        FleetThread::unix_time(),
+                    );
                     command.into_iter().for_each(|command| self.propose_finished(now, command));
                 }
             }
@@ -550,9 +558,9 @@
         }
     }
 
-    fn record_evidence(&mut self, now: Ms, from: MemberId, evidence: Evidence) {
+    fn record_evidence(&mut self, now: Ms, sender: MemberId, evidence: Evidence) {
         if let Some(failover) = self.config.failover {
-            self.failover_controller.record_evidence(now, from, evidence, &failover);
+            self.failover_controller.record_evidence(now, sender, evidence, &failover);
         }
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -17,9 +17,9 @@
 
 mod channels;
 mod config;
-mod core;
 mod disk;
 mod effects;
+mod fleet_thread;
 mod links;
 mod replicated_state;
 mod shards;
@@ -44,7 +44,8 @@
 pub use status::{FleetStatus, ScheduleStatus};
 
 use crate::channels::Channels;
-use crate::disk::FaultDisk;
+use crate::disk::DiskWithFaultPoints;
+use crate::fleet_thread::FleetThread;
 
 /// A configured fleet member with a bound listener, not started yet.
 pub struct FleetListener {
@@ -85,21 +86,24 @@
     }
 }
 
-/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` if the store is
-/// damaged, as its contents can't be guessed, or on a stop request: this manager then decides alone, as it does without
-/// a quorum.
-fn open_store(config: &FleetConfig, channels: &Channels) -> Option<(Store<FaultDisk>, StoredState)> {
+/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` on a stop request or
+/// if the store is damaged, because what it held cannot be restored from it: this manager then plans without the other
+/// managers, as it does without a quorum.
+fn open_store(
+    config: &FleetConfig,
+    channels: &Channels,
+) -> Option<(Store<DiskWithFaultPoints>, StoredState)> {
     let path = config.store_path.display();
     let retry_interval = Duration::from_secs_f64(config.raft.election_timeout_ms / 1000.0);
     let mut logged = false;
     let Opened { store, recovered } = loop {
-        let opened = FaultDisk::open(&config.store_path).map_err(OpenError::Io);
+        let opened = DiskWithFaultPoints::open(&config.store_path).map_err(OpenError::Io);
         let error = match opened.and_then(|disk| Store::open(disk, config.store_limits)) {
             Ok(opened) => break opened,
             // The disk may recover, and the other process may end.
             Err(error @ (OpenError::Io(_) | OpenError::Locked)) => error,
             Err(error) => {
-                tracing::error!("fleet: this manager decides alone: {path}: {error}");
+                tracing::error!("fleet: this manager plans without the others: {path}: {error}");
                 return None;
             }
         };
@@ -114,13 +118,16 @@
         }
     };
     if recovered.torn_bytes > 0 {
-        tracing::warn!("fleet: {path}: {} bytes of a torn tail are truncated", recovered.torn_bytes);
+        tracing::warn!(
+            "fleet: {path}: the last {} bytes were not completely written and are ignored",
+            recovered.torn_bytes
+        );
     }
     let records = recovered.snapshot.iter().chain(recovered.records.iter().map(|(_, record)| record));
     match StoredState::replay(records.map(Vec::as_slice)) {
         Ok(stored_state) => Some((store, stored_state)),
         Err(error) => {
-            tracing::error!("fleet: this manager decides alone: {path}: {error}");
+            tracing::error!("fleet: this manager plans without the others: {path}: {error}");
             None
         }
     }
@@ -134,24 +141,29 @@
     weight_ratios: watch::Sender<Arc<ZoneWeightRatios>>,
 ) {
     let Some((store, stored_state)) = open_store(config, channels) else { return channels.stop() };
-    let sync_channels = channels.clone();
+    let writer_channels = channels.clone();
+    // Votes and acknowledgements are sent only once their records are synced: both delays defer them.
     let timing =
         WriterTiming { batch_delay: Duration::from_micros(500), retry_interval: Duration::from_millis(100) };
-    let writer = match Writer::start(store, timing, move |_| sync_channels.wake()) {
+    let writer = match Writer::start(store, timing, move |_| writer_channels.wake()) {
         Ok(writer) => writer,
         Err(error) => {
-            return tracing::error!("fleet: this manager decides alone: no thread for the store: {error}")
+            return tracing::error!(
+                "fleet: this manager plans without the others: no thread for the store: {error}"
+            )
         }
     };
-    let core = core::Core::new(config, stored_state, writer, channels.clone(), status, weight_ratios);
-    let links = links::Links::new(config, listener, channels.clone(), core.run(), core.peer_table());
+    let fleet_thread =
+        FleetThread::new(config, stored_state, writer, channels.clone(), status, weight_ratios);
+    let links =
+        links::Links::new(config, listener, channels.clone(), fleet_thread.run(), fleet_thread.peer_table());
     thread::scope(|scope| {
         let _stop_on_exit = StopOnExit(channels);
         let builder = thread::Builder::new().name("links".into());
         match builder.spawn_scoped(scope, || links.serve()) {
-            Ok(_) => core.serve(),
+            Ok(_) => fleet_thread.serve(),
             Err(error) => {
-                tracing::error!("fleet: this manager decides alone: no thread for links: {error}")
+                tracing::error!("fleet: this manager plans without the others: no thread for links: {error}")
             }
         }
     });
@@ -163,7 +175,7 @@
 impl Drop for StopOnExit<'_> {
     fn drop(&mut self) {
         if thread::panicking() {
-            tracing::error!("fleet: this manager decides alone: the fleet thread panicked");
+            tracing::error!("fleet: this manager plans without the others: the fleet thread panicked");
         }
         self.0.stop();
     }
@@ -179,8 +191,8 @@
         }
     }
 
-    /// Transfers the leadership if this manager has it and announces that it leaves, as on SIGTERM. Returns whether
-    /// that was done before the timeout.
+    /// Announces to the other managers that this manager leaves and transfers the leadership if this manager has it, as
+    /// on SIGTERM. Returns whether that was done before the timeout.
     pub fn leave(&self, timeout: Duration) -> bool {
         self.channels.leave(timeout)
     }
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -12,7 +12,8 @@
 
 /// Long enough for every awaited event, even on a busy machine.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// The handshake time limit is derived from it. Longer than any test, so that neither limit is reached.
+/// Longer than any test, so that neither an election starts nor the time limit of the handshake, which is derived from
+/// this, is reached.
 const ELECTION_TIMEOUT_MS: f64 = 60_000.0;
 
 /// The handshake, the first message on a link, as managers encode it.
@@ -38,7 +39,7 @@
 
 impl Drop for RunningMember {
     fn drop(&mut self) {
-        // Ends its threads before their files are removed.
+        // Ends the member's threads before its files are removed.
         drop(self.fleet.take());
         _ = std::fs::remove_dir_all(&self.store);
     }
@@ -98,22 +99,25 @@
 }
 
 #[test]
-fn a_later_connection_of_a_manager_closes_the_earlier_one_within_a_message() {
+fn a_later_connection_of_a_manager_closes_the_earlier_one_even_in_the_middle_of_a_message() {
     let running = start_member("later");
     let mut old = connect_as_member_2(running.address, 5);
     // The start of a message whose remaining bytes are never sent.
     old.write_all(&[0, 0, 0, 9, 1]).unwrap();
     let mut new = connect_as_member_2(running.address, 5);
-    assert!(is_closed(&mut old), "messages of the old connection are older than those of the new one");
+    assert!(
+        is_closed(&mut old),
+        "the old connection is closed, because its messages are older than those of the new one"
+    );
     new.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
     assert!(!is_closed(&mut new));
 }
 
 #[test]
-fn a_connection_of_an_earlier_start_is_closed_and_replaces_nothing() {
+fn a_connection_of_an_earlier_run_is_closed_and_replaces_nothing() {
     let running = start_member("earlier");
     let mut new = connect_as_member_2(running.address, 6);
-    // Relies on the new connection's handshake being read first. A rejected connection is closed.
+    // The member must read the handshake of `new` first, which was sent first. It closes a connection that it rejects.
     let mut old = connect_as_member_2(running.address, 5);
     if !is_closed(&mut old) {
         panic!("a connection of an earlier run was accepted");
--- a/crates/model/src/xml.rs
+++ b/crates/model/src/xml.rs
@@ -79,8 +79,8 @@
         self.attrs.iter().find(|attr| &*attr.ns == ns && attr.name == name).map(|attr| &*attr.value)
     }
 
-    /// Its text without white space around it.
-    pub fn word(&self) -> &str {
+    /// The element's text without white space around it.
+    pub fn trimmed_text(&self) -> &str {
         self.text.trim()
     }
 }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -160,7 +160,7 @@
     }
     assert_eq!(xml::read(b"<a>\n\xff</a>").unwrap_err().line, 2);
     let odd = "<a>\n &lt;&#x41;<![CDATA[<&]]>&gt;\r\n</a>";
-    assert_eq!(xml::read(odd.as_bytes()).unwrap().word(), "<A<&>");
+    assert_eq!(xml::read(odd.as_bytes()).unwrap().trimmed_text(), "<A<&>");
 }
 
 #[test]
--- a/crates/netconf/src/capabilities.rs
+++ b/crates/netconf/src/capabilities.rs
@@ -7,9 +7,9 @@
 /// The namespace of `ietf-netconf-nmda`, RFC 8526.
 pub const NMDA: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-nmda";
 /// The namespace of `ietf-yang-library`, RFC 8525.
-pub const LIBRARY: &str = "urn:ietf:params:xml:ns:yang:ietf-yang-library";
+pub const YANG_LIBRARY: &str = "urn:ietf:params:xml:ns:yang:ietf-yang-library";
 /// The namespace of `ietf-netconf-with-defaults`, RFC 6243.
-pub const DEFAULTS: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults";
+pub const WITH_DEFAULTS: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults";
 /// The namespace of notifications, RFC 5277.
 pub const NOTIFICATION: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
 /// The namespace of `ietf-netconf-notifications`, RFC 6470.
--- a/crates/netconf/src/connection_limits.rs
+++ b/crates/netconf/src/connection_limits.rs
@@ -37,18 +37,19 @@
     }
 }
 
-/// Serves the session of an authenticated user. A session permit replaces the permit of the unauthenticated connection.
+/// Serves the session of an authenticated user; `client_origin` as in [`serve_session`]. A session permit replaces the
+/// permit of the unauthenticated connection.
 pub async fn serve_authenticated(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     context: Arc<ServerContext>,
     user: &str,
-    from: &str,
+    client_origin: &str,
     timeouts: SessionTimeouts,
     limits: &ConnectionLimits,
     unauthenticated_permit: OwnedSemaphorePermit,
 ) -> Result<(), String> {
     let _session_permit = limits.acquire_session().ok_or("the maximum number of sessions is reached")?;
     drop(unauthenticated_permit);
-    serve_session(stream, context, user, from, timeouts).await;
+    serve_session(stream, context, user, client_origin, timeouts).await;
     Ok(())
 }
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -37,13 +37,18 @@
     }
     if filter.children.is_empty() {
         // A selection node, or a content match node at the top level.
-        let selected = filter.word().is_empty() || filter.word() == element.word();
+        let selected = filter.trimmed_text().is_empty() || filter.trimmed_text() == element.trimmed_text();
         return selected.then(|| element.clone());
     }
-    let (content_matches, others): (Vec<&Element>, Vec<&Element>) =
-        filter.children.iter().partition(|child| child.children.is_empty() && !child.word().is_empty());
+    let (content_matches, others): (Vec<&Element>, Vec<&Element>) = filter
+        .children
+        .iter()
+        .partition(|child| child.children.is_empty() && !child.trimmed_text().is_empty());
     let is_satisfied = |expected: &&Element| {
-        element.children.iter().any(|child| node_matches(expected, child) && child.word() == expected.word())
+        element
+            .children
+            .iter()
+            .any(|child| node_matches(expected, child) && child.trimmed_text() == expected.trimmed_text())
     };
     if !content_matches.iter().all(is_satisfied) {
         return None;
@@ -63,9 +68,9 @@
                 selected.children.push(part);
             }
             None => {
-                let is_content_match = content_matches
-                    .iter()
-                    .any(|expected| node_matches(expected, child) && expected.word() == child.word());
+                let is_content_match = content_matches.iter().any(|expected| {
+                    node_matches(expected, child) && expected.trimmed_text() == child.trimmed_text()
+                });
                 if is_content_match || key_names.contains(&child.name) {
                     selected.children.push(child.clone());
                 }
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -9,7 +9,7 @@
 use juniperrail_model::{Data, Kind as NodeKind, Path, Schema};
 use juniperrail_northbound::{Caller, DatastoreManager, Source, TestOption};
 
-use crate::capabilities::{self, DEFAULTS, LIBRARY, MONITORING, NMDA, NOTIFICATION};
+use crate::capabilities::{self, MONITORING, NMDA, NOTIFICATION, WITH_DEFAULTS, YANG_LIBRARY};
 use crate::error::{from_datastore_error, ErrorType, RpcError};
 use crate::filter;
 
@@ -135,29 +135,31 @@
     values: &[(&str, T)],
 ) -> Result<T, Vec<RpcError>> {
     let Some(parameter) = operation.get(&operation.ns, name) else { return Ok(default) };
-    let found = values.iter().find(|(word, _)| *word == parameter.word()).map(|(_, value)| *value);
-    found.ok_or_else(|| invalid_value(name, format!("{:.60?} is not a valid {name}", parameter.word())))
+    let found = values.iter().find(|(word, _)| *word == parameter.trimmed_text()).map(|(_, value)| *value);
+    found.ok_or_else(|| {
+        invalid_value(name, format!("{:.60?} is not a valid {name}", parameter.trimmed_text()))
+    })
 }
 
 /// The value of an unsigned integer parameter.
 fn number_parameter(operation: &Element, name: &str) -> Result<Option<u64>, Vec<RpcError>> {
     let Some(parameter) = operation.get(&operation.ns, name) else { return Ok(None) };
-    let number = parameter.word().parse();
-    number
-        .map(Some)
-        .map_err(|_| invalid_value(name, format!("{:.60?} is not an unsigned integer", parameter.word())))
+    let number = parameter.trimmed_text().parse();
+    number.map(Some).map_err(|_| {
+        invalid_value(name, format!("{:.60?} is not an unsigned integer", parameter.trimmed_text()))
+    })
 }
 
 /// The text of a parameter.
 fn text_parameter<'a>(operation: &'a Element, name: &str) -> Option<&'a str> {
-    operation.get(&operation.ns, name).map(Element::word)
+    operation.get(&operation.ns, name).map(Element::trimmed_text)
 }
 
 /// Rejects an operation with a parameter other than the named ones.
 fn check_parameters(operation: &Element, names: &[&str]) -> Result<(), Vec<RpcError>> {
     let is_unknown = |child: &&Element| {
         let is_named = names.contains(&child.name.as_str());
-        !(is_named && (child.ns == operation.ns || &*child.ns == DEFAULTS))
+        !(is_named && (child.ns == operation.ns || &*child.ns == WITH_DEFAULTS))
     };
     operation.children.iter().find(is_unknown).map_or(Ok(()), |child| Err(unknown_element(child)))
 }
@@ -298,8 +300,9 @@
 
     /// Whether the reply includes default values (RFC 6243).
     fn with_defaults(&self, operation: &Element) -> Result<bool, Vec<RpcError>> {
-        let mode = operation.get(DEFAULTS, "with-defaults").or(operation.get(&operation.ns, "with-defaults"));
-        match mode.map(Element::word) {
+        let mode =
+            operation.get(WITH_DEFAULTS, "with-defaults").or(operation.get(&operation.ns, "with-defaults"));
+        match mode.map(Element::trimmed_text) {
             None | Some("explicit") => Ok(false),
             Some("report-all") => Ok(true),
             Some(other) => Err(invalid_value(
@@ -340,7 +343,7 @@
         if wants(MONITORING) {
             all.push(self.monitoring().await);
         }
-        if wants(LIBRARY) {
+        if wants(YANG_LIBRARY) {
             all.push(self.library());
         }
         Ok(all)
@@ -394,8 +397,8 @@
     /// The `yang-library` of RFC 8525.
     fn library(&self) -> Element {
         let schema = self.context.datastore_manager.schema();
-        let element = |name: &str| Element::new(LIBRARY, name);
-        let leaf = |name: &str, text: &str| Element::with_text(LIBRARY, name, text);
+        let element = |name: &str| Element::new(YANG_LIBRARY, name);
+        let leaf = |name: &str, text: &str| Element::with_text(YANG_LIBRARY, name, text);
         let module = |module: &juniperrail_model::Module| {
             let import_only = schema.roots.iter().all(|id| schema.module_of(*id).name != module.name);
             let name = if import_only { "import-only-module" } else { "module" };
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -24,13 +24,13 @@
 /// Time limits of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionTimeouts {
-    /// Limits the exchange of hellos and, in the transports, each step before it.
+    /// Limits the exchange of hellos, and each step of the transport (SSH or TLS) before it.
     pub hello_timeout: Duration,
     /// Limits the time without a message from the client; subscribed sessions are exempt. `None` means no limit.
     pub idle_timeout: Option<Duration>,
 }
 
-/// The client's end of a session: the stream with the framing of its messages.
+/// The connection to the client: the stream and the framing of its messages.
 struct Peer<S> {
     stream: S,
     decoder: Decoder,
@@ -98,7 +98,8 @@
         return Err("the client's hello has a session-id".into());
     }
     let listed = hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
-    let has = |name: &str| listed.iter().any(|item| item.is(NETCONF, "capability") && item.word() == name);
+    let has =
+        |name: &str| listed.iter().any(|item| item.is(NETCONF, "capability") && item.trimmed_text() == name);
     match (has(BASE_1_1), has(BASE_1_0)) {
         (true, _) => Ok(Framing::Chunked),
         (false, true) => Ok(Framing::EndOfMessage),
@@ -106,27 +107,28 @@
     }
 }
 
-/// Serves one session until it ends. `from` is the transport and the client's address, for the log and the operational
-/// state.
+/// Serves one session until it ends. `client_origin` is the transport and the client's address, for the log and the
+/// operational state.
 pub async fn serve_session(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     context: Arc<ServerContext>,
     user: &str,
-    from: &str,
+    client_origin: &str,
     timeouts: SessionTimeouts,
 ) {
-    let Some((caller, kill_signal)) = context.datastore_manager.open_session(user, from).await else {
-        tracing::warn!("{user:?} from {from} is not a configured user");
+    let Some((caller, kill_signal)) = context.datastore_manager.open_session(user, client_origin).await
+    else {
+        tracing::warn!("{user:?} from {client_origin} is not a configured user");
         return;
     };
     let peer = Peer { stream, decoder: Decoder::default(), framing: Framing::EndOfMessage };
-    // Closes the session also if this future is dropped because the transport ended.
+    // The datastore manager learns of the end also if this future is dropped because the transport ended.
     let guard = SessionGuard { context: context.clone(), caller: Some(caller.clone()) };
     let reason = run_session(peer, context, &caller, &kill_signal, timeouts).await;
     guard.close(reason).await;
 }
 
-/// Closes the session at the datastore manager when it ends, also if its future is dropped.
+/// Tells the datastore manager that the session has ended, also if the session's future is dropped.
 struct SessionGuard {
     context: Arc<ServerContext>,
     caller: Option<Caller>,
@@ -184,7 +186,7 @@
     loop {
         let idle_timeout = timeouts.idle_timeout.filter(|_| subscription.is_none());
         let idle_deadline = idle_timeout.map(|idle_timeout| last_message_at + idle_timeout);
-        let notification = async {
+        let next_notification = async {
             match &mut subscription {
                 Some((notifications, _)) => notifications.recv().await,
                 None => std::future::pending().await,
@@ -200,7 +202,7 @@
             biased;
             () = kill_signal.notified() => return TerminationReason::Dropped,
             message = peer.read() => Some(message),
-            notification = notification => match notification {
+            received = next_notification => match received {
                 Ok(notification) => {
                     let filter = subscription.as_ref().and_then(|(_, filter)| filter.as_ref());
                     if let Some(text) = notification_text(&handler, filter, &notification).await {
@@ -222,13 +224,17 @@
             None => continue,
             Some(Ok(message)) => message,
             Some(Err(StreamError::BadFraming(reason))) => {
-                tracing::info!("session {} closed, its framing is invalid: {reason}", caller.session.0);
+                tracing::info!(
+                    "session {} is closed because its framing is invalid: {reason}",
+                    caller.session.0
+                );
                 return TerminationReason::Dropped;
             }
             Some(Err(_)) => return TerminationReason::Dropped,
         };
         last_message_at = Instant::now();
-        // Subscribes before the reply is sent, so that events right after the reply are notified.
+        // The operation may be create-subscription: subscribes before the reply is sent, so that no event after the
+        // reply is missed.
         let notifications = (!handler.subscribed).then(|| handler.context.datastore_manager.subscribe());
         let (reply, action) = handler.reply(&message).await;
         if peer.write(&reply).await.is_err() {
--- a/crates/netconf/src/ssh.rs
+++ b/crates/netconf/src/ssh.rs
@@ -42,7 +42,7 @@
 
 /// Handles the SSH events of one connection.
 struct ConnectionHandler {
-    from: SocketAddr,
+    client_address: SocketAddr,
     context: Arc<ServerContext>,
     access: watch::Receiver<AccessControl>,
     timeouts: SessionTimeouts,
@@ -65,7 +65,7 @@
             self.user = Some(user.to_string());
             return Ok(Auth::Accept);
         }
-        tracing::info!("{user:.64?} from {} presents an unknown public key", self.from);
+        tracing::info!("{user:.64?} from {} presents an unknown public key", self.client_address);
         Ok(Auth::reject())
     }
 
@@ -98,14 +98,21 @@
         session.channel_success(id)?;
         self.session_started.notify_one();
         let (context, timeouts, limits) = (self.context.clone(), self.timeouts, self.limits.clone());
-        let (handle, from) = (session.handle(), format!("ssh {}", self.from));
+        let (handle, client_origin) = (session.handle(), format!("ssh {}", self.client_address));
         tokio::spawn(async move {
             let stream = channel.into_stream();
-            let served =
-                serve_authenticated(stream, context, &user, &from, timeouts, &limits, unauthenticated_permit)
-                    .await;
+            let served = serve_authenticated(
+                stream,
+                context,
+                &user,
+                &client_origin,
+                timeouts,
+                &limits,
+                unauthenticated_permit,
+            )
+            .await;
             if let Err(reason) = served {
-                tracing::info!("no session for {user} from {from}: {reason}");
+                tracing::info!("no session for {user} from {client_origin}: {reason}");
             }
             _ = handle.exit_status_request(id, 0).await;
             _ = handle.close(id).await;
@@ -122,7 +129,7 @@
 /// Serves one connection until it ends.
 pub async fn serve_connection(
     socket: TcpStream,
-    from: SocketAddr,
+    client_address: SocketAddr,
     config: Arc<Config>,
     context: Arc<ServerContext>,
     timeouts: SessionTimeouts,
@@ -131,7 +138,7 @@
 ) -> Result<(), String> {
     let session_started = Arc::new(tokio::sync::Notify::new());
     let handler = ConnectionHandler {
-        from,
+        client_address,
         access: context.datastore_manager.access_rules(),
         context,
         timeouts,
--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -245,7 +245,7 @@
 #[allow(clippy::too_many_arguments)]
 async fn serve_tls_connection(
     socket: TcpStream,
-    from: SocketAddr,
+    client_address: SocketAddr,
     acceptor: tokio_rustls::TlsAcceptor,
     context: Arc<ServerContext>,
     access: watch::Receiver<AccessControl>,
@@ -259,6 +259,7 @@
     };
     let chain = stream.get_ref().1.peer_certificates().unwrap_or_default();
     let user = map_certificate_to_user(&access.borrow(), chain)?;
-    let from = format!("tls {from}");
-    serve_authenticated(stream, context, &user, &from, timeouts, &limits, unauthenticated_permit).await
+    let client_origin = format!("tls {client_address}");
+    serve_authenticated(stream, context, &user, &client_origin, timeouts, &limits, unauthenticated_permit)
+        .await
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -28,7 +28,7 @@
 /// Why a store cannot be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// Another process has it open.
+    /// Another process has the store open.
     Locked,
     NewerFormat {
         file: String,
@@ -120,7 +120,7 @@
 
 impl<D: Disk> Store<D> {
     /// Opens or creates a store and returns the recovered records. Opening rotates to a new segment and leaves a torn
-    /// tail in the old one, so that recovery after another crash gives the same result.
+    /// tail, which is ignored, in the old one, so that recovery after another crash gives the same result.
     pub fn open(disk: D, limits: Limits) -> Result<Opened<D>, OpenError> {
         disk.lock().map_err(|error| match error.kind() {
             io::ErrorKind::WouldBlock => OpenError::Locked,
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_compaction_runs_concurrently_with_appends_and_one_at_a_time() {
+fn compactions_run_one_at_a_time_and_concurrently_with_appends() {
     let disk = Arc::new(SimDisk::new(3));
     let (mut writer, stats_receiver) = start(&disk);
     for number in 0..200u32 {
@@ -106,6 +106,7 @@
     let found = recovered(&disk);
     assert!(
         found == expected || found == expected[..10],
-        "the second snapshot replaces all records, or the manifest does not name it: {found:?}"
+        "either the second snapshot is in use, which lacks the concurrent record, or the manifest does not \
+         name it yet: {found:?}"
     );
 }
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -156,7 +156,7 @@
     let bytes = fs::read(&path).unwrap();
     fs::write(&path, [&bytes[..], &[7; 9][..]].concat()).unwrap();
     cluster.manager(1).start();
-    cluster.manager(1).wait_for_log("bytes of a torn tail are truncated", 1);
+    cluster.manager(1).wait_for_log("bytes were not completely written and are ignored", 1);
     cluster.executor.wait_for_more(&BOTH, 1);
     // A flipped bit in the manifest, whatever the segments hold by now: the store is not used, and the manager serves
     // its proxies alone.
@@ -166,7 +166,7 @@
     bytes[8] ^= 0x10;
     fs::write(&path, bytes).unwrap();
     cluster.manager(1).start();
-    cluster.manager(1).wait_for_log("this manager decides alone", 1);
+    cluster.manager(1).wait_for_log("this manager plans without the others", 1);
     cluster.manager(1).wait_for_address();
     cluster.executor.wait_for_more(&BOTH, 2);
     cluster.assert_invariants(&["grade"]);
