--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -110,9 +110,9 @@
                 "NETCONF over SSH on {}",
                 ssh_address.map(|address| address.to_string()).unwrap_or_default()
             );
-            let serve = |socket, from, limits: ConnectionLimits, permit| {
+            let serve = |socket, client_address, limits: ConnectionLimits, permit| {
                 let (config, context) = (config.clone(), context.clone());
-                ssh::serve_connection(socket, from, config, context, timeouts, limits, permit)
+                ssh::serve_connection(socket, client_address, config, context, timeouts, limits, permit)
             };
             accept_connections(listener, &limits, serve).await;
         };
@@ -123,9 +123,18 @@
                 tls_address.map(|address| address.to_string()).unwrap_or_default()
             );
             let acceptor = tokio_rustls::TlsAcceptor::from(config);
-            let serve = |socket, from, limits: ConnectionLimits, permit| {
+            let serve = |socket, client_address, limits: ConnectionLimits, permit| {
                 let (acceptor, context, access) = (acceptor.clone(), context.clone(), access.clone());
-                serve_tls_connection(socket, from, acceptor, context, access, timeouts, limits, permit)
+                serve_tls_connection(
+                    socket,
+                    client_address,
+                    acceptor,
+                    context,
+                    access,
+                    timeouts,
+                    limits,
+                    permit,
+                )
             };
             accept_connections(listener, &limits, serve).await;
         };
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,6 +1,6 @@
-//! Recovery: reads the longest valid prefix of records and tells a torn tail, which is dropped, from damage. An invalid
-//! frame is a torn tail only if nothing shows that its record was durable. It is damage if a valid frame after it says
-//! that its sequence was durable, or if a later segment starts after it.
+//! Recovery: reads the longest valid prefix of records and distinguishes a torn tail, which was not completely written
+//! and is ignored, from damage. An invalid frame is a torn tail only if nothing shows that its record was durable. It is
+//! damage if a valid frame after it says that its sequence was durable, or if a later segment starts after it.
 
 use std::fmt;
 use std::io;
@@ -30,7 +30,7 @@
     pub snapshot: Vec<Vec<u8>>,
     /// The records that were appended after the snapshot, each with its sequence.
     pub records: Vec<(Seq, Vec<u8>)>,
-    /// The length of the torn tail that was dropped.
+    /// The length of the torn tail, which is ignored.
     pub torn_bytes: u64,
     /// Unreferenced files that were removed.
     pub removed_file_count: usize,
