--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,6 +1,6 @@
 //! Recovery: reads the longest valid prefix of records and distinguishes a torn tail, which was not completely written
-//! and is ignored, from damage. An invalid frame is a torn tail only if nothing shows that its record was durable. It is
-//! damage if a valid frame after it says that its sequence was durable, or if a later segment starts after it.
+//! and is ignored, from damage. An invalid frame is a torn tail only if nothing shows that its record was durable. It
+//! is damage if a valid frame after it says that its sequence was durable, or if a later segment starts after it.
 
 use std::fmt;
 use std::io;
