--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -110,9 +110,9 @@
                 "NETCONF over SSH on {}",
                 ssh_address.map(|address| address.to_string()).unwrap_or_default()
             );
-            let serve = |socket, from, limits: ConnectionLimits, permit| {
+            let serve = |socket, client_address, limits: ConnectionLimits, permit| {
                 let (config, context) = (config.clone(), context.clone());
-                ssh::serve_connection(socket, from, config, context, timeouts, limits, permit)
+                ssh::serve_connection(socket, client_address, config, context, timeouts, limits, permit)
             };
             accept_connections(listener, &limits, serve).await;
         };
@@ -123,9 +123,18 @@
                 tls_address.map(|address| address.to_string()).unwrap_or_default()
             );
             let acceptor = tokio_rustls::TlsAcceptor::from(config);
-            let serve = |socket, from, limits: ConnectionLimits, permit| {
+            let serve = |socket, client_address, limits: ConnectionLimits, permit| {
                 let (acceptor, context, access) = (acceptor.clone(), context.clone(), access.clone());
-                serve_tls_connection(socket, from, acceptor, context, access, timeouts, limits, permit)
+                serve_tls_connection(
+                    socket,
+                    client_address,
+                    acceptor,
+                    context,
+                    access,
+                    timeouts,
+                    limits,
+                    permit,
+                )
             };
             accept_connections(listener, &limits, serve).await;
         };
@@ -245,7 +254,7 @@
 #[allow(clippy::too_many_arguments)]
 async fn serve_tls_connection(
     socket: TcpStream,
-    from: SocketAddr,
+    client_address: SocketAddr,
     acceptor: tokio_rustls::TlsAcceptor,
     context: Arc<ServerContext>,
     access: watch::Receiver<AccessControl>,
@@ -259,6 +268,7 @@
     };
     let chain = stream.get_ref().1.peer_certificates().unwrap_or_default();
     let user = map_certificate_to_user(&access.borrow(), chain)?;
-    let from = format!("tls {from}");
-    serve_authenticated(stream, context, &user, &from, timeouts, &limits, unauthenticated_permit).await
+    let client_origin = format!("tls {client_address}");
+    serve_authenticated(stream, context, &user, &client_origin, timeouts, &limits, unauthenticated_permit)
+        .await
 }
