--- /dev/null
+++ b/crates/netconf/src/notification.rs
@@ -0,0 +1,82 @@
+//! Notifications (RFC 5277) for subscribers: those of RFC 6470, and `change-held` for a change that every proxy has
+//! applied.
+
+use juniperrail_model::xml::{Element, NETCONF};
+use juniperrail_model::Schema;
+use juniperrail_northbound::{Notification, TerminationReason};
+use time::format_description::well_known::Rfc3339;
+use time::OffsetDateTime;
+
+use crate::capabilities::{BASE_NOTIFICATIONS, NOTIFICATION};
+
+/// Edits that one `netconf-config-change` lists; further ones are only counted in the log.
+const MAX_EDITS: usize = 256;
+
+/// The event element of a notification.
+pub fn event_element(schema: &Schema, prefixes: &[(String, String)], notification: &Notification) -> Element {
+    let element = |name: &str| Element::new(BASE_NOTIFICATIONS, name);
+    let leaf = |name: &str, text: &str| Element::with_text(BASE_NOTIFICATIONS, name, text);
+    let with_session = |event: Element, user: &str, id: u32| {
+        event.with(leaf("username", user)).with(leaf("session-id", &id.to_string()))
+    };
+    match notification {
+        Notification::ConfigChanged { by, session: by_session, edits, .. } => {
+            let changed_by = match by_session {
+                Some(id) => with_session(element("changed-by"), by, id.0),
+                None => element("changed-by").with(element("server")),
+            };
+            let edit = |(path, operation): &(String, &'static str)| {
+                let target = Element { prefixes: prefixes.to_vec(), ..leaf("target", path) };
+                element("edit").with(target).with(leaf("operation", operation))
+            };
+            element("netconf-config-change")
+                .with(changed_by)
+                .with(leaf("datastore", "running"))
+                .with_all(edits.iter().take(MAX_EDITS).map(edit))
+        }
+        Notification::ConfirmedCommit { how } => {
+            element("netconf-confirmed-commit").with(leaf("confirm-event", how))
+        }
+        Notification::SessionStarted { caller, from } => {
+            let host = from.split(' ').nth(1).unwrap_or_default();
+            with_session(element("netconf-session-start"), &caller.user, caller.session.0)
+                .with(leaf("source-host", host))
+        }
+        Notification::SessionEnded { caller, how } => {
+            let (killed_by, reason) = match how {
+                TerminationReason::Closed => (None, "closed"),
+                TerminationReason::Killed(by) => (Some(by.0.to_string()), "killed"),
+                TerminationReason::Dropped => (None, "dropped"),
+                TerminationReason::TimedOut => (None, "timeout"),
+            };
+            with_session(element("netconf-session-end"), &caller.user, caller.session.0)
+                .with_all(killed_by.map(|by| leaf("killed-by", &by)))
+                .with(leaf("termination-reason", reason))
+        }
+        Notification::ChangeApplied { number, after } => {
+            let namespace =
+                schema.notifications.first().map_or(NETCONF, |id| &*schema.module_of(*id).namespace);
+            Element::new(namespace, "change-held")
+                .with(Element::with_text(namespace, "number", number.to_string()))
+                .with(Element::with_text(namespace, "held-after", format!("{after:.3}")))
+        }
+    }
+}
+
+/// The configuration paths that an event names. A user who may not read all of them does not receive it.
+pub fn configuration_paths(notification: &Notification) -> Vec<&str> {
+    match notification {
+        Notification::ConfigChanged { edits, .. } => edits.iter().map(|(path, _)| path.as_str()).collect(),
+        _ => Vec::new(),
+    }
+}
+
+/// The complete `notification` message. `now_ms` is the Unix time in milliseconds.
+pub fn notification_message(now_ms: f64, event: Element) -> Element {
+    let event_time = OffsetDateTime::from_unix_timestamp_nanos((now_ms * 1e6) as i128)
+        .unwrap_or(OffsetDateTime::UNIX_EPOCH);
+    let event_time = event_time.format(&Rfc3339).unwrap_or_default();
+    Element::new(NOTIFICATION, "notification")
+        .with(Element::with_text(NOTIFICATION, "eventTime", event_time))
+        .with(event)
+}
