--- a/crates/consensus/tests/failure_detector.rs
+++ b/crates/consensus/tests/failure_detector.rs
@@ -22,16 +22,16 @@
     /// Cut links, each from a sender to a receiver.
     cut_links: Vec<(MemberId, MemberId)>,
     loss_ratio: f64,
-    /// Messages in flight, by their arrival time.
+    /// Messages in flight, each with its arrival time, its sender and its receiver.
     in_flight: Vec<(Ms, MemberId, MemberId, SwimMessage)>,
-    /// The deaths declared so far: by which member, and of which.
+    /// The deaths declared so far, each as the member that declared it and the member declared dead.
     deaths: Vec<(MemberId, MemberId)>,
 }
 
 impl Group {
     fn new(seed: u64, size: u16) -> Group {
         let ids: Vec<MemberId> = (1..=size).map(MemberId).collect();
-        let detector = |id: &MemberId| {
+        let start_detector = |id: &MemberId| {
             let mut detector = FailureDetector::start(*id, CONFIG, 1, seed + u64::from(id.0), 0.0);
             detector.set_members(0.0, ids.iter().copied());
             (*id, Some(detector))
@@ -39,7 +39,7 @@
         Group {
             rng: fastrand::Rng::with_seed(seed),
             now: 0.0,
-            detectors: ids.iter().map(detector).collect(),
+            detectors: ids.iter().map(start_detector).collect(),
             suspended: Vec::new(),
             cut_links: Vec::new(),
             loss_ratio: 0.0,
@@ -53,20 +53,21 @@
     }
 
     fn run(&mut self, duration: Ms) {
-        let until = self.now + duration;
-        while self.now < until {
+        let end = self.now + duration;
+        while self.now < end {
             self.now += 1.0;
             let now = self.now;
             let is_running = |group: &Group, id: &MemberId| !group.suspended.contains(id);
-            let due: Vec<_> = self.in_flight.extract_if(.., |(at, ..)| *at <= now).collect();
-            for (_, from, to, message) in due {
-                if !is_running(self, &to) {
+            let arrived: Vec<_> = self.in_flight.extract_if(.., |(arrival, ..)| *arrival <= now).collect();
+            for (_, sender, receiver, message) in arrived {
+                if !is_running(self, &receiver) {
                     // A suspended process finds the message in its socket later.
-                    self.in_flight.push((now + 1.0, from, to, message));
+                    self.in_flight.push((now + 1.0, sender, receiver, message));
                     continue;
                 }
-                if let Some(Some(detector)) = self.detectors.get_mut(&to) {
-                    detector.handle_message(now, now + f64::from(to.0), from, message);
+                if let Some(Some(detector)) = self.detectors.get_mut(&receiver) {
+                    // The wall clock of each member is ahead by its id, in milliseconds.
+                    detector.handle_message(now, now + f64::from(receiver.0), sender, message);
                 }
             }
             let ids: Vec<MemberId> =
@@ -79,9 +80,9 @@
                 let dead =
                     detector.take_health_changes().into_iter().filter(|(_, health)| *health == Health::Dead);
                 self.deaths.extend(dead.map(|(member, _)| (id, member)));
-                for (to, message) in detector.take_messages() {
-                    if !self.cut_links.contains(&(id, to)) && self.rng.f64() >= self.loss_ratio {
-                        self.in_flight.push((now + 0.5 + self.rng.f64() * 5.0, id, to, message));
+                for (receiver, message) in detector.take_messages() {
+                    if !self.cut_links.contains(&(id, receiver)) && self.rng.f64() >= self.loss_ratio {
+                        self.in_flight.push((now + 0.5 + self.rng.f64() * 5.0, id, receiver, message));
                     }
                 }
             }
@@ -104,7 +105,11 @@
         group.detectors.insert(MemberId(2), None);
         group.run(9_000.0);
         assert!(group.healths(2).iter().all(|health| *health == Health::Dead), "seed {seed}");
-        assert!(group.deaths.iter().all(|(_, member)| member.0 == 2), "seed {seed}: {:?}", group.deaths);
+        assert!(
+            group.deaths.iter().all(|(_, member)| member.0 == 2),
+            "seed {seed}: declared dead: {:?}",
+            group.deaths
+        );
     }
 }
 
@@ -114,7 +119,7 @@
         let mut group = Group::new(seed, 5);
         group.loss_ratio = 0.1;
         group.run(60_000.0);
-        assert!(group.deaths.is_empty(), "seed {seed}: {:?}", group.deaths);
+        assert!(group.deaths.is_empty(), "seed {seed}: declared dead: {:?}", group.deaths);
     }
 }
 
@@ -129,7 +134,7 @@
         assert_eq!(group.detector(1).health(MemberId(3)), Health::Alive);
         assert_eq!(group.detector(1).reach(group.now, MemberId(3)), Reach::Indirect);
         assert_eq!(group.detector(2).reach(group.now, MemberId(3)), Reach::Direct);
-        assert!(group.deaths.is_empty(), "{:?}", group.deaths);
+        assert!(group.deaths.is_empty(), "declared dead: {:?}", group.deaths);
     }
 }
 
@@ -147,21 +152,21 @@
     group.run(20.0);
     assert!(group.detector(4).local_health() > 0);
     group.run(10_000.0);
-    assert!(group.deaths.iter().all(|(reporter, _)| reporter.0 != 4), "{:?}", group.deaths);
+    assert!(group.deaths.iter().all(|(reporter, _)| reporter.0 != 4), "declared dead: {:?}", group.deaths);
     assert!(
         group.healths(4).iter().all(|health| *health == Health::Alive),
-        "it refutes its death with a higher incarnation"
+        "the resumed member refutes its death with a higher incarnation"
     );
-    assert_eq!(group.detector(4).local_health(), 0, "its local health is good again");
+    assert_eq!(group.detector(4).local_health(), 0, "the local health of member 4 is good again");
 }
 
 #[test]
 fn a_partition_and_its_end_are_detected() {
     let mut group = Group::new(8, 5);
     group.run(1_000.0);
-    for a in 1..=2 {
-        for b in 3..=5 {
-            group.cut_links.extend([(MemberId(a), MemberId(b)), (MemberId(b), MemberId(a))]);
+    for minority in (1..=2).map(MemberId) {
+        for majority in (3..=5).map(MemberId) {
+            group.cut_links.extend([(minority, majority), (majority, minority)]);
         }
     }
     group.run(20_000.0);
@@ -172,9 +177,10 @@
     let clocks = group.detector(5).clocks(group.now, group.now + 5.0);
     assert_eq!(clocks.len(), 5);
     let median_offset = median_clock(clocks).unwrap() - group.now;
-    // A member whose own clock jumps still sees the other clocks where they were.
+    // A member whose own clock jumps by an hour still sees the other clocks where they were.
     let after_jump = group.detector(5).clocks(group.now, group.now + 3_600_000.0);
     assert!(median_clock(after_jump).unwrap() - group.now < 20.0);
+    // The clocks of the members 1 to 5 are 1 to 5 ms ahead, so their median is 3 ms ahead.
     assert!(
         (median_offset - 3.0).abs() < 6.0,
         "clocks are known to within a message's delay: {median_offset}"
--- a/crates/consensus/tests/histories.rs
+++ b/crates/consensus/tests/histories.rs
@@ -25,7 +25,7 @@
         message: Message,
     },
     Tick(MemberId),
-    /// This many of the records that this process has written are durable.
+    /// A member, the generation of its process, and how many of the records that this process has written are durable.
     Synced(MemberId, u64, u64),
     Start(MemberId),
     /// A suspended process continues.
@@ -77,8 +77,10 @@
 struct Simulation {
     rng: fastrand::Rng,
     now: Ms,
+    /// The time of each event, in microseconds, and its number in `events`; the earliest event comes first.
     queue: BinaryHeap<(Reverse<u64>, Reverse<u64>)>,
     events: BTreeMap<u64, Event>,
+    /// The number of the event that was scheduled last.
     last_event: u64,
     processes: BTreeMap<MemberId, Process>,
     configured_members: Members,
@@ -87,6 +89,7 @@
     loss_ratio: f64,
     slow_sync_ratio: f64,
     leaders: BTreeMap<Term, MemberId>,
+    /// The entry at each index, as the first member applied it.
     committed: BTreeMap<Index, (Term, Payload)>,
     /// The highest commit index seen at a member that held a lease.
     acknowledged: Index,
@@ -97,10 +100,10 @@
 impl Simulation {
     fn new(seed: u64, member_count: u16) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let member = |id| (MemberId(id), Member { address: format!("m{id}"), role: MemberRole::Voter });
-        let configured_members: Members = (1..=member_count).map(member).collect();
-        let mut process = || Process::new(1.0 + (rng.f64() - 0.5) * CONFIG.max_clock_drift_ratio);
-        let processes = configured_members.keys().map(|id| (*id, process())).collect();
+        let voter = |id| (MemberId(id), Member { address: format!("m{id}"), role: MemberRole::Voter });
+        let configured_members: Members = (1..=member_count).map(voter).collect();
+        let mut new_process = || Process::new(1.0 + (rng.f64() - 0.5) * CONFIG.max_clock_drift_ratio);
+        let processes = configured_members.keys().map(|id| (*id, new_process())).collect();
         let mut simulation = Simulation {
             rng,
             now: 0.0,
@@ -142,14 +145,15 @@
             return;
         }
         let bytes: Vec<Vec<u8>> = process.disk.synced.iter().map(Record::encode).collect();
-        let stored = StoredState::replay(bytes.iter().map(Vec::as_slice)).unwrap();
+        let stored_state = StoredState::replay(bytes.iter().map(Vec::as_slice)).unwrap();
         (process.generation, process.records_written, process.suspended) = (process.generation + 1, 0, false);
         (process.log, process.snapshot) = (BTreeMap::new(), None);
         process.inbox.clear();
-        process.node = Some(RaftNode::start(id, CONFIG, configured_members, seed, now, stored));
+        process.node = Some(RaftNode::start(id, CONFIG, configured_members, seed, now, stored_state));
         self.settle(id);
     }
 
+    /// Ends a process and schedules its next start. Of its unsynced records the first ones survive, a random number.
     fn crash(&mut self, id: MemberId) {
         let kept_ratio = self.rng.f64();
         let process = self.processes.get_mut(&id).unwrap();
@@ -174,9 +178,9 @@
         let process = self.processes.get_mut(&id).unwrap();
         process.records_written += actions.records.len() as u64;
         let records_written = process.records_written;
-        let wrote = !actions.records.is_empty();
+        let has_written = !actions.records.is_empty();
         process.disk.unsynced.extend(actions.records);
-        if wrote {
+        if has_written {
             self.schedule(sync_time, Event::Synced(id, generation, records_written));
         }
         for (to, message) in actions.messages {
@@ -198,8 +202,8 @@
         }
         for event in actions.events {
             if let RaftEvent::BecameLeader(term) = event {
-                let other = self.leaders.insert(term, id);
-                assert!(other.is_none() || other == Some(id), "two leaders in {term}");
+                let previous = self.leaders.insert(term, id);
+                assert!(previous.is_none() || previous == Some(id), "two leaders in {term}");
             }
         }
         self.check_leases(id, now);
@@ -216,11 +220,12 @@
                 process.snapshot = Some(snapshot);
             }
             Committed::Entry(entry) => {
-                let known = self.committed.entry(entry.index).or_insert((entry.term, entry.payload.clone()));
+                let first_applied =
+                    self.committed.entry(entry.index).or_insert((entry.term, entry.payload.clone()));
                 assert_eq!(
-                    *known,
+                    *first_applied,
                     (entry.term, entry.payload.clone()),
-                    "different entries committed at {:?}",
+                    "members committed different entries at {:?}",
                     entry.index
                 );
                 process.log.insert(entry.index, entry);
@@ -228,8 +233,8 @@
         }
     }
 
-    /// A member that holds a lease is the only one that does, and knows all that was ever acknowledged as committed, so
-    /// that its reads are linearizable.
+    /// Checks that a member with a lease is the only one with a lease, and has all entries that were ever acknowledged
+    /// as committed, so that its reads are linearizable.
     fn check_leases(&mut self, id: MemberId, now: Ms) {
         let Some(node) = &self.processes[&id].node else { return };
         if node.lease(now).is_some() {
@@ -245,8 +250,8 @@
     }
 
     fn step(&mut self) -> bool {
-        let Some((Reverse(at), Reverse(event_number))) = self.queue.pop() else { return false };
-        self.now = self.now.max(at as f64 / 1000.0);
+        let Some((Reverse(time_us), Reverse(event_number))) = self.queue.pop() else { return false };
+        self.now = self.now.max(time_us as f64 / 1000.0);
         match self.events.remove(&event_number).unwrap() {
             Event::Start(id) => self.start(id),
             Event::Resume(id) => {
@@ -311,10 +316,10 @@
     }
 
     fn run(&mut self, duration: Ms) {
-        let until = self.now + duration;
-        while self.queue.peek().is_some_and(|(Reverse(at), _)| (*at as f64) < until * 1000.0) && self.step() {
-        }
-        self.now = until;
+        let end = self.now + duration;
+        let is_due = |time_us: u64| (time_us as f64) < end * 1000.0;
+        while self.queue.peek().is_some_and(|(Reverse(time_us), _)| is_due(*time_us)) && self.step() {}
+        self.now = end;
     }
 
     /// The running leader with the highest term.
@@ -374,10 +379,10 @@
                 let side: Vec<MemberId> =
                     self.processes.keys().copied().filter(|_| self.rng.bool()).collect();
                 let both_ways = self.rng.bool();
-                for a in self.processes.keys() {
-                    for b in side.iter().filter(|_| !side.contains(a)) {
-                        self.cut_links.push((*a, *b));
-                        self.cut_links.extend(both_ways.then_some((*b, *a)));
+                for outside in self.processes.keys() {
+                    for inside in side.iter().filter(|_| !side.contains(outside)) {
+                        self.cut_links.push((*outside, *inside));
+                        self.cut_links.extend(both_ways.then_some((*inside, *outside)));
                     }
                 }
             }
@@ -450,11 +455,15 @@
         simulation.run(2500.0);
         simulation.heal();
         simulation.run(2000.0);
-        let before = simulation.acknowledged;
+        let acknowledged_before = simulation.acknowledged;
         simulation.propose();
         simulation.run(500.0);
         assert!(simulation.all_ready(), "all members have recovered");
-        assert!(simulation.acknowledged > before, "the group commits again: {:?}", simulation.leader());
+        assert!(
+            simulation.acknowledged > acknowledged_before,
+            "the group commits again; its leader: {:?}",
+            simulation.leader()
+        );
         assert!(simulation.lease_count > 0);
     });
 }
@@ -494,10 +503,10 @@
         }
         simulation.heal();
         simulation.run(3000.0);
-        let before = simulation.acknowledged;
+        let acknowledged_before = simulation.acknowledged;
         simulation.propose();
         simulation.run(1000.0);
-        assert!(simulation.acknowledged > before, "the group commits again");
+        assert!(simulation.acknowledged > acknowledged_before, "the group commits again");
     });
 }
 
@@ -507,7 +516,7 @@
     let mut simulation = Simulation::new(11, 3);
     simulation.run(1500.0);
     let leader = simulation.leader().unwrap();
-    // It is cut off in both directions, so it has to notice by itself.
+    // The leader is cut off in both directions, so it has to notice by itself that it has no quorum.
     for other in simulation.processes.keys().copied().collect::<Vec<_>>() {
         simulation.cut_links.extend([(leader, other), (other, leader)]);
     }
@@ -530,7 +539,7 @@
         simulation.run(3000.0);
         assert!(
             simulation.all_ready(),
-            "{:?}",
+            "some member is not ready: {:?}",
             simulation
                 .processes
                 .values()
@@ -570,7 +579,7 @@
             let recovery = simulation.processes[&MemberId(2)].node.as_ref().unwrap().recovery_state();
             recovered |= matches!(recovery, RecoveryState::Recovering { .. });
         }
-        assert!(recovered, "the others know of a later run");
+        assert!(recovered, "the other members know of a later run than the old store, so member 2 recovers");
         simulation.run(1000.0);
         assert!(simulation.all_ready());
     });
@@ -581,13 +590,13 @@
     for_each_seed(3_000_000, |seed| {
         let mut simulation = Simulation::new(seed, 3);
         simulation.run(1500.0);
-        let (added, removed) = (MemberId(4), simulation.random_member());
-        simulation.processes.insert(added, Process::new(1.0));
-        simulation.start(added);
+        let (added_id, removed_id) = (MemberId(4), simulation.random_member());
+        simulation.processes.insert(added_id, Process::new(1.0));
+        simulation.start(added_id);
         let changes = [
-            MembershipChange::Add(added, "m4".into()),
-            MembershipChange::Promote(added),
-            MembershipChange::Remove(removed),
+            MembershipChange::Add(added_id, "m4".into()),
+            MembershipChange::Promote(added_id),
+            MembershipChange::Remove(removed_id),
         ];
         for change in changes {
             let mut attempts = 0;
@@ -600,11 +609,11 @@
                     let node = simulation.processes.get_mut(&leader).unwrap().node.as_mut().unwrap();
                     let result = node.change_members(now, &change);
                     if result.is_ok() {
-                        let second = node.change_members(now, &MembershipChange::Remove(MemberId(1)));
+                        let second_result = node.change_members(now, &MembershipChange::Remove(MemberId(1)));
                         assert_eq!(
-                            second,
+                            second_result,
                             Err(ProposeError::MembershipChangeInProgress),
-                            "one change at a time"
+                            "only one change at a time is accepted"
                         );
                         simulation.settle(leader);
                         break;
@@ -619,14 +628,17 @@
             simulation.run(400.0);
         }
         simulation.run(3000.0);
-        let before = simulation.acknowledged;
+        let acknowledged_before = simulation.acknowledged;
         simulation.propose();
         simulation.run(400.0);
-        assert!(simulation.acknowledged > before);
+        assert!(simulation.acknowledged > acknowledged_before);
         let leader = simulation.leader().expect("a leader of the three remaining members");
         let members: Vec<MemberId> =
             simulation.processes[&leader].node.as_ref().unwrap().members().keys().copied().collect();
-        assert!(!members.contains(&removed) && members.contains(&added) && members.len() == 3, "{members:?}");
+        assert!(
+            !members.contains(&removed_id) && members.contains(&added_id) && members.len() == 3,
+            "the members after all changes: {members:?}"
+        );
     });
 }
 
--- a/crates/fleet/src/channels.rs
+++ b/crates/fleet/src/channels.rs
@@ -14,13 +14,16 @@
 
 /// Messages from one peer that may wait. Its connection is not read while the inbox is full.
 pub const INBOX_CAPACITY: usize = 512;
-/// Messages to one peer that may wait. Beyond it the oldest are dropped.
+/// Messages to one peer that may wait. If there are more, the oldest are dropped.
 pub const OUTBOX_CAPACITY: usize = 256;
 /// Messages of one peer that are handled in one pass, so that a flood from it does not starve the others.
 pub const MAX_MESSAGES_PER_PASS: usize = 64;
 /// Effects that may wait to be sent.
 pub const EFFECT_QUEUE_CAPACITY: usize = 1024;
 
+/// The slot of evidence; no consensus or membership message has this slot.
+const EVIDENCE_SLOT: u8 = 32;
+
 /// A message from one manager to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
@@ -36,7 +39,7 @@
         match self {
             PeerMessage::Consensus(message) => message.slot(),
             PeerMessage::Membership(message) => message.slot(),
-            PeerMessage::Evidence(_) => Some(32),
+            PeerMessage::Evidence(_) => Some(EVIDENCE_SLOT),
         }
     }
 }
@@ -52,7 +55,8 @@
     run: Run,
     /// The peer's latest connection; messages of earlier ones are dropped.
     connection: ConnectionNumber,
-    lost: u64,
+    /// Messages that were dropped because the outbox was full.
+    lost_count: u64,
 }
 
 /// The queues of one peer.
@@ -62,7 +66,7 @@
     pub outbox_filled: Notify,
     /// The inbox has room again.
     pub inbox_drained: Notify,
-    /// The latest connection, for the tasks of earlier ones.
+    /// The number of the latest connection. It tells the tasks of earlier connections that they were replaced.
     latest_connection: watch::Sender<ConnectionNumber>,
 }
 
@@ -83,7 +87,7 @@
             state.outbox.remove(superseded);
         } else if state.outbox.len() >= OUTBOX_CAPACITY {
             state.outbox.pop_front();
-            state.lost += 1;
+            state.lost_count += 1;
         }
         state.outbox.push_back(message);
         drop(state);
@@ -137,7 +141,7 @@
 
     /// Messages that were dropped because the outbox was full.
     pub fn messages_lost(&self) -> u64 {
-        self.state.lock().lost
+        self.state.lock().lost_count
     }
 }
 
@@ -171,7 +175,7 @@
     evidence: Mutex<Option<Evidence>>,
 }
 
-/// What was requested of the fleet thread when it woke up.
+/// The requests that the fleet thread finds when it wakes up.
 pub struct Wakeup {
     pub leave: bool,
     pub stop: bool,
@@ -210,8 +214,8 @@
     pub fn take_received(&self) -> (Vec<(MemberId, Vec<PeerMessage>)>, bool) {
         let received: Vec<(MemberId, Vec<PeerMessage>)> =
             self.all_peers().iter().map(|(id, queues)| (*id, queues.take_received())).collect();
-        let more = received.iter().any(|(_, messages)| messages.len() == MAX_MESSAGES_PER_PASS);
-        (received, more)
+        let more_may_wait = received.iter().any(|(_, messages)| messages.len() == MAX_MESSAGES_PER_PASS);
+        (received, more_may_wait)
     }
 
     pub fn messages_lost(&self) -> u64 {
@@ -237,7 +241,8 @@
         Wakeup { leave: state.leave_requested && !state.left, stop: state.stopped }
     }
 
-    /// Asks the fleet thread to leave the fleet and waits for it. Returns whether it left before the timeout.
+    /// Asks the fleet thread to leave the fleet and waits until it has left. Returns whether it left before the
+    /// timeout.
     pub fn leave(&self, timeout: Duration) -> bool {
         let mut state = self.wake_state.lock();
         (state.leave_requested, state.woken) = (true, true);
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -33,6 +33,7 @@
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let channels = channels.clone();
         tokio::spawn(async move {
+            // The time limit is given in milliseconds. One below 1 ms counts as 1 ms.
             let time_limit = Duration::from_secs_f64(time_limit.max(1.0) / 1000.0);
             let outcome = send_effect(&occurrence, fence, tries, &action, time_limit).await;
             tracing::info!(
@@ -80,8 +81,8 @@
     // The configured path is not valid in a request: only the operator can correct it.
     let Ok(request) = request else { return TryOutcome::Failed };
     _ = Point::EFFECT_SEND.pass();
-    let remaining = time_limit.saturating_sub(started_at.elapsed());
-    let response = timeout(remaining, sender.send_request(request)).await;
+    let remaining_time = time_limit.saturating_sub(started_at.elapsed());
+    let response = timeout(remaining_time, sender.send_request(request)).await;
     if Point::EFFECT_SENT.pass().is_some() {
         return TryOutcome::Unanswered;
     }
--- a/crates/fleet/src/fleet_thread.rs
+++ b/crates/fleet/src/fleet_thread.rs
@@ -74,8 +74,8 @@
             (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
         let voters: Members = config.members.iter().map(voter).collect();
-        // The configured seed alone would repeat at the next start: the random store id that tells a store from a lost
-        // one is drawn from this seed.
+        // The configured seed alone would repeat at the next start: the random store id, which tells a new
+        // store from the lost one that it replaces, is drawn from this seed.
         let seed = config.seed ^ fastrand::u64(..);
         let raft = RaftNode::start(config.member_id, config.raft, voters, seed, 0.0, stored_state);
         let run = raft.run();
@@ -195,7 +195,7 @@
 
     /// Handles received messages, completed effects and evidence of the planner.
     fn handle_input(&mut self, now: Ms) {
-        let (received, more) = self.channels.take_received();
+        let (received, more_may_wait) = self.channels.take_received();
         let unix_time = FleetThread::unix_time();
         for (sender, messages) in received {
             for message in messages {
@@ -215,7 +215,7 @@
         if let Some(evidence) = self.channels.take_evidence() {
             self.send_evidence(now, evidence);
         }
-        if more {
+        if more_may_wait {
             self.channels.wake();
         }
     }
@@ -289,7 +289,8 @@
             juniperrail_consensus::Committed::Snapshot(snapshot) => {
                 match ReplicatedState::decode(&snapshot) {
                     Some(state) => {
-                        // Without a leader the snapshot is from this manager's own store, and its plan may be outdated.
+                        // Without a leader the snapshot is from this manager's own store, and the plan in it may be
+                        // outdated.
                         if self.raft.leader().is_some() && state.plan != self.replicated.plan {
                             self.active_plan.activate(self.now(), &state.plan);
                         }
@@ -392,11 +393,11 @@
         }
         drop(peer_table);
         let now = self.now();
-        let probed: Vec<MemberId> = self.raft.members().keys().copied().collect();
-        self.failure_detector.set_members(now, probed.into_iter());
+        let probed_members: Vec<MemberId> = self.raft.members().keys().copied().collect();
+        self.failure_detector.set_members(now, probed_members.into_iter());
     }
 
-    /// Replaces the log by a snapshot of the replicated state once it is long enough.
+    /// Replaces the log by a snapshot of the replicated state once the log is long enough.
     fn compact(&mut self) {
         if self.raft.log().len() <= self.config.max_log_entries
             || !self.unwritten.is_empty()
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -86,19 +86,19 @@
     }
 }
 
-/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` on a stop request or
-/// if the store is damaged, because what it held cannot be restored from it: this manager then plans without the other
-/// managers, as it does without a quorum.
+/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` on a stop request.
+/// Returns `None` also if the store is damaged or not readable by this version, because its contents cannot be restored
+/// from it: this manager then plans without the other managers, as it does without a quorum.
 fn open_store(
     config: &FleetConfig,
     channels: &Channels,
 ) -> Option<(Store<DiskWithFaultPoints>, StoredState)> {
     let path = config.store_path.display();
     let retry_interval = Duration::from_secs_f64(config.raft.election_timeout_ms / 1000.0);
-    let mut logged = false;
+    let mut failure_logged = false;
     let Opened { store, recovered } = loop {
-        let opened = DiskWithFaultPoints::open(&config.store_path).map_err(OpenError::Io);
-        let error = match opened.and_then(|disk| Store::open(disk, config.store_limits)) {
+        let disk_result = DiskWithFaultPoints::open(&config.store_path).map_err(OpenError::Io);
+        let error = match disk_result.and_then(|disk| Store::open(disk, config.store_limits)) {
             Ok(opened) => break opened,
             // The disk may recover, and the other process may end.
             Err(error @ (OpenError::Io(_) | OpenError::Locked)) => error,
@@ -107,7 +107,7 @@
                 return None;
             }
         };
-        if !std::mem::replace(&mut logged, true) {
+        if !std::mem::replace(&mut failure_logged, true) {
             tracing::error!("fleet: {path}: {error}; retrying");
         }
         let retry_at = Instant::now() + retry_interval;
@@ -133,6 +133,7 @@
     }
 }
 
+/// Opens the store, and runs the fleet thread and the links until the channels are stopped.
 fn serve(
     config: &FleetConfig,
     listener: &TcpListener,
@@ -215,7 +216,7 @@
         self.status.lock().clone()
     }
 
-    /// Reports evidence to the leader. It replaces evidence that was not sent yet.
+    /// Reports evidence to the leader. The new evidence replaces evidence that was not sent yet.
     pub fn report_evidence(&self, evidence: Evidence) {
         self.channels.report_evidence(evidence);
     }
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -30,8 +30,8 @@
 /// The handshake, the first message on a link.
 #[derive(Serialize, Deserialize)]
 struct Handshake {
-    from: MemberId,
-    to: MemberId,
+    sender: MemberId,
+    receiver: MemberId,
     fleet: String,
     run: Run,
 }
@@ -48,7 +48,7 @@
     channels: Arc<Channels>,
     peer_table: PeerTable,
     /// The time limit of a connect and of a handshake. A write may take four times as long; the reconnect backoff is
-    /// derived from it.
+    /// derived from this limit.
     io_timeout: Duration,
     seed: u64,
 }
@@ -100,8 +100,8 @@
             for (id, address) in peer_table.iter().filter(|(id, _)| **id != self.member_id) {
                 if !tasks.contains_key(id) {
                     let handshake = Handshake {
-                        from: self.member_id,
-                        to: *id,
+                        sender: self.member_id,
+                        receiver: *id,
                         fleet: self.fleet_name.clone(),
                         run: self.run,
                     };
@@ -129,7 +129,7 @@
             Ok(listener) => listener,
             Err(error) => return tracing::error!("fleet: cannot accept links from other managers: {error}"),
         };
-        let open_count = Arc::new(AtomicUsize::new(0));
+        let connection_count = Arc::new(AtomicUsize::new(0));
         loop {
             let Ok((socket, _)) = listener.accept().await else {
                 // Out of file descriptors, or the peer has already closed the connection.
@@ -137,21 +137,23 @@
                 continue;
             };
             let max_connections = 2 * self.peer_table.lock().len() + MAX_UNIDENTIFIED_CONNECTIONS;
-            if Point::LINK_ACCEPT.pass().is_some() || open_count.load(Ordering::Relaxed) >= max_connections {
+            if Point::LINK_ACCEPT.pass().is_some()
+                || connection_count.load(Ordering::Relaxed) >= max_connections
+            {
                 continue;
             }
-            open_count.fetch_add(1, Ordering::Relaxed);
-            let (channels, open_count, peer_table) =
-                (self.channels.clone(), open_count.clone(), self.peer_table.clone());
+            connection_count.fetch_add(1, Ordering::Relaxed);
+            let (channels, connection_count, peer_table) =
+                (self.channels.clone(), connection_count.clone(), self.peer_table.clone());
             let (member_id, fleet_name, io_timeout) =
                 (self.member_id, self.fleet_name.clone(), self.io_timeout);
             tokio::spawn(async move {
-                let received =
+                let receive_until_closed =
                     receive_messages(socket, member_id, &fleet_name, &channels, &peer_table, io_timeout);
-                if let Err(error) = received.await {
+                if let Err(error) = receive_until_closed.await {
                     tracing::debug!("fleet: a link from another manager was closed: {error}");
                 }
-                open_count.fetch_sub(1, Ordering::Relaxed);
+                connection_count.fetch_sub(1, Ordering::Relaxed);
             });
         }
     }
@@ -166,29 +168,29 @@
     peer_table: &PeerTable,
     io_timeout: Duration,
 ) -> io::Result<()> {
-    let rejected = |reason: String| io::Error::new(io::ErrorKind::InvalidData, reason);
+    let rejection = |reason: String| io::Error::new(io::ErrorKind::InvalidData, reason);
     let handshake: Handshake = timeout(io_timeout, read(&mut socket, MAX_HANDSHAKE_BYTES)).await??;
-    if handshake.to != member_id || handshake.fleet != fleet_name || handshake.from == member_id {
-        return Err(rejected(format!(
+    if handshake.receiver != member_id || handshake.fleet != fleet_name || handshake.sender == member_id {
+        return Err(rejection(format!(
             "handshake from {} of fleet {:?} to {}: wrong fleet or member",
-            handshake.from, handshake.fleet, handshake.to
+            handshake.sender, handshake.fleet, handshake.receiver
         )));
     }
-    if !peer_table.lock().contains_key(&handshake.from) {
-        return Err(rejected(format!(
+    if !peer_table.lock().contains_key(&handshake.sender) {
+        return Err(rejection(format!(
             "{} is neither in the operator's file nor in the replicated membership",
-            handshake.from
+            handshake.sender
         )));
     }
-    let peer = channels.peer(handshake.from);
-    let connection = peer
-        .register_connection(handshake.run)
-        .ok_or_else(|| rejected(format!("{} has restarted since it sent this handshake", handshake.from)))?;
+    let peer = channels.peer(handshake.sender);
+    let connection = peer.register_connection(handshake.run).ok_or_else(|| {
+        rejection(format!("{} has restarted since it sent this handshake", handshake.sender))
+    })?;
     loop {
         let message: PeerMessage = tokio::select! {
             biased;
             () = peer.wait_until_replaced(connection) => {
-                return Err(rejected("replaced by a newer connection".into()))
+                return Err(rejection("replaced by a newer connection".into()))
             }
             message = read(&mut socket, MAX_MESSAGE_BYTES) => message?,
         };
@@ -248,7 +250,8 @@
     /// Connects and sends messages; reconnects with backoff and jitter when the connection breaks.
     async fn run(self) {
         let mut rng = fastrand::Rng::with_seed(self.seed);
-        let mut backoff = self.io_timeout / 8;
+        let min_backoff = self.io_timeout / 8;
+        let mut backoff = min_backoff;
         loop {
             let started_at = tokio::time::Instant::now();
             if let Err(error) = self.send_messages().await {
@@ -256,7 +259,7 @@
             }
             // A connection that lasted resets the backoff; one that breaks at once doubles it.
             backoff = if started_at.elapsed() > self.io_timeout {
-                self.io_timeout / 8
+                min_backoff
             } else {
                 (backoff * 2).min(self.io_timeout * 4)
             };
--- a/crates/fleet/src/replicated_state.rs
+++ b/crates/fleet/src/replicated_state.rs
@@ -31,6 +31,7 @@
 pub struct ReplicatedState {
     pub ledger: Ledger,
     pub plan: Plan,
+    /// The version of the operator's file that the members match.
     pub generation: u64,
     /// The index of the last applied entry.
     pub last_applied: Index,
@@ -44,9 +45,9 @@
             LogCommand::Schedule(command) => self.ledger.apply(index, command),
             LogCommand::Plan(plan) => self.plan.adopt_if_newer(plan),
             LogCommand::Generation(generation) => {
-                let newer = *generation > self.generation;
+                let is_newer = *generation > self.generation;
                 self.generation = self.generation.max(*generation);
-                newer
+                is_newer
             }
         }
     }
--- a/crates/fleet/src/shards.rs
+++ b/crates/fleet/src/shards.rs
@@ -47,11 +47,11 @@
         let mut used_shards = 0;
         shards.for_each(|keys| used_shards += usize::from(!keys.is_empty()));
         assert_eq!(used_shards, 4, "the keys are spread over all shards");
-        let lost = shards.with(7, |keys| keys.len()).unwrap();
+        let lost_count = shards.with(7, |keys| keys.len()).unwrap();
         assert_eq!(shards.with(7, |_| panic!("out of range")), None);
         let mut remaining = 0;
         shards.for_each(|keys| remaining += keys.len());
-        assert_eq!(remaining, 64 - lost);
+        assert_eq!(remaining, 64 - lost_count);
         assert_eq!(shards.with(7, |keys| keys.len()), Some(0), "the shard is usable and empty");
     }
 
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -28,17 +28,20 @@
 fn stored(file: &str) -> Vec<(String, String)> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/formats").join(file);
     let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-    let pair = |line: &str| line.split_once(' ').map(|(name, bytes)| (name.to_string(), bytes.to_string()));
+    let split_line =
+        |line: &str| line.split_once(' ').map(|(name, bytes)| (name.to_string(), bytes.to_string()));
     text.lines()
-        .map(|line| pair(line).unwrap_or_else(|| panic!("{file}: no name and bytes: {line}")))
+        .map(|line| split_line(line).unwrap_or_else(|| panic!("{file}: no name and bytes: {line}")))
         .collect()
 }
 
 fn decoded<T: DeserializeOwned>(digits: &str) -> T {
-    let bytes: Vec<u8> =
-        (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect();
+    let bytes: Vec<u8> = (0..digits.len())
+        .step_by(2)
+        .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
+        .collect();
     let (value, rest) = postcard::take_from_bytes(&bytes).unwrap();
-    assert!(rest.is_empty(), "{} bytes were not read", rest.len());
+    assert!(rest.is_empty(), "{} bytes after the value were not read", rest.len());
     value
 }
 
@@ -75,14 +78,14 @@
 
 #[test]
 fn consensus_records_of_the_store() {
-    let born = BTreeMap::from([(MemberId(1), 11), (MemberId(2), 1 << 40)]);
+    let bootstrap_stores = BTreeMap::from([(MemberId(1), 11), (MemberId(2), 1 << 40)]);
     check(
         "consensus-records.txt",
         &[
             ("birth", Record::StoreId(0x0123_4567_89ab_cdef)),
             ("run", Record::Run(Run(42))),
             ("peer", Record::PeerRun(MemberId(2), Run(5), 99)),
-            ("bootstrap", Record::Bootstrapped(snapshot(), born)),
+            ("bootstrap", Record::Bootstrapped(snapshot(), bootstrap_stores)),
             ("store-lost", Record::RecoveryStarted),
             ("store-caught-up", Record::RecoveryFinished),
             ("term-with-vote", Record::TermAndVote(Term(8), Some(MemberId(2)))),
@@ -232,27 +235,31 @@
 }
 
 fn schedule_commands() -> Vec<(&'static str, Command)> {
-    let occurrence = || occurrence(1_700_000_060_000);
-    let skipped = |reason| Command::Skip { occurrence: occurrence(), reason, count: 300 };
-    let claim =
-        |overlap| Command::Claim { occurrence: occurrence(), owner: MemberId(2), action: action(), overlap };
-    let finished =
-        |outcome| Command::FinishTry { occurrence: occurrence(), fence: Index(130), outcome, at: 77.5 };
+    let due_occurrence = || occurrence(1_700_000_060_000);
+    let skip_because = |reason| Command::Skip { occurrence: due_occurrence(), reason, count: 300 };
+    let claim_with = |overlap| Command::Claim {
+        occurrence: due_occurrence(),
+        owner: MemberId(2),
+        action: action(),
+        overlap,
+    };
+    let finish_with =
+        |outcome| Command::FinishTry { occurrence: due_occurrence(), fence: Index(130), outcome, at: 77.5 };
     vec![
         ("opened", Command::AddSchedule { schedule: "nightly".into(), decided_through_ms: -5 }),
-        ("skipped-missed", skipped(SkipReason::Missed)),
-        ("skipped-quiet", skipped(SkipReason::Quiet)),
-        ("skipped-overlap", skipped(SkipReason::Overlap)),
-        ("claim-skip", claim(OverlapPolicy::Skip)),
-        ("claim-queue", claim(OverlapPolicy::Queue)),
-        ("claim-replace", claim(OverlapPolicy::Replace)),
-        ("begun", Command::Start { occurrence: occurrence(), fence: Index(130), run: Run(4) }),
-        ("try-succeeded", finished(TryOutcome::Succeeded)),
-        ("try-failed", finished(TryOutcome::Failed)),
-        ("try-unsent", finished(TryOutcome::Unsent)),
-        ("try-unanswered", finished(TryOutcome::Unanswered)),
-        ("try-overtaken", finished(TryOutcome::Overtaken)),
-        ("lapsed", Command::ExpireClaim { occurrence: occurrence(), fence: Index(130), at: 78.5 }),
+        ("skipped-missed", skip_because(SkipReason::Missed)),
+        ("skipped-quiet", skip_because(SkipReason::Quiet)),
+        ("skipped-overlap", skip_because(SkipReason::Overlap)),
+        ("claim-skip", claim_with(OverlapPolicy::Skip)),
+        ("claim-queue", claim_with(OverlapPolicy::Queue)),
+        ("claim-replace", claim_with(OverlapPolicy::Replace)),
+        ("begun", Command::Start { occurrence: due_occurrence(), fence: Index(130), run: Run(4) }),
+        ("try-succeeded", finish_with(TryOutcome::Succeeded)),
+        ("try-failed", finish_with(TryOutcome::Failed)),
+        ("try-unsent", finish_with(TryOutcome::Unsent)),
+        ("try-unanswered", finish_with(TryOutcome::Unanswered)),
+        ("try-overtaken", finish_with(TryOutcome::Overtaken)),
+        ("lapsed", Command::ExpireClaim { occurrence: due_occurrence(), fence: Index(130), at: 78.5 }),
         ("closed", Command::RemoveSchedule { schedule: "nightly".into() }),
     ]
 }
@@ -272,16 +279,16 @@
 
 fn ledger() -> Ledger {
     let claim = Claim { owner: MemberId(2), fence: Index(130), started_by: Some(Run(4)) };
-    let open = OpenOccurrence { action: action(), tries: 1, claim: Some(claim), last_try_ended: 77.5 };
+    let claimed = OpenOccurrence { action: action(), tries: 1, claim: Some(claim), last_try_ended: 77.5 };
     let unclaimed = OpenOccurrence { action: action(), tries: 0, claim: None, last_try_ended: 0.0 };
-    let ends = [
+    let outcomes = [
         OccurrenceOutcome::Succeeded,
         OccurrenceOutcome::Failed,
         OccurrenceOutcome::GivenUp,
         OccurrenceOutcome::Unknown,
         OccurrenceOutcome::Replaced,
     ];
-    let ended = |(due_ms, outcome): (i64, OccurrenceOutcome)| EndedOccurrence {
+    let end_occurrence = |(due_ms, outcome): (i64, OccurrenceOutcome)| EndedOccurrence {
         due_ms,
         outcome,
         tries: 2,
@@ -290,15 +297,16 @@
     };
     let record = ScheduleRecord {
         decided_through_ms: 1_700_000_060_000,
-        open: BTreeMap::from([(1_700_000_060_000, open), (1_700_000_120_000, unclaimed)]),
-        ended: (10..).zip(ends).map(ended).collect::<VecDeque<EndedOccurrence>>(),
+        open: BTreeMap::from([(1_700_000_060_000, claimed), (1_700_000_120_000, unclaimed)]),
+        ended: (10..).zip(outcomes).map(end_occurrence).collect::<VecDeque<EndedOccurrence>>(),
         skipped: BTreeMap::from([(SkipReason::Missed, 1), (SkipReason::Quiet, 2), (SkipReason::Overlap, 3)]),
         ended_count: 5,
     };
     Ledger { schedules: BTreeMap::from([("nightly".to_string(), record)]) }
 }
 
-/// The fields of the state in a snapshot, in their order; what the fleet reads it as is private to that crate.
+/// The fields of the state in a snapshot, in their order. The type that the fleet itself decodes is
+/// private to its crate.
 #[test]
 fn state_of_a_snapshot() {
     check("snapshot-state.txt", &[("state", (ledger(), plan(), 12_u64, Index(131)))]);
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -19,8 +19,8 @@
 /// The handshake, the first message on a link, as managers encode it.
 #[derive(Serialize)]
 struct Handshake {
-    from: MemberId,
-    to: MemberId,
+    sender: MemberId,
+    receiver: MemberId,
     fleet: String,
     run: Run,
 }
@@ -81,11 +81,12 @@
     RunningMember { fleet: Some(FleetListener::new(config, listener).start().unwrap()), store, address }
 }
 
-/// Connects as member 2 in that run.
+/// Connects as member 2 and names `run` as its run.
 fn connect_as_member_2(address: SocketAddr, run: u64) -> TcpStream {
     let mut socket = TcpStream::connect(address).unwrap();
     socket.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
-    let handshake = Handshake { from: MemberId(2), to: MemberId(1), fleet: "exams".into(), run: Run(run) };
+    let handshake =
+        Handshake { sender: MemberId(2), receiver: MemberId(1), fleet: "exams".into(), run: Run(run) };
     socket.write_all(&framed(&handshake)).unwrap();
     socket
 }
@@ -109,6 +110,7 @@
         is_closed(&mut old),
         "the old connection is closed, because its messages are older than those of the new one"
     );
+    // The member sends nothing on this connection: a read that times out shows that it is still open.
     new.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
     assert!(!is_closed(&mut new));
 }
@@ -122,6 +124,7 @@
     if !is_closed(&mut old) {
         panic!("a connection of an earlier run was accepted");
     }
+    // The member sends nothing on this connection: a read that times out shows that it is still open.
     new.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
     assert!(!is_closed(&mut new));
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -15,8 +15,8 @@
     fn create(&self, name: &str) -> io::Result<()>;
     /// If this fails, some of the bytes may have been written.
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes all appended bytes of the file survive a power loss. After a failure the state of everything that was
-    /// appended since the last success is unknown.
+    /// Makes all appended bytes of the file survive a power loss. After a failure it is unknown which
+    /// of the bytes that were appended since the last successful sync survive.
     fn sync(&self, name: &str) -> io::Result<()>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
@@ -61,7 +61,8 @@
     path: PathBuf,
     /// Open handles of the files that are written to.
     open_files: Mutex<HashMap<String, Arc<File>>>,
-    lock: Mutex<Option<File>>,
+    /// The locked file, once [`Disk::lock`] has succeeded: closing it releases the lock.
+    lock_file: Mutex<Option<File>>,
 }
 
 const LOCK_FILE: &str = "LOCK";
@@ -71,14 +72,15 @@
     pub fn open(path: impl Into<PathBuf>) -> io::Result<DirectoryDisk> {
         let path = path.into();
         fs::create_dir_all(&path)?;
-        Ok(DirectoryDisk { path, open_files: Mutex::default(), lock: Mutex::default() })
+        Ok(DirectoryDisk { path, open_files: Mutex::default(), lock_file: Mutex::default() })
     }
 
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    fn file(&self, name: &str) -> io::Result<Arc<File>> {
+    /// The handle to append to a file; opens the file at its first use.
+    fn open_file(&self, name: &str) -> io::Result<Arc<File>> {
         let mut open_files = self.open_files.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some(file) = open_files.get(name) {
             return Ok(file.clone());
@@ -114,11 +116,11 @@
     }
 
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        (&*self.file(name)?).write_all(bytes)
+        (&*self.open_file(name)?).write_all(bytes)
     }
 
     fn sync(&self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_data()
+        self.open_file(name)?.sync_data()
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -146,7 +148,7 @@
             }
             Err(TryLockError::Error(error)) => return Err(error),
         }
-        *self.lock.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(file);
+        *self.lock_file.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(file);
         Ok(())
     }
 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,5 +1,5 @@
 //! The file formats of the store. All integers are little-endian. The manifest, every header and every frame have a
-//! checksum (CRC-32, IEEE).
+//! checksum (CRC-32, IEEE). In the table the number in brackets is a field's length in bytes, and N a file's number.
 //!
 //! | file | bytes |
 //! | --- | --- |
@@ -20,8 +20,11 @@
 
 pub const MANIFEST: &str = "MANIFEST";
 pub const MANIFEST_NEW: &str = "MANIFEST.new";
+/// The length of the header of a segment or snapshot.
 pub const HEADER_BYTES: usize = 26;
 pub const FRAME_HEADER_BYTES: usize = 24;
+/// The position of the checksum in the header of a frame, after the fields that it covers.
+const FRAME_CHECKSUM_OFFSET: usize = 20;
 /// Stands in place of the payload length in the frame that ends a snapshot.
 const END_OF_SNAPSHOT: u32 = u32::MAX;
 
@@ -57,6 +60,7 @@
 /// Names the files that make up the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Manifest {
+    /// Counts the replacements of the manifest.
     pub generation: u64,
     /// The number of the current snapshot; 0 if there is none.
     pub snapshot: u64,
@@ -151,6 +155,7 @@
     Ok((u64_at(bytes, 6), Seq(u64_at(bytes, 14))))
 }
 
+/// The checksum of a frame. It covers the number of the file, so that a frame of another file is invalid.
 fn checksum(header: &[u8], number: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(header);
@@ -170,12 +175,13 @@
     bytes
 }
 
+/// A frame in the file with this number. `durable` is the last sequence that is known to be durable.
 pub fn encode_frame(number: u64, seq: Seq, durable: Seq, payload: &[u8]) -> Vec<u8> {
     encode_frame_with_length(payload.len() as u32, number, seq, durable, payload)
 }
 
 /// The frame that ends a snapshot of `count` records.
-pub fn encode_end(number: u64, count: u64) -> Vec<u8> {
+pub fn encode_end_frame(number: u64, count: u64) -> Vec<u8> {
     encode_frame_with_length(END_OF_SNAPSHOT, number, Seq(count), Seq(0), &[])
 }
 
@@ -191,7 +197,7 @@
     pub length: usize,
 }
 
-/// The frame at the start of `bytes`, if it is complete and its checksum is right.
+/// The frame at the start of `bytes`, if it is complete and its checksum is right. `number` is the number of the file.
 pub fn decode_frame(number: u64, bytes: &[u8]) -> Option<Frame<'_>> {
     let header = bytes.get(..FRAME_HEADER_BYTES)?;
     let length = u32_at(header, 0);
@@ -202,7 +208,9 @@
             (length as usize, Some(bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length as usize)?))
         }
     };
-    if checksum(&header[..20], number, payload.unwrap_or_default()) != u32_at(header, 20) {
+    if checksum(&header[..FRAME_CHECKSUM_OFFSET], number, payload.unwrap_or_default())
+        != u32_at(header, FRAME_CHECKSUM_OFFSET)
+    {
         return None;
     }
     let (seq, durable) = (Seq(u64_at(header, 4)), Seq(u64_at(header, 12)));
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -119,14 +119,14 @@
                 format!("the segment starts with record {} instead of {}", first.0, next.0),
             );
         }
-        // This segment ends where the next one starts: records written after that were never acknowledged.
+        // This segment ends where the next one starts: any later records in it were never reported as durable.
         let end = match number == manifest.newest_segment {
             true => None,
             false => Some(first_sequence(disk, number + 1)?),
         };
         next = read_segment(&name, number, &bytes, first, end, &mut recovered)?;
     }
-    // A segment that was created but never named by the manifest holds no acknowledged records, unless it was renamed.
+    // A segment that was created but never named by the manifest holds no durable records, unless its file was renamed.
     for number in segments.iter().filter(|number| **number > manifest.newest_segment) {
         let name = FileKind::Segment.file_name(*number);
         let bytes = disk.read(&name)?;
@@ -198,7 +198,7 @@
             format!("record {} is missing, but the next segment starts with {}", next.0, end.0),
         );
     }
-    // Searches for a later frame that shows that the record here was durable.
+    // Searches for a later frame that shows that the record at `offset`, which cannot be read, was durable.
     for later_offset in offset + 1..bytes.len().saturating_sub(FRAME_HEADER_BYTES - 1) {
         if decode_frame(number, &bytes[later_offset..]).is_some_and(|frame| frame.durable >= next) {
             return damage(name, offset, format!("record {} was durable and cannot be read", next.0));
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -12,8 +12,8 @@
 /// The faults to inject. A step is a call that changes the disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// The step at which power is lost. It may be carried out in part, and every later call fails until
-    /// [`SimDisk::restart`].
+    /// The step at which power is lost. This step may be carried out in part, and every later call fails
+    /// until [`SimDisk::restart`].
     pub crash_at_step: Option<u64>,
     /// One in this many syncs fails, at random; 0 for none.
     pub sync_failure_one_in: u32,
@@ -34,14 +34,16 @@
 struct Append {
     offset: usize,
     bytes: Vec<u8>,
-    /// A sync of it failed, so no later sync makes it durable.
+    /// A sync of this append failed, so no later sync makes it durable.
     lost: bool,
 }
 
 /// A change of the directory.
 #[derive(Clone, Debug)]
 enum NameChange {
+    /// The name and the index of its file in `State::files`.
     Created(String, usize),
+    /// The old name and the new one.
     Renamed(String, String),
     Removed(String),
 }
@@ -49,7 +51,9 @@
 #[derive(Default)]
 struct State {
     files: Vec<File>,
+    /// The current names, each with the index of its file in `files`.
     names: BTreeMap<String, usize>,
+    /// The names that survive a power loss.
     synced_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
     faults: Faults,
@@ -59,7 +63,7 @@
     rng: Rng,
 }
 
-/// The simulated disk. Share it to inspect it after a crash.
+/// The simulated disk. A test that shares it with a store in an `Arc` can inspect it after a crash.
 pub struct SimDisk(Mutex<State>);
 
 fn disk_error(message: &str) -> io::Error {
@@ -109,6 +113,8 @@
         for file in files.iter_mut() {
             let mut surviving = file.synced.clone();
             for append in file.unsynced.drain(..) {
+                // On average one append in four is lost and one is torn. Half of those whose sync failed are lost in
+                // any case.
                 let bytes = match rng.u8(..4) {
                     _ if append.lost && rng.bool() => &append.bytes[..0],
                     0 => &append.bytes[..0],
@@ -132,7 +138,7 @@
         (state.powered_off, state.locked, state.step, state.faults) = (false, false, 0, Faults::default());
     }
 
-    /// The current content of all files, for tests that truncate or corrupt it.
+    /// The current content of all files, for tests that truncate or corrupt the files.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let state = self.state();
         state.names.iter().map(|(name, file)| (name.clone(), state.files[*file].content.clone())).collect()
@@ -155,7 +161,8 @@
 }
 
 impl State {
-    /// Counts a step. Returns whether power is lost at it; the step is then carried out at random.
+    /// Counts a step and returns whether power is lost at this step. The caller then draws at random how much of the
+    /// step is carried out.
     fn begin_step(&mut self) -> io::Result<bool> {
         if self.powered_off {
             return Err(disk_error("the power is off"));
@@ -215,9 +222,11 @@
         let mut state = self.state();
         let power_fails = state.begin_step()?;
         let file = state.file_index(name)?;
-        let used: u64 = state.names.values().map(|file| state.files[*file].content.len() as u64).sum();
-        let free_bytes =
-            state.faults.capacity_bytes.map_or(usize::MAX, |capacity| capacity.saturating_sub(used) as usize);
+        let used_bytes: u64 = state.names.values().map(|file| state.files[*file].content.len() as u64).sum();
+        let free_bytes = state
+            .faults
+            .capacity_bytes
+            .map_or(usize::MAX, |capacity| capacity.saturating_sub(used_bytes) as usize);
         let written_count = bytes.len().min(free_bytes);
         let written_count = if power_fails { state.rng.usize(..=written_count) } else { written_count };
         let offset = state.files[file].content.len();
@@ -238,8 +247,8 @@
         let mut state = self.state();
         let power_fails = state.begin_step()?;
         let file = state.file_index(name)?;
-        let fails = state.sync_fails();
-        if fails || power_fails && state.rng.bool() {
+        let sync_fails = state.sync_fails();
+        if sync_fails || power_fails && state.rng.bool() {
             // As after a failed fsync: the operating system treats the data as clean, although it was not written.
             state.files[file].unsynced.iter_mut().for_each(|append| append.lost = true);
             return Err(disk_error("the sync failed"));
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -13,9 +13,9 @@
 pub struct Limits {
     /// The next commit rotates to a new segment once a segment is larger than this.
     pub max_segment_bytes: u64,
-    /// The size of all files. Appends fail beyond it until a compaction has freed space.
+    /// The largest size of all files together. Appends that would exceed it fail until a compaction has freed space.
     pub max_total_bytes: u64,
-    /// The size of the records that are appended but not committed.
+    /// The largest size of all records together that are appended but not committed.
     pub max_pending_bytes: usize,
 }
 
@@ -108,7 +108,9 @@
     segment_bytes: u64,
     /// Bytes in all files.
     total_bytes: u64,
+    /// The sequence of the next record.
     next: Seq,
+    /// The last durable sequence.
     durable: Seq,
     /// The records after `durable`. They are framed when they are written, as a frame depends on its segment.
     pending: Vec<Vec<u8>>,
@@ -194,12 +196,12 @@
         self.disk.sync(&name)?;
         self.disk.sync_directory()?;
         self.total_bytes += header.len() as u64;
-        let replaced = self.replace_manifest(Manifest { newest_segment: number, ..self.manifest });
+        let replacement_result = self.replace_manifest(Manifest { newest_segment: number, ..self.manifest });
         // After a failure the manifest on the disk may or may not name the segment. The segment is valid and stays in
         // either case, and the next one gets another number: creating it again under this number could truncate a file
         // that the manifest already names.
         self.manifest.newest_segment = number;
-        replaced?;
+        replacement_result?;
         (self.segment_bytes, self.tail_uncertain) = (header.len() as u64, false);
         Ok(())
     }
@@ -216,7 +218,7 @@
         Ok(())
     }
 
-    /// Adds a record to the pending ones. It is durable after the next successful commit.
+    /// Adds a record to the pending ones. The record is durable after the next successful commit.
     pub fn append(&mut self, record: &[u8]) -> Result<Seq, StoreError> {
         if record.len() > MAX_RECORD_BYTES {
             return Err(StoreError::RecordTooLong);
@@ -297,13 +299,13 @@
         })?;
         let number = self.manifest.newest_segment;
         let first_after_snapshot = Seq(self.durable.0 + 1);
-        let created = self.disk.create(&FileKind::Snapshot.file_name(number)).and_then(|()| {
+        let creation_result = self.disk.create(&FileKind::Snapshot.file_name(number)).and_then(|()| {
             self.disk.append(
                 &FileKind::Snapshot.file_name(number),
                 &encode_header(FileKind::Snapshot, number, first_after_snapshot),
             )
         });
-        created.map_err(StoreError::Io)?;
+        creation_result.map_err(StoreError::Io)?;
         Ok(Compaction { disk: self.disk.clone(), number, count: 0, bytes: HEADER_BYTES as u64 })
     }
 
@@ -330,8 +332,11 @@
 /// A snapshot that is being written. It has its own file, so that another thread can write it.
 pub struct Compaction<D> {
     disk: Arc<D>,
+    /// The number of the snapshot's file.
     number: u64,
+    /// The records written so far.
     count: u64,
+    /// The length of the file so far.
     bytes: u64,
 }
 
@@ -356,10 +361,10 @@
     /// Completes and syncs the snapshot, so that the manifest may name it.
     pub fn seal(mut self) -> Result<Self, StoreError> {
         let name = FileKind::Snapshot.file_name(self.number);
-        let end_frame = encode_end(self.number, self.count);
+        let end_frame = encode_end_frame(self.number, self.count);
         self.bytes += end_frame.len() as u64;
-        let sealed = self.disk.append(&name, &end_frame).and_then(|()| self.disk.sync(&name));
-        sealed.and_then(|()| self.disk.sync_directory()).map_err(StoreError::Io)?;
+        let seal_result = self.disk.append(&name, &end_frame).and_then(|()| self.disk.sync(&name));
+        seal_result.and_then(|()| self.disk.sync_directory()).map_err(StoreError::Io)?;
         Ok(self)
     }
 }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -26,7 +26,7 @@
 /// The delays of a writer.
 #[derive(Clone, Copy, Debug)]
 pub struct WriterTiming {
-    /// How long a record waits for others to be synced with.
+    /// How long the writer waits for further records after the first one of a batch, to sync them together.
     pub batch_delay: Duration,
     /// The time between two commits while the disk fails.
     pub retry_interval: Duration,
@@ -52,10 +52,13 @@
 enum Work<D> {
     Append(Vec<u8>),
     Compact(Vec<Vec<u8>>),
+    /// The snapshot of a compaction was written, or writing it failed.
     Sealed(Result<Compaction<D>, StoreError>),
     Stop,
 }
 
+/// What the handle and the thread share: the values of [`WriterStats`], whether a compaction runs, and the request to
+/// stop.
 #[derive(Default)]
 struct Shared {
     durable: AtomicU64,
@@ -160,7 +163,7 @@
     }
 }
 
-/// The thread ends on its own after a last commit.
+/// Does not join the thread, which ends on its own after a last commit.
 impl<D> Drop for Writer<D> {
     fn drop(&mut self) {
         self.send_stop();
@@ -208,11 +211,11 @@
             // After a failed commit, retries even if no further work arrives.
             let retry_needed =
                 !self.queue.is_empty() || self.shared.durable.load(Ordering::Acquire) < self.accepted;
-            let first = match retry_needed {
+            let first_work = match retry_needed {
                 true => self.work_receiver.recv_timeout(self.timing.retry_interval),
                 false => self.work_receiver.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
-            let mut stop = match first {
+            let mut stop = match first_work {
                 Ok(work) => self.handle(work),
                 Err(RecvTimeoutError::Timeout) => self.shared.stopping.load(Ordering::Acquire),
                 Err(RecvTimeoutError::Disconnected) => true,
@@ -252,14 +255,14 @@
 
     fn commit(&mut self) {
         let error = loop {
-            let rejected = self.append_queued();
+            let rejection = self.append_queued();
             if let Err(error) = self.store.commit() {
                 break Some(error);
             }
             self.shared.durable.store(self.accepted, Ordering::Release);
             // The store limits its pending bytes: now that they are synced, it accepts the remaining records.
-            if !matches!(rejected, Some(StoreError::TooManyPending)) {
-                break rejected;
+            if !matches!(rejection, Some(StoreError::TooManyPending)) {
+                break rejection;
             }
         };
         self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Appends queued records until the store accepts no more.
+    /// Appends queued records until the store rejects one, and returns its error; `None` if the store has accepted all.
     fn append_queued(&mut self) -> Option<StoreError> {
         while let Some(record) = self.queue.front() {
             match self.store.append(record) {
@@ -289,20 +292,20 @@
 
     fn begin_compaction(&mut self, records: Vec<Vec<u8>>) {
         if !self.queue.is_empty() {
-            // The disk fails, so the store does not hold all records that the snapshot replaces yet: it is kept as it
-            // is.
+            // The store has not accepted all records yet that the snapshot would replace: this compaction fails, and
+            // the store is kept as it is.
             return self.end_compaction(Err(StoreError::TooManyPending));
         }
         match self.store.begin_compaction() {
             Err(error) => self.end_compaction(Err(error)),
             Ok(compaction) => {
                 let own_sender = self.own_sender.clone();
-                let write = move || {
+                let write_and_report = move || {
                     let sealed = write_snapshot(compaction, &records);
                     // If the writer has ended, the next opening removes the snapshot.
                     _ = own_sender.send(Work::Sealed(sealed));
                 };
-                if thread::Builder::new().name("compaction".into()).spawn(write).is_err() {
+                if thread::Builder::new().name("compaction".into()).spawn(write_and_report).is_err() {
                     self.end_compaction(Err(StoreError::TooManyPending));
                 }
             }
@@ -310,8 +313,8 @@
     }
 
     fn end_compaction(&mut self, sealed: Result<Compaction<D>, StoreError>) {
-        let finished = sealed.and_then(|sealed| self.store.finish_compaction(sealed));
-        let counter = if finished.is_ok() { &self.shared.compactions } else { &self.shared.failures };
+        let finish_result = sealed.and_then(|sealed| self.store.finish_compaction(sealed));
+        let counter = if finish_result.is_ok() { &self.shared.compactions } else { &self.shared.failures };
         counter.fetch_add(1, Ordering::Relaxed);
         self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
         self.shared.compacting.store(false, Ordering::Release);
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -12,18 +12,22 @@
 const LIMITS: Limits =
     Limits { max_segment_bytes: 400, max_total_bytes: 1 << 20, max_pending_bytes: 64 << 10 };
 const SNAPSHOT: [&[u8]; 2] = [b"snapshot, first record", b"snapshot, second record"];
+/// The sequence of the first record after the snapshot.
 const FIRST_RECORD: u64 = 4;
 const RECORDS: [&[u8]; 3] = [b"a record after the snapshot", b"", &[0, 255, 7]];
 
 fn decode_hexadecimal(digits: &str) -> Vec<u8> {
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    (0..digits.len())
+        .step_by(2)
+        .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
+        .collect()
 }
 
 fn hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A store with a snapshot, records after it and a full segment, written by this build.
+/// The files of a store with a snapshot, records after the snapshot and a full segment, as this build writes them.
 fn written_files() -> String {
     let disk = Arc::new(SimDisk::new(1));
     let mut store = Store::open(disk.clone(), LIMITS).unwrap().store;
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -22,15 +22,18 @@
 }
 
 /// Asserts that the recovered records are the first ones, in order, and returns their count.
-fn recovered_count(opened: &juniperrail_store::Recovered) -> u64 {
-    let snapshot = opened.snapshot.iter().map(|record| sequence_of(record));
-    let records = opened.records.iter().map(|(seq, record)| {
+fn recovered_count(recovered: &juniperrail_store::Recovered) -> u64 {
+    let snapshot = recovered.snapshot.iter().map(|record| sequence_of(record));
+    let records = recovered.records.iter().map(|(seq, record)| {
         assert_eq!(seq.0, sequence_of(record), "a record has the sequence of another one");
         sequence_of(record)
     });
-    let all: Vec<u64> = snapshot.chain(records).collect();
-    assert!(all.iter().copied().eq(1..=all.len() as u64), "not a prefix: {all:?}");
-    all.len() as u64
+    let sequences: Vec<u64> = snapshot.chain(records).collect();
+    assert!(
+        sequences.iter().copied().eq(1..=sequences.len() as u64),
+        "the recovered records are not the first ones that were appended: {sequences:?}"
+    );
+    sequences.len() as u64
 }
 
 /// Runs one random history and asserts that no durable record is lost and that no record is invented.
@@ -49,7 +52,7 @@
                 let found = recovered_count(&opened.recovered);
                 assert!(
                     (durable..=appended).contains(&found),
-                    "seed {seed}: {durable} durable, {found} found"
+                    "seed {seed}: {found} records recovered, {durable} were durable and {appended} appended"
                 );
                 (durable, appended) = (found, found);
                 let mut expected_records: Vec<Vec<u8>> = opened.recovered.snapshot;
@@ -61,13 +64,13 @@
                     match rng.u8(..10) {
                         0 => {
                             // The snapshot holds all durable records.
-                            let started = store.begin_compaction();
+                            let begin_result = store.begin_compaction();
                             durable = store.durable().0;
-                            let Ok(mut compaction) = started else { continue };
+                            let Ok(mut compaction) = begin_result else { continue };
                             expected_records.truncate(durable as usize);
-                            let written =
+                            let write_result =
                                 compaction.write_records(expected_records.iter().map(Vec::as_slice));
-                            if rng.bool() && written.is_ok() {
+                            if rng.bool() && write_result.is_ok() {
                                 // Appends while the compaction runs.
                                 appended += 1;
                                 let next = record(appended, rng.usize(..40));
@@ -77,7 +80,7 @@
                                     durable = store.durable().0;
                                 }
                             }
-                            if written.is_err() {
+                            if write_result.is_err() {
                                 continue;
                             }
                             if let Ok(sealed) = compaction.seal() {
@@ -109,7 +112,7 @@
     let found = recovered_count(&opened.recovered);
     assert!(
         (durable..=appended).contains(&found),
-        "seed {seed}: {durable} durable, {found} found of {appended}"
+        "seed {seed}: {found} records recovered, {durable} were durable and {appended} appended"
     );
 }
 
@@ -156,9 +159,9 @@
 
 #[test]
 fn truncation_and_corruption_at_every_byte_are_rejected_or_lose_no_record_known_to_be_durable() {
-    let (image, all) = store_files();
-    assert_eq!(open_files(&image), Some(all));
-    let newest = image.keys().rfind(|name| name.starts_with("seg-")).unwrap().clone();
+    let (image, record_count) = store_files();
+    assert_eq!(open_files(&image), Some(record_count));
+    let newest_segment = image.keys().rfind(|name| name.starts_with("seg-")).unwrap().clone();
     let (mut truncated, mut rejected, mut torn) = (0, 0, 0);
     for (name, bytes) in &image {
         for length in 0..bytes.len() {
@@ -170,11 +173,11 @@
                 Some(found) => {
                     // An older file may only lose its last durability marker, which is not a record.
                     assert!(
-                        found == all || *name == newest,
+                        found == record_count || *name == newest_segment,
                         "{name} truncated to {length} bytes is accepted as complete"
                     );
-                    assert!(found <= all);
-                    torn += u32::from(*name == newest);
+                    assert!(found <= record_count);
+                    torn += u32::from(*name == newest_segment);
                 }
             }
         }
@@ -186,21 +189,25 @@
                 let mut image = image.clone();
                 image.get_mut(name).unwrap()[offset] ^= bit;
                 corrupted += 1;
-                // Only corruption of the last durability marker goes unnoticed, which is not a record.
+                // Only corruption of the last durability marker, which is not a record, goes unnoticed.
                 if let Some(found) = open_files(&image) {
-                    assert_eq!(found, all, "{name} corrupted at {offset}: records were silently lost");
+                    assert_eq!(
+                        found, record_count,
+                        "{name} corrupted at {offset}: records were silently lost"
+                    );
                 }
             }
         }
     }
     println!("{truncated} truncated: {rejected} rejected, {torn} torn tails; {corrupted} corrupted");
-    assert!(torn > 100 && rejected > 1000);
+    assert!(torn > 100 && rejected > 1000, "too few cases: {torn} torn tails, {rejected} rejected");
 }
 
 #[test]
 fn missing_duplicated_or_renamed_segments_and_a_newer_format_are_rejected() {
     let (image, _) = store_files();
     let segments: Vec<String> = image.keys().filter(|name| name.starts_with("seg-")).cloned().collect();
+    // The error of opening a store on these files; empty if the store opens.
     let open_error =
         |image: &BTreeMap<String, Vec<u8>>| match Store::open(Arc::new(SimDisk::from_files(image)), LIMITS) {
             Ok(_) => String::new(),
@@ -213,14 +220,15 @@
         assert!(open_error(&missing).contains("missing"), "{name}: {}", open_error(&missing));
     }
     let mut renamed = image.clone();
-    let last = renamed.remove(&segments[segments.len() - 1]).unwrap();
-    renamed.insert(segments[0].clone(), last.clone());
+    let last_segment = renamed.remove(&segments[segments.len() - 1]).unwrap();
+    renamed.insert(segments[0].clone(), last_segment.clone());
     assert!(open_error(&renamed).contains("under another name"), "{}", open_error(&renamed));
     let mut duplicated = image.clone();
-    duplicated.insert("seg-0000000000000099".into(), last);
+    duplicated.insert("seg-0000000000000099".into(), last_segment);
     assert!(open_error(&duplicated).contains("duplicated or renamed"), "{}", open_error(&duplicated));
     let mut newer = image.clone();
     let manifest = newer.get_mut("MANIFEST").unwrap();
+    // The low byte of the format version. The checksum is made to match, so that only the version is wrong.
     manifest[4] = 2;
     let length = manifest.len();
     let checksum = crc32fast::hash(&manifest[..length - 4]);
@@ -275,8 +283,8 @@
     assert_eq!(store.commit().unwrap(), Seq(6));
     disk.restart();
     assert_eq!(recovered_count(&Store::open(disk, LIMITS).unwrap().recovered), 6);
-    let small = Limits { max_total_bytes: 2000, ..LIMITS };
-    let mut store = Store::open(Arc::new(SimDisk::new(4)), small).unwrap().store;
+    let small_limits = Limits { max_total_bytes: 2000, ..LIMITS };
+    let mut store = Store::open(Arc::new(SimDisk::new(4)), small_limits).unwrap().store;
     let mut accepted = 0;
     while store.append(&record(accepted + 1, 40)).is_ok() {
         accepted += 1;
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -42,18 +42,18 @@
     let disk = Arc::new(SimDisk::new(1));
     let (mut writer, stats_receiver) = start(&disk);
     disk.set_faults(Faults::default());
-    let mut last = Ticket(0);
+    let mut last_ticket = Ticket(0);
     for number in 0..500u32 {
-        last = writer.append(number.to_le_bytes().to_vec()).unwrap();
+        last_ticket = writer.append(number.to_le_bytes().to_vec()).unwrap();
     }
-    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable == last);
+    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable == last_ticket);
     assert_eq!((stats.durable, stats.failing), (Ticket(500), false));
-    assert!(disk.step_count() < 500, "{} steps for 500 records", disk.step_count());
+    assert!(disk.step_count() < 500, "the disk took {} steps for 500 records", disk.step_count());
     // Power is lost while the writer is running.
     std::mem::forget(writer);
     disk.restart();
-    let all: Vec<Vec<u8>> = (0..500u32).map(|number| number.to_le_bytes().to_vec()).collect();
-    assert_eq!(recovered(&disk), all);
+    let appended: Vec<Vec<u8>> = (0..500u32).map(|number| number.to_le_bytes().to_vec()).collect();
+    assert_eq!(recovered(&disk), appended);
 }
 
 #[test]
@@ -63,9 +63,9 @@
     writer.append(b"before".to_vec()).unwrap();
     wait_for_stats(&stats_receiver, |stats| stats.durable == Ticket(1));
     disk.set_faults(Faults { capacity_bytes: Some(0), ..Faults::default() });
-    let second = writer.append(b"meanwhile".to_vec()).unwrap();
-    let failing = wait_for_stats(&stats_receiver, |stats| stats.failing);
-    assert_eq!(failing.durable, Ticket(1));
+    let second_ticket = writer.append(b"meanwhile".to_vec()).unwrap();
+    let failing_stats = wait_for_stats(&stats_receiver, |stats| stats.failing);
+    assert_eq!(failing_stats.durable, Ticket(1));
     let mut accepted = 0;
     while writer.append(vec![7; 1000]).is_ok() {
         accepted += 1;
@@ -73,10 +73,11 @@
     }
     assert_eq!(writer.stats().durable, Ticket(1), "no record is reported as durable while the disk fails");
     disk.set_faults(Faults::default());
-    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable.0 == second.0 + accepted);
+    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable.0 == second_ticket.0 + accepted);
     assert!(!stats.failing && stats.failures > 0);
     drop(writer.stop());
     disk.restart();
+    // The two records `before` and `meanwhile`, and those of the loop.
     assert_eq!(recovered(&disk).len() as u64, 2 + accepted);
 }
 
@@ -88,25 +89,29 @@
         writer.append(number.to_le_bytes().to_vec()).unwrap();
     }
     wait_for_stats(&stats_receiver, |stats| stats.durable == Ticket(200));
-    let before = writer.stats().size_bytes;
+    let bytes_before = writer.stats().size_bytes;
     // The snapshot keeps the last ten records.
-    let live: Vec<Vec<u8>> = (190..200u32).map(|number| number.to_le_bytes().to_vec()).collect();
-    assert!(writer.compact(live.clone()));
-    let concurrent = writer.append(b"beside".to_vec()).unwrap();
+    let snapshot_records: Vec<Vec<u8>> = (190..200u32).map(|number| number.to_le_bytes().to_vec()).collect();
+    assert!(writer.compact(snapshot_records.clone()));
+    let concurrent_ticket = writer.append(b"beside".to_vec()).unwrap();
     wait_for_stats(&stats_receiver, |stats| stats.compactions == 1);
-    while writer.stats().durable < concurrent {
-        wait_for_stats(&stats_receiver, |stats| stats.durable >= concurrent);
+    while writer.stats().durable < concurrent_ticket {
+        wait_for_stats(&stats_receiver, |stats| stats.durable >= concurrent_ticket);
     }
-    assert!(writer.stats().size_bytes < before / 2, "{} of {before}", writer.stats().size_bytes);
-    assert!(writer.compact(live.clone()), "the next compaction may start");
+    assert!(
+        writer.stats().size_bytes < bytes_before / 2,
+        "{} of {bytes_before} bytes are left",
+        writer.stats().size_bytes
+    );
+    assert!(writer.compact(snapshot_records.clone()), "the next compaction may start");
     drop(writer.stop());
     disk.restart();
-    let mut expected = live;
+    let mut expected = snapshot_records;
     expected.push(b"beside".to_vec());
-    let found = recovered(&disk);
+    let recovered_records = recovered(&disk);
     assert!(
-        found == expected || found == expected[..10],
+        recovered_records == expected || recovered_records == expected[..10],
         "either the second snapshot is in use, which lacks the concurrent record, or the manifest does not \
-         name it yet: {found:?}"
+         name it yet: {recovered_records:?}"
     );
 }
