--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -37,6 +37,7 @@
         if self.tries <= 0.0 {
             return (0.0, 1.0);
         }
+        // 95% of a normal distribution lie within 1.96 standard deviations of its mean.
         let (n, z) = (self.tries, 1.96f64);
         let p = (self.failed / n).clamp(0.0, 1.0);
         let centre = p + z * z / (2.0 * n);
@@ -57,7 +58,7 @@
     pub utilization: BTreeMap<Zone, f64>,
     /// Per zone: proxies joined at this manager, and how many of them have an overdue acknowledgement.
     pub proxies: BTreeMap<Zone, (u32, u32)>,
-    /// Length of the period observed.
+    /// Length of the observed period, in milliseconds.
     pub duration: Ms,
 }
 
@@ -71,12 +72,12 @@
 }
 
 impl EvidenceAccumulator {
-    /// Adds results of tries that proxies of `from` sent to a worker of `to`. `mean_success_time` covers the tries that
-    /// did not fail.
+    /// Adds results of tries that proxies of `proxy_zone` sent to a worker of `worker_zone`. `mean_success_time` covers
+    /// the tries that did not fail.
     pub fn record(
         &mut self,
-        from: &Zone,
-        to: &Zone,
+        proxy_zone: &Zone,
+        worker_zone: &Zone,
         tries: f64,
         failed: f64,
         mean_success_time: Ms,
@@ -84,9 +85,9 @@
     ) {
         let failed = failed.clamp(0.0, tries);
         let stats = ZonePairStats { tries, failed, success_time_sum: (tries - failed) * mean_success_time };
-        self.pair_stats.entry((from.clone(), to.clone())).or_default().add(&stats);
+        self.pair_stats.entry((proxy_zone.clone(), worker_zone.clone())).or_default().add(&stats);
         if let Some(utilization) = utilization.filter(|utilization| utilization.is_finite()) {
-            let sum = self.utilization.entry(to.clone()).or_default();
+            let sum = self.utilization.entry(worker_zone.clone()).or_default();
             (sum.0, sum.1) = (sum.0 + utilization, sum.1 + 1.0);
         }
     }
--- a/crates/failover/src/health.rs
+++ b/crates/failover/src/health.rs
@@ -9,11 +9,12 @@
 
 use crate::evidence::{Evidence, Zone, ZonePairStats};
 
-/// With fewer tries nothing is concluded.
+/// With fewer tries, no conclusion is drawn from their results.
 pub const MIN_TRIES: f64 = 8.0;
-/// A failure ratio whose confidence interval lies above this is failing, below it is not; otherwise it is undecided.
+/// Most tries fail if the confidence interval of their failure ratio lies above this, and do not if it lies below;
+/// otherwise it is undecided whether they do.
 const FAILING_RATIO: f64 = 0.5;
-/// From this utilization on, slow and failing responses are put down to a lack of capacity.
+/// From this utilization on, slow and failing responses are attributed to a lack of capacity.
 const FULL_UTILIZATION: f64 = 0.9;
 /// A zone is slow if its mean response time exceeds the median of the other zones by this factor.
 const SLOW_FACTOR: f64 = 2.0;
@@ -60,11 +61,11 @@
         let mut view = FleetView::default();
         let mut utilization: BTreeMap<Zone, (f64, f64)> = BTreeMap::new();
         for (_, _, evidence) in reports.filter(|(_, age, _)| *age <= max_age) {
-            for ((from, to), stats) in &evidence.pair_stats {
-                view.pair_stats.entry((from.clone(), to.clone())).or_default().add(stats);
+            for ((proxy_zone, worker_zone), stats) in &evidence.pair_stats {
+                view.pair_stats.entry((proxy_zone.clone(), worker_zone.clone())).or_default().add(stats);
                 let per_second = 1000.0 / evidence.duration.max(1.0);
-                *view.load.entry(to.clone()).or_default() += stats.tries * per_second;
-                *view.demand.entry(from.clone()).or_default() += stats.tries * per_second;
+                *view.load.entry(worker_zone.clone()).or_default() += stats.tries * per_second;
+                *view.demand.entry(proxy_zone.clone()).or_default() += stats.tries * per_second;
             }
             for (zone, reported) in &evidence.utilization {
                 let sum = utilization.entry(zone.clone()).or_default();
@@ -73,12 +74,12 @@
             // All managers follow the same worker list, so their weights differ only where some have not yet processed a
             // change. The lowest value counts: a higher one may come from a manager that has not learned of a loss.
             for (zone, weight) in &evidence.ready_weight {
-                let known = view.ready_weight.entry(zone.clone()).or_insert(*weight);
-                *known = known.min(*weight);
+                let lowest = view.ready_weight.entry(zone.clone()).or_insert(*weight);
+                *lowest = lowest.min(*weight);
             }
-            for (zone, (joined, silent)) in &evidence.proxies {
-                let known = view.proxies.entry(zone.clone()).or_default();
-                *known = (known.0 + joined, known.1 + silent);
+            for (zone, (joined, overdue)) in &evidence.proxies {
+                let total = view.proxies.entry(zone.clone()).or_default();
+                *total = (total.0 + joined, total.1 + overdue);
             }
         }
         view.utilization = utilization.into_iter().map(|(zone, (sum, count))| (zone, sum / count)).collect();
@@ -87,33 +88,34 @@
 
     /// All zones that tries went from or to, or that have workers.
     pub fn zones(&self) -> BTreeSet<Zone> {
-        let tried = self.pair_stats.keys().flat_map(|(from, to)| [from, to]);
+        let tried = self.pair_stats.keys().flat_map(|(proxy_zone, worker_zone)| [proxy_zone, worker_zone]);
         tried.chain(self.ready_weight.keys()).cloned().collect()
     }
 
-    fn stats(&self, from: &Zone, to: &Zone) -> ZonePairStats {
-        self.pair_stats.get(&(from.clone(), to.clone())).copied().unwrap_or_default()
+    fn stats(&self, proxy_zone: &Zone, worker_zone: &Zone) -> ZonePairStats {
+        self.pair_stats.get(&(proxy_zone.clone(), worker_zone.clone())).copied().unwrap_or_default()
     }
 
-    /// Whether the proxies of `from` reach any zone other than their own and `except`. If they reach none, the fault may
-    /// be theirs, and their failures prove nothing about `except`.
-    fn reaches_others(&self, from: &Zone, except: &Zone) -> bool {
-        let beyond =
-            self.pair_stats.iter().filter(|((origin, to), _)| origin == from && to != from && to != except);
-        let mut beyond = beyond.peekable();
+    /// Whether the proxies of `proxy_zone` reach any zone other than their own and `excluded_zone`. If they reach none,
+    /// the fault may be theirs, and their failures prove nothing about `excluded_zone`.
+    fn reaches_others(&self, proxy_zone: &Zone, excluded_zone: &Zone) -> bool {
+        let third_zones = self.pair_stats.iter().filter(|((origin, worker_zone), _)| {
+            origin == proxy_zone && worker_zone != proxy_zone && worker_zone != excluded_zone
+        });
+        let mut third_zones = third_zones.peekable();
         // If there is no third zone, results within their own zone show whether the proxies work.
-        let own = || is_failing(&self.stats(from, from)) != Some(true);
-        if beyond.peek().is_none() {
-            return own();
+        let reaches_own_zone = || is_failing(&self.stats(proxy_zone, proxy_zone)) != Some(true);
+        if third_zones.peek().is_none() {
+            return reaches_own_zone();
         }
-        beyond.any(|(_, stats)| is_failing(stats) == Some(false))
+        third_zones.any(|(_, stats)| is_failing(stats) == Some(false))
     }
 
     /// Results of tries at `zone` by proxies of other zones, as far as those zones' evidence counts.
     fn stats_from_others(&self, zone: &Zone) -> ZonePairStats {
         let mut total = ZonePairStats::default();
-        for ((from, to), stats) in &self.pair_stats {
-            if to == zone && from != zone && self.reaches_others(from, zone) {
+        for ((proxy_zone, worker_zone), stats) in &self.pair_stats {
+            if worker_zone == zone && proxy_zone != zone && self.reaches_others(proxy_zone, zone) {
                 total.add(stats);
             }
         }
@@ -139,17 +141,17 @@
         // Discovery lists no ready worker there.
         return ZoneHealth::Lost;
     }
-    let (others, own) = (view.stats_from_others(zone), view.stats(zone, zone));
-    match (is_failing(&others), is_failing(&own)) {
+    let (stats_from_others, own_stats) = (view.stats_from_others(zone), view.stats(zone, zone));
+    match (is_failing(&stats_from_others), is_failing(&own_stats)) {
         (Some(true), Some(false)) => return ZoneHealth::CutOff,
-        // Nothing shows that its own proxies are served, so it counts as lost.
+        // Nothing shows that the zone's own proxies are served, so the zone counts as lost.
         (Some(true), _) => return ZoneHealth::Lost,
-        (None, Some(true)) if others.tries < MIN_TRIES => return ZoneHealth::Lost,
+        (None, Some(true)) if stats_from_others.tries < MIN_TRIES => return ZoneHealth::Lost,
         (None, None) => return ZoneHealth::Unknown,
         _ => {}
     }
-    let mut all = others;
-    all.add(&own);
+    let mut all_stats = stats_from_others;
+    all_stats.add(&own_stats);
     let utilization = view.utilization.get(zone).copied();
     let means = view.zones().into_iter().filter(|other| other != zone).filter_map(|other| {
         let mut stats = view.stats_from_others(&other);
@@ -159,17 +161,19 @@
     let mut means: Vec<Ms> = means.collect();
     means.sort_by(f64::total_cmp);
     let median = means.get(means.len().saturating_sub(1) / 2).copied();
-    let slow = all.mean_success_time().zip(median).is_some_and(|(own, median)| own > SLOW_FACTOR * median);
-    let has_failures = all.failure_ratio_bounds().0 > MIN_OVERLOAD_FAILURE_RATIO;
-    if utilization.is_some_and(|utilization| utilization >= FULL_UTILIZATION) && (slow || has_failures) {
+    let is_slow =
+        all_stats.mean_success_time().zip(median).is_some_and(|(mean, median)| mean > SLOW_FACTOR * median);
+    let has_failures = all_stats.failure_ratio_bounds().0 > MIN_OVERLOAD_FAILURE_RATIO;
+    if utilization.is_some_and(|utilization| utilization >= FULL_UTILIZATION) && (is_slow || has_failures) {
         return ZoneHealth::Overloaded;
     }
-    if slow {
+    if is_slow {
         return ZoneHealth::Slow;
     }
-    let tried = view.pair_stats.iter().any(|((from, _), stats)| from == zone && stats.tries > 0.0);
-    let joined = view.proxies.get(zone).is_some_and(|(joined, _)| *joined > 0);
-    if !tried && joined {
+    let sends_tries =
+        view.pair_stats.iter().any(|((proxy_zone, _), stats)| proxy_zone == zone && stats.tries > 0.0);
+    let has_joined_proxies = view.proxies.get(zone).is_some_and(|(joined, _)| *joined > 0);
+    if !sends_tries && has_joined_proxies {
         return ZoneHealth::Silent;
     }
     ZoneHealth::Well
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -9,8 +9,8 @@
 //! rejected when capacity is short, stays with the decisions that each manager takes alone, and so do the five rules.
 //! Without a plan, a quorum or a valid lease every zone has its full weight.
 //!
-//! The design follows published work on global load balancing: nearest first (the decision module's own price for
-//! crossing zones stays in force), spill limited by the known free capacity of the receivers, and no oscillation on stale
+//! The design follows published work on global load balancing: nearest first (the planner's own price for crossing
+//! zones stays in force), spill limited by the known free capacity of the receivers, and no oscillation on stale
 //! load figures, because no step is shorter than the age of the data it is based on.
 
 mod evidence;
--- a/crates/failover/src/pilot.rs
+++ b/crates/failover/src/pilot.rs
@@ -13,9 +13,9 @@
 /// Configured times, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailoverConfig {
-    /// Time between two sums of a proxy.
+    /// Time between two reports of a proxy, each with the sums over its tries.
     pub report_period: Ms,
-    /// The longest time a sum may be under way.
+    /// The longest time that such a report may be under way.
     pub max_transit: Ms,
     /// How long a plan lasts without a renewal by the leader.
     pub plan_lease: Ms,
@@ -28,7 +28,8 @@
     }
 }
 
-/// Weight ratios on the way back. The first tests the zone: low enough that a zone that is still lost costs little.
+/// Weight ratios of a zone that is being restored, one after the other. The first tests the zone: it is so low that few
+/// tries fail if the zone is still lost.
 const RESTORE_STEPS: [f64; 4] = [0.1, 0.3, 0.6, 1.0];
 /// One step moves at most this ratio of an overloaded zone's load away.
 const MAX_MOVED_RATIO: f64 = 0.5;
@@ -41,6 +42,8 @@
 /// A zone that is cut off but serves its own proxies is removed only if the demand of all other zones exceeds its own by
 /// this factor.
 const CUT_OFF_DEMAND_FACTOR: f64 = 1.5;
+/// A lower reported utilization counts as this.
+const MIN_UTILIZATION: f64 = 0.05;
 /// Reports kept per member; older ones of the same member are dropped first.
 const MAX_REPORTS_PER_MEMBER: usize = 16;
 
@@ -50,7 +53,7 @@
     weight_ratio: f64,
     reason: ZoneHealth,
     /// Time of the last change, by the leader's clock.
-    changed: Ms,
+    changed_at: Ms,
     relapses: u32,
 }
 
@@ -64,9 +67,15 @@
 
 impl FailoverController {
     /// Stores a member's report and drops those that are too old to count.
-    pub fn record_evidence(&mut self, now: Ms, from: MemberId, evidence: Evidence, config: &FailoverConfig) {
-        let reports = self.reports.entry(from).or_default();
-        reports.retain(|(at, _)| now <= at + config.settling_time());
+    pub fn record_evidence(
+        &mut self,
+        now: Ms,
+        member: MemberId,
+        evidence: Evidence,
+        config: &FailoverConfig,
+    ) {
+        let reports = self.reports.entry(member).or_default();
+        reports.retain(|(received_at, _)| now <= received_at + config.settling_time());
         // A flood of reports from one member displaces only that member's own.
         if reports.len() >= MAX_REPORTS_PER_MEMBER {
             reports.remove(0);
@@ -81,11 +90,12 @@
 
     /// Combines the reports that arrived after `since`.
     fn view(&self, now: Ms, config: &FailoverConfig, since: Ms) -> FleetView {
-        let all = self
-            .reports
-            .iter()
-            .flat_map(|(id, reports)| reports.iter().map(|(at, evidence)| (*id, *at, evidence)));
-        let recent = all.filter(|(_, at, _)| *at > since).map(|(id, at, evidence)| (id, now - at, evidence));
+        let all = self.reports.iter().flat_map(|(id, reports)| {
+            reports.iter().map(|(received_at, evidence)| (*id, *received_at, evidence))
+        });
+        let recent = all
+            .filter(|(_, received_at, _)| *received_at > since)
+            .map(|(id, received_at, evidence)| (id, now - received_at, evidence));
         FleetView::from_evidence(recent, config.settling_time())
     }
 
@@ -95,7 +105,7 @@
             let decision = ZoneDecision {
                 weight_ratio: share.weight_ratio,
                 reason: share.reason,
-                changed: now,
+                changed_at: now,
                 relapses: 0,
             };
             self.decisions.entry(zone.clone()).or_insert(decision);
@@ -106,11 +116,12 @@
             let decision = self.decisions.entry(zone.clone()).or_insert(ZoneDecision {
                 weight_ratio: 1.0,
                 reason: ZoneHealth::Unknown,
-                changed: f64::NEG_INFINITY,
+                changed_at: f64::NEG_INFINITY,
                 relapses: 0,
             });
             // Evidence from before a change, or under way at that time, does not show the effect of the change.
-            let since = decision.changed + if decision.weight_ratio < 1.0 { config.max_transit } else { 0.0 };
+            let since =
+                decision.changed_at + if decision.weight_ratio < 1.0 { config.max_transit } else { 0.0 };
             let decision = *decision;
             let view = self.view(now, config, since);
             let next = next_decision(now, config, &view, zone, decision);
@@ -143,8 +154,9 @@
         } else {
             config.plan_lease / 3.0
         };
-        let is_pending =
-            |(at, proposed): &(Ms, Plan)| proposed.version == plan.version && now < at + retry_after;
+        let is_pending = |(proposed_at, proposed): &(Ms, Plan)| {
+            proposed.version == plan.version && now < proposed_at + retry_after
+        };
         if self.last_proposed.as_ref().is_some_and(is_pending) {
             return None;
         }
@@ -181,36 +193,38 @@
 ) -> ZoneDecision {
     let settling_time = config.settling_time();
     let health = assess_zone(view, zone);
-    let ZoneDecision { weight_ratio, changed, relapses, .. } = decision;
+    let ZoneDecision { weight_ratio, changed_at, relapses, .. } = decision;
     let change_to = |weight_ratio: f64, relapses: u32| ZoneDecision {
         weight_ratio,
         reason: health,
-        changed: now,
+        changed_at: now,
         relapses,
     };
-    let lost = match health {
+    let must_remove = match health {
         ZoneHealth::Lost => true,
         ZoneHealth::CutOff => {
-            let inside = view.demand.get(zone).copied().unwrap_or(0.0);
-            let outside = view.demand.values().sum::<f64>() - inside;
-            outside > CUT_OFF_DEMAND_FACTOR * inside
+            let own_demand = view.demand.get(zone).copied().unwrap_or(0.0);
+            let demand_of_others = view.demand.values().sum::<f64>() - own_demand;
+            demand_of_others > CUT_OFF_DEMAND_FACTOR * own_demand
         }
         _ => false,
     };
-    if lost && weight_ratio > 0.0 {
-        // A loss during or soon after the way back is a relapse: the next attempt to restore the zone waits longer.
-        let relapse = weight_ratio < 1.0 || now < changed + RELAPSE_SETTLING_TIMES * settling_time;
-        let relapses = if relapse && changed.is_finite() { relapses + 1 } else { 0 };
+    if must_remove && weight_ratio > 0.0 {
+        // A loss while the zone is being restored, or soon after, is a relapse: the next attempt to restore the zone
+        // waits longer.
+        let is_relapse = weight_ratio < 1.0 || now < changed_at + RELAPSE_SETTLING_TIMES * settling_time;
+        let relapses = if is_relapse && changed_at.is_finite() { relapses + 1 } else { 0 };
         return change_to(0.0, relapses);
     }
-    if lost {
-        // While discovery lists no ready worker, no attempt is made to restore the zone, and the wait starts once it
-        // lists one again.
-        let empty = view.ready_weight.get(zone).is_some_and(|weight| *weight <= 0.0);
-        return if empty { change_to(0.0, relapses) } else { decision };
+    if must_remove {
+        // While discovery lists no ready worker, no attempt is made to restore the zone, and the wait starts once
+        // discovery lists one again.
+        let has_no_ready_worker = view.ready_weight.get(zone).is_some_and(|weight| *weight <= 0.0);
+        return if has_no_ready_worker { change_to(0.0, relapses) } else { decision };
     }
-    if health == ZoneHealth::Overloaded && weight_ratio > 0.0 && now >= changed + 2.0 * settling_time {
+    if health == ZoneHealth::Overloaded && weight_ratio > 0.0 && now >= changed_at + 2.0 * settling_time {
         let load = view.load.get(zone).copied().unwrap_or(0.0);
+        // The lower limit of the load guards against a division by zero.
         let moved_ratio = (free_capacity(view, zone) / load.max(1e-9)).min(MAX_MOVED_RATIO);
         // Less than a twentieth is within the uncertainty of the load.
         if moved_ratio > 0.05 {
@@ -221,28 +235,28 @@
         return ZoneDecision { reason: health, ..decision };
     }
     let wait = 2.0 * settling_time * f64::from(2u32.pow(relapses.min(MAX_BACKOFF_EXPONENT)));
-    let due = match weight_ratio {
-        0.0 => now >= changed + wait,
+    let is_due = match weight_ratio {
+        0.0 => now >= changed_at + wait,
         // Once the zone receives load again, each further step requires evidence of successful tries.
         _ => {
-            now >= changed + 2.0 * settling_time
+            now >= changed_at + 2.0 * settling_time
                 && matches!(health, ZoneHealth::Well | ZoneHealth::Slow | ZoneHealth::Silent)
         }
     };
     let next = RESTORE_STEPS.into_iter().find(|step| *step > weight_ratio + 1e-9);
-    match next.filter(|_| due) {
+    match next.filter(|_| is_due) {
         Some(next) => change_to(next, relapses),
         None => decision,
     }
 }
 
-/// The free capacity of all zones but `except`, in tries per second.
-fn free_capacity(view: &FleetView, except: &Zone) -> f64 {
-    let others = view.load.iter().filter(|(zone, _)| *zone != except);
+/// The free capacity of all zones but `excluded_zone`, in tries per second.
+fn free_capacity(view: &FleetView, excluded_zone: &Zone) -> f64 {
+    let others = view.load.iter().filter(|(zone, _)| *zone != excluded_zone);
     let free = |(zone, load): (&Zone, &f64)| {
         let utilization = view.utilization.get(zone)?;
         // A zone that reports no utilization counts as having no free capacity.
-        Some(load * (1.0 / utilization.max(0.05) - 1.0).max(0.0) * USABLE_CAPACITY_RATIO)
+        Some(load * (1.0 / utilization.max(MIN_UTILIZATION) - 1.0).max(0.0) * USABLE_CAPACITY_RATIO)
     };
     others.filter_map(free).sum()
 }
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -37,12 +37,12 @@
 
     /// Adopts a plan that was agreed and returns whether it was newer. An older one, such as that of a deposed leader, is
     /// ignored.
-    pub fn adopt_if_newer(&mut self, other: &Plan) -> bool {
-        let newer = (other.version, other.renewal) > (self.version, self.renewal);
-        if newer {
-            *self = other.clone();
+    pub fn adopt_if_newer(&mut self, agreed: &Plan) -> bool {
+        let is_newer = (agreed.version, agreed.renewal) > (self.version, self.renewal);
+        if is_newer {
+            *self = agreed.clone();
         }
-        newer
+        is_newer
     }
 }
 
@@ -67,9 +67,9 @@
 
     /// Expires the lease if it has ended, and returns whether it did so now. From then on every zone has its full weight.
     pub fn expire(&mut self, now: Ms) -> bool {
-        let over = self.lease_end().is_some_and(|end| now >= end);
-        self.expired |= over;
-        over
+        let has_ended = self.lease_end().is_some_and(|end| now >= end);
+        self.expired |= has_ended;
+        has_ended
     }
 
     /// The weight ratios of restricted zones; zones that are not listed keep their full weight.
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -22,12 +22,19 @@
 fn evidence(zones: &[&str], results: TryResults<'_>, weight_ratio: &dyn Fn(&str) -> f64) -> Evidence {
     let mut accumulator = EvidenceAccumulator::default();
     accumulator.take_evidence(0.0, BTreeMap::new(), BTreeMap::new());
-    for from in zones {
-        for to in zones {
-            let (failure_ratio, mean) = results(from, to);
-            let tries = 100.0 * weight_ratio(to);
+    for proxy_zone in zones {
+        for worker_zone in zones {
+            let (failure_ratio, mean) = results(proxy_zone, worker_zone);
+            let tries = 100.0 * weight_ratio(worker_zone);
             if tries > 0.0 {
-                accumulator.record(&zone(from), &zone(to), tries, tries * failure_ratio, mean, Some(0.5));
+                accumulator.record(
+                    &zone(proxy_zone),
+                    &zone(worker_zone),
+                    tries,
+                    tries * failure_ratio,
+                    mean,
+                    Some(0.5),
+                );
             }
         }
     }
@@ -54,28 +61,40 @@
 fn zone_states_are_distinguished() {
     use ZoneHealth::*;
     assert_eq!(assess_zones(&|_, _| (0.0, 50.0)), [Well; 3]);
-    assert_eq!(assess_zones(&|_, to| (f64::from(u8::from(to == "b")), 50.0)), [Well, Lost, Well]);
+    assert_eq!(
+        assess_zones(&|_, worker_zone| (f64::from(u8::from(worker_zone == "b")), 50.0)),
+        [Well, Lost, Well]
+    );
     // No try crosses the border of b; tries inside it succeed.
     assert_eq!(
-        assess_zones(&|from, to| (f64::from(u8::from((from == "b") != (to == "b"))), 50.0)),
+        assess_zones(&|proxy_zone, worker_zone| (
+            f64::from(u8::from((proxy_zone == "b") != (worker_zone == "b"))),
+            50.0
+        )),
         [Well, CutOff, Well]
     );
     // The proxies of b reach no zone, not even their own: their evidence about other zones does not count.
     assert_eq!(
-        assess_zones(&|from, to| (f64::from(u8::from(from == "b" || to == "b")), 50.0)),
+        assess_zones(&|proxy_zone, worker_zone| (
+            f64::from(u8::from(proxy_zone == "b" || worker_zone == "b")),
+            50.0
+        )),
         [Well, Lost, Well]
     );
-    assert_eq!(assess_zones(&|_, to| (0.0, if to == "c" { 400.0 } else { 50.0 })), [Well, Well, Slow]);
     assert_eq!(
-        assess_zones(&|_, to| (if to == "c" { 0.4 } else { 0.0 }, 50.0)),
+        assess_zones(&|_, worker_zone| (0.0, if worker_zone == "c" { 400.0 } else { 50.0 })),
+        [Well, Well, Slow]
+    );
+    assert_eq!(
+        assess_zones(&|_, worker_zone| (if worker_zone == "c" { 0.4 } else { 0.0 }, 50.0)),
         [Well; 3],
         "a failure ratio of 0.4 is left to the planner"
     );
-    let mut busy = view(&|_, to| (if to == "c" { 0.2 } else { 0.0 }, 50.0));
+    let mut busy = view(&|_, worker_zone| (if worker_zone == "c" { 0.2 } else { 0.0 }, 50.0));
     busy.utilization.insert(zone("c"), 0.97);
     assert_eq!(assess_zone(&busy, &zone("c")), Overloaded);
     let mut silent = view(&|_, _| (0.0, 50.0));
-    silent.pair_stats.retain(|(from, _), _| *from != zone("b"));
+    silent.pair_stats.retain(|(proxy_zone, _), _| *proxy_zone != zone("b"));
     assert_eq!(assess_zone(&silent, &zone("b")), Silent);
     let mut empty = view(&|_, _| (0.0, 50.0));
     empty.ready_weight.insert(zone("b"), 0.0);
@@ -85,7 +104,11 @@
 
 #[test]
 fn two_zones_that_cannot_reach_each_other_are_both_cut_off_and_neither_is_removed() {
-    let evidence = evidence(&["a", "b"], &|from, to| (f64::from(u8::from(from != to)), 50.0), &|_| 1.0);
+    let evidence = evidence(
+        &["a", "b"],
+        &|proxy_zone, worker_zone| (f64::from(u8::from(proxy_zone != worker_zone)), 50.0),
+        &|_| 1.0,
+    );
     let view = FleetView::from_evidence([(MemberId(1), 0.0, &evidence)].into_iter(), 3000.0);
     assert_eq!(assess_zone(&view, &zone("a")), ZoneHealth::CutOff);
     assert_eq!(assess_zone(&view, &zone("b")), ZoneHealth::CutOff);
@@ -149,7 +172,8 @@
 }
 
 const ALL_WELL: TryResults<'static> = &|_, _| (0.0, 50.0);
-const B_LOST: TryResults<'static> = &|_, to| if to.as_bytes()[0] == b'b' { (1.0, 50.0) } else { (0.0, 50.0) };
+const B_LOST: TryResults<'static> =
+    &|_, worker_zone| if worker_zone.as_bytes()[0] == b'b' { (1.0, 50.0) } else { (0.0, 50.0) };
 
 #[test]
 fn a_lost_zone_is_removed_at_once_and_restored_in_steps() {
@@ -204,7 +228,7 @@
 fn if_all_zones_are_lost_one_is_kept() {
     let mut fleet = Fleet::new();
     fleet.run(2_000.0, ALL_WELL);
-    fleet.run(4_000.0, &|_, to| (f64::from(u8::from(to != "a")), 50.0));
+    fleet.run(4_000.0, &|_, worker_zone| (f64::from(u8::from(worker_zone != "a")), 50.0));
     assert_eq!((fleet.weight_ratio("a"), fleet.weight_ratio("b"), fleet.weight_ratio("c")), (1.0, 0.0, 0.0));
     let mut all_lost = Fleet::new();
     all_lost.run(2_000.0, ALL_WELL);
@@ -215,8 +239,11 @@
 
 #[test]
 fn an_overloaded_zone_moves_only_what_fits_the_free_capacity_of_others() {
-    let mut evidence =
-        evidence(&["a", "b", "c"], &|_, to| (if to == "c" { 0.2 } else { 0.0 }, 50.0), &|_| 1.0);
+    let mut evidence = evidence(
+        &["a", "b", "c"],
+        &|_, worker_zone| (if worker_zone == "c" { 0.2 } else { 0.0 }, 50.0),
+        &|_| 1.0,
+    );
     evidence.utilization =
         [("a", 0.85), ("b", 0.85), ("c", 0.99)].map(|(name, utilization)| (zone(name), utilization)).into();
     let mut controller = FailoverController::default();
--- a/crates/gangs/src/answer.rs
+++ b/crates/gangs/src/answer.rs
@@ -55,7 +55,8 @@
 }
 
 impl Gang {
-    /// Decides what to do about one verdict. `spare` is an idle worker that is as fast as its kind usually is here.
+    /// Decides what to do about one verdict. `spare` is an idle worker that is as fast as is usual for its kind in this
+    /// gang.
     pub fn choose_mitigation(
         &self,
         verdict: &Verdict,
@@ -66,22 +67,24 @@
             return Mitigation::Wait;
         }
         let reduce_weight = Mitigation::ReduceWeight(verdict.worker);
-        let own =
+        let own_attempt =
             self.attempts().find(|(part, attempt)| *part == verdict.part && attempt.worker == verdict.worker);
-        let Some(((_, own), ratio)) = own.zip(verdict.rate_ratio.filter(|ratio| *ratio > 0.0)) else {
+        let Some(((_, own_attempt), ratio)) =
+            own_attempt.zip(verdict.rate_ratio.filter(|ratio| *ratio > 0.0))
+        else {
             return reduce_weight;
         };
-        let Some(remaining_time) = own.remaining_time() else { return reduce_weight };
+        let Some(remaining_time) = own_attempt.remaining_time() else { return reduce_weight };
         // A restart elsewhere runs the whole part at the usual rate of the peers.
-        let restart_time: Ms = own.size / (own.rate().unwrap_or(f64::INFINITY) / ratio);
-        let saves = restart_time < (1.0 - MIN_SAVED_RATIO) * remaining_time;
-        let Some(worker) = spare.filter(|_| saves && self.attempt_count(verdict.part) == 1) else {
+        let restart_time: Ms = own_attempt.size / (own_attempt.rate().unwrap_or(f64::INFINITY) / ratio);
+        let saves_enough = restart_time < (1.0 - MIN_SAVED_RATIO) * remaining_time;
+        let Some(worker) = spare.filter(|_| saves_enough && self.attempt_count(verdict.part) == 1) else {
             return reduce_weight;
         };
         if !self.idempotent {
             return Mitigation::CancelThenRestart { part: verdict.part, worker: verdict.worker };
         }
-        match budget.try_reserve(own.size) {
+        match budget.try_reserve(own_attempt.size) {
             true => Mitigation::Speculate { part: verdict.part, worker },
             false => reduce_weight,
         }
--- a/crates/gangs/src/gang.rs
+++ b/crates/gangs/src/gang.rs
@@ -13,7 +13,8 @@
 /// thousand workers.
 const FALSE_ALARM_RATE: f64 = 1e-7;
 const MISS_RATE: f64 = 0.02;
-/// The smallest scatter of the rates, as a standard deviation of their logarithms: a lower value would be chance.
+/// The smallest scatter of the rates, as a standard deviation of their logarithms: a lower measured value is taken for
+/// chance.
 const MIN_SCATTER: f64 = 0.12;
 /// The fewest reports that can lead to a verdict: a stall of one period does not make a straggler.
 const MIN_REPORTS: f64 = 4.0;
@@ -25,7 +26,7 @@
 /// A part is large if it exceeds the median size by this factor.
 const LARGE_PART_FACTOR: f64 = 1.8;
 
-/// Why an attempt is where it is.
+/// Why an attempt is at its current progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// Slow compared with its peers.
@@ -36,7 +37,7 @@
     LargePart,
     /// Cold, and as slow as the other cold workers.
     Cold,
-    /// It reports nothing; that neither shows progress nor excludes it.
+    /// The worker reports nothing, which neither shows nor excludes progress.
     Silent,
     /// All workers of its zone report nothing, which is left to the failover between zones.
     ZoneSilent,
@@ -53,7 +54,7 @@
     pub cause: Cause,
     /// Its rate divided by the usual rate of its peers, if both are known.
     pub rate_ratio: Option<f64>,
-    /// 0 to 1: the evidence for a straggler, as a ratio of what a verdict takes.
+    /// 0 to 1: the evidence for a straggler, as a ratio of the evidence that a verdict requires.
     pub confidence: f64,
     /// How many more reports like the last one would complete the evidence; `None` if the last one speaks against it.
     pub reports_needed: Option<u32>,
@@ -134,16 +135,16 @@
         }
     }
 
-    /// The baseline of an attempt: the rates of its peers, over all points kept of them.
+    /// The baseline of an attempt: from the rates of its peers, each over all kept points of the peer.
     fn baseline(&self, part: PartId, worker: WorkerId) -> Option<Baseline> {
-        let own = self
+        let own_attempt = self
             .attempts()
             .find(|(attempt_part, attempt)| *attempt_part == part && attempt.worker == worker)?
             .1;
         let others =
             || self.attempts().map(|(_, attempt)| attempt).filter(|attempt| attempt.worker != worker);
         let same_kind = |attempt: &&Attempt| {
-            attempt.kind.machine == own.kind.machine && attempt.kind.warm == own.kind.warm
+            attempt.kind.machine == own_attempt.kind.machine && attempt.kind.warm == own_attempt.kind.warm
         };
         let log_rates = |attempts: &mut dyn Iterator<Item = &Attempt>| -> Vec<f64> {
             attempts.filter_map(|attempt| attempt.rate()).filter(|rate| *rate > 0.0).map(f64::ln).collect()
@@ -151,7 +152,7 @@
         let mut peers = log_rates(&mut others().filter(same_kind));
         if peers.len() < MIN_PEERS {
             // Cold workers are never compared with warm ones.
-            peers = log_rates(&mut others().filter(|attempt| attempt.kind.warm == own.kind.warm));
+            peers = log_rates(&mut others().filter(|attempt| attempt.kind.warm == own_attempt.kind.warm));
         }
         if peers.len() < MIN_PEERS {
             return None;
@@ -162,9 +163,10 @@
             .filter_map(Attempt::latest_rate)
             .filter(|rate| *rate > 0.0)
             .map(f64::ln);
-        let mut deviations: Vec<f64> = latest_log_rates.map(|log| (log - median_log_rate).abs()).collect();
+        let mut deviations: Vec<f64> =
+            latest_log_rates.map(|log_rate| (log_rate - median_log_rate).abs()).collect();
         if deviations.len() < MIN_PEERS {
-            deviations = peers.iter().map(|log| (log - median_log_rate).abs()).collect();
+            deviations = peers.iter().map(|log_rate| (log_rate - median_log_rate).abs()).collect();
         }
         // The test looks at the rate between two reports, which scatters more than a rate over many. For a normal
         // distribution the median absolute deviation is 0.6745 of the standard deviation.
@@ -193,13 +195,13 @@
             let reports_needed = latest_evidence
                 .filter(|evidence| *evidence > 0.0)
                 .map(|evidence| ((score_threshold() - attempt.score) / evidence).ceil().max(0.0) as u32);
-            let zone_silent = zone_counts
-                .get(&attempt.kind.zone)
-                .is_some_and(|(all, silent)| all == silent && *all > 1 && zone_count > 1);
+            let is_zone_silent = zone_counts.get(&attempt.kind.zone).is_some_and(|(unfinished, silent)| {
+                unfinished == silent && *unfinished > 1 && zone_count > 1
+            });
             let cause = if attempt.is_finished() {
                 Cause::AtBarrier
             } else if self.is_silent(attempt, now) {
-                if zone_silent {
+                if is_zone_silent {
                     Cause::ZoneSilent
                 } else {
                     Cause::Silent
@@ -227,16 +229,20 @@
     }
 
     /// Whether all workers of this kind together are slow compared with the others.
-    fn is_kind_slow(&self, own: &Attempt) -> bool {
+    fn is_kind_slow(&self, own_attempt: &Attempt) -> bool {
         let rates = |same_kind: bool| -> Vec<f64> {
             let all = self.attempts().map(|(_, attempt)| attempt);
             let selected = all.filter(|attempt| {
-                (attempt.kind.machine == own.kind.machine && attempt.kind.warm == own.kind.warm) == same_kind
+                (attempt.kind.machine == own_attempt.kind.machine
+                    && attempt.kind.warm == own_attempt.kind.warm)
+                    == same_kind
             });
             selected.filter_map(Attempt::rate).filter(|rate| *rate > 0.0).collect()
         };
-        let (same_kind, others) = (median(&mut rates(true)), median(&mut rates(false)));
-        same_kind.zip(others).is_some_and(|(same_kind, others)| same_kind < STRAGGLER_RATE_RATIO * others)
+        let (kind_median, others_median) = (median(&mut rates(true)), median(&mut rates(false)));
+        kind_median
+            .zip(others_median)
+            .is_some_and(|(kind_median, others_median)| kind_median < STRAGGLER_RATE_RATIO * others_median)
     }
 }
 
--- a/crates/gangs/src/progress.rs
+++ b/crates/gangs/src/progress.rs
@@ -42,6 +42,7 @@
     pub worker: WorkerId,
     pub kind: WorkerKind,
     pub size: f64,
+    /// When each kept report was made, and the ratio of the part that was done.
     points: VecDeque<(Ms, f64)>,
     /// Work per millisecond over all kept points.
     rate: Option<f64>,
@@ -69,8 +70,8 @@
     /// Records a report and returns whether it was new. A report that is older than the last one, or shows less progress,
     /// was reordered on its way and is ignored.
     pub fn record(&mut self, report: &ProgressReport) -> bool {
-        let Some((at, done)) = self.points.back().copied() else { return false };
-        if report.reported_at <= at || report.done < done || !report.done.is_finite() {
+        let Some((last_reported_at, done)) = self.points.back().copied() else { return false };
+        if report.reported_at <= last_reported_at || report.done < done || !report.done.is_finite() {
             return false;
         }
         self.kind = report.kind;
@@ -94,7 +95,7 @@
 
     /// When the worker made the last report, by the reporter's clock.
     pub fn last_report_time(&self) -> Ms {
-        self.points.back().map_or(f64::NEG_INFINITY, |(at, _)| *at)
+        self.points.back().map_or(f64::NEG_INFINITY, |(reported_at, _)| *reported_at)
     }
 
     /// Work per millisecond between the last two reports.
@@ -112,8 +113,12 @@
     fn median_slope(&self) -> Option<f64> {
         let points: Vec<&(Ms, f64)> = self.points.iter().collect();
         let mut slopes = Vec::new();
-        for (index, a) in points.iter().enumerate() {
-            slopes.extend(points[index + 1..].iter().map(|b| (b.1 - a.1) * self.size / (b.0 - a.0)));
+        for (index, earlier) in points.iter().enumerate() {
+            slopes.extend(
+                points[index + 1..]
+                    .iter()
+                    .map(|later| (later.1 - earlier.1) * self.size / (later.0 - earlier.0)),
+            );
         }
         median(&mut slopes)
     }
--- a/crates/gangs/tests/gangs.rs
+++ b/crates/gangs/tests/gangs.rs
@@ -26,6 +26,7 @@
     /// By worker, the ratio of its part that is done.
     done: Vec<f64>,
     now: f64,
+    /// Reports on their way, each with its time of arrival.
     in_transit: Vec<(f64, ProgressReport)>,
 }
 
@@ -95,14 +96,17 @@
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, 16);
         simulation.workers[5].speed = 0.5;
-        let mut found = None;
+        let mut found_period = None;
         for period in 0..40 {
             simulation.run_period();
             let stragglers = simulation.workers_with(Cause::Straggler);
             assert!(stragglers.iter().all(|worker| *worker == 5), "seed {seed}: {stragglers:?}");
-            found = found.or((stragglers == [5]).then_some(period));
+            found_period = found_period.or((stragglers == [5]).then_some(period));
         }
-        assert!(found.is_some_and(|period| period <= 25), "seed {seed}: found after {found:?}");
+        assert!(
+            found_period.is_some_and(|period| period <= 25),
+            "seed {seed}: found in period {found_period:?}"
+        );
     }
 }
 
--- a/crates/intent/src/admission.rs
+++ b/crates/intent/src/admission.rs
@@ -41,7 +41,7 @@
         /// The workers that the change takes away.
         departing: Vec<String>,
     },
-    /// A figure is looser than that of the settings.
+    /// A figure is looser than the same figure of the settings.
     LooserThanSettings {
         figure: String,
         requested: f64,
@@ -476,7 +476,7 @@
             assert_eq!(
                 tags(&refusals),
                 ["no-ready-worker"],
-                "the second of two that are each admitted alone"
+                "each of the two departures is admitted alone, but not the second after the first"
             );
             let message = refusals[0].to_string();
             assert!(message.contains("order would have no ready, warm worker without s-3"), "{message}");
@@ -524,7 +524,7 @@
         manager.discover(3, Phase::Ready, Some(NOW - 20_000.0));
         assert!(
             manager.check(&manager.with_worker("s-1", desired(DesiredState::Draining))).is_empty(),
-            "warm in the meantime"
+            "s-3 is warm in the meantime"
         );
         manager.discover(3, Phase::Draining, None);
         let refusals = manager.check(&manager.with_worker("s-1", desired(DesiredState::Draining)));
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -76,7 +76,8 @@
 pub struct Composer {
     discovery: BTreeMap<String, DiscoveryEntry>,
     operator: BTreeMap<String, OperatorEntry>,
-    /// The share of their weight that workers of a zone keep under the failover plan; all of it in zones not listed.
+    /// The ratio of their weight that workers of a zone keep under the failover plan. Workers of zones that are not
+    /// listed keep their full weight.
     weight_ratios: BTreeMap<ZoneId, f64>,
     /// Updates are ordered by sequence number, as two of them may have the same time.
     last_sequence: u64,
@@ -87,14 +88,14 @@
     pub fn update_discovery(&mut self, name: &str, entry: WorkerEntry, address: Option<SocketAddr>) {
         self.last_sequence += 1;
         let (mut phase_at, mut weight_at) = (self.last_sequence, self.last_sequence);
-        if let Some(known) = self.discovery.get(name) {
+        if let Some(earlier) = self.discovery.get(name) {
             // The phase of a restarted worker is a new value even if it is the same.
-            let restarted = entry.booted > known.entry.booted || known.entry.phase == Phase::Gone;
-            if !restarted && known.entry.phase == entry.phase {
-                phase_at = known.phase_at;
+            let restarted = entry.booted > earlier.entry.booted || earlier.entry.phase == Phase::Gone;
+            if !restarted && earlier.entry.phase == entry.phase {
+                phase_at = earlier.phase_at;
             }
-            if known.entry.weight == entry.weight {
-                weight_at = known.weight_at;
+            if earlier.entry.weight == entry.weight {
+                weight_at = earlier.weight_at;
             }
         }
         if let Some(operator) = self.operator.get_mut(name) {
@@ -126,15 +127,15 @@
         unlisted
     }
 
-    /// The planner removed the worker. If discovery still lists it, only the operator took it out: discovery's entry
-    /// stays and true is returned. Otherwise only the fact that discovery reported it gone is kept.
+    /// Records that the planner removed the worker. If discovery still lists the worker, only the operator took it out:
+    /// discovery's entry stays and true is returned. Otherwise only the fact that discovery reported it gone is kept.
     pub fn forget(&mut self, name: &str) -> bool {
         if self.discovery.get(name).is_some_and(|discovery| discovery.entry.phase != Phase::Gone) {
             return true;
         }
-        let gone = self.discovery.remove(name).is_some();
+        let was_reported_gone = self.discovery.remove(name).is_some();
         if let Some(operator) = self.operator.get_mut(name) {
-            operator.gone |= gone;
+            operator.gone |= was_reported_gone;
         }
         false
     }
@@ -151,26 +152,26 @@
         let mut changed = Vec::new();
         let before = std::mem::take(&mut self.operator);
         for (name, worker_intent) in &intent.workers {
-            let known = before.get(name);
-            let changed_at =
+            let earlier = before.get(name);
+            let sequence_for =
                 |unchanged: bool, sequence: u64| if unchanged { sequence } else { self.last_sequence };
             let entry = OperatorEntry {
-                desired_state_at: known.map_or(self.last_sequence, |known| {
-                    changed_at(
-                        known.intent.desired_state == worker_intent.desired_state,
-                        known.desired_state_at,
+                desired_state_at: earlier.map_or(self.last_sequence, |earlier| {
+                    sequence_for(
+                        earlier.intent.desired_state == worker_intent.desired_state,
+                        earlier.desired_state_at,
                     )
                 }),
-                weight_at: known.map_or(self.last_sequence, |known| {
-                    changed_at(known.intent.weight == worker_intent.weight, known.weight_at)
+                weight_at: earlier.map_or(self.last_sequence, |earlier| {
+                    sequence_for(earlier.intent.weight == worker_intent.weight, earlier.weight_at)
                 }),
                 gone: match self.discovery.get(name) {
                     Some(discovery) => discovery.entry.phase == Phase::Gone,
-                    None => known.is_some_and(|known| known.gone),
+                    None => earlier.is_some_and(|earlier| earlier.gone),
                 },
                 intent: worker_intent.clone(),
             };
-            if known.map(|known| &known.intent) != Some(worker_intent) {
+            if earlier.map(|earlier| &earlier.intent) != Some(worker_intent) {
                 changed.push(name.clone());
             }
             self.operator.insert(name.clone(), entry);
@@ -179,7 +180,7 @@
         changed
     }
 
-    /// Replaces the failover plan: the share of their weight that workers of a zone keep. Returns whether it changed.
+    /// Replaces the failover plan: the ratio of their weight that workers of a zone keep. Returns whether it changed.
     pub fn update_plan(&mut self, weight_ratios: BTreeMap<ZoneId, f64>) -> bool {
         let changed = self.weight_ratios != weight_ratios;
         self.weight_ratios = weight_ratios;
@@ -347,7 +348,7 @@
         assert_eq!(worker.phase(), (Ready, Operator), "a repeated phase is no later update");
         worker.discover(Ready, 1.0);
         worker.discover(Draining, 1.0);
-        assert_eq!(worker.phase(), (Draining, Discovery), "a later departure overrides it");
+        assert_eq!(worker.phase(), (Draining, Discovery), "a later departure overrides the operator's ready");
         assert!(worker.0.update_intent(&desired(DesiredState::Ready, None)).is_empty());
         assert_eq!(worker.phase(), (Draining, Discovery), "a repeated intent is no later update");
         worker.0.update_intent(&desired(DesiredState::Follow, None));
@@ -364,9 +365,13 @@
         assert_eq!(worker.phase(), (Gone, Discovery));
         worker.0.update_intent(&desired(DesiredState::Follow, None));
         worker.0.update_intent(&desired(DesiredState::Ready, None));
-        assert_eq!(worker.phase(), (Gone, Discovery), "a later intent does not bring it back");
+        assert_eq!(worker.phase(), (Gone, Discovery), "a later intent does not bring the worker back");
         worker.discover(Draining, 1.0);
-        assert_eq!(worker.phase(), (Draining, Discovery), "listed again, its phase is a new value");
+        assert_eq!(
+            worker.phase(),
+            (Draining, Discovery),
+            "once discovery lists the worker again, its phase is a new value"
+        );
         worker.discover(Ready, 1.0);
         assert_eq!(worker.phase(), (Ready, Discovery));
         assert!(worker.0.mark_unlisted_gone(&|_| false) == ["s-1"] && worker.phase() == (Gone, Discovery));
@@ -396,7 +401,11 @@
         worker.0.update_intent(&Intent::default());
         worker.discover(Ready, 0.0);
         worker.0.update_plan(plan(0.25));
-        assert_eq!(worker.weight(), (0.25, Some(Origin::Plan)), "no source gave a weight");
+        assert_eq!(
+            worker.weight(),
+            (0.25, Some(Origin::Plan)),
+            "without any known weight, the plan's ratio applies to 1"
+        );
         worker.0.update_plan(BTreeMap::new());
         assert_eq!((worker.phase(), worker.weight()), ((Ready, Discovery), (0.0, None)));
     }
@@ -432,12 +441,16 @@
         worker.0.update_intent(&desired(DesiredState::Follow, Some(0.5)));
         assert_eq!(worker.weight(), (0.5, Some(Operator)));
         worker.discover(Draining, 2.0);
-        assert_eq!(worker.weight(), (0.5, Some(Operator)), "an update of another field does not change it");
+        assert_eq!(
+            worker.weight(),
+            (0.5, Some(Operator)),
+            "an update of the phase does not change the weight"
+        );
         worker.discover(Ready, 3.0);
         assert_eq!(worker.weight(), (3.0, Some(Discovery)));
         worker.0.update_intent(&desired(DesiredState::Follow, Some(0.25)));
         worker.discover(Ready, 0.0);
-        assert_eq!(worker.weight(), (0.25, Some(Operator)), "discovery gives none");
+        assert_eq!(worker.weight(), (0.25, Some(Operator)), "discovery gives no weight");
         worker.0.update_intent(&desired(DesiredState::Draining, None));
         assert_eq!(worker.weight(), (0.0, None));
     }
@@ -454,7 +467,7 @@
         assert_eq!((worker.phase(), worker.0.worker_names().count()), ((Draining, Discovery), 1));
         worker.discover(Gone, 1.0);
         worker.0.forget("s-1");
-        assert_eq!(worker.phase(), (Gone, Discovery), "its earlier placement does not bring it back");
+        assert_eq!(worker.phase(), (Gone, Discovery), "the earlier placement does not bring the worker back");
         worker.0.update_intent(&placed);
         assert_eq!(worker.phase(), (Gone, Discovery));
         worker.discover(Ready, 1.0);
--- a/crates/intent/src/datastores.rs
+++ b/crates/intent/src/datastores.rs
@@ -56,7 +56,7 @@
     WrongPersistId,
     /// The version never existed or is no longer kept.
     UnknownVersion(u64),
-    /// The user may not access the node at this path, or the object described.
+    /// The user may not access this: the path of a node, or a description of another object.
     AccessDenied(String),
     Unsupported(&'static str),
 }
@@ -96,7 +96,7 @@
                 write!(f, "version {number} does not exist or is no longer kept")
             }
             DatastoreError::AccessDenied(path) => write!(f, "access to {path} is denied for this user"),
-            DatastoreError::Unsupported(what) => f.write_str(what),
+            DatastoreError::Unsupported(reason) => f.write_str(reason),
         }
     }
 }
@@ -152,7 +152,7 @@
 /// A confirmed commit that awaits its confirmation.
 #[derive(Debug)]
 struct PendingCommit {
-    /// What running returns to if it is not confirmed.
+    /// The configuration that running returns to if the commit is not confirmed.
     rollback_data: Data,
     session: Session,
     author: String,
@@ -419,10 +419,10 @@
 }
 
 impl PendingCommit {
-    /// Whether a session that gives this persist id may confirm, extend or cancel the commit.
+    /// Fails unless a session that gives this persist id may confirm, extend or cancel the commit.
     fn check_may_resolve(&self, session: Session, persist_id: Option<&str>) -> Result<(), DatastoreError> {
         match (&self.persist, persist_id) {
-            (Some(own), Some(given)) if own == given => Ok(()),
+            (Some(expected), Some(given)) if expected == given => Ok(()),
             (Some(_), None) | (None, None) if self.session != session => {
                 Err(DatastoreError::ConfirmedCommitPending(self.session))
             }
@@ -435,8 +435,8 @@
 /// Checks the constraints that the types of the data model cannot express.
 fn validate_data(schema: &Schema, data: &Data) -> Result<(), DatastoreError> {
     use juniperrail_model::Rule;
-    let invalid = |path: &str, name: &str, what: String| {
-        Err(DatastoreError::Faults(vec![Fault::new(Rule::BadValue, path, name, what)]))
+    let invalid = |path: &str, name: &str, message: String| {
+        Err(DatastoreError::Faults(vec![Fault::new(Rule::BadValue, path, name, message)]))
     };
     data.complete(schema).map_err(|fault| DatastoreError::Faults(vec![fault]))?;
     let access = match AccessControl::from_data(schema, data) {
@@ -446,8 +446,8 @@
     let netconf = View::new(schema, data).inner("northbound").inner("netconf");
     let has_listener = netconf.inner("ssh").is_there() || netconf.inner("tls").is_there();
     if has_listener && !access.has_admin() {
-        let what = "a listener without a user whose role is admin: no user could change the access rights";
-        return invalid("/jrm:northbound/user", "role", what.into());
+        let message = "a listener without a user whose role is admin: no user could change the access rights";
+        return invalid("/jrm:northbound/user", "role", message.into());
     }
     let lacks_user =
         |client: &View<'_>| client.text("name-from") == Some("specified") && client.text("user").is_none();
@@ -531,8 +531,8 @@
             (stores.weight(Datastore::Candidate), stores.weight(Datastore::Running)),
             (Some(2.0), None)
         );
-        let dropped = stores.propose_commit(ANN, "ann", Commit::default()).unwrap();
-        drop(dropped);
+        let proposal = stores.propose_commit(ANN, "ann", Commit::default()).unwrap();
+        drop(proposal);
         assert_eq!((stores.weight(Datastore::Candidate), stores.version()), (Some(2.0), 1));
         assert_eq!(stores.commit(5.0, ANN, Commit::default()).unwrap().number, 2);
         stores.set(ANN, 3).unwrap();
@@ -560,7 +560,7 @@
         assert_eq!(
             stores.lock(Datastore::Candidate, ANN),
             Err(DatastoreError::LockDenied(ANN)),
-            "even by itself"
+            "not even the holder can lock it again"
         );
         assert_eq!(stores.set(BOB, 1), Err(DatastoreError::InUse(ANN)));
         assert_eq!(stores.discard(BOB), Err(DatastoreError::InUse(ANN)));
@@ -574,7 +574,7 @@
         assert_eq!(
             stores.commit(0.0, BOB, Commit::default()),
             Err(DatastoreError::InUse(ANN)),
-            "running is locked"
+            "ann has locked running"
         );
         stores.end_session(0.0, ANN);
         stores.commit(0.0, BOB, Commit::default()).unwrap();
@@ -616,7 +616,7 @@
         assert_eq!(
             (stores.weight(Datastore::Running), stores.pending_confirmation()),
             (Some(1.0), None),
-            "locked or not"
+            "a lock on running does not prevent the rollback"
         );
         assert!(stores.versions().last().unwrap().author.contains("roll-back of ann"));
         stores.set(ANN, 4).unwrap();
@@ -697,7 +697,7 @@
         assert_eq!(
             (stores.due_rollback(9e9), stores.weight(Datastore::Running)),
             (None, Some(2.0)),
-            "confirmed after all"
+            "the commit can still be confirmed after its rollback was refused"
         );
     }
 
--- a/crates/intent/src/intent.rs
+++ b/crates/intent/src/intent.rs
@@ -9,7 +9,7 @@
 /// The state that the operator wants a worker to be in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DesiredState {
-    /// The phase that discovery reports.
+    /// Whatever phase discovery reports.
     #[default]
     Follow,
     Ready,
--- a/crates/intent/src/progress.rs
+++ b/crates/intent/src/progress.rs
@@ -113,7 +113,7 @@
         assert!(tracker.update(1500.0, 1, 3, 3));
         assert!(!tracker.update(1600.0, 1, 2, 3), "a change is reported as applied once");
         assert_eq!(tracker.all().next().unwrap().stage, Stage::Applied { after: 500.0 });
-        assert!(!tracker.update(1.0, 7, 1, 1), "the number is unknown");
+        assert!(!tracker.update(1.0, 7, 1, 1), "no change with this number is tracked");
     }
 
     #[test]
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -153,11 +153,11 @@
 
 fn workers_of(schema: &Schema, stores: &Datastores, datastore: Datastore) -> Workers {
     let intent = Intent::from_data(schema, stores.get(datastore));
-    let known = |name: &String| WORKERS.into_iter().find(|worker| worker == name).unwrap();
+    let worker_name = |name: &String| WORKERS.into_iter().find(|worker| worker == name).unwrap();
     intent
         .workers
         .iter()
-        .map(|(name, worker)| (known(name), worker.weight.map(|weight| weight as u32)))
+        .map(|(name, worker)| (worker_name(name), worker.weight.map(|weight| weight as u32)))
         .collect()
 }
 
@@ -187,11 +187,11 @@
                     (stored.is_ok(), model.edit(session, worker, op, weight, default))
                 }
                 Step::Discard(session) => {
-                    let may = model.is_free(Datastore::Candidate, session);
-                    if may {
+                    let is_allowed = model.is_free(Datastore::Candidate, session);
+                    if is_allowed {
                         model.candidate = None;
                     }
-                    (stores.discard(Session(session)).is_ok(), may)
+                    (stores.discard(Session(session)).is_ok(), is_allowed)
                 }
                 Step::Commit(session, confirmed, persist, persist_id) => {
                     let commit = Commit {
@@ -202,10 +202,10 @@
                     };
                     let proposal = stores.propose_commit(Session(session), "x", commit);
                     let applied = proposal.map(|proposal| stores.apply(now, proposal)).is_ok();
-                    let may = model.is_free(Datastore::Running, session)
+                    let is_allowed = model.is_free(Datastore::Running, session)
                         && model.is_free(Datastore::Candidate, session)
                         && model.may_resolve(session, persist_id);
-                    if may {
+                    if is_allowed {
                         let before = model.running.clone();
                         let candidate = model.candidate.take().unwrap_or_else(|| before.clone());
                         let pending = model.pending.take();
@@ -216,17 +216,17 @@
                         }
                         model.make_running(candidate);
                     }
-                    (applied, may)
+                    (applied, is_allowed)
                 }
                 Step::Cancel(session, persist_id) => {
                     let proposal = stores.propose_cancel(Session(session), id_text(persist_id).as_deref());
                     let applied = proposal.map(|proposal| stores.apply(now, proposal)).is_ok();
-                    let may = model.pending.is_some() && model.may_resolve(session, persist_id);
-                    if may {
+                    let is_allowed = model.pending.is_some() && model.may_resolve(session, persist_id);
+                    if is_allowed {
                         let before = model.pending.take().unwrap().0;
                         model.make_running(before);
                     }
-                    (applied, may)
+                    (applied, is_allowed)
                 }
                 Step::Lock(session, datastore) => {
                     let changed = model.candidate.as_ref().is_some_and(|workers| *workers != model.running);
@@ -234,21 +234,21 @@
                         model.pending.as_ref().is_some_and(|(_, owner, ..)| *owner != session);
                     let locked = model.locks.contains_key(&datastore);
                     let denied = if datastore == Datastore::Candidate { changed } else { pending_elsewhere };
-                    let may = !(locked || denied);
-                    if may {
+                    let is_allowed = !(locked || denied);
+                    if is_allowed {
                         model.locks.insert(datastore, session);
                     }
-                    (stores.lock(datastore, Session(session)).is_ok(), may)
+                    (stores.lock(datastore, Session(session)).is_ok(), is_allowed)
                 }
                 Step::Unlock(session, datastore) => {
-                    let may = model.locks.get(&datastore) == Some(&session);
-                    if may {
+                    let is_allowed = model.locks.get(&datastore) == Some(&session);
+                    if is_allowed {
                         model.locks.remove(&datastore);
                         if datastore == Datastore::Candidate {
                             model.candidate = None;
                         }
                     }
-                    (stores.unlock(datastore, Session(session)).is_ok(), may)
+                    (stores.unlock(datastore, Session(session)).is_ok(), is_allowed)
                 }
                 Step::Version(session, back) => {
                     let number = model.versions.len().saturating_sub(back) as u64;
@@ -256,12 +256,13 @@
                     let stored = found
                         .and_then(|data| stores.put(Session(session), Datastore::Candidate, data))
                         .is_ok();
+                    // The datastores keep the last 32 versions.
                     let kept = number >= 1 && model.versions.len() as u64 - number < 32;
-                    let may = kept && model.is_free(Datastore::Candidate, session);
-                    if may {
+                    let is_allowed = kept && model.is_free(Datastore::Candidate, session);
+                    if is_allowed {
                         model.candidate = Some(model.versions[number as usize - 1].clone());
                     }
-                    (stored, may)
+                    (stored, is_allowed)
                 }
                 Step::EndSession(session) => {
                     stores.end_session(now, Session(session));
--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -83,7 +83,7 @@
     /// The transport and the address of the client.
     client_origin: String,
     /// Tells the protocol server to end the session.
-    end: Arc<Notify>,
+    end_signal: Arc<Notify>,
     killed_by: Option<Session>,
 }
 
@@ -180,8 +180,9 @@
     /// Rolls back timed-out confirmed commits and forwards notices of the planner task. Returns when that task ends.
     pub async fn run(&self, mut notices: mpsc::Receiver<Notice>) {
         loop {
-            let due = self.0.inner.lock().await.datastores.next_deadline();
-            let wait = due.map(|due| Duration::from_secs_f64(((due - self.now()) / 1000.0).clamp(0.0, 1e6)));
+            let deadline = self.0.inner.lock().await.datastores.next_deadline();
+            let wait = deadline
+                .map(|deadline| Duration::from_secs_f64(((deadline - self.now()) / 1000.0).clamp(0.0, 1e6)));
             let wait = wait.map(tokio::time::sleep);
             let timer = async {
                 match wait {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Sends a proposal to the planner task, and makes it running if it is accepted.
+    /// Sends a proposal to the planner task, and makes it the running configuration if it is accepted.
     async fn apply(
         &self,
         inner: &mut Inner,
@@ -281,14 +282,14 @@
         inner.access.role(user)?;
         inner.last_session += 1;
         let session = Session(inner.last_session);
-        let end = Arc::new(Notify::new());
-        let open = OpenSession {
+        let end_signal = Arc::new(Notify::new());
+        let open_session = OpenSession {
             user: user.into(),
             client_origin: client_origin.into(),
-            end: end.clone(),
+            end_signal: end_signal.clone(),
             killed_by: None,
         };
-        inner.sessions.insert(session, open);
+        inner.sessions.insert(session, open_session);
         drop(inner);
         let caller = Caller { session, user: user.into() };
         tracing::info!("session {} of {user} from {client_origin} is open", session.0);
@@ -296,10 +297,10 @@
             caller: caller.clone(),
             client_origin: client_origin.into(),
         });
-        Some((caller, end))
+        Some((caller, end_signal))
     }
 
-    /// Closes a session: releases its locks, and rolls back its confirmed commit unless that has a persist name.
+    /// Closes a session: releases its locks, and rolls back its confirmed commit unless the commit has a persist id.
     pub async fn close_session(&self, caller: &Caller, how: TerminationReason) {
         let mut inner = self.0.inner.lock().await;
         let Some(closed) = inner.sessions.remove(&caller.session) else { return };
@@ -316,18 +317,18 @@
         self.notify(Notification::SessionEnded { caller: caller.clone(), how });
     }
 
-    /// Ends another session. Only an admin may do so, or the user of that session.
+    /// Ends another session. Only an admin or that session's own user may end it.
     pub async fn kill_session(&self, caller: &Caller, session: Session) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let admin = inner.access.role(&caller.user) == Some(Role::Admin);
+        let is_admin = inner.access.role(&caller.user) == Some(Role::Admin);
         let Some(other) = inner.sessions.get_mut(&session).filter(|_| session != caller.session) else {
             return Err(DatastoreError::Unsupported("no other session has this number"));
         };
-        if !admin && other.user != caller.user {
+        if !is_admin && other.user != caller.user {
             return Err(DatastoreError::AccessDenied(format!("session {}", session.0)));
         }
         other.killed_by = Some(caller.session);
-        other.end.notify_one();
+        other.end_signal.notify_one();
         Ok(())
     }
 
@@ -363,7 +364,7 @@
         });
         let pending = inner.datastores.pending_confirmation();
         let versions = VersionsState {
-            unconfirmed_for: pending.map(|(until, _)| until - now),
+            unconfirmed_for: pending.map(|(deadline, _)| deadline - now),
             rollback_failure: pending.and_then(|(_, why)| why.map(str::to_string)),
             versions: versions.collect(),
         };
@@ -375,7 +376,8 @@
     async fn snapshot(&self) -> Result<Arc<OperationalState>, DatastoreError> {
         // The lock is held during the request, so that concurrent readers share one request.
         let mut inner = self.0.inner.lock().await;
-        if let Some((_, state)) = inner.cached_state.as_ref().filter(|(at, _)| at.elapsed() < STATE_CACHE_TTL)
+        if let Some((_, state)) =
+            inner.cached_state.as_ref().filter(|(received_at, _)| received_at.elapsed() < STATE_CACHE_TTL)
         {
             return Ok(state.clone());
         }
@@ -534,7 +536,7 @@
         self.request_verdict(PlannerRequest::Validate { intent, verdict: reply }, verdict).await
     }
 
-    /// Makes the candidate running as a whole, or returns why it is refused.
+    /// Makes the whole candidate the running configuration, or returns why it is refused.
     pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<CommitOutcome, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let confirmed = commit.confirmed;
--- a/crates/northbound/src/file.rs
+++ b/crates/northbound/src/file.rs
@@ -61,16 +61,16 @@
         name.push(".new");
         let temporary = folder.join(name);
         let mut file = File::create(&temporary)?;
-        let written = file
+        let result = file
             .write_all(xml::to_file(schema, data).as_bytes())
             .and_then(|()| file.sync_all())
             .and_then(|()| fs::rename(&temporary, &self.path))
             // Without syncing the directory, the rename may be lost in a power failure.
             .and_then(|()| File::open(folder)?.sync_all());
-        if written.is_err() {
+        if result.is_err() {
             _ = fs::remove_file(&temporary);
         }
-        written
+        result
     }
 }
 
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -4,7 +4,7 @@
 use juniperrail_interface::{Ms, Phase, Retry};
 use juniperrail_model::{Content, Data, NodeId, Schema, Value};
 
-/// A worker.
+/// A worker as composed from its sources, with the names of its zone and machine.
 #[derive(Clone, Debug)]
 pub struct WorkerState {
     pub name: String,
@@ -40,9 +40,9 @@
     pub mark_acknowledged: Option<u16>,
     /// The number of marks that the proxy has not acknowledged.
     pub unacknowledged: usize,
-    /// The age of the oldest of them.
+    /// The age of the oldest mark that the proxy has not acknowledged.
     pub unacknowledged_for: Option<Ms>,
-    /// Messages sent within the window that their number is limited in.
+    /// Messages sent within `Settings::message_window`, in which their number is limited.
     pub recent_messages: usize,
     pub excluded_workers: Vec<String>,
     pub operations: Vec<OperationState>,
@@ -55,7 +55,7 @@
     pub by: String,
     pub age: Ms,
     pub stage: Stage,
-    /// The number of proxies that have applied it.
+    /// The number of proxies that have applied the change.
     pub applied_by: usize,
     /// The number of joined proxies.
     pub joined: usize,
@@ -97,21 +97,21 @@
     pub plan: u64,
     /// Whether the lease of the plan has expired.
     pub plan_lease_expired: bool,
-    /// Each zone's share in the plan, with the reason.
+    /// Each zone of the plan: its name, its weight ratio and the reason.
     pub zones: Vec<(String, f64, &'static str)>,
 }
 
-/// A schedule.
+/// The state of one schedule.
 #[derive(Clone, Debug, Default)]
 pub struct ScheduleState {
     pub name: String,
     /// Every occurrence that was due up to this time is decided on, in Unix milliseconds.
     pub decided_through_ms: i64,
-    /// Occurrences in progress.
+    /// The number of occurrences in progress.
     pub open_count: usize,
-    /// Occurrences that finished.
+    /// The number of occurrences that finished.
     pub finished: u64,
-    /// Occurrences that were skipped.
+    /// The number of occurrences that were skipped.
     pub skipped: u64,
     /// The last finished occurrence: its due time, its result and its owner.
     pub last: Option<(i64, &'static str, u16)>,
@@ -128,9 +128,9 @@
 /// The versions of running, and the pending confirmed commit.
 #[derive(Clone, Debug, Default)]
 pub struct VersionsState {
-    /// The time left to confirm it.
+    /// The time left to confirm the pending commit.
     pub unconfirmed_for: Option<Ms>,
-    /// Why its rollback is delayed.
+    /// Why the rollback of the pending commit is delayed.
     pub rollback_failure: Option<String>,
     pub versions: Vec<VersionState>,
 }
@@ -300,9 +300,9 @@
             });
         }
         all.integer("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lease_expired));
-        for (name, part, why) in &self.zones {
+        for (name, weight_ratio, why) in &self.zones {
             all.entry("zone", &[Value::text(&**name)], |zone| {
-                zone.decimal("part", *part, 4).text("why", why);
+                zone.decimal("part", *weight_ratio, 4).text("why", why);
             });
         }
         for state in &self.schedules {
@@ -354,7 +354,7 @@
     /// Checks that each leaf has a valid value of its type in the module.
     fn check_types(schema: &Schema, data: &Data) {
         for (id, content) in data.iter() {
-            let fits = |value: &Value| match &schema.node(id).kind {
+            let check_value = |value: &Value| match &schema.node(id).kind {
                 Kind::Leaf { ty, .. } | Kind::LeafList { ty } => {
                     let read = ty.read(&value.to_string());
                     assert_eq!(read.as_ref(), Ok(value), "{}", schema.node(id).name);
@@ -362,8 +362,8 @@
                 _ => panic!("{} is not a leaf", schema.node(id).name),
             };
             match content {
-                Content::Leaf(value) => fits(value),
-                Content::Leaves(values) => values.iter().for_each(fits),
+                Content::Leaf(value) => check_value(value),
+                Content::Leaves(values) => values.iter().for_each(check_value),
                 Content::Inner(data) => check_types(schema, data),
                 Content::List(entries) => entries.values().for_each(|entry| check_types(schema, entry)),
             }
--- a/crates/schedule/src/decide.rs
+++ b/crates/schedule/src/decide.rs
@@ -36,6 +36,9 @@
 /// Commands proposed in one pass, and occurrences of one schedule examined in it; the rest is left to the next pass.
 pub const MAX_COMMANDS_PER_PASS: usize = 256;
 
+/// The wait before the next try doubles with each try, up to this exponent.
+const MAX_BACKOFF_EXPONENT: u32 = 16;
+
 /// What the leader remembers between passes. It is discarded when leadership ends.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderState {
@@ -67,7 +70,8 @@
 }
 
 impl LeaderState {
-    /// Whether a command may be proposed now, and if so notes it. A command is not proposed again within `retry_after`.
+    /// Whether a command may be proposed now; if so, records its proposal. A command is not proposed again within
+    /// `retry_after`.
     fn may_propose(&mut self, now: Ms, command: &Command, retry_after: Ms) -> bool {
         let key = match command {
             Command::AddSchedule { schedule, .. } => {
@@ -82,12 +86,12 @@
             Command::FinishTry { occurrence, .. } => (occurrence.clone(), 5),
             Command::ExpireClaim { occurrence, .. } => (occurrence.clone(), 6),
         };
-        let last = self.proposed.get(&key).copied();
-        let may = last.is_none_or(|last| now >= last + retry_after);
-        if may {
+        let last_proposed_at = self.proposed.get(&key).copied();
+        let is_due = last_proposed_at.is_none_or(|last_proposed_at| now >= last_proposed_at + retry_after);
+        if is_due {
             self.proposed.insert(key, now);
         }
-        may
+        is_due
     }
 }
 
@@ -109,10 +113,10 @@
     };
     let fences: BTreeSet<Index> = ledger.schedules.values().flat_map(open_fences).collect();
     leader_state.first_seen.retain(|fence, _| fences.contains(fence));
-    leader_state.proposed.retain(|_, at| now < *at + retry_after);
-    // Returns whether there is room for more. A command that does not fit into this pass must not count as proposed, or it
-    // would be held back until `retry_after`.
-    let mut push = |leader_state: &mut LeaderState, command: Command| {
+    leader_state.proposed.retain(|_, proposed_at| now < *proposed_at + retry_after);
+    // Proposes a command unless it was proposed recently. Returns whether the pass has room for more. A command that
+    // does not fit into this pass must not count as proposed, or it would be held back until `retry_after`.
+    let mut propose = |leader_state: &mut LeaderState, command: Command| {
         if leader_state.may_propose(now, &command, retry_after) {
             commands.push(command);
         }
@@ -122,12 +126,12 @@
         for (due_ms, open) in &record.open {
             let occurrence = Occurrence { schedule: name.clone(), due_ms: *due_ms };
             let command = command_for_open(occurrence, open, leader_state, now, time_of_day, alive);
-            if command.is_some_and(|command| !push(leader_state, command)) {
+            if command.is_some_and(|command| !propose(leader_state, command)) {
                 return commands;
             }
         }
-        let removed = !schedules.contains_key(name) && record.open.is_empty();
-        if removed && !push(leader_state, Command::RemoveSchedule { schedule: name.clone() }) {
+        let may_remove = !schedules.contains_key(name) && record.open.is_empty();
+        if may_remove && !propose(leader_state, Command::RemoveSchedule { schedule: name.clone() }) {
             return commands;
         }
     }
@@ -141,7 +145,7 @@
                 command_unless_idle(name, schedule, record, leader_state, pass)
             }
         };
-        if command.is_some_and(|command| !push(leader_state, command)) {
+        if command.is_some_and(|command| !propose(leader_state, command)) {
             return commands;
         }
     }
@@ -199,12 +203,13 @@
             expired.then_some(Command::ExpireClaim { occurrence, fence: claim.fence, at: time_of_day })
         }
         None => {
-            let wait = open.action.backoff * 2f64.powi(open.tries.saturating_sub(1).min(16) as i32);
+            let wait = open.action.backoff
+                * 2f64.powi(open.tries.saturating_sub(1).min(MAX_BACKOFF_EXPONENT) as i32);
             let owner = choose_owner(&occurrence, open.tries, alive)?;
             // If the time of day went back, the wait must not become longer than the backoff.
-            let waited =
+            let has_waited =
                 time_of_day >= open.last_try_ended + wait || time_of_day < open.last_try_ended - wait;
-            waited.then(|| Command::Claim {
+            has_waited.then(|| Command::Claim {
                 occurrence,
                 owner,
                 action: open.action.clone(),
@@ -215,7 +220,7 @@
 }
 
 /// The command for what has become due since `decided_through_ms`: at most one, as the next command depends on it. If
-/// nothing is due, returns when the next occurrence is.
+/// nothing is due, returns the time at which the next occurrence runs.
 fn next_command(
     name: &str,
     schedule: &Schedule,
@@ -224,16 +229,16 @@
     alive: &[MemberId],
 ) -> (Option<Command>, Option<Ms>) {
     let mut due: Vec<ScheduledTime> = Vec::new();
-    let mut next = f64::INFINITY;
+    let mut next_run_at = f64::INFINITY;
     for time in schedule.timing.after(record.decided_through_ms as Ms).take(MAX_COMMANDS_PER_PASS) {
         if time.run_at > time_of_day {
-            next = time.run_at;
+            next_run_at = time.run_at;
             break;
         }
         due.push(time);
     }
     match due.is_empty() {
-        true => (None, Some(next)),
+        true => (None, Some(next_run_at)),
         false => (command_for_due(name, schedule, record, time_of_day, alive, &due), None),
     }
 }
@@ -248,25 +253,26 @@
     due: &[ScheduledTime],
 ) -> Option<Command> {
     let occurrence_at = |due: Ms| Occurrence { schedule: name.into(), due_ms: due as i64 };
-    let skip = |time: &ScheduledTime, reason, count| {
+    let skip_command = |time: &ScheduledTime, reason, count| {
         Some(Command::Skip { occurrence: occurrence_at(time.due), reason, count })
     };
-    let in_time = |time: &ScheduledTime| time_of_day <= time.run_at + schedule.deadline;
-    let first = due.first()?;
-    if first.in_quiet_time {
-        return skip(first, SkipReason::Quiet, 1);
+    let is_in_time = |time: &ScheduledTime| time_of_day <= time.run_at + schedule.deadline;
+    let first_due = due.first()?;
+    if first_due.in_quiet_time {
+        return skip_command(first_due, SkipReason::Quiet, 1);
     }
-    let late_count = due.iter().take_while(|time| !time.in_quiet_time && !in_time(time)).count();
+    let late_count = due.iter().take_while(|time| !time.in_quiet_time && !is_in_time(time)).count();
     let catch_up_count = match schedule.catch_up {
         CatchUp::None => 0,
         CatchUp::Last => 1,
         CatchUp::LastCount(count) => count as usize,
     };
-    // Only the last missed ones are run late. If the pass is full of missed ones, more may follow: skip all of these.
+    // Only the last missed occurrences are run late. If all occurrences that this pass examines are missed, more may
+    // follow, so all of these are skipped.
     let catch_up_count =
         if due.len() == MAX_COMMANDS_PER_PASS && late_count == due.len() { 0 } else { catch_up_count };
     if late_count > catch_up_count {
-        return skip(
+        return skip_command(
             &due[late_count - catch_up_count - 1],
             SkipReason::Missed,
             (late_count - catch_up_count) as u64,
@@ -274,12 +280,12 @@
     }
     if !record.open.is_empty() {
         match schedule.overlap {
-            OverlapPolicy::Skip => return skip(first, SkipReason::Overlap, 1),
+            OverlapPolicy::Skip => return skip_command(first_due, SkipReason::Overlap, 1),
             OverlapPolicy::Queue => return None,
             OverlapPolicy::Replace => {}
         }
     }
-    let occurrence = occurrence_at(first.due);
+    let occurrence = occurrence_at(first_due.due);
     let owner = choose_owner(&occurrence, 0, alive)?;
     Some(Command::Claim { occurrence, owner, action: schedule.action.clone(), overlap: schedule.overlap })
 }
@@ -287,6 +293,6 @@
 /// Spreads occurrences over the members by hash; each try goes to another member.
 fn choose_owner(occurrence: &Occurrence, tries: u32, alive: &[MemberId]) -> Option<MemberId> {
     let hash = xxh3_64(format!("{}\0{}", occurrence.schedule, occurrence.due_ms).as_bytes());
-    let place = (hash as usize).checked_add(tries as usize).unwrap_or(0).checked_rem(alive.len())?;
-    alive.get(place).copied()
+    let owner_index = (hash as usize).checked_add(tries as usize).unwrap_or(0).checked_rem(alive.len())?;
+    alive.get(owner_index).copied()
 }
--- a/crates/schedule/src/duty.rs
+++ b/crates/schedule/src/duty.rs
@@ -1,5 +1,5 @@
 //! What the owner of a claim does: it has the start of a side-effecting action agreed first, runs the action, and
-//! proposes the outcome until that is agreed.
+//! proposes the outcome until the outcome is agreed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,10 +25,10 @@
 /// The progress of a claim at its owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClaimProgress {
-    /// The start was proposed, last at this time.
+    /// The start was proposed, last at this time of the monotonic clock.
     Starting(Ms),
     Executing,
-    /// The try ended, at that time of day; its outcome was last proposed at the second time.
+    /// The try ended, at the first time (time of day). Its outcome was last proposed at the second (monotonic clock).
     Finished(TryOutcome, Ms, Ms),
 }
 
@@ -77,18 +77,18 @@
         for (occurrence, open, claim) in ledger.claims(self.me) {
             open_fences.insert(claim.fence);
             let action = &open.action;
-            let propose = |command| ClaimTask::Propose(command);
-            let finish = |outcome, at| Command::FinishTry {
+            let propose_task = |command| ClaimTask::Propose(command);
+            let finish_command = |outcome, ended_at| Command::FinishTry {
                 occurrence: occurrence.clone(),
                 fence: claim.fence,
                 outcome,
-                at,
+                at: ended_at,
             };
             let Some(tracked) = self.claims.get_mut(&claim.fence) else {
                 // A claim that is started but not tracked was started before a restart: whether it took effect is unknown.
                 let progress = match (claim.started_by.is_some(), action.idempotent) {
                     (true, _) => {
-                        tasks.push(propose(finish(TryOutcome::Unanswered, time_of_day)));
+                        tasks.push(propose_task(finish_command(TryOutcome::Unanswered, time_of_day)));
                         ClaimProgress::Finished(TryOutcome::Unanswered, time_of_day, now)
                     }
                     (false, true) => {
@@ -103,7 +103,7 @@
                         ClaimProgress::Executing
                     }
                     (false, false) => {
-                        tasks.push(propose(Command::Start {
+                        tasks.push(propose_task(Command::Start {
                             occurrence: occurrence.clone(),
                             fence: claim.fence,
                             run: self.run,
@@ -122,9 +122,10 @@
                     // Guards against a start that was agreed late: the lease may have expired and the outcome been recorded.
                     let remaining = tracked.learned_at + action.claim_lease / 2.0 - now;
                     if remaining <= 0.0 {
-                        // Nothing was sent. If the expired claim was recorded as unknown, that errs on the safe side.
+                        // Nothing was sent. If the claim expired and the outcome was recorded as unknown, the record
+                        // says less than is known, but the action is not started again.
                         tracked.progress = ClaimProgress::Finished(TryOutcome::Unsent, time_of_day, now);
-                        tasks.push(propose(finish(TryOutcome::Unsent, time_of_day)));
+                        tasks.push(propose_task(finish_command(TryOutcome::Unsent, time_of_day)));
                     } else {
                         let (occurrence, action, tries) = (occurrence.clone(), action.clone(), open.tries);
                         tasks.push(ClaimTask::Execute {
@@ -139,15 +140,17 @@
                 }
                 ClaimProgress::Starting(proposed_at) if now >= proposed_at + retry_after => {
                     tracked.progress = ClaimProgress::Starting(now);
-                    tasks.push(propose(Command::Start {
+                    tasks.push(propose_task(Command::Start {
                         occurrence: occurrence.clone(),
                         fence: claim.fence,
                         run: self.run,
                     }));
                 }
-                ClaimProgress::Finished(outcome, at, proposed_at) if now >= proposed_at + retry_after => {
-                    tracked.progress = ClaimProgress::Finished(outcome, at, now);
-                    tasks.push(propose(finish(outcome, at)));
+                ClaimProgress::Finished(outcome, ended_at, proposed_at)
+                    if now >= proposed_at + retry_after =>
+                {
+                    tracked.progress = ClaimProgress::Finished(outcome, ended_at, now);
+                    tasks.push(propose_task(finish_command(outcome, ended_at)));
                 }
                 _ => {}
             }
--- a/crates/schedule/src/ledger.rs
+++ b/crates/schedule/src/ledger.rs
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OccurrenceOutcome {
     Succeeded,
-    /// The worker reported a failure; it is not retried.
+    /// The worker reported a failure, which is not retried.
     Failed,
     /// Its tries are used up.
     GivenUp,
@@ -154,19 +154,19 @@
     pub fn apply(&mut self, index: Index, command: &Command) -> bool {
         match command {
             Command::AddSchedule { schedule, decided_through_ms } => {
-                let new = !self.schedules.contains_key(schedule);
+                let is_new = !self.schedules.contains_key(schedule);
                 let record = self.schedules.entry(schedule.clone()).or_default();
-                if new {
+                if is_new {
                     record.decided_through_ms = *decided_through_ms;
                 }
-                new
+                is_new
             }
             Command::RemoveSchedule { schedule } => {
-                let idle = self.schedules.get(schedule).is_some_and(|record| record.open.is_empty());
-                if idle {
+                let is_idle = self.schedules.get(schedule).is_some_and(|record| record.open.is_empty());
+                if is_idle {
                     self.schedules.remove(schedule);
                 }
-                idle
+                is_idle
             }
             Command::Skip { occurrence, reason, count } => {
                 let Some(record) = self
@@ -191,11 +191,11 @@
                     .is_some()
             }
             Command::FinishTry { occurrence, fence, outcome, at } => {
-                let known = self.claim_mut(occurrence, *fence).is_some();
-                if known {
+                let is_current = self.claim_mut(occurrence, *fence).is_some();
+                if is_current {
                     self.finish_try(occurrence, *outcome, *at);
                 }
-                known
+                is_current
             }
             Command::ExpireClaim { occurrence, fence, at } => {
                 let Some(claim) = self.claim_mut(occurrence, *fence) else { return false };
@@ -225,11 +225,11 @@
         let Some(record) = self.schedules.get_mut(&occurrence.schedule) else { return false };
         let claim = Some(Claim { owner, fence: index, started_by: None });
         if let Some(open) = record.open.get_mut(&occurrence.due_ms) {
-            let unclaimed = open.claim.is_none();
-            if unclaimed {
+            let is_unclaimed = open.claim.is_none();
+            if is_unclaimed {
                 (open.claim, open.tries) = (claim, open.tries + 1);
             }
-            return unclaimed;
+            return is_unclaimed;
         }
         if occurrence.due_ms <= record.decided_through_ms {
             return false;
@@ -253,11 +253,11 @@
     }
 
     /// Ends the occurrence, or releases its claim so that it is tried again.
-    fn finish_try(&mut self, occurrence: &Occurrence, outcome: TryOutcome, at: Ms) {
+    fn finish_try(&mut self, occurrence: &Occurrence, outcome: TryOutcome, ended_at: Ms) {
         let Some(record) = self.schedules.get_mut(&occurrence.schedule) else { return };
         let Some(open) = record.open.get_mut(&occurrence.due_ms) else { return };
         let may_retry = open.tries < open.action.max_tries.max(1);
-        let end = match outcome {
+        let occurrence_outcome = match outcome {
             TryOutcome::Succeeded => Some(OccurrenceOutcome::Succeeded),
             TryOutcome::Failed => Some(OccurrenceOutcome::Failed),
             // The action may have taken effect and must not be started again, so its outcome stays unknown. If the
@@ -271,9 +271,9 @@
                 Some(OccurrenceOutcome::GivenUp)
             }
         };
-        match end {
-            Some(end) => record.end(occurrence.due_ms, end),
-            None => (open.claim, open.last_try_ended) = (None, at),
+        match occurrence_outcome {
+            Some(occurrence_outcome) => record.end(occurrence.due_ms, occurrence_outcome),
+            None => (open.claim, open.last_try_ended) = (None, ended_at),
         }
     }
 
--- a/crates/schedule/src/timing.rs
+++ b/crates/schedule/src/timing.rs
@@ -52,7 +52,7 @@
     pub in_quiet_time: bool,
 }
 
-/// Why a timing is invalid: the part that is, and the reason with a hint at the correct form.
+/// Why a timing is invalid: the invalid part, and the reason with a hint at the correct form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimingError {
     pub part: &'static str,
@@ -74,7 +74,7 @@
     gap: GapPolicy,
     fold: FoldPolicy,
     jitter: Ms,
-    /// Civil times: from the first, and before the second.
+    /// The schedule is due only at civil times from the first and before the second.
     window: (Option<DateTime>, Option<DateTime>),
     quiet: Vec<(DateTime, DateTime)>,
     quiet_policy: QuietPolicy,
@@ -82,15 +82,18 @@
 
 /// How far ahead to search. Five years find an occurrence that is due once in a leap year.
 const SEARCH_LIMIT: SignedDuration = SignedDuration::from_hours(24 * 366 * 5);
+/// This many instants, or all if there are fewer, are collected before the earliest is returned.
+const COLLECTED_INSTANTS: usize = 8;
 /// Limit for adjoining quiet times, each of which defers an occurrence into the next.
 const MAX_CHAINED_QUIET_TIMES: usize = 64;
 
-fn unix_ms(at: Timestamp) -> Ms {
-    at.as_millisecond() as f64
+fn unix_ms(instant: Timestamp) -> Ms {
+    instant.as_millisecond() as f64
 }
 
 impl Timing {
-    /// Parses a cron pattern of five fields, or six with seconds first. `name` is the schedule's; it seeds the jitter.
+    /// Parses a cron pattern of five fields, or six with seconds first. `name` is the schedule's name, which seeds the
+    /// jitter.
     pub fn parse(name: &str, cron: &str, zone: &str) -> Result<Timing, TimingError> {
         let error = |part, reason: String| TimingError { part, reason };
         let parser = CronParser::builder().seconds(Seconds::Optional).build();
@@ -160,31 +163,31 @@
         };
         let mut next_civil = Some(local_start.saturating_sub(SignedDuration::from_secs(repeated_secs)));
         let mut pending: Vec<Timestamp> = Vec::new();
-        let mut last = None;
+        let mut last_due = None;
         std::iter::from_fn(move || loop {
             // Around a clock change the instants may come out of order, so several are collected before one is returned.
-            while let Some(at) = next_civil.filter(|_| pending.len() < 8) {
-                next_civil = self.cron.find_next_occurrence(&at, false).ok().filter(|next| {
+            while let Some(civil) = next_civil.filter(|_| pending.len() < COLLECTED_INSTANTS) {
+                next_civil = self.cron.find_next_occurrence(&civil, false).ok().filter(|next| {
                     let limit = self.zone.to_datetime(start).saturating_add(SEARCH_LIMIT);
                     *next <= limit && self.window.1.is_none_or(|until| *next < until)
                 });
                 next_civil.iter().for_each(|civil| pending.extend(self.instants(*civil)));
                 pending.sort();
-                pending.retain(|at| *at > start);
+                pending.retain(|instant| *instant > start);
             }
             let due = if pending.is_empty() { return None } else { pending.remove(0) };
-            if last == Some(due) {
+            if last_due == Some(due) {
                 continue;
             }
-            last = Some(due);
-            let next = pending.iter().find(|at| **at > due).copied();
+            last_due = Some(due);
+            let next = pending.iter().find(|instant| **instant > due).copied();
             return Some(self.scheduled_time(due, next));
         })
         .filter(|time| self.window.0.is_none_or(|from| self.civil_time(time.due) >= from))
     }
 
-    fn civil_time(&self, at: Ms) -> DateTime {
-        self.zone.to_datetime(Timestamp::from_millisecond(at as i64).unwrap_or(Timestamp::MIN))
+    fn civil_time(&self, unix: Ms) -> DateTime {
+        self.zone.to_datetime(Timestamp::from_millisecond(unix as i64).unwrap_or(Timestamp::MIN))
     }
 
     /// The instants of a civil time in the zone, by the policies for clock changes: none, one or two.
@@ -197,9 +200,10 @@
                 // The gap ends at the clock change, which is the first instant after the gap.
                 GapPolicy::AtGapEnd => {
                     let inside = before.to_timestamp(civil).ok();
-                    let change = inside.and_then(|at| {
-                        let at = at.saturating_add(SignedDuration::from_nanos(1)).unwrap_or(at);
-                        self.zone.preceding(at).next().map(|change| change.timestamp())
+                    let change = inside.and_then(|instant| {
+                        let just_after =
+                            instant.saturating_add(SignedDuration::from_nanos(1)).unwrap_or(instant);
+                        self.zone.preceding(just_after).next().map(|change| change.timestamp())
                     });
                     change.into_iter().collect()
                 }
@@ -217,9 +221,9 @@
 
     /// Applies quiet times and jitter. `next` is the next due time.
     fn scheduled_time(&self, due: Timestamp, next: Option<Timestamp>) -> ScheduledTime {
-        let mut at = due;
+        let mut run_at = due;
         for _ in 0..MAX_CHAINED_QUIET_TIMES {
-            let civil = self.zone.to_datetime(at);
+            let civil = self.zone.to_datetime(run_at);
             let Some((_, until)) = self.quiet.iter().find(|(from, until)| *from <= civil && civil < *until)
             else {
                 break;
@@ -227,18 +231,19 @@
             if self.quiet_policy == QuietPolicy::Skip {
                 return ScheduledTime { due: unix_ms(due), run_at: unix_ms(due), in_quiet_time: true };
             }
-            at = self.zone.to_ambiguous_timestamp(*until).compatible().unwrap_or(at).max(at);
+            run_at = self.zone.to_ambiguous_timestamp(*until).compatible().unwrap_or(run_at).max(run_at);
         }
-        let (due, at) = (unix_ms(due), unix_ms(at));
+        let (due, run_at) = (unix_ms(due), unix_ms(run_at));
         // Jitter must not reach the next due time, the end of the window or a quiet time.
         let end = self.window.1.and_then(|until| self.zone.to_ambiguous_timestamp(until).compatible().ok());
         let quiet_starts = self
             .quiet
             .iter()
             .filter_map(|(from, _)| self.zone.to_ambiguous_timestamp(*from).compatible().ok());
-        let bounds = next.into_iter().chain(end).chain(quiet_starts).map(unix_ms).filter(|bound| *bound > at);
-        let room = bounds.fold(self.jitter, |room, bound| room.min(bound - at - 1.0)).max(0.0);
-        ScheduledTime { due, run_at: (at + self.jitter_ratio(due) * room).floor(), in_quiet_time: false }
+        let bounds =
+            next.into_iter().chain(end).chain(quiet_starts).map(unix_ms).filter(|bound| *bound > run_at);
+        let room = bounds.fold(self.jitter, |room, bound| room.min(bound - run_at - 1.0)).max(0.0);
+        ScheduledTime { due, run_at: (run_at + self.jitter_ratio(due) * room).floor(), in_quiet_time: false }
     }
 
     /// A hash of the schedule's name and the due time in 0..1: the same at every manager, and evenly distributed.
--- a/crates/schedule/tests/histories.rs
+++ b/crates/schedule/tests/histories.rs
@@ -16,17 +16,19 @@
 
 struct Replica {
     ledger: Ledger,
+    /// Number of log entries that it has applied.
     applied: usize,
     leader_state: LeaderState,
     claim_tracker: ClaimTracker,
     run: u64,
     down_until: Ms,
+    /// How far its clock is ahead, in milliseconds.
     clock: Ms,
 }
 
 /// A request on its way to the worker.
 struct Effect {
-    at: Ms,
+    arrival: Ms,
     owner: MemberId,
     run: u64,
     occurrence: Occurrence,
@@ -38,8 +40,10 @@
     now: Ms,
     schedules: BTreeMap<String, Schedule>,
     log: Vec<Command>,
+    /// Each with the time at which it reaches the log.
     proposals: Vec<(Ms, Command)>,
     effects: Vec<Effect>,
+    /// Time of arrival, owner of the claim, the owner's run, fencing token, and outcome.
     responses: Vec<(Ms, MemberId, u64, Index, TryOutcome)>,
     replicas: Vec<Replica>,
     leader: usize,
@@ -105,8 +109,8 @@
     fn propose(&mut self, command: Command) {
         for _ in 0..[1, 1, 1, 1, 1, 1, 2, 0][self.rng.usize(..8)] {
             let max_delay = if self.rng.u8(..20) == 0 { 500.0 } else { 20.0 };
-            let at = self.now + self.rng.f64() * max_delay;
-            self.proposals.push((at, command.clone()));
+            let arrival = self.now + self.rng.f64() * max_delay;
+            self.proposals.push((arrival, command.clone()));
         }
     }
 
@@ -128,9 +132,10 @@
     fn step(&mut self, faulty: bool) {
         self.now += 10.0;
         let now = self.now;
-        let arrived: Vec<(Ms, Command)> = self.proposals.extract_if(.., |(at, _)| *at <= now).collect();
+        let arrived: Vec<(Ms, Command)> =
+            self.proposals.extract_if(.., |(arrival, _)| *arrival <= now).collect();
         self.log.extend(arrived.into_iter().map(|(_, command)| command));
-        let effects: Vec<Effect> = self.effects.extract_if(.., |effect| effect.at <= now).collect();
+        let effects: Vec<Effect> = self.effects.extract_if(.., |effect| effect.arrival <= now).collect();
         effects.into_iter().for_each(|effect| self.execute(effect));
         let time_of_day = self.time_of_day();
         for replica_index in 0..self.replicas.len() {
@@ -143,7 +148,7 @@
                 self.run_task(replica_index, task);
             }
         }
-        let responses: Vec<_> = self.responses.extract_if(.., |(at, ..)| *at <= now).collect();
+        let responses: Vec<_> = self.responses.extract_if(.., |(arrival, ..)| *arrival <= now).collect();
         for (_, owner, run, fence, outcome) in responses {
             let replica_index = usize::from(owner.0 - 1);
             let replica = &mut self.replicas[replica_index];
@@ -179,16 +184,16 @@
 
     fn apply(&mut self, replica_index: usize) {
         while self.replicas[replica_index].applied < self.log.len() {
-            let at = self.replicas[replica_index].applied;
-            let command = self.log[at].clone();
+            let log_position = self.replicas[replica_index].applied;
+            let command = self.log[log_position].clone();
             let ledger = &mut self.replicas[replica_index].ledger;
-            ledger.apply(Index(at as u64 + 1), &command);
+            ledger.apply(Index(log_position as u64 + 1), &command);
             self.replicas[replica_index].applied += 1;
             for (name, record) in &self.replicas[replica_index].ledger.schedules {
                 if let Some(ended) = record.ended.back() {
                     let occurrence = Occurrence { schedule: name.clone(), due_ms: ended.due_ms };
-                    let known = self.outcomes.entry(occurrence).or_insert(ended.outcome);
-                    assert_eq!(*known, ended.outcome, "a recorded outcome never changes");
+                    let recorded = self.outcomes.entry(occurrence).or_insert(ended.outcome);
+                    assert_eq!(*recorded, ended.outcome, "a recorded outcome never changes");
                 }
             }
         }
@@ -200,11 +205,11 @@
             ClaimTask::Execute { occurrence, fence, time_limit, .. } => {
                 let run = self.replicas[replica_index].run;
                 let max_delay = if self.rng.u8(..8) == 0 { 1500.0 } else { 60.0 };
-                let at = self.now + self.rng.f64() * max_delay;
+                let arrival = self.now + self.rng.f64() * max_delay;
                 if self.rng.u8(..10) == 0 {
-                    self.responses.push((at, id(replica_index), run, fence, TryOutcome::Unsent));
+                    self.responses.push((arrival, id(replica_index), run, fence, TryOutcome::Unsent));
                 } else {
-                    self.effects.push(Effect { at, owner: id(replica_index), run, occurrence, fence });
+                    self.effects.push(Effect { arrival, owner: id(replica_index), run, occurrence, fence });
                     self.responses.push((
                         self.now + time_limit,
                         id(replica_index),
@@ -307,6 +312,7 @@
     for seed in 0..histories {
         let mut simulation = Simulation::new(seed);
         let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            // The faults end after 600 steps of 10 ms each, which is 6 s; the history ends after 9 s.
             for step in 0..900 {
                 let faulty = step < 600;
                 if faulty && simulation.rng.u8(..25) == 0 {
@@ -323,11 +329,11 @@
             eprintln!("seed {seed} fails");
             std::panic::resume_unwind(why);
         }
-        let newest =
+        let newest_due_ms =
             simulation.outcomes.keys().map(|occurrence| occurrence.due_ms).max().unwrap_or_default() as Ms;
         assert!(
-            newest >= START_UNIX_MS + 7_000.0,
-            "seed {seed}: occurrences end again after the faults: {newest}"
+            newest_due_ms >= START_UNIX_MS + 7_000.0,
+            "seed {seed}: occurrences end again after the faults: {newest_due_ms}"
         );
         effects += simulation.effect_counts.values().sum::<u32>();
         simulation
@@ -336,6 +342,7 @@
             .for_each(|outcome| *outcome_counts.entry(format!("{outcome:?}")).or_default() += 1);
     }
     println!("{histories} histories: {effects} effects, outcomes {outcome_counts:?}");
+    // In fewer than 100 histories some kinds of outcome may not occur.
     assert_eq!(
         outcome_counts.len(),
         if histories >= 100 { 5 } else { outcome_counts.len() },
--- a/crates/schedule/tests/many.rs
+++ b/crates/schedule/tests/many.rs
@@ -27,7 +27,8 @@
     let (mut ledger, mut leader_state, mut index) = (Ledger::default(), LeaderState::default(), 0);
     let alive = [MemberId(1)];
     let mut claimed = BTreeSet::new();
-    // One pass every 50 ms: three add the schedules, and three claim the occurrences once all are due.
+    // One pass every 50 ms: three add the schedules, and three claim the occurrences once all are due. The
+    // schedules are added at a full minute, and the time of day of the claims is the next full minute.
     for pass in 0..6 {
         let time_of_day = if pass < 3 { 1_796_000_040_000.0 } else { 1_796_000_100_000.0 };
         let commands = propose_commands(
--- a/crates/schedule/tests/timing.rs
+++ b/crates/schedule/tests/timing.rs
@@ -6,12 +6,12 @@
 use jiff::Timestamp;
 use juniperrail_schedule::*;
 
-fn unix_ms(at: &str) -> f64 {
-    at.parse::<Timestamp>().unwrap().as_millisecond() as f64
+fn unix_ms(text: &str) -> f64 {
+    text.parse::<Timestamp>().unwrap().as_millisecond() as f64
 }
 
-fn utc(at: f64) -> String {
-    Timestamp::from_millisecond(at as i64).unwrap().to_string()
+fn utc(unix: f64) -> String {
+    Timestamp::from_millisecond(unix as i64).unwrap().to_string()
 }
 
 fn due_times(timing: &Timing, after: &str, limit: usize) -> Vec<String> {
