--- a/crates/client/examples/drain.rs
+++ b/crates/client/examples/drain.rs
@@ -32,6 +32,7 @@
         .await?;
     client.commit(&Commit::default()).await?;
     let notification = client.next_notification().await?;
+    // The first child is `eventTime`, the second the event, whose last child is the duration `held-after`.
     let event = &notification.children[1];
     client.close().await?;
     Ok(event.children.last().map(|held_after| held_after.text.clone()).unwrap_or_default())
--- a/crates/client/src/endpoint.rs
+++ b/crates/client/src/endpoint.rs
@@ -24,18 +24,21 @@
     Tls { name: String, authorities: PathBuf, certificate: PathBuf, key: PathBuf },
 }
 
-/// The address of a server and the credentials of both sides. Only the host key or authorities named here are trusted.
+/// The address of a server and the credentials of both sides. Only a server with the given
+/// host key, or with a certificate that one of the given authorities has signed, is trusted.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     address: String,
     transport: Transport,
 }
 
-/// The byte stream, and what has to stay alive as long as the stream is used.
+/// The byte stream, and the transport that has to stay alive as long as the stream is used: for SSH its handle, for TLS
+/// `None`.
 type Connected = (Box<dyn Stream>, Option<Box<dyn std::any::Any + Send>>);
 
 impl Endpoint {
-    /// An SSH endpoint for a user with a private key in OpenSSH format. It also needs [`Endpoint::with_host_key`].
+    /// An SSH endpoint for a user with a private key in OpenSSH format. The endpoint also needs
+    /// [`Endpoint::with_host_key`].
     pub fn ssh(address: impl Into<String>, user: impl Into<String>, key: impl Into<PathBuf>) -> Endpoint {
         let transport = Transport::Ssh { user: user.into(), key: key.into(), host_key: None };
         Endpoint { address: address.into(), transport }
@@ -122,10 +125,10 @@
     let private_key = load_secret_key(key, None).map_err(|error| unusable_file(key, error.to_string()))?;
     let host_key =
         host_key.ok_or_else(|| invalid_input("no host key is given to verify the server".into()))?;
-    let line =
+    let host_key_line =
         std::fs::read_to_string(host_key).map_err(|error| unusable_file(host_key, error.to_string()))?;
-    let expected_key =
-        PublicKey::from_openssh(line.trim()).map_err(|error| unusable_file(host_key, error.to_string()))?;
+    let expected_key = PublicKey::from_openssh(host_key_line.trim())
+        .map_err(|error| unusable_file(host_key, error.to_string()))?;
     let handle =
         connect_stream(Arc::new(Config::default()), socket, HostKeyVerifier(Some(expected_key))).await;
     let authentication_failed =
@@ -157,8 +160,8 @@
         invalid_input(format!("{} cannot be used: {reason}", path.display()))
     };
     let read_chain = |path: &PathBuf| -> Result<Vec<CertificateDer<'static>>, ClientError> {
-        let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
-        read.map_err(|error| unusable_file(path, error.to_string()))
+        let chain = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
+        chain.map_err(|error| unusable_file(path, error.to_string()))
     };
     let mut roots = rustls::RootCertStore::empty();
     for authority in read_chain(authorities)? {
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -11,7 +11,7 @@
     NotStarted,
     /// Connecting to the server. No operation was sent.
     Connecting,
-    /// Sending the request. It may have arrived, and the server may have executed it.
+    /// Sending the request. The request may have arrived, and the server may have executed it.
     Sending,
     /// Waiting for a message or decoding it. The server may have executed the request.
     Receiving,
@@ -60,7 +60,7 @@
         ClientError { stage, kind }
     }
 
-    /// Returns the reply, or an error if it contains `rpc-error` elements.
+    /// Returns the reply, or an error if the reply contains `rpc-error` elements.
     pub(crate) fn check_reply(reply: Element) -> Result<Element, ClientError> {
         let error_elements = reply.children.iter().filter(|child| child.is(NETCONF, "rpc-error"));
         let to_rpc_error = |error: &Element| {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -8,7 +8,7 @@
 //! let mut client = Client::connect(&endpoint).await?;
 //! client.edit(r#"<workers xmlns="tag:juniperrail.example,2026:yang:manager">
 //!     <worker><name>s-1</name><wanted>draining</wanted></worker></workers>"#).await?;
-//! client.commit(&Commit::default()).await?; // all or nothing; an error has the reasons
+//! client.commit(&Commit::default()).await?; // all or nothing; the error of a refused commit lists the reasons
 //! println!("{}", client.get_config(Datastore::Running, None).await?.text());
 //! client.close().await
 //! # }
@@ -66,11 +66,12 @@
 /// The parameters of a commit, RFC 6241 section 8.4.
 #[derive(Clone, Debug, Default)]
 pub struct Commit {
-    /// Makes it a confirmed commit, which is rolled back unless it is confirmed within this many seconds.
+    /// If set, this is a confirmed commit: the server rolls it back unless a later commit confirms it within this many
+    /// seconds.
     pub confirm_timeout_s: Option<u32>,
-    /// A token with which any session may confirm the commit. Only sent for a confirmed commit.
+    /// A token with which any session may confirm this commit. Only sent for a confirmed commit.
     pub persist: Option<String>,
-    /// The token of the commit that this one confirms.
+    /// The `persist` token of the earlier commit that this commit confirms.
     pub persist_id: Option<String>,
 }
 
@@ -94,8 +95,9 @@
 
 /// An open session, which executes one operation at a time.
 pub struct Client {
-    /// `None` only while the client is dropped.
+    /// `None` only while the client is being dropped.
     stream: Option<Box<dyn Stream>>,
+    /// The runtime in which the client was created.
     runtime: tokio::runtime::Handle,
     decoder: Decoder,
     framing: Framing,
@@ -150,8 +152,10 @@
         }
         let session_id = hello.get(NETCONF, "session-id").and_then(|id| id.trimmed_text().parse().ok());
         client.session_id = session_id.ok_or_else(|| malformed("the server's hello has no session-id"))?;
-        let listed = hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
-        client.capabilities = listed.iter().map(|item| item.trimmed_text().to_string()).collect();
+        let capability_elements =
+            hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
+        client.capabilities =
+            capability_elements.iter().map(|item| item.trimmed_text().to_string()).collect();
         if client.capabilities.iter().any(|name| name == BASE_1_1) {
             client.framing = Framing::Chunked;
             client.decoder.set_framing(Framing::Chunked);
@@ -193,7 +197,7 @@
                         "the server closed the session".into(),
                     )))
                 }
-                Ok(read) => self.decoder.push(&buffer[..read]),
+                Ok(read_bytes) => self.decoder.push(&buffer[..read_bytes]),
                 Err(error) => return Err(receive_error(ErrorKind::ConnectionLost(error.to_string()))),
             }
         }
@@ -231,7 +235,7 @@
     }
 
     /// Wraps the elements of a subtree filter, given as XML text, in a `filter` element.
-    fn filter(text: Option<&str>) -> Result<Option<Element>, ClientError> {
+    fn filter_element(text: Option<&str>) -> Result<Option<Element>, ClientError> {
         let Some(text) = text else { return Ok(None) };
         let filter = format!("<filter xmlns=\"{NETCONF}\">{text}</filter>");
         let parsed = xml::read(filter.as_bytes());
@@ -240,9 +244,10 @@
             .map_err(|error| ClientError::new(Stage::NotStarted, ErrorKind::MalformedMessage(error.what)))
     }
 
-    /// Reads configuration and state. `filter` is the elements of a subtree filter as XML text.
+    /// Reads configuration and state. `filter` contains the elements of a subtree filter as XML text; `None`
+    /// selects everything.
     pub async fn get(&mut self, filter: Option<&str>) -> Result<Data, ClientError> {
-        let filter = Client::filter(filter)?;
+        let filter = Client::filter_element(filter)?;
         self.request_data(element("get").with_all(filter)).await
     }
 
@@ -252,12 +257,13 @@
         datastore: Datastore,
         filter: Option<&str>,
     ) -> Result<Data, ClientError> {
-        let filter = Client::filter(filter)?;
+        let filter = Client::filter_element(filter)?;
         let source = element("source").with(element(datastore.name()));
         self.request_data(element("get-config").with(source).with_all(filter)).await
     }
 
-    /// Merges XML elements into the candidate, except where they have an `operation` attribute.
+    /// Merges XML elements into the candidate. For an element with an `operation` attribute, that operation applies
+    /// instead.
     pub async fn edit(&mut self, config: &str) -> Result<(), ClientError> {
         self.edit_with(config, "merge", "test-then-set").await
     }
@@ -319,7 +325,7 @@
         self.rpc(element("unlock").with(element("target").with(element(datastore.name())))).await.map(drop)
     }
 
-    /// Replaces the content of one datastore by that of another.
+    /// Replaces the content of the target datastore by that of the source.
     pub async fn copy(&mut self, source: Datastore, target: Datastore) -> Result<(), ClientError> {
         let target = element("target").with(element(target.name()));
         let source = element("source").with(element(source.name()));
@@ -342,7 +348,8 @@
 
     /// Subscribes to notifications; `filter` as in [`Client::get`].
     pub async fn subscribe(&mut self, filter: Option<&str>) -> Result<(), ClientError> {
-        let filter = Client::filter(filter)?.map(|filter| Element { ns: NOTIFICATION.into(), ..filter });
+        let filter =
+            Client::filter_element(filter)?.map(|filter| Element { ns: NOTIFICATION.into(), ..filter });
         self.rpc(Element::new(NOTIFICATION, "create-subscription").with_all(filter)).await.map(drop)
     }
 
@@ -365,8 +372,8 @@
     }
 }
 
-/// Enters the runtime before the stream is dropped: an SSH channel spawns a task when it is dropped, which panics outside
-/// of a runtime.
+/// Enters the runtime before the stream is dropped: an SSH channel spawns a task when it is dropped, and to spawn a
+/// task outside of a runtime panics.
 impl Drop for Client {
     fn drop(&mut self) {
         let _runtime = self.runtime.enter();
--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -11,6 +11,9 @@
 /// Maximum number of digits of a chunk size (section 4.2).
 const MAX_CHUNK_SIZE_DIGITS: usize = 10;
 
+/// The marker after the last chunk of a message (section 4.2).
+const END_OF_CHUNKS: &[u8] = b"\n##\n";
+
 /// The end-of-message delimiter of base:1.0.
 const END_OF_MESSAGE: &[u8] = b"]]>]]>";
 
@@ -19,7 +22,7 @@
 pub enum Framing {
     /// `]]>]]>` after each message: for the hellos, and for sessions that use base:1.0.
     EndOfMessage,
-    /// Chunks (base:1.1), if both hellos list that capability.
+    /// Chunks, each after its size: for sessions in which both hellos list base:1.1.
     Chunked,
 }
 
@@ -51,7 +54,7 @@
     searched_bytes: usize,
     /// The decoded chunks of the current message.
     message: BytesMut,
-    /// Whether the current message has a chunk yet.
+    /// Whether the header of a chunk of the current message was already decoded.
     has_chunk: bool,
     /// Bytes of the current chunk that are still missing.
     missing_chunk_bytes: usize,
@@ -96,6 +99,7 @@
     }
 
     fn next_delimited(&mut self) -> Result<Option<Bytes>, FramingError> {
+        // The delimiter may have begun in the bytes that were already searched.
         let search_start = self.searched_bytes.saturating_sub(END_OF_MESSAGE.len() - 1);
         if let Some(end) = memmem::find(&self.bytes[search_start..], END_OF_MESSAGE) {
             let message = self.bytes.split_to(search_start + end).freeze();
@@ -128,7 +132,7 @@
             match read_chunk_header(&self.bytes)? {
                 None => return Ok(None),
                 Some((header_bytes, Some(size))) => {
-                    // Checked before the chunk arrives, so that a false size costs no memory.
+                    // The size is checked before the chunk arrives, so that a false size costs no memory.
                     if size > MAX_MESSAGE_BYTES - self.message.len() {
                         return Err(FramingError::TooLong);
                     }
@@ -148,8 +152,8 @@
     }
 }
 
-/// Reads a chunk header: its length, and the size of the chunk or `None` for end-of-chunks. `None` if it is not complete
-/// yet.
+/// Reads a chunk header; `None` if the header is not complete yet. Returns the length of the header in bytes, and the
+/// size of the chunk, or `None` in place of the size for the end-of-chunks marker.
 fn read_chunk_header(bytes: &[u8]) -> Result<Option<(usize, Option<usize>)>, FramingError> {
     for (byte, expected) in bytes.iter().zip(b"\n#") {
         if byte != expected {
@@ -160,7 +164,7 @@
     if rest.first() == Some(&b'#') {
         return match rest.get(1) {
             None => Ok(None),
-            Some(b'\n') => Ok(Some((4, None))),
+            Some(b'\n') => Ok(Some((END_OF_CHUNKS.len(), None))),
             Some(_) => Err(FramingError::BadChunk("has no LF after the end-of-chunks marker")),
         };
     }
@@ -174,6 +178,7 @@
             let size = std::str::from_utf8(&rest[..digits]).ok().and_then(|size| size.parse().ok());
             let size = size.filter(|size: &u64| *size <= u32::MAX.into());
             let size = size.ok_or(FramingError::BadChunk("has a size out of range"))?;
+            // LF and # come before the digits, LF after them.
             Ok(Some((2 + digits + 1, Some(size as usize))))
         }
         Some(_) => Err(FramingError::BadChunk("has a size that is not a number")),
@@ -185,7 +190,7 @@
 pub fn delimiters(framing: Framing, length_bytes: usize) -> (String, &'static [u8]) {
     match framing {
         Framing::EndOfMessage => (String::new(), END_OF_MESSAGE),
-        Framing::Chunked => (format!("\n#{length_bytes}\n"), b"\n##\n"),
+        Framing::Chunked => (format!("\n#{length_bytes}\n"), END_OF_CHUNKS),
     }
 }
 
@@ -199,6 +204,9 @@
 mod tests {
     use super::*;
 
+    /// Size of the pieces that are pushed until a message is too long.
+    const PUSHED_BYTES: usize = 65536;
+
     fn decode_all(framing: Framing, pieces: &[&[u8]]) -> Result<Vec<String>, FramingError> {
         let mut decoder = Decoder::default();
         decoder.set_framing(framing);
@@ -264,25 +272,27 @@
         decoder.set_framing(Framing::Chunked);
         let mut pushed_bytes = 0;
         let error = loop {
+            // The header of a chunk of `PUSHED_BYTES`.
             decoder.push(b"\n#65536\n");
-            decoder.push(&[b'x'; 65536]);
-            pushed_bytes += 65536;
+            decoder.push(&[b'x'; PUSHED_BYTES]);
+            pushed_bytes += PUSHED_BYTES;
             if let Err(error) = decoder.next_message() {
                 break error;
             }
         };
         assert!(
             error == FramingError::TooLong
-                && pushed_bytes <= MAX_MESSAGE_BYTES + 2 * 65536
-                && decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + 2 * 65536
+                && pushed_bytes <= MAX_MESSAGE_BYTES + 2 * PUSHED_BYTES
+                && decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + 2 * PUSHED_BYTES
         );
-        let mut endless = Decoder::default();
+        let mut endless_decoder = Decoder::default();
         let error = (0..).find_map(|_| {
-            endless.push(&[b'x'; 65536]);
-            endless.next_message().err()
+            endless_decoder.push(&[b'x'; PUSHED_BYTES]);
+            endless_decoder.next_message().err()
         });
         assert!(
-            error == Some(FramingError::TooLong) && endless.buffered_bytes() <= MAX_MESSAGE_BYTES + 65536
+            error == Some(FramingError::TooLong)
+                && endless_decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + PUSHED_BYTES
         );
     }
 
--- a/crates/manager/tests/cluster/mod.rs
+++ b/crates/manager/tests/cluster/mod.rs
@@ -1,6 +1,6 @@
 //! Test harness: a manager in this process or as a process of its own, with a discovery server that the test plays.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses a part of this module.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -24,7 +24,8 @@
     juniperrail_standins::entry(id, "a", "127.0.0.1:9", lifecycle)
 }
 
-/// A configuration file with workers s-1 to s-3 in its cached list, version 41.
+/// A configuration file with workers s-1 to s-3 in its cached list, version 41. `sockets` is the number of
+/// descriptors that the manager may use.
 pub fn config(discovery: SocketAddr, sockets: usize) -> String {
     let cached_list = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
     format!(
@@ -37,7 +38,7 @@
 pub struct TestCluster {
     pub manager: SocketAddr,
     pub discovery: TcpListener,
-    /// Dropping or using this stops the manager.
+    /// Dropping this, or sending on it, stops the manager.
     pub stop: Option<tokio::sync::oneshot::Sender<()>>,
 }
 
@@ -83,7 +84,7 @@
     Discovery::accept(discovery, status)
 }
 
-/// A manager as a process of its own. Its configuration file is removed when it is dropped.
+/// A manager as a process of its own. Dropping it ends the process and removes its configuration file.
 pub struct ManagerProcess {
     pub child: Child,
     pub address: SocketAddr,
@@ -125,8 +126,8 @@
             .unwrap_or_else(|| panic!("the log ended without a line with {text:?}"))
     }
 
-    /// Number of connections to its address that are accepted and not closed. Connections in the backlog or in TIME_WAIT
-    /// have no inode, and are not counted.
+    /// Number of connections to the manager's address that are accepted and not closed. Connections in the backlog or in
+    /// TIME_WAIT have no inode, and are not counted.
     pub fn connection_count(&self) -> usize {
         let port = format!(":{:04X}", self.address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
--- a/crates/manager/tests/command_line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -29,7 +29,7 @@
     log: BufReader<std::process::ChildStderr>,
 }
 
-fn folder(name: &str) -> PathBuf {
+fn create_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("juniperrail-line-{name}-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     folder
@@ -37,13 +37,13 @@
 
 impl TestManager {
     fn new(name: &str) -> TestManager {
-        let folder = folder(name);
+        let folder = create_folder(name);
         let (host, ann) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
         let discovery = Discovery::start();
-        let known = list(1, true, &["s-1", "s-2"].map(|id| entry(id, "a", "127.0.0.1:9", "ready")));
-        discovery.tell(&known);
+        let cached_list = list(1, true, &["s-1", "s-2"].map(|id| entry(id, "a", "127.0.0.1:9", "ready")));
+        discovery.tell(&cached_list);
         let config = format!(
-            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964","known":{known},
+            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964","known":{cached_list},
             "settings":{SETTINGS}}}"#,
             discovery.address
         );
@@ -65,11 +65,11 @@
         let (mut address, mut ssh) = (None, None);
         while address.is_none() || ssh.is_none() {
             line.clear();
-            assert!(log.read_line(&mut line).unwrap() > 0, "it starts serving");
+            assert!(log.read_line(&mut line).unwrap() > 0, "the manager ended before it served");
             let event: serde_json::Value = serde_json::from_str(&line).unwrap();
             let message = event["message"].as_str().unwrap();
-            address = address.or(message.split_once("serves on ").map(|(_, at)| at.parse().unwrap()));
-            ssh = ssh.or(message.split_once("NETCONF over SSH on ").map(|(_, at)| at.to_string()));
+            address = address.or(message.split_once("serves on ").map(|(_, text)| text.parse().unwrap()));
+            ssh = ssh.or(message.split_once("NETCONF over SSH on ").map(|(_, text)| text.to_string()));
         }
         let (address, ssh) = (address.unwrap(), ssh.unwrap());
         TestManager { folder, _discovery: discovery, child: manager, address, ssh, host, ann, log }
@@ -84,8 +84,8 @@
         output(command.args(rest))
     }
 
-    /// Writes an operator file with these contents of `workers`, and returns its path.
-    fn file(&self, body: &str) -> String {
+    /// Writes an operator file whose element `workers` contains `body`, and returns the file's path.
+    fn write_change_file(&self, body: &str) -> String {
         let path = self.folder.join("change.xml");
         let text = format!(
             "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
@@ -109,10 +109,10 @@
     let manager = TestManager::new("changed");
     let mut proxy = AnsweringProxy::joined(manager.address, 7);
     proxy.line_with("whole=1");
-    let drained = manager.file("<worker><name>s-1</name><wanted>draining</wanted></worker>");
-    assert_eq!(manager.command(&["config", "edit", &drained]), (0, String::new(), String::new()));
+    let drain_file = manager.write_change_file("<worker><name>s-1</name><wanted>draining</wanted></worker>");
+    assert_eq!(manager.command(&["config", "edit", &drain_file]), (0, String::new(), String::new()));
     proxy.line_with("out=s-1");
-    // Longer than a proxy with an outstanding answer would be kept.
+    // The manager would not keep a proxy that owes it an answer for so long.
     std::thread::sleep(std::time::Duration::from_secs(7));
     let (code, output, error) = manager.command(&["config", "get", "/workers", "--json"]);
     assert_eq!(error, "");
@@ -126,12 +126,12 @@
     assert!(state.contains("<name>s-1</name>") && state.contains("<phase>draining</phase>"), "{state}");
     assert!(!state.contains("s-2") && !state.contains("<zone>"), "{state}");
     // Rejected: exit code 3, one line with the reason, and the candidate is unchanged.
-    let without_s2 = manager.file("<worker><name>s-2</name><weight>0</weight></worker>");
+    let without_s2 = manager.write_change_file("<worker><name>s-2</name><weight>0</weight></worker>");
     let (code, output, error) = manager.command(&["config", "edit", &without_s2]);
     assert_eq!((code, output.as_str(), error.lines().count()), (3, "", 1));
     assert!(error.starts_with("juniperrail: refused: lookup would have no ready, warm worker"), "{error}");
     assert_eq!(manager.command(&["config", "diff"]), (0, String::new(), String::new()));
-    let weight_change = manager.file("<worker><name>s-2</name><weight>1.5</weight></worker>");
+    let weight_change = manager.write_change_file("<worker><name>s-2</name><weight>1.5</weight></worker>");
     assert_eq!(manager.command(&["config", "edit", "--no-commit", &weight_change]).0, 0);
     let (_, differences, _) = manager.command(&["config", "diff"]);
     assert!(differences.contains("+ /jrm:workers/worker[name='s-2']/weight 1.5"), "{differences}");
@@ -146,7 +146,7 @@
     assert!(saved.contains("<role>admin</role>") && !saved.contains("s-2"), "{saved}");
     let (code, _, error) = manager.command(&["config", "edit", "/nothing/there.xml"]);
     assert!(code == 1 && error.lines().count() == 1 && error.contains("cannot be read"), "{error}");
-    let malformed = manager.file("<worker>");
+    let malformed = manager.write_change_file("<worker>");
     let (code, _, error) = manager.command(&["config", "edit", &malformed]);
     assert!(code == 1 && error.starts_with("juniperrail: line 1: "), "{error}");
 }
@@ -154,8 +154,8 @@
 #[test]
 fn log_is_json_on_request() {
     let mut manager = TestManager::new("json");
-    let changed = manager.file("<worker><name>s-1</name><weight>2</weight></worker>");
-    assert_eq!(manager.command(&["config", "edit", &changed]).0, 0);
+    let change_file = manager.write_change_file("<worker><name>s-1</name><weight>2</weight></worker>");
+    assert_eq!(manager.command(&["config", "edit", &change_file]).0, 0);
     let mut lines = manager.log.by_ref().lines().map(Result::unwrap);
     let line = lines.find(|line| line.contains("is accepted")).unwrap();
     let event: serde_json::Value = serde_json::from_str(&line).unwrap();
@@ -169,7 +169,7 @@
 
 #[test]
 fn optional_features_are_off_without_an_operator_file_or_with_an_empty_one() {
-    let folder = folder("without");
+    let folder = create_folder("without");
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","known":{},"settings":{SETTINGS}}}"#,
         list(1, true, &[entry("s-1", "a", "127.0.0.1:9", "ready")])
@@ -185,7 +185,7 @@
         let address = address_served(&mut log);
         Peer::joined(address, 1).line_with("whole=1 lines=s-1:1");
         let threads = fs::read_dir(format!("/proc/{}/task", manager.id())).unwrap().count();
-        assert_eq!(threads, 1, "a single thread");
+        assert_eq!(threads, 1, "the manager must have a single thread");
         manager.kill().unwrap();
         manager.wait().unwrap();
     }
@@ -194,30 +194,38 @@
 
 #[test]
 fn check_reports_an_invalid_file_in_one_line() {
-    let folder = folder("check");
+    let folder = create_folder("check");
     let operator = folder.join("operator.xml");
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{SETTINGS}}}"#
     );
     fs::write(folder.join("config.json"), config).unwrap();
-    let check = |body: &str, config: bool| {
+    let check = |body: &str, with_config: bool| {
         let text = format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\n{body}</config>");
         fs::write(&operator, text).unwrap();
         let mut command = Command::new(PROGRAM);
         command.env_clear().arg("check").arg("--operator-file").arg(&operator);
-        if config {
+        if with_config {
             command.env("PROXY_CONFIG", folder.join("config.json"));
         }
         output(&mut command)
     };
     let namespace = "xmlns=\"tag:juniperrail.example,2026:yang:manager\"";
-    let grace = |ms: u32| format!("<figures {namespace}><drain-grace>{ms}</drain-grace></figures>");
-    assert_eq!(check(&grace(2900), true).0, 0);
-    let key = "<netconf><ssh><listen>127.0.0.1:0</listen><host-key>nowhere</host-key></ssh></netconf>";
-    for (body, config, expected) in [
-        (grace(0), false, "line 2: /jrm:figures/drain-grace: 0.0 is not within 1.0..3600000.0"),
-        (grace(3001), true, "/jrm:figures/drain-grace: drain-grace 3001 is looser than the settings' 3000"),
-        (format!("<northbound {namespace}>{key}</northbound>"), false, "without a user whose role is admin"),
+    let drain_grace = |ms: u32| format!("<figures {namespace}><drain-grace>{ms}</drain-grace></figures>");
+    assert_eq!(check(&drain_grace(2900), true).0, 0);
+    let netconf = "<netconf><ssh><listen>127.0.0.1:0</listen><host-key>nowhere</host-key></ssh></netconf>";
+    for (body, with_config, expected) in [
+        (drain_grace(0), false, "line 2: /jrm:figures/drain-grace: 0.0 is not within 1.0..3600000.0"),
+        (
+            drain_grace(3001),
+            true,
+            "/jrm:figures/drain-grace: drain-grace 3001 is looser than the settings' 3000",
+        ),
+        (
+            format!("<northbound {namespace}>{netconf}</northbound>"),
+            false,
+            "without a user whose role is admin",
+        ),
         ("<figures/>".into(), false, "line 2: /: \"figures\" is in the unknown namespace"),
         (
             format!("<figures {namespace}><operation><name>x</name></operation></figures>"),
@@ -225,7 +233,7 @@
             "there is no operation x",
         ),
     ] {
-        let (code, output, error) = check(&body, config);
+        let (code, output, error) = check(&body, with_config);
         assert_eq!((code, output.as_str(), error.lines().count()), (1, "", 1), "{error}");
         assert!(error.contains(expected), "{error}");
     }
@@ -239,7 +247,7 @@
     let admin = "<user><name>a</name><role>admin</role></user>";
     fs::write(
         &operator,
-        format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"><northbound {namespace}>{key}{admin}</northbound></config>"),
+        format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"><northbound {namespace}>{netconf}{admin}</northbound></config>"),
     )
     .unwrap();
     let (code, _, error) = serve(operator.to_str().unwrap());
@@ -252,7 +260,7 @@
     let run = |args: &[&str]| output(Command::new(PROGRAM).env_clear().args(args));
     let (code, yang, _) = run(&["schema"]);
     assert!(code == 0 && yang.contains("module juniperrail-manager {"));
-    let folder = folder("schema");
+    let folder = create_folder("schema");
     assert_eq!(run(&["schema", "--xsd", "-o", folder.to_str().unwrap()]).0, 0);
     let mut names: Vec<_> = fs::read_dir(&folder).unwrap().map(|file| file.unwrap().file_name()).collect();
     names.sort();
@@ -263,7 +271,7 @@
     }
     let (code, help, _) = run(&["--help"]);
     assert!(code == 0 && help.contains("Exit codes: 0 done"), "{help}");
-    assert_eq!(run(&["config", "get"]).0, 2, "no manager is named");
+    assert_eq!(run(&["config", "get"]).0, 2, "a command that names no manager must be a usage error");
     assert_eq!(run(&["state", "--ssh", "127.0.0.1:1"]).0, 2);
     let (code, _, error) =
         run(&["state", "--ssh", "127.0.0.1:1", "--user", "a", "--key", "/no/key", "--host-key", "/no/key"]);
--- a/crates/manager/tests/northbound.rs
+++ b/crates/manager/tests/northbound.rs
@@ -15,6 +15,8 @@
 use tokio::time::timeout;
 
 const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
+/// Time limit of one test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time limit for each wait.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -45,7 +47,8 @@
         TestEnvironment { discovery, keys, authority: Authority::new(&folder, "authority"), host, folder }
     }
 
-    /// Writes an operator's file with an SSH and a TLS listener, `tls_extra` within the latter and `extra` after them.
+    /// Writes an operator's file with an SSH and a TLS listener, with `tls_extra` in the
+    /// TLS listener and `extra` after the element `northbound`.
     fn write_operator_file(&self, name: &str, tls_extra: &str, extra: &str) -> PathBuf {
         let (certificate, key, _) = self.authority.issue("manager.example", (-1, 1));
         let file_name = |path: &Path| path.file_name().unwrap().to_str().unwrap().to_string();
@@ -122,7 +125,7 @@
 }
 
 fn rules() -> Rules {
-    // Generous limits, because a test machine can be busy; the lab checks managers against the real ones.
+    // Generous limits, because a test machine can be busy; the lab checks managers against the real limits.
     let limits = Limits {
         drain_grace: 15_000.0,
         messages_most: usize::MAX,
@@ -173,7 +176,7 @@
 
 fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { timeout(Duration::from_secs(120), test).await.expect("the test timed out") });
+    runtime.block_on(async { timeout(TEST_TIMEOUT, test).await.expect("the test timed out") });
 }
 
 #[test]
@@ -182,7 +185,8 @@
         let env = TestEnvironment::new("commit");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 6, &["a", "b"], rules());
-        proxies.until("tables", |rules| (0..6).all(|proxy| rules.holds(proxy).len() == 4));
+        proxies
+            .until("every proxy has a full table", |rules| (0..6).all(|proxy| rules.holds(proxy).len() == 4));
         let mut client = env.connect(&manager, "bob").await;
         let mut subscriber = env.connect(&manager, "ann").await;
         subscriber.subscribe(None).await.unwrap();
@@ -192,7 +196,7 @@
         edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
         proxies.rules(|rules| rules.leaves("s-1", now));
         proxies.until("s-1 is removed", |rules| (0..6).all(|proxy| !rules.holds(proxy).contains_key("s-1")));
-        // The event of the change comes first, then the one that all proxies have applied it.
+        // The event of the change comes first, then the event that all proxies have applied the change.
         let mut events = Vec::new();
         while events.last() != Some(&"change-held".to_string()) {
             let notification = timeout(WAIT_TIMEOUT, subscriber.next_notification()).await.unwrap().unwrap();
@@ -217,7 +221,9 @@
             .unwrap();
         proxies.rules(|rules| rules.returns("s-1"));
         proxies.until("s-1 is back", |rules| (0..6).all(|proxy| rules.holds(proxy).contains_key("s-1")));
-        proxies.until("its weight", |rules| (0..6).all(|proxy| rules.holds(proxy)["s-1"] < 0.6));
+        proxies.until("every proxy has the new weight of s-1", |rules| {
+            (0..6).all(|proxy| rules.holds(proxy)["s-1"] < 0.6)
+        });
         client.close().await.unwrap();
         assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
         drop(manager);
@@ -230,13 +236,14 @@
         let env = TestEnvironment::new("refused");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 4, &["a", "b"], rules());
-        proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
+        proxies
+            .until("every proxy has a full table", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
         let mut client = env.connect(&manager, "bob").await;
-        let all = |body: &str| WORKERS.map(|(name, _)| worker(name, body)).concat();
+        let all_workers = |body: &str| WORKERS.map(|(name, _)| worker(name, body)).concat();
         for (config, tag, path) in [
-            (all("<wanted>draining</wanted>"), "no-ready-worker", "/jrm:workers"),
-            (all("<wanted>out</wanted>"), "no-ready-worker", "/jrm:workers"),
-            (all("<weight>0</weight>"), "no-ready-worker", "/jrm:workers"),
+            (all_workers("<wanted>draining</wanted>"), "no-ready-worker", "/jrm:workers"),
+            (all_workers("<wanted>out</wanted>"), "no-ready-worker", "/jrm:workers"),
+            (all_workers("<weight>0</weight>"), "no-ready-worker", "/jrm:workers"),
             (
                 format!("<figures xmlns=\"{MANAGER}\"><drain-grace>3000.5</drain-grace></figures>"),
                 "looser-than-settings",
@@ -294,14 +301,16 @@
     run(async {
         let env = TestEnvironment::new("slow");
         let file = env.write_operator_file("operator.xml", "", "");
-        let quick = env.start_manager(&file);
-        let slow = env.start_manager(&file);
-        let quick_proxies = Proxies::start(quick.address, 0, 4, &["a", "b"], rules());
-        let slow_proxies = Proxies::start(slow.address, 4, 4, &["a", "b"], rules());
-        quick_proxies.until("tables", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
-        slow_proxies.until("tables", |rules| (4..8).all(|proxy| rules.holds(proxy).len() == 4));
-        let mut quick_client = env.connect(&quick, "bob").await;
-        let mut slow_client = env.connect(&slow, "bob").await;
+        let quick_manager = env.start_manager(&file);
+        let slow_manager = env.start_manager(&file);
+        let quick_proxies = Proxies::start(quick_manager.address, 0, 4, &["a", "b"], rules());
+        let slow_proxies = Proxies::start(slow_manager.address, 4, 4, &["a", "b"], rules());
+        quick_proxies
+            .until("every proxy has a full table", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
+        slow_proxies
+            .until("every proxy has a full table", |rules| (4..8).all(|proxy| rules.holds(proxy).len() == 4));
+        let mut quick_client = env.connect(&quick_manager, "bob").await;
+        let mut slow_client = env.connect(&slow_manager, "bob").await;
         slow_proxies.stall(true);
         for client in [&mut quick_client, &mut slow_client] {
             edit_and_commit(client, &worker("s-2", "<wanted>draining</wanted>")).await.unwrap();
@@ -342,13 +351,13 @@
         let manager = env.start_manager(&file);
         let mut other = env.connect(&manager, "ann").await;
         let mut client = env.connect(&manager, "bob").await;
-        let confirm = |seconds, persist: Option<&str>| Commit {
+        let confirmed_commit = |seconds, persist: Option<&str>| Commit {
             confirm_timeout_s: Some(seconds),
             persist: persist.map(str::to_string),
             persist_id: None,
         };
         client.edit(&worker("s-1", "<weight>2</weight>")).await.unwrap();
-        client.commit(&confirm(600, None)).await.unwrap();
+        client.commit(&confirmed_commit(600, None)).await.unwrap();
         assert_eq!(read_weight(&mut other, "s-1").await.as_deref(), Some("2.0"));
         let error = other.commit(&Commit::default()).await.unwrap_err();
         assert_eq!(error.rpc_errors()[0].tag, "in-use");
@@ -360,7 +369,7 @@
         other.unlock(Datastore::Candidate).await.unwrap();
         let mut client = env.connect(&manager, "bob").await;
         client.edit(&worker("s-1", "<weight>3</weight>")).await.unwrap();
-        client.commit(&confirm(1, Some("night"))).await.unwrap();
+        client.commit(&confirmed_commit(1, Some("night"))).await.unwrap();
         client.close().await.unwrap();
         assert_eq!(
             read_weight(&mut other, "s-1").await.as_deref(),
@@ -371,14 +380,14 @@
         // A commit that another session confirms in time stays, and survives a restart in startup; an unconfirmed commit
         // does not.
         other.edit(&worker("s-1", "<weight>4</weight>")).await.unwrap();
-        other.commit(&confirm(600, Some("day"))).await.unwrap();
+        other.commit(&confirmed_commit(600, Some("day"))).await.unwrap();
         let mut client = env.connect(&manager, "bob").await;
-        let day = Commit { persist_id: Some("day".into()), ..Commit::default() };
-        client.commit(&day).await.unwrap();
+        let confirmation = Commit { persist_id: Some("day".into()), ..Commit::default() };
+        client.commit(&confirmation).await.unwrap();
         client.edit(&worker("s-1", "<weight>5</weight>")).await.unwrap();
         let saved = client.copy(Datastore::Running, Datastore::Startup).await;
         assert_eq!(saved, Ok(()));
-        client.commit(&confirm(600, Some("late"))).await.unwrap();
+        client.commit(&confirmed_commit(600, Some("late"))).await.unwrap();
         assert_eq!(read_weight(&mut client, "s-1").await.as_deref(), Some("5.0"));
         drop((manager, client, other));
         let restarted = env.start_manager(&file);
@@ -393,7 +402,8 @@
         let env = TestEnvironment::new("overdue");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 2, &["a", "b"], rules());
-        proxies.until("tables", |rules| (0..2).all(|proxy| rules.holds(proxy).len() == 4));
+        proxies
+            .until("every proxy has a full table", |rules| (0..2).all(|proxy| rules.holds(proxy).len() == 4));
         let mut client = env.connect(&manager, "ann").await;
         edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
         client.edit(&worker("s-1", "<wanted>follow</wanted>")).await.unwrap();
@@ -402,9 +412,9 @@
         // s-1 must be back before the others drain: a worker that drains without a replacement is removed when its grace
         // ends.
         proxies.until("s-1 is back", |rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1")));
-        let others = |phase| ["s-2", "s-3", "s-4"].map(|id| entry(id, "a", "127.0.0.1:9", phase));
-        env.discovery.tell(&list(2, false, &others("draining")));
-        proxies.until("s-1 alone", |rules| (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-1"])));
+        let other_entries = |phase| ["s-2", "s-3", "s-4"].map(|id| entry(id, "a", "127.0.0.1:9", phase));
+        env.discovery.tell(&list(2, false, &other_entries("draining")));
+        proxies.until("only s-1 is left", |rules| (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-1"])));
         let versions = |state: &Element| descendants(state, &["versions"])[0].clone();
         let mut overdue = String::new();
         while overdue.is_empty() {
@@ -412,7 +422,7 @@
         }
         assert!(overdue.contains("would have no ready, warm worker"), "{overdue}");
         assert!(proxies.rules(|rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1"))));
-        env.discovery.tell(&list(3, false, &others("ready")));
+        env.discovery.tell(&list(3, false, &other_entries("ready")));
         proxies.until("the commit is reverted", |rules| {
             (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-2", "s-3", "s-4"]))
         });
@@ -433,16 +443,16 @@
         let untrusted_authority = Authority::new(&env.folder, "untrusted");
         let (forged_certificate, forged_key, forged_fingerprint) =
             untrusted_authority.issue("forged.example", (-1, 1));
-        let client = |fingerprint: &str, mapping: &str| {
+        let client_element = |fingerprint: &str, mapping: &str| {
             format!("<client><fingerprint>{fingerprint}</fingerprint>{mapping}</client>")
         };
-        let tls = [
-            client(&bob_fingerprint, "<user>bob</user>"),
-            client(&ann_fingerprint, "<name-from>common-name</name-from>"),
-            client(&expired_fingerprint, "<user>ann</user>"),
-            client(&forged_fingerprint, "<user>ann</user>"),
+        let tls_clients = [
+            client_element(&bob_fingerprint, "<user>bob</user>"),
+            client_element(&ann_fingerprint, "<name-from>common-name</name-from>"),
+            client_element(&expired_fingerprint, "<user>ann</user>"),
+            client_element(&forged_fingerprint, "<user>ann</user>"),
         ];
-        let manager = env.start_manager(&env.write_operator_file("operator.xml", &tls.concat(), ""));
+        let manager = env.start_manager(&env.write_operator_file("operator.xml", &tls_clients.concat(), ""));
         let over_tls = |certificate: &Path, key: &Path| {
             let authorities = &env.authority.certificate;
             Endpoint::tls(manager.tls.to_string(), "manager.example", authorities, certificate, key)
@@ -504,14 +514,14 @@
         );
         edit_and_commit(&mut ann, &delete_eve).await.unwrap();
         assert!(Client::connect(&env.ssh(&manager, "eve")).await.is_err());
-        let kill =
+        let kill_session =
             Element::new("urn:ietf:params:xml:ns:netconf:base:1.0", "kill-session").with(Element::with_text(
                 "urn:ietf:params:xml:ns:netconf:base:1.0",
                 "session-id",
                 eve.session_id.to_string(),
             ));
-        ann.rpc(kill).await.unwrap();
-        assert!(eve.get_config(Datastore::Running, None).await.is_err(), "the session is closed");
+        ann.rpc(kill_session).await.unwrap();
+        assert!(eve.get_config(Datastore::Running, None).await.is_err(), "the killed session must be closed");
     });
 }
 
@@ -529,7 +539,7 @@
             rpc(&format!("<edit-config><target><candidate/></target><config>{config}</config></edit-config>"))
         };
         let chunked = |text: &str| format!("\n#{}\n{text}\n##\n", text.len());
-        // Each gets an error, and the session stays open.
+        // Each message gets an error, and the session stays open.
         let mut client = env.connect(&manager, "bob").await;
         for (message, tag) in [
             ("<rpc".to_string(), "malformed-message"),
@@ -649,9 +659,9 @@
         let manager = env.start_manager(&file);
         let unauthenticated: Vec<std::net::TcpStream> =
             (0..4).map(|_| std::net::TcpStream::connect(manager.ssh).unwrap()).collect();
-        // Only one connection may be unauthenticated at a time here; its place becomes free when the first one times out
-        // without a hello. On a busy machine connecting can take longer than the hello time-out, so both clients are
-        // connected again until both succeed.
+        // Only one connection may be unauthenticated at a time here; a place becomes free when such a connection times
+        // out without a hello. On a busy machine connecting can take longer than the hello time-out, so both clients
+        // connect again until both succeed.
         let (mut first, mut second) = loop {
             let Ok(first) = Client::connect(&env.ssh(&manager, "bob")).await else { continue };
             if let Ok(second) = Client::connect(&env.ssh(&manager, "ann")).await {
@@ -694,9 +704,9 @@
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let mut ann = env.connect(&manager, "ann").await;
         let mut bob = env.connect(&manager, "bob").await;
-        let first = worker("s-1", "<weight>2</weight>");
-        let second = worker("s-2", "<weight>3</weight>");
-        let (ann_result, bob_result) = tokio::join!(ann.edit(&first), bob.edit(&second));
+        let ann_edit = worker("s-1", "<weight>2</weight>");
+        let bob_edit = worker("s-2", "<weight>3</weight>");
+        let (ann_result, bob_result) = tokio::join!(ann.edit(&ann_edit), bob.edit(&bob_edit));
         assert_eq!((ann_result, bob_result), (Ok(()), Ok(())));
         bob.commit(&Commit::default()).await.unwrap();
         assert_eq!(
@@ -705,7 +715,7 @@
             "the shared candidate holds both changes"
         );
         ann.lock(Datastore::Candidate).await.unwrap();
-        let error = bob.edit(&first).await.unwrap_err();
+        let error = bob.edit(&ann_edit).await.unwrap_err();
         assert_eq!(error.rpc_errors()[0].tag, "in-use");
         assert_eq!(bob.commit(&Commit::default()).await.unwrap_err().rpc_errors()[0].tag, "in-use");
         let denied = bob.lock(Datastore::Candidate).await.unwrap_err();
--- a/crates/manager/tests/races.rs
+++ b/crates/manager/tests/races.rs
@@ -14,15 +14,21 @@
 use cluster::{accept_watch, config, entry, ManagerProcess, TestCluster};
 use juniperrail_standins::{entry as entry_at, list, AnsweringProxy, Peer, SETTINGS};
 
+/// Messages that the manager's queue holds before its peers have to wait.
+const INBOX_CAPACITY: usize = 4096;
+
+/// Reports that a flooding collector sends at once.
+const REPORTS_PER_WRITE: usize = 500;
+
 const UNREACHABLE: &str = "127.0.0.1:1";
 
-fn unreachable() -> SocketAddr {
+fn unreachable_discovery() -> SocketAddr {
     UNREACHABLE.parse().unwrap()
 }
 
 /// A configuration with a table of about 300 kB, far more than a [`Peer::narrow`] buffers, and with short time-outs
 /// for silent proxies.
-fn large_table(discovery: SocketAddr) -> String {
+fn large_table_config(discovery: SocketAddr) -> String {
     let name = "x".repeat(250);
     let entries: Vec<String> =
         (0..1100).map(|id| entry_at(&format!("s-{id}-{name}"), "a", "127.0.0.1:9", "ready")).collect();
@@ -40,18 +46,19 @@
 
 #[test]
 fn silent_stream_frees_its_descriptor_even_during_a_blocked_write() {
-    let program = ManagerProcess::start("silent", &large_table(unreachable()));
+    let program = ManagerProcess::start("silent", &large_table_config(unreachable_discovery()));
     let mut proxy = Peer::narrow(program.address);
     proxy.say("hello node=1 locality=a w=2 cold=1");
     program.wait_for_connection_count(1);
-    // It never reads: silent after a report period and a transit, closed after as long again.
+    // The proxy never reads: the manager takes it for silent after a report period (200 ms) and a transit (100 ms), and
+    // closes its connection after as long again.
     program.wait_for_connection_count(0);
     drop(proxy);
 }
 
 #[test]
 fn replaced_stream_ends_at_once_and_drops_its_queue() {
-    let cluster = TestCluster::with_config(large_table);
+    let cluster = TestCluster::with_config(large_table_config);
     let name = "x".repeat(250);
     let mut old = Peer::narrow(cluster.manager);
     old.say("hello node=1 locality=a w=2 cold=1");
@@ -66,7 +73,7 @@
     let received = old.rest();
     assert!(
         received.starts_with("push") && !received.contains("out=s-7-"),
-        "{} bytes: a stale order arrived",
+        "{} bytes arrived, expected a part of the table without the later order",
         received.len()
     );
 }
@@ -83,7 +90,7 @@
         old.raw(" cold=1\r\n");
         match old.line() {
             Some(late) if late.starts_with("error why=late") => continue,
-            end => assert_eq!(end, None, "the older connection has ended"),
+            end => assert_eq!(end, None, "the older connection must end"),
         }
         new.say("probe");
         new.line_with("alive");
@@ -96,7 +103,7 @@
 fn connection_evicted_while_joining_ends_so_that_the_limit_holds() {
     // With 28 descriptors, the limit is 14 open connections.
     for _ in 0..20 {
-        let program = ManagerProcess::start("evicted", &config(unreachable(), 28));
+        let program = ManagerProcess::start("evicted", &config(unreachable_discovery(), 28));
         let mut joined: Vec<Peer> = (0..13).map(|number| Peer::joined(program.address, number)).collect();
         joined.iter_mut().for_each(|proxy| _ = proxy.line_with("whole=1"));
         let mut evicted = Peer::dial(program.address);
@@ -109,7 +116,10 @@
         newcomer.line_with("whole=1");
         match evicted.line() {
             Some(late) if late.starts_with("error why=late") => continue,
-            end => assert_eq!(end, None, "its descriptor belongs to another connection"),
+            end => assert_eq!(
+                end, None,
+                "the evicted connection must end, as its descriptor belongs to another one"
+            ),
         }
         program.wait_for_connection_count(14);
         return;
@@ -133,13 +143,13 @@
 #[test]
 fn watch_that_drips_bytes_without_ending_a_line_is_reconnected() {
     let cluster = TestCluster::new(64);
-    let (_, mut agent) = cluster.accept_watch("200 OK");
-    agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
+    let (_, mut watch) = cluster.accept_watch("200 OK");
+    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
     let dripping = thread::spawn(move || {
         // Sends single bytes of a line that never ends, until the manager closes the connection.
         while matches!(stopped.try_recv(), Err(std::sync::mpsc::TryRecvError::Empty)) {
-            if agent.try_raw("1\r\n{\r\n").is_err() {
+            if watch.try_raw("1\r\n{\r\n").is_err() {
                 return true;
             }
             thread::sleep(Duration::from_millis(100));
@@ -150,8 +160,8 @@
     if request.is_none() {
         drop(stop);
     }
-    assert!(request.is_some_and(|request| request.contains("index=42")), "the manager reconnects");
-    assert!(dripping.join().unwrap(), "the dripping watch is closed");
+    assert!(request.is_some_and(|request| request.contains("index=42")), "the manager did not reconnect");
+    assert!(dripping.join().unwrap(), "the manager did not close the dripping watch");
 }
 
 /// The request of the next watch, if one arrives in time.
@@ -175,39 +185,38 @@
     let cluster = TestCluster::new(64);
     let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.accept_watch("200 OK");
-    agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
+    let (_, mut watch) = cluster.accept_watch("200 OK");
+    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
     proxy.line_with("out=s-1");
-    drop(agent);
-    // An agent that is behind sends its full list, then the changes that reach it.
-    let (request, mut agent) = cluster.accept_watch("200 OK");
+    drop(watch);
+    // A discovery server that is behind sends its full list, then the changes that reach it.
+    let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "{request}");
     let full = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
-    agent.chunk(&(full.clone() + "\n"));
-    agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
-    agent.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
+    watch.chunk(&(full.clone() + "\n"));
+    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
+    watch.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
     let message = proxy.line_with("out=s-2");
     assert!(!message.contains("s-1"), "{message}");
-    drop(agent);
+    drop(watch);
     // Discovery that restarted its versions stays behind: after 6 s its list is accepted, whatever its version.
-    let (request, mut agent) = cluster.accept_watch("200 OK");
+    let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=43"), "{request}");
-    agent.chunk(&(list(1, true, &[]) + "\n"));
-    let next = loop {
-        if agent.try_raw("1\r\n\n\r\n").is_err() {
+    watch.chunk(&(list(1, true, &[]) + "\n"));
+    let (request, mut watch) = loop {
+        if watch.try_raw("1\r\n\n\r\n").is_err() {
             break accept_watch(&cluster.discovery, "200 OK");
         }
         thread::sleep(Duration::from_millis(500));
     };
-    assert!(!next.0.contains("index"), "the full list is requested: {}", next.0);
-    let mut agent = next.1;
-    agent.chunk(&(list(2, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready"))) + "\n"));
+    assert!(!request.contains("index"), "the request must be for the full list: {request}");
+    watch.chunk(&(list(2, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready"))) + "\n"));
     assert!(proxy.line_with("back=").contains("s-1"));
 }
 
 #[test]
 fn closing_the_log_pipe_does_not_end_the_program() {
-    let mut program = ManagerProcess::start("log", &config(unreachable(), 64));
+    let mut program = ManagerProcess::start("log", &config(unreachable_discovery(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     drop(program.log.take());
@@ -218,7 +227,7 @@
     }
     proxy.say("probe");
     proxy.line_with("alive");
-    assert!(program.child.try_wait().unwrap().is_none(), "it is running");
+    assert!(program.child.try_wait().unwrap().is_none(), "the program ended");
     program.signal("TERM");
     assert!(program.child.wait().unwrap().success());
 }
@@ -228,7 +237,7 @@
     let old = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = old.local_addr().unwrap();
     let path = std::env::temp_dir().join(format!("juniperrail-again-{}.json", std::process::id()));
-    std::fs::write(&path, config(unreachable(), 64)).unwrap();
+    std::fs::write(&path, config(unreachable_discovery(), 64)).unwrap();
     let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
     program.env_clear().env("PROXY_CONFIG", &path).env("PROXY_LISTEN", address.to_string());
     program.env("RUST_LOG", "debug").stderr(Stdio::piped());
@@ -237,7 +246,7 @@
     let mut log_text = String::new();
     while !log_text.contains(&format!("{address} is in use")) {
         let read = std::io::BufRead::read_line(&mut log, &mut log_text).unwrap();
-        assert!(read > 0, "it ended: {log_text}");
+        assert!(read > 0, "the program ended: {log_text}");
     }
     drop(old);
     assert_eq!(juniperrail_standins::address_served(&mut log), address);
@@ -250,14 +259,14 @@
 #[test]
 fn durations_out_of_range_are_a_one_line_error() {
     let path = std::env::temp_dir().join(format!("juniperrail-spans-{}.json", std::process::id()));
-    let good = config(unreachable(), 64);
-    for (from, to, expected) in [
+    let valid_config = config(unreachable_discovery(), 64);
+    for (valid, invalid, expected) in [
         (r#""tick-ms":1"#, r#""tick-ms":1e300"#, "tick-ms"),
         (r#""dial-timeout-ms":250"#, r#""dial-timeout-ms":1e25"#, "dial-timeout-ms"),
         (r#""name":"lookup","on-time-ms":500"#, r#""name":"lookup","on-time-ms":-5"#, "latency objective"),
     ] {
-        assert!(good.contains(from), "{from}");
-        std::fs::write(&path, good.replace(from, to)).unwrap();
+        assert!(valid_config.contains(valid), "{valid}");
+        std::fs::write(&path, valid_config.replace(valid, invalid)).unwrap();
         let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
         program.env_clear().env("PROXY_CONFIG", &path).stderr(Stdio::piped());
         let mut child = program.spawn().unwrap();
@@ -284,7 +293,7 @@
     // As many as the system allows to wait, but more than the usual backlog.
     let count = 1300.min(backlog_limit);
     let settings = SETTINGS.replace("\"proxy-count\":20", &format!("\"proxy-count\":{count}"));
-    let config = config(unreachable(), 4096).replace(SETTINGS, &settings);
+    let config = config(unreachable_discovery(), 4096).replace(SETTINGS, &settings);
     let program = ManagerProcess::start("backlog", &config);
     program.signal("STOP");
     let address = program.address;
@@ -298,20 +307,21 @@
     let waiting: Vec<_> = connecting.into_iter().map(|part| part.join().unwrap()).collect();
     program.signal("CONT");
     let waiting: Result<Vec<_>, _> = waiting.into_iter().collect();
-    let waiting: Vec<TcpStream> = waiting.expect("every handshake completes").into_iter().flatten().collect();
+    let waiting: Vec<TcpStream> =
+        waiting.expect("a handshake did not complete").into_iter().flatten().collect();
     assert_eq!(waiting.len(), count);
 }
 
 #[test]
 fn response_whose_head_never_ends_is_abandoned_and_its_connection_closed() {
     let cluster = TestCluster::new(64);
-    let mut agent = Peer::new(cluster.discovery.accept().unwrap().0);
-    assert!(agent.line().is_some_and(|request| request.starts_with("GET /v1/servers?stream=1")));
-    agent.raw("HTTP/1.1 200 OK\r\nX-Never: a");
-    assert!(next_watch(&cluster.discovery).is_some(), "the manager reconnects");
+    let mut watch = Peer::new(cluster.discovery.accept().unwrap().0);
+    assert!(watch.line().is_some_and(|request| request.starts_with("GET /v1/servers?stream=1")));
+    watch.raw("HTTP/1.1 200 OK\r\nX-Never: a");
+    assert!(next_watch(&cluster.discovery).is_some(), "the manager did not reconnect");
     // The first connection is closed, so that sending on it fails.
     let deadline = Instant::now() + Duration::from_secs(20);
-    while agent.try_raw("a").is_ok() {
+    while watch.try_raw("a").is_ok() {
         assert!(Instant::now() < deadline, "the connection stays open");
         thread::sleep(Duration::from_millis(20));
     }
@@ -319,7 +329,7 @@
 
 #[test]
 fn simultaneous_and_repeated_signals_end_the_program_with_success() {
-    let mut program = ManagerProcess::start("signals", &config(unreachable(), 64));
+    let mut program = ManagerProcess::start("signals", &config(unreachable_discovery(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     program.signal("STOP");
@@ -332,7 +342,7 @@
 
 #[test]
 fn restart_during_a_write_cuts_one_line_and_the_successor_serves_at_once() {
-    let mut old = ManagerProcess::start("half", &large_table(unreachable()));
+    let mut old = ManagerProcess::start("half", &large_table_config(unreachable_discovery()));
     let address = old.address;
     let mut slow = Peer::narrow(address);
     slow.say("hello node=1 locality=a w=2 cold=1");
@@ -342,20 +352,24 @@
     assert!(old.child.wait().unwrap().success(), "a peer that does not read does not delay the end");
     let successor = ManagerProcess::start_with(
         "half-next",
-        &large_table(unreachable()),
+        &large_table_config(unreachable_discovery()),
         &[("PROXY_LISTEN", &address.to_string())],
     );
     assert_eq!(successor.address, address);
     // The part of the table that arrived ends within a line, so a proxy cannot mistake it for a complete message.
-    let cut = slow.rest();
-    assert!(cut.starts_with("push") && !cut.ends_with("\r\n"), "{} bytes", cut.len());
+    let partial_table = slow.rest();
+    assert!(
+        partial_table.starts_with("push") && !partial_table.ends_with("\r\n"),
+        "{} bytes arrived",
+        partial_table.len()
+    );
     let table = Peer::joined(address, 1).line_with("whole=1");
-    assert!(table.contains("ticket=1"), "it starts without its predecessor's marks");
+    assert!(table.contains("ticket=1"), "the successor must start without its predecessor's marks");
 }
 
 #[test]
 fn stream_that_ended_before_its_introduction_was_read_does_not_affect_the_next() {
-    let program = ManagerProcess::start("ended", &config(unreachable(), 64));
+    let program = ManagerProcess::start("ended", &config(unreachable_discovery(), 64));
     program.signal("STOP");
     for _ in 0..8 {
         drop(Peer::joined(program.address, 7));
@@ -371,11 +385,11 @@
 #[test]
 fn proxy_that_closes_its_sending_half_has_left() {
     let cluster = TestCluster::new(64);
-    let mut half = cluster.proxy(1);
-    let mark = half.line_with("ticket=").split("ticket=").nth(1).unwrap().to_string();
-    half.say(&format!("ack node=1 nonce={mark} latency=1.0"));
-    half.close_sending();
-    half.rest();
+    let mut half_closed = cluster.proxy(1);
+    let mark = half_closed.line_with("ticket=").split("ticket=").nth(1).unwrap().to_string();
+    half_closed.say(&format!("ack node=1 nonce={mark} latency=1.0"));
+    half_closed.close_sending();
+    half_closed.rest();
     let mut again = cluster.proxy(1);
     again.line_with("whole=1");
     again.alive();
@@ -383,17 +397,19 @@
 
 #[test]
 fn every_proxy_reconnects_amid_a_flood_of_unidentified_connections() {
-    let program = ManagerProcess::start("flood", &config(unreachable(), 64));
+    let program = ManagerProcess::start("flood", &config(unreachable_discovery(), 64));
     program.signal("STOP");
     // More connections than the limit, all of them before any proxy.
-    let before: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
+    let earlier_connections: Vec<TcpStream> =
+        (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
     let mut proxies: Vec<Peer> = (0..20).map(|number| Peer::joined(program.address, number)).collect();
-    let after: Vec<TcpStream> = (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
+    let later_connections: Vec<TcpStream> =
+        (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
     program.signal("CONT");
     for proxy in &mut proxies {
         proxy.line_with("whole=1");
     }
-    drop((before, after));
+    drop((earlier_connections, later_connections));
 }
 
 #[test]
@@ -401,35 +417,35 @@
     let cluster = TestCluster::new(64);
     let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.accept_watch("200 OK");
+    let (_, mut watch) = cluster.accept_watch("200 OK");
     let stopped = Arc::new(AtomicBool::new(false));
     let floods: Vec<_> = (0..4)
         .map(|_| {
             let (mut collector, stopped) = (cluster.peer(), stopped.clone());
             thread::spawn(move || {
                 collector.say("agent locality=a");
-                let report =
-                    "outcomes locality=a endpoint=s-3 total=9 errors=0 rtt=40 interval=1000\r\n".repeat(500);
-                let mut sent = 0;
+                let report = "outcomes locality=a endpoint=s-3 total=9 errors=0 rtt=40 interval=1000\r\n"
+                    .repeat(REPORTS_PER_WRITE);
+                let mut sent_reports = 0;
                 while !stopped.load(Ordering::Relaxed) && collector.try_raw(&report).is_ok() {
-                    sent += 500;
+                    sent_reports += REPORTS_PER_WRITE;
                 }
-                sent
+                sent_reports
             })
         })
         .collect();
     for (version, worker) in [(42, "s-1"), (43, "s-2")] {
-        agent.chunk(&(list(version, false, &[entry(worker, "draining")]) + "\n"));
+        watch.chunk(&(list(version, false, &[entry(worker, "draining")]) + "\n"));
         proxy.line_with(&format!("out={worker}"));
     }
     stopped.store(true, Ordering::Relaxed);
-    let sent: usize = floods.into_iter().map(|flood| flood.join().unwrap()).sum();
-    assert!(sent > 4096, "{sent} reports are fewer than the queue holds");
+    let sent_reports: usize = floods.into_iter().map(|flood| flood.join().unwrap()).sum();
+    assert!(sent_reports > INBOX_CAPACITY, "{sent_reports} reports are fewer than the queue holds");
 }
 
 #[test]
 fn reload_without_a_file_keeps_the_configuration() {
-    let mut program = ManagerProcess::start("gone", &config(unreachable(), 64));
+    let mut program = ManagerProcess::start("gone", &config(unreachable_discovery(), 64));
     let mut proxy = Peer::joined(program.address, 1);
     proxy.line_with("whole=1");
     let json = std::fs::read_to_string(&program.path).unwrap();
@@ -448,12 +464,12 @@
     let cluster = TestCluster::new(64);
     let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
     proxy.line_with("whole=1");
-    let (_, mut agent) = cluster.accept_watch("200 OK");
+    let (_, mut watch) = cluster.accept_watch("200 OK");
     let broken = r#"{"instanceId":"s-3","lifecycle":7}"#.to_string();
-    agent.chunk(&(list(42, true, &[entry("s-2", "ready"), broken]) + "\n"));
+    watch.chunk(&(list(42, true, &[entry("s-2", "ready"), broken]) + "\n"));
     let message = proxy.line_with("out=s-1");
-    assert!(!message.contains("s-3"), "what is known of it stays: {message}");
+    assert!(!message.contains("s-3"), "the known entry of s-3 must stay: {message}");
     // Later changes do not name workers that were gone before.
-    agent.chunk(&(list(43, false, &[entry("s-3", "draining")]) + "\n"));
+    watch.chunk(&(list(43, false, &[entry("s-3", "draining")]) + "\n"));
     proxy.line_with("out=s-3");
 }
--- a/crates/manager/tests/relay.rs
+++ b/crates/manager/tests/relay.rs
@@ -1,4 +1,5 @@
-//! The `relay` command as a process: its log, its errors, and what a subscriber receives when it is stopped or killed.
+//! The `relay` command as a process: its log, its errors, and what a subscriber receives when the relay is stopped or
+//! killed.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener};
@@ -54,8 +55,9 @@
     }
 }
 
-/// Starts a relay of many workers and a subscriber that has read only the head of the response, so that the relay is in the
-/// midst of a snapshot. Also returns the list as sent, and the connection of the source, which must stay open.
+/// Starts a relay with a list of many workers, and a subscriber that has read only the head of the response, so that the
+/// relay is in the midst of a snapshot. Also returns the list as the source sent it, and the relay's connection to the
+/// source, which must stay open.
 fn relay_in_snapshot() -> (Relay, String, ListSubscriber, Peer) {
     let source = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(source.local_addr().unwrap());
@@ -84,7 +86,7 @@
     relay.signal("STOP");
     // Only what was already in the socket buffers arrives.
     let received_bytes = subscriber.read_until_silent(Duration::from_millis(500));
-    assert!(received_bytes < full_list.len(), "{received_bytes} of {}", full_list.len());
+    assert!(received_bytes < full_list.len(), "{received_bytes} of {} bytes arrived", full_list.len());
     relay.signal("CONT");
     assert_eq!(subscriber.list(), Some(full_list));
 }
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -1,5 +1,5 @@
 //! A manager that takes its part of the list from relays. The test acts as each relay, and determines the order of
-//! events by when it sends what.
+//! events by the order in which it sends.
 
 mod cluster;
 
@@ -191,11 +191,11 @@
         with_newline(list(42, false, &[entry("s-1", "a", "draining"), entry("s-2", "a", "draining")]));
     let middle = changes.find("s-2").unwrap() + 1;
     first.chunk(&changes[..middle]);
-    // A line break there, as a faulty peer might send it.
+    // A line break at the cut, as a faulty peer might send it.
     first.chunk("\n");
     let mut second = relays.accept_watch_from(1, 41);
     second.chunk(&changes[..middle]);
-    // A regular end of the chunked body there.
+    // A regular end of the chunked body at the same place.
     second.raw("0\r\n\r\n");
     let mut third = relays.accept_watch_from(2, 41);
     third.chunk(&change(43, "s-3", "a", "draining"));
@@ -215,7 +215,7 @@
     let mut third = relays.accept_watch_from(2, 41);
     third.chunk(&change(42, "s-2", "a", "draining"));
     assert_names_only(&proxy.line_with("out="), &["s-2"]);
-    assert_eq!(stalled.line(), None, "the stalled connection is closed");
+    assert_eq!(stalled.line(), None, "the manager must close the stalled connection");
     drop(silent);
 }
 
@@ -233,7 +233,7 @@
     second.chunk(&full_list(41, &[("s-1", "ready"), ("s-2", "gone"), ("s-3", "ready")]));
     let closed = send_heartbeats_until_closed(second);
     let mut third = relays.accept_watch_from(2, 1041);
-    closed.recv_timeout(WAIT_TIMEOUT).expect("the watch of the relay behind was not closed");
+    closed.recv_timeout(WAIT_TIMEOUT).expect("the watch of the relay that is behind was not closed");
     third.chunk(&change(1042, "s-3", "a", "draining"));
     let messages = proxy.line_with("out=s-3");
     assert!(!messages.contains("back=") && !messages.contains("s-2"), "{messages}");
@@ -383,7 +383,7 @@
     let name = "x".repeat(16_000);
     let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
     let huge = list(42, true, &entries);
-    let mut waits: Vec<u64> = Vec::new();
+    let mut waits_s: Vec<u64> = Vec::new();
     let mut refused_at = Vec::new();
     for relay in [0, 1, 2] {
         let (request_line, mut watch) = relays.accept_watch(relay);
@@ -398,13 +398,13 @@
             "{warning}"
         );
         let wait = warning.split_once("the list is requested again in ").unwrap().1.trim_end_matches(" s");
-        waits.push(wait.parse().unwrap());
+        waits_s.push(wait.parse().unwrap());
         refused_at.push(Instant::now());
     }
-    // 3, 6 and 12 s with a jitter of up to a quarter, in whole seconds.
+    // The delays are 3, 6 and 12 s with a jitter of up to a quarter, logged in whole seconds.
     assert!(
-        (2..=3).contains(&waits[0]) && (4..=7).contains(&waits[1]) && (9..=15).contains(&waits[2]),
-        "{waits:?}"
+        (2..=3).contains(&waits_s[0]) && (4..=7).contains(&waits_s[1]) && (9..=15).contains(&waits_s[2]),
+        "{waits_s:?}"
     );
     let gaps: Vec<Duration> = refused_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps[0] >= Duration::from_secs(2) && gaps[1] >= Duration::from_secs(4), "{gaps:?}");
@@ -429,10 +429,11 @@
     let mut proxy = AnsweringProxy::joined(manager.address, 1);
     proxy.line_with("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
-    let own = |id: usize| entry(&format!("s-{id}"), "a", if id == 1 { "draining" } else { "ready" });
-    let other = |id: usize| entry(&format!("far-{id}"), "b", "ready");
-    let entries: Vec<String> =
-        (0..140_000).map(|id| if id > 0 && id % 3000 == 0 { own(id / 3000) } else { other(id) }).collect();
+    let own_entry = |id: usize| entry(&format!("s-{id}"), "a", if id == 1 { "draining" } else { "ready" });
+    let other_entry = |id: usize| entry(&format!("far-{id}"), "b", "ready");
+    let entries: Vec<String> = (0..140_000)
+        .map(|id| if id > 0 && id % 3000 == 0 { own_entry(id / 3000) } else { other_entry(id) })
+        .collect();
     let text = with_newline(list(42, true, &entries));
     // Above the limit of 16 MiB, which counts only what is in scope.
     assert!(text.len() > 18 << 20, "{}", text.len());
@@ -440,9 +441,10 @@
     assert!(proxy.line_with("out=s-1").contains("out=s-1"));
     let status = std::fs::read_to_string(format!("/proc/{}/status", manager.child.id())).unwrap();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
-    let peak: usize = peak.trim().trim_end_matches(" kB").trim().parse().unwrap();
-    // 40 MiB: the peak is in kB.
-    assert!(peak < 40 << 10, "a peak of {peak} kB for a list of {} bytes", text.len());
+    let peak_kb: usize = peak.trim().trim_end_matches(" kB").trim().parse().unwrap();
+    // 40 MiB.
+    const MAX_PEAK_KB: usize = 40 << 10;
+    assert!(peak_kb < MAX_PEAK_KB, "a peak of {peak_kb} kB for a list of {} bytes", text.len());
 }
 
 #[test]
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -28,8 +28,8 @@
         peer.raw(piece);
     }
     assert_eq!([peer.line(), peer.line()].map(Option::unwrap), ["alive", "alive"]);
-    let both = [peer.line().unwrap(), peer.line().unwrap()].concat();
-    assert!(both.contains("alive") && both.contains("whole=1"), "{both}");
+    let both_lines = [peer.line().unwrap(), peer.line().unwrap()].concat();
+    assert!(both_lines.contains("alive") && both_lines.contains("whole=1"), "{both_lines}");
 }
 
 #[test]
@@ -77,18 +77,20 @@
     let cluster = TestCluster::new(64);
     let mut unaffected = cluster.proxy(1);
     unaffected.line_with("whole=1");
-    // Some have no end of a line.
-    for (number, bad) in (2..).zip(["shout\r\n", "\r\n", "GET / HTTP/1.1", "\u{16}\u{3}\u{1}", "ack \0"]) {
+    // Some of these do not end a line.
+    for (number, bad_bytes) in
+        (2..).zip(["shout\r\n", "\r\n", "GET / HTTP/1.1", "\u{16}\u{3}\u{1}", "ack \0"])
+    {
         let mut proxy = cluster.proxy(number);
         proxy.line_with("whole=1");
-        proxy.raw(bad);
+        proxy.raw(bad_bytes);
         while proxy.line().is_some() {}
         cluster.proxy(number).line_with("whole=1");
         let mut collector = cluster.peer();
         collector.say("agent locality=b");
         collector.alive();
-        collector.raw(bad);
-        assert_eq!(collector.line(), None, "{bad:?}");
+        collector.raw(bad_bytes);
+        assert_eq!(collector.line(), None, "{bad_bytes:?}");
     }
     drop(cluster.proxy(9));
     unaffected.alive();
@@ -100,7 +102,7 @@
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
     let endless = "x".repeat(100_000);
-    for (first, reason) in [
+    for (first_bytes, reason) in [
         ("hello node=20 locality=a w=1 cold=1\r\n", "unreadable"),
         ("hello node=2 locality=nowhere w=1 cold=1\r\n", "unreadable"),
         ("hello node=x locality=a\r\n", "unreadable"),
@@ -113,9 +115,9 @@
         ("", "late"),
     ] {
         let mut peer = cluster.peer();
-        peer.raw(first);
-        assert_eq!(peer.line().as_deref(), Some(&*format!("error why={reason}")), "{first:.20}");
-        assert_eq!(peer.line(), None, "{first:.20}");
+        peer.raw(first_bytes);
+        assert_eq!(peer.line().as_deref(), Some(&*format!("error why={reason}")), "{first_bytes:.20}");
+        assert_eq!(peer.line(), None, "{first_bytes:.20}");
     }
     let mut probing = cluster.peer();
     probing.alive();
@@ -149,7 +151,7 @@
     }
     collectors[0].alive();
     collectors[8].say("agent locality=b");
-    assert_eq!(collectors[1].line(), None, "at most eight for two zones");
+    assert_eq!(collectors[1].line(), None, "at most eight collectors may stay for two zones");
     collectors[0].alive();
 }
 
@@ -179,19 +181,19 @@
 #[test]
 fn joined_proxies_and_the_watch_are_kept_with_fewer_descriptors_than_proxies() {
     let cluster = TestCluster::new(28);
-    let (_, mut agent) = cluster.accept_watch("200 OK");
+    let (_, mut watch) = cluster.accept_watch("200 OK");
     let mut proxies: Vec<Peer> = (0..20).map(|number| cluster.proxy(number)).collect();
     let joined: Vec<bool> = proxies
         .iter_mut()
         .map(|proxy| std::iter::from_fn(|| proxy.line()).any(|line| line.contains("whole=1")))
         .collect();
-    let kept = joined.iter().filter(|joined| **joined).count();
-    assert!((4..20).contains(&kept), "{kept} of 20 fit");
-    agent.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
-    drop(agent);
-    let (request, mut agent) = cluster.accept_watch("200 OK");
+    let kept_count = joined.iter().filter(|joined| **joined).count();
+    assert!((4..20).contains(&kept_count), "{kept_count} of 20 proxies joined");
+    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
+    drop(watch);
+    let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "there is a descriptor for the next watch: {request}");
-    agent.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
+    watch.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
     let connected = proxies.iter_mut().zip(joined).filter(|(_, joined)| *joined);
     connected.for_each(|(proxy, _)| _ = proxy.line_with("out=s-2"));
 }
@@ -202,14 +204,14 @@
     let entries: Vec<String> = (0..1100)
         .map(|id| juniperrail_standins::entry(&format!("s-{id}"), &zone(id), "127.0.0.1:9", "ready"))
         .collect();
-    let known = list(41, true, &entries);
+    let cached_list = list(41, true, &entries);
     let settings = SETTINGS
         .replace("\"n-instances\":1,", "\"n-instances\":1100,")
         .replace("\"pending-max\":5000", "\"pending-max\":50000");
     let cluster = TestCluster::with_config(|discovery| {
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1f",
-            "limits":{{"sockets":1024}},"known":{known},"settings":{settings}}}"#
+            "limits":{{"sockets":1024}},"known":{cached_list},"settings":{settings}}}"#
         )
     });
     let mut collectors: Vec<Peer> = (0..12).map(|_| cluster.peer()).collect();
@@ -246,42 +248,42 @@
 #[test]
 fn watch_is_parsed_however_chunks_split_its_lines() {
     let cluster = TestCluster::new(64);
-    let (request, mut agent) = cluster.accept_watch("200 OK");
+    let (request, mut watch) = cluster.accept_watch("200 OK");
     assert_eq!(request, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
     let mut proxy = cluster.proxy(1);
     proxy.line_with("whole=1");
     let broken = r#"{"instanceId":"s-3"}"#.to_string();
     let first = list(42, false, &[broken, entry("s-1", "draining")]) + "\n";
     let (head, tail) = first.split_at(25);
-    agent.chunk("\n");
-    agent.chunk(head);
-    agent.chunk(&(tail.to_string() + "\n" + &list(43, false, &[entry("s-9", "ready")]) + "\n"));
+    watch.chunk("\n");
+    watch.chunk(head);
+    watch.chunk(&(tail.to_string() + "\n" + &list(43, false, &[entry("s-9", "ready")]) + "\n"));
     let message = proxy.line_with("out=s-1");
     assert!(!message.contains("s-3"), "an entry with missing fields is skipped: {message}");
     let broken = r#"{"instanceId":"s-3"}"#.to_string();
-    agent.chunk(&(list(44, true, &[entry("s-2", "draining"), broken]) + "\n"));
+    watch.chunk(&(list(44, true, &[entry("s-2", "draining"), broken]) + "\n"));
     let message = proxy.line_with("out=s-2");
     assert!(!message.contains("s-3"), "a worker with an invalid entry is not gone: {message}");
-    agent.chunk(&(list(45, true, &[entry("s-9", "ready")]) + "\n"));
+    watch.chunk(&(list(45, true, &[entry("s-9", "ready")]) + "\n"));
     proxy.line_with("out=s-3");
 }
 
 #[test]
 fn broken_watch_reconnects_from_the_current_version() {
     let cluster = TestCluster::new(64);
-    let (_, mut agent) = cluster.accept_watch("200 OK");
-    agent.chunk(&(list(42, false, &[]) + "\n"));
-    drop(agent);
-    let (request, mut agent) = cluster.accept_watch("200 OK");
+    let (_, mut watch) = cluster.accept_watch("200 OK");
+    watch.chunk(&(list(42, false, &[]) + "\n"));
+    drop(watch);
+    let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "after the end of a watch: {request}");
-    agent.chunk("{\"generation\":\n");
-    let (request, agent) = cluster.accept_watch("503 Service Unavailable");
+    watch.chunk("{\"generation\":\n");
+    let (request, watch) = cluster.accept_watch("503 Service Unavailable");
     assert!(request.contains("index=42"), "after invalid JSON: {request}");
     let (request, silent) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "after an error status: {request}");
     let (request, _) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "after silence: {request}");
-    drop((agent, silent));
+    drop((watch, silent));
 }
 
 #[test]
@@ -296,7 +298,7 @@
         thread::sleep(Duration::from_millis(10));
         TcpStream::connect(cluster.manager).is_err()
     });
-    assert!(refused);
+    assert!(refused, "the listener was not closed");
 }
 
 #[test]
@@ -316,7 +318,7 @@
         std::fs::write(&path, config).unwrap();
         Command::new("kill").args(["-HUP", &manager.id().to_string()]).status().unwrap();
         let mut lines = log.by_ref().lines().map(Result::unwrap);
-        lines.find(|line| line.contains(expected)).unwrap_or_else(|| panic!("{expected:?} is never logged"))
+        lines.find(|line| line.contains(expected)).unwrap_or_else(|| panic!("{expected:?} was never logged"))
     };
     let mut proxy = Peer::joined(address, 7);
     proxy.line_with("whole=1");
@@ -328,11 +330,11 @@
     }
     old.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
     proxy.line_with("out=s-2");
-    let elsewhere = config(addresses[1], 64).replace("127.0.0.1:0\"", "127.0.0.1:9\"");
-    reload(&elsewhere, "the address to listen on cannot change while running");
+    let moved_config = config(addresses[1], 64).replace("127.0.0.1:0\"", "127.0.0.1:9\"");
+    reload(&moved_config, "the address to listen on cannot change while running");
     let (request, mut new) = accept_watch(&discoveries[1], "200 OK");
-    assert!(request.contains("index=43"), "from the current version: {request}");
-    assert_eq!(old.line(), None, "the old watch is closed");
+    assert!(request.contains("index=43"), "the new watch must start from the current version: {request}");
+    assert_eq!(old.line(), None, "the manager must close the old watch");
     new.chunk(&(list(44, false, &[entry("s-3", "draining"), entry("s-4", "ready")]) + "\n"));
     proxy.line_with("out=s-3");
     reload(&config(addresses[0], 64), "read again");
@@ -356,22 +358,22 @@
         program.stderr(Stdio::piped()).spawn().unwrap()
     };
     // No discovery answers at this address; the manager runs all the same.
-    let good = config("127.0.0.1:1".parse().unwrap(), 64);
+    let valid_config = config("127.0.0.1:1".parse().unwrap(), 64);
     for (config, listen, expected) in [
         ("", "", "EOF"),
         ("{}", "", "seed"),
-        (&good.replace("8c1f", "seed"), "", "the seed is not a 64-bit hexadecimal number"),
-        (&good.replace("127.0.0.1:1\"", "nowhere\""), "", "PROXY_DISCOVERY is not an address"),
-        (&good.replace(r#""tick-ms":1"#, r#""tick-ms":-1"#), "", "tick-ms"),
-        (&good, "nowhere", "PROXY_LISTEN is not an address"),
-        (&good, &occupied, "cannot listen on"),
+        (&valid_config.replace("8c1f", "seed"), "", "the seed is not a 64-bit hexadecimal number"),
+        (&valid_config.replace("127.0.0.1:1\"", "nowhere\""), "", "PROXY_DISCOVERY is not an address"),
+        (&valid_config.replace(r#""tick-ms":1"#, r#""tick-ms":-1"#), "", "tick-ms"),
+        (&valid_config, "nowhere", "PROXY_LISTEN is not an address"),
+        (&valid_config, &occupied, "cannot listen on"),
     ] {
         let output = program(config, listen).wait_with_output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(error.starts_with("juniperrail: ") && error.contains(expected), "{expected}: {error}");
         assert_eq!((error.lines().count(), output.status.code()), (1, Some(1)), "{error}");
     }
-    let mut running = program(&good, "127.0.0.1:0");
+    let mut running = program(&valid_config, "127.0.0.1:0");
     let mut log = BufReader::new(running.stderr.take().unwrap());
     address_served(&mut log);
     Command::new("kill").arg(running.id().to_string()).status().unwrap();
--- a/crates/netconf/src/capabilities.rs
+++ b/crates/netconf/src/capabilities.rs
@@ -20,7 +20,8 @@
 /// The base capability of RFC 6241: chunked framing.
 pub const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
 
-/// The `content-id` of the YANG library (RFC 8525), which changes with any module or revision.
+/// The `content-id` of the YANG library (RFC 8525), which changes with the set of modules and with the
+/// revision of any of them.
 pub fn content_id(schema: &Schema) -> String {
     let revisions: Vec<String> =
         schema.modules.iter().map(|module| format!("{}@{}", module.name, module.revision)).collect();
--- a/crates/netconf/src/connection_limits.rs
+++ b/crates/netconf/src/connection_limits.rs
@@ -8,6 +8,9 @@
 use crate::service::ServerContext;
 use crate::session::{serve_session, SessionTimeouts};
 
+/// The largest limit on connections that are not authenticated yet.
+const MAX_UNAUTHENTICATED: usize = 32;
+
 /// Connections that are not authenticated yet have a limit of their own, so that they cannot use up the sessions of
 /// authenticated users.
 #[derive(Clone)]
@@ -19,7 +22,7 @@
 impl ConnectionLimits {
     /// Limits for at most `max_sessions` sessions.
     pub fn new(max_sessions: usize) -> ConnectionLimits {
-        let max_unauthenticated = (max_sessions / 2).clamp(1, 32);
+        let max_unauthenticated = (max_sessions / 2).clamp(1, MAX_UNAUTHENTICATED);
         ConnectionLimits {
             unauthenticated: Arc::new(Semaphore::new(max_unauthenticated)),
             sessions: Arc::new(Semaphore::new(max_sessions)),
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -1,4 +1,5 @@
-//! `rpc-error` as in RFC 6241 section 4.3 and appendix A, and the mapping of model faults and datastore errors to it.
+//! `rpc-error` as in RFC 6241 section 4.3 and appendix A, and the mapping of model faults and datastore errors to
+//! `rpc-error`s.
 
 use juniperrail_intent::{DatastoreError, Refusal, Session};
 use juniperrail_model::xml::{Attr, Element, NETCONF, XML};
@@ -59,8 +60,10 @@
             .with(leaf("error-severity", "error"));
         error.children.extend(self.app_tag.map(|tag| leaf("error-app-tag", tag)));
         if let Some(path) = &self.path {
-            let used = prefixes.iter().filter(|(prefix, _)| path.contains(&format!("{prefix}:")));
-            error.children.push(Element { prefixes: used.cloned().collect(), ..leaf("error-path", path) });
+            let used_prefixes = prefixes.iter().filter(|(prefix, _)| path.contains(&format!("{prefix}:")));
+            error
+                .children
+                .push(Element { prefixes: used_prefixes.cloned().collect(), ..leaf("error-path", path) });
         }
         let language = Attr { ns: XML.into(), name: "lang".into(), value: "en".into() };
         error.children.push(Element { attrs: vec![language], ..leaf("error-message", &self.message) });
@@ -75,23 +78,26 @@
 /// Converts a violation of the data model.
 pub fn from_model_fault(fault: &Fault) -> RpcError {
     let message = match fault.line {
+        // The fault is not about one line of the message.
         0 => fault.what.clone(),
         line => format!("line {line} of the message: {}", fault.what),
     };
-    let application = |tag| RpcError::new(ErrorType::Application, tag, message.clone());
+    let application_error = |tag| RpcError::new(ErrorType::Application, tag, message.clone());
     let with_bad_element = |error: RpcError| error.with_info("bad-element", &*fault.name);
     let error = match fault.rule {
         Rule::Malformed => RpcError::new(ErrorType::Rpc, "malformed-message", message.clone()),
-        Rule::UnknownElement | Rule::NotConfiguration => with_bad_element(application("unknown-element")),
-        Rule::UnknownNamespace => with_bad_element(application("unknown-namespace"))
+        Rule::UnknownElement | Rule::NotConfiguration => {
+            with_bad_element(application_error("unknown-element"))
+        }
+        Rule::UnknownNamespace => with_bad_element(application_error("unknown-namespace"))
             .with_info("bad-namespace", quoted_namespace(&fault.what)),
-        Rule::UnknownAttribute => with_bad_attribute(application("unknown-attribute"), fault),
-        Rule::BadAttribute => with_bad_attribute(application("bad-attribute"), fault),
-        Rule::BadValue => application("invalid-value"),
-        Rule::MissingElement => with_bad_element(application("missing-element")),
-        Rule::Repeated => with_bad_element(application("bad-element")),
-        Rule::DataExists => application("data-exists"),
-        Rule::DataMissing => application("data-missing"),
+        Rule::UnknownAttribute => with_bad_attribute(application_error("unknown-attribute"), fault),
+        Rule::BadAttribute => with_bad_attribute(application_error("bad-attribute"), fault),
+        Rule::BadValue => application_error("invalid-value"),
+        Rule::MissingElement => with_bad_element(application_error("missing-element")),
+        Rule::Repeated => with_bad_element(application_error("bad-element")),
+        Rule::DataExists => application_error("data-exists"),
+        Rule::DataMissing => application_error("data-missing"),
     };
     match fault.path.is_empty() {
         true => error,
@@ -128,7 +134,7 @@
 
 /// Converts a datastore error to one or more `rpc-error`s.
 pub fn from_datastore_error(error: &DatastoreError) -> Vec<RpcError> {
-    let single = |error_type, tag| RpcError::new(error_type, tag, error.to_string());
+    let single_error = |error_type, tag| RpcError::new(error_type, tag, error.to_string());
     vec![match error {
         DatastoreError::Faults(faults) => return faults.iter().map(from_model_fault).collect(),
         DatastoreError::NotAdmitted(refusals) => return refusals.iter().map(from_refusal).collect(),
@@ -140,17 +146,17 @@
             lock_holder_error(ErrorType::Protocol, "lock-denied", error, Session(0))
         }
         DatastoreError::InUse(_) | DatastoreError::ConfirmedCommitPending(_) => {
-            single(ErrorType::Protocol, "in-use")
+            single_error(ErrorType::Protocol, "in-use")
         }
-        DatastoreError::NotLocked => single(ErrorType::Protocol, "operation-failed"),
-        DatastoreError::NoConfirmedCommitPending => single(ErrorType::Protocol, "operation-failed"),
-        DatastoreError::WrongPersistId => single(ErrorType::Protocol, "invalid-value"),
-        DatastoreError::UnknownVersion(_) => single(ErrorType::Application, "invalid-value"),
+        DatastoreError::NotLocked => single_error(ErrorType::Protocol, "operation-failed"),
+        DatastoreError::NoConfirmedCommitPending => single_error(ErrorType::Protocol, "operation-failed"),
+        DatastoreError::WrongPersistId => single_error(ErrorType::Protocol, "invalid-value"),
+        DatastoreError::UnknownVersion(_) => single_error(ErrorType::Application, "invalid-value"),
         DatastoreError::AccessDenied(path) if path.starts_with('/') => {
-            single(ErrorType::Application, "access-denied").with_path(&**path)
+            single_error(ErrorType::Application, "access-denied").with_path(&**path)
         }
-        DatastoreError::AccessDenied(_) => single(ErrorType::Application, "access-denied"),
-        DatastoreError::Unsupported(_) => single(ErrorType::Application, "operation-not-supported"),
+        DatastoreError::AccessDenied(_) => single_error(ErrorType::Application, "access-denied"),
+        DatastoreError::Unsupported(_) => single_error(ErrorType::Application, "operation-not-supported"),
     }]
 }
 
@@ -162,21 +168,25 @@
     #[test]
     fn each_model_fault_maps_to_its_error_tag() {
         let schema = schema();
-        let head = "xmlns='tag:juniperrail.example,2026:yang:manager'";
-        let error = |text: String| {
+        let namespace = "xmlns='tag:juniperrail.example,2026:yang:manager'";
+        let convert_fault = |text: String| {
             let element = xml::read(text.as_bytes()).unwrap();
             from_model_fault(&xml::drafts(&schema, &[element], true).unwrap_err())
         };
-        let unknown = error("<workers xmlns='urn:none'/>".into());
+        let unknown = convert_fault("<workers xmlns='urn:none'/>".into());
         assert_eq!((unknown.tag, unknown.info.len()), ("unknown-namespace", 2));
         assert_eq!(unknown.info[1], ("bad-namespace", "urn:none".to_string()));
-        let attribute = error(format!("<workers {head}><worker hue='red'><name>a</name></worker></workers>"));
+        let attribute = convert_fault(format!(
+            "<workers {namespace}><worker hue='red'><name>a</name></worker></workers>"
+        ));
         assert_eq!(attribute.tag, "unknown-attribute");
         assert_eq!(attribute.info[0], ("bad-attribute", "hue".to_string()));
-        let missing = error(format!("<workers {head}><worker><weight>1</weight></worker></workers>"));
+        let missing =
+            convert_fault(format!("<workers {namespace}><worker><weight>1</weight></worker></workers>"));
         assert_eq!((missing.tag, &missing.info[0].1), ("missing-element", &"name".to_string()));
-        let value =
-            error(format!("<workers {head}><worker><name>a</name><weight>x</weight></worker></workers>"));
+        let value = convert_fault(format!(
+            "<workers {namespace}><worker><name>a</name><weight>x</weight></worker></workers>"
+        ));
         assert_eq!(value.path.as_deref(), Some("/jrm:workers/worker[name='a']/weight"));
         let prefixes =
             vec![("jrm".to_string(), "tag:x".to_string()), ("jrs".to_string(), "tag:y".to_string())];
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -2,8 +2,8 @@
 
 use juniperrail_model::xml::Element;
 
-/// The parts of `elements` that the filter selects. `keys` names those children of an element that are list keys; they
-/// are included with whatever is selected of a list entry.
+/// The parts of `elements` that the filter selects. `keys` returns the names of the children of an element that are
+/// list keys; a list entry of which any part is selected includes its keys.
 pub fn select(
     filter: &Element,
     elements: &[Element],
@@ -40,7 +40,7 @@
         let selected = filter.trimmed_text().is_empty() || filter.trimmed_text() == element.trimmed_text();
         return selected.then(|| element.clone());
     }
-    let (content_matches, others): (Vec<&Element>, Vec<&Element>) = filter
+    let (content_matches, other_filters): (Vec<&Element>, Vec<&Element>) = filter
         .children
         .iter()
         .partition(|child| child.children.is_empty() && !child.trimmed_text().is_empty());
@@ -53,18 +53,18 @@
     if !content_matches.iter().all(is_satisfied) {
         return None;
     }
-    if others.is_empty() {
+    if other_filters.is_empty() {
         // Content match nodes alone select the whole containment node (section 6.2.5).
         return Some(element.clone());
     }
     let key_names = keys(element);
     let mut selected = Element { children: Vec::new(), ..element.clone() };
-    let mut found = !content_matches.is_empty();
+    let mut is_selected = !content_matches.is_empty();
     for child in &element.children {
-        let parts = others.iter().filter_map(|filter| select_part(filter, child, keys));
+        let parts = other_filters.iter().filter_map(|filter| select_part(filter, child, keys));
         match parts.reduce(|first, second| merge(first, second, child)) {
             Some(part) => {
-                found = true;
+                is_selected = true;
                 selected.children.push(part);
             }
             None => {
@@ -77,7 +77,7 @@
             }
         }
     }
-    found.then_some(selected)
+    is_selected.then_some(selected)
 }
 
 /// The union of two parts of one element, with the children in the order of `original`.
--- a/crates/netconf/src/lib.rs
+++ b/crates/netconf/src/lib.rs
@@ -1,5 +1,5 @@
-//! The NETCONF server (RFC 6241) in front of the datastore manager. It translates messages to operations and results
-//! to replies; the datastore manager decides what an operation does and which operations are rejected.
+//! The NETCONF server (RFC 6241) in front of the datastore manager. The server translates messages to operations and
+//! results to replies; the datastore manager decides what an operation does and which operations are rejected.
 
 mod capabilities;
 mod connection_limits;
--- a/crates/netconf/src/notification.rs
+++ b/crates/netconf/src/notification.rs
@@ -1,5 +1,5 @@
-//! Notifications (RFC 5277) for subscribers: those of RFC 6470, and `change-held` for a change that every proxy has
-//! applied.
+//! Notifications (RFC 5277) for subscribers: the events of RFC 6470, and `change-held` for a change that every
+//! proxy has applied.
 
 use juniperrail_model::xml::{Element, NETCONF};
 use juniperrail_model::Schema;
@@ -9,7 +9,7 @@
 
 use crate::capabilities::{BASE_NOTIFICATIONS, NOTIFICATION};
 
-/// Edits that one `netconf-config-change` lists; further ones are only counted in the log.
+/// Maximum number of edits that one `netconf-config-change` lists; further edits are left out.
 const MAX_EDITS: usize = 256;
 
 /// The event element of a notification.
@@ -63,7 +63,7 @@
     }
 }
 
-/// The configuration paths that an event names. A user who may not read all of them does not receive it.
+/// The configuration paths that an event names. A user who may not read all of them does not receive the event.
 pub fn configuration_paths(notification: &Notification) -> Vec<&str> {
     match notification {
         Notification::ConfigChanged { edits, .. } => edits.iter().map(|(path, _)| path.as_str()).collect(),
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -64,7 +64,7 @@
 pub enum SessionAction {
     Continue,
     Close,
-    /// Sends notifications from now on, filtered if there is a filter.
+    /// Sends notifications from now on: those that the filter selects, or all without a filter.
     Subscribe(Option<Element>),
 }
 
@@ -115,15 +115,15 @@
 fn datastore_parameter(operation: &Element, name: &str) -> Result<Datastore, Vec<RpcError>> {
     let parameter =
         operation.get(&operation.ns, name).ok_or_else(|| missing_element(name, &operation.name))?;
-    let [named] = &parameter.children[..] else { return Err(missing_element("a datastore", name)) };
-    match (&*named.ns == NETCONF, named.name.as_str()) {
+    let [datastore] = &parameter.children[..] else { return Err(missing_element("a datastore", name)) };
+    match (&*datastore.ns == NETCONF, datastore.name.as_str()) {
         (true, "running") => Ok(Datastore::Running),
         (true, "candidate") => Ok(Datastore::Candidate),
         (true, "startup") => Ok(Datastore::Startup),
         (true, "url") => {
             Err(rpc_error(ErrorType::Protocol, "operation-not-supported", "URLs are not supported"))
         }
-        _ => Err(unknown_element(named)),
+        _ => Err(unknown_element(datastore)),
     }
 }
 
@@ -155,7 +155,8 @@
     operation.get(&operation.ns, name).map(Element::trimmed_text)
 }
 
-/// Rejects an operation with a parameter other than the named ones.
+/// Rejects an operation with a parameter that is not among `names`. Parameters may also be in the namespace of
+/// `with-defaults`.
 fn check_parameters(operation: &Element, names: &[&str]) -> Result<(), Vec<RpcError>> {
     let is_unknown = |child: &&Element| {
         let is_named = names.contains(&child.name.as_str());
@@ -315,9 +316,9 @@
     /// Configuration and state. The state is only collected if the filter can select any of it.
     async fn get(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["filter", "with-defaults"])?;
-        let (filter, defaults) = (self.filter(operation, "filter")?, self.with_defaults(operation)?);
+        let (filter, with_defaults) = (self.filter(operation, "filter")?, self.with_defaults(operation)?);
         let running = self.context.datastore_manager.get(&self.caller, Datastore::Running).await;
-        let mut all = self.elements(&running, defaults);
+        let mut all = self.elements(&running, with_defaults);
         all.extend(self.state(filter).await?);
         reply_with(self.data(NETCONF, self.context.apply_filter(filter, all)))
     }
@@ -325,7 +326,7 @@
     /// The operational state that the filter can select.
     async fn state(&self, filter: Option<&Element>) -> Result<Vec<Element>, Vec<RpcError>> {
         let datastore_manager = &self.context.datastore_manager;
-        let wants = |ns: &str| {
+        let can_select = |ns: &str| {
             filter.is_none_or(|filter| {
                 filter.children.iter().any(|child| child.ns.is_empty() || &*child.ns == ns)
             })
@@ -335,15 +336,15 @@
             .schema()
             .module("juniperrail-state")
             .map(|index| &datastore_manager.schema().modules[index]);
-        if state.is_some_and(|module| wants(&module.namespace)) {
+        if state.is_some_and(|module| can_select(&module.namespace)) {
             all.extend(
                 self.elements(&datastore_manager.state(&self.caller).await.map_err(datastore_error)?, false),
             );
         }
-        if wants(MONITORING) {
+        if can_select(MONITORING) {
             all.push(self.monitoring().await);
         }
-        if wants(YANG_LIBRARY) {
+        if can_select(YANG_LIBRARY) {
             all.push(self.library());
         }
         Ok(all)
@@ -357,7 +358,7 @@
         let leaf = |name: &str, text: &str| Element::with_text(MONITORING, name, text);
         let capabilities = self.context.capabilities.iter().map(|uri| leaf("capability", uri));
         let locks = datastore_manager.locks().await;
-        let datastore = |(store, name): (Datastore, &str)| {
+        let datastore_element = |(store, name): (Datastore, &str)| {
             let global_lock = locks.iter().find(|(datastore, _)| *datastore == store);
             let lock = global_lock.map(|(_, session)| {
                 let locked_by = leaf("locked-by-session", &session.0.to_string());
@@ -370,7 +371,7 @@
             (Datastore::Candidate, "candidate"),
             (Datastore::Startup, "startup"),
         ];
-        let module = |module: &juniperrail_model::Module| {
+        let schema_element = |module: &juniperrail_model::Module| {
             element("schema")
                 .with(leaf("identifier", &module.name))
                 .with(leaf("version", &module.revision))
@@ -379,19 +380,19 @@
                 .with(leaf("location", "NETCONF"))
         };
         let sessions = datastore_manager.sessions().await;
-        let session = |(id, user, from): (Session, String, String)| {
-            let transport = if from.starts_with("tls") { "netconf-tls" } else { "netconf-ssh" };
+        let session_element = |(id, user, client_origin): (Session, String, String)| {
+            let transport = if client_origin.starts_with("tls") { "netconf-tls" } else { "netconf-ssh" };
             element("session")
                 .with(leaf("session-id", &id.0.to_string()))
                 .with(leaf("transport", transport))
                 .with(leaf("username", &user))
-                .with(leaf("source-host", from.split(' ').nth(1).unwrap_or_default()))
+                .with(leaf("source-host", client_origin.split(' ').nth(1).unwrap_or_default()))
         };
         element("netconf-state")
             .with(element("capabilities").with_all(capabilities))
-            .with(element("datastores").with_all(datastores.map(datastore)))
-            .with(element("schemas").with_all(schema.modules.iter().map(module)))
-            .with(element("sessions").with_all(sessions.into_iter().map(session)))
+            .with(element("datastores").with_all(datastores.map(datastore_element)))
+            .with(element("schemas").with_all(schema.modules.iter().map(schema_element)))
+            .with(element("sessions").with_all(sessions.into_iter().map(session_element)))
     }
 
     /// The `yang-library` of RFC 8525.
@@ -399,7 +400,7 @@
         let schema = self.context.datastore_manager.schema();
         let element = |name: &str| Element::new(YANG_LIBRARY, name);
         let leaf = |name: &str, text: &str| Element::with_text(YANG_LIBRARY, name, text);
-        let module = |module: &juniperrail_model::Module| {
+        let module_element = |module: &juniperrail_model::Module| {
             let import_only = schema.roots.iter().all(|id| schema.module_of(*id).name != module.name);
             let name = if import_only { "import-only-module" } else { "module" };
             element(name)
@@ -407,7 +408,9 @@
                 .with(leaf("revision", &module.revision))
                 .with(leaf("namespace", &module.namespace))
         };
-        let set = element("module-set").with(leaf("name", "all")).with_all(schema.modules.iter().map(module));
+        let module_set = element("module-set")
+            .with(leaf("name", "all"))
+            .with_all(schema.modules.iter().map(module_element));
         let datastores = ["running", "candidate", "startup", "operational"].map(|name| {
             let prefixes =
                 vec![("ds".to_string(), "urn:ietf:params:xml:ns:yang:ietf-datastores".to_string())];
@@ -415,7 +418,7 @@
             element("datastore").with(name).with(leaf("schema", "all"))
         });
         element("yang-library")
-            .with(set)
+            .with(module_set)
             .with(element("schema").with(leaf("name", "all")).with(leaf("module-set", "all")))
             .with_all(datastores)
             .with(leaf("content-id", &capabilities::content_id(schema)))
@@ -424,9 +427,9 @@
     async fn get_config(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["source", "filter", "with-defaults"])?;
         let store = datastore_parameter(operation, "source")?;
-        let (filter, defaults) = (self.filter(operation, "filter")?, self.with_defaults(operation)?);
+        let (filter, with_defaults) = (self.filter(operation, "filter")?, self.with_defaults(operation)?);
         let data = self.context.datastore_manager.get(&self.caller, store).await;
-        reply_with(self.data(NETCONF, self.context.apply_filter(filter, self.elements(&data, defaults))))
+        reply_with(self.data(NETCONF, self.context.apply_filter(filter, self.elements(&data, with_defaults))))
     }
 
     /// `get-data` of RFC 8526 section 3.1.1, with subtree filters only.
@@ -438,7 +441,7 @@
         let identity =
             text_parameter(operation, "datastore").ok_or_else(|| missing_element("datastore", "get-data"))?;
         let filter = self.filter(operation, "subtree-filter")?;
-        let defaults = self.with_defaults(operation)?;
+        let with_defaults = self.with_defaults(operation)?;
         let booleans = [("true", Some(true)), ("false", Some(false))];
         let config_only = enum_parameter(operation, "config-filter", None, &booleans)?;
         let max_depth = match text_parameter(operation, "max-depth") {
@@ -448,16 +451,17 @@
                 .map_or(1, |depth| depth as usize),
         };
         let datastore_manager = &self.context.datastore_manager;
-        let configured =
-            |store| async move { self.elements(&datastore_manager.get(&self.caller, store).await, defaults) };
+        let read_config = |store| async move {
+            self.elements(&datastore_manager.get(&self.caller, store).await, with_defaults)
+        };
         let mut all = match identity.rsplit(':').next() {
-            Some("running") => configured(Datastore::Running).await,
-            Some("candidate") => configured(Datastore::Candidate).await,
-            Some("startup") => configured(Datastore::Startup).await,
+            Some("running") => read_config(Datastore::Running).await,
+            Some("candidate") => read_config(Datastore::Candidate).await,
+            Some("startup") => read_config(Datastore::Startup).await,
             Some("operational") => {
                 let mut all = match config_only {
                     Some(false) => Vec::new(),
-                    _ => configured(Datastore::Running).await,
+                    _ => read_config(Datastore::Running).await,
                 };
                 if config_only != Some(true) {
                     all.extend(self.state(filter).await?);
@@ -689,7 +693,7 @@
     }
 }
 
-/// Removes the descendants below that many levels.
+/// Keeps `depth` levels, of which the element is the first, and removes the descendants below them.
 fn limit_depth(element: &mut Element, depth: usize) {
     if depth <= 1 {
         element.children.clear();
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -24,7 +24,7 @@
 /// Time limits of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionTimeouts {
-    /// Limits the exchange of hellos, and each step of the transport (SSH or TLS) before it.
+    /// Limits the exchange of hellos, and each step of the transport (SSH or TLS) before that.
     pub hello_timeout: Duration,
     /// Limits the time without a message from the client; subscribed sessions are exempt. `None` means no limit.
     pub idle_timeout: Option<Duration>,
@@ -56,7 +56,7 @@
             }
             match self.stream.read(&mut buffer).await {
                 Ok(0) | Err(_) => return Err(StreamError::Closed),
-                Ok(read) => self.decoder.push(&buffer[..read]),
+                Ok(read_bytes) => self.decoder.push(&buffer[..read_bytes]),
             }
         }
     }
@@ -97,10 +97,12 @@
     if hello.get(NETCONF, "session-id").is_some() {
         return Err("the client's hello has a session-id".into());
     }
-    let listed = hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
-    let has =
-        |name: &str| listed.iter().any(|item| item.is(NETCONF, "capability") && item.trimmed_text() == name);
-    match (has(BASE_1_1), has(BASE_1_0)) {
+    let capability_elements =
+        hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
+    let lists_capability = |name: &str| {
+        capability_elements.iter().any(|item| item.is(NETCONF, "capability") && item.trimmed_text() == name)
+    };
+    match (lists_capability(BASE_1_1), lists_capability(BASE_1_0)) {
         (true, _) => Ok(Framing::Chunked),
         (false, true) => Ok(Framing::EndOfMessage),
         (false, false) => Err("the client's hello has no supported base capability".into()),
@@ -122,7 +124,8 @@
         return;
     };
     let peer = Peer { stream, decoder: Decoder::default(), framing: Framing::EndOfMessage };
-    // The datastore manager learns of the end also if this future is dropped because the transport ended.
+    // The guard tells the datastore manager of the session's end, also if this future is dropped because the transport
+    // ended.
     let guard = SessionGuard { context: context.clone(), caller: Some(caller.clone()) };
     let reason = run_session(peer, context, &caller, &kill_signal, timeouts).await;
     guard.close(reason).await;
@@ -233,8 +236,8 @@
             Some(Err(_)) => return TerminationReason::Dropped,
         };
         last_message_at = Instant::now();
-        // The operation may be create-subscription: subscribes before the reply is sent, so that no event after the
-        // reply is missed.
+        // The operation may be create-subscription: the receiver exists before the reply is sent, so that no event
+        // after the reply is missed.
         let notifications = (!handler.subscribed).then(|| handler.context.datastore_manager.subscribe());
         let (reply, action) = handler.reply(&message).await;
         if peer.write(&reply).await.is_err() {
@@ -254,7 +257,7 @@
     }
 }
 
-/// The notification as XML, if the filter selects it and the user may read every path that it names.
+/// The notification as XML, if the filter selects it and the user may read every path that the notification names.
 async fn notification_text(
     handler: &RpcHandler,
     filter: Option<&Element>,
--- a/crates/netconf/src/ssh.rs
+++ b/crates/netconf/src/ssh.rs
@@ -18,11 +18,15 @@
 
 /// The SSH channel window: bytes of a session that may be in flight.
 const WINDOW_BYTES: u32 = 256 << 10;
+/// The least interval between keepalive messages.
+const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
+/// Limits the wait for the end of a connection that the server disconnects.
+const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_AUTH_ATTEMPTS: usize = 4;
 /// Time that the client has to read the last reply and close the connection itself.
 const DISCONNECT_GRACE: Duration = Duration::from_secs(2);
 
-/// The configuration of the SSH server. `host_key` is its host key.
+/// The configuration of the SSH server. `host_key` is the server's private key.
 pub fn config(host_key: PrivateKey, timeouts: SessionTimeouts) -> Config {
     Config {
         methods: MethodSet::from(&[MethodKind::PublicKey][..]),
@@ -34,7 +38,7 @@
         max_auth_attempts: MAX_AUTH_ATTEMPTS,
         // The NETCONF session has its own idle time-out.
         inactivity_timeout: None,
-        keepalive_interval: Some(timeouts.hello_timeout.max(Duration::from_secs(15))),
+        keepalive_interval: Some(timeouts.hello_timeout.max(MIN_KEEPALIVE_INTERVAL)),
         nodelay: true,
         ..Config::default()
     }
@@ -58,10 +62,11 @@
     type Error = russh::Error;
 
     async fn auth_publickey(&mut self, user: &str, key: VerifiedPublicKey<'_>) -> Result<Auth, russh::Error> {
-        let matches = |line: &str| {
-            PublicKey::from_openssh(line).is_ok_and(|known| known.key_data() == key.public_key.key_data())
+        let is_offered_key = |line: &str| {
+            PublicKey::from_openssh(line)
+                .is_ok_and(|known_key| known_key.key_data() == key.public_key.key_data())
         };
-        if self.access.borrow().ssh_keys(user).any(matches) {
+        if self.access.borrow().ssh_keys(user).any(is_offered_key) {
             self.user = Some(user.to_string());
             return Ok(Auth::Accept);
         }
@@ -75,7 +80,7 @@
         reply: ChannelOpenHandle,
         _: &mut Session,
     ) -> Result<(), russh::Error> {
-        // One session per connection: a second channel is rejected because the handle is dropped.
+        // One session per connection: a second channel is rejected because `reply` is dropped without an answer.
         if self.channel.is_none() && self.unauthenticated_permit.is_some() {
             self.channel = Some(channel);
             reply.accept().await;
@@ -158,9 +163,9 @@
         end = &mut running => Some(end),
         started = timeout(timeouts.hello_timeout, session_started.notified()) => {
             if started.is_err() {
-                // Frees the permits of connections that never start a session.
+                // Ends the connection, so that one that never starts a session frees its permit.
                 _ = handle.disconnect(russh::Disconnect::ByApplication, String::new(), String::new()).await;
-                _ = timeout(Duration::from_secs(1), &mut running).await;
+                _ = timeout(DISCONNECT_TIMEOUT, &mut running).await;
                 return Err("no session was requested in time".into());
             }
             None
--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -38,22 +38,22 @@
 
 /// Binds a non-blocking listener.
 fn bind_listener(address: &str) -> Result<StdListener, String> {
-    let failed = |error: std::io::Error| format!("cannot listen on {address}: {error}");
+    let listen_error = |error: std::io::Error| format!("cannot listen on {address}: {error}");
     let address: SocketAddr =
         address.parse().map_err(|_| format!("{address} is not an address with a port"))?;
-    let listener = StdListener::bind(address).map_err(failed)?;
-    listener.set_nonblocking(true).map_err(failed)?;
+    let listener = StdListener::bind(address).map_err(listen_error)?;
+    listener.set_nonblocking(true).map_err(listen_error)?;
     Ok(listener)
 }
 
-/// A setting in milliseconds.
+/// Reads a setting in milliseconds; 0 if it is absent.
 fn duration_setting(view: &View<'_>, name: &str) -> Duration {
     Duration::from_secs_f64(view.figure(name).unwrap_or(0.0) / 1000.0)
 }
 
 impl Listeners {
-    /// Binds the listeners that the container `northbound/netconf` of the configuration names; `None` if it names none.
-    /// `resolve` gives the paths of the files that the configuration names. The error is one line.
+    /// Binds the listeners that the container `northbound/netconf` of the configuration names; `None` if the
+    /// container names none. `resolve` returns the path of a file that the configuration names. The error is one line.
     pub fn bind(netconf: View<'_>, resolve: &dyn Fn(&str) -> PathBuf) -> Result<Option<Listeners>, String> {
         let (ssh, tls) = (netconf.inner("ssh"), netconf.inner("tls"));
         let file = |view: &View<'_>, name: &str| resolve(view.text(name).unwrap_or_default());
@@ -143,7 +143,7 @@
 }
 
 /// Accepts connections in an endless loop and serves each in a task of its own, so that a panic ends only that
-/// connection. A connection above the limit is closed at once.
+/// connection. A connection above the limit of unauthenticated ones is closed at once.
 async fn accept_connections<F>(
     listener: StdListener,
     limits: &ConnectionLimits,
@@ -157,7 +157,7 @@
     };
     let mut rejected_connections = 0u64;
     loop {
-        let (socket, from) = match listener.accept().await {
+        let (socket, client_address) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
                 tracing::error!("cannot accept a northbound connection: {error}");
@@ -170,17 +170,17 @@
             // Logs only the first, second, fourth, eighth ... so that many rejections do not flood the log.
             if rejected_connections.is_power_of_two() {
                 tracing::warn!(
-                    "{rejected_connections} northbound connections rejected, too many unauthenticated, the last from {from}"
+                    "{rejected_connections} northbound connections rejected, too many unauthenticated, the last from {client_address}"
                 );
             }
             continue;
         };
         _ = socket.set_nodelay(true);
-        let connection = serve(socket, from, limits.clone(), permit);
-        let span = tracing::info_span!("northbound", %from);
+        let connection = serve(socket, client_address, limits.clone(), permit);
+        let span = tracing::info_span!("northbound", from = %client_address);
         let logged_connection = async move {
             if let Err(reason) = connection.await {
-                tracing::info!("the northbound connection from {from} ends: {reason}");
+                tracing::info!("the northbound connection from {client_address} ends: {reason}");
             }
         };
         tokio::spawn(logged_connection.instrument(span));
@@ -193,52 +193,55 @@
     key: &Path,
     authorities: &Path,
 ) -> Result<rustls::ServerConfig, String> {
-    let unusable = |path: &Path, reason: String| format!("{} cannot be used: {reason}", path.display());
+    let unusable_file = |path: &Path, reason: String| format!("{} cannot be used: {reason}", path.display());
     let read_chain = |path: &Path| -> Result<Vec<CertificateDer<'static>>, String> {
-        let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
-        let chain: Vec<CertificateDer<'static>> = read.map_err(|error| unusable(path, error.to_string()))?;
+        let certificates = CertificateDer::pem_file_iter(path).and_then(Iterator::collect);
+        let chain: Vec<CertificateDer<'static>> =
+            certificates.map_err(|error| unusable_file(path, error.to_string()))?;
         match chain.is_empty() {
-            true => Err(unusable(path, "it contains no certificate".into())),
+            true => Err(unusable_file(path, "it contains no certificate".into())),
             false => Ok(chain),
         }
     };
     let mut roots = RootCertStore::empty();
     for authority in read_chain(authorities)? {
-        roots.add(authority).map_err(|error| unusable(authorities, error.to_string()))?;
+        roots.add(authority).map_err(|error| unusable_file(authorities, error.to_string()))?;
     }
-    let private_key = PrivateKeyDer::from_pem_file(key).map_err(|error| unusable(key, error.to_string()))?;
+    let private_key =
+        PrivateKeyDer::from_pem_file(key).map_err(|error| unusable_file(key, error.to_string()))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone()).build();
-    let verifier = verifier.map_err(|error| unusable(authorities, error.to_string()))?;
+    let verifier = verifier.map_err(|error| unusable_file(authorities, error.to_string()))?;
     let builder = rustls::ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions();
     let builder = builder.map_err(|error| error.to_string())?.with_client_cert_verifier(verifier);
     builder
         .with_single_cert(read_chain(certificate)?, private_key)
-        .map_err(|error| unusable(certificate, error.to_string()))
+        .map_err(|error| unusable_file(certificate, error.to_string()))
 }
 
 /// Maps a client's certificate chain, which was verified before, to a user (RFC 7589 section 7).
 fn map_certificate_to_user(access: &AccessControl, chain: &[CertificateDer<'_>]) -> Result<String, String> {
     let client = chain.first().ok_or("the client sent no certificate")?;
     let mapped = chain.iter().find_map(|certificate| access.cert_to_name(&fingerprint(certificate)));
-    let unmapped = || format!("its certificate {} maps to no user", fingerprint(client));
-    let parsed = || x509_parser::parse_x509_certificate(client).map_err(|error| error.to_string());
-    let name = match mapped.ok_or_else(unmapped)? {
+    let unmapped_error = || format!("its certificate {} maps to no user", fingerprint(client));
+    let parse_client_certificate =
+        || x509_parser::parse_x509_certificate(client).map_err(|error| error.to_string());
+    let name = match mapped.ok_or_else(unmapped_error)? {
         CertToName::Specified(user) => Some(user.clone()),
         CertToName::CommonName => {
-            let (_, parsed) = parsed()?;
-            let mut names = parsed.subject().iter_common_name().filter_map(|name| name.as_str().ok());
+            let (_, certificate) = parse_client_certificate()?;
+            let mut names = certificate.subject().iter_common_name().filter_map(|name| name.as_str().ok());
             names.next().map(str::to_string)
         }
         CertToName::DnsName => {
-            let (_, parsed) = parsed()?;
-            let names = parsed.subject_alternative_name().map_err(|error| error.to_string())?;
+            let (_, certificate) = parse_client_certificate()?;
+            let names = certificate.subject_alternative_name().map_err(|error| error.to_string())?;
             let names = names.into_iter().flat_map(|names| &names.value.general_names);
-            let mut dns = names.filter_map(|name| match name {
+            let mut dns_names = names.filter_map(|name| match name {
                 GeneralName::DNSName(name) => Some(name.to_string()),
                 _ => None,
             });
-            dns.next()
+            dns_names.next()
         }
     };
     name.ok_or_else(|| "its certificate has no name of the kind that the mapping requires".into())
