--- a/crates/manager/src/cli/relay.rs
+++ b/crates/manager/src/cli/relay.rs
@@ -51,8 +51,9 @@
     let mut sigterm =
         signal(SignalKind::terminate()).map_err(|error| CommandError::Local(error.to_string()))?;
     let listen = args.listen;
-    let bound = Relay::bind(args.options()).await;
-    let relay = bound.map_err(|error| CommandError::Local(format!("cannot listen on {listen}: {error}")))?;
+    let bind_result = Relay::bind(args.options()).await;
+    let relay =
+        bind_result.map_err(|error| CommandError::Local(format!("cannot listen on {listen}: {error}")))?;
     tokio::select! {
         () = relay.serve() => {}
         _ = sigterm.recv() => tracing::info!("received SIGTERM, shutting down"),
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -237,11 +237,11 @@
 
 /// The child elements of a file's <config> element, as XML text for an `edit-config`.
 fn edit_content(text: &str) -> Result<String, CommandError> {
-    let error = |message: String| CommandError::Local(message);
-    let root =
-        xml::read(text.as_bytes()).map_err(|fault| error(format!("line {}: {}", fault.line, fault.what)))?;
+    let local_error = |message: String| CommandError::Local(message);
+    let root = xml::read(text.as_bytes())
+        .map_err(|fault| local_error(format!("line {}: {}", fault.line, fault.what)))?;
     if !root.is(NETCONF, "config") {
-        return Err(error(format!("expected <config xmlns=\"{NETCONF}\">, found <{}>", root.name)));
+        return Err(local_error(format!("expected <config xmlns=\"{NETCONF}\">, found <{}>", root.name)));
     }
     Ok(root.children.iter().map(|child| xml::write(child, false)).collect())
 }
--- a/crates/manager/src/connection_error.rs
+++ b/crates/manager/src/connection_error.rs
@@ -5,7 +5,7 @@
 
 use tower::timeout::error::Elapsed;
 
-/// How far an attempt had got.
+/// How far an attempt to connect, or to exchange messages, had got when it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Nothing was sent.
@@ -34,7 +34,7 @@
     }
 
     /// Converts the errors of a tower service at this stage, time-outs included.
-    pub fn at(stage: Stage) -> impl Fn(Box<dyn Error + Send + Sync>) -> ConnectionError + Clone {
+    pub fn service(stage: Stage) -> impl Fn(Box<dyn Error + Send + Sync>) -> ConnectionError + Clone {
         move |cause| ConnectionError { stage, timed_out: cause.is::<Elapsed>(), message: cause.to_string() }
     }
 
--- a/crates/manager/src/connection_tracker.rs
+++ b/crates/manager/src/connection_tracker.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use juniperrail_interface::{MarkId, Ms, ProxyId, ZoneId};
 
-/// Limit of the messages to one proxy that are counted over the message window. The limits of messages in use are far
-/// below it.
+/// Limit on the recent messages to one proxy whose times are kept. The limits on messages per window that are in use
+/// are far below it.
 const MAX_RECENT_MESSAGES: usize = 1024;
 
 /// A mark that was sent and not acknowledged yet.
@@ -23,6 +23,7 @@
     pub id: StreamId,
     pub outbox: Outbox,
     pub zone: ZoneId,
+    /// Invocations per second that the proxy announced.
     pub inv_per_second: f64,
     /// Marks sent and not acknowledged, oldest first.
     pub pending_marks: VecDeque<PendingMark>,
@@ -95,7 +96,7 @@
 /// Timeouts of proxies that do not answer.
 #[derive(Clone, Copy)]
 pub struct SilenceTimeouts {
-    /// For an acknowledgement, once the message with the mark has left the channel.
+    /// Time allowed for an acknowledgement, from when the message with the mark has left the channel.
     pub answer_timeout: Ms,
     /// The time in which a full channel empties at its usual rate.
     pub queue_drain_time: Ms,
@@ -105,6 +106,7 @@
 pub struct ConnectionTracker {
     pub streams: BTreeMap<ProxyId, Stream>,
     silence_timeouts: SilenceTimeouts,
+    /// The number of the current turn.
     turn: u64,
     /// The newest turn of which a mark was acknowledged by any proxy.
     newest_acknowledged_turn: u64,
@@ -164,8 +166,9 @@
     /// When a stream times out: first the proxy is reported as left, then its connection is closed.
     ///
     /// A proxy whose message still waits in the channel, which takes seconds at a start, must not count as silent.
-    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy acknowledged a later
-    /// turn. If no proxy acknowledges anything, the timeout starts once a full channel would have emptied.
+    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy acknowledged a
+    /// mark of a later turn. If no proxy acknowledges anything, the timeout starts once a full channel would have
+    /// emptied.
     fn times_out_at(&self, stream: &Stream) -> Option<Ms> {
         let SilenceTimeouts { answer_timeout, queue_drain_time } = self.silence_timeouts;
         let silent_since = stream.silent_since.or_else(|| {
@@ -190,10 +193,10 @@
     /// closed: otherwise a machine that vanished would occupy a file descriptor forever.
     pub fn handle_timeouts(&mut self, now: Ms) -> Vec<StreamTimeout> {
         let is_due = |stream: &Stream| self.times_out_at(stream).is_some_and(|timeout| now >= timeout);
-        let due: Vec<ProxyId> =
+        let due_proxies: Vec<ProxyId> =
             self.streams.iter().filter(|(_, stream)| is_due(stream)).map(|(id, _)| *id).collect();
         let time_out = |proxy| {
-            let stream = self.streams.get_mut(&proxy).expect("a known stream");
+            let stream = self.streams.get_mut(&proxy).expect("the proxy has a stream");
             if stream.silent_since.is_some() {
                 self.streams.remove(&proxy);
                 return StreamTimeout::Closed(proxy);
@@ -204,7 +207,7 @@
             stream.clear_pending_marks();
             StreamTimeout::Silent { proxy, idle_for, pending_count }
         };
-        due.into_iter().map(time_out).collect()
+        due_proxies.into_iter().map(time_out).collect()
     }
 
     /// Records that a message was received over a stream. Returns `None` if another stream has replaced it.
@@ -219,7 +222,7 @@
     /// Records that a proxy acknowledged a mark and all before it. Marks that were not sent over this stream are
     /// refused, since mark numbers wrap around and repeat.
     pub fn acknowledge(&mut self, now: Ms, proxy: ProxyId, mark: MarkId) -> Result<(), String> {
-        let stream = self.streams.get_mut(&proxy).expect("a known stream");
+        let stream = self.streams.get_mut(&proxy).expect("the proxy has a stream");
         let index = stream.pending_marks.iter().position(|pending| pending.mark == mark);
         let index = index.ok_or_else(|| format!("proxy {} has no pending mark {}", proxy.0, mark.0))?;
         let turn = stream.pending_marks.drain(..=index).next_back().map_or(0, |pending| pending.turn);
--- a/crates/manager/src/connection_tracker/tests.rs
+++ b/crates/manager/src/connection_tracker/tests.rs
@@ -17,7 +17,7 @@
     (connections, peers)
 }
 
-/// The proxies whose streams time out by then.
+/// The proxies whose streams time out by `now`.
 fn timed_out(connections: &mut ConnectionTracker, now: Ms) -> Vec<u16> {
     let timeouts = connections.handle_timeouts(now).into_iter();
     timeouts
--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -34,16 +34,17 @@
 /// The longest sleep without an event.
 const MAX_SLEEP_MS: Ms = 3_600_000.0;
 
-/// Log target of turns that a timer of the planner started; the field `late` is their delay in milliseconds.
+/// Log target of turns that a timer of the planner started. The field `late` is the time in milliseconds from the
+/// expiry of the earliest timer to the turn.
 pub const TURN_TARGET: &str = "juniperrail::turns";
 
-/// Ratio of the limit of unacknowledged lines from which a warning is logged.
+/// A warning is logged once this share of the limit on unacknowledged lines is reached.
 const CHANNEL_WARNING_RATIO: f64 = 0.8;
 
-/// Ratio of the drain grace from which workers whose removal is not acknowledged are logged as a warning.
+/// A warning is logged once the removal of a worker is unacknowledged for this share of the drain grace.
 const DRAIN_GRACE_WARNING_RATIO: f64 = 0.6;
 
-/// Period in which the distribution of open changes is checked.
+/// Time between two checks of whether all joined proxies have applied the open changes.
 const PROGRESS_CHECK_PERIOD_MS: Ms = 5.0;
 
 /// The channels to the northbound management interface, where one is configured.
@@ -85,7 +86,7 @@
     failure_count: u32,
     /// No turn is run before this time, because the planner failed.
     retry_at: Ms,
-    /// Since when each worker is draining or gone, for as long as acknowledgements of that may be pending.
+    /// Since when each worker has been draining or gone; kept while acknowledgements of its removal may be pending.
     leaving: BTreeMap<WorkerId, Ms>,
     probes: ProbeService,
     inbound: mpsc::WeakSender<Inbound>,
@@ -98,7 +99,8 @@
 }
 
 impl Decider {
-    /// Runs a first turn on the cached worker list and the operator's file, before anything is received.
+    /// Creates a decider and runs its first turn, on the cached worker list and the operator's file, before anything is
+    /// received.
     pub fn new(
         launch: Launch,
         probes: ProbeService,
@@ -145,7 +147,8 @@
         let event = decider.registry.apply_list(&cached_list, ListKind::Remembered, &mut decider.names);
         decider.apply_list(event);
         let intent = launch.operator_config.map(|config| config.intent).unwrap_or_default();
-        // The cached list may be stale, so refusals are only logged; the planner handles missing workers as any loss.
+        // The cached list may be stale, so refusals are only logged; the planner handles a missing worker like any
+        // other loss of a worker.
         for refusal in decider.check_intent(&intent) {
             tracing::warn!("the operator's file: {refusal}");
         }
@@ -163,7 +166,8 @@
     pub async fn run(mut self, mut inbound: mpsc::Receiver<Inbound>) {
         let mut last_turn = Instant::now();
         loop {
-            let timers = self.timers.iter().map(|(at, _)| *at).chain(self.connections.next_timeout());
+            let timers =
+                self.timers.iter().map(|(expires_at, _)| *expires_at).chain(self.connections.next_timeout());
             let progress_check = self
                 .progress
                 .distributing()
@@ -191,9 +195,10 @@
             }
             let now = self.clock.now();
             self.handle_timeouts(now);
-            let expired: Vec<(Ms, String)> = self.timers.extract_if(.., |(at, _)| *at <= now).collect();
-            if let Some(at) = expired.iter().map(|(at, _)| *at).reduce(f64::min) {
-                tracing::trace!(target: TURN_TARGET, late = now - at);
+            let expired: Vec<(Ms, String)> =
+                self.timers.extract_if(.., |(expires_at, _)| *expires_at <= now).collect();
+            if let Some(earliest) = expired.iter().map(|(expires_at, _)| *expires_at).reduce(f64::min) {
+                tracing::trace!(target: TURN_TARGET, late = now - earliest);
             }
             self.events.extend(expired.into_iter().map(|(_, handle)| Event::TimerFired { handle }));
             last_turn = Instant::now();
@@ -221,7 +226,7 @@
                 let proxy = self.connections.proxy_of(stream);
                 proxy.into_iter().for_each(|proxy| self.remove_proxy(proxy));
             }
-            Inbound::Reported(from, report) => match self.translate_report(from, report) {
+            Inbound::Reported(sender, report) => match self.translate_report(sender, report) {
                 Ok(event) => self.events.push(event),
                 Err(reason) => {
                     tracing::debug!("ignored: {reason}");
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -53,10 +53,10 @@
         self.check_composed(&self.registry.composed(Some(intent), &self.names), intent)
     }
 
-    /// The reasons to refuse that the workers are composed as given in `after`.
+    /// The reasons to refuse a change after which the workers would be composed as in `new_workers`.
     pub(super) fn check_composed(
         &self,
-        after: &BTreeMap<String, ComposedWorker>,
+        new_workers: &BTreeMap<String, ComposedWorker>,
         intent: &Intent,
     ) -> Vec<Refusal> {
         let names = &self.names;
@@ -72,10 +72,10 @@
             joined_proxies: self.connections.joined().count(),
             proxies_with_line: &|worker| order_writer.proxies_with_line(worker),
         };
-        check_change(&context, &self.registry.composed(None, names), after, intent)
+        check_change(&context, &self.registry.composed(None, names), new_workers, intent)
     }
 
-    /// Applies an intent from this turn on. It was accepted, or comes from the operator's file at the start.
+    /// Applies an intent from this turn on: one that was accepted, or the one in the operator's file at the start.
     pub(super) fn apply_intent(&mut self, intent: Intent) {
         let runtime = intent.runtime_settings(&self.settings, &self.operation_names);
         if runtime != self.intent.runtime_settings(&self.settings, &self.operation_names) {
@@ -84,7 +84,7 @@
         if let Some(event) = self.registry.apply_intent(&intent, &mut self.names) {
             if let Event::List { workers, .. } = &event {
                 // A worker that was out for so long that it was forgotten may still be excluded at proxies under its
-                // earlier id: without this it would stay excluded when it comes back.
+                // earlier id. Without this record the worker would stay excluded when it comes back.
                 workers.iter().for_each(|entry| self.order_writer.mark_maybe_excluded(entry.worker));
             }
             self.apply_list(event);
@@ -92,7 +92,8 @@
         self.intent = intent;
     }
 
-    /// Applies the plan that the managers agreed on from this turn on, unless it leaves an operation without workers.
+    /// From this turn on applies the plan that the managers agreed on, unless the plan leaves an operation without
+    /// workers.
     pub(super) fn apply_plan(&mut self, ratios: &ZoneWeightRatios) {
         let zone_id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
         let ratios: BTreeMap<ZoneId, f64> =
--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -46,7 +46,7 @@
         self.events.push(Event::Left { proxy });
     }
 
-    /// Handles proxies with pending acknowledgements that send nothing.
+    /// Handles proxies that owe acknowledgements and send nothing.
     pub(super) fn handle_timeouts(&mut self, now: Ms) {
         for timeout in self.connections.handle_timeouts(now) {
             match timeout {
@@ -86,21 +86,21 @@
     /// The planner event of a report, or why the report is ignored.
     pub(super) fn translate_report(
         &mut self,
-        from: Option<(StreamId, ProxyId)>,
+        sender: Option<(StreamId, ProxyId)>,
         report: Result<Report, String>,
     ) -> Result<Event, String> {
         // Even an invalid message shows that the proxy is not silent.
-        if let Some((_, proxy)) = from.filter(|(stream, proxy)| !self.record_activity(*stream, *proxy)) {
+        if let Some((_, proxy)) = sender.filter(|(stream, proxy)| !self.record_activity(*stream, *proxy)) {
             return Err(format!("the stream of proxy {} was replaced by another one", proxy.0));
         }
-        let is_foreign = |proxy| from.is_some_and(|(_, sender)| sender != proxy);
+        let is_foreign = |proxy| sender.is_some_and(|(_, sending_proxy)| sending_proxy != proxy);
         match report? {
             Report::Outcomes { zone, worker, tries, failed, mean_latency, interval, load } => {
-                let known = self.names.workers.find_id(&worker).map(WorkerId);
-                let worker = known.ok_or_else(|| format!("unknown worker {worker:?}"))?;
-                let known = self.names.zones.find_id(&zone).map(|id| ZoneId(id as u16));
+                let worker_id = self.names.workers.find_id(&worker).map(WorkerId);
+                let worker = worker_id.ok_or_else(|| format!("unknown worker {worker:?}"))?;
+                let zone_id = self.names.zones.find_id(&zone).map(|id| ZoneId(id as u16));
                 let zone_name = &zone;
-                let zone = known.ok_or_else(|| format!("unknown zone {zone:?}"))?;
+                let zone = zone_id.ok_or_else(|| format!("unknown zone {zone:?}"))?;
                 if let (Some((_, evidence)), Some(entry)) = (&mut self.fleet, self.registry.worker(worker)) {
                     let worker_zone = self.names.zones.name(entry.zone.0.into());
                     evidence.record(zone_name, worker_zone, tries, failed, mean_latency, load.utilization);
@@ -117,7 +117,7 @@
             }
             Report::Ack { proxy, mark, latency } => {
                 let (proxy, mark) = (ProxyId(proxy), MarkId(mark));
-                if from.is_none() || is_foreign(proxy) {
+                if sender.is_none() || is_foreign(proxy) {
                     return Err(format!("an acknowledgement of proxy {} on another stream", proxy.0));
                 }
                 self.connections.acknowledge(self.clock.now(), proxy, mark)?;
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -12,9 +12,9 @@
 impl Decider {
     /// Checks which open changes all joined proxies have applied.
     pub(super) fn check_progress(&mut self, now: Ms) {
-        let due = now >= self.progress_checked_at + PROGRESS_CHECK_PERIOD_MS
+        let is_due = now >= self.progress_checked_at + PROGRESS_CHECK_PERIOD_MS
             && self.progress.distributing().next().is_some();
-        if !due {
+        if !is_due {
             return;
         }
         self.progress_checked_at = now;
@@ -22,18 +22,18 @@
         let open_changes: Vec<(u64, BTreeSet<WorkerId>)> =
             self.progress.distributing().map(|change| (change.number, self.known_workers(change))).collect();
         for (number, workers) in open_changes {
-            let applied = self.planner.synced_proxy_count(&workers);
-            if self.progress.update(now, number, applied, joined) {
-                let after = self
+            let applied_count = self.planner.synced_proxy_count(&workers);
+            if self.progress.update(now, number, applied_count, joined) {
+                let elapsed = self
                     .progress
                     .all()
                     .find(|change| change.number == number)
                     .map_or(0.0, |change| now - change.committed_at);
-                tracing::info!("change {number} is applied by all {joined} proxies after {after:.0} ms");
+                tracing::info!("change {number} is applied by all {joined} proxies after {elapsed:.0} ms");
                 let northbound = self.northbound.as_ref();
-                northbound
-                    .into_iter()
-                    .for_each(|channels| _ = channels.notices.try_send(Notice::Applied { number, after }));
+                northbound.into_iter().for_each(|channels| {
+                    _ = channels.notices.try_send(Notice::Applied { number, after: elapsed })
+                });
             }
         }
     }
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -14,6 +14,9 @@
     "domain":{"channel-rate":5000,"pending-max":5000,"overhead":4,"worst-transit-ms":1000,"period-ms":2000,
     "proxy-count":4},"rules":{"drain-grace-ms":3000},"n-instances":1}}"#;
 
+/// Messages that a proxy's queue holds.
+const OUTBOX_CAPACITY: usize = 64;
+
 /// So late that a check of the progress is due.
 const LATER: Ms = 1e18;
 
@@ -35,7 +38,7 @@
 
     /// Lets proxy 2 join over a new stream. `fresh`: it has just started and has no tables.
     fn join(&mut self, fresh: bool) -> StreamId {
-        let (outbox, messages, _) = Outbox::new(64);
+        let (outbox, messages, _) = Outbox::new(OUTBOX_CAPACITY);
         let stream = StreamId(self.queues.len() as u64);
         self.queues.push(messages);
         let hello = Hello { proxy: 2, zone: "a".into(), inv_per_second: 5.0, fresh };
@@ -105,10 +108,10 @@
     // In ticks of 2 ms: 0, 1, 3, ..., up to a report period.
     for (failures, delay) in delays.iter().enumerate() {
         let min_delay = (2.0 * (2f64.powi(failures as i32) - 1.0)).min(2000.0);
-        assert!(*delay >= min_delay, "{failures}: {delays:?}");
+        assert!(*delay >= min_delay, "after {failures} earlier failures the delay is too short: {delays:?}");
     }
     let now = manager.decider.clock.now();
-    assert!(manager.decider.retry_at <= now + 2000.0, "{delays:?}");
+    assert!(manager.decider.retry_at <= now + 2000.0, "the last delay exceeds a report period: {delays:?}");
     manager.turn();
     assert_eq!(
         (manager.decider.failure_count, manager.decider.retry_at),
@@ -135,8 +138,11 @@
     manager.turn();
     manager.turn();
     let sent = manager.sent(stream);
-    assert!(sent.contains("whole=1"), "{sent}");
-    assert!(sent.contains("ticket=2\r\n") && sent.contains("ticket=3\r\n"), "{sent}");
+    assert!(sent.contains("whole=1"), "the table is not sent again: {sent}");
+    assert!(
+        sent.contains("ticket=2\r\n") && sent.contains("ticket=3\r\n"),
+        "marks 2 and 3 are not both sent: {sent}"
+    );
     // A late acknowledgement does not cover the table that was sent since.
     manager.ack(stream, 1);
     assert!(
@@ -167,7 +173,7 @@
     manager.ack(stream, 1);
     assert!(
         matches!(manager.turn()[..], [Event::Joined { fresh: false, .. }]),
-        "earlier acknowledgements do not count"
+        "the proxy joins again, but its acknowledgement of an earlier mark does not count"
     );
     assert!(sent.contains("whole=1") && manager.sent(stream).contains("whole=1"));
     manager.ack(stream, 2);
@@ -223,21 +229,21 @@
 #[test]
 fn messages_over_a_replaced_stream_are_ignored() {
     let mut manager = TestManager::new();
-    let old = manager.join(true);
+    let old_stream = manager.join(true);
     manager.turn();
-    let new = manager.join(false);
+    let new_stream = manager.join(false);
     let events = manager.turn();
     assert!(matches!(events[..], [LEFT, Event::Joined { .. }]), "{events:?}");
-    manager.ack(old, 1);
+    manager.ack(old_stream, 1);
     let (op, interval) = ("lookup".into(), 2000.0);
     let demand = Report::Demand { proxy: 2, op, invocations: 4.0, unanswered: 0.0, interval };
-    manager.decider.receive(Inbound::Reported(Some((old, ProxyId(2))), Ok(demand)));
-    manager.decider.receive(Inbound::Ended(old, None));
+    manager.decider.receive(Inbound::Reported(Some((old_stream, ProxyId(2))), Ok(demand)));
+    manager.decider.receive(Inbound::Ended(old_stream, None));
     assert!(manager.decider.events.is_empty());
-    manager.ack(new, 1);
+    manager.ack(new_stream, 1);
     assert!(manager.decider.events.is_empty(), "mark 1 was sent over the old stream");
-    manager.ack(new, 2);
-    manager.ack(new, 2);
+    manager.ack(new_stream, 2);
+    manager.ack(new_stream, 2);
     assert_eq!(manager.decider.events.len(), 1, "an acknowledgement counts once");
 }
 
@@ -252,7 +258,8 @@
         manager.decider.run_turn_with(|_, _, _| vec![mark]);
         mark_count += 1;
     }
-    assert_eq!(mark_count, 64);
+    // The message of the first turn and the marks before the last one fill the queue.
+    assert_eq!(usize::from(mark_count), OUTBOX_CAPACITY);
     assert_eq!(manager.decider.events, [LEFT]);
     assert!(manager.sent(stream).contains("ticket=62"));
 }
@@ -352,7 +359,7 @@
         "{events:?}"
     );
     let sent = manager.sent(stream);
-    assert!(sent.contains("out=s-1"), "{sent}");
+    assert!(sent.contains("out=s-1"), "the exclusion of s-1 is not sent: {sent}");
     manager.decider.check_progress(LATER);
     assert_eq!(
         manager.decider.operational_state().changes[0].applied_by,
@@ -421,7 +428,7 @@
     manager.decider.dispatch_orders(0.0, Vec::new(), vec![Order::Forget { worker: WorkerId(id) }]);
     let new_id = manager.decider.names.workers.find_id("s-2").unwrap();
     assert_ne!(new_id, id);
-    // It stays out although a full list names it.
+    // The worker stays out although a list names it as ready.
     manager.list(6, &[("s-1", "ready"), ("s-2", "ready")]);
     manager.settle(stream);
     assert_eq!(manager.request_change(3, &[]), Ok(()));
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -20,7 +20,7 @@
         self.run_turn_with(Planner::process_events);
     }
 
-    /// Runs a turn with `decide` in place of the planner's own function, for tests.
+    /// Runs a turn in which `decide` makes the orders: the planner's own function, or a test's replacement of it.
     pub(super) fn run_turn_with(&mut self, decide: impl FnOnce(&mut Planner, Ms, &[Event]) -> Vec<Order>) {
         let now = self.clock.now();
         let events = std::mem::take(&mut self.events);
@@ -52,26 +52,28 @@
         }
     }
 
-    /// Warnings for operators about what is close to a limit.
+    /// Warnings for operators: that the channel is nearly full, and that proxies are slow to acknowledge the removal of
+    /// workers.
     pub(super) fn limit_warnings(&mut self, now: Ms) -> Vec<String> {
-        let waiting = self.planner.unacknowledged_lines();
-        let max_waiting = self.settings.max_pending_lines;
-        let channel_warning = (waiting >= CHANNEL_WARNING_RATIO * max_waiting && max_waiting > 0.0)
-            .then(|| format!("{waiting:.0} of {max_waiting:.0} lines wait in the channel"));
+        let pending_lines = self.planner.unacknowledged_lines();
+        let max_pending_lines = self.settings.max_pending_lines;
+        let channel_warning = (pending_lines >= CHANNEL_WARNING_RATIO * max_pending_lines
+            && max_pending_lines > 0.0)
+            .then(|| format!("{pending_lines:.0} of {max_pending_lines:.0} lines wait in the channel"));
         let grace = self.intent.runtime_settings(&self.settings, &self.operation_names).drain_grace;
-        self.leaving.retain(|_, since| now - *since <= grace + self.settings.report_period);
+        self.leaving.retain(|_, leaving_since| now - *leaving_since <= grace + self.settings.report_period);
         let overdue: BTreeMap<WorkerId, Ms> = self
             .leaving
             .iter()
-            .filter(|(_, since)| now - **since >= DRAIN_GRACE_WARNING_RATIO * grace)
-            .map(|(id, since)| (*id, *since))
+            .filter(|(_, leaving_since)| now - **leaving_since >= DRAIN_GRACE_WARNING_RATIO * grace)
+            .map(|(id, leaving_since)| (*id, *leaving_since))
             .collect();
         let joined = self.connections.joined().count();
         let synced = self.planner.synced_proxy_count(&overdue.keys().copied().collect());
         let oldest = overdue.iter().min_by(|a, b| a.1.total_cmp(b.1)).filter(|_| synced < joined);
-        let drain_warning = oldest.map(|(id, since)| {
+        let drain_warning = oldest.map(|(id, leaving_since)| {
             let name = self.names.workers.find_name(id.0).unwrap_or("a removed worker");
-            let leaving_for = now - since;
+            let leaving_for = now - leaving_since;
             let missing = joined - synced;
             format!(
                 "{missing} of {joined} proxies have not acknowledged the removal of {} workers, {name} for {leaving_for:.0} ms of {grace:.0}",
@@ -87,6 +89,7 @@
     /// each time does not flood the log.
     pub(super) fn restart_planner(&mut self, now: Ms) {
         let failures = self.failure_count;
+        // No tick, then 1, 3, 7, ... ticks.
         let delay = self.tick.as_secs_f64() * 1000.0 * f64::from(2u32.pow(failures.min(16)) - 1);
         self.failure_count = failures + 1;
         self.retry_at = now + delay.min(self.settings.report_period);
@@ -100,8 +103,9 @@
         if runtime != Intent::default().runtime_settings(&self.settings, &self.operation_names) {
             self.events.push(Event::SettingsChanged(runtime));
         }
-        let joined = self.connections.streams.iter_mut().filter(|(_, stream)| stream.silent_since.is_none());
-        for (proxy, stream) in joined {
+        let joined_streams =
+            self.connections.streams.iter_mut().filter(|(_, stream)| stream.silent_since.is_none());
+        for (proxy, stream) in joined_streams {
             let Stream { zone, inv_per_second, .. } = *stream;
             stream.clear_pending_marks();
             self.events.push(Event::Joined { proxy: *proxy, fresh: false, inv_per_second, zone });
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -96,7 +96,7 @@
     ) -> Watch {
         let upstream = Upstream::new(&launch.fixed.name, &launch.subscription.relays, agent);
         let follower = Follower {
-            current_version: launch.cached_list.as_ref().map(|known| known.version),
+            current_version: launch.cached_list.as_ref().map(|list| list.version),
             relayed: upstream.is_relay(),
             filter: launch.filter.take(),
             inbound,
@@ -108,8 +108,8 @@
         Watch { upstream, follower, failures: 0, too_large_count: 0, rng }
     }
 
-    /// Reconnects whenever a watch ends or the agent moves, and resumes from the current version. After `resync` it
-    /// requests the full list.
+    /// Reconnects whenever a watch ends or the agent moves, and resumes from the current version. After a
+    /// notification on `resync` it requests the full list.
     pub async fn run(mut self, resync: &Notify) {
         let exchange = http::exchange(HEARTBEAT, SILENCE_TIMEOUT);
         if let Some(version) = self.follower.current_version {
@@ -144,7 +144,7 @@
         if self.follower.session.accepted_list {
             self.too_large_count = 0;
         }
-        let mut retry = self.upstream.ended(end.failure(), source_works, &mut self.rng);
+        let mut retry = self.upstream.record_end(end.failure(), source_works, &mut self.rng);
         match retry.round {
             Round::UnderWay => {}
             Round::Over => self.follower.behind = Behind::default(),
@@ -180,7 +180,7 @@
 }
 
 impl Behind {
-    /// When the current watch is given up because of this.
+    /// When the current watch is given up because its source is behind.
     fn deadline(&self) -> Option<Instant> {
         self.since.filter(|_| self.received_older).map(|since| since + MAX_PROPAGATION_DELAY)
     }
@@ -205,7 +205,9 @@
 
 /// The time-out of a watch.
 struct Liveness {
+    /// When the watch is given up unless a line ends or, with relays, more entries arrive.
     deadline: Instant,
+    /// When the previous line ended, or the watch began.
     line_started: Instant,
     /// Entries of the current line so far.
     entries: usize,
@@ -300,8 +302,9 @@
         if answer.status() != StatusCode::OK {
             return Err(ConnectionError::reading(format!("{address} answered {}", answer.status())));
         }
-        let from = self.current_version.map(|version| format!(" from {version} on")).unwrap_or_default();
-        tracing::info!("watching the list at {address}{from}");
+        let from_version =
+            self.current_version.map(|version| format!(" from {version} on")).unwrap_or_default();
+        tracing::info!("watching the list at {address}{from_version}");
         Ok(answer.into_body())
     }
 
@@ -338,7 +341,7 @@
         self.behind.since.get_or_insert_with(Instant::now);
     }
 
-    /// Passes a list on; it is the current one from now on.
+    /// Passes a list on to the decider; from now on it is the current list.
     async fn accept(&mut self, listing: Listing) -> Result<(), WatchEnd> {
         let (version, full) = (listing.version, listing.full);
         if self.inbound.send(Inbound::Listing(listing)).await.is_err() {
@@ -352,15 +355,15 @@
         if let Some(filter) = &mut self.filter {
             filter.commit(full);
         }
-        let empty = self.filter.as_ref().is_some_and(ScopeFilter::is_empty);
-        self.warned_empty &= empty;
+        let is_empty = self.filter.as_ref().is_some_and(ScopeFilter::is_empty);
+        self.warned_empty &= is_empty;
         if full {
             self.warn_if_empty(version);
         }
         Ok(())
     }
 
-    /// Warns once that no worker is in scope, until one is.
+    /// Warns that no worker is in scope, and does not repeat the warning until a worker has been in scope.
     fn warn_if_empty(&mut self, version: u64) {
         let Some(filter) = &self.filter else { return };
         if filter.is_empty() && !std::mem::replace(&mut self.warned_empty, true) {
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -15,19 +15,19 @@
 };
 use juniperrail_store::Limits;
 
-/// Log entries in one message.
+/// Limit on the log entries in one message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 64;
 
-/// Log entries that are proposed and not yet committed.
+/// Limit on the log entries that are proposed and not yet committed.
 const MAX_UNCOMMITTED_ENTRIES: usize = 4096;
 
-/// Membership updates (SWIM gossip) in one message.
+/// Limit on the membership updates (SWIM gossip) in one message.
 const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
-/// Managers that are asked for an indirect probe, as in the evaluation of the SWIM paper.
+/// Number of managers that are asked for an indirect probe, as in the evaluation of the SWIM paper.
 const INDIRECT_PROBE_COUNT: usize = 3;
 
-/// Smallest weight that a worker counts with in a report.
+/// In a report a worker with a lower weight counts with this one.
 const MIN_WORKER_WEIGHT: f64 = 1e-3;
 
 /// Reads the fleet's configuration; `None` where the file has none. An error names the path and the violated rule.
@@ -274,19 +274,19 @@
 }
 
 impl EvidenceCollector {
-    /// Records the tries of proxies in zone `from` at a worker in zone `to`.
+    /// Records the tries of proxies in `proxy_zone` at a worker in `worker_zone`.
     pub fn record(
         &mut self,
-        from: &str,
-        to: &str,
+        proxy_zone: &str,
+        worker_zone: &str,
         tries: f64,
         failed_tries: f64,
         mean_latency: Ms,
         utilization: Option<f64>,
     ) {
         self.accumulator.record(
-            &Zone(from.into()),
-            &Zone(to.into()),
+            &Zone(proxy_zone.into()),
+            &Zone(worker_zone.into()),
             tries,
             failed_tries,
             mean_latency,
@@ -294,13 +294,14 @@
         );
     }
 
-    /// Returns a report once per period, else `None`. `listed` has each worker's entry, zone and warm-up share of its weight;
-    /// `proxies` has the zone of each joined proxy and whether it is silent.
+    /// Returns a report once per period, else `None`. `workers` has each worker's entry, its zone, and the share of its
+    /// weight that counts, which is lower while it warms up; `proxies` has the zone of each connected proxy and whether
+    /// the proxy is silent.
     pub fn report<'a>(
         &mut self,
         now: Ms,
         period: Ms,
-        listed: impl Iterator<Item = (&'a WorkerEntry, &'a str, f64)>,
+        workers: impl Iterator<Item = (&'a WorkerEntry, &'a str, f64)>,
         proxies: impl Iterator<Item = (&'a str, bool)>,
     ) -> Option<Evidence> {
         if now < self.last_report_at + period {
@@ -308,11 +309,12 @@
         }
         self.last_report_at = now;
         let mut weight_by_zone: BTreeMap<Zone, f64> = BTreeMap::new();
-        for (entry, zone, warm_ratio) in listed {
+        for (entry, zone, warm_ratio) in workers {
             let ready_ratio = if entry.phase == Phase::Gone { 0.0 } else { warm_ratio };
             *weight_by_zone.entry(Zone(zone.into())).or_default() +=
                 ready_ratio * entry.weight.max(MIN_WORKER_WEIGHT);
         }
+        // By zone: all connected proxies, and the silent ones among them.
         let mut proxy_counts: BTreeMap<Zone, (u32, u32)> = BTreeMap::new();
         for (zone, silent) in proxies {
             let counts = proxy_counts.entry(Zone(zone.into())).or_default();
--- a/crates/manager/src/http.rs
+++ b/crates/manager/src/http.rs
@@ -24,11 +24,11 @@
 /// Returns a service that answers once the head of the response is there; the caller reads the body.
 pub fn exchange(connect_timeout: Duration, response_timeout: Duration) -> Exchange {
     let connect = ServiceBuilder::new()
-        .map_err(ConnectionError::at(Stage::Connecting))
+        .map_err(ConnectionError::service(Stage::Connecting))
         .timeout(connect_timeout)
         .service(service_fn(TcpStream::connect::<SocketAddr>));
     let request = ServiceBuilder::new()
-        .map_err(ConnectionError::at(Stage::Sent))
+        .map_err(ConnectionError::service(Stage::Sent))
         .timeout(response_timeout)
         .service(service_fn(|(socket, call): (TcpStream, Call)| send_request(socket, call)));
     BoxCloneSyncService::new(service_fn(move |call: Call| {
--- a/crates/manager/src/inbound.rs
+++ b/crates/manager/src/inbound.rs
@@ -22,8 +22,8 @@
     Joined { stream: StreamId, hello: Hello, outbox: Outbox },
     /// A connection of any kind has ended, with the error if it did not end normally.
     Ended(StreamId, Option<String>),
-    /// A report, or why a message was skipped. It came over the proxy's own stream, or, without one, from a
-    /// collector.
+    /// A report, or why a message was skipped; with the stream and the proxy that sent it, or `None` if a collector
+    /// sent it.
     Reported(Option<(StreamId, ProxyId)>, Result<Report, String>),
     /// The result of a probe.
     Probed(WorkerId, ProbeResult),
@@ -34,6 +34,7 @@
 /// The queue of messages to a proxy. Dropping it ends the connection at once, even if messages are still queued.
 pub struct Outbox {
     messages: mpsc::Sender<Bytes>,
+    /// Dropped together with the outbox, which ends the second receiver that [`Outbox::new`] returns.
     _open: oneshot::Sender<Infallible>,
 }
 
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -62,7 +62,9 @@
     /// Limit of open file descriptors of this process.
     pub max_sockets: usize,
     pub settings: Settings,
+    /// The shortest time from one turn to the next.
     pub tick: Duration,
+    /// Time-out for connecting to a worker that is probed.
     pub dial_timeout: Duration,
 }
 
@@ -125,7 +127,8 @@
         parse(&json, variable).map_err(|error| format!("{path}: {error}"))
     }
 
-    /// Parses the text of such a file. `variable` looks up environment variables, which take precedence over the file.
+    /// Parses the text of the file that `PROXY_CONFIG` names. `variable` looks up environment variables, which take
+    /// precedence over the file.
     pub fn new(json: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
         Launch::decode(serde_json::from_str(json).map_err(|error| error.to_string())?, variable)
     }
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -75,7 +75,8 @@
 pub struct ShutdownHandle(Option<Arc<Fleet>>);
 
 impl ShutdownHandle {
-    /// Transfers the leadership and waits until that is done, at most for `timeout`. Returns at once without a fleet.
+    /// Transfers the leadership and waits until that is done, at most for `timeout`. Without a fleet it returns at
+    /// once.
     pub async fn transfer_leadership(self, timeout: Duration) {
         if let Some(fleet) = self.0 {
             // `Fleet::leave` blocks on a condition variable, so it must not run on the event loop.
@@ -104,7 +105,7 @@
         Ok(Manager { launch, listener, address, reloader, northbound, fleet })
     }
 
-    /// The address that it listens on, with the actual port if port 0 was configured.
+    /// The address that the manager listens on, with the actual port if port 0 was configured.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/manager/src/limiter.rs
+++ b/crates/manager/src/limiter.rs
@@ -36,6 +36,7 @@
         // If there are too few even for the proxies, an eighth still lets new connections introduce themselves.
         let remaining =
             sockets.saturating_sub(RESERVED_DESCRIPTORS + proxies + collectors).max(sockets / 8).max(2);
+        // Probes get a quarter of the rest, unidentified connections the other three quarters.
         let probes = (remaining / 4).max(1);
         // If the configured limit leaves no room for connections, half of it is still allowed; the system's limit on
         // descriptors then applies.
@@ -79,7 +80,7 @@
         ConnectionLimiter { admitted: RefCell::default(), limit: Cell::new(limit) }
     }
 
-    /// Raises the limit to `limit`; a higher one stays.
+    /// Raises the limit to `limit`; if it is higher already, it stays as it is.
     pub fn raise_limit(&self, limit: usize) {
         self.limit.set(self.limit.get().max(limit));
     }
@@ -98,14 +99,14 @@
     /// Removes a connection. False if it is not there because it was evicted.
     pub fn release(&self, id: StreamId) -> bool {
         let mut admitted = self.admitted.borrow_mut();
-        let position = admitted.iter().position(|(admitted, _)| *admitted == id);
+        let position = admitted.iter().position(|(admitted_id, _)| *admitted_id == id);
         position.is_some_and(|position| admitted.remove(position).is_some())
     }
 
     /// Records that a connection was active.
     pub fn touch(&self, id: StreamId) {
         let mut admitted = self.admitted.borrow_mut();
-        if let Some(position) = admitted.iter().position(|(admitted, _)| *admitted == id) {
+        if let Some(position) = admitted.iter().position(|(admitted_id, _)| *admitted_id == id) {
             let latest = admitted.remove(position).expect("the position was just found");
             admitted.push_back(latest);
         }
--- a/crates/manager/src/limiter/tests.rs
+++ b/crates/manager/src/limiter/tests.rs
@@ -4,9 +4,18 @@
 fn all_proxies_fit_beside_unidentified_connections_collectors_and_probes() {
     for (sockets, proxies) in [(256, 150), (384, 150), (512, 400), (1024, 400)] {
         let Budget { open, unidentified, collectors, probes } = Budget::new(sockets, proxies, 3);
-        assert!(RESERVED_DESCRIPTORS + proxies + unidentified + collectors + probes <= sockets);
-        assert!(proxies + unidentified + collectors <= open);
-        assert!(unidentified > 2 * probes && probes > 0 && collectors > 3);
+        assert!(
+            RESERVED_DESCRIPTORS + proxies + unidentified + collectors + probes <= sockets,
+            "{proxies} proxies do not fit in {sockets} sockets"
+        );
+        assert!(
+            proxies + unidentified + collectors <= open,
+            "{sockets} sockets: connections exceed their limit of {open}"
+        );
+        assert!(
+            unidentified > 2 * probes && probes > 0 && collectors > 3,
+            "{sockets} sockets: only {unidentified} unidentified, {collectors} collectors, {probes} probes"
+        );
     }
     assert_eq!(Budget::new(24, 400, 3), Budget { open: 12, unidentified: 3, collectors: 12, probes: 1 });
 }
--- a/crates/manager/src/line_buffer.rs
+++ b/crates/manager/src/line_buffer.rs
@@ -33,7 +33,7 @@
         Some(line)
     }
 
-    /// The bytes received of the next line.
+    /// The bytes of the next line that have been received so far.
     pub fn unfinished(&self) -> &[u8] {
         &self.bytes
     }
--- a/crates/manager/src/line_buffer/tests.rs
+++ b/crates/manager/src/line_buffer/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(expected, [&b"one"[..], b"", b"two\rthree\r", b"four"]);
     for size in 1..text.len() {
         let pieces: Vec<&[u8]> = text.chunks(size).collect();
-        assert_eq!(lines(&pieces).0, expected, "pieces of {size}");
+        assert_eq!(lines(&pieces).0, expected, "the lines differ for pieces of {size} bytes");
     }
 }
 
--- a/crates/manager/src/list_assembler.rs
+++ b/crates/manager/src/list_assembler.rs
@@ -23,7 +23,7 @@
     List(Listing),
 }
 
-/// Why a line is rejected. No entry that was read of it is used.
+/// Why a line is rejected. None of its entries is used, even if some were read.
 #[derive(Debug)]
 pub enum LineError {
     /// It is not a list.
--- a/crates/manager/src/listening.rs
+++ b/crates/manager/src/listening.rs
@@ -29,7 +29,7 @@
                 }
                 sleep(BIND_RETRY_INTERVAL).await;
             }
-            bound => return bound,
+            result => return result,
         }
     }
 }
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -75,7 +75,7 @@
 /// The elements of a list, parsed.
 pub struct Entries {
     /// The valid elements, in the order of the list.
-    pub read: Vec<ReadEntry>,
+    pub valid: Vec<ReadEntry>,
     /// For each entry that cannot be parsed, the name of its worker if at least that can be.
     pub unreadable: Vec<Option<String>>,
 }
@@ -90,18 +90,18 @@
 impl Listing {
     /// Parses the entries. Those that cannot be parsed are skipped, with one log line.
     pub fn entries(&self, names: &mut Names) -> Entries {
-        let mut entries = Entries { read: Vec::with_capacity(self.instances.len()), unreadable: Vec::new() };
+        let mut entries = Entries { valid: Vec::with_capacity(self.instances.len()), unreadable: Vec::new() };
         let mut last_error = None;
         for instance in &self.instances {
             let raw = match instance {
                 Instance::Entry(raw) => raw.get(),
                 Instance::Departure(departure) => {
-                    entries.read.push(ReadEntry::Departure(departure.clone()));
+                    entries.valid.push(ReadEntry::Departure(departure.clone()));
                     continue;
                 }
             };
             match parse_entry(raw, names) {
-                Ok((listed, address)) => entries.read.push(ReadEntry::Listed { listed, address }),
+                Ok((listed, address)) => entries.valid.push(ReadEntry::Listed { listed, address }),
                 Err(error) => {
                     entries
                         .unreadable
@@ -136,7 +136,7 @@
     let listed = WorkerEntry {
         worker: names.worker(&entry.instance_id),
         phase,
-        booted: entry.started_at_ms.filter(|at| *at > 0.0),
+        booted: entry.started_at_ms.filter(|started_at| *started_at > 0.0),
         zone: names.zone(&entry.zone),
         machine: names.machine(&entry.machine_type),
         cell: CellId(entry.cell.and_then(|cell| u32::try_from(cell).ok()).unwrap_or(u32::MAX)),
--- a/crates/manager/src/northbound.rs
+++ b/crates/manager/src/northbound.rs
@@ -48,7 +48,8 @@
         self.listeners.addresses()
     }
 
-    /// Serves on a thread of its own until the returned sender is dropped. A panic there ends only the northbound interface.
+    /// Serves on a thread of its own until the returned sender is dropped. A panic on that thread ends only the
+    /// northbound interface.
     pub fn start(self) -> (NorthboundChannels, oneshot::Sender<()>) {
         let Northbound { listeners, datastore_manager, requests } = self;
         let (notices, notice_receiver) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -28,10 +28,11 @@
 
 /// What a joined proxy was sent over its current stream.
 struct Proxy {
-    /// The proxy may exclude workers from this id on although this stream did not say so: all workers if it holds
-    /// orders of an earlier connection, possibly to another manager, and workers listed later if one that it excludes
-    /// was forgotten.
+    /// The proxy may exclude workers with this id or a higher one although it was not told so over this stream. The id
+    /// is 0 if the proxy holds orders of an earlier connection, possibly to another manager, or of a planner that was
+    /// restarted. If a worker that the proxy excludes was forgotten, the id is at most the next one to be listed.
     uncertain_from: WorkerId,
+    /// The table that each operation is bound to.
     bindings: BTreeMap<OpId, TableId>,
     /// Whether a worker is excluded, for the workers whose exclusion was sent over this stream.
     exclusions: BTreeMap<WorkerId, bool>,
@@ -42,6 +43,7 @@
 struct ProxyUpdate {
     /// Tables that are sent completely.
     full_tables: BTreeSet<TableId>,
+    /// By table, the new weights of workers; 0 removes the line.
     lines: BTreeMap<TableId, BTreeMap<WorkerId, f64>>,
     levels: BTreeMap<OpId, Level>,
     exclusions: BTreeMap<WorkerId, bool>,
@@ -52,6 +54,7 @@
 pub struct OrderWriter {
     tables: BTreeMap<TableId, Table>,
     proxies: BTreeMap<ProxyId, Proxy>,
+    /// Workers that the planner excludes now.
     excluded: BTreeSet<WorkerId>,
     /// Levels that apply to all proxies.
     global_levels: BTreeMap<OpId, Level>,
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Records that proxies may exclude a worker: one that an operator brings back may be excluded wherever it was
-    /// known by an id that was forgotten.
+    /// Records that proxies may exclude a worker whose entry the operator changed: if the worker was excluded and then
+    /// forgotten, proxies may still exclude it under its earlier id.
     pub fn mark_maybe_excluded(&mut self, worker: WorkerId) {
         self.maybe_excluded.insert(worker);
     }
@@ -114,9 +117,9 @@
         self.maybe_excluded.contains(&worker)
     }
 
-    /// Forgets a worker that no order refers to any more. If it is listed again under its name, it has a new id, and
-    /// proxies that were told to exclude it still do. Only ids listed from now on become uncertain at those proxies, so
-    /// that not every known worker is included again.
+    /// Forgets a worker that no order refers to any more. If the worker is listed again under its name, it has a new
+    /// id, but the proxies that were told to exclude it still do. At those proxies only ids listed from now on become
+    /// uncertain, so that messages do not have to include every known worker again.
     pub fn forget(&mut self, worker: WorkerId) {
         self.excluded.remove(&worker);
         self.maybe_excluded.remove(&worker);
@@ -152,7 +155,8 @@
     }
 
     fn apply_order(&mut self, order: &Order, names: &Names, updates: &mut BTreeMap<ProxyId, ProxyUpdate>) {
-        let is_bound = |proxy: &Proxy, table: &TableId| proxy.bindings.values().any(|bound| bound == table);
+        let is_bound =
+            |proxy: &Proxy, table: &TableId| proxy.bindings.values().any(|bound_table| bound_table == table);
         match order {
             Order::SetLine { table, worker, weight } => {
                 let lines = &mut self.tables.entry(*table).or_default().lines;
@@ -225,13 +229,17 @@
 
     /// The tables that proxies are bound to.
     pub fn table_states(&self, names: &Names) -> Vec<TableState> {
-        let line = |(worker, weight): (&WorkerId, &f64)| (names.workers.name(worker.0).to_string(), *weight);
+        let named_line =
+            |(worker, weight): (&WorkerId, &f64)| (names.workers.name(worker.0).to_string(), *weight);
         let is_bound = |id: &TableId| {
-            self.proxies.values().any(|proxy| proxy.bindings.values().any(|bound| bound == id))
+            self.proxies.values().any(|proxy| proxy.bindings.values().any(|bound_table| bound_table == id))
         };
         let tables = self.tables.iter().filter(|(id, _)| is_bound(id));
         tables
-            .map(|(id, table)| TableState { number: id.0, lines: table.lines.iter().map(line).collect() })
+            .map(|(id, table)| TableState {
+                number: id.0,
+                lines: table.lines.iter().map(named_line).collect(),
+            })
             .collect()
     }
 
@@ -270,8 +278,8 @@
     fn effective_level(&self, proxy: &Proxy, op: OpId) -> Option<Level> {
         let table_level = proxy.bindings.get(&op).and_then(|table| self.tables.get(table)?.levels.get(&op));
         match (table_level, self.global_levels.get(&op)) {
-            (Some(table), Some(global)) => Some((table.0.min(global.0), table.1)),
-            (table, global) => table.or(global).copied(),
+            (Some((level, retry)), Some((global_level, _))) => Some((level.min(*global_level), *retry)),
+            (table_level, global_level) => table_level.or(global_level).copied(),
         }
     }
 
@@ -286,30 +294,35 @@
         let mut remaining_levels = update.levels.clone();
         for table_id in tables {
             let table = self.tables.get(&table_id).unwrap_or(&empty_table);
-            let ops: Vec<OpId> =
-                proxy.bindings.iter().filter(|(_, bound)| **bound == table_id).map(|(op, _)| *op).collect();
+            let ops: Vec<OpId> = proxy
+                .bindings
+                .iter()
+                .filter(|(_, bound_table)| **bound_table == table_id)
+                .map(|(op, _)| *op)
+                .collect();
             let is_full = update.full_tables.contains(&table_id);
             let lines = if is_full {
                 table.lines.clone()
             } else {
                 update.lines.remove(&table_id).unwrap_or_default()
             };
-            // A worker with a line must not stay excluded because another manager told the proxy so earlier.
+            // A worker with a line must not stay excluded only because another manager excluded it at this proxy
+            // earlier.
             for worker in lines.iter().filter(|(_, weight)| **weight > 0.0).map(|(worker, _)| *worker) {
-                let exclude = self.excluded.contains(&worker);
+                let should_exclude = self.excluded.contains(&worker);
                 let is_uncertain = worker >= proxy.uncertain_from && self.maybe_excluded.contains(&worker);
                 let excluded_at_proxy =
                     proxy.exclusions.get(&worker).map_or(is_uncertain, |excluded| *excluded);
-                if exclude && is_full || !exclude && excluded_at_proxy {
-                    update.exclusions.entry(worker).or_insert(exclude);
+                if should_exclude && is_full || !should_exclude && excluded_at_proxy {
+                    update.exclusions.entry(worker).or_insert(should_exclude);
                 }
             }
             let mut levels: Vec<(Level, Vec<OpId>)> = Vec::new();
             for op in &ops {
-                let changed = remaining_levels.remove(op);
-                let level = if is_full { self.effective_level(proxy, *op) } else { changed };
+                let changed_level = remaining_levels.remove(op);
+                let level = if is_full { self.effective_level(proxy, *op) } else { changed_level };
                 let Some(level) = level else { continue };
-                match levels.iter_mut().find(|(same, _)| *same == level) {
+                match levels.iter_mut().find(|(other_level, _)| *other_level == level) {
                     Some((_, ops)) => ops.push(*op),
                     None => levels.push((level, vec![*op])),
                 }
@@ -347,6 +360,7 @@
         last_part.restored = workers_with(false);
         last_part.mark = update.mark;
         let line_count = |part: &MessagePart| {
+            // A full table, a level and a mark count as one line each.
             let single_lines = [part.full, part.level.is_some(), part.mark.is_some()];
             part.lines.len()
                 + part.removed.len()
@@ -522,7 +536,10 @@
         assert_eq!(bound[0].1, "push whole=1 lines=a:1,b:1\r\n", "a fresh proxy excludes no worker");
         assert_eq!(bound[1].1, "push whole=1 lines=a:1,b:1 back=b\r\n");
         let changed = write(&mut order_writer, &[line(TABLE, 1, 2.0), line(TABLE, 2, 1.0)]);
-        assert_eq!(changed[1].1, "push lines=b:2,c:1 back=c\r\n", "each worker once per stream");
+        assert_eq!(
+            changed[1].1, "push lines=b:2,c:1 back=c\r\n",
+            "the inclusion of each worker is sent once per stream"
+        );
         // What was sent over the old stream does not count for the new one.
         write(&mut order_writer, &[exclude(1, true)]);
         order_writer.remove_proxy(ProxyId(1));
@@ -562,7 +579,7 @@
         assert_eq!(
             write(&mut order_writer, &[line(TABLE, 0, 2.0)])[0].1,
             "push lines=a:2\r\n",
-            "a worker that was never excluded"
+            "no inclusion is sent for a worker that was never excluded"
         );
         // The same worker, listed again with a new id.
         order_writer.record_entry(&entry(2));
@@ -593,6 +610,10 @@
     #[test]
     fn the_planners_count_of_unacknowledged_lines_is_never_below_the_lines_written() {
         use juniperrail::Planner;
+        const HISTORIES: u64 = 60;
+        const TURNS_PER_HISTORY: usize = 400;
+        const PROXIES: u16 = 24;
+        const WORKERS: usize = 70;
         let op = Operation {
             latency_objective: 500.0,
             billed_value: 1.0,
@@ -614,16 +635,17 @@
             warm_up: 3000.0,
             cold_share: 0.25,
             overload_factor: 4.0,
-            proxy_count: 24.0,
+            proxy_count: f64::from(PROXIES),
             manager_count: 3.0,
             ..Settings::default()
         };
         let (mut full_table_count, mut included_count) = (0, 0);
-        for seed in 0..60 {
+        for seed in 0..HISTORIES {
             let (mut rng, mut now) = (fastrand::Rng::with_seed(seed), 1000.0);
             let mut names = names();
             let mut planner = Planner::new(now, seed, settings.clone());
             let mut order_writer = OrderWriter::default();
+            // By mark and proxy: the lines written, with the message overhead.
             let mut unacknowledged: BTreeMap<(u64, ProxyId), f64> = BTreeMap::new();
             let (mut mark, mut joined) = (0_u64, BTreeSet::new());
             let mut listed: Vec<WorkerEntry> = Vec::new();
@@ -632,16 +654,17 @@
                 WorkerEntry { worker: WorkerId(id), phase, booted, zone, machine, cell, weight: 1.0 }
             };
             let mut events = Vec::new();
-            for _ in 0..70 {
+            for _ in 0..WORKERS {
                 let id = names.worker(&format!("w{}", names.workers.count()));
                 listed.push(entry(id.0, Phase::Ready, rng.bool().then_some(900.0)));
             }
             listed.iter().for_each(|entry| order_writer.record_entry(entry));
             events.push(Event::List { kind: ListKind::Remembered, version: 1, workers: listed.clone() });
-            for _ in 0..400 {
+            for _ in 0..TURNS_PER_HISTORY {
                 now += f64::from(rng.u32(5..250));
-                let proxy = ProxyId(rng.u16(0..24));
+                let proxy = ProxyId(rng.u16(0..PROXIES));
                 match rng.u32(0..12) {
+                    // A proxy joins; if it has a stream already, the new one replaces that.
                     0..4 => {
                         let (fresh, zone, inv_per_second) = (rng.u32(0..3) == 0, ZoneId(0), rng.f64() * 3.0);
                         order_writer.remove_proxy(proxy);
@@ -651,10 +674,12 @@
                         order_writer.add_proxy(proxy, fresh);
                         events.push(Event::Joined { proxy, fresh, inv_per_second, zone });
                     }
+                    // A proxy disconnects.
                     4 if joined.remove(&proxy) => {
                         order_writer.remove_proxy(proxy);
                         events.push(Event::Left { proxy });
                     }
+                    // A worker starts, drains or leaves; one that left is replaced by a new worker.
                     5..7 => {
                         let index = rng.usize(0..listed.len());
                         let changed = &mut listed[index];
@@ -674,6 +699,7 @@
                         workers.iter().for_each(|entry| order_writer.record_entry(entry));
                         events.push(Event::List { kind: ListKind::Changes, version: 2, workers });
                     }
+                    // A joined proxy acknowledges a mark.
                     _ => {
                         let pending =
                             unacknowledged.keys().filter(|(_, id)| joined.contains(id)).nth(rng.usize(0..3));
@@ -706,7 +732,7 @@
                 let written = unacknowledged.values().sum::<f64>();
                 assert!(
                     planner.unacknowledged_lines() >= written - 1e-6,
-                    "seed {seed}: {} < {written}",
+                    "seed {seed}: the planner counts {} lines, but {written} were written",
                     planner.unacknowledged_lines()
                 );
             }
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -38,16 +38,16 @@
     max_concurrent: usize,
 ) -> ProbeService {
     let exchange = http::exchange(connect_timeout, response_timeout);
-    let read = ServiceBuilder::new()
-        .map_err(ConnectionError::at(Stage::Reading))
+    let read_body = ServiceBuilder::new()
+        .map_err(ConnectionError::service(Stage::Reading))
         .timeout(response_timeout)
         .service(service_fn(collect_body));
     let probe = service_fn(move |worker: SocketAddr| {
-        let (exchange, read, started) = (exchange.clone(), read.clone(), Instant::now());
+        let (exchange, read_body, started) = (exchange.clone(), read_body.clone(), Instant::now());
         async move {
             let answer = async {
                 let (head, body) = exchange.oneshot((worker, "/load".into())).await?.into_parts();
-                Ok((head.status, read.oneshot(body).await?))
+                Ok((head.status, read_body.oneshot(body).await?))
             };
             let (outcome, load) = match answer.await {
                 Ok((StatusCode::OK, body)) => {
@@ -67,7 +67,7 @@
     Ok(Limited::new(body, MAX_BODY_BYTES).collect().await?.to_bytes())
 }
 
-/// If connecting failed, the worker is not there; after that it is there, but slow or broken.
+/// If connecting failed, the worker is not there; if a later stage failed, it is there, but slow or broken.
 fn outcome_of(error: &ConnectionError) -> ProbeOutcome {
     match error.stage {
         Stage::Connecting => ProbeOutcome::Unreachable,
@@ -82,7 +82,7 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpListener;
 
-    /// A worker that reads a request, sends `answer` and closes the connection, unless it is to hang.
+    /// A worker that reads a request, sends `answer` and closes the connection; with `hang` it keeps it open.
     async fn worker(answer: &'static str, hang: bool) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/crates/manager/src/protocol.rs
+++ b/crates/manager/src/protocol.rs
@@ -15,6 +15,8 @@
 const MAX_VALUE: f64 = 3_600_000.0;
 /// Limit on the parts of one message.
 pub const MAX_PARTS: usize = 64;
+/// Characters of an unknown message kind that the error quotes.
+const MAX_QUOTED_KIND_CHARS: usize = 32;
 /// The answer to a probe.
 pub const ALIVE: Bytes = Bytes::from_static(b"alive\r\n");
 /// Sent to a peer that did not introduce itself in time.
@@ -93,14 +95,14 @@
     let max_kind_bytes = KINDS.iter().map(|kind| kind.len() + 1).max().unwrap_or(0);
     let end = start.iter().take(max_kind_bytes).position(|byte| *byte == b' ');
     let kind = &start[..end.unwrap_or(start.len())];
-    let matches = |known: &&str| {
+    let is_possible = |known_kind: &&str| {
         if end.is_some() {
-            known.as_bytes() == kind
+            known_kind.as_bytes() == kind
         } else {
-            known.as_bytes().starts_with(kind)
+            known_kind.as_bytes().starts_with(kind)
         }
     };
-    let valid = KINDS.iter().any(matches)
+    let valid = KINDS.iter().any(is_possible)
         && !start[checked_bytes.min(start.len())..].iter().any(u8::is_ascii_control);
     valid.then_some(start.len())
 }
@@ -113,7 +115,7 @@
         self.0.get(name).copied().ok_or_else(|| format!("{name} is missing"))
     }
 
-    fn owned(&self, name: &str) -> Result<String, String> {
+    fn owned_text(&self, name: &str) -> Result<String, String> {
         self.text(name).map(str::to_string)
     }
 
@@ -183,7 +185,7 @@
         std::str::from_utf8(line).map_err(|_| ParseError::NotAMessage("a line is not valid UTF-8".into()))?;
     let (kind, fields) = line.split_once(' ').unwrap_or((line, ""));
     if !KINDS.contains(&kind) {
-        let kind: String = kind.chars().take(32).collect();
+        let kind: String = kind.chars().take(MAX_QUOTED_KIND_CHARS).collect();
         return Err(ParseError::NotAMessage(format!("unknown message kind {kind:?}")));
     }
     parse_message(kind, fields).map_err(|reason| ParseError::InvalidFields(format!("{kind}: {reason}")))
@@ -195,10 +197,10 @@
     let fields = Fields(pairs.collect::<Result<_, _>>()?);
     Ok(match kind {
         "probe" => Message::Probe,
-        "agent" => Message::Agent { zone: fields.owned("locality")? },
+        "agent" => Message::Agent { zone: fields.owned_text("locality")? },
         "hello" => Message::Hello {
             proxy: fields.integer("node", u16::MAX)?,
-            zone: fields.owned("locality")?,
+            zone: fields.owned_text("locality")?,
             inv_per_second: if fields.0.contains_key("w") { fields.value("w")? } else { 0.0 },
             fresh: fields.0.get("cold").is_some_and(|cold| *cold == "1"),
         },
@@ -208,8 +210,8 @@
                 return Err(format!("errors is more than total: {failed} of {tries}"));
             }
             Message::Report(Report::Outcomes {
-                zone: fields.owned("locality")?,
-                worker: fields.owned("endpoint")?,
+                zone: fields.owned_text("locality")?,
+                worker: fields.owned_text("endpoint")?,
                 tries,
                 failed,
                 // Without a successful try there is no mean latency; the rest of the report still counts.
@@ -220,7 +222,7 @@
         }
         "demand" => Message::Report(Report::Demand {
             proxy: fields.integer("node", u16::MAX)?,
-            op: fields.owned("route")?,
+            op: fields.owned_text("route")?,
             invocations: fields.count("total")?,
             // May exceed the total: invocations of the previous interval may fail to be answered in this one.
             unanswered: fields.count("errors")?,
--- a/crates/manager/src/protocol/tests.rs
+++ b/crates/manager/src/protocol/tests.rs
@@ -41,7 +41,7 @@
 #[test]
 fn errors_say_what_is_wrong_with_a_line() {
     for line in [&b""[..], b"shout a=b", b"push out=s-1", b"GET / HTTP/1.1", b" probe", b"probe\xff"] {
-        assert!(matches!(parse(line), Err(ParseError::NotAMessage(_))), "{line:?}");
+        assert!(matches!(parse(line), Err(ParseError::NotAMessage(_))), "{line:?} is taken for a message");
     }
     for (line, expected) in [
         (&b"ack node"[..], "\"node\" has no value"),
@@ -84,16 +84,16 @@
         ),
     ] {
         let Err(ParseError::InvalidFields(reason)) = parse(line) else { panic!("{:?}", parse(line)) };
-        assert!(reason.contains(expected), "{reason}");
+        assert!(reason.contains(expected), "{reason:?} does not contain {expected:?}");
     }
 }
 
 #[test]
 fn bytes_that_cannot_become_a_message_are_rejected_before_the_line_ends() {
     for start in [&b""[..], b"p", b"probe", b"probe\r", b"hello no", b"ack node=\xc3"] {
-        assert!(can_become_message(start, 0).is_some(), "{start:?}");
+        assert!(can_become_message(start, 0).is_some(), "{start:?} is rejected");
     }
     for start in [&b"GET"[..], b"probes", b"prob ", b"ack node=\0", b"\x16\x03\x01", b"\xff", b"\r\r"] {
-        assert!(can_become_message(start, 0).is_none(), "{start:?}");
+        assert!(can_become_message(start, 0).is_none(), "{start:?} is not rejected");
     }
 }
--- a/crates/manager/src/scope_filter.rs
+++ b/crates/manager/src/scope_filter.rs
@@ -18,7 +18,7 @@
 pub enum Classification {
     /// Keep it: it is in scope, or invalid in a way that the reader of the list has to know of.
     Kept,
-    /// A worker of the committed lists has left the scope.
+    /// Pass on the departure: the worker was in scope and has left the scope.
     Left(Departure),
     /// Drop it: it is out of scope.
     Dropped,
@@ -84,7 +84,8 @@
 
     /// Commits the list whose entries were classified.
     pub fn commit(&mut self, full: bool) {
-        // A full list with an entry of an unknown worker is treated as changes: that worker may be one in scope.
+        // A full list with an entry whose worker cannot be parsed is treated as changes: the worker may be one in
+        // scope.
         if full && !self.unreadable {
             self.workers.clear();
         }
@@ -129,7 +130,7 @@
             self.staged.insert(worker.to_string(), entry.lifecycle != "gone");
             return Classification::Kept;
         }
-        if !self.is_known(worker) {
+        if !self.was_in_scope(worker) {
             return Classification::Dropped;
         }
         let phase = match &*entry.lifecycle {
@@ -141,10 +142,12 @@
         Classification::Left(Departure { worker: worker.to_string(), phase })
     }
 
-    /// An entry without a valid zone or service is kept only if its worker is in scope so far, or unknown.
+    /// An entry without a valid zone or service is kept only if its worker was in scope so far or cannot be parsed.
     fn classify_invalid(&mut self, entry: &[u8]) -> Classification {
         match serde_json::from_slice::<Identity<'_>>(entry) {
-            Ok(identity) if self.is_known(&identity.instance_id) => self.keep_invalid(&identity.instance_id),
+            Ok(identity) if self.was_in_scope(&identity.instance_id) => {
+                self.keep_invalid(&identity.instance_id)
+            }
             Ok(_) => Classification::Dropped,
             Err(_) => {
                 self.unreadable = true;
@@ -153,12 +156,13 @@
         }
     }
 
+    /// Keeps an invalid entry; its worker stays in scope.
     fn keep_invalid(&mut self, worker: &str) -> Classification {
         self.staged.insert(worker.to_string(), true);
         Classification::Kept
     }
 
-    fn is_known(&self, worker: &str) -> bool {
+    fn was_in_scope(&self, worker: &str) -> bool {
         self.staged.get(worker).copied().unwrap_or_else(|| self.workers.contains(worker))
     }
 }
--- a/crates/manager/src/streams.rs
+++ b/crates/manager/src/streams.rs
@@ -41,7 +41,7 @@
     pub inbound: mpsc::Sender<Inbound>,
     /// Valid proxy numbers are below this.
     pub proxy_count: u16,
-    /// Introductions that name any other zone are rejected.
+    /// The valid zones: introductions that name another one are rejected.
     pub zones: Rc<KnownZones>,
     /// Limits the connections that have not introduced themselves.
     pub unidentified_limiter: ConnectionLimiter,
@@ -57,21 +57,21 @@
 
 /// Accepts connections forever. After a failed accept it pauses for `pause`.
 pub async fn accept(listener: TcpListener, context: Rc<AcceptorContext>, pause: Duration) {
-    let (mut failing, mut full) = (false, false);
+    let (mut failing, mut was_at_limit) = (false, false);
     loop {
         let accepted = listener.accept().await;
         let failed_before = std::mem::replace(&mut failing, accepted.is_err());
         match accepted {
-            Ok((socket, from)) => {
+            Ok((socket, peer_address)) => {
                 // Without this limit proxies could use up the descriptors, and the watch could not reconnect. An
                 // unidentified connection is closed first; if there is none, the new connection is closed.
                 // Connections that have joined are kept.
-                let over = context.open_count.get() >= context.max_open;
-                if over && !std::mem::replace(&mut full, over) {
+                let at_limit = context.open_count.get() >= context.max_open;
+                if at_limit && !std::mem::replace(&mut was_at_limit, at_limit) {
                     tracing::warn!("{} connections are open: the limit is reached", context.max_open);
                 }
-                full = over;
-                if over && !context.unidentified_limiter.evict() {
+                was_at_limit = at_limit;
+                if at_limit && !context.unidentified_limiter.evict() {
                     drop(socket);
                     yield_now().await;
                     continue;
@@ -81,7 +81,7 @@
                 let id = StreamId(context.last_stream_id.get());
                 let evicted = context.unidentified_limiter.admit(id);
                 let connection = run_connection(id, socket, evicted, context.clone());
-                spawn_local(supervise(id, from, connection, context.clone()));
+                spawn_local(supervise(id, peer_address, connection, context.clone()));
                 // In a burst of connections, lets those that have already sent their introduction be read before
                 // more are accepted; otherwise they could be evicted as unidentified.
                 yield_now().await;
@@ -105,7 +105,7 @@
     connection: impl Future<Output = Result<(), ConnectionError>> + 'static,
     context: Rc<AcceptorContext>,
 ) {
-    // At debug level, so that a stream has no cost for it at the default log level.
+    // At debug level, so that the span costs a stream nothing at the default log level.
     let span = tracing::debug_span!("connection", from = %peer_address, stream = id.0);
     let reason = match spawn_local(connection.instrument(span)).await {
         Ok(Ok(())) => None,
@@ -260,8 +260,9 @@
     tokio::select! {
         biased;
         // The outbox is dropped when a newer stream of this proxy replaced this one, or when the proxy did not read
-        // or was silent for too long. Ending here at once avoids a write that blocks forever on a peer that does not
-        // read, and stale orders. Orders that are not written are not acknowledged, so they count as not applied.
+        // or was silent for too long. Ending the stream at once avoids a write that blocks forever on a peer that
+        // does not read, and the delivery of stale orders. Orders that are not written are not acknowledged, so they
+        // count as not applied.
         () = outbox_dropped(closed) => Ok(()),
         end = reading => end,
         end = writing => end,
--- a/crates/manager/src/subscription.rs
+++ b/crates/manager/src/subscription.rs
@@ -17,13 +17,13 @@
 }
 
 impl Subscription {
-    /// Reads it from the configuration data. An error names the path and the value.
+    /// Reads the subscription from the configuration data. An error names the path and the value.
     pub fn read(schema: &Schema, data: &Data) -> Result<Subscription, String> {
         let discovery = View::new(schema, data).inner("discovery");
         let scope = discovery.inner("scope");
         let names = |leaf: &str| texts(&scope, leaf).map(str::to_string).collect::<Vec<String>>();
         Ok(Subscription {
-            relays: texts(&discovery, "relay").map(relay).collect::<Result<_, _>>()?,
+            relays: texts(&discovery, "relay").map(parse_relay).collect::<Result<_, _>>()?,
             scope: Scope::new(names("zone"), names("service")),
         })
     }
@@ -33,7 +33,7 @@
     view.leaves(leaf).into_iter().filter_map(Value::as_str)
 }
 
-fn relay(address: &str) -> Result<SocketAddr, String> {
+fn parse_relay(address: &str) -> Result<SocketAddr, String> {
     let parsed: Option<SocketAddr> = address.parse().ok();
     // Port 0 cannot be connected to.
     let parsed = parsed.filter(|address| address.port() != 0);
--- a/crates/manager/src/upstream.rs
+++ b/crates/manager/src/upstream.rs
@@ -16,6 +16,7 @@
 /// The source that the watch follows.
 pub enum Upstream {
     /// The agent on this machine, at its present address.
+    /// `failures`: the watches in a row that broke without having shown that the agent works.
     Agent { address: watch::Receiver<SocketAddr>, failures: u32 },
     /// One of several relays.
     Relays(RelayChoice),
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Completes once the agent has another address; never with relays, or once no new address can be given.
+    /// Completes once the agent has another address. It never completes if the source is a relay, or once the sender of
+    /// new addresses is dropped.
     pub async fn moved(&mut self) {
         if let Upstream::Agent { address, failures } = self {
             if address.changed().await.is_ok() {
@@ -56,7 +58,12 @@
 
     /// Records that a watch has ended and returns when to retry. `source_works`: whether the watch has shown that its
     /// source works.
-    pub fn ended(&mut self, failure: RelayFailure, source_works: bool, rng: &mut fastrand::Rng) -> Retry {
+    pub fn record_end(
+        &mut self,
+        failure: RelayFailure,
+        source_works: bool,
+        rng: &mut fastrand::Rng,
+    ) -> Retry {
         match self {
             Upstream::Agent { failures, .. } => {
                 let behind = failure == RelayFailure::Behind;
@@ -76,7 +83,8 @@
     }
 }
 
-/// The wait after a list that was too large, if the `previous` ones in a row were too. It has jitter.
+/// The wait, with jitter, after a list that was too large. `previous` is the number of lists directly before it that
+/// were too large as well.
 pub fn wait_too_large(previous: u32, rng: &mut fastrand::Rng) -> Duration {
     let wait = MIN_WAIT_TOO_LARGE.saturating_mul(2u32.saturating_pow(previous));
     // The jitter is less than a doubling, so that each wait is longer than the previous one.
--- a/crates/manager/src/worker_registry.rs
+++ b/crates/manager/src/worker_registry.rs
@@ -1,5 +1,5 @@
-//! Registry of the workers: composes what discovery, the operator and the failover plan say of each worker by name into
-//! the entries that the planner is given by id.
+//! Registry of the workers. Discovery and the operator describe workers by name, and the failover plan changes weights
+//! by zone; the registry composes these into one entry per worker, which the planner is given by id.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use crate::listing::{Departure, Entries, Listing, ReadEntry};
 
-/// All workers that some source names, and the entries last reported to the planner.
+/// All workers that discovery or the operator names, and the entries last reported to the planner.
 #[derive(Default)]
 pub struct WorkerRegistry {
     composer: Composer,
@@ -24,9 +24,9 @@
 impl WorkerRegistry {
     /// Applies a list of discovery. Returns the event for the planner.
     pub fn apply_list(&mut self, listing: &Listing, kind: ListKind, names: &mut Names) -> Event {
-        let Entries { read: entries, unreadable } = listing.entries(names);
-        // If an entry's worker cannot be read, a full list is applied as changes: otherwise that worker would count as
-        // gone.
+        let Entries { valid: entries, unreadable } = listing.entries(names);
+        // If not even the name of an entry's worker can be read, a full list is applied as changes: otherwise that
+        // worker would count as gone.
         let kind = if unreadable.iter().all(Option::is_some) { kind } else { ListKind::Changes };
         tracing::info!("list {}: {} entries, {kind:?}", listing.version, entries.len());
         self.version = listing.version;
@@ -55,7 +55,8 @@
             listed_names.insert(name);
         }
         if kind != ListKind::Changes {
-            // A worker whose entry cannot be read keeps its last state; the list is complete for all others.
+            // A worker of whose entry only the name can be read keeps its last state; the list is complete for all
+            // others.
             for name in unreadable
                 .into_iter()
                 .flatten()
@@ -66,29 +67,29 @@
                 listed_names.insert(name);
             }
             self.composer.mark_unlisted_gone(&|name| listed_names.contains(name));
-            // Workers that only the operator places are in no list, and are not gone because of that.
+            // Workers that only the operator places are in no list, and do not count as gone because of that.
             self.assign_ids(names);
-            let placed: Vec<String> =
+            let placed_names: Vec<String> =
                 self.composer.operator_placed().map(|(name, _)| name.to_string()).collect();
-            workers.extend(placed.iter().filter_map(|name| self.recompose(name, names)));
+            workers.extend(placed_names.iter().filter_map(|name| self.recompose(name, names)));
         }
         Event::List { kind, version: listing.version, workers }
     }
 
     /// Applies the operator's intent. Returns the event for the planner if entries changed.
     pub fn apply_intent(&mut self, intent: &Intent, names: &mut Names) -> Option<Event> {
-        let changed = self.composer.update_intent(intent);
+        let changed_names = self.composer.update_intent(intent);
         self.assign_ids(names);
         let mut workers = Vec::new();
-        for name in changed {
+        for name in changed_names {
             let Some(id) = names.workers.find_id(&name).map(WorkerId) else { continue };
-            let before = self.entries.get(&id).cloned();
+            let previous = self.entries.get(&id).cloned();
             match self.recompose(&name, names) {
-                Some(entry) if before.as_ref() == Some(&entry) => {}
-                Some(entry) if before.is_none() && entry.phase == Phase::Gone => {}
+                Some(entry) if previous.as_ref() == Some(&entry) => {}
+                Some(entry) if previous.is_none() && entry.phase == Phase::Gone => {}
                 Some(entry) => workers.push(entry),
                 // No source places the worker any more.
-                None => workers.extend(before.map(|entry| {
+                None => workers.extend(previous.map(|entry| {
                     self.entries.remove(&id);
                     self.addresses.remove(&id);
                     WorkerEntry { phase: Phase::Gone, ..entry }
@@ -107,9 +108,10 @@
         let worker_names: Vec<String> = self.composer.worker_names().map(str::to_string).collect();
         let mut workers = Vec::new();
         for name in worker_names {
-            let before = names.workers.find_id(&name).and_then(|id| self.entries.get(&WorkerId(id)).cloned());
-            let Some(before) = before else { continue };
-            workers.extend(self.recompose(&name, names).filter(|entry| *entry != before));
+            let previous =
+                names.workers.find_id(&name).and_then(|id| self.entries.get(&WorkerId(id)).cloned());
+            let Some(previous) = previous else { continue };
+            workers.extend(self.recompose(&name, names).filter(|entry| *entry != previous));
         }
         let (kind, version) = (ListKind::Changes, self.version);
         (!workers.is_empty()).then_some(Event::List { kind, version, workers })
@@ -186,7 +188,8 @@
         self.addresses.get(&worker).copied()
     }
 
-    /// Forgets a worker that no order refers to any more. If only the operator took it out, it stays known by a new id.
+    /// Forgets a worker that no order refers to any more. If it left only because the operator took it out, its name
+    /// stays known and gets a new id.
     pub fn forget(&mut self, worker: WorkerId, names: &mut Names) {
         let name = names.workers.name(worker.0).to_string();
         tracing::debug!("{name} is forgotten");
@@ -206,10 +209,11 @@
 }
 
 fn compose(composer: &Composer, name: &str, names: &Names) -> Option<ComposedWorker> {
-    // A change that is only checked may place workers that have no id yet; no table has a line of them.
-    let placed = |intent: &WorkerIntent| {
+    // A change that is only checked may place workers that have no id yet. They get the highest id here; no table has a
+    // line of such a worker.
+    let entry_from_intent = |intent: &WorkerIntent| {
         let place = intent.placement.as_ref()?;
-        let id_or_max = |known: Option<u32>| known.map_or(u16::MAX, |id| id as u16);
+        let id_or_max = |id: Option<u32>| id.map_or(u16::MAX, |id| id as u16);
         Some(WorkerEntry {
             worker: WorkerId(names.workers.find_id(name).unwrap_or(u32::MAX)),
             phase: Phase::Ready,
@@ -220,5 +224,5 @@
             weight: 0.0,
         })
     };
-    composer.compose(name, placed)
+    composer.compose(name, entry_from_intent)
 }
