--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -28,7 +28,7 @@
     /// No probe has been answered yet.
     Unknown,
     Direct,
-    /// It answers other members and not this one: a link is cut or half-open, and no process is dead.
+    /// The other member answers other members but not this one: a link is cut or half-open, and no process is dead.
     Indirect,
     Unreachable,
 }
@@ -65,7 +65,7 @@
         target: MemberId,
         updates: Vec<GossipUpdate>,
     },
-    /// The target of a ping request did not answer in time. It also shows that the sender itself works.
+    /// The target of a ping request did not answer in time. The nack also shows that the sender itself works.
     Nack {
         sequence: u64,
     },
@@ -75,6 +75,7 @@
     /// The slot of a message whose newer version replaces an older one that still waits for the same peer; `None` for
     /// messages that all have to be sent.
     pub fn slot(&self) -> Option<u8> {
+        // Differs from the slots of `Message`, because both kinds of messages wait in the same outbox.
         matches!(self, SwimMessage::Ping { .. }).then_some(16)
     }
 }
@@ -190,7 +191,7 @@
         let members: Vec<MemberId> = members.filter(|id| *id != self.id).collect();
         self.peers.retain(|id, _| members.contains(id));
         for id in members {
-            let new = Peer {
+            let new_peer = Peer {
                 health: Health::Alive,
                 incarnation: 0,
                 health_since: now,
@@ -200,7 +201,7 @@
                 clock_offset: None,
                 times_gossiped: 0,
             };
-            self.peers.entry(id).or_insert(new);
+            self.peers.entry(id).or_insert(new_peer);
         }
     }
 
@@ -223,8 +224,8 @@
         }
     }
 
-    /// The members that may be given work: this one, and all others that are not suspected, dead or gone. A member that
-    /// only this one cannot reach directly is among them.
+    /// The members that may be given work: this one, and all others that are neither suspected nor dead and have not
+    /// left. A member that only this one cannot reach directly is among them.
     pub fn alive(&self) -> impl Iterator<Item = MemberId> + '_ {
         let others = self.peers.iter().filter(|(_, peer)| peer.health == Health::Alive);
         std::iter::once(self.id).chain(others.map(|(id, _)| *id))
@@ -234,7 +235,7 @@
     pub fn reach(&self, now: Ms, member: MemberId) -> Reach {
         let Some(peer) = self.peers.get(&member) else { return Reach::Unknown };
         let max_age = self.round_duration() * 2.0;
-        let is_recent = |at: Option<Ms>| at.is_some_and(|at| now <= at + max_age);
+        let is_recent = |ack_at: Option<Ms>| ack_at.is_some_and(|ack_at| now <= ack_at + max_age);
         match (is_recent(peer.direct_ack_at), is_recent(peer.indirect_ack_at)) {
             (true, _) => Reach::Direct,
             (false, true) => Reach::Indirect,
@@ -250,11 +251,11 @@
 
     /// The wall clocks of the members that were reached within the last two rounds, and this member's own one.
     pub fn clocks(&self, now: Ms, own_clock: Ms) -> Vec<Ms> {
-        let recent = |peer: &Peer| {
-            let (offset, at) = peer.clock_offset?;
-            (now <= at + self.round_duration() * 2.0).then_some(now + offset)
+        let recent_clock = |peer: &Peer| {
+            let (offset, measured_at) = peer.clock_offset?;
+            (now <= measured_at + self.round_duration() * 2.0).then_some(now + offset)
         };
-        self.peers.values().filter_map(recent).chain([own_clock]).collect()
+        self.peers.values().filter_map(recent_clock).chain([own_clock]).collect()
     }
 
     /// The time in which this member probes every other one once.
@@ -396,7 +397,7 @@
 
     /// The updates to piggyback on a message: this member's own state, then those sent least often. An update that
     /// doubts the receiver itself precedes the others, so that the receiver can refute it.
-    fn updates_for(&mut self, to: MemberId) -> Vec<GossipUpdate> {
+    fn updates_for(&mut self, receiver: MemberId) -> Vec<GossipUpdate> {
         let max_times_gossiped = 3 * (self.peers.len() + 2).ilog2().max(1);
         let own_update = GossipUpdate {
             member: self.id,
@@ -404,7 +405,7 @@
             incarnation: self.incarnation,
             reported_by: self.id,
         };
-        let doubts_receiver = |id: &MemberId, peer: &Peer| *id == to && peer.health != Health::Alive;
+        let doubts_receiver = |id: &MemberId, peer: &Peer| *id == receiver && peer.health != Health::Alive;
         let mut candidates: Vec<(u32, MemberId)> = self
             .peers
             .iter()
--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -11,8 +11,8 @@
 use crate::record::{KnownRun, Record, StoredState};
 use crate::recovery::{Answer, Handshake, RecoveryState};
 
-/// Messages held back until the records that they depend on are durable. Beyond it the oldest are dropped, as any link
-/// may lose a message.
+/// Messages held back until the records that they depend on are durable. Beyond this number the oldest are dropped,
+/// as any link may lose a message.
 const MAX_DEFERRED_MESSAGES: usize = 4096;
 
 /// Timeouts and limits of a Raft group.
@@ -25,11 +25,11 @@
     /// By what ratio the clocks of two members may differ in speed.
     pub max_clock_drift_ratio: f64,
     pub max_entries_per_message: usize,
-    /// Entries that may await commitment; proposals beyond it are rejected.
+    /// Entries that may await commitment; proposals beyond this number are rejected.
     pub max_uncommitted_entries: usize,
 }
 
-/// Why a proposal is rejected. Nothing of it was written.
+/// Why a proposal is rejected. Nothing of the proposal was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
     /// This member is not the leader. The leader is given if it is known.
@@ -172,9 +172,9 @@
     records_durable: u64,
     /// The own log is durable up to here.
     durable_index: Index,
-    /// The index up to which the log is durable once so many records are.
+    /// Once this many records are durable, the log is durable up to this index.
     pending_syncs: VecDeque<(u64, Index)>,
-    /// Messages to be sent once so many records are durable.
+    /// Messages, each with the number of records that have to be durable before it is sent.
     deferred_messages: VecDeque<(u64, MemberId, Message)>,
     store_failing: bool,
     actions: Actions,
@@ -616,7 +616,10 @@
                 leadership.transfer = None;
             }
         }
-        if self.quorum_contact_at(now).is_none_or(|at| now > at + self.config.election_timeout_ms) {
+        if self
+            .quorum_contact_at(now)
+            .is_none_or(|contact_at| now > contact_at + self.config.election_timeout_ms)
+        {
             return self.become_follower(now, self.term, None, "it has no quorum");
         }
         self.replicate(now, true);
@@ -756,7 +759,7 @@
         change: &MembershipChange,
     ) -> Result<LogPosition, ProposeError> {
         let leadership = self.leadership()?;
-        // Only one change at a time; and none before an entry of the leader's own term is committed, since without that
+        // Only one change at a time; and none before an entry of the leader's own term is committed, since otherwise
         // two leaders' changes could take effect with disjoint quorums (a flaw found after the dissertation).
         if self.commit_index < leadership.first_index || self.commit_index < self.log.membership_index() {
             return Err(ProposeError::MembershipChangeInProgress);
@@ -869,8 +872,8 @@
         // The entries in the snapshot were committed, so they match.
         let matches = previous.0 < snapshot_index || self.log.term_at(previous.0) == Some(previous.1);
         if !matches {
-            let hint = previous.0.previous().min(last_index).max(snapshot_index);
-            return self.send_when_durable(sender, rejection(hint));
+            let next_previous = previous.0.previous().min(last_index).max(snapshot_index);
+            return self.send_when_durable(sender, rejection(next_previous));
         }
         let match_index = Index(previous.0 .0 + entries.len() as u64);
         let differs =
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -199,7 +199,7 @@
                 text => Some(text.parse().ok()?),
             };
             let name = parts.next()?;
-            let fault = Fault::ALL.iter().find(|(known, _)| *known == name)?.1;
+            let fault = Fault::ALL.iter().find(|(fault_name, _)| *fault_name == name)?.1;
             Some((point, pass_number, fault))
         };
         // Without this check, a trial that selects an unknown fault would pass without testing anything.
--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -41,6 +41,7 @@
 pub struct Operation {
     /// The response time to stay within.
     pub latency_objective: Ms,
+    /// The value of one invocation: the lower it is, the more of the operation is rejected near overload.
     pub billed_value: f64,
     /// The zones and machine types whose workers serve it; `None` means all of them.
     pub zones: Option<Vec<ZoneId>>,
@@ -93,6 +94,7 @@
     pub warm_up: Ms,
     /// The fraction of a warm worker's weight that a worker has when it starts.
     pub cold_share: f64,
+    /// By how much a cold worker's share of the load may go beyond its capacity.
     pub overload_factor: f64,
     /// The number of proxies in the deployment.
     pub proxy_count: f64,
@@ -104,7 +106,7 @@
     pub list_request_deadline: Ms,
 }
 
-/// The settings that may change while a manager runs.
+/// The settings that may change while a manager runs; the fields are those of [`Settings`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuntimeSettings {
     pub drain_grace: Ms,
@@ -267,7 +269,7 @@
     FetchList,
     /// No later order refers to this worker unless a list contains it again.
     Forget { worker: WorkerId },
-    /// A weight of 0 removes the line.
+    /// Sets the weight of a worker's line in a table; a weight of 0 removes the line.
     SetLine { table: TableId, worker: WorkerId, weight: f64 },
     /// Removes all lines of a table.
     ClearTable { table: TableId },
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -37,7 +37,9 @@
 /// An authorisation to retry. It is still in force if it has no end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Authorisation {
+    /// Retries are authorised from this mark on.
     pub from: MarkPosition,
+    /// When the authorisation was requested.
     pub since: Ms,
     /// The mark whose acknowledgement showed that the proxy no longer retries, and when it arrived.
     pub to: Option<(MarkPosition, Ms)>,
@@ -113,7 +115,7 @@
         self.authorisations.get(key).and_then(|all| all.last()).is_some_and(|last| last.to.is_none())
     }
 
-    /// Whether a retry at that position was authorised.
+    /// Whether a retry at this position was authorised.
     pub fn was_authorised_at(&self, key: &RetryKey, position: MarkPosition) -> bool {
         let covers =
             |entry: &Authorisation| entry.from <= position && entry.to.is_none_or(|(to, _)| position <= to);
@@ -127,7 +129,7 @@
             .flat_map(|(key, all)| all.iter().map(move |authorisation| (key, authorisation)))
     }
 
-    /// Removes authorisations that ended before that time. Those still in force stay, however old they are.
+    /// Removes authorisations that ended before this time. Those still in force stay, however old they are.
     pub fn remove_ended_before(&mut self, time: Ms) {
         let is_retained = |entry: &Authorisation| entry.to.is_none_or(|(_, at)| at >= time);
         self.authorisations.values_mut().for_each(|all| all.retain(is_retained));
@@ -181,7 +183,7 @@
         &self.ledger
     }
 
-    /// Decides on an order that would allow retries from that position on.
+    /// Decides on an order that would allow retries from this position on.
     pub fn authorise(&mut self, now: Ms, key: &RetryKey, from: MarkPosition) -> Decision {
         let submitted_grant = self.submitted.iter().rev().find_map(|(_, record)| match record {
             Record::Authorised { key: other, .. } if other == key => Some(true),
@@ -190,7 +192,7 @@
         });
         match submitted_grant {
             Some(true) => return Decision::Pending,
-            // It is being revoked, so this is a new authorisation with a record of its own.
+            // The earlier authorisation is being revoked, so this is a new authorisation with a record of its own.
             Some(false) => {}
             None if self.ledger.is_authorised(key) => return Decision::Granted,
             None => {}
@@ -207,8 +209,8 @@
     /// too few.
     pub fn revoke(&mut self, now: Ms, key: &RetryKey, to: MarkPosition) -> Option<Record> {
         let authorises = |(_, record): &(T, Record)| matches!(record, Record::Authorised { key: other, .. } if other == key);
-        let known = self.ledger.is_authorised(key) || self.submitted.iter().any(authorises);
-        known.then(|| Record::Revoked { key: key.clone(), to, at: now })
+        let authorised_or_submitted = self.ledger.is_authorised(key) || self.submitted.iter().any(authorises);
+        authorised_or_submitted.then(|| Record::Revoked { key: key.clone(), to, at: now })
     }
 
     /// A record was submitted to the store and will be durable as `ticket`.
--- a/crates/recovery/tests/crashes.rs
+++ b/crates/recovery/tests/crashes.rs
@@ -23,7 +23,7 @@
 type Authorisations = BTreeSet<(RetryKey, MarkPosition)>;
 
 /// Runs a manager through several crashes, all drawn from the seed.
-fn history(seed: u64) {
+fn run_history(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let disk = Arc::new(SimDisk::new(seed));
     let mut granted = Authorisations::new();
@@ -102,11 +102,17 @@
     match Store::open(disk, LIMITS) {
         Ok(opened) => {
             let ledger = replay(&opened.recovered);
-            granted
-                .iter()
-                .for_each(|(key, position)| assert!(ledger.was_authorised_at(key, *position), "seed {seed}"));
+            granted.iter().for_each(|(key, position)| {
+                assert!(
+                    ledger.was_authorised_at(key, *position),
+                    "seed {seed}: {key:?} at {position:?} is lost"
+                )
+            });
             ledger.entries().for_each(|(key, entry)| {
-                assert!(requested.contains(&(key.clone(), entry.from)), "seed {seed}")
+                assert!(
+                    requested.contains(&(key.clone(), entry.from)),
+                    "seed {seed}: {key:?} was never requested"
+                )
             });
         }
         Err(OpenError::Io(why)) => panic!("seed {seed}: {why}"),
@@ -116,8 +122,8 @@
 
 #[test]
 fn no_crash_loses_a_granted_authorisation_or_adds_one() {
-    let configured = std::env::var("JUNIPERRAIL_HISTORIES").ok().and_then(|count| count.parse().ok());
-    let count: u64 = configured.unwrap_or(2_000);
+    let configured_count = std::env::var("JUNIPERRAIL_HISTORIES").ok().and_then(|count| count.parse().ok());
+    let count: u64 = configured_count.unwrap_or(2_000);
     println!("histories 1 to {count}, each by its seed");
-    (1..=count).for_each(history);
+    (1..=count).for_each(run_history);
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -39,13 +39,13 @@
     });
     while let Some(first) = lines.next() {
         let (line_number, text) = first?;
-        let mut head = Line::new(line_number, &text);
-        match head.word("message")? {
+        let mut turn_line = Line::new(line_number, &text);
+        match turn_line.word("message")? {
             "TURN" => {}
-            other => return Err(head.fault(format!("expected TURN, found {other:?}"))),
+            other => return Err(turn_line.fault(format!("expected TURN, found {other:?}"))),
         }
-        let now = head.number("time-ms")?;
-        head.finish()?;
+        let now = turn_line.number("time-ms")?;
+        turn_line.finish()?;
         read_batch(now, &mut lines, &mut instances)?;
         let mut reply = String::new();
         for (number, instance) in &mut instances {
@@ -75,7 +75,7 @@
     lines: &mut impl Iterator<Item = Result<(usize, String), Fault>>,
     instances: &mut BTreeMap<u32, Instance>,
 ) -> Result<(), Fault> {
-    let mut current: Option<u32> = None;
+    let mut current_instance: Option<u32> = None;
     let mut last_line_number = 0;
     while let Some(next) = lines.next() {
         let (line_number, text) = next?;
@@ -85,13 +85,13 @@
         match name {
             "GO" => return line.finish(),
             "AT" => {
-                current = Some(line.integer("manager")?);
+                current_instance = Some(line.integer("manager")?);
                 line.finish()?;
                 continue;
             }
             _ => {}
         }
-        let number = current.ok_or_else(|| line.fault("message precedes the first AT"))?;
+        let instance_number = current_instance.ok_or_else(|| line.fault("message precedes the first AT"))?;
         if name == "BORN" {
             let seed = line.integer("init-seed")?;
             let info = serde_json::from_str(line.rest("info")?);
@@ -99,14 +99,14 @@
             let (settings, names) = juniperrail_start::decode(&info).map_err(|why| line.fault(why))?;
             let planner = Planner::new(now, seed, settings);
             instances.insert(
-                number,
+                instance_number,
                 Instance { names, planner: Some(planner), events: Vec::new(), has_events: true },
             );
             continue;
         }
         let instance = instances
-            .get_mut(&number)
-            .ok_or_else(|| line.fault(format!("no BORN message for instance {number}")))?;
+            .get_mut(&instance_number)
+            .ok_or_else(|| line.fault(format!("no BORN message for instance {instance_number}")))?;
         if name == "DETACH" {
             line.finish()?;
             instance.planner = None;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -43,25 +43,25 @@
 
     /// An error at this line.
     pub fn fault(&self, message: impl Into<String>) -> Fault {
-        let shown: String = self.text.chars().take(60).collect();
-        Fault::at_line(self.number, format!("{} (in {shown:?})", message.into()))
+        let excerpt: String = self.text.chars().take(60).collect();
+        Fault::at_line(self.number, format!("{} (in {excerpt:?})", message.into()))
     }
 
     /// Everything up to the end of the line.
-    pub fn rest(&mut self, member: &str) -> Result<&'a str, Fault> {
-        self.rest.take().ok_or_else(|| self.fault(format!("value {member} is missing")))
+    pub fn rest(&mut self, value_name: &str) -> Result<&'a str, Fault> {
+        self.rest.take().ok_or_else(|| self.fault(format!("value {value_name} is missing")))
     }
 
     /// The next space-separated value.
-    pub fn word(&mut self, member: &str) -> Result<&'a str, Fault> {
-        let text = self.rest(member)?;
+    pub fn word(&mut self, value_name: &str) -> Result<&'a str, Fault> {
+        let text = self.rest(value_name)?;
         let (word, rest) = match text.split_once(' ') {
             Some((word, rest)) => (word, Some(rest)),
             None => (text, None),
         };
         self.rest = rest;
         if word.is_empty() {
-            return Err(self.fault(format!("value {member} is empty")));
+            return Err(self.fault(format!("value {value_name} is empty")));
         }
         Ok(word)
     }
@@ -72,41 +72,41 @@
     }
 
     /// A finite number, or `None` for `-`.
-    fn optional_number(&mut self, member: &str) -> Result<Option<f64>, Fault> {
-        let word = self.word(member)?;
+    fn optional_number(&mut self, value_name: &str) -> Result<Option<f64>, Fault> {
+        let word = self.word(value_name)?;
         if word == "-" {
             return Ok(None);
         }
         let number = word.parse().ok().filter(|number: &f64| number.is_finite());
-        number.map(Some).ok_or_else(|| self.fault(format!("{member} is not a number: {word:?}")))
+        number.map(Some).ok_or_else(|| self.fault(format!("{value_name} is not a number: {word:?}")))
     }
 
     /// A finite number.
-    pub fn number(&mut self, member: &str) -> Result<f64, Fault> {
-        self.optional_number(member)?.ok_or_else(|| self.fault(format!("value {member} is absent")))
+    pub fn number(&mut self, value_name: &str) -> Result<f64, Fault> {
+        self.optional_number(value_name)?.ok_or_else(|| self.fault(format!("value {value_name} is absent")))
     }
 
     /// An integer that fits the type.
-    pub fn integer<T: std::str::FromStr>(&mut self, member: &str) -> Result<T, Fault> {
-        let word = self.word(member)?;
-        word.parse().map_err(|_| self.fault(format!("{member} is not an integer in range: {word:?}")))
+    pub fn integer<T: std::str::FromStr>(&mut self, value_name: &str) -> Result<T, Fault> {
+        let word = self.word(value_name)?;
+        word.parse().map_err(|_| self.fault(format!("{value_name} is not an integer in range: {word:?}")))
     }
 
     /// A Boolean, written as 1 or 0.
-    fn flag(&mut self, member: &str) -> Result<bool, Fault> {
-        match self.word(member)? {
+    fn flag(&mut self, value_name: &str) -> Result<bool, Fault> {
+        match self.word(value_name)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => Err(self.fault(format!("{member} is not 1 or 0: {other:?}"))),
+            other => Err(self.fault(format!("{value_name} is not 1 or 0: {other:?}"))),
         }
     }
 
     /// A load report: name:value pairs separated by commas, or `-`. Unknown names are ignored.
-    fn load(&mut self, member: &str) -> Result<Load, Fault> {
+    fn load(&mut self, value_name: &str) -> Result<Load, Fault> {
         let mut load = Load::default();
-        let text = self.word(member)?;
+        let text = self.word(value_name)?;
         for pair in text.split(',').filter(|_| text != "-") {
-            let fault = || self.fault(format!("{member} contains an invalid name:value pair: {pair:?}"));
+            let fault = || self.fault(format!("{value_name} contains an invalid name:value pair: {pair:?}"));
             let (name, value) = pair.split_once(':').ok_or_else(fault)?;
             let value = Some(value.parse().ok().filter(|v: &f64| v.is_finite()).ok_or_else(fault)?);
             match name {
@@ -132,12 +132,12 @@
     }
 }
 
-/// Reads an event. A list also consumes the lines of its entries from `more`.
+/// Reads an event. A list also consumes the lines of its entries from `more_lines`.
 pub fn read(
     name: &str,
     mut line: Line<'_>,
     names: &mut Names,
-    more: &mut impl Iterator<Item = Result<(usize, String), Fault>>,
+    more_lines: &mut impl Iterator<Item = Result<(usize, String), Fault>>,
 ) -> Result<Event, Fault> {
     let event = match name {
         "TOPOLOGY" => {
@@ -158,7 +158,7 @@
             let mut workers = Vec::new();
             for _ in 0..count {
                 let (number, text) =
-                    more.next().unwrap_or_else(|| Err(line.fault("fewer entries than announced")))?;
+                    more_lines.next().unwrap_or_else(|| Err(line.fault("fewer entries than announced")))?;
                 workers.push(read_entry(Line::new(number, &text), names)?);
             }
             Event::List { kind, version, workers }
@@ -284,7 +284,7 @@
         }
         Order::Log { about: Some(id), text } => writeln!(reply, "JOURNAL_LINE {} {text}", worker(id)),
         Order::Log { about: None, text } => writeln!(reply, "JOURNAL_LINE {text}"),
-        Order::SubscribeToList(on) => writeln!(reply, "KEEP_INFORMED {}", u8::from(*on)),
+        Order::SubscribeToList(subscribed) => writeln!(reply, "KEEP_INFORMED {}", u8::from(*subscribed)),
         Order::FetchList => writeln!(reply, "PULL"),
         Order::SetLine { table, worker: id, weight } => {
             writeln!(reply, "SET_WEIGHT {} {} {weight}", table.0, worker(id))
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -12,7 +12,7 @@
     ids: HashMap<String, u32>,
     names: HashMap<u32, String>,
     /// Ids are never reused, so the id of a forgotten name can't refer to another one.
-    next: u32,
+    next_id: u32,
 }
 
 impl IdMap {
@@ -21,8 +21,8 @@
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         self.names.insert(id, name.to_string());
         self.ids.insert(name.to_string(), id);
         id
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -19,14 +19,17 @@
 const MAX_CAPACITY_RATIO: f64 = 1.5;
 /// Capacity estimate below which admission is cut.
 const CUT_CAPACITY_RATIO: f64 = 0.85;
-/// Capacity estimate from which admission is raised, and the size of a careful raise.
+/// Capacity estimate from which admission is raised, and the factor of a careful raise.
 const RAISE_CAPACITY_RATIO: f64 = 1.1;
 /// Capacity estimate below which the fleet counts as near overload.
 const NEAR_OVERLOAD_RATIO: f64 = 0.95;
-/// The same where proxies avoid workers that failed them.
+/// Capacity estimate below which the fleet counts as near overload where proxies avoid workers that failed them.
 const NEAR_OVERLOAD_AVOIDING_RATIO: f64 = 1.1;
-/// Admission ratio that one cut does not go below, unless by [`CUT_CAPACITY_RATIO`] at most.
+/// Admission ratio below which a single cut does not go, unless it multiplies the ratio by [`CUT_CAPACITY_RATIO`] or
+/// more.
 const CUT_FLOOR_RATIO: f64 = 0.25;
+/// For how many report delays after a cut samples are ignored, where no report has utilization.
+const IGNORED_DELAYS_AFTER_CUT: f64 = 1.75;
 /// Least admission ratio.
 const MIN_ADMISSION_RATIO: f64 = 0.12;
 /// Ratio of the last overloaded admission ratio up to which admission may return in large steps.
@@ -37,8 +40,8 @@
 impl Planner {
     /// Estimates the fleet's capacity relative to the load that it now gets, by samples received after `since`.
     ///
-    /// It goes by the median worker, since a single worker in trouble is no overload. Utilization below `idle_below`
-    /// rules overload out. `None`: too few workers report tries.
+    /// The estimate goes by the median worker, since a single worker in trouble is no overload. Utilization below
+    /// `idle_below` rules overload out. Returns `None` if too few workers report tries.
     fn capacity_ratio(&self, since: Ms, idle_below: f64) -> Option<f64> {
         let samples = self.workers.values().map(|worker| self.sum_samples(worker, since));
         let samples: Vec<Sample> = samples.filter(|sample| sample.tries > 0.0).collect();
@@ -81,18 +84,22 @@
         // Where no report has utilization, a second cut would go by tries that began before the first one: after a cut
         // only later reports count.
         let after_cut = no_utilization && self.admission_ratio < 1.0 && !self.admission_rising;
-        let ignored_time = if after_cut { 1.75 * report_delay } else { report_delay };
+        let ignored_time = if after_cut { IGNORED_DELAYS_AFTER_CUT * report_delay } else { report_delay };
         let since = (self.admission_changed_at + ignored_time).max(now - report_delay);
-        let Some(step) = self.capacity_ratio(since, IDLE_UTILIZATION) else { return };
+        let Some(recent_capacity) = self.capacity_ratio(since, IDLE_UTILIZATION) else { return };
         let cut_floor =
             CUT_FLOOR_RATIO.min(self.admission_ratio * CUT_CAPACITY_RATIO).max(MIN_ADMISSION_RATIO);
         // Raises are large up to the neighbourhood of the last overload, and small beyond.
         let careful_raise = self.admission_ratio * RAISE_CAPACITY_RATIO;
         let raise_limit = careful_raise.max(QUICK_RAISE_RATIO * self.overloaded_ratio);
-        let change = if no_utilization { step.max(step * step) } else { step };
+        let change = if no_utilization {
+            recent_capacity.max(recent_capacity * recent_capacity)
+        } else {
+            recent_capacity
+        };
         let next = (self.admission_ratio * change).min(raise_limit).clamp(cut_floor, 1.0);
-        let needs_cut = step < CUT_CAPACITY_RATIO;
-        let allows_raise = step >= RAISE_CAPACITY_RATIO;
+        let needs_cut = recent_capacity < CUT_CAPACITY_RATIO;
+        let allows_raise = recent_capacity >= RAISE_CAPACITY_RATIO;
         if next != self.admission_ratio && (needs_cut || allows_raise) {
             // Only a cut after a raise marks where the fleet is overloaded: cuts in a row are one overload.
             let cut_after_raise = next < self.admission_ratio && self.admission_rising;
@@ -101,7 +108,9 @@
             self.admission_rising = next > self.admission_ratio;
             self.admission_ratio = next;
             self.admission_changed_at = now;
-            let text = format!("admitting {next:.2} of demand: estimated capacity is {step:.2} of the load");
+            let text = format!(
+                "admitting {next:.2} of demand: estimated capacity is {recent_capacity:.2} of the load"
+            );
             self.orders.push(Order::Log { about: None, text });
         }
     }
@@ -124,13 +133,13 @@
         let limited = table.bound_proxies.iter().filter(|_| share < 1.0 && !is_share);
         let mut rates: Vec<f64> = limited.map(|id| self.demand(&self.proxies[id], op)).collect();
         rates.sort_by(f64::total_cmp);
-        let mut left = rates.iter().sum::<f64>() * share;
+        let mut rate_left = rates.iter().sum::<f64>() * share;
         for (index, rate) in rates.iter().enumerate() {
-            let each = left / (rates.len() - index) as f64;
-            if *rate >= each && each > 0.0 {
-                return round_to_step(each.max(0.1));
+            let even_rate = rate_left / (rates.len() - index) as f64;
+            if *rate >= even_rate && even_rate > 0.0 {
+                return round_to_step(even_rate.max(0.1));
             }
-            left -= rate;
+            rate_left -= rate;
         }
         share.max(if is_share { 0.0 } else { UNLIMITED_PER_SECOND })
     }
--- a/src/events.rs
+++ b/src/events.rs
@@ -15,7 +15,8 @@
     pub(crate) fn handle_event(&mut self, event: &Event) {
         match event {
             Event::List { kind: ListKind::Failed, .. } => {
-                // Spread, so that managers whose requests failed together do not repeat them together.
+                // About an eighth of the deadline, and random, so that managers whose requests failed together do not
+                // repeat them together.
                 let delay = self.settings.list_request_deadline / 8.0 * (0.5 + self.rng.f64());
                 self.list_request_at = self.settings.list_on_request.then_some(self.now + delay);
             }
@@ -52,39 +53,40 @@
                 self.proxies.insert(*proxy, joined);
             }
             Event::Left { proxy } => {
-                // Its bindings end: updates that only it still had to acknowledge become idle, so they are to be sent
-                // again. Its next bind carries all values.
+                // The proxy's bindings end: updates that only this proxy still had to acknowledge become idle, so they
+                // are to be sent again. Its next bind carries all values.
                 self.proxies.remove(proxy);
                 self.tables.iter_mut().for_each(|table| _ = table.bound_proxies.remove(proxy));
             }
             Event::MarkAcknowledged { mark, proxy, .. } => {
-                // The newest mark sent with these low 16 bits: numbers on the channel wrap.
+                // The newest mark sent with these low 16 bits: the numbers of marks on the channel wrap around.
                 let mark =
                     self.last_mark.saturating_sub(self.last_mark.wrapping_sub(u64::from(mark.0)) & 0xffff);
-                let known = self.proxies.get_mut(proxy);
-                let Some(known) = known.filter(|known| known.acknowledged_mark < mark) else { return };
-                known.acknowledged_mark = mark;
+                let joined_proxy = self.proxies.get_mut(proxy);
+                let is_newer = |joined_proxy: &&mut Proxy| joined_proxy.acknowledged_mark < mark;
+                let Some(joined_proxy) = joined_proxy.filter(is_newer) else { return };
+                joined_proxy.acknowledged_mark = mark;
                 self.progress_at = self.now;
                 // One proxy's acknowledgement shows that all earlier marks have left the shared channel.
                 self.unacknowledged = self.unacknowledged.split_off(&(mark, ProxyId(0)));
                 self.unacknowledged.remove(&(mark, *proxy));
             }
             Event::ProxySums { proxy, op, invocations, period, .. } => {
-                let Some(known) = self.proxies.get_mut(proxy) else { return };
-                let rates = known.demand.entry(*op).or_default();
+                let Some(joined_proxy) = self.proxies.get_mut(proxy) else { return };
+                let rates = joined_proxy.demand.entry(*op).or_default();
                 rates.push_front(invocations * 1000.0 / period.max(1.0));
                 rates.truncate(MAX_DEMAND_SAMPLES);
             }
             Event::WorkerSums { worker, tries, failed, mean_latency, load, .. } => {
-                let Some(known) = self.workers.get_mut(worker) else { return };
-                known.samples.push_front(Sample {
+                let Some(listed_worker) = self.workers.get_mut(worker) else { return };
+                listed_worker.samples.push_front(Sample {
                     received_at: self.now,
                     tries: *tries,
                     failed_tries: *failed,
                     success_time: (tries - failed) * mean_latency,
                     utilization: load.utilization,
                 });
-                known.samples.truncate(MAX_WORKER_SAMPLES);
+                listed_worker.samples.truncate(MAX_WORKER_SAMPLES);
             }
             _ => {}
         }
@@ -92,6 +94,7 @@
 
     /// Applies one entry of the worker list. `is_change`: the entry is from a change of the list, not a whole list.
     fn apply_listed(&mut self, mut listed: WorkerEntry, is_change: bool) {
+        // A worker that is listed without a weight gets the mean weight of the known workers.
         let known_weights = self.workers.values().map(|worker| worker.listed.weight);
         listed.weight = if listed.weight > 0.0 { listed.weight } else { mean(known_weights).unwrap_or(1.0) };
         let now = self.now;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -59,16 +59,17 @@
 
 struct Worker {
     listed: WorkerEntry,
-    /// When it last left the phase ready, or else when it was first listed.
+    /// When the worker last left the phase ready; if it never did, when it was first listed.
     drain_requested_at: Ms,
     /// Factor on the listed weight. It falls while the worker's tries cost more than its peers' or its cores are busier,
     /// and rises in the opposite case.
     weight_factor: f64,
     weight_adjusted_at: Ms,
-    /// The newest first.
+    /// Its latest reports, the newest first.
     samples: VecDeque<Sample>,
+    /// `None` while the fleet is not partitioned.
     partition: Option<usize>,
-    /// Another manager may have excluded it at a proxy, which then has to be told to readmit it.
+    /// Another manager may have excluded the worker at a proxy, and the proxy then has to be told to readmit it.
     possibly_excluded: bool,
 }
 
@@ -76,6 +77,7 @@
 struct Proxy {
     zone: ZoneId,
     inv_per_second: f64,
+    /// The partition whose tables it gets; `None` is the whole fleet.
     partition: Option<usize>,
     bound: bool,
     acknowledged_mark: u64,
@@ -197,8 +199,11 @@
         }
         self.complete_updates();
         self.send_updates();
-        self.orders
-            .extend(self.list_request_at.take_if(|at| now >= *at).map(|_| Order::SubscribeToList(true)));
+        self.orders.extend(
+            self.list_request_at
+                .take_if(|request_at| now >= *request_at)
+                .map(|_| Order::SubscribeToList(true)),
+        );
         let after = (self.settings.report_period / TIMERS_PER_REPORT_PERIOD).max(MIN_TIMER);
         let handle = "beat".into();
         self.orders.extend(std::mem::take(&mut self.timer_due).then_some(Order::SetTimer { after, handle }));
--- a/src/partitions.rs
+++ b/src/partitions.rs
@@ -14,20 +14,23 @@
     /// the line backlog, or where all proxies could not be bound within half a drain grace: a proxy that is bound later
     /// than that and still has another manager's table may send to workers that have drained.
     pub(crate) fn partition_fleet(&mut self) {
-        let present = || self.workers.values().filter(|worker| worker.listed.phase != Phase::Gone);
-        // The tables of one proxy, one of the first zone.
-        let of_one_proxy =
+        let present_workers = || self.workers.values().filter(|worker| worker.listed.phase != Phase::Gone);
+        // The tables that one proxy of the first zone gets.
+        let is_for_first_zone =
             |t: &&Table| t.proxy_zone.is_none_or(|zone| Some(&zone) == self.settings.zones.first());
-        let widths =
-            self.tables.iter().filter(of_one_proxy).map(|t| present().filter(|w| t.includes(w)).count());
+        let widths = self
+            .tables
+            .iter()
+            .filter(is_for_first_zone)
+            .map(|t| present_workers().filter(|w| t.includes(w)).count());
         let (table_count, proxy_lines) =
             widths.fold((0.0, 0.0), |(count, lines), width| (count + 1.0, lines + width as f64));
         let lines_in_grace =
             self.settings.channel_rate * self.settings.drain_grace / 1000.0 * SEND_BACKLOG_RATIO;
-        let lines_in_backlog =
+        let proxy_lines_in_backlog =
             self.settings.max_pending_lines * SEND_BACKLOG_RATIO / self.expected_proxy_count();
-        let lines_in_grace = lines_in_grace / self.settings.proxy_count.max(1.0);
-        let max_lines = lines_in_backlog.min(lines_in_grace) - self.settings.message_overhead;
+        let proxy_lines_in_grace = lines_in_grace / self.settings.proxy_count.max(1.0);
+        let max_lines = proxy_lines_in_backlog.min(proxy_lines_in_grace) - self.settings.message_overhead;
         let partition_count =
             (proxy_lines / max_lines.max(MIN_LINES_PER_TABLE * table_count).max(1.0)) as usize;
         if self.partition_count == 0 && proxy_lines > max_lines && partition_count > 1 {
@@ -60,7 +63,8 @@
         }
     }
 
-    /// Proxies that this manager has to serve: its share of all, or those that have joined if they are more.
+    /// The number of proxies that this manager has to serve: its share of all, or those that have joined if they are
+    /// more.
     pub(crate) fn expected_proxy_count(&self) -> f64 {
         let share = self.settings.proxy_count / self.settings.manager_count.max(1.0);
         share.max(self.proxies.len() as f64).max(1.0)
--- a/src/planning.rs
+++ b/src/planning.rs
@@ -5,7 +5,7 @@
 use juniperrail_interface::*;
 use std::collections::BTreeMap;
 
-/// Load of a partition, relative to the fleet's, above which it admits less while near overload.
+/// Load of a partition, relative to the fleet's, above which the partition admits less while near overload.
 const MAX_PARTITION_LOAD_RATIO: f64 = 0.8;
 /// Least preference for a worker: its share of a table's load relative to an even share.
 const MIN_PREFERENCE_RATIO: f64 = 0.125;
@@ -14,7 +14,7 @@
     /// Computes all desired exclusions, weights and levels, and composes them onto the pending updates.
     pub(crate) fn plan_updates(&mut self) {
         // A worker that is gone, with all its updates acknowledged, is forgotten with its exclusion: should it
-        // return, what the proxies have of it is unknown.
+        // return, it is unknown what the proxies still have of this worker.
         let forget_before = self.now - 2.0 * (self.settings.report_period + self.settings.max_transit);
         let concerns = |key: &UpdateKey, id: &WorkerId| matches!(key, UpdateKey::Exclusion(own) | UpdateKey::Line(_, own) if own == id);
         let settled = |id: &WorkerId, worker: &Worker| {
@@ -27,8 +27,8 @@
             self.updates.retain(|key, _| !concerns(key, &worker));
             self.orders.push(Order::Forget { worker });
         }
-        let excluded = |worker: &Worker| f64::from(u8::from(worker.listed.phase != Phase::Ready));
-        let exclusions = self.workers.iter().map(|(id, w)| (UpdateKey::Exclusion(*id), excluded(w)));
+        let exclusion_value = |worker: &Worker| f64::from(u8::from(worker.listed.phase != Phase::Ready));
+        let exclusions = self.workers.iter().map(|(id, w)| (UpdateKey::Exclusion(*id), exclusion_value(w)));
         let mut desired: Vec<_> = exclusions.collect();
         let mut table_demand: BTreeMap<TableId, f64> =
             self.tables.iter().map(|table| (table.id, 0.0)).collect();
@@ -43,9 +43,10 @@
         // Load that each worker already has from groups planned before.
         let mut planned_loads: BTreeMap<WorkerId, f64> = BTreeMap::new();
         let mut tables: Vec<&Table> = self.tables.iter().collect();
-        let width = |table: &Table| self.workers.values().filter(|worker| table.includes(worker)).count();
+        let worker_count =
+            |table: &Table| self.workers.values().filter(|worker| table.includes(worker)).count();
         // Narrow tables first; a group is the tables that differ in the zone of their proxies only.
-        tables.sort_by_cached_key(|table| (width(table), table.ops.clone(), table.partition));
+        tables.sort_by_cached_key(|table| (worker_count(table), table.ops.clone(), table.partition));
         let same_group = |a: &&Table, b: &&Table| {
             a.ops == b.ops && a.partition == b.partition && !a.operation.own_zone_only
         };
@@ -60,6 +61,7 @@
                 workers.iter().filter_map(|w| planned_loads.get(&w.listed.worker)).sum::<f64>();
             let group_demand = group.iter().map(|table| table_demand[&table.id]).sum::<f64>();
             let load_per_weight = (group_demand + already_planned) / total_weight;
+            // By worker: the load of this group that still may be put on it.
             let mut room: Vec<f64> = Vec::new();
             for worker in &workers {
                 let load = load_per_weight * self.effective_weight(worker);
@@ -76,9 +78,9 @@
                             || table.proxy_zone.is_none_or(|zone| zone == workers[*index].listed.zone)
                     };
                     let eligible: Vec<usize> = (0..workers.len()).filter(eligible).collect();
-                    let free = eligible.iter().map(|index| room[*index]).sum::<f64>().max(1e-9);
+                    let total_room = eligible.iter().map(|index| room[*index]).sum::<f64>().max(1e-9);
                     let unplaced = table_demand[&table.id] - loads.iter().sum::<f64>();
-                    let ratio = (unplaced / free).clamp(0.0, 1.0);
+                    let ratio = (unplaced / total_room).clamp(0.0, 1.0);
                     for index in eligible {
                         loads[index] += room[index] * ratio;
                         room[index] *= 1.0 - ratio;
@@ -94,18 +96,22 @@
             let admission_ratio = self.admission_ratio * partition_ratio;
             for (table, loads) in group.iter().zip(loads) {
                 for (worker, load) in workers.iter().zip(loads) {
-                    let even = table_demand[&table.id] * self.effective_weight(worker) / total_weight;
-                    let preference =
-                        if even > 0.0 { round_to_step((load / even).max(MIN_PREFERENCE_RATIO)) } else { 1.0 };
-                    let cold = if self.warm_up_ratio(&worker.listed) < 1.0 { cold_ratio } else { 1.0 };
-                    let weight = (self.effective_weight(worker) * preference * cold * 1e3).round() / 1e3;
+                    let even_load = table_demand[&table.id] * self.effective_weight(worker) / total_weight;
+                    let preference = if even_load > 0.0 {
+                        round_to_step((load / even_load).max(MIN_PREFERENCE_RATIO))
+                    } else {
+                        1.0
+                    };
+                    let cold_factor = if self.warm_up_ratio(&worker.listed) < 1.0 { cold_ratio } else { 1.0 };
+                    let weight =
+                        (self.effective_weight(worker) * preference * cold_factor * 1e3).round() / 1e3;
                     desired.push((UpdateKey::Line(table.id, worker.listed.worker), weight));
                 }
-                let level = |&op: &usize| {
+                let keyed_level = |&op: &usize| {
                     let key = UpdateKey::Level(table.id, OpId(op as u8));
                     (key, self.admission_level(table, op, admission_ratio))
                 };
-                desired.extend(table.ops.iter().map(level));
+                desired.extend(table.ops.iter().map(keyed_level));
             }
         }
         desired.retain(|(key, value)| self.compose(*key, *value));
--- a/src/sending.rs
+++ b/src/sending.rs
@@ -14,6 +14,8 @@
 const ORDINARY_MESSAGE_RATIO: f64 = 0.6;
 /// Ratio of the channel's rate that the overhead of ordinary messages may use.
 const ORDINARY_OVERHEAD_RATIO: f64 = 0.2;
+/// Ratio of the message window for which the times of messages are kept and counted; a little above 1.
+const KEPT_WINDOW_RATIO: f64 = 1.02;
 /// Ratio of the drain grace after which an exclusion no longer waits for acknowledgements of earlier updates.
 const OVERDUE_DRAIN_GRACE_RATIO: f64 = 0.4;
 
@@ -23,25 +25,27 @@
     pub(crate) fn send_updates(&mut self) {
         let now = self.now;
         let backlog = self.settings.max_pending_lines;
-        // Lines leave the channel only by acknowledgements and at a very slow rate: this holds for slow channels,
-        // stalls and lost acknowledgements.
+        // Lines are assumed to leave the channel only by acknowledgements and at a very slow rate: this holds for
+        // slow channels, stalls and lost acknowledgements.
         let assumed_left =
             (now - self.progress_at) * self.settings.channel_rate * MIN_CHANNEL_RATE_RATIO / 1000.0;
         let waiting = (self.unacknowledged.values().sum::<f64>() - assumed_left).max(0.0);
-        let head = self.settings.message_overhead + 1.0;
+        // Lines that a message costs besides those of its updates.
+        let fixed_lines = self.settings.message_overhead + 1.0;
         // Room for a message of one line to each proxy.
-        let reserve = (self.proxies.len() as f64 * (head + 1.0)).min(backlog * SEND_BACKLOG_RATIO / 4.0);
+        let reserve =
+            (self.proxies.len() as f64 * (fixed_lines + 1.0)).min(backlog * SEND_BACKLOG_RATIO / 4.0);
         let message_interval =
             self.settings.message_window / (self.settings.max_messages_per_window * ORDINARY_MESSAGE_RATIO);
-        let overhead_interval = self.expected_proxy_count() * head * 1000.0
+        let overhead_interval = self.expected_proxy_count() * fixed_lines * 1000.0
             / (self.settings.channel_rate * ORDINARY_OVERHEAD_RATIO);
         let overhead_interval = if self.partition_count > 0 { overhead_interval } else { 0.0 };
         let ordinary_interval =
             message_interval.max(self.settings.report_period / 2.0).max(overhead_interval);
         let blocked: BTreeSet<UpdateKey> = self.ordered_pairs.keys().map(|pair| pair.1).collect();
         let has_no_proxies = |table: &TableId| self.tables[usize::from(table.0)].bound_proxies.is_empty();
-        // Exclusions are gathered: sent one by one as room appears, they would take a message each until the proxies
-        // may be sent no more.
+        // Exclusions are sent together: sent one by one as room appears, they would take a message each until the
+        // proxies' message limit is reached.
         let exclusion_interval = self.settings.message_window
             / (self.settings.max_messages_per_window * (1.0 - ORDINARY_MESSAGE_RATIO));
         let exclusion_interval =
@@ -110,20 +114,22 @@
     /// gets more than `message_ratio` of its allowed messages. Returns whether they fit.
     fn reserve(&mut self, receivers: &BTreeSet<ProxyId>, lines: f64, room: f64, message_ratio: f64) -> bool {
         let now = self.now;
-        let limit_span = self.settings.message_window;
-        let head = self.settings.message_overhead + 1.0;
-        let new: Vec<&ProxyId> = receivers.iter().filter(|id| !self.message_lines.contains_key(id)).collect();
-        let cost = receivers.len() as f64 * lines + new.len() as f64 * head;
+        let message_window = self.settings.message_window;
+        // Lines that a message costs besides those of its updates.
+        let fixed_lines = self.settings.message_overhead + 1.0;
+        let new_receivers: Vec<&ProxyId> =
+            receivers.iter().filter(|id| !self.message_lines.contains_key(id)).collect();
+        let cost = receivers.len() as f64 * lines + new_receivers.len() as f64 * fixed_lines;
         let mut fits = self.turn_lines + cost <= room;
         // Times are kept beyond a stream's end: a proxy that joins again may be counted as if it had never left.
-        for id in new {
+        for id in new_receivers {
             let times = self.message_times.entry(*id).or_default();
-            times.retain(|at| now - at <= limit_span * 1.02);
+            times.retain(|sent_at| now - sent_at <= message_window * KEPT_WINDOW_RATIO);
             fits &= (times.len() as f64) < (self.settings.max_messages_per_window * message_ratio).floor();
         }
         if fits {
             self.turn_lines += cost;
-            receivers.iter().for_each(|id| *self.message_lines.entry(*id).or_insert(head) += lines);
+            receivers.iter().for_each(|id| *self.message_lines.entry(*id).or_insert(fixed_lines) += lines);
         }
         fits
     }
@@ -142,20 +148,21 @@
         update.sent = update.desired;
         update.readmission_uncertain = false;
         update.awaited_mark = (!receivers.is_empty()).then_some(self.last_mark + 1);
-        let level = update.desired;
+        let value = update.desired;
         // Any other retry multiplies an overload: a try that was given up still occupies its worker.
         let retry = if self.admission_ratio < 1.0 { Retry::Never } else { Retry::IfNotExecuted };
         self.orders.push(match key {
-            UpdateKey::Exclusion(worker) => Order::ExcludeWorker { worker, excluded: level > 0.0 },
-            UpdateKey::Line(table, worker) => Order::SetLine { table, worker, weight: level },
+            UpdateKey::Exclusion(worker) => Order::ExcludeWorker { worker, excluded: value > 0.0 },
+            UpdateKey::Line(table, worker) => Order::SetLine { table, worker, weight: value },
             UpdateKey::Level(id, op) => {
-                Order::SetAdmission { scope: AdmissionScope::Table(id), ops: 1 << op.0, level, retry }
+                Order::SetAdmission { scope: AdmissionScope::Table(id), ops: 1 << op.0, level: value, retry }
             }
         });
         !receivers.is_empty()
     }
 
-    /// Lines that writing a line costs: a second one readmits a possibly excluded worker as it enters the table.
+    /// How many lines a write to a table costs: 1, or 2 where a possibly excluded worker enters the table and has to be
+    /// readmitted.
     fn line_cost(&self, id: WorkerId, line: &UpdateState) -> f64 {
         let may_be_absent = line.readmission_uncertain || line.sent.is_nan() || line.sent == 0.0;
         let enters = line.desired > 0.0 && may_be_absent;
@@ -181,7 +188,7 @@
         if binds.is_empty() || !self.reserve(&BTreeSet::from([id]), cost, room, 1.0) {
             return binds.is_empty() || self.turn_lines + cost <= room;
         }
-        // It may have been bound to the tables of the whole fleet or to those of its partition.
+        // The proxy may have been bound to the tables of the whole fleet or to those of its partition.
         let former = [None, self.proxies[&id].partition];
         for index in former.iter().filter_map(|partition| self.partition_tables.get(partition)).flatten() {
             self.tables[*index].bound_proxies.remove(&id);
--- a/src/updates.rs
+++ b/src/updates.rs
@@ -23,7 +23,7 @@
 
     /// Adds the pairs that order an update. A line is removed after its worker's exclusion; a worker is readmitted
     /// after the line that gives it its first weight; a worker with the last usable line of a table is excluded
-    /// after the lines of its replacements. `has_usable_line` is by table.
+    /// after the lines of its replacements. `has_usable_line` is indexed by table.
     pub(crate) fn add_ordering(&mut self, key: UpdateKey, has_usable_line: &[bool]) {
         let is_removal = self.updates[&key].desired == 0.0;
         match key {
@@ -66,12 +66,13 @@
                 self.ordered_pairs[a].total_cmp(&self.ordered_pairs[b])
             };
             let oldest = cycle.into_iter().min_by(by_age).expect("a cycle has pairs");
-            let since = self.ordered_pairs.remove(&oldest).expect("a known pair");
+            let added_at = self.ordered_pairs.remove(&oldest).expect("a known pair");
             let pairs: Vec<(UpdateKey, UpdateKey)> = self.ordered_pairs.keys().copied().collect();
             for (predecessor, _) in pairs.iter().filter(|pair| pair.1 == oldest.0) {
                 let successors = pairs.iter().filter(|pair| pair.0 == oldest.1 && pair.1 != *predecessor);
-                successors
-                    .for_each(|pair| _ = self.ordered_pairs.entry((*predecessor, pair.1)).or_insert(since));
+                successors.for_each(|pair| {
+                    _ = self.ordered_pairs.entry((*predecessor, pair.1)).or_insert(added_at)
+                });
             }
         }
     }
@@ -106,22 +107,24 @@
     /// Completes each update that every proxy concerned has acknowledged, by a mark sent after it. An update that no
     /// proxy is left to acknowledge becomes idle: it is to be sent again.
     pub(crate) fn complete_updates(&mut self) {
-        let acknowledged = |id: &ProxyId| self.proxies[id].acknowledged_mark;
-        let by_table: Vec<_> =
-            self.tables.iter().map(|table| table.bound_proxies.iter().map(acknowledged).min()).collect();
+        let acknowledged_mark = |id: &ProxyId| self.proxies[id].acknowledged_mark;
+        let lowest_by_table: Vec<_> =
+            self.tables.iter().map(|table| table.bound_proxies.iter().map(acknowledged_mark).min()).collect();
         let unbound = self.proxies.values().filter(|proxy| !proxy.bound);
-        let by_unbound = unbound.map(|proxy| proxy.acknowledged_mark).min();
+        let lowest_of_unbound = unbound.map(|proxy| proxy.acknowledged_mark).min();
         self.pending.retain(|key| {
-            let acknowledged = match *key {
-                UpdateKey::Line(table, _) | UpdateKey::Level(table, _) => by_table[usize::from(table.0)],
+            let lowest_acknowledged = match *key {
+                UpdateKey::Line(table, _) | UpdateKey::Level(table, _) => {
+                    lowest_by_table[usize::from(table.0)]
+                }
                 UpdateKey::Exclusion(id) => {
                     let tables = self.tables.iter().filter(|table| table.includes(&self.workers[&id]));
-                    let by_tables = tables.filter_map(|table| by_table[usize::from(table.id.0)]);
-                    by_tables.chain(by_unbound).min()
+                    let by_tables = tables.filter_map(|table| lowest_by_table[usize::from(table.id.0)]);
+                    by_tables.chain(lowest_of_unbound).min()
                 }
             };
             let update = self.updates.get_mut(key).expect("a known key");
-            match (update.awaited_mark, acknowledged) {
+            match (update.awaited_mark, lowest_acknowledged) {
                 (Some(_), None) => {
                     update.sent = f64::NAN;
                     update.awaited_mark = None;
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -12,11 +12,11 @@
 pub(crate) const MIN_EVIDENCE_COUNT: f64 = 4.0;
 /// Exponent by which a weight follows the worker's cost relative to its peers'.
 const WEIGHT_GAIN_EXPONENT: f64 = 0.6;
-/// Cost relative to the peers', either way, within which a weight is left as it is.
+/// A weight is left as it is while the worker's cost is less than this ratio above or below its peers'.
 const WEIGHT_DEADBAND_RATIO: f64 = 1.2;
-/// Largest decrease of a weight factor in one adjustment.
+/// Factor of the largest decrease of a weight factor in one adjustment.
 const MIN_WEIGHT_STEP_RATIO: f64 = 0.2;
-/// Largest increase of a weight factor in one adjustment.
+/// Factor of the largest increase of a weight factor in one adjustment.
 const MAX_WEIGHT_STEP_RATIO: f64 = 1.6;
 /// Least weight factor of a worker; above 0, so that some tries still show whether the worker has recovered.
 const MIN_WEIGHT_FACTOR: f64 = 0.05;
@@ -62,15 +62,15 @@
         let failure_cost = 2.0 * objectives.fold(0.0, f64::max);
         let window_start = now - 2.0 * report_delay;
         let peers: Vec<_> = self.workers.values().map(|w| self.sum_samples(w, window_start)).collect();
-        let tries: f64 = peers.iter().map(|peer| peer.tries).sum();
+        let total_tries: f64 = peers.iter().map(|peer| peer.tries).sum();
         let total_cost =
             peers.iter().map(|peer| peer.success_time + peer.failed_tries * failure_cost).sum::<f64>();
-        let mean_cost = total_cost / tries;
+        let mean_cost = total_cost / total_tries;
         let mean_utilization = mean(peers.iter().filter_map(|peer| peer.utilization));
-        let ready = || self.workers.values().filter(|worker| worker.listed.phase == Phase::Ready);
-        let fleet_weight: f64 = ready().map(|worker| worker.listed.weight).sum();
-        let low = ready().filter(|worker| worker.weight_factor < LOW_WEIGHT_FACTOR);
-        let mut low_weight: f64 = low.map(|worker| worker.listed.weight).sum();
+        let ready_workers = || self.workers.values().filter(|worker| worker.listed.phase == Phase::Ready);
+        let fleet_weight: f64 = ready_workers().map(|worker| worker.listed.weight).sum();
+        let low_workers = ready_workers().filter(|worker| worker.weight_factor < LOW_WEIGHT_FACTOR);
+        let mut low_weight: f64 = low_workers.map(|worker| worker.listed.weight).sum();
         for id in self.workers.keys().copied().collect::<Vec<WorkerId>>() {
             let worker = &self.workers[&id];
             let own = self.sum_samples(worker, worker.weight_adjusted_at + report_delay);
@@ -79,9 +79,9 @@
             if let (Some(own_utilization), Some(mean_utilization)) = (own.utilization, mean_utilization) {
                 cost_ratio = (cost_ratio * (own_utilization / mean_utilization.max(0.1)).max(0.2)).sqrt();
             }
-            let early = now < worker.weight_adjusted_at + 2.0 * self.settings.report_period;
-            if early
-                || own_tries.min(tries - own_tries) < MIN_EVIDENCE_COUNT
+            let adjusted_recently = now < worker.weight_adjusted_at + 2.0 * self.settings.report_period;
+            if adjusted_recently
+                || own_tries.min(total_tries - own_tries) < MIN_EVIDENCE_COUNT
                 || cost_ratio > 1.0 / WEIGHT_DEADBAND_RATIO && cost_ratio < WEIGHT_DEADBAND_RATIO
             {
                 continue;
@@ -108,18 +108,18 @@
         }
     }
 
-    /// The listed weight by weight factor and warm-up; 0 if the worker is not ready.
+    /// The listed weight times the weight factor and the warm-up ratio; 0 if the worker is not ready.
     pub(crate) fn effective_weight(&self, worker: &Worker) -> f64 {
         let ready = f64::from(u8::from(worker.listed.phase == Phase::Ready));
         ready * worker.listed.weight * worker.weight_factor * self.warm_up_ratio(&worker.listed)
     }
 
-    /// Ratio of its weight that a cold worker gets in a group of tables: what overloaded workers lose would move
-    /// onto those that have just started.
+    /// Ratio of its weight that a cold worker gets in a group of tables. It falls with the group's effective
+    /// weight: what overloaded workers lose would otherwise move onto those that have just started.
     pub(crate) fn cold_weight_ratio(&self, workers: &[&Worker], effective_weight: f64) -> f64 {
-        let present = || workers.iter().filter(|worker| worker.listed.phase != Phase::Gone);
-        let present_weight = present().map(|worker| worker.listed.weight).sum::<f64>().max(1e-9);
-        let warm = present().filter(|worker| {
+        let present_workers = || workers.iter().filter(|worker| worker.listed.phase != Phase::Gone);
+        let present_weight = present_workers().map(|worker| worker.listed.weight).sum::<f64>().max(1e-9);
+        let warm = present_workers().filter(|worker| {
             worker.listed.phase == Phase::Ready && self.warm_up_ratio(&worker.listed) >= 1.0
         });
         let warm_weight = warm.map(|worker| worker.listed.weight).sum::<f64>();
@@ -127,8 +127,8 @@
         // Near overload, a cold worker gets nothing where proxies avoid workers that failed them, as it may be all
         // that is left to pick; elsewhere it gets half.
         let kept_out = self.settings.proxies_avoid_outliers || self.partition_count > 0;
-        let none = self.near_overload && kept_out && 2.0 * warm_weight > present_weight;
-        let spared_ratio = if none { 0.0 } else { (overload_factor / 4.0).min(1.0) };
+        let gets_none = self.near_overload && kept_out && 2.0 * warm_weight > present_weight;
+        let spared_ratio = if gets_none { 0.0 } else { (overload_factor / 4.0).min(1.0) };
         let halved =
             self.near_overload && (self.partition_count > 0 || !self.settings.proxies_avoid_outliers);
         let near_overload_ratio = if halved { NEAR_OVERLOAD_COLD_RATIO } else { 1.0 };
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -149,9 +149,9 @@
                     self.excluded.remove(worker);
                 }
                 Order::Bind { table, proxy, .. } => self.bindings.entry(*proxy).or_default().push(*table),
-                Order::SetAdmission { scope: reach, ops, level, retry } => {
+                Order::SetAdmission { scope, ops, level, retry } => {
                     self.admissions.push((*level, *retry));
-                    if let AdmissionScope::Table(table) = reach {
+                    if let AdmissionScope::Table(table) = scope {
                         self.levels.insert((*table, OpId(ops.trailing_zeros() as u8)), *level);
                     }
                 }
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -52,8 +52,8 @@
 
 #[test]
 fn largest_change_is_sent_first_when_backlog_is_nearly_full() {
-    let small = Settings { max_pending_lines: 30.0, ..settings() };
-    let mut host = Host::running(small, 4, 1);
+    let small_backlog = Settings { max_pending_lines: 30.0, ..settings() };
+    let mut host = Host::running(small_backlog, 4, 1);
     let both = list_change(vec![
         WorkerEntry { weight: 1.5, ..entry(0, Phase::Ready) },
         WorkerEntry { weight: 9.0, ..entry(3, Phase::Ready) },
@@ -129,7 +129,11 @@
     assert_eq!(line_count(&orders), 0, "lines in force are not sent again");
     host.advance(600.0, &[weight_change(1, 3.0)]);
     let left = [Event::Left { proxy: ProxyId(0) }, Event::Left { proxy: ProxyId(1) }];
-    assert_eq!(line_count(&host.advance(50.0, &left)), 1, "idle again, as no proxy is left to acknowledge");
+    assert_eq!(
+        line_count(&host.advance(50.0, &left)),
+        1,
+        "the line is idle again, as no proxy is left to acknowledge it"
+    );
     host.advance(600.0, &[joined(0)]);
     assert_eq!(host.weight(1), 3.0);
     assert_eq!(host.bindings[&ProxyId(0)].len(), 2);
@@ -141,10 +145,10 @@
     let mut host = Host::new(slow_channel);
     host.turn(&[list(ListKind::Remembered, (0..10).map(|worker| entry(worker, Phase::Ready)).collect())]);
     host.advance(10.0, &(0..8).map(joined).collect::<Vec<_>>());
-    let bound = host.bindings.len();
-    assert!((1..=2).contains(&bound), "18 lines each: {bound} bound");
+    let bound_count = host.bindings.len();
+    assert!((1..=2).contains(&bound_count), "a bind takes 18 lines: {bound_count} proxies are bound");
     host.advance(400.0, &[]);
-    assert_eq!(host.bindings.len(), bound, "without acknowledgements there is no more room");
+    assert_eq!(host.bindings.len(), bound_count, "without acknowledgements there is no more room");
     for _ in 0..8 {
         let mark = *host.marks.last().unwrap();
         let answer = |proxy: &ProxyId| Event::MarkAcknowledged { mark, took: 1.0, proxy: *proxy };
@@ -167,8 +171,8 @@
         }
     }
     for worker in 1..5 {
-        for back in [false, true] {
-            let phase = if back { Phase::Ready } else { Phase::Draining };
+        for returns in [false, true] {
+            let phase = if returns { Phase::Ready } else { Phase::Draining };
             host.advance(200.0, &[list_change(vec![entry(worker, phase)])]);
             host.acknowledge(2);
         }
@@ -193,12 +197,12 @@
     assert!(weights.windows(2).all(|pair| pair[0] <= pair[1]));
     assert_eq!(weights[20], 1.0);
     weights.dedup();
-    assert!(weights.len() <= 5, "few steps: {weights:?}");
+    assert!(weights.len() <= 5, "the weight rises in at most 4 steps: {weights:?}");
 }
 
 #[test]
 fn cold_worker_gets_less_weight_when_more_workers_are_gone() {
-    let entry = |gone: u32| {
+    let weight_with_gone = |gone: u32| {
         let low_overload_factor = Settings { overload_factor: 2.5, ..settings() };
         let mut host = Host::running(low_overload_factor, 8, 2);
         let mut entries: Vec<WorkerEntry> = (0..gone).map(|worker| entry(worker, Phase::Gone)).collect();
@@ -207,14 +211,14 @@
         host.run_seconds(1, 2, &[]);
         host.weight(7)
     };
-    assert!(entry(5) < entry(1));
+    assert!(weight_with_gone(5) < weight_with_gone(1));
 }
 
 #[test]
 fn restricted_operation_has_its_own_table() {
-    let mut some = settings();
-    some.operations[1].zones = Some(vec![ZoneId(1)]);
-    let mut host = Host::running(some, 4, 2);
+    let mut restricted = settings();
+    restricted.operations[1].zones = Some(vec![ZoneId(1)]);
+    let mut host = Host::running(restricted, 4, 2);
     assert_eq!(host.bindings[&ProxyId(0)], vec![FIRST_TABLE, TableId(1)]);
     let second_table_workers: Vec<u32> =
         host.weights.keys().filter(|(table, _)| *table != FIRST_TABLE).map(|(_, worker)| worker.0).collect();
@@ -269,17 +273,17 @@
 #[test]
 fn low_weight_is_limited_to_part_of_fleet() {
     let mut host = Host::running(settings(), 10, 2);
-    let failing = |worker: u32| {
+    let report = |worker: u32| {
         if worker < 5 {
             worker_report(worker, 10.0, 10.0, 0.0)
         } else {
             worker_report(worker, 20.0, 0.0, 50.0)
         }
     };
-    let reports: Vec<Event> = (0..10).map(failing).collect();
+    let reports: Vec<Event> = (0..10).map(report).collect();
     host.run_seconds(20, 2, &reports);
     let low = (0..10).filter(|worker| host.weight(*worker) < 0.5).count();
-    assert!((1..=3).contains(&low), "{low} of 10");
+    assert!((1..=3).contains(&low), "{low} of 10 workers have a low weight");
 }
 
 #[test]
@@ -351,12 +355,12 @@
 #[test]
 fn restarted_manager_binds_all_proxies_again() {
     let mut host = Host::running(settings(), 4, 3);
-    let seen = host.bindings.len();
+    let bound_before = host.bindings.len();
     host.planner = juniperrail::Planner::new(host.now, 8, settings());
     host.bindings.clear();
     host.turn(&[list(ListKind::Remembered, (0..4).map(|worker| entry(worker, Phase::Ready)).collect())]);
     host.advance(50.0, &(0..3).map(joined).collect::<Vec<_>>());
-    assert_eq!((seen, host.bindings.len()), (3, 3));
+    assert_eq!((bound_before, host.bindings.len()), (3, 3));
 }
 
 #[test]
@@ -409,9 +413,9 @@
 
 #[test]
 fn unrestricted_operation_prefers_workers_without_restricted_load() {
-    let mut some = settings();
-    some.operations[1].zones = Some(vec![ZoneId(1)]);
-    let mut host = Host::running(some, 6, 2);
+    let mut restricted = settings();
+    restricted.operations[1].zones = Some(vec![ZoneId(1)]);
+    let mut host = Host::running(restricted, 6, 2);
     host.run_seconds(2, 2, &[]);
     assert!(host.weight(1) <= 0.5 * host.weight(0), "{} {}", host.weight(1), host.weight(0));
     assert_eq!(host.weights[&(TableId(1), WorkerId(1))], 1.0);
@@ -460,8 +464,9 @@
     for _ in 0..12 {
         let orders = host.advance(1000.0, &reports);
         host.acknowledge(2);
-        let cut = |order: &Order| matches!(order, Order::Log { text, .. } if text.starts_with("admitting "));
-        cuts.extend(orders.iter().any(cut).then_some(host.now));
+        let is_cut =
+            |order: &Order| matches!(order, Order::Log { text, .. } if text.starts_with("admitting "));
+        cuts.extend(orders.iter().any(is_cut).then_some(host.now));
     }
     assert!(cuts.len() > 1, "cuts continue while the overload does");
     let report_delay = settings().report_period + settings().max_transit;
@@ -470,7 +475,7 @@
 
 #[test]
 fn admission_recovers_faster_at_lower_latency() {
-    let returns = |each: Ms| {
+    let rise = |each: Ms| {
         let mut host = Host::running(settings(), 8, 2);
         let reports = |failing: f64, each: Ms| {
             (0..8).map(|worker| worker_report(worker, 10.0, failing, each)).collect::<Vec<Event>>()
@@ -480,7 +485,7 @@
         host.run_seconds(3, 2, &reports(0.0, each));
         host.levels[&(FIRST_TABLE, OpId(0))] / low
     };
-    let (calm, calmer) = (returns(160.0), returns(100.0));
+    let (calm, calmer) = (rise(160.0), rise(100.0));
     assert!(calmer > 1.25 * calm, "{calm} {calmer}");
 }
 
@@ -495,10 +500,13 @@
     host.admissions.clear();
     host.run_seconds(30, 2, &calm);
     let levels: Vec<f64> = host.admissions.iter().step_by(2).map(|admission| admission.0).collect();
-    let risen = |pair: &[f64]| pair[1] / pair[0];
-    assert!(levels.windows(2).filter(|pair| pair[0] >= 0.8).all(|pair| risen(pair) <= 1.11), "{levels:?}");
-    let quick = |pair: &[f64]| pair[1] > 0.5 && risen(pair) > 1.2;
-    assert!(levels.windows(2).any(quick), "successive cuts count as one overload: {levels:?}");
+    let raise_ratio = |pair: &[f64]| pair[1] / pair[0];
+    assert!(
+        levels.windows(2).filter(|pair| pair[0] >= 0.8).all(|pair| raise_ratio(pair) <= 1.11),
+        "{levels:?}"
+    );
+    let is_quick_raise = |pair: &[f64]| pair[1] > 0.5 && raise_ratio(pair) > 1.2;
+    assert!(levels.windows(2).any(is_quick_raise), "successive cuts count as one overload: {levels:?}");
     assert_eq!(levels.last(), Some(&1.0));
 }
 
@@ -556,44 +564,52 @@
     let mut host = Host::running(settings(), 60, 60);
     host.run_seconds(4, 60, &[]);
     assert_eq!(host.bindings.len(), 60);
-    let read: std::collections::BTreeSet<TableId> = host.bindings.values().flatten().copied().collect();
-    let width = |table: &TableId| host.weights.keys().filter(|(of, _)| of == table).count();
-    assert!(read.len() >= 3 && read.iter().all(|table| (16..30).contains(&width(table))), "{read:?}");
-    assert_eq!(read.iter().map(width).sum::<usize>(), 60, "each worker is in one partition");
-    let readers = |table: &TableId| host.bindings.values().filter(|bound| bound.contains(table)).count();
-    assert!(read.iter().all(|table| (15..26).contains(&readers(table))));
+    let bound_tables: std::collections::BTreeSet<TableId> =
+        host.bindings.values().flatten().copied().collect();
+    let width = |table: &TableId| host.weights.keys().filter(|(line_table, _)| line_table == table).count();
+    assert!(
+        bound_tables.len() >= 3 && bound_tables.iter().all(|table| (16..30).contains(&width(table))),
+        "{bound_tables:?}"
+    );
+    assert_eq!(bound_tables.iter().map(width).sum::<usize>(), 60, "each worker is in one partition");
+    let proxy_count = |table: &TableId| host.bindings.values().filter(|bound| bound.contains(table)).count();
+    assert!(bound_tables.iter().all(|table| (15..26).contains(&proxy_count(table))));
 }
 
 #[test]
 fn all_expected_proxies_can_be_bound_within_half_the_drain_grace() {
     let (backlog, managers, proxies) = (60_000.0, 5.0, 300.0);
-    let all = Settings {
+    let timed_settings = Settings {
         channel_rate: 2000.0,
         max_pending_lines: backlog,
         manager_count: managers,
         proxy_count: proxies,
         ..settings()
     };
-    let all = Settings { drain_grace: 6000.0, ..all };
-    let mut host = Host::running(all.clone(), 96, 60);
+    let timed_settings = Settings { drain_grace: 6000.0, ..timed_settings };
+    let mut host = Host::running(timed_settings.clone(), 96, 60);
     host.run_seconds(4, 60, &[]);
     for (proxy, bound) in &host.bindings {
-        let width = host.weights.keys().filter(|(of, _)| bound.contains(of)).count();
-        let round = proxies * (width as f64 + all.message_overhead) * 1000.0 / all.channel_rate;
-        assert!(width > 0 && round <= all.drain_grace / 2.0, "{proxy:?}: {width} lines, {round} ms");
+        let width = host.weights.keys().filter(|(line_table, _)| bound.contains(line_table)).count();
+        let bind_all_ms =
+            proxies * (width as f64 + timed_settings.message_overhead) * 1000.0 / timed_settings.channel_rate;
+        assert!(
+            width > 0 && bind_all_ms <= timed_settings.drain_grace / 2.0,
+            "{proxy:?}: {width} lines, {bind_all_ms} ms"
+        );
     }
 }
 
 #[test]
 fn repeated_reconnects_do_not_exceed_message_limit() {
     let mut host = Host::running(Settings { max_messages_per_window: 12.0, ..settings() }, 4, 2);
-    let sent = host.bindings[&ProxyId(0)].len();
+    let first_bind_count = host.bindings[&ProxyId(0)].len();
     for _ in 0..20 {
         host.advance(300.0, &[Event::Left { proxy: ProxyId(0) }, joined(0)]);
         host.acknowledge(2);
     }
-    let again = host.bindings[&ProxyId(0)].len() - sent;
-    assert!((6..12).contains(&again), "bound {again} times in 8 s, after a first");
+    let rebind_count = host.bindings[&ProxyId(0)].len() - first_bind_count;
+    assert!((6..12).contains(&rebind_count), "bound {rebind_count} times again in 8 s");
 }
 
 #[test]
@@ -607,16 +623,16 @@
     let mut host = Host::running(Settings { drain_grace: 14_000.0, ..limited }, 40, 20);
     host.run_seconds(4, 20, &[]);
     let draining = (0..30).map(|worker| entry(worker, Phase::Draining)).collect();
-    let holds = |orders: &[Order]| {
+    let has_exclusion = |orders: &[Order]| {
         orders.iter().any(|order| matches!(order, Order::ExcludeWorker { excluded: true, .. }))
     };
-    let mut messages = usize::from(holds(&host.advance(100.0, &[list_change(draining)])));
+    let mut messages = usize::from(has_exclusion(&host.advance(100.0, &[list_change(draining)])));
     for step in 0..80 {
         // Some proxies acknowledge, so that there is room for one or two exclusions at a time.
         let mark = *host.marks.last().unwrap();
-        let some = (0..12).map(|proxy| ProxyId((step * 12 + proxy) % 20));
-        let answers = some.map(|proxy| Event::MarkAcknowledged { mark, took: 100.0, proxy });
-        messages += usize::from(holds(&host.advance(100.0, &answers.collect::<Vec<_>>())));
+        let acknowledging = (0..12).map(|proxy| ProxyId((step * 12 + proxy) % 20));
+        let answers = acknowledging.map(|proxy| Event::MarkAcknowledged { mark, took: 100.0, proxy });
+        messages += usize::from(has_exclusion(&host.advance(100.0, &answers.collect::<Vec<_>>())));
     }
     assert!((2..6).contains(&messages), "{messages} messages in 8 s");
     host.run_seconds(4, 20, &[]);
@@ -632,18 +648,18 @@
     host.advance(100.0, &[list_change(draining.chain(added).collect())]);
     host.run_seconds(1, 20, &[]);
     assert!((0..8).all(|worker| host.is_excluded(worker)));
-    let mut order = Vec::new();
+    let mut sent_lines = Vec::new();
     for _ in 0..40 {
         for orders in [host.advance(300.0, &[]), host.acknowledge(20)] {
-            order.extend(orders.iter().filter_map(|order| match order {
+            sent_lines.extend(orders.iter().filter_map(|order| match order {
                 Order::SetLine { table: FIRST_TABLE, worker, weight } => Some((*weight > 0.0, worker.0)),
                 _ => None,
             }));
         }
     }
-    let last = order.iter().rposition(|(enters, worker)| *enters && *worker >= 16);
-    let first = order.iter().position(|(enters, _)| !enters);
-    assert!(last.unwrap() < first.unwrap(), "{order:?}");
+    let last_new_line = sent_lines.iter().rposition(|(enters, worker)| *enters && *worker >= 16);
+    let first_removal = sent_lines.iter().position(|(enters, _)| !enters);
+    assert!(last_new_line.unwrap() < first_removal.unwrap(), "{sent_lines:?}");
 }
 
 #[test]
@@ -652,11 +668,11 @@
     for (workers, own_zone_only) in [(6, false), (6, true), (80, false)] {
         let operations = vec![Operation { own_zone_only, ..operation() }, operation()];
         let mut host = Host::new(Settings { operations, ..expensive_crossing.clone() });
-        let elsewhere = |worker: u32| WorkerEntry {
+        let entry_by_number = |worker: u32| WorkerEntry {
             zone: ZoneId(if worker.is_multiple_of(3) { 9 } else { (worker % 2) as u16 }),
             ..entry(worker, Phase::Ready)
         };
-        host.turn(&[list(ListKind::Remembered, (0..workers).map(elsewhere).collect())]);
+        host.turn(&[list(ListKind::Remembered, (0..workers).map(entry_by_number).collect())]);
         let joined = |proxy| Event::Joined {
             proxy: ProxyId(proxy),
             fresh: true,
@@ -677,22 +693,22 @@
 #[test]
 fn reports_of_tries_before_first_cut_cause_no_second_cut() {
     let mut host = Host::running(settings(), 8, 2);
-    let reports = |failing: f64, mean: f64| {
-        (0..8).map(|worker| worker_report(worker, 20.0, failing, mean)).collect::<Vec<_>>()
+    let reports = |failing: f64, mean_latency: Ms| {
+        (0..8).map(|worker| worker_report(worker, 20.0, failing, mean_latency)).collect::<Vec<_>>()
     };
-    let cuts = |orders: &[Order]| {
+    let cut_count = |orders: &[Order]| {
         let matches_text = |o: &Order| matches!(o, Order::Log { text, .. } if text.starts_with("admitting "));
         orders.iter().filter(|order| matches_text(order)).count()
     };
-    let mut first = 0;
-    while first == 0 {
-        first = cuts(&host.advance(200.0, &reports(12.0, 900.0)));
+    let mut first_cut_count = 0;
+    while first_cut_count == 0 {
+        first_cut_count = cut_count(&host.advance(200.0, &reports(12.0, 900.0)));
     }
     // Reports of tries from before the cut arrive for 1.75 report delays; after that all reports are good.
     let (cut_at, settings) = (host.now, settings());
-    let heard = 1.75 * (settings.report_period + settings.max_transit);
-    while host.now + 100.0 <= cut_at + heard {
-        assert_eq!(cuts(&host.advance(100.0, &reports(12.0, 900.0))), 0);
+    let late_reports_duration = 1.75 * (settings.report_period + settings.max_transit);
+    while host.now + 100.0 <= cut_at + late_reports_duration {
+        assert_eq!(cut_count(&host.advance(100.0, &reports(12.0, 900.0))), 0);
     }
     let level = host.levels.values().copied().fold(1.0, f64::min);
     for _ in 0..10 {
@@ -740,7 +756,7 @@
 
 #[test]
 fn deployment_line_cost_is_linear_in_fleet_size() {
-    let cost = |size: u32| {
+    let lines_per_worker = |size: u32| {
         let mut host = Host::running(settings(), size, size as u16);
         host.run_seconds(10, size as u16, &[]);
         let draining: Vec<WorkerEntry> = (0..size / 4).map(|worker| entry(worker, Phase::Draining)).collect();
@@ -751,15 +767,21 @@
         assert!((0..size / 4).all(|worker| host.is_excluded(worker)));
         sent as f64 / f64::from(size)
     };
-    assert!(cost(240) < 1.5 * cost(60), "{} {}", cost(240), cost(60));
+    assert!(
+        lines_per_worker(240) < 1.5 * lines_per_worker(60),
+        "{} {}",
+        lines_per_worker(240),
+        lines_per_worker(60)
+    );
 }
 
 #[test]
 fn unusual_sizes_neither_panic_nor_stall() {
-    for (workers, proxies, most) in [(1, 1, 2000.0), (1, 40, 60.0), (400, 1, 100.0), (300, 3, 500.0)] {
-        let mut host = Host::running(Settings { max_pending_lines: most, ..settings() }, workers, proxies);
+    for (workers, proxies, max_lines) in [(1, 1, 2000.0), (1, 40, 60.0), (400, 1, 100.0), (300, 3, 500.0)] {
+        let mut host =
+            Host::running(Settings { max_pending_lines: max_lines, ..settings() }, workers, proxies);
         host.run_seconds(20, proxies, &[]);
-        assert_eq!(host.bindings.len(), usize::from(proxies), "{workers} workers, {most} lines");
+        assert_eq!(host.bindings.len(), usize::from(proxies), "{workers} workers, {max_lines} lines");
     }
 }
 
@@ -767,16 +789,16 @@
 fn partition_short_of_weight_admits_less_near_overload() {
     let mut host = Host::running(settings(), 60, 60);
     host.run_seconds(4, 60, &[]);
-    let part = *host.bindings[&ProxyId(0)].last().unwrap();
+    let partition_table = *host.bindings[&ProxyId(0)].last().unwrap();
     let members: Vec<u32> =
-        host.weights.keys().filter(|(table, _)| *table == part).map(|key| key.1 .0).collect();
+        host.weights.keys().filter(|(table, _)| *table == partition_table).map(|key| key.1 .0).collect();
     let reports: Vec<Event> = (0..60).map(|worker| worker_report(worker, 10.0, 3.0, 500.0)).collect();
     let gone = members.iter().skip(2).map(|worker| entry(*worker, Phase::Gone)).collect();
     host.advance(100.0, &[list_change(gone)]);
     host.run_seconds(6, 60, &reports);
     let levels = host.levels.iter().filter(|((_, op), _)| *op == OpId(0));
-    let least = levels.min_by(|a, b| a.1.total_cmp(b.1)).unwrap();
-    assert_eq!(least.0 .0, part, "{:?}", host.levels);
+    let lowest = levels.min_by(|a, b| a.1.total_cmp(b.1)).unwrap();
+    assert_eq!(lowest.0 .0, partition_table, "{:?}", host.levels);
 }
 
 #[test]
@@ -855,7 +877,7 @@
     let mut host = Host::running(settings(), 4, 3);
     assert_eq!(host.planner.synced_proxy_count(&workers), 3, "nothing is pending");
     host.advance(600.0, &[list_change(vec![entry(1, Phase::Draining)])]);
-    assert_eq!(host.planner.synced_proxy_count(&workers), 0, "sent and not acknowledged");
+    assert_eq!(host.planner.synced_proxy_count(&workers), 0, "the exclusion is sent and not acknowledged");
     let mark = *host.marks.last().unwrap();
     let answer = |proxy| Event::MarkAcknowledged { mark, took: 1.0, proxy: ProxyId(proxy) };
     host.advance(50.0, &[answer(0), answer(2)]);
