--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -35,7 +35,7 @@
     pub operator_file: Option<PathBuf>,
 
     /// Format of the log on standard error.
-    #[arg(long, env = "JUNIPERRAIL_LOG", value_enum, default_value_t, value_name = "FORMAT")]
+    #[arg(long, env = "JUNIPERRAIL_LOG", value_enum, default_value_t, value_name = "FORM")]
     pub log: LogFormat,
 
     #[command(subcommand)]
