--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -13,12 +13,12 @@
 //! zones stays in force), spill limited by the known free capacity of the receivers, and no oscillation on stale
 //! load figures, because no step is shorter than the age of the data it is based on.
 
+mod controller;
 mod evidence;
 mod health;
-mod pilot;
 mod plan;
 
+pub use controller::{FailoverConfig, FailoverController};
 pub use evidence::{Evidence, EvidenceAccumulator, Zone, ZonePairStats};
 pub use health::{assess_zone, FleetView, ZoneHealth, MIN_TRIES};
-pub use pilot::{FailoverConfig, FailoverController};
 pub use plan::{ActivePlan, Plan, ZoneShare};
--- a/crates/gangs/src/lib.rs
+++ b/crates/gangs/src/lib.rs
@@ -11,10 +11,10 @@
 //! The [`Mitigation`] depends on the cause and on a [`Budget`] of extra work. The ideas are those published for LATE
 //! (progress rates), Mantri (mitigation by cause, only where it saves time) and Dolly (clones within a budget).
 
-mod answer;
 mod gang;
+mod mitigation;
 mod progress;
 
-pub use answer::{Budget, Mitigation};
 pub use gang::{Cause, Gang, Verdict};
+pub use mitigation::{Budget, Mitigation};
 pub use progress::{Attempt, PartId, ProgressReport, WorkerKind};
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -14,13 +14,13 @@
 //! Fencing tokens are indices of the consensus log. An executor that rejects lower tokens than it has seen never runs a
 //! superseded claim.
 
+mod claim_tracker;
 mod decide;
-mod duty;
 mod ledger;
 mod timing;
 
+pub use claim_tracker::{ClaimProgress, ClaimTask, ClaimTracker};
 pub use decide::{propose_commands, CatchUp, LeaderState, Schedule, MAX_COMMANDS_PER_PASS};
-pub use duty::{ClaimProgress, ClaimTask, ClaimTracker};
 pub use ledger::{
     Action, Claim, Command, EndedOccurrence, Ledger, Occurrence, OccurrenceOutcome, OpenOccurrence,
     OverlapPolicy, ScheduleRecord, SkipReason, TryOutcome,
