--- a/src/updates.rs
+++ b/src/updates.rs
@@ -2,7 +2,7 @@
 
 use crate::{Planner, Table, UpdateKey, UpdateState};
 use juniperrail_interface::*;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 impl Planner {
     /// Composes a write onto the pending updates: the later write wins, and an unacknowledged one counts as not
@@ -58,7 +58,8 @@
     }
 
     /// Adds a pair of ordered updates. Where it closes a cycle, the oldest pair of the cycle is removed, and the
-    /// predecessors of its first update are linked to the successors of its second.
+    /// predecessors of its first update are linked to the successors of its second. A link that would itself close a
+    /// cycle is left out: otherwise links could bring removed pairs back, and the loop would not end.
     fn order_before(&mut self, first: UpdateKey, second: UpdateKey) {
         self.ordered_pairs.insert((first, second), self.now);
         while let Some(cycle) = self.shortest_cycle(first) {
@@ -67,27 +68,44 @@
             };
             let oldest = cycle.into_iter().min_by(by_age).expect("a cycle has pairs");
             let added_at = self.ordered_pairs.remove(&oldest).expect("a known pair");
-            let pairs: Vec<(UpdateKey, UpdateKey)> = self.ordered_pairs.keys().copied().collect();
-            for (predecessor, _) in pairs.iter().filter(|pair| pair.1 == oldest.0) {
-                let successors = pairs.iter().filter(|pair| pair.0 == oldest.1 && pair.1 != *predecessor);
-                successors.for_each(|pair| {
-                    _ = self.ordered_pairs.entry((*predecessor, pair.1)).or_insert(added_at)
-                });
+            let predecessors: Vec<UpdateKey> =
+                self.ordered_pairs.keys().filter(|pair| pair.1 == oldest.0).map(|pair| pair.0).collect();
+            let successors: Vec<UpdateKey> = self.successors(oldest.1).collect();
+            for successor in successors {
+                let reachable = self.reachable_from(successor);
+                for predecessor in predecessors.iter().filter(|key| !reachable.contains(key)) {
+                    self.ordered_pairs.entry((*predecessor, successor)).or_insert(added_at);
+                }
             }
         }
     }
 
+    /// The updates that are ordered directly after an update.
+    fn successors(&self, key: UpdateKey) -> impl Iterator<Item = UpdateKey> + '_ {
+        let last_key = UpdateKey::Level(TableId(u16::MAX), OpId(u8::MAX));
+        let pairs = self.ordered_pairs.range((key, UpdateKey::Exclusion(WorkerId(0)))..=(key, last_key));
+        pairs.map(|(pair, _)| pair.1)
+    }
+
+    /// An update and all updates that are ordered after it, directly or through others.
+    fn reachable_from(&self, key: UpdateKey) -> BTreeSet<UpdateKey> {
+        let mut reachable = BTreeSet::from([key]);
+        let mut queue = VecDeque::from([key]);
+        while let Some(reached) = queue.pop_front() {
+            queue.extend(self.successors(reached).filter(|successor| reachable.insert(*successor)));
+        }
+        reachable
+    }
+
     /// The pairs of a shortest cycle through a key, by breadth-first search: no recursion, since its depth would grow
     /// with the fleet.
     fn shortest_cycle(&self, through: UpdateKey) -> Option<Vec<(UpdateKey, UpdateKey)>> {
-        let last_key = UpdateKey::Level(TableId(u16::MAX), OpId(u8::MAX));
         let mut reached_from = BTreeMap::new();
         let mut queue = VecDeque::from([through]);
         while let Some(reached) = queue.pop_front() {
-            let successors = (reached, UpdateKey::Exclusion(WorkerId(0)))..=(reached, last_key);
-            for (pair, _) in self.ordered_pairs.range(successors) {
-                if pair.1 == through {
-                    let mut cycle = vec![*pair];
+            for successor in self.successors(reached) {
+                if successor == through {
+                    let mut cycle = vec![(reached, successor)];
                     let mut second = reached;
                     while let Some(first) = reached_from.get(&second) {
                         cycle.push((*first, second));
@@ -95,8 +113,8 @@
                     }
                     return Some(cycle);
                 }
-                reached_from.entry(pair.1).or_insert_with(|| {
-                    queue.push_back(pair.1);
+                reached_from.entry(successor).or_insert_with(|| {
+                    queue.push_back(successor);
                     reached
                 });
             }
