--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -6,7 +6,7 @@
 
 use juniperrail_client::{Client, ClientError, Commit};
 use juniperrail_model::xml::Element;
-use juniperrail_standins::{Proxies, Rules};
+use juniperrail_standins::{Proxies, RuleChecker};
 
 use crate::report::Report;
 use crate::town::{Size, Town, MANAGER};
@@ -118,7 +118,9 @@
     });
     let numbers = |of: usize| (of as u16 * PROXIES)..((of as u16 + 1) * PROXIES);
     for (of, proxies) in proxies.iter().enumerate() {
-        proxies.until("tables", |rules| numbers(of).all(|proxy| rules.holds(proxy).len() == WORKERS));
+        proxies.wait_until("tables", |rules| {
+            numbers(of).all(|proxy| rules.routable_workers(proxy).len() == WORKERS)
+        });
     }
     let (mut taken, mut refused, mut unlike, mut unsaid, mut mixed, mut wrong, mut late) =
         (0, 0, 0, 0, 0, 0, 0);
@@ -145,11 +147,13 @@
                 }
                 odd
             };
-            let asked = proxies.each_ref().map(Proxies::now);
+            let asked = proxies.each_ref().map(Proxies::now_ms);
             // Who comes back may be told to the proxies before the answer to the commit is here.
             let back: Vec<usize> = will.difference(&was).copied().collect();
             for proxies in &proxies {
-                proxies.rules(|rules| back.iter().for_each(|worker| rules.returns(&town.worker(*worker))));
+                proxies.with_rules(|rules| {
+                    back.iter().for_each(|worker| rules.cancel_removal(&town.worker(*worker)))
+                });
             }
             let (one, other, odd) = tokio::join!(changed(first, &config), changed(second, &config), reading);
             mixed += odd;
@@ -173,10 +177,12 @@
                 wishes = after;
             }
             for (of, proxies) in proxies.iter().enumerate() {
-                let leaves = |rules: &mut Rules| {
-                    leaving.iter().for_each(|(worker, since)| rules.leaves(&town.worker(*worker), since[of]));
+                let leaves = |rules: &mut RuleChecker| {
+                    leaving
+                        .iter()
+                        .for_each(|(worker, since)| rules.start_removal(&town.worker(*worker), since[of]));
                 };
-                proxies.rules(leaves);
+                proxies.with_rules(leaves);
             }
             let expected = ready(&wishes);
             for (of, reader) in readers.iter_mut().enumerate() {
@@ -191,7 +197,7 @@
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 let picks = |proxy: u16| {
-                    let holds = proxies[of].rules(|rules| rules.holds(proxy));
+                    let holds = proxies[of].with_rules(|rules| rules.routable_workers(proxy));
                     holds.keys().filter_map(|name| name[2..].parse().ok()).collect::<BTreeSet<usize>>()
                 };
                 mixed += numbers(of).filter(|proxy| picks(*proxy) != expected).count() as u32;
@@ -207,7 +213,7 @@
     report.bound("readings or proxies with a mixture", mixed, mixed == 0);
     report.bound("changes not held in time", late, late == 0);
     let broken: Vec<_> =
-        proxies.iter().flat_map(|proxies| proxies.rules(|rules| rules.broken.clone())).collect();
+        proxies.iter().flat_map(|proxies| proxies.with_rules(|rules| rules.violations.clone())).collect();
     let first =
         broken.first().map_or("none".to_string(), |first| format!("{first:?} and {} more", broken.len() - 1));
     report.bound("rules broken", first, broken.is_empty());
--- a/crates/lab/src/netconf.rs
+++ b/crates/lab/src/netconf.rs
@@ -34,8 +34,9 @@
 
 fn joined(town: &Town, manager: &Running) -> Proxies {
     let proxies = Proxies::start(manager.address, 0, PROXIES, &["a", "b", "c"], town.rules());
-    proxies
-        .until("every proxy has a table", |rules| (0..PROXIES).all(|proxy| rules.holds(proxy).len() >= 10));
+    proxies.wait_until("every proxy has a table", |rules| {
+        (0..PROXIES).all(|proxy| rules.routable_workers(proxy).len() >= 10)
+    });
     proxies
 }
 
@@ -91,7 +92,7 @@
         );
     }
     report.bound("commits that not all proxies held", unheld, unheld == 0);
-    let broken = proxies.rules(|rules| rules.broken.len());
+    let broken = proxies.with_rules(|rules| rules.violations.len());
     report.bound("rules broken meanwhile", broken, broken == 0);
 }
 
--- a/crates/lab/src/town.rs
+++ b/crates/lab/src/town.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
 use juniperrail_client::{Client, Endpoint};
-use juniperrail_standins::{entry, list, Discovery, Limits, Rules, SshKeys};
+use juniperrail_standins::{instance_json, list_json, Discovery, RuleChecker, RuleLimits, SshKeys};
 
 pub const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
 
@@ -36,7 +36,7 @@
         let discovery = Discovery::start();
         let (host, key) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
         let town = Town { size, folder, discovery, host, key };
-        town.discovery.tell(&town.list());
+        town.discovery.publish(&town.list());
         town
     }
 
@@ -46,8 +46,8 @@
 
     fn list(&self) -> String {
         let zone = |number: usize| ["a", "b", "c"][number % 3];
-        let one = |number| entry(&self.worker(number), zone(number), "127.0.0.1:9", "ready");
-        list(1, true, &(0..self.size.workers).map(one).collect::<Vec<_>>())
+        let one = |number| instance_json(&self.worker(number), zone(number), "127.0.0.1:9", "ready");
+        list_json(1, true, &(0..self.size.workers).map(one).collect::<Vec<_>>())
     }
 
     /// Starts a manager. `core`: the one processor that it has, if it is to have one alone.
@@ -71,7 +71,7 @@
             r#"<config xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><northbound xmlns="{MANAGER}"><netconf>
             <sessions>160</sessions><ssh><listen>127.0.0.1:0</listen><host-key>host</host-key></ssh></netconf>
             <user><name>ann</name><role>admin</role><ssh-key>{}</ssh-key></user></northbound></config>"#,
-            self.key.line
+            self.key.public_key
         );
         let (config_path, operator_path) =
             (self.folder.join(format!("{name}.json")), self.folder.join(format!("{name}.xml")));
@@ -93,7 +93,8 @@
     }
 
     pub fn dial(&self, manager: &Running) -> Endpoint {
-        Endpoint::ssh(manager.ssh.to_string(), "ann", &self.key.private).with_host_key(&self.host.public)
+        Endpoint::ssh(manager.ssh.to_string(), "ann", &self.key.private_key_path)
+            .with_host_key(&self.host.public_key_path)
     }
 
     pub async fn client(&self, manager: &Running) -> Client {
@@ -101,15 +102,15 @@
     }
 
     /// A checker that knows every worker.
-    pub fn rules(&self) -> Rules {
-        let mut rules = Rules::new(Limits {
-            drain_grace: 3300.0,
-            messages_most: usize::MAX,
-            messages_over: 10_000.0,
-            lines_waiting_most: 20_000.0,
-            message_overhead: 4.0,
+    pub fn rules(&self) -> RuleChecker {
+        let mut rules = RuleChecker::new(RuleLimits {
+            drain_grace_ms: 3300.0,
+            max_messages: usize::MAX,
+            message_window_ms: 10_000.0,
+            max_waiting_lines: 20_000.0,
+            message_overhead_lines: 4.0,
         });
-        (0..self.size.workers).for_each(|number| rules.knows(&self.worker(number)));
+        (0..self.size.workers).for_each(|number| rules.add_known_worker(&self.worker(number)));
         rules
     }
 }
--- a/crates/manager/tests/cluster/mod.rs
+++ b/crates/manager/tests/cluster/mod.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use juniperrail_manager::{Launch, Manager};
-use juniperrail_standins::{address_served, list, Discovery, Peer, SETTINGS};
+use juniperrail_standins::{address_from_log, list_json, Discovery, Peer, SETTINGS};
 
 /// The state of a listening socket in /proc/net/tcp.
 const TCP_LISTEN_STATE: &str = "0A";
@@ -21,13 +21,13 @@
 
 /// The list entry of a worker in zone a.
 pub fn entry(id: &str, lifecycle: &str) -> String {
-    juniperrail_standins::entry(id, "a", "127.0.0.1:9", lifecycle)
+    juniperrail_standins::instance_json(id, "a", "127.0.0.1:9", lifecycle)
 }
 
 /// A configuration file with workers s-1 to s-3 in its cached list, version 41. `sockets` is the number of
 /// descriptors that the manager may use.
 pub fn config(discovery: SocketAddr, sockets: usize) -> String {
-    let cached_list = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
+    let cached_list = list_json(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"sockets":{sockets}}},"known":{cached_list},"settings":{SETTINGS}}}"#
@@ -65,12 +65,12 @@
 
     /// Connects to the manager.
     pub fn peer(&self) -> Peer {
-        Peer::dial(self.manager)
+        Peer::connect(self.manager)
     }
 
     /// Connects to the manager and joins as a proxy.
     pub fn proxy(&self, number: u16) -> Peer {
-        Peer::joined(self.manager, number)
+        Peer::connect_as_proxy(self.manager, number)
     }
 
     /// Accepts the next watch and answers with a response head. Returns the request line and the connection.
@@ -81,7 +81,7 @@
 
 /// Accepts the next watch at a discovery listener; see [`TestCluster::accept_watch`].
 pub fn accept_watch(discovery: &TcpListener, status: &str) -> (String, Peer) {
-    Discovery::accept(discovery, status)
+    Discovery::accept_watch(discovery, status)
 }
 
 /// A manager as a process of its own. Dropping it ends the process and removes its configuration file.
@@ -107,7 +107,7 @@
         program.env_clear().env("PROXY_CONFIG", &path).envs(variables.iter().copied());
         let mut child = program.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        let address = address_served(&mut log);
+        let address = address_from_log(&mut log);
         ManagerProcess { child, address, log: Some(log), path }
     }
 
--- a/crates/manager/tests/command_line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -6,7 +6,9 @@
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
 
-use juniperrail_standins::{address_served, entry, list, AnsweringProxy, Discovery, Peer, SshKeys, SETTINGS};
+use juniperrail_standins::{
+    address_from_log, instance_json, list_json, AnsweringProxy, Discovery, Peer, SshKeys, SETTINGS,
+};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperrail");
 
@@ -40,8 +42,9 @@
         let folder = create_folder(name);
         let (host, ann) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
         let discovery = Discovery::start();
-        let cached_list = list(1, true, &["s-1", "s-2"].map(|id| entry(id, "a", "127.0.0.1:9", "ready")));
-        discovery.tell(&cached_list);
+        let cached_list =
+            list_json(1, true, &["s-1", "s-2"].map(|id| instance_json(id, "a", "127.0.0.1:9", "ready")));
+        discovery.publish(&cached_list);
         let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be964","known":{cached_list},
             "settings":{SETTINGS}}}"#,
@@ -52,7 +55,7 @@
             xmlns="tag:juniperrail.example,2026:yang:manager"><netconf><ssh><listen>127.0.0.1:0</listen>
             <host-key>host</host-key></ssh></netconf><user><name>ann</name><role>admin</role>
             <ssh-key>{}</ssh-key></user></northbound></config>"#,
-            ann.line
+            ann.public_key
         );
         fs::write(folder.join("config.json"), config).unwrap();
         fs::write(folder.join("operator.xml"), operator).unwrap();
@@ -80,7 +83,11 @@
         let mut command = Command::new(PROGRAM);
         let (group, rest) = args.split_first().unwrap();
         command.env_clear().arg(group).args(["--ssh", &self.ssh, "--user", "ann"]);
-        command.arg("--key").arg(&self.ann.private).arg("--host-key").arg(&self.host.public);
+        command
+            .arg("--key")
+            .arg(&self.ann.private_key_path)
+            .arg("--host-key")
+            .arg(&self.host.public_key_path);
         output(command.args(rest))
     }
 
@@ -107,11 +114,11 @@
 #[test]
 fn running_manager_is_queried_and_changed() {
     let manager = TestManager::new("changed");
-    let mut proxy = AnsweringProxy::joined(manager.address, 7);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 7);
+    proxy.next_line_containing("whole=1");
     let drain_file = manager.write_change_file("<worker><name>s-1</name><wanted>draining</wanted></worker>");
     assert_eq!(manager.command(&["config", "edit", &drain_file]), (0, String::new(), String::new()));
-    proxy.line_with("out=s-1");
+    proxy.next_line_containing("out=s-1");
     // The manager would not keep a proxy that owes it an answer for so long.
     std::thread::sleep(std::time::Duration::from_secs(7));
     let (code, output, error) = manager.command(&["config", "get", "/workers", "--json"]);
@@ -139,7 +146,7 @@
     assert_eq!(manager.command(&["config", "commit", "--persist-id", "day"]).0, 3);
     assert_eq!(manager.command(&["config", "commit", "--persist-id", "night"]).0, 0);
     assert_eq!(manager.command(&["config", "rollback", "1"]).0, 0);
-    proxy.line_with("back=s-1");
+    proxy.next_line_containing("back=s-1");
     assert_eq!(manager.command(&["config", "rollback", "99"]).0, 3);
     assert_eq!(manager.command(&["config", "save"]).0, 0);
     let saved = fs::read_to_string(manager.folder.join("operator.xml")).unwrap();
@@ -172,7 +179,7 @@
     let folder = create_folder("without");
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","known":{},"settings":{SETTINGS}}}"#,
-        list(1, true, &[entry("s-1", "a", "127.0.0.1:9", "ready")])
+        list_json(1, true, &[instance_json("s-1", "a", "127.0.0.1:9", "ready")])
     );
     fs::write(folder.join("config.json"), config).unwrap();
     fs::create_dir_all(folder.join("deploy")).unwrap();
@@ -182,8 +189,8 @@
         program.env_clear().env("PROXY_CONFIG", "config.json").current_dir(&folder);
         let mut manager = program.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(manager.stderr.take().unwrap());
-        let address = address_served(&mut log);
-        Peer::joined(address, 1).line_with("whole=1 lines=s-1:1");
+        let address = address_from_log(&mut log);
+        Peer::connect_as_proxy(address, 1).next_line_containing("whole=1 lines=s-1:1");
         let threads = fs::read_dir(format!("/proc/{}/task", manager.id())).unwrap().count();
         assert_eq!(threads, 1, "the manager must have a single thread");
         manager.kill().unwrap();
--- a/crates/manager/tests/northbound.rs
+++ b/crates/manager/tests/northbound.rs
@@ -11,7 +11,10 @@
 use juniperrail_client::{Client, ClientError, Commit, Datastore, Endpoint, ErrorKind, Stage};
 use juniperrail_manager::{Launch, Manager};
 use juniperrail_model::xml::Element;
-use juniperrail_standins::{entry, list, Authority, Discovery, Limits, Proxies, Rules, SshKeys, SETTINGS};
+use juniperrail_standins::{
+    instance_json, list_json, CertificateAuthority, Discovery, Proxies, RuleChecker, RuleLimits, SshKeys,
+    SETTINGS,
+};
 use tokio::time::timeout;
 
 const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
@@ -28,7 +31,7 @@
     folder: PathBuf,
     discovery: Discovery,
     keys: Vec<(&'static str, &'static str, SshKeys)>,
-    authority: Authority,
+    authority: CertificateAuthority,
     host: SshKeys,
 }
 
@@ -40,11 +43,17 @@
         let seeded_users = users.into_iter().zip(1..);
         let keys = seeded_users.map(|((user, role), seed)| (user, role, SshKeys::write(&folder, user, seed)));
         let discovery = Discovery::start();
-        let entries = WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"));
-        discovery.tell(&list(1, true, &entries));
+        let entries = WORKERS.map(|(id, zone)| instance_json(id, zone, "127.0.0.1:9", "ready"));
+        discovery.publish(&list_json(1, true, &entries));
         let keys = keys.collect();
         let host = SshKeys::write(&folder, "host", 99);
-        TestEnvironment { discovery, keys, authority: Authority::new(&folder, "authority"), host, folder }
+        TestEnvironment {
+            discovery,
+            keys,
+            authority: CertificateAuthority::new(&folder, "authority"),
+            host,
+            folder,
+        }
     }
 
     /// Writes an operator's file with an SSH and a TLS listener, with `tls_extra` in the
@@ -56,7 +65,10 @@
             .keys
             .iter()
             .map(|(user, role, keys)| {
-                format!("<user><name>{user}</name><role>{role}</role><ssh-key>{}</ssh-key></user>", keys.line)
+                format!(
+                    "<user><name>{user}</name><role>{role}</role><ssh-key>{}</ssh-key></user>",
+                    keys.public_key
+                )
             })
             .collect();
         let text = format!(
@@ -74,7 +86,8 @@
     }
 
     fn config(&self, name: &str) -> String {
-        let cached_list = list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready")));
+        let cached_list =
+            list_json(1, true, &WORKERS.map(|(id, zone)| instance_json(id, zone, "127.0.0.1:9", "ready")));
         let discovery = self.discovery.address;
         format!(
             r#"{{"name":"{name}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -101,8 +114,8 @@
     }
 
     fn ssh(&self, manager: &RunningManager, user: &str) -> Endpoint {
-        let key = &self.keys.iter().find(|(name, ..)| *name == user).unwrap().2.private;
-        Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&self.host.public)
+        let key = &self.keys.iter().find(|(name, ..)| *name == user).unwrap().2.private_key_path;
+        Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&self.host.public_key_path)
     }
 
     async fn connect(&self, manager: &RunningManager, user: &str) -> Client {
@@ -124,17 +137,17 @@
     _stop: tokio::sync::oneshot::Sender<()>,
 }
 
-fn rules() -> Rules {
+fn rules() -> RuleChecker {
     // Generous limits, because a test machine can be busy; the lab checks managers against the real limits.
-    let limits = Limits {
-        drain_grace: 15_000.0,
-        messages_most: usize::MAX,
-        messages_over: 10_000.0,
-        lines_waiting_most: 5000.0,
-        message_overhead: 4.0,
+    let limits = RuleLimits {
+        drain_grace_ms: 15_000.0,
+        max_messages: usize::MAX,
+        message_window_ms: 10_000.0,
+        max_waiting_lines: 5000.0,
+        message_overhead_lines: 4.0,
     };
-    let mut rules = Rules::new(limits);
-    WORKERS.iter().for_each(|(worker, _)| rules.knows(worker));
+    let mut rules = RuleChecker::new(limits);
+    WORKERS.iter().for_each(|(worker, _)| rules.add_known_worker(worker));
     rules
 }
 
@@ -185,17 +198,20 @@
         let env = TestEnvironment::new("commit");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 6, &["a", "b"], rules());
-        proxies
-            .until("every proxy has a full table", |rules| (0..6).all(|proxy| rules.holds(proxy).len() == 4));
+        proxies.wait_until("every proxy has a full table", |rules| {
+            (0..6).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        });
         let mut client = env.connect(&manager, "bob").await;
         let mut subscriber = env.connect(&manager, "ann").await;
         subscriber.subscribe(None).await.unwrap();
-        proxies.rules(|rules| rules.leaves("s-1", 0.0));
-        proxies.rules(|rules| rules.returns("s-1"));
-        let now = proxies.now();
+        proxies.with_rules(|rules| rules.start_removal("s-1", 0.0));
+        proxies.with_rules(|rules| rules.cancel_removal("s-1"));
+        let now = proxies.now_ms();
         edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
-        proxies.rules(|rules| rules.leaves("s-1", now));
-        proxies.until("s-1 is removed", |rules| (0..6).all(|proxy| !rules.holds(proxy).contains_key("s-1")));
+        proxies.with_rules(|rules| rules.start_removal("s-1", now));
+        proxies.wait_until("s-1 is removed", |rules| {
+            (0..6).all(|proxy| !rules.routable_workers(proxy).contains_key("s-1"))
+        });
         // The event of the change comes first, then the event that all proxies have applied the change.
         let mut events = Vec::new();
         while events.last() != Some(&"change-held".to_string()) {
@@ -219,13 +235,15 @@
         edit_and_commit(&mut client, &worker("s-1", "<wanted>follow</wanted><weight>0.5</weight>"))
             .await
             .unwrap();
-        proxies.rules(|rules| rules.returns("s-1"));
-        proxies.until("s-1 is back", |rules| (0..6).all(|proxy| rules.holds(proxy).contains_key("s-1")));
-        proxies.until("every proxy has the new weight of s-1", |rules| {
-            (0..6).all(|proxy| rules.holds(proxy)["s-1"] < 0.6)
+        proxies.with_rules(|rules| rules.cancel_removal("s-1"));
+        proxies.wait_until("s-1 is back", |rules| {
+            (0..6).all(|proxy| rules.routable_workers(proxy).contains_key("s-1"))
+        });
+        proxies.wait_until("every proxy has the new weight of s-1", |rules| {
+            (0..6).all(|proxy| rules.routable_workers(proxy)["s-1"] < 0.6)
         });
         client.close().await.unwrap();
-        assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+        assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
         drop(manager);
     });
 }
@@ -236,8 +254,9 @@
         let env = TestEnvironment::new("refused");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 4, &["a", "b"], rules());
-        proxies
-            .until("every proxy has a full table", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
+        proxies.wait_until("every proxy has a full table", |rules| {
+            (0..4).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        });
         let mut client = env.connect(&manager, "bob").await;
         let all_workers = |body: &str| WORKERS.map(|(name, _)| worker(name, body)).concat();
         for (config, tag, path) in [
@@ -275,9 +294,11 @@
         }
         let error = edit_and_commit(&mut client, &worker("s-4", "<weight>0</weight>")).await.unwrap_err();
         assert!(error.to_string().contains("lookup would have no ready, warm worker"), "{error}");
-        proxies.until("only s-4 is left", |rules| (0..4).all(|proxy| rules.holds(proxy).keys().eq(["s-4"])));
+        proxies.wait_until("only s-4 is left", |rules| {
+            (0..4).all(|proxy| rules.routable_workers(proxy).keys().eq(["s-4"]))
+        });
         // A worker that discovery lists as gone stays removed, even if a commit wants it ready, until discovery lists it again.
-        env.discovery.tell(&list(2, false, &[entry("s-1", "a", "127.0.0.1:9", "gone")]));
+        env.discovery.publish(&list_json(2, false, &[instance_json("s-1", "a", "127.0.0.1:9", "gone")]));
         let mut phase = String::new();
         while phase != "gone" {
             let state = read_state(&mut client).await;
@@ -289,10 +310,13 @@
                 .into();
         }
         edit_and_commit(&mut client, &worker("s-1", "<wanted>ready</wanted>")).await.unwrap();
-        assert!(proxies.rules(|rules| (0..4).all(|proxy| !rules.holds(proxy).contains_key("s-1"))));
-        env.discovery.tell(&list(3, false, &[entry("s-1", "a", "127.0.0.1:9", "ready")]));
-        proxies.until("s-1 is back", |rules| (0..4).all(|proxy| rules.holds(proxy).contains_key("s-1")));
-        assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+        assert!(proxies
+            .with_rules(|rules| (0..4).all(|proxy| !rules.routable_workers(proxy).contains_key("s-1"))));
+        env.discovery.publish(&list_json(3, false, &[instance_json("s-1", "a", "127.0.0.1:9", "ready")]));
+        proxies.wait_until("s-1 is back", |rules| {
+            (0..4).all(|proxy| rules.routable_workers(proxy).contains_key("s-1"))
+        });
+        assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
     });
 }
 
@@ -305,18 +329,21 @@
         let slow_manager = env.start_manager(&file);
         let quick_proxies = Proxies::start(quick_manager.address, 0, 4, &["a", "b"], rules());
         let slow_proxies = Proxies::start(slow_manager.address, 4, 4, &["a", "b"], rules());
-        quick_proxies
-            .until("every proxy has a full table", |rules| (0..4).all(|proxy| rules.holds(proxy).len() == 4));
-        slow_proxies
-            .until("every proxy has a full table", |rules| (4..8).all(|proxy| rules.holds(proxy).len() == 4));
+        quick_proxies.wait_until("every proxy has a full table", |rules| {
+            (0..4).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        });
+        slow_proxies.wait_until("every proxy has a full table", |rules| {
+            (4..8).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        });
         let mut quick_client = env.connect(&quick_manager, "bob").await;
         let mut slow_client = env.connect(&slow_manager, "bob").await;
-        slow_proxies.stall(true);
+        slow_proxies.set_stalled(true);
         for client in [&mut quick_client, &mut slow_client] {
             edit_and_commit(client, &worker("s-2", "<wanted>draining</wanted>")).await.unwrap();
         }
-        quick_proxies
-            .until("s-2 is removed", |rules| (0..4).all(|proxy| !rules.holds(proxy).contains_key("s-2")));
+        quick_proxies.wait_until("s-2 is removed", |rules| {
+            (0..4).all(|proxy| !rules.routable_workers(proxy).contains_key("s-2"))
+        });
         let last_change = |state: &Element| descendants(state, &["changes", "change"]).pop().unwrap().clone();
         loop {
             let change = last_change(&read_state(&mut quick_client).await);
@@ -334,11 +361,13 @@
             .map(|change| text(change, "progress"))
             .collect();
         assert_eq!(progress, ["superseded", "going-out"]);
-        slow_proxies.stall(false);
-        slow_proxies.until("s-2 is back", |rules| (4..8).all(|proxy| rules.holds(proxy).contains_key("s-2")));
+        slow_proxies.set_stalled(false);
+        slow_proxies.wait_until("s-2 is back", |rules| {
+            (4..8).all(|proxy| rules.routable_workers(proxy).contains_key("s-2"))
+        });
         while text(&last_change(&read_state(&mut slow_client).await), "progress") != "held" {}
         for proxies in [&quick_proxies, &slow_proxies] {
-            assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+            assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
         }
     });
 }
@@ -402,8 +431,9 @@
         let env = TestEnvironment::new("overdue");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 2, &["a", "b"], rules());
-        proxies
-            .until("every proxy has a full table", |rules| (0..2).all(|proxy| rules.holds(proxy).len() == 4));
+        proxies.wait_until("every proxy has a full table", |rules| {
+            (0..2).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        });
         let mut client = env.connect(&manager, "ann").await;
         edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
         client.edit(&worker("s-1", "<wanted>follow</wanted>")).await.unwrap();
@@ -411,23 +441,30 @@
         client.commit(&Commit { confirm_timeout_s: Some(5), persist, persist_id: None }).await.unwrap();
         // s-1 must be back before the others drain: a worker that drains without a replacement is removed when its grace
         // ends.
-        proxies.until("s-1 is back", |rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1")));
-        let other_entries = |phase| ["s-2", "s-3", "s-4"].map(|id| entry(id, "a", "127.0.0.1:9", phase));
-        env.discovery.tell(&list(2, false, &other_entries("draining")));
-        proxies.until("only s-1 is left", |rules| (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-1"])));
+        proxies.wait_until("s-1 is back", |rules| {
+            (0..2).all(|proxy| rules.routable_workers(proxy).contains_key("s-1"))
+        });
+        let other_entries =
+            |phase| ["s-2", "s-3", "s-4"].map(|id| instance_json(id, "a", "127.0.0.1:9", phase));
+        env.discovery.publish(&list_json(2, false, &other_entries("draining")));
+        proxies.wait_until("only s-1 is left", |rules| {
+            (0..2).all(|proxy| rules.routable_workers(proxy).keys().eq(["s-1"]))
+        });
         let versions = |state: &Element| descendants(state, &["versions"])[0].clone();
         let mut overdue = String::new();
         while overdue.is_empty() {
             overdue = text(&versions(&read_state(&mut client).await), "overdue").to_string();
         }
         assert!(overdue.contains("would have no ready, warm worker"), "{overdue}");
-        assert!(proxies.rules(|rules| (0..2).all(|proxy| rules.holds(proxy).contains_key("s-1"))));
-        env.discovery.tell(&list(3, false, &other_entries("ready")));
-        proxies.until("the commit is reverted", |rules| {
-            (0..2).all(|proxy| rules.holds(proxy).keys().eq(["s-2", "s-3", "s-4"]))
+        assert!(
+            proxies.with_rules(|rules| (0..2).all(|proxy| rules.routable_workers(proxy).contains_key("s-1")))
+        );
+        env.discovery.publish(&list_json(3, false, &other_entries("ready")));
+        proxies.wait_until("the commit is reverted", |rules| {
+            (0..2).all(|proxy| rules.routable_workers(proxy).keys().eq(["s-2", "s-3", "s-4"]))
         });
         assert_eq!(text(&versions(&read_state(&mut client).await), "overdue"), "");
-        assert_eq!(proxies.rules(|rules| rules.broken.clone()), []);
+        assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
     });
 }
 
@@ -440,7 +477,7 @@
         let (expired_certificate, expired_key, expired_fingerprint) =
             env.authority.issue("old.example", (-2, -1));
         let (unmapped_certificate, unmapped_key, _) = env.authority.issue("odd.example", (-1, 1));
-        let untrusted_authority = Authority::new(&env.folder, "untrusted");
+        let untrusted_authority = CertificateAuthority::new(&env.folder, "untrusted");
         let (forged_certificate, forged_key, forged_fingerprint) =
             untrusted_authority.issue("forged.example", (-1, 1));
         let client_element = |fingerprint: &str, mapping: &str| {
@@ -454,7 +491,7 @@
         ];
         let manager = env.start_manager(&env.write_operator_file("operator.xml", &tls_clients.concat(), ""));
         let over_tls = |certificate: &Path, key: &Path| {
-            let authorities = &env.authority.certificate;
+            let authorities = &env.authority.certificate_path;
             Endpoint::tls(manager.tls.to_string(), "manager.example", authorities, certificate, key)
         };
         let mut bob = Client::connect(&over_tls(&bob_certificate, &bob_key)).await.unwrap();
@@ -478,12 +515,13 @@
         }
         // An unknown key, an unknown user, and a wrong host key.
         let mallory = SshKeys::write(&env.folder, "mallory", 66);
-        for (user, key) in [("ann", &mallory.private), ("mallory", &mallory.private)] {
-            let endpoint = Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&env.host.public);
+        for (user, key) in [("ann", &mallory.private_key_path), ("mallory", &mallory.private_key_path)] {
+            let endpoint =
+                Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&env.host.public_key_path);
             let error = Client::connect(&endpoint).await.map(|_| ()).unwrap_err();
             assert!(matches!(error.kind, ErrorKind::Authentication(_)), "{error}");
         }
-        let other_host = env.ssh(&manager, "ann").with_host_key(&mallory.public);
+        let other_host = env.ssh(&manager, "ann").with_host_key(&mallory.public_key_path);
         let error = Client::connect(&other_host).await.map(|_| ()).unwrap_err();
         assert!(matches!(error.kind, ErrorKind::Authentication(_)), "{error}");
         // A reader can read part of the configuration and change nothing.
@@ -622,7 +660,7 @@
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let mut ssh =
             connect(std::sync::Arc::new(Config::default()), manager.ssh, AcceptAnyHostKey).await.unwrap();
-        let key = load_secret_key(&env.keys[1].2.private, None).unwrap();
+        let key = load_secret_key(&env.keys[1].2.private_key_path, None).unwrap();
         let key = PrivateKeyWithHashAlg::new(std::sync::Arc::new(key), None);
         assert!(ssh.authenticate_publickey("bob", key).await.unwrap().success());
         let mut channel = ssh.channel_open_session().await.unwrap();
--- a/crates/manager/tests/races.rs
+++ b/crates/manager/tests/races.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use cluster::{accept_watch, config, entry, ManagerProcess, TestCluster};
-use juniperrail_standins::{entry as entry_at, list, AnsweringProxy, Peer, SETTINGS};
+use juniperrail_standins::{instance_json as entry_at, list_json, AnsweringProxy, Peer, SETTINGS};
 
 /// Messages that the manager's queue holds before its peers have to wait.
 const INBOX_CAPACITY: usize = 4096;
@@ -40,15 +40,15 @@
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"1f","limits":{{"sockets":1024}},
         "known":{},"settings":{settings}}}"#,
-        list(41, true, &entries)
+        list_json(41, true, &entries)
     )
 }
 
 #[test]
 fn silent_stream_frees_its_descriptor_even_during_a_blocked_write() {
     let program = ManagerProcess::start("silent", &large_table_config(unreachable_discovery()));
-    let mut proxy = Peer::narrow(program.address);
-    proxy.say("hello node=1 locality=a w=2 cold=1");
+    let mut proxy = Peer::connect_with_small_buffer(program.address);
+    proxy.send_line("hello node=1 locality=a w=2 cold=1");
     program.wait_for_connection_count(1);
     // The proxy never reads: the manager takes it for silent after a report period (200 ms) and a transit (100 ms), and
     // closes its connection after as long again.
@@ -60,17 +60,17 @@
 fn replaced_stream_ends_at_once_and_drops_its_queue() {
     let cluster = TestCluster::with_config(large_table_config);
     let name = "x".repeat(250);
-    let mut old = Peer::narrow(cluster.manager);
-    old.say("hello node=1 locality=a w=2 cold=1");
+    let mut old = Peer::connect_with_small_buffer(cluster.manager);
+    old.send_line("hello node=1 locality=a w=2 cold=1");
     let mut other = cluster.proxy(2);
-    other.line_with("whole=1");
+    other.next_line_containing("whole=1");
     let draining = entry_at(&format!("s-7-{name}"), "a", "127.0.0.1:9", "draining");
-    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[draining]) + "\n"));
+    cluster.accept_watch("200 OK").1.send_chunk(&(list_json(42, false, &[draining]) + "\n"));
     // Sent to both in one turn: on the old stream it is queued behind the table that the peer does not read.
-    other.line_with("out=s-7-");
+    other.next_line_containing("out=s-7-");
     let mut new = cluster.proxy(1);
-    new.line_with("whole=1");
-    let received = old.rest();
+    new.next_line_containing("whole=1");
+    let received = old.read_to_end();
     assert!(
         received.starts_with("push") && !received.contains("out=s-7-"),
         "{} bytes arrived, expected a part of the table without the later order",
@@ -84,16 +84,16 @@
     // A connection that does not join within 1 s is rejected as late. On a machine that busy the test tries again.
     for _ in 0..20 {
         let mut old = cluster.peer();
-        old.raw("hello node=7 locality=a w=21.5");
+        old.send_raw("hello node=7 locality=a w=21.5");
         let mut new = cluster.proxy(7);
-        new.line_with("whole=1");
-        old.raw(" cold=1\r\n");
-        match old.line() {
+        new.next_line_containing("whole=1");
+        old.send_raw(" cold=1\r\n");
+        match old.next_line() {
             Some(late) if late.starts_with("error why=late") => continue,
             end => assert_eq!(end, None, "the older connection must end"),
         }
-        new.say("probe");
-        new.line_with("alive");
+        new.send_line("probe");
+        new.next_line_containing("alive");
         return;
     }
     panic!("the machine is too busy for two lines within a second");
@@ -104,17 +104,18 @@
     // With 28 descriptors, the limit is 14 open connections.
     for _ in 0..20 {
         let program = ManagerProcess::start("evicted", &config(unreachable_discovery(), 28));
-        let mut joined: Vec<Peer> = (0..13).map(|number| Peer::joined(program.address, number)).collect();
-        joined.iter_mut().for_each(|proxy| _ = proxy.line_with("whole=1"));
-        let mut evicted = Peer::dial(program.address);
+        let mut joined: Vec<Peer> =
+            (0..13).map(|number| Peer::connect_as_proxy(program.address, number)).collect();
+        joined.iter_mut().for_each(|proxy| _ = proxy.next_line_containing("whole=1"));
+        let mut evicted = Peer::connect(program.address);
         program.wait_for_connection_count(14);
         program.signal("STOP");
-        let mut newcomer = Peer::dial(program.address);
-        newcomer.say("hello node=14 locality=a w=2 cold=1");
-        evicted.say("hello node=13 locality=a w=2 cold=1");
+        let mut newcomer = Peer::connect(program.address);
+        newcomer.send_line("hello node=14 locality=a w=2 cold=1");
+        evicted.send_line("hello node=13 locality=a w=2 cold=1");
         program.signal("CONT");
-        newcomer.line_with("whole=1");
-        match evicted.line() {
+        newcomer.next_line_containing("whole=1");
+        match evicted.next_line() {
             Some(late) if late.starts_with("error why=late") => continue,
             end => assert_eq!(
                 end, None,
@@ -131,25 +132,25 @@
 fn burst_of_probes_is_answered_in_full_and_does_not_displace_orders() {
     let cluster = TestCluster::new(64);
     let mut proxy = cluster.proxy(1);
-    proxy.line_with("whole=1");
-    proxy.raw(&"probe\r\n".repeat(500));
+    proxy.next_line_containing("whole=1");
+    proxy.send_raw(&"probe\r\n".repeat(500));
     for index in 0..500 {
-        assert_eq!(proxy.line().as_deref(), Some("alive"), "answer {index}");
+        assert_eq!(proxy.next_line().as_deref(), Some("alive"), "answer {index}");
     }
-    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
-    proxy.line_with("out=s-2");
+    cluster.accept_watch("200 OK").1.send_chunk(&(list_json(42, false, &[entry("s-2", "draining")]) + "\n"));
+    proxy.next_line_containing("out=s-2");
 }
 
 #[test]
 fn watch_that_drips_bytes_without_ending_a_line_is_reconnected() {
     let cluster = TestCluster::new(64);
     let (_, mut watch) = cluster.accept_watch("200 OK");
-    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
+    watch.send_chunk(&(list_json(42, false, &[entry("s-1", "draining")]) + "\n"));
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
     let dripping = thread::spawn(move || {
         // Sends single bytes of a line that never ends, until the manager closes the connection.
         while matches!(stopped.try_recv(), Err(std::sync::mpsc::TryRecvError::Empty)) {
-            if watch.try_raw("1\r\n{\r\n").is_err() {
+            if watch.try_send_raw("1\r\n{\r\n").is_err() {
                 return true;
             }
             thread::sleep(Duration::from_millis(100));
@@ -172,7 +173,7 @@
         match discovery.accept() {
             Ok((socket, _)) => {
                 socket.set_nonblocking(false).unwrap();
-                return Peer::new(socket).line();
+                return Peer::new(socket).next_line();
             }
             Err(_) => thread::sleep(Duration::from_millis(5)),
         }
@@ -183,50 +184,50 @@
 #[test]
 fn older_list_restores_no_worker_until_discovery_restarts_its_versions() {
     let cluster = TestCluster::new(64);
-    let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(cluster.manager, 1);
+    proxy.next_line_containing("whole=1");
     let (_, mut watch) = cluster.accept_watch("200 OK");
-    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
-    proxy.line_with("out=s-1");
+    watch.send_chunk(&(list_json(42, false, &[entry("s-1", "draining")]) + "\n"));
+    proxy.next_line_containing("out=s-1");
     drop(watch);
     // A discovery server that is behind sends its full list, then the changes that reach it.
     let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "{request}");
-    let full = list(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
-    watch.chunk(&(full.clone() + "\n"));
-    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
-    watch.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
-    let message = proxy.line_with("out=s-2");
+    let full = list_json(41, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready")));
+    watch.send_chunk(&(full.clone() + "\n"));
+    watch.send_chunk(&(list_json(42, false, &[entry("s-1", "draining")]) + "\n"));
+    watch.send_chunk(&(list_json(43, false, &[entry("s-2", "draining")]) + "\n"));
+    let message = proxy.next_line_containing("out=s-2");
     assert!(!message.contains("s-1"), "{message}");
     drop(watch);
     // Discovery that restarted its versions stays behind: after 6 s its list is accepted, whatever its version.
     let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=43"), "{request}");
-    watch.chunk(&(list(1, true, &[]) + "\n"));
+    watch.send_chunk(&(list_json(1, true, &[]) + "\n"));
     let (request, mut watch) = loop {
-        if watch.try_raw("1\r\n\n\r\n").is_err() {
+        if watch.try_send_raw("1\r\n\n\r\n").is_err() {
             break accept_watch(&cluster.discovery, "200 OK");
         }
         thread::sleep(Duration::from_millis(500));
     };
     assert!(!request.contains("index"), "the request must be for the full list: {request}");
-    watch.chunk(&(list(2, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready"))) + "\n"));
-    assert!(proxy.line_with("back=").contains("s-1"));
+    watch.send_chunk(&(list_json(2, true, &["s-1", "s-2", "s-3"].map(|id| entry(id, "ready"))) + "\n"));
+    assert!(proxy.next_line_containing("back=").contains("s-1"));
 }
 
 #[test]
 fn closing_the_log_pipe_does_not_end_the_program() {
     let mut program = ManagerProcess::start("log", &config(unreachable_discovery(), 64));
-    let mut proxy = Peer::joined(program.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = Peer::connect_as_proxy(program.address, 1);
+    proxy.next_line_containing("whole=1");
     drop(program.log.take());
     // Each of these writes to the log at once.
     for _ in 0..3 {
         program.signal("HUP");
-        Peer::joined(program.address, 2).line_with("whole=1");
+        Peer::connect_as_proxy(program.address, 2).next_line_containing("whole=1");
     }
-    proxy.say("probe");
-    proxy.line_with("alive");
+    proxy.send_line("probe");
+    proxy.next_line_containing("alive");
     assert!(program.child.try_wait().unwrap().is_none(), "the program ended");
     program.signal("TERM");
     assert!(program.child.wait().unwrap().success());
@@ -249,8 +250,8 @@
         assert!(read > 0, "the program ended: {log_text}");
     }
     drop(old);
-    assert_eq!(juniperrail_standins::address_served(&mut log), address);
-    Peer::joined(address, 1).line_with("whole=1");
+    assert_eq!(juniperrail_standins::address_from_log(&mut log), address);
+    Peer::connect_as_proxy(address, 1).next_line_containing("whole=1");
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(&path).unwrap();
@@ -316,12 +317,12 @@
 fn response_whose_head_never_ends_is_abandoned_and_its_connection_closed() {
     let cluster = TestCluster::new(64);
     let mut watch = Peer::new(cluster.discovery.accept().unwrap().0);
-    assert!(watch.line().is_some_and(|request| request.starts_with("GET /v1/servers?stream=1")));
-    watch.raw("HTTP/1.1 200 OK\r\nX-Never: a");
+    assert!(watch.next_line().is_some_and(|request| request.starts_with("GET /v1/servers?stream=1")));
+    watch.send_raw("HTTP/1.1 200 OK\r\nX-Never: a");
     assert!(next_watch(&cluster.discovery).is_some(), "the manager did not reconnect");
     // The first connection is closed, so that sending on it fails.
     let deadline = Instant::now() + Duration::from_secs(20);
-    while watch.try_raw("a").is_ok() {
+    while watch.try_send_raw("a").is_ok() {
         assert!(Instant::now() < deadline, "the connection stays open");
         thread::sleep(Duration::from_millis(20));
     }
@@ -330,24 +331,24 @@
 #[test]
 fn simultaneous_and_repeated_signals_end_the_program_with_success() {
     let mut program = ManagerProcess::start("signals", &config(unreachable_discovery(), 64));
-    let mut proxy = Peer::joined(program.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = Peer::connect_as_proxy(program.address, 1);
+    proxy.next_line_containing("whole=1");
     program.signal("STOP");
     for signal in ["HUP", "TERM", "HUP", "TERM", "CONT"] {
         program.signal(signal);
     }
     assert!(program.child.wait().unwrap().success());
-    proxy.rest();
+    proxy.read_to_end();
 }
 
 #[test]
 fn restart_during_a_write_cuts_one_line_and_the_successor_serves_at_once() {
     let mut old = ManagerProcess::start("half", &large_table_config(unreachable_discovery()));
     let address = old.address;
-    let mut slow = Peer::narrow(address);
-    slow.say("hello node=1 locality=a w=2 cold=1");
-    let mut other = Peer::joined(address, 2);
-    other.line_with("whole=1");
+    let mut slow = Peer::connect_with_small_buffer(address);
+    slow.send_line("hello node=1 locality=a w=2 cold=1");
+    let mut other = Peer::connect_as_proxy(address, 2);
+    other.next_line_containing("whole=1");
     old.signal("TERM");
     assert!(old.child.wait().unwrap().success(), "a peer that does not read does not delay the end");
     let successor = ManagerProcess::start_with(
@@ -357,13 +358,13 @@
     );
     assert_eq!(successor.address, address);
     // The part of the table that arrived ends within a line, so a proxy cannot mistake it for a complete message.
-    let partial_table = slow.rest();
+    let partial_table = slow.read_to_end();
     assert!(
         partial_table.starts_with("push") && !partial_table.ends_with("\r\n"),
         "{} bytes arrived",
         partial_table.len()
     );
-    let table = Peer::joined(address, 1).line_with("whole=1");
+    let table = Peer::connect_as_proxy(address, 1).next_line_containing("whole=1");
     assert!(table.contains("ticket=1"), "the successor must start without its predecessor's marks");
 }
 
@@ -372,27 +373,27 @@
     let program = ManagerProcess::start("ended", &config(unreachable_discovery(), 64));
     program.signal("STOP");
     for _ in 0..8 {
-        drop(Peer::joined(program.address, 7));
+        drop(Peer::connect_as_proxy(program.address, 7));
     }
-    let mut last = Peer::joined(program.address, 7);
+    let mut last = Peer::connect_as_proxy(program.address, 7);
     program.signal("CONT");
-    last.line_with("whole=1");
+    last.next_line_containing("whole=1");
     program.wait_for_connection_count(1);
-    last.say("probe");
-    last.line_with("alive");
+    last.send_line("probe");
+    last.next_line_containing("alive");
 }
 
 #[test]
 fn proxy_that_closes_its_sending_half_has_left() {
     let cluster = TestCluster::new(64);
     let mut half_closed = cluster.proxy(1);
-    let mark = half_closed.line_with("ticket=").split("ticket=").nth(1).unwrap().to_string();
-    half_closed.say(&format!("ack node=1 nonce={mark} latency=1.0"));
-    half_closed.close_sending();
-    half_closed.rest();
+    let mark = half_closed.next_line_containing("ticket=").split("ticket=").nth(1).unwrap().to_string();
+    half_closed.send_line(&format!("ack node=1 nonce={mark} latency=1.0"));
+    half_closed.shutdown_write();
+    half_closed.read_to_end();
     let mut again = cluster.proxy(1);
-    again.line_with("whole=1");
-    again.alive();
+    again.next_line_containing("whole=1");
+    again.assert_alive();
 }
 
 #[test]
@@ -402,12 +403,13 @@
     // More connections than the limit, all of them before any proxy.
     let earlier_connections: Vec<TcpStream> =
         (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
-    let mut proxies: Vec<Peer> = (0..20).map(|number| Peer::joined(program.address, number)).collect();
+    let mut proxies: Vec<Peer> =
+        (0..20).map(|number| Peer::connect_as_proxy(program.address, number)).collect();
     let later_connections: Vec<TcpStream> =
         (0..200).map(|_| TcpStream::connect(program.address).unwrap()).collect();
     program.signal("CONT");
     for proxy in &mut proxies {
-        proxy.line_with("whole=1");
+        proxy.next_line_containing("whole=1");
     }
     drop((earlier_connections, later_connections));
 }
@@ -415,19 +417,19 @@
 #[test]
 fn drain_reaches_proxies_while_collectors_flood() {
     let cluster = TestCluster::new(64);
-    let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(cluster.manager, 1);
+    proxy.next_line_containing("whole=1");
     let (_, mut watch) = cluster.accept_watch("200 OK");
     let stopped = Arc::new(AtomicBool::new(false));
     let floods: Vec<_> = (0..4)
         .map(|_| {
             let (mut collector, stopped) = (cluster.peer(), stopped.clone());
             thread::spawn(move || {
-                collector.say("agent locality=a");
+                collector.send_line("agent locality=a");
                 let report = "outcomes locality=a endpoint=s-3 total=9 errors=0 rtt=40 interval=1000\r\n"
                     .repeat(REPORTS_PER_WRITE);
                 let mut sent_reports = 0;
-                while !stopped.load(Ordering::Relaxed) && collector.try_raw(&report).is_ok() {
+                while !stopped.load(Ordering::Relaxed) && collector.try_send_raw(&report).is_ok() {
                     sent_reports += REPORTS_PER_WRITE;
                 }
                 sent_reports
@@ -435,8 +437,8 @@
         })
         .collect();
     for (version, worker) in [(42, "s-1"), (43, "s-2")] {
-        watch.chunk(&(list(version, false, &[entry(worker, "draining")]) + "\n"));
-        proxy.line_with(&format!("out={worker}"));
+        watch.send_chunk(&(list_json(version, false, &[entry(worker, "draining")]) + "\n"));
+        proxy.next_line_containing(&format!("out={worker}"));
     }
     stopped.store(true, Ordering::Relaxed);
     let sent_reports: usize = floods.into_iter().map(|flood| flood.join().unwrap()).sum();
@@ -446,8 +448,8 @@
 #[test]
 fn reload_without_a_file_keeps_the_configuration() {
     let mut program = ManagerProcess::start("gone", &config(unreachable_discovery(), 64));
-    let mut proxy = Peer::joined(program.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = Peer::connect_as_proxy(program.address, 1);
+    proxy.next_line_containing("whole=1");
     let json = std::fs::read_to_string(&program.path).unwrap();
     std::fs::remove_file(&program.path).unwrap();
     program.signal("HUP");
@@ -455,21 +457,21 @@
     std::fs::write(&program.path, json).unwrap();
     program.signal("HUP");
     program.wait_for_log_line("the configuration was read again");
-    proxy.say("probe");
-    proxy.line_with("alive");
+    proxy.send_line("probe");
+    proxy.next_line_containing("alive");
 }
 
 #[test]
 fn full_list_with_an_invalid_entry_still_shows_which_workers_are_gone() {
     let cluster = TestCluster::new(64);
-    let mut proxy = AnsweringProxy::joined(cluster.manager, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(cluster.manager, 1);
+    proxy.next_line_containing("whole=1");
     let (_, mut watch) = cluster.accept_watch("200 OK");
     let broken = r#"{"instanceId":"s-3","lifecycle":7}"#.to_string();
-    watch.chunk(&(list(42, true, &[entry("s-2", "ready"), broken]) + "\n"));
-    let message = proxy.line_with("out=s-1");
+    watch.send_chunk(&(list_json(42, true, &[entry("s-2", "ready"), broken]) + "\n"));
+    let message = proxy.next_line_containing("out=s-1");
     assert!(!message.contains("s-3"), "the known entry of s-3 must stay: {message}");
     // Later changes do not name workers that were gone before.
-    watch.chunk(&(list(43, false, &[entry("s-3", "draining")]) + "\n"));
-    proxy.line_with("out=s-3");
+    watch.send_chunk(&(list_json(43, false, &[entry("s-3", "draining")]) + "\n"));
+    proxy.next_line_containing("out=s-3");
 }
--- a/crates/manager/tests/relay.rs
+++ b/crates/manager/tests/relay.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::Duration;
 
-use juniperrail_standins::{entry, list, Discovery, Ending, ListSubscriber, Peer};
+use juniperrail_standins::{instance_json, list_json, BodyEnd, Discovery, ListSubscriber, Peer};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperrail");
 
@@ -42,7 +42,7 @@
     }
 
     fn wait_until_serving(&self) {
-        while ListSubscriber::ask(self.address, "/healthz").status != 200 {
+        while ListSubscriber::request(self.address, "/healthz").status != 200 {
             thread::yield_now();
         }
     }
@@ -61,13 +61,13 @@
 fn relay_in_snapshot() -> (Relay, String, ListSubscriber, Peer) {
     let source = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(source.local_addr().unwrap());
-    let (_, mut watch) = Discovery::accept(&source, "200 OK");
+    let (_, mut watch) = Discovery::accept_watch(&source, "200 OK");
     let workers: Vec<String> =
-        (0..WORKER_COUNT).map(|id| entry(&format!("s-{id}"), "a", "127.0.0.1:9", "ready")).collect();
-    let full_list = list(7, true, &workers);
-    watch.chunk(&format!("{full_list}\n"));
+        (0..WORKER_COUNT).map(|id| instance_json(&format!("s-{id}"), "a", "127.0.0.1:9", "ready")).collect();
+    let full_list = list_json(7, true, &workers);
+    watch.send_chunk(&format!("{full_list}\n"));
     relay.wait_until_serving();
-    let subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
+    let subscriber = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
     (relay, full_list, subscriber, watch)
 }
 
@@ -75,8 +75,8 @@
 fn a_relay_killed_during_a_snapshot_leaves_an_incomplete_line() {
     let (relay, full_list, mut subscriber, _watch) = relay_in_snapshot();
     relay.signal("KILL");
-    let (received, ending) = subscriber.rest();
-    assert_eq!(ending, Ending::Broken);
+    let (received, ending) = subscriber.read_to_end();
+    assert_eq!(ending, BodyEnd::Truncated);
     assert!(received.len() < full_list.len() && full_list.starts_with(&received));
 }
 
@@ -88,7 +88,7 @@
     let received_bytes = subscriber.read_until_silent(Duration::from_millis(500));
     assert!(received_bytes < full_list.len(), "{received_bytes} of {} bytes arrived", full_list.len());
     relay.signal("CONT");
-    assert_eq!(subscriber.list(), Some(full_list));
+    assert_eq!(subscriber.next_list(), Some(full_list));
 }
 
 #[test]
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -11,7 +11,7 @@
 
 use cluster::{config, ManagerProcess};
 use juniperrail_distribution::RelayChoice;
-use juniperrail_standins::{entry as entry_at, list, AnsweringProxy, Peer};
+use juniperrail_standins::{instance_json as entry_at, list_json, AnsweringProxy, Peer};
 
 /// Time limit of a wait, generous because the machine can be busy.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -68,9 +68,9 @@
     /// Like [`Relays::accept_watch`], with this status. Panics if the manager does not connect.
     fn answer(&self, relay: usize, status: &str) -> (String, Peer) {
         let mut peer = Peer::new(self.accept(relay));
-        let request_line = peer.line().expect("a request line");
-        while peer.line().is_some_and(|line| !line.is_empty()) {}
-        peer.raw(&format!("HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        let request_line = peer.next_line().expect("a request line");
+        while peer.next_line().is_some_and(|line| !line.is_empty()) {}
+        peer.send_raw(&format!("HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n"));
         (request_line, peer)
     }
 
@@ -137,18 +137,18 @@
 /// A full list with these workers of zone a.
 fn full_list(version: u64, lifecycles: &[(&str, &str)]) -> String {
     let entries: Vec<String> = lifecycles.iter().map(|(id, lifecycle)| entry(id, "a", lifecycle)).collect();
-    with_newline(list(version, true, &entries))
+    with_newline(list_json(version, true, &entries))
 }
 
 fn change(version: u64, id: &str, zone: &str, lifecycle: &str) -> String {
-    with_newline(list(version, false, &[entry(id, zone, lifecycle)]))
+    with_newline(list_json(version, false, &[entry(id, zone, lifecycle)]))
 }
 
 /// Sends heartbeats on a watch from a thread of its own, and reports when the manager has closed the watch.
 fn send_heartbeats_until_closed(mut watch: Peer) -> mpsc::Receiver<()> {
     let (closed_sender, closed) = mpsc::channel();
     thread::spawn(move || {
-        while watch.try_raw("1\r\n\n\r\n").is_ok() {
+        while watch.try_send_raw("1\r\n\n\r\n").is_ok() {
             thread::sleep(Duration::from_millis(200));
         }
         closed_sender.send(())
@@ -166,91 +166,91 @@
 #[test]
 fn a_relay_killed_during_a_snapshot_changes_nothing_and_the_next_is_asked_from_the_current_version() {
     let (relays, manager) = Relays::of_zone_a("snapshot");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut first = relays.accept_watch_from(0, 41);
     let snapshot = full_list(900, &[("s-1", "draining"), ("s-4", "ready"), ("s-5", "ready")]);
     // Two complete entries, and a part of the third.
-    first.chunk(&snapshot[..snapshot.len() - 60]);
+    first.send_chunk(&snapshot[..snapshot.len() - 60]);
     drop(first);
     let mut second = relays.accept_watch_from(1, 41);
-    second.chunk(&change(42, "s-2", "a", "draining"));
-    let messages = proxy.line_with("out=");
+    second.send_chunk(&change(42, "s-2", "a", "draining"));
+    let messages = proxy.next_line_containing("out=");
     assert_names_only(&messages, &["s-2"]);
-    second.chunk(&change(43, "s-3", "a", "gone"));
-    assert!(!proxy.line_with("out=s-3").contains("s-1"));
+    second.send_chunk(&change(43, "s-3", "a", "gone"));
+    assert!(!proxy.next_line_containing("out=s-3").contains("s-1"));
 }
 
 #[test]
 fn a_watch_cut_within_an_entry_applies_none_of_that_line() {
     let (relays, manager) = Relays::of_zone_a("entry");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut first = relays.accept_watch_from(0, 41);
     let changes =
-        with_newline(list(42, false, &[entry("s-1", "a", "draining"), entry("s-2", "a", "draining")]));
+        with_newline(list_json(42, false, &[entry("s-1", "a", "draining"), entry("s-2", "a", "draining")]));
     let middle = changes.find("s-2").unwrap() + 1;
-    first.chunk(&changes[..middle]);
+    first.send_chunk(&changes[..middle]);
     // A line break at the cut, as a faulty peer might send it.
-    first.chunk("\n");
+    first.send_chunk("\n");
     let mut second = relays.accept_watch_from(1, 41);
-    second.chunk(&changes[..middle]);
+    second.send_chunk(&changes[..middle]);
     // A regular end of the chunked body at the same place.
-    second.raw("0\r\n\r\n");
+    second.send_raw("0\r\n\r\n");
     let mut third = relays.accept_watch_from(2, 41);
-    third.chunk(&change(43, "s-3", "a", "draining"));
-    assert_names_only(&proxy.line_with("out="), &["s-3"]);
+    third.send_chunk(&change(43, "s-3", "a", "draining"));
+    assert_names_only(&proxy.next_line_containing("out="), &["s-3"]);
 }
 
 #[test]
 fn a_relay_that_stalls_with_open_connections_is_replaced_by_the_next() {
     let (relays, manager) = Relays::of_zone_a("stall");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     // The first relay accepts the connection and never answers; the second answers and stops within an entry.
     let silent = relays.accept(0);
     let mut stalled = relays.accept_watch_from(1, 41);
     let snapshot = full_list(42, &[("s-1", "draining"), ("s-2", "ready")]);
-    stalled.chunk(&snapshot[..snapshot.len() - 60]);
+    stalled.send_chunk(&snapshot[..snapshot.len() - 60]);
     let mut third = relays.accept_watch_from(2, 41);
-    third.chunk(&change(42, "s-2", "a", "draining"));
-    assert_names_only(&proxy.line_with("out="), &["s-2"]);
-    assert_eq!(stalled.line(), None, "the manager must close the stalled connection");
+    third.send_chunk(&change(42, "s-2", "a", "draining"));
+    assert_names_only(&proxy.next_line_containing("out="), &["s-2"]);
+    assert_eq!(stalled.next_line(), None, "the manager must close the stalled connection");
     drop(silent);
 }
 
 #[test]
 fn a_relay_far_behind_the_previous_one_is_skipped_and_its_list_is_ignored() {
     let (relays, manager) = Relays::of_zone_a("behind");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut first = relays.accept_watch_from(0, 41);
-    first.chunk(&change(1041, "s-1", "a", "draining"));
-    proxy.line_with("out=s-1");
+    first.send_chunk(&change(1041, "s-1", "a", "draining"));
+    proxy.next_line_containing("out=s-1");
     drop(first);
     let mut second = relays.accept_watch_from(1, 1041);
-    second.chunk(&with_newline(list(41, false, &[])));
-    second.chunk(&full_list(41, &[("s-1", "ready"), ("s-2", "gone"), ("s-3", "ready")]));
+    second.send_chunk(&with_newline(list_json(41, false, &[])));
+    second.send_chunk(&full_list(41, &[("s-1", "ready"), ("s-2", "gone"), ("s-3", "ready")]));
     let closed = send_heartbeats_until_closed(second);
     let mut third = relays.accept_watch_from(2, 1041);
     closed.recv_timeout(WAIT_TIMEOUT).expect("the watch of the relay that is behind was not closed");
-    third.chunk(&change(1042, "s-3", "a", "draining"));
-    let messages = proxy.line_with("out=s-3");
+    third.send_chunk(&change(1042, "s-3", "a", "draining"));
+    let messages = proxy.next_line_containing("out=s-3");
     assert!(!messages.contains("back=") && !messages.contains("s-2"), "{messages}");
-    third.chunk(&change(1043, "s-2", "a", "draining"));
-    assert!(!proxy.line_with("out=s-2").contains("s-1"));
+    third.send_chunk(&change(1043, "s-2", "a", "draining"));
+    assert!(!proxy.next_line_containing("out=s-2").contains("s-1"));
     assert!(relays.next_connection(0).is_none(), "the manager stays with the relay that serves");
 }
 
 #[test]
 fn a_source_whose_version_numbers_restarted_is_accepted_once_every_relay_is_behind() {
     let (relays, manager) = Relays::of_zone_a("restarted");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut closed_watches = Vec::new();
     for relay in 0..3 {
         let mut watch = relays.accept_watch_from(relay, 41);
-        watch.chunk(&with_newline(list(2, false, &[])));
+        watch.send_chunk(&with_newline(list_json(2, false, &[])));
         closed_watches.push(send_heartbeats_until_closed(watch));
     }
     let (request_line, mut watch) = relays.accept_watch(0);
@@ -261,8 +261,8 @@
     closed_watches
         .iter()
         .for_each(|closed| closed.recv_timeout(WAIT_TIMEOUT).expect("a watch was not closed"));
-    watch.chunk(&full_list(3, &[("s-1", "ready"), ("s-2", "draining"), ("s-4", "ready")]));
-    let messages = proxy.line_with("out=");
+    watch.send_chunk(&full_list(3, &[("s-1", "ready"), ("s-2", "draining"), ("s-4", "ready")]));
+    let messages = proxy.next_line_containing("out=");
     assert!(messages.contains("s-2") && messages.contains("s-3") && !messages.contains("s-1"), "{messages}");
     drop(watch);
     relays.accept_watch_from(1, 3);
@@ -271,8 +271,8 @@
 #[test]
 fn a_drain_from_the_next_relay_is_applied_after_all_relays_refused() {
     let (relays, manager) = Relays::of_zone_a("cut");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     drop(relays.accept_watch_from(0, 41));
     // Each relay refuses in turn, for two rounds, so that the manager has no source.
     for relay in [1, 2, 0, 1, 2] {
@@ -280,15 +280,15 @@
         assert!(request_line.contains("index=41"), "{request_line}");
     }
     // The current list stays in use: a proxy that joins gets a table of it.
-    let mut late = AnsweringProxy::joined(manager.address, 2);
-    let table = late.line_with("whole=1");
+    let mut late = AnsweringProxy::connect(manager.address, 2);
+    let table = late.next_line_containing("whole=1");
     assert!(["s-1", "s-2", "s-3"].iter().all(|id| table.contains(id)), "{table}");
     let mut next = relays.accept_watch_from(0, 41);
-    next.chunk(&change(42, "s-1", "a", "draining"));
+    next.send_chunk(&change(42, "s-1", "a", "draining"));
     for proxy in [&mut proxy, &mut late] {
-        let messages = proxy.line_with("out=s-1");
+        let messages = proxy.next_line_containing("out=s-1");
         assert_names_only(&messages, &["s-1"]);
-        let removed = proxy.line_with("lines=");
+        let removed = proxy.next_line_containing("lines=");
         assert!(removed.contains("s-1:0"), "{removed}");
     }
 }
@@ -296,73 +296,77 @@
 #[test]
 fn a_worker_that_leaves_the_scope_drains_and_is_used_again_when_it_returns() {
     let (relays, manager) = Relays::of_zone_a("moves");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
-    watch.chunk(&change(42, "s-1", "b", "ready"));
-    assert_names_only(&proxy.line_with("out=s-1"), &["s-1"]);
-    watch.chunk(&change(43, "s-1", "a", "ready"));
-    assert_names_only(&proxy.line_with("back=s-1"), &["s-1"]);
+    watch.send_chunk(&change(42, "s-1", "b", "ready"));
+    assert_names_only(&proxy.next_line_containing("out=s-1"), &["s-1"]);
+    watch.send_chunk(&change(43, "s-1", "a", "ready"));
+    assert_names_only(&proxy.next_line_containing("back=s-1"), &["s-1"]);
     // It leaves again and is gone in its new zone, so this manager forgets it, and no other worker.
-    watch.chunk(&change(44, "s-1", "b", "ready"));
-    proxy.line_with("out=s-1");
-    watch.chunk(&change(45, "s-1", "b", "gone"));
-    watch.chunk(&change(46, "s-1", "b", "ready"));
+    watch.send_chunk(&change(44, "s-1", "b", "ready"));
+    proxy.next_line_containing("out=s-1");
+    watch.send_chunk(&change(45, "s-1", "b", "gone"));
+    watch.send_chunk(&change(46, "s-1", "b", "ready"));
     // Changes of a worker that never was in scope cause no message.
-    watch.chunk(&change(47, "s-4", "b", "ready"));
-    watch.chunk(&change(48, "s-4", "b", "draining"));
-    watch.chunk(&change(49, "s-4", "b", "gone"));
-    watch.chunk(&change(50, "s-2", "a", "draining"));
-    assert_names_only(&proxy.line_with("out=s-2"), &["s-2"]);
+    watch.send_chunk(&change(47, "s-4", "b", "ready"));
+    watch.send_chunk(&change(48, "s-4", "b", "draining"));
+    watch.send_chunk(&change(49, "s-4", "b", "gone"));
+    watch.send_chunk(&change(50, "s-2", "a", "draining"));
+    assert_names_only(&proxy.next_line_containing("out=s-2"), &["s-2"]);
 }
 
 #[test]
 fn entries_out_of_scope_remove_no_other_worker_and_are_not_stored() {
     let (relays, manager) = Relays::of_zone_a("whole");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
     // A full list in which s-3 has moved to another zone, among many entries that are out of scope.
     let others = (0..2000).map(|id| entry(&format!("far-{id}"), "b", "ready"));
     let own = ["s-1", "s-2", "s-4"].map(|id| entry(id, "a", "ready"));
     let moved = entry("s-3", "b", "ready");
     let entries: Vec<String> = others.chain(own).chain([moved]).collect();
-    watch.chunk(&with_newline(list(42, true, &entries)));
-    let messages = proxy.line_with("out=");
+    watch.send_chunk(&with_newline(list_json(42, true, &entries)));
+    let messages = proxy.next_line_containing("out=");
     assert_names_only(&messages, &["s-3", "s-4"]);
     // An invalid entry of a known worker does not remove the worker; the same holds without a scope.
     let invalid = r#"{"instanceId":"s-1"}"#.to_string();
-    watch.chunk(&with_newline(list(
+    watch.send_chunk(&with_newline(list_json(
         43,
         true,
         &[invalid, entry("s-2", "a", "draining"), entry("s-4", "a", "ready")],
     )));
-    let messages = proxy.line_with("out=s-2");
+    let messages = proxy.next_line_containing("out=s-2");
     assert!(!messages.contains("s-1"), "{messages}");
-    let table = AnsweringProxy::joined(manager.address, 2).line_with("whole=1");
+    let table = AnsweringProxy::connect(manager.address, 2).next_line_containing("whole=1");
     assert!(table.contains("s-1") && table.contains("s-4") && !table.contains("far-"), "{table}");
     // An entry has no readable worker id and could be any worker's: no worker is removed for being absent from this
     // list.
     let without_id = r#"{"zone":"a"}"#.to_string();
-    watch.chunk(&with_newline(list(44, true, &[without_id, entry("s-4", "a", "draining")])));
-    let messages = proxy.line_with("out=s-4");
+    watch.send_chunk(&with_newline(list_json(44, true, &[without_id, entry("s-4", "a", "draining")])));
+    let messages = proxy.next_line_containing("out=s-4");
     assert!(!messages.contains("s-1"), "{messages}");
     // A worker that is absent from a full list is gone, as always.
-    watch.chunk(&with_newline(list(45, true, &[entry("s-5", "a", "ready"), entry("s-1", "a", "ready")])));
-    watch.chunk(&with_newline(list(46, true, &[entry("s-5", "a", "ready")])));
-    proxy.line_with("out=s-1");
+    watch.send_chunk(&with_newline(list_json(
+        45,
+        true,
+        &[entry("s-5", "a", "ready"), entry("s-1", "a", "ready")],
+    )));
+    watch.send_chunk(&with_newline(list_json(46, true, &[entry("s-5", "a", "ready")])));
+    proxy.next_line_containing("out=s-1");
 }
 
 #[test]
 fn a_scope_without_workers_is_warned_of_once_and_accepts_workers_that_appear_later() {
     let relays = Relays::new("nothing", 1, "<zone>nowhere</zone><service>quiz</service>");
     let mut manager = relays.start_manager("nothing", &config(UNUSED_DISCOVERY.parse().unwrap(), 64));
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
     let (request_line, mut watch) = relays.accept_watch(0);
     assert_eq!(request_line, "GET /v1/servers?stream=1&index=41&zones=nowhere&services=quiz HTTP/1.1");
-    watch.chunk(&full_list(42, &[("s-1", "ready")]));
-    watch.chunk(&with_newline(list(43, true, &[entry("s-9", "nowhere", "ready")])));
-    let table = proxy.line_with("s-9:1");
+    watch.send_chunk(&full_list(42, &[("s-1", "ready")]));
+    watch.send_chunk(&with_newline(list_json(43, true, &[entry("s-9", "nowhere", "ready")])));
+    let table = proxy.next_line_containing("s-9:1");
     assert!(!table.contains("s-1"), "{table}");
     manager.signal("TERM");
     assert!(manager.child.wait().unwrap().success());
@@ -377,19 +381,19 @@
 #[test]
 fn a_list_over_its_limit_is_refused_in_one_log_line_and_requested_with_growing_delays() {
     let (relays, mut manager) = Relays::of_zone_a("limit");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     // 40 MB of entries in scope: the list is refused while it is received.
     let name = "x".repeat(16_000);
     let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
-    let huge = list(42, true, &entries);
+    let huge = list_json(42, true, &entries);
     let mut waits_s: Vec<u64> = Vec::new();
     let mut refused_at = Vec::new();
     for relay in [0, 1, 2] {
         let (request_line, mut watch) = relays.accept_watch(relay);
         assert!(request_line.contains("index=41"), "{request_line}");
         assert!(
-            watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
+            watch.try_send_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
             "the manager must not read the list to its end"
         );
         let warning = manager.wait_for_log_line("WARN");
@@ -409,12 +413,12 @@
     let gaps: Vec<Duration> = refused_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps[0] >= Duration::from_secs(2) && gaps[1] >= Duration::from_secs(4), "{gaps:?}");
     // The current list stays in use, and an accepted list resets the delay.
-    let table = AnsweringProxy::joined(manager.address, 2).line_with("whole=1");
+    let table = AnsweringProxy::connect(manager.address, 2).next_line_containing("whole=1");
     assert!(["s-1", "s-2", "s-3"].iter().all(|id| table.contains(id)) && !table.contains("w-"), "{table}");
     let mut watch = relays.accept_watch_from(0, 41);
-    watch.chunk(&change(43, "s-1", "a", "draining"));
-    proxy.line_with("out=s-1");
-    _ = watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1));
+    watch.send_chunk(&change(43, "s-1", "a", "draining"));
+    proxy.next_line_containing("out=s-1");
+    _ = watch.try_send_raw(&format!("{:x}\r\n{huge}", huge.len() + 1));
     let warning = manager.wait_for_log_line("too large");
     assert!(
         warning.contains("list 43 stays in use; the list is requested again in 2 s")
@@ -426,19 +430,19 @@
 #[test]
 fn a_list_far_over_the_limit_is_accepted_where_little_of_it_is_in_scope() {
     let (relays, manager) = Relays::of_zone_a("large");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
     let own_entry = |id: usize| entry(&format!("s-{id}"), "a", if id == 1 { "draining" } else { "ready" });
     let other_entry = |id: usize| entry(&format!("far-{id}"), "b", "ready");
     let entries: Vec<String> = (0..140_000)
         .map(|id| if id > 0 && id % 3000 == 0 { own_entry(id / 3000) } else { other_entry(id) })
         .collect();
-    let text = with_newline(list(42, true, &entries));
+    let text = with_newline(list_json(42, true, &entries));
     // Above the limit of 16 MiB, which counts only what is in scope.
     assert!(text.len() > 18 << 20, "{}", text.len());
-    watch.chunk(&text);
-    assert!(proxy.line_with("out=s-1").contains("out=s-1"));
+    watch.send_chunk(&text);
+    assert!(proxy.next_line_containing("out=s-1").contains("out=s-1"));
     let status = std::fs::read_to_string(format!("/proc/{}/status", manager.child.id())).unwrap();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
     let peak_kb: usize = peak.trim().trim_end_matches(" kB").trim().parse().unwrap();
@@ -453,8 +457,8 @@
     let discoveries: Vec<TcpListener> = (0..2).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
     let config_at = |discovery: usize| config(discoveries[discovery].local_addr().unwrap(), 64);
     let mut manager = relays.start_manager("reload", &config_at(0));
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let (request_line, mut watch) = relays.accept_watch(0);
     assert_eq!(
         request_line, "GET /v1/servers?stream=1&index=41 HTTP/1.1",
@@ -463,8 +467,8 @@
     std::fs::write(&manager.path, config_at(1)).unwrap();
     manager.signal("HUP");
     manager.wait_for_log_line("has no effect: the list is taken from relays");
-    watch.chunk(&change(42, "s-1", "b", "draining"));
-    proxy.line_with("out=s-1");
+    watch.send_chunk(&change(42, "s-1", "b", "draining"));
+    proxy.next_line_containing("out=s-1");
     for discovery in &discoveries {
         discovery.set_nonblocking(true).unwrap();
         assert!(discovery.accept().is_err(), "discovery must not be dialled");
@@ -491,17 +495,17 @@
 fn a_list_over_its_limit_is_also_refused_without_relays_and_scope() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut manager = ManagerProcess::start("relays-discovery", &config(discovery.local_addr().unwrap(), 64));
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     // The discovery server, with the functions of a relay.
     let source = Relays { listeners: vec![discovery], operator_file: PathBuf::new() };
     let (request_line, mut watch) = source.accept_watch(0);
     assert_eq!(request_line, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
     let name = "x".repeat(16_000);
     let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
-    let huge = list(42, true, &entries);
+    let huge = list_json(42, true, &entries);
     assert!(
-        watch.try_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
+        watch.try_send_raw(&format!("{:x}\r\n{huge}", huge.len() + 1)).is_err(),
         "the manager must not read the list to its end"
     );
     let refused_at = Instant::now();
@@ -513,25 +517,25 @@
         refused_at.elapsed() >= Duration::from_secs(2) && request_line.contains("index=41"),
         "{request_line}"
     );
-    watch.chunk(&change(42, "s-1", "a", "draining"));
-    proxy.line_with("out=s-1");
+    watch.send_chunk(&change(42, "s-1", "a", "draining"));
+    proxy.next_line_containing("out=s-1");
 }
 
 #[test]
 fn a_list_sent_slowly_is_accepted_even_if_its_line_takes_longer_than_the_silence_timeout() {
     let (relays, manager) = Relays::of_zone_a("pace");
-    let mut proxy = AnsweringProxy::joined(manager.address, 1);
-    proxy.line_with("whole=1");
+    let mut proxy = AnsweringProxy::connect(manager.address, 1);
+    proxy.next_line_containing("whole=1");
     let mut watch = relays.accept_watch_from(0, 41);
     let entries = ["s-1", "s-2", "s-3", "s-4"].map(|id| entry(id, "a", "draining"));
-    watch.chunk(r#"{"generation":42,"reset":true,"instances":["#);
+    watch.send_chunk(r#"{"generation":42,"reset":true,"instances":["#);
     // An entry every 2 s: the line takes 8 s, but no silence reaches the time-out of 4 s.
     for (index, entry) in entries.iter().enumerate() {
         let comma = if index > 0 { "," } else { "" };
-        watch.chunk(&format!("{comma}{entry}"));
+        watch.send_chunk(&format!("{comma}{entry}"));
         thread::sleep(Duration::from_secs(2));
     }
-    watch.chunk("]}\n");
-    proxy.line_with("out=s-1,s-2,s-3");
+    watch.send_chunk("]}\n");
+    proxy.next_line_containing("out=s-1,s-2,s-3");
     assert!(relays.next_connection(1).is_none(), "the manager stays with this relay");
 }
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 use cluster::{accept_watch, config, entry, TestCluster};
-use juniperrail_standins::{address_served, list, Peer, SETTINGS};
+use juniperrail_standins::{address_from_log, list_json, Peer, SETTINGS};
 
 #[test]
 fn joining_proxy_gets_the_full_table_of_the_current_list() {
     let cluster = TestCluster::new(64);
-    cluster.peer().alive();
-    let table = cluster.proxy(7).line_with("whole=1");
+    cluster.peer().assert_alive();
+    let table = cluster.proxy(7).next_line_containing("whole=1");
     assert!(table.starts_with("push ") && table.contains("lines=s-1:1,s-2:1,s-3:1"), "{table}");
     assert!(table.contains("level=1000000 retry=1") && table.contains("ticket="), "{table}");
 }
@@ -25,10 +25,10 @@
     let cluster = TestCluster::new(64);
     let mut peer = cluster.peer();
     for piece in ["pro", "be\r", "\nprobe\r\nhello node=3 loc", "ality=b w=1 cold=0\r\npro", "be\r\n"] {
-        peer.raw(piece);
+        peer.send_raw(piece);
     }
-    assert_eq!([peer.line(), peer.line()].map(Option::unwrap), ["alive", "alive"]);
-    let both_lines = [peer.line().unwrap(), peer.line().unwrap()].concat();
+    assert_eq!([peer.next_line(), peer.next_line()].map(Option::unwrap), ["alive", "alive"]);
+    let both_lines = [peer.next_line().unwrap(), peer.next_line().unwrap()].concat();
     assert!(both_lines.contains("alive") && both_lines.contains("whole=1"), "{both_lines}");
 }
 
@@ -36,21 +36,21 @@
 fn new_stream_of_a_proxy_replaces_the_old_one() {
     let cluster = TestCluster::new(64);
     let mut old = cluster.proxy(7);
-    old.line_with("whole=1");
+    old.next_line_containing("whole=1");
     let mut new = cluster.proxy(7);
-    new.line_with("whole=1");
-    assert_eq!(old.line(), None, "the old stream has ended");
-    new.alive();
-    cluster.accept_watch("200 OK").1.chunk(&(list(42, false, &[entry("s-2", "draining")]) + "\n"));
-    new.line_with("out=s-2");
+    new.next_line_containing("whole=1");
+    assert_eq!(old.next_line(), None, "the old stream has ended");
+    new.assert_alive();
+    cluster.accept_watch("200 OK").1.send_chunk(&(list_json(42, false, &[entry("s-2", "draining")]) + "\n"));
+    new.next_line_containing("out=s-2");
 }
 
 #[test]
 fn invalid_message_is_skipped_and_the_connection_kept() {
     let cluster = TestCluster::new(64);
     let (mut proxy, mut collector) = (cluster.proxy(1), cluster.peer());
-    proxy.line_with("whole=1");
-    collector.say("agent locality=a");
+    proxy.next_line_containing("whole=1");
+    collector.send_line("agent locality=a");
     for invalid in [
         "ack node=1 nonce=70000 latency=1",
         "ack node=1 nonce=1",
@@ -65,42 +65,42 @@
         "outcomes locality=nowhere endpoint=s-1 total=1 errors=0 rtt=1 interval=1000",
         "hello node=2 locality=a w=1 cold=1",
     ] {
-        proxy.say(invalid);
-        collector.say(invalid);
+        proxy.send_line(invalid);
+        collector.send_line(invalid);
     }
-    proxy.alive();
-    collector.alive();
+    proxy.assert_alive();
+    collector.assert_alive();
 }
 
 #[test]
 fn bytes_that_are_no_message_end_only_their_connection() {
     let cluster = TestCluster::new(64);
     let mut unaffected = cluster.proxy(1);
-    unaffected.line_with("whole=1");
+    unaffected.next_line_containing("whole=1");
     // Some of these do not end a line.
     for (number, bad_bytes) in
         (2..).zip(["shout\r\n", "\r\n", "GET / HTTP/1.1", "\u{16}\u{3}\u{1}", "ack \0"])
     {
         let mut proxy = cluster.proxy(number);
-        proxy.line_with("whole=1");
-        proxy.raw(bad_bytes);
-        while proxy.line().is_some() {}
-        cluster.proxy(number).line_with("whole=1");
+        proxy.next_line_containing("whole=1");
+        proxy.send_raw(bad_bytes);
+        while proxy.next_line().is_some() {}
+        cluster.proxy(number).next_line_containing("whole=1");
         let mut collector = cluster.peer();
-        collector.say("agent locality=b");
-        collector.alive();
-        collector.raw(bad_bytes);
-        assert_eq!(collector.line(), None, "{bad_bytes:?}");
+        collector.send_line("agent locality=b");
+        collector.assert_alive();
+        collector.send_raw(bad_bytes);
+        assert_eq!(collector.next_line(), None, "{bad_bytes:?}");
     }
     drop(cluster.proxy(9));
-    unaffected.alive();
+    unaffected.assert_alive();
 }
 
 #[test]
 fn rejected_peers_get_an_error_and_see_their_connections_end() {
     let cluster = TestCluster::new(64);
     let mut proxy = cluster.proxy(1);
-    proxy.line_with("whole=1");
+    proxy.next_line_containing("whole=1");
     let endless = "x".repeat(100_000);
     for (first_bytes, reason) in [
         ("hello node=20 locality=a w=1 cold=1\r\n", "unreadable"),
@@ -115,27 +115,27 @@
         ("", "late"),
     ] {
         let mut peer = cluster.peer();
-        peer.raw(first_bytes);
-        assert_eq!(peer.line().as_deref(), Some(&*format!("error why={reason}")), "{first_bytes:.20}");
-        assert_eq!(peer.line(), None, "{first_bytes:.20}");
+        peer.send_raw(first_bytes);
+        assert_eq!(peer.next_line().as_deref(), Some(&*format!("error why={reason}")), "{first_bytes:.20}");
+        assert_eq!(peer.next_line(), None, "{first_bytes:.20}");
     }
     let mut probing = cluster.peer();
-    probing.alive();
-    assert_eq!(probing.line().as_deref(), Some("error why=late"), "a probe is not an introduction");
-    proxy.alive();
+    probing.assert_alive();
+    assert_eq!(probing.next_line().as_deref(), Some("error why=late"), "a probe is not an introduction");
+    proxy.assert_alive();
 }
 
 #[test]
 fn silent_unidentified_connections_are_evicted_for_proxies() {
     let cluster = TestCluster::new(16);
     let mut proxy = cluster.proxy(1);
-    proxy.line_with("whole=1");
+    proxy.next_line_containing("whole=1");
     let mut unidentified: Vec<Peer> = (0..4).map(|_| cluster.peer()).collect();
-    let table = cluster.proxy(2).line_with("whole=1");
+    let table = cluster.proxy(2).next_line_containing("whole=1");
     assert!(table.contains("s-1"), "{table}");
-    assert_eq!(unidentified[0].line(), None, "the oldest is evicted before its time-out");
-    unidentified[3].alive();
-    proxy.alive();
+    assert_eq!(unidentified[0].next_line(), None, "the oldest is evicted before its time-out");
+    unidentified[3].assert_alive();
+    proxy.assert_alive();
 }
 
 #[test]
@@ -143,16 +143,16 @@
     let cluster = TestCluster::new(64);
     let mut collectors: Vec<Peer> = (0..9).map(|_| cluster.peer()).collect();
     for (index, collector) in collectors.iter_mut().enumerate() {
-        collector.say("agent locality=a");
-        collector.alive();
+        collector.send_line("agent locality=a");
+        collector.assert_alive();
         if index == 7 {
             break;
         }
     }
-    collectors[0].alive();
-    collectors[8].say("agent locality=b");
-    assert_eq!(collectors[1].line(), None, "at most eight collectors may stay for two zones");
-    collectors[0].alive();
+    collectors[0].assert_alive();
+    collectors[8].send_line("agent locality=b");
+    assert_eq!(collectors[1].next_line(), None, "at most eight collectors may stay for two zones");
+    collectors[0].assert_alive();
 }
 
 #[test]
@@ -163,12 +163,12 @@
     limited.args(["-c", "ulimit -n 24; exec \"$0\"", env!("CARGO_BIN_EXE_juniperrail")]);
     let mut manager = limited.env("PROXY_CONFIG", &path).stderr(Stdio::piped()).spawn().unwrap();
     let mut log = BufReader::new(manager.stderr.take().unwrap());
-    let address = address_served(&mut log);
-    let mut proxy = Peer::joined(address, 1);
-    proxy.line_with("whole=1");
+    let address = address_from_log(&mut log);
+    let mut proxy = Peer::connect_as_proxy(address, 1);
+    proxy.next_line_containing("whole=1");
     let unidentified: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(address).unwrap()).collect();
-    Peer::joined(address, 2).line_with("whole=1");
-    proxy.alive();
+    Peer::connect_as_proxy(address, 2).next_line_containing("whole=1");
+    proxy.assert_alive();
     manager.kill().unwrap();
     let mut log_text = String::new();
     log.read_to_string(&mut log_text).unwrap();
@@ -185,26 +185,26 @@
     let mut proxies: Vec<Peer> = (0..20).map(|number| cluster.proxy(number)).collect();
     let joined: Vec<bool> = proxies
         .iter_mut()
-        .map(|proxy| std::iter::from_fn(|| proxy.line()).any(|line| line.contains("whole=1")))
+        .map(|proxy| std::iter::from_fn(|| proxy.next_line()).any(|line| line.contains("whole=1")))
         .collect();
     let kept_count = joined.iter().filter(|joined| **joined).count();
     assert!((4..20).contains(&kept_count), "{kept_count} of 20 proxies joined");
-    watch.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
+    watch.send_chunk(&(list_json(42, false, &[entry("s-1", "draining")]) + "\n"));
     drop(watch);
     let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "there is a descriptor for the next watch: {request}");
-    watch.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
+    watch.send_chunk(&(list_json(43, false, &[entry("s-2", "draining")]) + "\n"));
     let connected = proxies.iter_mut().zip(joined).filter(|(_, joined)| *joined);
-    connected.for_each(|(proxy, _)| _ = proxy.line_with("out=s-2"));
+    connected.for_each(|(proxy, _)| _ = proxy.next_line_containing("out=s-2"));
 }
 
 #[test]
 fn a_thousand_workers_and_zones_missing_from_the_settings_are_served() {
     let zone = |index: u32| format!("z{}", index % 12);
     let entries: Vec<String> = (0..1100)
-        .map(|id| juniperrail_standins::entry(&format!("s-{id}"), &zone(id), "127.0.0.1:9", "ready"))
+        .map(|id| juniperrail_standins::instance_json(&format!("s-{id}"), &zone(id), "127.0.0.1:9", "ready"))
         .collect();
-    let cached_list = list(41, true, &entries);
+    let cached_list = list_json(41, true, &entries);
     let settings = SETTINGS
         .replace("\"n-instances\":1,", "\"n-instances\":1100,")
         .replace("\"pending-max\":5000", "\"pending-max\":50000");
@@ -216,23 +216,23 @@
     });
     let mut collectors: Vec<Peer> = (0..12).map(|_| cluster.peer()).collect();
     for (index, collector) in (0..).zip(&mut collectors) {
-        collector.say(&format!("agent locality={}", zone(index)));
-        collector.alive();
+        collector.send_line(&format!("agent locality={}", zone(index)));
+        collector.assert_alive();
     }
     let mut proxies: Vec<Peer> = (0..20).map(|_| cluster.peer()).collect();
     for (number, proxy) in (0..).zip(&mut proxies) {
-        proxy.say(&format!("hello node={number} locality={} w=2 cold=1", zone(number)));
+        proxy.send_line(&format!("hello node={number} locality={} w=2 cold=1", zone(number)));
     }
     for proxy in &mut proxies {
-        let table = proxy.line_with("whole=1");
+        let table = proxy.next_line_containing("whole=1");
         let lines = table.split("lines=").nth(1).unwrap().split(' ').next().unwrap();
         let weight = |line: &str| line.split_once(':').and_then(|(_, weight)| weight.parse::<f64>().ok());
         assert!(lines.split(',').count() >= 16, "{table}");
         assert!(lines.split(',').all(|line| weight(line).is_some_and(|weight| weight > 0.0)), "{table}");
     }
     for peer in proxies.iter_mut().chain(&mut collectors) {
-        peer.say("probe");
-        peer.line_with("alive");
+        peer.send_line("probe");
+        peer.next_line_containing("alive");
     }
 }
 
@@ -241,8 +241,8 @@
     let cluster = TestCluster::new(1024);
     let mut proxies: Vec<Peer> = (0..400).map(|number| cluster.proxy(number % 20)).collect();
     // Each new stream of a proxy ends the previous one: only the last twenty remain, and all of them are served.
-    proxies[380..].iter_mut().for_each(|proxy| _ = proxy.line_with("whole=1"));
-    proxies[..380].iter_mut().for_each(|proxy| while proxy.line().is_some() {});
+    proxies[380..].iter_mut().for_each(|proxy| _ = proxy.next_line_containing("whole=1"));
+    proxies[..380].iter_mut().for_each(|proxy| while proxy.next_line().is_some() {});
 }
 
 #[test]
@@ -251,32 +251,32 @@
     let (request, mut watch) = cluster.accept_watch("200 OK");
     assert_eq!(request, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
     let mut proxy = cluster.proxy(1);
-    proxy.line_with("whole=1");
+    proxy.next_line_containing("whole=1");
     let broken = r#"{"instanceId":"s-3"}"#.to_string();
-    let first = list(42, false, &[broken, entry("s-1", "draining")]) + "\n";
+    let first = list_json(42, false, &[broken, entry("s-1", "draining")]) + "\n";
     let (head, tail) = first.split_at(25);
-    watch.chunk("\n");
-    watch.chunk(head);
-    watch.chunk(&(tail.to_string() + "\n" + &list(43, false, &[entry("s-9", "ready")]) + "\n"));
-    let message = proxy.line_with("out=s-1");
+    watch.send_chunk("\n");
+    watch.send_chunk(head);
+    watch.send_chunk(&(tail.to_string() + "\n" + &list_json(43, false, &[entry("s-9", "ready")]) + "\n"));
+    let message = proxy.next_line_containing("out=s-1");
     assert!(!message.contains("s-3"), "an entry with missing fields is skipped: {message}");
     let broken = r#"{"instanceId":"s-3"}"#.to_string();
-    watch.chunk(&(list(44, true, &[entry("s-2", "draining"), broken]) + "\n"));
-    let message = proxy.line_with("out=s-2");
+    watch.send_chunk(&(list_json(44, true, &[entry("s-2", "draining"), broken]) + "\n"));
+    let message = proxy.next_line_containing("out=s-2");
     assert!(!message.contains("s-3"), "a worker with an invalid entry is not gone: {message}");
-    watch.chunk(&(list(45, true, &[entry("s-9", "ready")]) + "\n"));
-    proxy.line_with("out=s-3");
+    watch.send_chunk(&(list_json(45, true, &[entry("s-9", "ready")]) + "\n"));
+    proxy.next_line_containing("out=s-3");
 }
 
 #[test]
 fn broken_watch_reconnects_from_the_current_version() {
     let cluster = TestCluster::new(64);
     let (_, mut watch) = cluster.accept_watch("200 OK");
-    watch.chunk(&(list(42, false, &[]) + "\n"));
+    watch.send_chunk(&(list_json(42, false, &[]) + "\n"));
     drop(watch);
     let (request, mut watch) = cluster.accept_watch("200 OK");
     assert!(request.contains("index=42"), "after the end of a watch: {request}");
-    watch.chunk("{\"generation\":\n");
+    watch.send_chunk("{\"generation\":\n");
     let (request, watch) = cluster.accept_watch("503 Service Unavailable");
     assert!(request.contains("index=42"), "after invalid JSON: {request}");
     let (request, silent) = cluster.accept_watch("200 OK");
@@ -290,9 +290,9 @@
 fn stopped_manager_closes_its_connections() {
     let mut cluster = TestCluster::new(64);
     let mut proxy = cluster.proxy(1);
-    proxy.line_with("whole=1");
+    proxy.next_line_containing("whole=1");
     drop(cluster.stop.take());
-    while proxy.line().is_some() {}
+    while proxy.next_line().is_some() {}
     // The listener may be closed after the connections.
     let refused = (0..2000).any(|_| {
         thread::sleep(Duration::from_millis(10));
@@ -313,34 +313,34 @@
     program.env("PROXY_CONFIG", &path).env("PROXY_DISCOVERY", addresses[0].to_string());
     let mut manager = program.stderr(Stdio::piped()).spawn().unwrap();
     let mut log = BufReader::new(manager.stderr.take().unwrap());
-    let address = address_served(&mut log);
+    let address = address_from_log(&mut log);
     let mut reload = |config: &str, expected: &str| {
         std::fs::write(&path, config).unwrap();
         Command::new("kill").args(["-HUP", &manager.id().to_string()]).status().unwrap();
         let mut lines = log.by_ref().lines().map(Result::unwrap);
         lines.find(|line| line.contains(expected)).unwrap_or_else(|| panic!("{expected:?} was never logged"))
     };
-    let mut proxy = Peer::joined(address, 7);
-    proxy.line_with("whole=1");
+    let mut proxy = Peer::connect_as_proxy(address, 7);
+    proxy.next_line_containing("whole=1");
     let (_, mut old) = accept_watch(&discoveries[0], "200 OK");
-    old.chunk(&(list(42, false, &[entry("s-1", "draining")]) + "\n"));
-    proxy.line_with("out=s-1");
+    old.send_chunk(&(list_json(42, false, &[entry("s-1", "draining")]) + "\n"));
+    proxy.next_line_containing("out=s-1");
     for invalid in ["", "{\"seed\":", &config(addresses[1], 64).replace("127.0.0.1:", "nowhere")] {
         reload(invalid, "the configuration stays as it was");
     }
-    old.chunk(&(list(43, false, &[entry("s-2", "draining")]) + "\n"));
-    proxy.line_with("out=s-2");
+    old.send_chunk(&(list_json(43, false, &[entry("s-2", "draining")]) + "\n"));
+    proxy.next_line_containing("out=s-2");
     let moved_config = config(addresses[1], 64).replace("127.0.0.1:0\"", "127.0.0.1:9\"");
     reload(&moved_config, "the address to listen on cannot change while running");
     let (request, mut new) = accept_watch(&discoveries[1], "200 OK");
     assert!(request.contains("index=43"), "the new watch must start from the current version: {request}");
-    assert_eq!(old.line(), None, "the manager must close the old watch");
-    new.chunk(&(list(44, false, &[entry("s-3", "draining"), entry("s-4", "ready")]) + "\n"));
-    proxy.line_with("out=s-3");
+    assert_eq!(old.next_line(), None, "the manager must close the old watch");
+    new.send_chunk(&(list_json(44, false, &[entry("s-3", "draining"), entry("s-4", "ready")]) + "\n"));
+    proxy.next_line_containing("out=s-3");
     reload(&config(addresses[0], 64), "read again");
     reload(&config(addresses[2], 64), "read again");
     assert!(accept_watch(&discoveries[2], "200 OK").0.contains("index=44"), "the last reload wins");
-    proxy.alive();
+    proxy.assert_alive();
     manager.kill().unwrap();
     manager.wait().unwrap();
     std::fs::remove_file(&path).unwrap();
@@ -375,7 +375,7 @@
     }
     let mut running = program(&valid_config, "127.0.0.1:0");
     let mut log = BufReader::new(running.stderr.take().unwrap());
-    address_served(&mut log);
+    address_from_log(&mut log);
     Command::new("kill").arg(running.id().to_string()).status().unwrap();
     assert!(running.wait().unwrap().success());
     let mut log_text = String::new();
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -49,7 +49,7 @@
     }
 
     pub fn ask(&self, query: &str) -> ListSubscriber {
-        ListSubscriber::ask(self.address, &format!("/v1/servers{query}"))
+        ListSubscriber::request(self.address, &format!("/v1/servers{query}"))
     }
 
     /// Asks until it is answered: the relay may have yet to take what the source wrote.
@@ -93,7 +93,7 @@
 
     /// The relay's next watch: what it asked for, and the watch.
     pub fn accept(&self) -> (String, SourceWatch) {
-        let (asked, peer) = Discovery::accept(&self.0, "200 OK");
+        let (asked, peer) = Discovery::accept_watch(&self.0, "200 OK");
         (asked, SourceWatch(Arc::new(Mutex::new(peer))))
     }
 }
@@ -109,7 +109,7 @@
 
     /// Bytes of the body as they are.
     pub fn raw(&self, text: &str) {
-        self.0.lock().unwrap().chunk(text);
+        self.0.lock().unwrap().send_chunk(text);
     }
 
     /// Sends heartbeats until the returned guard is dropped, or the relay has gone.
@@ -118,7 +118,7 @@
         let (watch, is_stopped) = (self.clone(), stopped.clone());
         thread::spawn(move || {
             while !is_stopped.load(Ordering::SeqCst) {
-                let beat = watch.0.lock().unwrap().try_raw("1\r\n\n\r\n");
+                let beat = watch.0.lock().unwrap().try_send_raw("1\r\n\n\r\n");
                 if beat.is_err() {
                     return;
                 }
@@ -140,7 +140,7 @@
 
 /// A worker's entry.
 pub fn worker(id: &str, zone: &str, lifecycle: &str) -> String {
-    juniperrail_standins::entry(id, zone, "127.0.0.1:9", lifecycle)
+    juniperrail_standins::instance_json(id, zone, "127.0.0.1:9", lifecycle)
 }
 
 /// A line of a list, read.
@@ -170,7 +170,7 @@
 /// The next list that names workers; those that only bring a version are passed over.
 pub fn next_with_workers(subscriber: &mut ListSubscriber) -> Read {
     loop {
-        let list = read(&subscriber.list().expect("the watch lives"));
+        let list = read(&subscriber.next_list().expect("the watch lives"));
         if !list.entries.is_empty() || list.reset {
             return list;
         }
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use common::{expected, next_with_workers, read, worker, RunningRelay, Source, WITHIN};
-use juniperrail_standins::{list, Ending, ListSubscriber};
+use juniperrail_standins::{list_json, BodyEnd, ListSubscriber};
 
 const ALL_QUICK: usize = 300;
 
@@ -18,7 +18,7 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     // A whole entry of it is there, and half of another; the line ends.
@@ -32,7 +32,7 @@
     drop(watch);
     let (asked, watch) = source.accept();
     assert!(asked.contains("index=7 "), "{asked}");
-    watch.send(&list(8, false, &[worker("s-2", "a", "draining")]));
+    watch.send(&list_json(8, false, &[worker("s-2", "a", "draining")]));
     assert_eq!(next_with_workers(&mut subscriber), expected(8, false, &["s-2 a draining"]));
     let mut fresh = relay.ask("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut fresh), expected(8, true, &["s-1 a ready", "s-2 a draining"]));
@@ -43,13 +43,13 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &["s-1", "s-2", "s-3"].map(|id| worker(id, "a", "ready"))));
+    watch.send(&list_json(7, true, &["s-1", "s-2", "s-3"].map(|id| worker(id, "a", "ready"))));
     let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     drop(watch);
     let (asked, watch) = source.accept();
     assert!(asked.contains("index=7 "), "{asked}");
-    watch.send(&list(9, true, &[worker("s-1", "a", "ready"), worker("s-3", "a", "draining")]));
+    watch.send(&list_json(9, true, &[worker("s-1", "a", "ready"), worker("s-3", "a", "draining")]));
     let told = next_with_workers(&mut subscriber);
     assert_eq!(told, expected(9, false, &["s-3 a draining", "s-2 a gone"]));
 }
@@ -59,13 +59,13 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     let odd = r#"{"instanceId":5,"zone":"a"}"#.to_string();
-    watch.send(&list(8, true, &[worker("s-1", "a", "draining"), odd]));
+    watch.send(&list_json(8, true, &[worker("s-1", "a", "draining"), odd]));
     assert_eq!(next_with_workers(&mut subscriber), expected(8, false, &["s-1 a draining"]));
-    watch.send(&list(9, true, &[worker("s-1", "a", "draining")]));
+    watch.send(&list_json(9, true, &[worker("s-1", "a", "draining")]));
     assert_eq!(next_with_workers(&mut subscriber), expected(9, false, &["s-2 a gone"]));
 }
 
@@ -77,19 +77,19 @@
     });
     assert_eq!(relay.ask("?stream=1").status, 503, "before the first list");
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let alive = watch.keep_alive();
     let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
-    let health = |relay: &RunningRelay| ListSubscriber::ask(relay.address, "/healthz").status;
+    let health = |relay: &RunningRelay| ListSubscriber::request(relay.address, "/healthz").status;
     assert_eq!(health(&relay), 200);
 
     // Silent, with open connections; the worker drains meanwhile.
     drop(alive);
-    let (told, ending) = subscriber.rest();
-    assert_eq!(ending, Ending::Whole, "between two lines");
+    let (told, ending) = subscriber.read_to_end();
+    assert_eq!(ending, BodyEnd::Complete, "between two lines");
     assert_eq!(told.trim(), "", "nothing but heartbeats");
-    let (refusal, _) = relay.ask("?stream=1&zones=a&index=7").rest();
+    let (refusal, _) = relay.ask("?stream=1&zones=a&index=7").read_to_end();
     assert_eq!(refusal, "this relay is not in step with its source\n");
     assert_eq!(relay.ask("").status, 503);
     assert_eq!(health(&relay), 503);
@@ -97,12 +97,12 @@
     let (asked, watch) = source.accept();
     assert!(asked.contains("index=7 "), "{asked}");
     assert_eq!(relay.ask("?stream=1").status, 503, "the source has yet to say something");
-    watch.send(&list(9, false, &[worker("s-1", "a", "draining")]));
+    watch.send(&list_json(9, false, &[worker("s-1", "a", "draining")]));
     let _alive = watch.keep_alive();
     let mut back = relay.ask_until_served("?stream=1&zones=a&index=7");
-    assert_eq!(read(&back.list().unwrap()), expected(9, false, &["s-1 a draining"]));
+    assert_eq!(read(&back.next_list().unwrap()), expected(9, false, &["s-1 a draining"]));
     let mut fresh = relay.ask_until_served("?stream=1&zones=a");
-    assert_eq!(read(&fresh.list().unwrap()), expected(9, true, &["s-1 a draining", "s-2 a ready"]));
+    assert_eq!(read(&fresh.next_list().unwrap()), expected(9, true, &["s-1 a draining", "s-2 a ready"]));
 }
 
 #[test]
@@ -113,17 +113,17 @@
         options.timing.source_behind = WITHIN;
     });
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready")]));
     let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
-    watch.send(&list(5, true, &[]));
+    watch.send(&list_json(5, true, &[]));
     let _alive = watch.keep_alive();
-    let (told, ending) = subscriber.rest();
-    assert_eq!((told.trim(), ending), ("", Ending::Whole));
+    let (told, ending) = subscriber.read_to_end();
+    assert_eq!((told.trim(), ending), ("", BodyEnd::Complete));
     assert_eq!(relay.ask("?stream=1").status, 503);
-    watch.send(&list(8, false, &[worker("s-1", "a", "draining")]));
+    watch.send(&list_json(8, false, &[worker("s-1", "a", "draining")]));
     let mut back = relay.ask_until_served("?stream=1&zones=a&index=7");
-    assert_eq!(read(&back.list().unwrap()), expected(8, false, &["s-1 a draining"]));
+    assert_eq!(read(&back.next_list().unwrap()), expected(8, false, &["s-1 a draining"]));
 }
 
 #[test]
@@ -134,20 +134,20 @@
     });
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..20_000).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    let whole = list(7, true, &workers);
+    let whole = list_json(7, true, &workers);
     watch.send(&whole);
     let alive = watch.keep_alive();
     drop(relay.ask_until_served("?stream=1&zones=none"));
-    let mut watching = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
-    let mut once = ListSubscriber::ask_narrow(relay.address, "/v1/servers");
+    let mut watching = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
+    let mut once = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers");
     assert_eq!((watching.status, once.status), (200, 200));
     drop(alive);
     while relay.ask("?stream=1&zones=none").status == 200 {
         thread::yield_now();
     }
     for subscriber in [&mut watching, &mut once] {
-        let (told, ending) = subscriber.rest();
-        assert_eq!(ending, Ending::Broken);
+        let (told, ending) = subscriber.read_to_end();
+        assert_eq!(ending, BodyEnd::Truncated);
         assert!(told.len() < whole.len() && whole.starts_with(&told));
     }
 }
@@ -159,23 +159,23 @@
         options.timing.source_behind = Duration::from_millis(200);
     });
     let (_, watch) = source.accept();
-    watch.send(&list(1_000, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(1_000, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 1_000);
     // Older than what is held: passed over, and the heartbeats behind it show nothing new.
-    watch.send(&list(5, true, &[worker("s-2", "a", "ready")]));
+    watch.send(&list_json(5, true, &[worker("s-2", "a", "ready")]));
     let alive = watch.keep_alive();
     let (asked, watch) = source.accept();
     drop(alive);
     assert_eq!(asked, "GET /v1/servers?stream=1 HTTP/1.1");
-    watch.send(&list(6, true, &[worker("s-2", "a", "draining")]));
-    let (told, ending) = subscriber.rest();
-    assert_eq!((told.trim(), ending), ("", Ending::Whole), "the watch ends, and nothing old was told");
+    watch.send(&list_json(6, true, &[worker("s-2", "a", "draining")]));
+    let (told, ending) = subscriber.read_to_end();
+    assert_eq!((told.trim(), ending), ("", BodyEnd::Complete), "the watch ends, and nothing old was told");
     let mut ahead = relay.ask_until_served("?stream=1&zones=a&index=1000");
-    assert_eq!(read(&ahead.list().unwrap()), expected(6, false, &[]));
+    assert_eq!(read(&ahead.next_list().unwrap()), expected(6, false, &[]));
     let mut anew = relay.ask("?stream=1&zones=a");
-    assert_eq!(read(&anew.list().unwrap()), expected(6, true, &["s-2 a draining"]));
-    watch.send(&list(7, false, &[worker("s-3", "a", "ready")]));
+    assert_eq!(read(&anew.next_list().unwrap()), expected(6, true, &["s-2 a draining"]));
+    watch.send(&list_json(7, false, &[worker("s-3", "a", "ready")]));
     assert_eq!(next_with_workers(&mut anew), expected(7, false, &["s-3 a ready"]));
 }
 
@@ -185,16 +185,16 @@
     let mut relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..20_000).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    let whole = list(7, true, &workers);
+    let whole = list_json(7, true, &workers);
     watch.send(&whole);
     while relay.ask("?stream=1&zones=none").status != 200 {
         thread::yield_now();
     }
     // It has taken the head only, and more than its connection holds is left.
-    let mut subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
+    let mut subscriber = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
     relay.stop();
-    let (told, ending) = subscriber.rest();
-    assert_eq!(ending, Ending::Broken);
+    let (told, ending) = subscriber.read_to_end();
+    assert_eq!(ending, BodyEnd::Truncated);
     assert!(told.len() < whole.len() && whole.starts_with(&told), "a part of one line, without its end");
 }
 
@@ -205,12 +205,12 @@
     let (_, watch) = source.accept();
     let id = |number: usize| format!("s-{number:04}");
     let workers: Vec<String> = (0..5_000).map(|number| worker(&id(number), "a", "ready")).collect();
-    let whole = list(1, true, &workers);
+    let whole = list_json(1, true, &workers);
     watch.send(&whole);
     while relay.ask("?stream=1&zones=none").status != 200 {
         thread::yield_now();
     }
-    let mut slow = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
+    let mut slow = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
     let address = relay.address;
     let (done, released) = mpsc::channel::<()>();
     let slow = thread::spawn(move || {
@@ -224,7 +224,7 @@
     });
 
     let mut quick: Vec<ListSubscriber> =
-        (0..ALL_QUICK).map(|_| ListSubscriber::ask(address, "/v1/servers?stream=1&zones=z")).collect();
+        (0..ALL_QUICK).map(|_| ListSubscriber::request(address, "/v1/servers?stream=1&zones=z")).collect();
     for subscriber in &mut quick {
         assert_eq!(next_with_workers(subscriber), expected(1, true, &[]));
     }
@@ -234,7 +234,7 @@
         let lifecycle = if round % 2 == 0 { "draining" } else { "ready" };
         let mut changed: Vec<String> = (0..5_000).map(|number| worker(&id(number), "a", lifecycle)).collect();
         changed.push(worker("z-1", "z", lifecycle));
-        watch.send(&list(round, false, &changed));
+        watch.send(&list_json(round, false, &changed));
         for subscriber in &mut quick {
             assert_eq!(
                 next_with_workers(subscriber),
@@ -248,7 +248,7 @@
     let mut told = 0;
     let latest = format!("\"generation\":{},", 1 + rounds);
     loop {
-        let line = slow.list().expect("the watch lives");
+        let line = slow.next_list().expect("the watch lives");
         told += line.len();
         if line.contains(&latest) {
             break;
@@ -263,14 +263,14 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| options.limits.subscribers = 2);
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready")]));
     let mut first = relay.ask_until_served("?stream=1");
     let second = relay.ask("?stream=1");
     assert_eq!(second.status, 200);
     let mut third = relay.ask("?stream=1");
     assert_eq!(third.status, 503);
-    assert_eq!(third.rest().0, "this relay serves 2 subscribers already\n");
-    assert_eq!(ListSubscriber::ask(relay.address, "/healthz").status, 200);
+    assert_eq!(third.read_to_end().0, "this relay serves 2 subscribers already\n");
+    assert_eq!(ListSubscriber::request(relay.address, "/healthz").status, 200);
     assert_eq!(next_with_workers(&mut first).version, 7);
     // Whose room is free as soon as the relay sees its end.
     drop(second);
@@ -286,11 +286,11 @@
     });
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..workers).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    watch.send(&list(7, true, &workers));
+    watch.send(&list_json(7, true, &workers));
     drop(relay.ask_until_served("?stream=1&zones=none"));
     let started = Instant::now();
     let stalled = loop {
-        let subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
+        let subscriber = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
         if subscriber.status == 200 {
             break subscriber;
         }
@@ -316,11 +316,11 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[]));
+    watch.send(&list_json(7, true, &[]));
     drop(relay.ask_until_served(""));
     let refused = |path: &str| {
-        let mut answer = ListSubscriber::ask(relay.address, path);
-        (answer.status, answer.rest().0)
+        let mut answer = ListSubscriber::request(relay.address, path);
+        (answer.status, answer.read_to_end().0)
     };
     assert_eq!(refused("/v1/server"), (404, "there is no /v1/server; the list is at /v1/servers\n".into()));
     assert_eq!(refused("/v1/servers?zones="), (400, "zones names nothing\n".into()));
--- a/crates/standins/src/credentials.rs
+++ b/crates/standins/src/credentials.rs
@@ -11,10 +11,10 @@
 
 /// An SSH key pair in two files, the same for the same seed.
 pub struct SshKeys {
-    pub private: PathBuf,
-    pub public: PathBuf,
+    pub private_key_path: PathBuf,
+    pub public_key_path: PathBuf,
     /// The public key as one line.
-    pub line: String,
+    pub public_key: String,
 }
 
 impl SshKeys {
@@ -30,19 +30,19 @@
             fs::set_permissions(&private, fs::Permissions::from_mode(0o600)).expect("it is ours");
         }
         fs::write(&public, format!("{line}\n")).expect("the folder can be written");
-        SshKeys { private, public, line }
+        SshKeys { private_key_path: private, public_key_path: public, public_key: line }
     }
 }
 
 /// An authority that vouches for servers and clients.
-pub struct Authority {
+pub struct CertificateAuthority {
     issuer: Issuer<'static, KeyPair>,
-    pub certificate: PathBuf,
+    pub certificate_path: PathBuf,
     folder: PathBuf,
 }
 
-impl Authority {
-    pub fn new(folder: &Path, name: &str) -> Authority {
+impl CertificateAuthority {
+    pub fn new(folder: &Path, name: &str) -> CertificateAuthority {
         let key = KeyPair::generate().expect("a key");
         let mut params = CertificateParams::new(Vec::new()).expect("no names");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -50,7 +50,11 @@
         let certificate = params.self_signed(&key).expect("it signs itself");
         let path = folder.join(format!("{name}.pem"));
         fs::write(&path, certificate.pem()).expect("the folder can be written");
-        Authority { issuer: Issuer::new(params, key), certificate: path, folder: folder.into() }
+        CertificateAuthority {
+            issuer: Issuer::new(params, key),
+            certificate_path: path,
+            folder: folder.into(),
+        }
     }
 
     /// A certificate with its key in two files, and its fingerprint. `days`: from when to when it holds, from now.
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -9,14 +9,14 @@
 use crate::peer::Peer;
 
 /// One worker as discovery words it.
-pub fn entry(id: &str, zone: &str, address: &str, lifecycle: &str) -> String {
+pub fn instance_json(id: &str, zone: &str, address: &str, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"{zone}","machineType":"m2","cell":3,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
     )
 }
 
 /// A list, or changes of it.
-pub fn list(version: u64, full: bool, entries: &[String]) -> String {
+pub fn list_json(version: u64, full: bool, entries: &[String]) -> String {
     format!(r#"{{"generation":{version},"reset":{full},"instances":[{}]}}"#, entries.join(","))
 }
 
@@ -54,8 +54,8 @@
         Ok(Discovery { address, told })
     }
 
-    /// Tells a list or changes, as [`list`] words them.
-    pub fn tell(&self, line: &str) {
+    /// Tells a list or changes, as [`list_json`] words them.
+    pub fn publish(&self, line: &str) {
         let mut told = self.told.lock().expect("no watch panics");
         told.lines.push(line.to_string());
         let chunk = chunk(line);
@@ -63,11 +63,11 @@
     }
 
     /// Takes one watch by hand: what was asked for, and the connection with a head already answered.
-    pub fn accept(listener: &TcpListener, status: &str) -> (String, Peer) {
+    pub fn accept_watch(listener: &TcpListener, status: &str) -> (String, Peer) {
         let mut peer = Peer::new(listener.accept().expect("somebody dials").0);
-        let asked = peer.line().expect("a question");
-        while peer.line().is_some_and(|line| !line.is_empty()) {}
-        peer.raw(&format!("HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        let asked = peer.next_line().expect("a question");
+        while peer.next_line().is_some_and(|line| !line.is_empty()) {}
+        peer.send_raw(&format!("HTTP/1.1 {status}\r\nTransfer-Encoding: chunked\r\n\r\n"));
         (asked, peer)
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -10,12 +10,12 @@
 mod rules;
 mod worker;
 
-pub use credentials::{Authority, SshKeys};
-pub use discovery::{entry, list, Discovery};
-pub use list_subscriber::{Ending, ListSubscriber};
-pub use peer::{address_served, AnsweringProxy, Peer};
-pub use proxies::{Proxies, Table};
-pub use rules::{Broken, Limits, Rules};
+pub use credentials::{CertificateAuthority, SshKeys};
+pub use discovery::{instance_json, list_json, Discovery};
+pub use list_subscriber::{BodyEnd, ListSubscriber};
+pub use peer::{address_from_log, AnsweringProxy, Peer};
+pub use proxies::{Proxies, WorkerWeights};
+pub use rules::{RuleChecker, RuleLimits, Violation};
 pub use worker::Worker;
 
 /// Settings of a small town: two operations, two zones, no avoidance, rates as levels.
--- a/crates/standins/src/list_subscriber.rs
+++ b/crates/standins/src/list_subscriber.rs
@@ -18,11 +18,11 @@
 
 /// How the body of an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum BodyEnd {
     /// As HTTP has it.
-    Whole,
+    Complete,
     /// The connection broke before.
-    Broken,
+    Truncated,
 }
 
 /// One request for the list, and its answer as it comes.
@@ -35,17 +35,17 @@
     /// The length of the body, where the answer has it.
     length: Option<usize>,
     body: Vec<u8>,
-    ending: Option<Ending>,
+    ending: Option<BodyEnd>,
 }
 
 impl ListSubscriber {
     /// Asks for a path with its query and reads the head of the answer.
-    pub fn ask(address: SocketAddr, path: &str) -> ListSubscriber {
+    pub fn request(address: SocketAddr, path: &str) -> ListSubscriber {
         ListSubscriber::ask_on(TcpStream::connect(address).expect("somebody listens"), path, GULP)
     }
 
     /// Does so over a connection that takes little: what is written to it and not read soon fills it.
-    pub fn ask_narrow(address: SocketAddr, path: &str) -> ListSubscriber {
+    pub fn request_with_small_buffer(address: SocketAddr, path: &str) -> ListSubscriber {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket");
         // Before it connects: what the other side may send at once goes by it.
         socket.set_recv_buffer_size(NARROW).expect("a live socket");
@@ -108,9 +108,9 @@
 
     /// The next line that holds a list; heartbeats are passed over. `None` once the body has ended, which may be within
     /// a line.
-    pub fn list(&mut self) -> Option<String> {
+    pub fn next_list(&mut self) -> Option<String> {
         loop {
-            let line = self.line()?;
+            let line = self.next_line()?;
             if !line.is_empty() {
                 return Some(line);
             }
@@ -118,7 +118,7 @@
     }
 
     /// The next line without its end, empty for a heartbeat.
-    pub fn line(&mut self) -> Option<String> {
+    pub fn next_line(&mut self) -> Option<String> {
         let mut seen = 0;
         loop {
             if let Some(end) = self.body[seen..].iter().position(|byte| *byte == b'\n') {
@@ -134,7 +134,7 @@
     }
 
     /// All that still comes, and how it ended.
-    pub fn rest(&mut self) -> (String, Ending) {
+    pub fn read_to_end(&mut self) -> (String, BodyEnd) {
         loop {
             if let Some(ending) = self.ending {
                 return (String::from_utf8(std::mem::take(&mut self.body)).expect("text"), ending);
@@ -151,8 +151,8 @@
         };
         self.ending = match read {
             Some(true) => None,
-            Some(false) => Some(Ending::Whole),
-            None => Some(Ending::Broken),
+            Some(false) => Some(BodyEnd::Complete),
+            None => Some(BodyEnd::Truncated),
         };
     }
 
--- a/crates/standins/src/peer.rs
+++ b/crates/standins/src/peer.rs
@@ -25,19 +25,19 @@
         Peer(BufReader::new(socket))
     }
 
-    pub fn dial(address: SocketAddr) -> Peer {
+    pub fn connect(address: SocketAddr) -> Peer {
         Peer::new(TcpStream::connect(address).expect("somebody listens"))
     }
 
     /// A proxy of zone a that has joined.
-    pub fn joined(manager: SocketAddr, number: u16) -> Peer {
-        let mut peer = Peer::dial(manager);
-        peer.say(&format!("hello node={number} locality=a w=21.5 cold=1"));
+    pub fn connect_as_proxy(manager: SocketAddr, number: u16) -> Peer {
+        let mut peer = Peer::connect(manager);
+        peer.send_line(&format!("hello node={number} locality=a w=21.5 cold=1"));
         peer
     }
 
     /// One that takes little: what is written to it and not read soon fills its connection.
-    pub fn narrow(address: SocketAddr) -> Peer {
+    pub fn connect_with_small_buffer(address: SocketAddr) -> Peer {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket");
         // Both before it connects: what the other side may send at once goes by them.
         socket.set_recv_buffer_size(NARROW).expect("a live socket");
@@ -46,22 +46,22 @@
         Peer::new(socket.into())
     }
 
-    pub fn raw(&mut self, text: &str) {
-        self.try_raw(text).expect("the connection takes it");
+    pub fn send_raw(&mut self, text: &str) {
+        self.try_send_raw(text).expect("the connection takes it");
     }
 
     /// Fails once the other side has ended the connection.
-    pub fn try_raw(&mut self, text: &str) -> std::io::Result<()> {
+    pub fn try_send_raw(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
     /// Nothing more will be said; what comes is still read.
-    pub fn close_sending(&mut self) {
+    pub fn shutdown_write(&mut self) {
         self.0.get_ref().shutdown(Shutdown::Write).expect("a live socket");
     }
 
     /// All that still comes until the connection ends, also where it ends within a line.
-    pub fn rest(&mut self) -> String {
+    pub fn read_to_end(&mut self) -> String {
         let mut rest = Vec::new();
         match self.0.read_to_end(&mut rest) {
             Err(err) if err.kind() != ErrorKind::ConnectionReset => panic!("it does not end: {err}"),
@@ -69,17 +69,17 @@
         }
     }
 
-    pub fn say(&mut self, line: &str) {
-        self.raw(&format!("{line}\r\n"));
+    pub fn send_line(&mut self, line: &str) {
+        self.send_raw(&format!("{line}\r\n"));
     }
 
     /// One chunk of an HTTP answer.
-    pub fn chunk(&mut self, text: &str) {
-        self.raw(&format!("{:x}\r\n{text}\r\n", text.len()));
+    pub fn send_chunk(&mut self, text: &str) {
+        self.send_raw(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
 
     /// The next line, or `None` once the connection has ended.
-    pub fn line(&mut self) -> Option<String> {
+    pub fn next_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
             Ok(0) => None,
@@ -90,18 +90,18 @@
     }
 
     /// The first line from here on that holds the part.
-    pub fn line_with(&mut self, part: &str) -> String {
+    pub fn next_line_containing(&mut self, part: &str) -> String {
         loop {
-            let line = self.line().unwrap_or_else(|| panic!("ended before {part:?} came"));
+            let line = self.next_line().unwrap_or_else(|| panic!("ended before {part:?} came"));
             if line.contains(part) {
                 return line;
             }
         }
     }
 
-    pub fn alive(&mut self) {
-        self.say("probe");
-        assert_eq!(self.line().as_deref(), Some("alive"));
+    pub fn assert_alive(&mut self) {
+        self.send_line("probe");
+        assert_eq!(self.next_line().as_deref(), Some("alive"));
     }
 }
 
@@ -110,8 +110,8 @@
 pub struct AnsweringProxy(Receiver<String>);
 
 impl AnsweringProxy {
-    pub fn joined(manager: SocketAddr, number: u16) -> AnsweringProxy {
-        let mut peer = Peer::joined(manager, number);
+    pub fn connect(manager: SocketAddr, number: u16) -> AnsweringProxy {
+        let mut peer = Peer::connect_as_proxy(manager, number);
         let (lines, read) = mpsc::channel();
         thread::spawn(move || loop {
             let mut line = String::new();
@@ -136,7 +136,7 @@
     }
 
     /// The first line from here on that holds the part.
-    pub fn line_with(&mut self, part: &str) -> String {
+    pub fn next_line_containing(&mut self, part: &str) -> String {
         loop {
             let line =
                 self.0.recv_timeout(WITHIN).unwrap_or_else(|why| panic!("{part:?} did not come: {why}"));
@@ -148,7 +148,7 @@
 }
 
 /// Where a started program listens, by its log.
-pub fn address_served(log: &mut impl BufRead) -> SocketAddr {
+pub fn address_from_log(log: &mut impl BufRead) -> SocketAddr {
     let mut lines = log.lines().map(Result::unwrap);
     let served = lines.find_map(|line| Some(line.split_once("serves on ")?.1.parse().unwrap()));
     served.expect("it serves")
--- a/crates/standins/src/proxies.rs
+++ b/crates/standins/src/proxies.rs
@@ -8,13 +8,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use crate::rules::Rules;
+use crate::rules::RuleChecker;
 
 /// What a proxy may pick, with weights.
-pub type Table = BTreeMap<String, f64>;
+pub type WorkerWeights = BTreeMap<String, f64>;
 
 struct Shared {
-    rules: Mutex<(Rules, u64)>,
+    rules: Mutex<(RuleChecker, u64)>,
     changed: Condvar,
     /// Proxies that read nothing while they are stalled.
     stalled: Mutex<bool>,
@@ -32,7 +32,7 @@
 
 impl Proxies {
     /// They join, evenly over the zones, numbered from `first`.
-    pub fn start(manager: SocketAddr, first: u16, count: u16, zones: &[&str], rules: Rules) -> Proxies {
+    pub fn start(manager: SocketAddr, first: u16, count: u16, zones: &[&str], rules: RuleChecker) -> Proxies {
         let shared = Arc::new(Shared {
             rules: Mutex::new((rules, 0)),
             changed: Condvar::new(),
@@ -55,23 +55,23 @@
     }
 
     /// Milliseconds since they started: the clock of the checker.
-    pub fn now(&self) -> f64 {
+    pub fn now_ms(&self) -> f64 {
         self.shared.started.elapsed().as_secs_f64() * 1000.0
     }
 
     /// Speaks with the checker.
-    pub fn rules<R>(&self, speak: impl FnOnce(&mut Rules) -> R) -> R {
+    pub fn with_rules<R>(&self, speak: impl FnOnce(&mut RuleChecker) -> R) -> R {
         speak(&mut self.shared.rules.lock().expect("no proxy panics").0)
     }
 
     /// Nobody reads or answers while this holds.
-    pub fn stall(&self, stalled: bool) {
+    pub fn set_stalled(&self, stalled: bool) {
         *self.shared.stalled.lock().expect("no proxy panics") = stalled;
         self.shared.resumed.notify_all();
     }
 
     /// Waits until it holds of what all proxies may pick. Panics where that takes too long.
-    pub fn until(&self, what: &str, mut holds: impl FnMut(&Rules) -> bool) {
+    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&RuleChecker) -> bool) {
         let mut rules = self.shared.rules.lock().expect("no proxy panics");
         let start = Instant::now();
         while !holds(&rules.0) {
@@ -86,7 +86,7 @@
     }
 
     /// How many messages came so far.
-    pub fn messages(&self) -> u64 {
+    pub fn message_count(&self) -> u64 {
         self.shared.rules.lock().expect("no proxy panics").1
     }
 }
@@ -101,7 +101,7 @@
         };
     };
     socket.set_nodelay(true)?;
-    shared.rules.lock().expect("no proxy panics").0.joined(number);
+    shared.rules.lock().expect("no proxy panics").0.proxy_connected(number);
     write!(socket, "hello node={number} locality={zone} w=20 cold=1\r\n")?;
     let mut parts = Vec::new();
     for line in BufReader::new(socket.try_clone()?).lines() {
@@ -124,10 +124,10 @@
             parts.iter().flat_map(|part| part.split(' ')).find_map(|word| word.strip_prefix("ticket="));
         let mark = mark.map(str::to_string);
         let mut rules = shared.rules.lock().expect("no proxy panics");
-        rules.0.message(number, &parts, now);
+        rules.0.record_message(number, &parts, now);
         rules.1 += 1;
         if let Some(mark) = &mark {
-            rules.0.answered(number, mark);
+            rules.0.record_acknowledgement(number, mark);
         }
         drop(rules);
         shared.changed.notify_all();
@@ -138,6 +138,6 @@
             }
         }
     }
-    shared.rules.lock().expect("no proxy panics").0.left(number);
+    shared.rules.lock().expect("no proxy panics").0.proxy_disconnected(number);
     Ok(())
 }
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use juniperrail_consensus::MemberId;
-use juniperrail_standins::{entry, list, Discovery, Limits, Proxies, Rules, SETTINGS};
+use juniperrail_standins::{instance_json, list_json, Discovery, Proxies, RuleChecker, RuleLimits, SETTINGS};
 
 use crate::executor::Executor;
 use crate::link::{Link, LinkState, Traffic};
@@ -124,7 +124,11 @@
         let folder = std::env::temp_dir().join(format!("juniperrail-trial-{}-{number}", std::process::id()));
         _ = fs::remove_dir_all(&folder);
         let discovery = Discovery::start();
-        discovery.tell(&list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"))));
+        discovery.publish(&list_json(
+            1,
+            true,
+            &WORKERS.map(|(id, zone)| instance_json(id, zone, "127.0.0.1:9", "ready")),
+        ));
         let executor = Executor::start();
         let traffic = Arc::new(Mutex::new(Traffic::default()));
         let ids: Vec<MemberId> = (1..=config.managers).map(MemberId).collect();
@@ -216,15 +220,15 @@
             return;
         }
         for (position, manager) in self.managers.values().enumerate() {
-            let mut rules = Rules::new(Limits {
+            let mut rules = RuleChecker::new(RuleLimits {
                 // The manager's grace period and an allowance for a busy machine.
-                drain_grace: 3000.0 + 12_000.0,
-                messages_most: usize::MAX,
-                messages_over: 10_000.0,
-                lines_waiting_most: 5000.0,
-                message_overhead: 4.0,
+                drain_grace_ms: 3000.0 + 12_000.0,
+                max_messages: usize::MAX,
+                message_window_ms: 10_000.0,
+                max_waiting_lines: 5000.0,
+                message_overhead_lines: 4.0,
             });
-            WORKERS.iter().for_each(|(worker, _)| rules.knows(worker));
+            WORKERS.iter().for_each(|(worker, _)| rules.add_known_worker(worker));
             let first = self.config.proxies_per_manager * position as u16;
             self.proxies.push(Proxies::start(
                 manager.wait_for_address(),
@@ -235,8 +239,10 @@
             ));
         }
         self.proxies.iter().for_each(|proxies| {
-            let all = |rules: &Rules| (0..100).filter(|proxy| !rules.holds(*proxy).is_empty()).count();
-            proxies.until("all hold a table", |rules| all(rules) >= usize::from(proxies.count()));
+            let all = |rules: &RuleChecker| {
+                (0..100).filter(|proxy| !rules.routable_workers(*proxy).is_empty()).count()
+            };
+            proxies.wait_until("all hold a table", |rules| all(rules) >= usize::from(proxies.count()));
         });
     }
 
@@ -254,7 +260,9 @@
     /// The number of proxies of a manager that may route requests to a worker.
     pub fn count_proxies_routing_to(&self, id: u16, worker: &str) -> usize {
         let proxies = &self.proxies[usize::from(id) - 1];
-        proxies.rules(|rules| (0..100).filter(|proxy| rules.holds(*proxy).contains_key(worker)).count())
+        proxies.with_rules(|rules| {
+            (0..100).filter(|proxy| rules.routable_workers(*proxy).contains_key(worker)).count()
+        })
     }
 
     /// Waits until all proxies of these managers may route to each of these workers (`held`) or none may. Panics after
@@ -279,10 +287,10 @@
     /// Violations of the proxy protocol's rules, as the checkers in the proxies found them.
     pub fn rule_violations(&self) -> Vec<String> {
         let each = |proxies: &Proxies| {
-            let now = proxies.now();
-            proxies.rules(|rules| {
-                rules.drains(now);
-                rules.broken.iter().map(|violation| format!("{violation:?}")).collect::<Vec<_>>()
+            let now = proxies.now_ms();
+            proxies.with_rules(|rules| {
+                rules.check_removals(now);
+                rules.violations.iter().map(|violation| format!("{violation:?}")).collect::<Vec<_>>()
             })
         };
         self.proxies.iter().flat_map(each).collect()
@@ -292,14 +300,14 @@
     pub fn drain(&mut self, worker: &str) {
         self.list_version += 1;
         for proxies in &self.proxies {
-            let now = proxies.now();
-            proxies.rules(|rules| rules.leaves(worker, now));
+            let now = proxies.now_ms();
+            proxies.with_rules(|rules| rules.start_removal(worker, now));
         }
         let zone = WORKERS.iter().find(|(id, _)| *id == worker).map_or("a", |(_, zone)| zone);
-        self.discovery.tell(&list(
+        self.discovery.publish(&list_json(
             self.list_version,
             false,
-            &[entry(worker, zone, "127.0.0.1:9", "draining")],
+            &[instance_json(worker, zone, "127.0.0.1:9", "draining")],
         ));
     }
 
--- a/crates/trials/src/invariants.rs
+++ b/crates/trials/src/invariants.rs
@@ -18,7 +18,7 @@
     /// Distinct log entries sent.
     pub entries: usize,
     /// Executions of schedules.
-    pub effects: usize,
+    pub executions: usize,
     /// Requests rejected for a stale fencing token.
     pub rejected: u64,
 }
@@ -44,7 +44,7 @@
             violations,
             terms: traffic.leaders.len(),
             entries: traffic.entries.len(),
-            effects: executions.len(),
+            executions: executions.len(),
             rejected: cluster.executor.rejected(),
         }
     }
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -68,7 +68,7 @@
     cluster.drain("s-3");
     cluster.executor.wait_for_more(&BOTH, 1);
     let report = cluster.assert_invariants(&["grade"]);
-    assert!(report.terms >= 3 && report.entries > 0 && report.effects >= 10, "{report:?}");
+    assert!(report.terms >= 3 && report.entries > 0 && report.executions >= 10, "{report:?}");
 }
 
 #[test]
--- a/examples/common.rs
+++ b/examples/common.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, sleep};
 use std::time::Duration;
 
-use juniperrail_standins::{entry, list, Discovery};
+use juniperrail_standins::{instance_json, list_json, Discovery};
 
 const WORKERS: [(&str, &str); 6] =
     [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b"), ("s-5", "c"), ("s-6", "c")];
@@ -16,7 +16,11 @@
 fn main() -> std::io::Result<()> {
     let folder = std::env::temp_dir().join("juniperrail-common");
     let discovery = Discovery::start_at("127.0.0.1:8501")?;
-    discovery.tell(&list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"))));
+    discovery.publish(&list_json(
+        1,
+        true,
+        &WORKERS.map(|(id, zone)| instance_json(id, zone, "127.0.0.1:9", "ready")),
+    ));
     let worker = std::net::TcpListener::bind("127.0.0.1:7011")?;
     thread::spawn(move || worker.incoming().flatten().for_each(|asked| _ = run(asked)));
     for id in 1..=3 {
--- a/examples/relays.rs
+++ b/examples/relays.rs
@@ -8,7 +8,7 @@
 use std::thread::{self, sleep};
 use std::time::Duration;
 
-use juniperrail_standins::{entry, list, Discovery};
+use juniperrail_standins::{instance_json, list_json, Discovery};
 
 const SOURCE: &str = "127.0.0.1:8502";
 const RELAYS: [&str; 2] = ["127.0.0.1:8511", "127.0.0.1:8512"];
@@ -30,7 +30,7 @@
     let source = Discovery::start_at(SOURCE)?;
     let mut workers = [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b"), ("s-5", "c"), ("s-6", "c")]
         .map(|(id, zone)| Worker { id, zone: zone.to_string(), lifecycle: "ready" });
-    source.tell(&list(1, true, &workers.each_ref().map(listed)));
+    source.publish(&list_json(1, true, &workers.each_ref().map(listed)));
     for relay in RELAYS {
         println!("target/release/juniperrail relay --listen {relay} --source {SOURCE}");
     }
@@ -46,7 +46,7 @@
 }
 
 fn listed(worker: &Worker) -> String {
-    entry(worker.id, &worker.zone, WORKER_ADDRESS, worker.lifecycle)
+    instance_json(worker.id, &worker.zone, WORKER_ADDRESS, worker.lifecycle)
 }
 
 /// The configuration and the operator's file of the manager of a zone, and the command that starts it.
@@ -95,7 +95,7 @@
         };
         version += 1;
         println!("source: list {version}: {} is in zone {} and {}", worker.id, worker.zone, worker.lifecycle);
-        source.tell(&list(version, false, &[listed(worker)]));
+        source.publish(&list_json(version, false, &[listed(worker)]));
     }
     Ok(())
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -6,7 +6,7 @@
 use std::thread::{self, sleep};
 use std::time::Duration;
 
-use juniperrail_standins::{entry, list, Discovery, Worker};
+use juniperrail_standins::{instance_json, list_json, Discovery, Worker};
 
 const MANAGER: &str = "127.0.0.1:5000";
 const DISCOVERY: &str = "127.0.0.1:8500";
@@ -27,11 +27,19 @@
 
 /// The whole list, then s-two drains and comes back, over and over.
 fn lists(discovery: &Discovery) {
-    discovery.tell(&list(2, true, &WORKERS.map(|(name, address)| entry(name, "a", address, "ready"))));
+    discovery.publish(&list_json(
+        2,
+        true,
+        &WORKERS.map(|(name, address)| instance_json(name, "a", address, "ready")),
+    ));
     for (version, lifecycle) in (3..).zip(["draining", "ready"].into_iter().cycle()) {
         sleep(6 * PERIOD);
         println!("discovery: s-two is {lifecycle}");
-        discovery.tell(&list(version, false, &[entry("s-two", "a", WORKERS[1].1, lifecycle)]));
+        discovery.publish(&list_json(
+            version,
+            false,
+            &[instance_json("s-two", "a", WORKERS[1].1, lifecycle)],
+        ));
     }
 }
 
