--- a/crates/standins/src/credentials.rs
+++ b/crates/standins/src/credentials.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates made for one run of a test.
+//! SSH keys and X.509 certificates generated for one run of a test.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,68 +9,75 @@
 use russh::keys::ssh_key::{LineEnding, PrivateKey};
 use time::{Duration, OffsetDateTime};
 
-/// An SSH key pair in two files, the same for the same seed.
+/// An Ed25519 key pair for SSH in two files. The same seed gives the same keys.
 pub struct SshKeys {
+    /// The file of the private key, in OpenSSH format.
     pub private_key_path: PathBuf,
+    /// The file of the public key.
     pub public_key_path: PathBuf,
-    /// The public key as one line.
+    /// The public key as one line of OpenSSH format.
     pub public_key: String,
 }
 
 impl SshKeys {
+    /// Generates a key pair from a seed and writes it to the files `name` and `name.pub` of a directory.
     pub fn write(folder: &Path, name: &str, seed: u8) -> SshKeys {
         let key = PrivateKey::from(Ed25519Keypair::from_seed(&[seed; 32]));
-        let line = key.public_key().to_openssh().expect("a public key has a line");
-        let (private, public) = (folder.join(name), folder.join(format!("{name}.pub")));
-        let text = key.to_openssh(LineEnding::LF).expect("a key can be written");
-        fs::write(&private, text.as_bytes()).expect("the folder can be written");
+        let public_key = key.public_key().to_openssh().expect("a public key can be encoded");
+        let private_key_path = folder.join(name);
+        let public_key_path = folder.join(format!("{name}.pub"));
+        let private_key = key.to_openssh(LineEnding::LF).expect("a private key can be encoded");
+        fs::write(&private_key_path, private_key.as_bytes()).expect("the directory is writable");
         #[cfg(unix)]
         {
             use std::os::unix::fs::PermissionsExt;
-            fs::set_permissions(&private, fs::Permissions::from_mode(0o600)).expect("it is ours");
+            fs::set_permissions(&private_key_path, fs::Permissions::from_mode(0o600))
+                .expect("the process owns the file");
         }
-        fs::write(&public, format!("{line}\n")).expect("the folder can be written");
-        SshKeys { private_key_path: private, public_key_path: public, public_key: line }
+        fs::write(&public_key_path, format!("{public_key}\n")).expect("the directory is writable");
+        SshKeys { private_key_path, public_key_path, public_key }
     }
 }
 
-/// An authority that vouches for servers and clients.
+/// A certificate authority that signs certificates of servers and clients.
 pub struct CertificateAuthority {
     issuer: Issuer<'static, KeyPair>,
+    /// The file of its self-signed certificate, in PEM format.
     pub certificate_path: PathBuf,
     folder: PathBuf,
 }
 
 impl CertificateAuthority {
+    /// Creates an authority and writes its certificate to the file `name.pem` of a directory.
     pub fn new(folder: &Path, name: &str) -> CertificateAuthority {
-        let key = KeyPair::generate().expect("a key");
-        let mut params = CertificateParams::new(Vec::new()).expect("no names");
+        let key = KeyPair::generate().expect("a key can be generated");
+        let mut params = CertificateParams::new(Vec::new()).expect("an empty list of names is valid");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.distinguished_name.push(DnType::CommonName, name);
-        let certificate = params.self_signed(&key).expect("it signs itself");
-        let path = folder.join(format!("{name}.pem"));
-        fs::write(&path, certificate.pem()).expect("the folder can be written");
-        CertificateAuthority {
-            issuer: Issuer::new(params, key),
-            certificate_path: path,
-            folder: folder.into(),
-        }
+        let certificate = params.self_signed(&key).expect("the certificate can be signed");
+        let certificate_path = folder.join(format!("{name}.pem"));
+        fs::write(&certificate_path, certificate.pem()).expect("the directory is writable");
+        CertificateAuthority { issuer: Issuer::new(params, key), certificate_path, folder: folder.into() }
     }
 
-    /// A certificate with its key in two files, and its fingerprint. `days`: from when to when it holds, from now.
-    pub fn issue(&self, name: &str, days: (i64, i64)) -> (PathBuf, PathBuf, String) {
-        let key = KeyPair::generate().expect("a key");
-        let mut params = CertificateParams::new(vec![name.to_string()]).expect("a DNS name");
+    /// Issues a certificate for a DNS name and writes it with its private key to two files. `validity_days`: the start
+    /// and the end of its validity, in days from now. Returns the paths of the certificate and of the key, and the
+    /// certificate's SHA-256 fingerprint in hexadecimal.
+    pub fn issue(&self, name: &str, validity_days: (i64, i64)) -> (PathBuf, PathBuf, String) {
+        let key = KeyPair::generate().expect("a key can be generated");
+        let mut params = CertificateParams::new(vec![name.to_string()]).expect("a valid DNS name");
         params.distinguished_name.push(DnType::CommonName, name);
         let now = OffsetDateTime::now_utc();
-        (params.not_before, params.not_after) = (now + Duration::days(days.0), now + Duration::days(days.1));
-        let certificate = params.signed_by(&key, &self.issuer).expect("it is signed");
-        let (pem, private) =
-            (self.folder.join(format!("{name}.crt")), self.folder.join(format!("{name}.key")));
-        fs::write(&pem, certificate.pem()).expect("the folder can be written");
-        fs::write(&private, key.serialize_pem()).expect("the folder can be written");
+        let (first_day, last_day) = validity_days;
+        params.not_before = now + Duration::days(first_day);
+        params.not_after = now + Duration::days(last_day);
+        let certificate = params.signed_by(&key, &self.issuer).expect("the certificate can be signed");
+        let certificate_path = self.folder.join(format!("{name}.crt"));
+        let key_path = self.folder.join(format!("{name}.key"));
+        fs::write(&certificate_path, certificate.pem()).expect("the directory is writable");
+        fs::write(&key_path, key.serialize_pem()).expect("the directory is writable");
         let fingerprint =
             digest(&SHA256, certificate.der()).as_ref().iter().map(|b| format!("{b:02x}")).collect();
-        (pem, private, fingerprint)
+        (certificate_path, key_path, fingerprint)
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for whom a manager meets, as the platform's protocol describes them, for tests, examples and
-//! measurements. Each is scripted from outside and does nothing by itself unless it says so. They know nothing of a
-//! manager's inside.
+//! Stand-ins for the systems that a manager communicates with (discovery, proxies, collectors and workers), written
+//! against the platform's protocol, for tests, examples and measurements. Each is controlled by its caller and does
+//! nothing by itself unless its documentation says so. None depends on the manager's code.
 
 mod credentials;
 mod discovery;
@@ -18,7 +18,8 @@
 pub use rules::{RuleChecker, RuleLimits, Violation};
 pub use worker::Worker;
 
-/// Settings of a small town: two operations, two zones, no avoidance, rates as levels.
+/// Settings of a small test configuration: two operations, two zones, proxies that do not avoid outliers, and rates as
+/// levels.
 pub const SETTINGS: &str = r#"{"tick-ms":1,"zones":["a","b"],"skus":["m2"],"n-instances":1,
     "lanes":[{"name":"lookup","on-time-ms":500,"worth":1},{"name":"order","on-time-ms":500,"worth":3}],
     "domain":{"level-kind":"rate","channel-rate":5000,"pending-max":5000,"overhead":4,"counted-over-ms":10000,
--- a/crates/standins/src/list_subscriber.rs
+++ b/crates/standins/src/list_subscriber.rs
@@ -1,4 +1,5 @@
-//! A subscriber of the worker list, as raw as a connection: it reads what it is told to read, and no more.
+//! A subscriber to the worker list that reads from its connection only when its caller asks for it, so that a test
+//! decides when the server's writes block.
 
 use std::io::{BufRead, BufReader, Cursor, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,64 +7,68 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// Nothing that is waited for takes so long, however busy the machine is.
-const WITHIN: Duration = Duration::from_secs(60);
+/// Longest wait for bytes; generous, as the machine may be busy.
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The receive buffer of a connection that takes little, in bytes.
-const NARROW: usize = 4096;
-/// What such a one takes off it at a time.
-const SIP: usize = 64;
-/// What any other does.
-const GULP: usize = 64 << 10;
+/// The receive buffer of a connection with a small buffer, in bytes.
+const SMALL_RECEIVE_BUFFER_BYTES: usize = 4096;
+/// Most bytes that such a connection is read by at a time.
+const SMALL_READ_BYTES: usize = 64;
+/// Most bytes that any other connection is read by at a time.
+const READ_BYTES: usize = 64 << 10;
 
-/// How the body of an answer ended.
+/// How the body of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEnd {
-    /// As HTTP has it.
+    /// With the last chunk, or at its content length.
     Complete,
-    /// The connection broke before.
+    /// The connection ended before that.
     Truncated,
 }
 
-/// One request for the list, and its answer as it comes.
+/// A request for the list, and its response, which is read step by step.
 pub struct ListSubscriber {
     socket: BufReader<TcpStream>,
-    /// Bytes read one by one, which have yet to be understood.
-    early: Cursor<Vec<u8>>,
-    /// The status of the answer.
+    /// Bytes that were read from the connection one by one and are not parsed yet.
+    unparsed: Cursor<Vec<u8>>,
+    /// The status code of the response.
     pub status: u16,
-    /// The length of the body, where the answer has it.
-    length: Option<usize>,
+    /// The content length of a response that has one, until the body is read.
+    content_length: Option<usize>,
+    /// The decoded body as far as it is read, without the lines that were returned.
     body: Vec<u8>,
-    ending: Option<BodyEnd>,
+    body_end: Option<BodyEnd>,
 }
 
 impl ListSubscriber {
-    /// Asks for a path with its query and reads the head of the answer.
+    /// Requests a path with its query and reads the head of the response.
     pub fn request(address: SocketAddr, path: &str) -> ListSubscriber {
-        ListSubscriber::ask_on(TcpStream::connect(address).expect("somebody listens"), path, GULP)
+        let socket = TcpStream::connect(address).expect("the server accepts connections");
+        ListSubscriber::request_on(socket, path, READ_BYTES)
     }
 
-    /// Does so over a connection that takes little: what is written to it and not read soon fills it.
+    /// Like [`ListSubscriber::request`] over a connection with a small receive buffer, which the server soon fills when
+    /// nothing is read.
     pub fn request_with_small_buffer(address: SocketAddr, path: &str) -> ListSubscriber {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket");
-        // Before it connects: what the other side may send at once goes by it.
-        socket.set_recv_buffer_size(NARROW).expect("a live socket");
-        socket.connect(&address.into()).expect("somebody listens");
-        ListSubscriber::ask_on(socket.into(), path, SIP)
+        let socket =
+            Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket can be created");
+        // Set before connecting, since the window that the server may fill depends on it.
+        socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER_BYTES).expect("the socket is open");
+        socket.connect(&address.into()).expect("the server accepts connections");
+        ListSubscriber::request_on(socket.into(), path, SMALL_READ_BYTES)
     }
 
-    fn ask_on(mut socket: TcpStream, path: &str, at_a_time: usize) -> ListSubscriber {
-        socket.set_read_timeout(Some(WITHIN)).expect("a live socket");
+    fn request_on(mut socket: TcpStream, path: &str, read_bytes: usize) -> ListSubscriber {
+        socket.set_read_timeout(Some(READ_TIMEOUT)).expect("the socket is open");
         let request = format!("GET {path} HTTP/1.1\r\nHost: relay\r\n\r\n");
-        socket.write_all(request.as_bytes()).expect("the connection takes it");
+        socket.write_all(request.as_bytes()).expect("the connection accepts the request");
         let mut subscriber = ListSubscriber {
-            socket: BufReader::with_capacity(at_a_time, socket),
-            early: Cursor::default(),
+            socket: BufReader::with_capacity(read_bytes, socket),
+            unparsed: Cursor::default(),
             status: 0,
-            length: None,
+            content_length: None,
             body: Vec::new(),
-            ending: None,
+            body_end: None,
         };
         subscriber.read_head();
         subscriber
@@ -72,11 +77,11 @@
     fn read_head(&mut self) {
         let status = self.head_line();
         let status = status.split(' ').nth(1).and_then(|status| status.parse().ok());
-        self.status = status.expect("a status");
+        self.status = status.expect("the response has a status");
         loop {
             let line = self.head_line().to_ascii_lowercase();
             match line.strip_prefix("content-length:") {
-                Some(length) => self.length = length.trim().parse().ok(),
+                Some(length) => self.content_length = length.trim().parse().ok(),
                 None if line.is_empty() => return,
                 None => {}
             }
@@ -85,29 +90,29 @@
 
     fn head_line(&mut self) -> String {
         let mut line = String::new();
-        self.socket.read_line(&mut line).expect("the connection lives");
+        self.socket.read_line(&mut line).expect("the connection is open");
         line.trim_end().to_string()
     }
 
-    /// Reads one byte more; false once the connection has ended.
+    /// Reads one more byte without parsing it; false once the connection has ended.
     pub fn read_one_byte(&mut self) -> bool {
         let mut byte = [0];
         let is_read = self.socket.read(&mut byte).is_ok_and(|read| read == 1);
-        self.early.get_mut().extend_from_slice(&byte[..usize::from(is_read)]);
+        self.unparsed.get_mut().extend_from_slice(&byte[..usize::from(is_read)]);
         is_read
     }
 
-    /// Reads what comes until nothing does for so long; returns how many bytes there were.
+    /// Reads bytes without parsing them until none is received for this long, and returns their number.
     pub fn read_until_silent(&mut self, silence: Duration) -> usize {
-        self.socket.get_ref().set_read_timeout(Some(silence)).expect("a live socket");
-        let before = self.early.get_ref().len();
+        self.socket.get_ref().set_read_timeout(Some(silence)).expect("the socket is open");
+        let before = self.unparsed.get_ref().len();
         while self.read_one_byte() {}
-        self.socket.get_ref().set_read_timeout(Some(WITHIN)).expect("a live socket");
-        self.early.get_ref().len() - before
+        self.socket.get_ref().set_read_timeout(Some(READ_TIMEOUT)).expect("the socket is open");
+        self.unparsed.get_ref().len() - before
     }
 
-    /// The next line that holds a list; heartbeats are passed over. `None` once the body has ended, which may be within
-    /// a line.
+    /// The next line that contains a list; heartbeats are skipped. `None` once the body has ended, possibly within a
+    /// line.
     pub fn next_list(&mut self) -> Option<String> {
         loop {
             let line = self.next_line()?;
@@ -117,62 +122,67 @@
         }
     }
 
-    /// The next line without its end, empty for a heartbeat.
+    /// The next line without its line break, empty for a heartbeat. `None` once the body has ended.
     pub fn next_line(&mut self) -> Option<String> {
-        let mut seen = 0;
+        let mut searched = 0;
         loop {
-            if let Some(end) = self.body[seen..].iter().position(|byte| *byte == b'\n') {
-                let line: Vec<u8> = self.body.drain(..=seen + end).collect();
-                return Some(String::from_utf8(line).expect("text").trim_end().to_string());
+            if let Some(end) = self.body[searched..].iter().position(|byte| *byte == b'\n') {
+                let line: Vec<u8> = self.body.drain(..=searched + end).collect();
+                return Some(String::from_utf8(line).expect("the body is UTF-8").trim_end().to_string());
             }
-            seen = self.body.len();
-            if self.ending.is_some() {
+            searched = self.body.len();
+            if self.body_end.is_some() {
                 return None;
             }
             self.read_more();
         }
     }
 
-    /// All that still comes, and how it ended.
+    /// Reads the rest of the body. Returns what was not returned before, and how the body ended.
     pub fn read_to_end(&mut self) -> (String, BodyEnd) {
         loop {
-            if let Some(ending) = self.ending {
-                return (String::from_utf8(std::mem::take(&mut self.body)).expect("text"), ending);
+            if let Some(body_end) = self.body_end {
+                return (
+                    String::from_utf8(std::mem::take(&mut self.body)).expect("the body is UTF-8"),
+                    body_end,
+                );
             }
             self.read_more();
         }
     }
 
-    /// Waits for bytes of the body.
+    /// Reads the next chunk of the body, or the whole body where the response has a content length.
     pub fn read_more(&mut self) {
-        let read = match self.length.take() {
+        let read = match self.content_length.take() {
             Some(length) => self.read_exactly(length).map(|()| false),
             None => self.read_chunk(),
         };
-        self.ending = match read {
+        self.body_end = match read {
             Some(true) => None,
             Some(false) => Some(BodyEnd::Complete),
             None => Some(BodyEnd::Truncated),
         };
     }
 
-    /// False for the last chunk, `None` if the connection broke.
+    /// Reads one chunk: false for the last one, `None` if the connection ended before.
     fn read_chunk(&mut self) -> Option<bool> {
         let mut size = String::new();
-        self.bytes().read_line(&mut size).ok()?;
+        self.reader().read_line(&mut size).ok()?;
         let size = usize::from_str_radix(size.trim(), 16).ok()?;
         self.read_exactly(size)?;
-        self.bytes().read_exact(&mut [0; 2]).ok()?;
+        self.reader().read_exact(&mut [0; 2]).ok()?;
         Some(size > 0)
     }
 
+    /// Appends this many bytes to the body; `None` if the connection ended before.
     fn read_exactly(&mut self, size: usize) -> Option<()> {
-        let mut part = (&mut self.early).chain(&mut self.socket).take(size as u64);
-        let read = part.read_to_end(&mut self.body).ok()?;
+        let mut reader = (&mut self.unparsed).chain(&mut self.socket).take(size as u64);
+        let read = reader.read_to_end(&mut self.body).ok()?;
         (read == size).then_some(())
     }
 
-    fn bytes(&mut self) -> impl BufRead + '_ {
-        (&mut self.early).chain(&mut self.socket)
+    /// The bytes that are not parsed yet, then those of the connection.
+    fn reader(&mut self) -> impl BufRead + '_ {
+        (&mut self.unparsed).chain(&mut self.socket)
     }
 }
--- a/crates/standins/src/peer.rs
+++ b/crates/standins/src/peer.rs
@@ -1,4 +1,4 @@
-//! One connection, line by line.
+//! A client connection that is written and read line by line.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,72 +8,80 @@
 
 use socket2::{Domain, Socket, Type};
 
-/// Nothing that is waited for takes so long, however busy the machine is.
-const WITHIN: Duration = Duration::from_secs(20);
+/// Longest wait for a line; generous, as the machine may be busy.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The buffer and the segments of a connection that takes little, in bytes.
-const NARROW: usize = 4096;
-const SEGMENT: u32 = 536;
+/// The receive buffer of a connection with a small buffer, in bytes.
+const SMALL_RECEIVE_BUFFER_BYTES: usize = 4096;
+/// The maximum segment size of such a connection, in bytes.
+const SMALL_SEGMENT_BYTES: u32 = 536;
 
-/// A connection that is spoken line by line, and fails loudly where nothing comes.
+/// A connection that is written and read line by line. Its methods panic where a read times out.
 pub struct Peer(BufReader<TcpStream>);
 
 impl Peer {
+    /// Wraps an open connection.
     pub fn new(socket: TcpStream) -> Peer {
-        socket.set_read_timeout(Some(WITHIN)).expect("a live socket");
-        socket.set_nodelay(true).expect("a live socket");
+        socket.set_read_timeout(Some(READ_TIMEOUT)).expect("the socket is open");
+        socket.set_nodelay(true).expect("the socket is open");
         Peer(BufReader::new(socket))
     }
 
+    /// Connects to an address.
     pub fn connect(address: SocketAddr) -> Peer {
-        Peer::new(TcpStream::connect(address).expect("somebody listens"))
+        Peer::new(TcpStream::connect(address).expect("the server accepts connections"))
     }
 
-    /// A proxy of zone a that has joined.
+    /// Connects as a proxy of zone a and sends its hello line.
     pub fn connect_as_proxy(manager: SocketAddr, number: u16) -> Peer {
         let mut peer = Peer::connect(manager);
         peer.send_line(&format!("hello node={number} locality=a w=21.5 cold=1"));
         peer
     }
 
-    /// One that takes little: what is written to it and not read soon fills its connection.
+    /// Connects with a small receive buffer, which the server soon fills when nothing is read.
     pub fn connect_with_small_buffer(address: SocketAddr) -> Peer {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket");
-        // Both before it connects: what the other side may send at once goes by them.
-        socket.set_recv_buffer_size(NARROW).expect("a live socket");
-        socket.set_tcp_mss(SEGMENT).expect("a live socket");
-        socket.connect(&address.into()).expect("somebody listens");
+        let socket =
+            Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket can be created");
+        // Both are set before connecting, since the window that the server may fill depends on them.
+        socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER_BYTES).expect("the socket is open");
+        socket.set_tcp_mss(SMALL_SEGMENT_BYTES).expect("the socket is open");
+        socket.connect(&address.into()).expect("the server accepts connections");
         Peer::new(socket.into())
     }
 
+    /// Sends text as it is.
     pub fn send_raw(&mut self, text: &str) {
-        self.try_send_raw(text).expect("the connection takes it");
+        self.try_send_raw(text).expect("the connection accepts writes");
     }
 
-    /// Fails once the other side has ended the connection.
+    /// Sends text as it is; fails once the other side has closed the connection.
     pub fn try_send_raw(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
-    /// Nothing more will be said; what comes is still read.
+    /// Closes the sending direction. What is received can still be read.
     pub fn shutdown_write(&mut self) {
-        self.0.get_ref().shutdown(Shutdown::Write).expect("a live socket");
+        self.0.get_ref().shutdown(Shutdown::Write).expect("the socket is open");
     }
 
-    /// All that still comes until the connection ends, also where it ends within a line.
+    /// Reads until the connection ends, possibly within a line.
     pub fn read_to_end(&mut self) -> String {
         let mut rest = Vec::new();
         match self.0.read_to_end(&mut rest) {
-            Err(err) if err.kind() != ErrorKind::ConnectionReset => panic!("it does not end: {err}"),
-            _ => String::from_utf8(rest).expect("text"),
+            Err(err) if err.kind() != ErrorKind::ConnectionReset => {
+                panic!("the connection did not end: {err}")
+            }
+            _ => String::from_utf8(rest).expect("the text is UTF-8"),
         }
     }
 
+    /// Sends a line.
     pub fn send_line(&mut self, line: &str) {
         self.send_raw(&format!("{line}\r\n"));
     }
 
-    /// One chunk of an HTTP answer.
+    /// Sends a chunk of an HTTP response.
     pub fn send_chunk(&mut self, text: &str) {
         self.send_raw(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
@@ -83,39 +91,43 @@
         let mut line = String::new();
         match self.0.read_line(&mut line) {
             Ok(0) => None,
-            Ok(_) => Some(line.strip_suffix("\r\n").expect("CRLF").to_string()),
+            Ok(_) => Some(line.strip_suffix("\r\n").expect("the line ends with CRLF").to_string()),
             Err(err) if err.kind() == ErrorKind::ConnectionReset => None,
-            Err(err) => panic!("nothing came: {err}"),
+            Err(err) => panic!("no line was received: {err}"),
         }
     }
 
-    /// The first line from here on that holds the part.
+    /// The next line that contains `part`; the lines before it are skipped.
     pub fn next_line_containing(&mut self, part: &str) -> String {
         loop {
-            let line = self.next_line().unwrap_or_else(|| panic!("ended before {part:?} came"));
+            let line = self
+                .next_line()
+                .unwrap_or_else(|| panic!("the connection ended before a line with {part:?}"));
             if line.contains(part) {
                 return line;
             }
         }
     }
 
+    /// Checks that the manager responds to a probe line.
     pub fn assert_alive(&mut self) {
         self.send_line("probe");
         assert_eq!(self.next_line().as_deref(), Some("alive"));
     }
 }
 
-/// A proxy of zone a that has joined and answers every mark at once, whoever reads its lines and when: one that owes
-/// answers for long is rightly given up.
+/// A proxy of zone a that acknowledges every mark at once, independently of when the test reads its lines: a manager
+/// rightly gives up a proxy whose acknowledgements are overdue for long.
 pub struct AnsweringProxy(Receiver<String>);
 
 impl AnsweringProxy {
+    /// Connects to a manager and sends its hello line.
     pub fn connect(manager: SocketAddr, number: u16) -> AnsweringProxy {
         let mut peer = Peer::connect_as_proxy(manager, number);
-        let (lines, read) = mpsc::channel();
+        let (sender, receiver) = mpsc::channel();
         thread::spawn(move || loop {
             let mut line = String::new();
-            // It waits for as long as the manager is there.
+            // No read timeout: the thread ends with the connection.
             if peer.0.get_ref().set_read_timeout(None).is_err()
                 || !peer.0.read_line(&mut line).is_ok_and(|n| n > 0)
             {
@@ -123,23 +135,25 @@
             }
             let mark = line.split_whitespace().find_map(|word| word.strip_prefix("ticket="));
             if let Some(mark) = mark {
-                let answer = format!("ack node={number} nonce={mark} latency=1.0\r\n");
-                if peer.0.get_mut().write_all(answer.as_bytes()).is_err() {
+                let acknowledgement = format!("ack node={number} nonce={mark} latency=1.0\r\n");
+                if peer.0.get_mut().write_all(acknowledgement.as_bytes()).is_err() {
                     return;
                 }
             }
-            if lines.send(line).is_err() {
+            if sender.send(line).is_err() {
                 return;
             }
         });
-        AnsweringProxy(read)
+        AnsweringProxy(receiver)
     }
 
-    /// The first line from here on that holds the part.
+    /// The next line that contains `part`; the lines before it are skipped.
     pub fn next_line_containing(&mut self, part: &str) -> String {
         loop {
-            let line =
-                self.0.recv_timeout(WITHIN).unwrap_or_else(|why| panic!("{part:?} did not come: {why}"));
+            let line = self
+                .0
+                .recv_timeout(READ_TIMEOUT)
+                .unwrap_or_else(|err| panic!("no line with {part:?} was received: {err}"));
             if line.contains(part) {
                 return line;
             }
@@ -147,9 +161,9 @@
     }
 }
 
-/// Where a started program listens, by its log.
+/// The address on which a started manager serves proxies, as it logs it.
 pub fn address_from_log(log: &mut impl BufRead) -> SocketAddr {
     let mut lines = log.lines().map(Result::unwrap);
-    let served = lines.find_map(|line| Some(line.split_once("serves on ")?.1.parse().unwrap()));
-    served.expect("it serves")
+    let address = lines.find_map(|line| Some(line.split_once("serves on ")?.1.parse().unwrap()));
+    address.expect("the log names an address")
 }
--- a/crates/standins/src/proxies.rs
+++ b/crates/standins/src/proxies.rs
@@ -1,5 +1,5 @@
-//! Proxies on one thread: each joins, holds what it is told, answers marks at once or when it is let, and dials
-//! again when its stream breaks.
+//! Proxies, each on a thread of its own, that connect to one manager, record the tables they receive, acknowledge marks
+//! and reconnect when their connection ends.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -10,31 +10,57 @@
 
 use crate::rules::RuleChecker;
 
-/// What a proxy may pick, with weights.
+/// The workers to which a proxy may route requests, with their weights.
 pub type WorkerWeights = BTreeMap<String, f64>;
 
+/// What the proxies received.
+struct Received {
+    checker: RuleChecker,
+    message_count: u64,
+}
+
+/// State shared with the threads of the proxies.
 struct Shared {
-    rules: Mutex<(RuleChecker, u64)>,
+    received: Mutex<Received>,
     changed: Condvar,
-    /// Proxies that read nothing while they are stalled.
+    /// Whether the proxies are stalled: they neither read nor acknowledge.
     stalled: Mutex<bool>,
     resumed: Condvar,
     started: Instant,
 }
 
-/// So many proxies of one manager, under the eyes of the checker.
+/// The proxies of one manager, with a checker of the messages that they receive.
 pub struct Proxies {
     shared: Arc<Shared>,
     count: u16,
 }
 
-const WITHIN: Duration = Duration::from_secs(30);
+/// Longest wait for a condition; generous, as the machine may be busy.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Time between two checks of a condition that is waited for, unless a message arrives earlier.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Time between two attempts to connect to a manager.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+
+/// Time from the start after which a proxy that cannot connect ends, as the manager is gone for good.
+const RECONNECT_LIMIT: Duration = Duration::from_secs(600);
+
+/// Stack size of the thread of a proxy, which needs little, in bytes.
+const STACK_BYTES: usize = 128 << 10;
 
 impl Proxies {
-    /// They join, evenly over the zones, numbered from `first`.
-    pub fn start(manager: SocketAddr, first: u16, count: u16, zones: &[&str], rules: RuleChecker) -> Proxies {
+    /// Starts `count` proxies, numbered from `first` and spread evenly over the zones.
+    pub fn start(
+        manager: SocketAddr,
+        first: u16,
+        count: u16,
+        zones: &[&str],
+        checker: RuleChecker,
+    ) -> Proxies {
         let shared = Arc::new(Shared {
-            rules: Mutex::new((rules, 0)),
+            received: Mutex::new(Received { checker, message_count: 0 }),
             changed: Condvar::new(),
             stalled: Mutex::new(false),
             resumed: Condvar::new(),
@@ -42,66 +68,62 @@
         });
         for number in first..first + count {
             let (shared, zone) = (shared.clone(), zones[usize::from(number) % zones.len()].to_string());
-            let life = move || while proxy(manager, number, &zone, &shared).is_ok() {};
-            // A proxy needs little stack.
-            let thread = thread::Builder::new().stack_size(128 << 10);
-            thread.spawn(life).expect("a thread for each proxy");
+            let run = move || while run_connection(manager, number, &zone, &shared).is_ok() {};
+            let thread = thread::Builder::new().stack_size(STACK_BYTES);
+            thread.spawn(run).expect("a thread can be started for each proxy");
         }
         Proxies { shared, count }
     }
 
+    /// The number of proxies.
     pub fn count(&self) -> u16 {
         self.count
     }
 
-    /// Milliseconds since they started: the clock of the checker.
+    /// Milliseconds since the proxies were started, which is the checker's clock.
     pub fn now_ms(&self) -> f64 {
         self.shared.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Speaks with the checker.
-    pub fn with_rules<R>(&self, speak: impl FnOnce(&mut RuleChecker) -> R) -> R {
-        speak(&mut self.shared.rules.lock().expect("no proxy panics").0)
+    /// Calls a function with the checker.
+    pub fn with_rules<R>(&self, access: impl FnOnce(&mut RuleChecker) -> R) -> R {
+        access(&mut self.shared.received.lock().expect("no proxy panics").checker)
     }
 
-    /// Nobody reads or answers while this holds.
+    /// Stalls the proxies, which then neither read nor acknowledge, or lets them continue.
     pub fn set_stalled(&self, stalled: bool) {
         *self.shared.stalled.lock().expect("no proxy panics") = stalled;
         self.shared.resumed.notify_all();
     }
 
-    /// Waits until it holds of what all proxies may pick. Panics where that takes too long.
-    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&RuleChecker) -> bool) {
-        let mut rules = self.shared.rules.lock().expect("no proxy panics");
+    /// Waits until a condition on the workers that the proxies may route to is satisfied. Panics after
+    /// [`WAIT_TIMEOUT`].
+    pub fn wait_until(&self, what: &str, mut condition: impl FnMut(&RuleChecker) -> bool) {
+        let mut received = self.shared.received.lock().expect("no proxy panics");
         let start = Instant::now();
-        while !holds(&rules.0) {
-            assert!(start.elapsed() < WITHIN, "still waiting for: {what}");
-            rules = self
-                .shared
-                .changed
-                .wait_timeout(rules, Duration::from_millis(50))
-                .expect("no proxy panics")
-                .0;
+        while !condition(&received.checker) {
+            assert!(start.elapsed() < WAIT_TIMEOUT, "still waiting for: {what}");
+            received = self.shared.changed.wait_timeout(received, POLL_INTERVAL).expect("no proxy panics").0;
         }
     }
 
-    /// How many messages came so far.
+    /// The number of messages received so far by all proxies.
     pub fn message_count(&self) -> u64 {
-        self.shared.rules.lock().expect("no proxy panics").1
+        self.shared.received.lock().expect("no proxy panics").message_count
     }
 }
 
-fn proxy(manager: SocketAddr, number: u16, zone: &str, shared: &Shared) -> std::io::Result<()> {
+/// Runs one connection of a proxy until it ends. An error means that the proxy should not connect again.
+fn run_connection(manager: SocketAddr, number: u16, zone: &str, shared: &Shared) -> std::io::Result<()> {
     let Ok(mut socket) = TcpStream::connect(manager) else {
-        // It dials again, unless the manager is gone for good.
-        thread::sleep(Duration::from_millis(50));
-        return match shared.started.elapsed() < Duration::from_secs(600) {
+        thread::sleep(RECONNECT_DELAY);
+        return match shared.started.elapsed() < RECONNECT_LIMIT {
             true => Ok(()),
             false => Err(std::io::ErrorKind::TimedOut.into()),
         };
     };
     socket.set_nodelay(true)?;
-    shared.rules.lock().expect("no proxy panics").0.proxy_connected(number);
+    shared.received.lock().expect("no proxy panics").checker.proxy_connected(number);
     write!(socket, "hello node={number} locality={zone} w=20 cold=1\r\n")?;
     let mut parts = Vec::new();
     for line in BufReader::new(socket.try_clone()?).lines() {
@@ -114,22 +136,22 @@
         if !line.starts_with("push") {
             continue;
         }
-        let more = line.split(' ').any(|word| word == "more=1");
+        let continues = line.split(' ').any(|word| word == "more=1");
         parts.push(line);
-        if more {
+        if continues {
             continue;
         }
-        let now = shared.started.elapsed().as_secs_f64() * 1000.0;
+        let now_ms = shared.started.elapsed().as_secs_f64() * 1000.0;
         let mark =
             parts.iter().flat_map(|part| part.split(' ')).find_map(|word| word.strip_prefix("ticket="));
         let mark = mark.map(str::to_string);
-        let mut rules = shared.rules.lock().expect("no proxy panics");
-        rules.0.record_message(number, &parts, now);
-        rules.1 += 1;
+        let mut received = shared.received.lock().expect("no proxy panics");
+        received.checker.record_message(number, &parts, now_ms);
+        received.message_count += 1;
         if let Some(mark) = &mark {
-            rules.0.record_acknowledgement(number, mark);
+            received.checker.record_acknowledgement(number, mark);
         }
-        drop(rules);
+        drop(received);
         shared.changed.notify_all();
         parts.clear();
         if let Some(mark) = mark {
@@ -138,6 +160,6 @@
             }
         }
     }
-    shared.rules.lock().expect("no proxy panics").0.proxy_disconnected(number);
+    shared.received.lock().expect("no proxy panics").checker.proxy_disconnected(number);
     Ok(())
 }
--- a/crates/standins/src/rules.rs
+++ b/crates/standins/src/rules.rs
@@ -1,106 +1,111 @@
-//! A checker of the rules on what crosses to the proxies, independent of any manager: it is told each message and
-//! each answer, and what discovery and operators said, with the times.
+//! Checks the messages that proxies receive against the rules for them, independently of the manager's code. The caller
+//! reports each message and acknowledgement, and each removal of a worker by discovery or an operator, with its time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The limits that the settings give, in milliseconds and counts.
+/// The limits that follow from the manager's settings.
 #[derive(Clone, Debug)]
 pub struct RuleLimits {
+    /// Time within which a removed worker must be out of every table, in milliseconds.
     pub drain_grace_ms: f64,
+    /// Most messages to one proxy within `message_window_ms`.
     pub max_messages: usize,
+    /// The window over which messages are counted, in milliseconds.
     pub message_window_ms: f64,
+    /// Most lines of messages that are not acknowledged yet, over all proxies.
     pub max_waiting_lines: f64,
+    /// What a message costs besides its lines, in lines.
     pub message_overhead_lines: f64,
 }
 
-/// A rule that was broken, and how.
+/// A violated rule. Times are in milliseconds on the caller's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// A proxy that had workers to pick from was left with none.
-    Bare {
-        proxy: u16,
-        at: f64,
-    },
-    /// A proxy could still pick a worker when its drain grace was over.
-    Drain {
-        proxy: u16,
-        worker: String,
-        late: f64,
-    },
-    Messages {
-        proxy: u16,
-        count: usize,
-    },
-    Channel {
-        lines: f64,
-    },
-    /// A message that names a worker of which nobody ever told.
-    Unknown {
-        proxy: u16,
-        worker: String,
-    },
+    /// A proxy that could route to workers was left with none.
+    Bare { proxy: u16, at: f64 },
+    /// A proxy could still route to a removed worker this long after the end of its drain grace.
+    Drain { proxy: u16, worker: String, late: f64 },
+    /// A proxy received too many messages within the window.
+    Messages { proxy: u16, count: usize },
+    /// Too many lines were waiting for acknowledgements.
+    Channel { lines: f64 },
+    /// A message named an unknown worker, or gave a worker an invalid weight.
+    Unknown { proxy: u16, worker: String },
 }
 
+/// The state of a proxy after the messages that it received.
 #[derive(Clone, Debug, Default)]
-struct Proxy {
-    lines: BTreeMap<String, BTreeMap<String, f64>>,
-    out: BTreeSet<String>,
-    messages: VecDeque<f64>,
-    had: bool,
-    bare: bool,
+struct ProxyState {
+    /// The weight of each worker in the table of each class of operations.
+    tables: BTreeMap<String, BTreeMap<String, f64>>,
+    /// Workers taken out of all tables.
+    excluded: BTreeSet<String>,
+    /// When the messages within the window were received.
+    message_times: VecDeque<f64>,
+    /// Whether it could ever route to a worker.
+    had_workers: bool,
+    /// Whether it could and no longer can.
+    lost_all_workers: bool,
 }
 
-impl Proxy {
-    fn picks(&self, worker: &str) -> bool {
-        !self.out.contains(worker) && self.lines.values().any(|table| table.contains_key(worker))
+impl ProxyState {
+    fn may_route_to(&self, worker: &str) -> bool {
+        !self.excluded.contains(worker) && self.tables.values().any(|table| table.contains_key(worker))
     }
 }
 
-/// What proxies hold by what they were written, and what that breaks.
+/// Derives the state of each proxy from its messages and collects violated rules.
 pub struct RuleChecker {
     limits: RuleLimits,
-    proxies: BTreeMap<u16, Proxy>,
-    /// Workers that have to be out, and since when that was told.
-    leaving: BTreeMap<String, f64>,
-    known: BTreeSet<String>,
-    waiting: BTreeMap<(u16, String), f64>,
+    proxies: BTreeMap<u16, ProxyState>,
+    /// Workers that must be out of every table after the drain grace, and when their removal began.
+    removed_since: BTreeMap<String, f64>,
+    known_workers: BTreeSet<String>,
+    /// The cost in lines of each message that awaits an acknowledgement, by proxy and mark.
+    waiting_lines: BTreeMap<(u16, String), f64>,
+    /// All violations so far, in the order in which they were found.
     pub violations: Vec<Violation>,
 }
 
 impl RuleChecker {
+    /// A checker that knows no workers and no proxies yet.
     pub fn new(limits: RuleLimits) -> RuleChecker {
-        let (proxies, leaving, known, waiting) = Default::default();
-        RuleChecker { limits, proxies, leaving, known, waiting, violations: Vec::new() }
+        let (proxies, removed_since, known_workers, waiting_lines) = Default::default();
+        RuleChecker { limits, proxies, removed_since, known_workers, waiting_lines, violations: Vec::new() }
     }
 
+    /// Allows messages to name a worker.
     pub fn add_known_worker(&mut self, worker: &str) {
-        self.known.insert(worker.to_string());
+        self.known_workers.insert(worker.to_string());
     }
 
-    /// A worker has to be out of every table a grace from now on.
-    pub fn start_removal(&mut self, worker: &str, now: f64) {
-        self.leaving.entry(worker.to_string()).or_insert(now);
+    /// From the drain grace after `now_ms` on, no proxy may route to this worker.
+    pub fn start_removal(&mut self, worker: &str, now_ms: f64) {
+        self.removed_since.entry(worker.to_string()).or_insert(now_ms);
     }
 
+    /// Proxies may route to this worker again.
     pub fn cancel_removal(&mut self, worker: &str) {
-        self.leaving.remove(worker);
+        self.removed_since.remove(worker);
     }
 
+    /// A proxy connected, without any tables.
     pub fn proxy_connected(&mut self, proxy: u16) {
-        self.proxies.insert(proxy, Proxy::default());
-        self.waiting.retain(|(of, _), _| *of != proxy);
+        self.proxies.insert(proxy, ProxyState::default());
+        self.waiting_lines.retain(|(waiting_proxy, _), _| *waiting_proxy != proxy);
     }
 
+    /// The connection of a proxy ended.
     pub fn proxy_disconnected(&mut self, proxy: u16) {
         self.proxies.remove(&proxy);
-        self.waiting.retain(|(of, _), _| *of != proxy);
+        self.waiting_lines.retain(|(waiting_proxy, _), _| *waiting_proxy != proxy);
     }
 
-    /// A whole message of the line protocol, its parts one a line, as it arrived at the proxy.
-    pub fn record_message(&mut self, proxy: u16, parts: &[String], now: f64) {
-        let known = &self.known;
-        let Some(holds) = self.proxies.get_mut(&proxy) else { return };
-        let mut lines = self.limits.message_overhead_lines;
+    /// A proxy received a complete message of the line protocol, which consists of one or several lines.
+    pub fn record_message(&mut self, proxy: u16, parts: &[String], now_ms: f64) {
+        let known_workers = &self.known_workers;
+        let Some(state) = self.proxies.get_mut(&proxy) else { return };
+        let mut cost_lines = self.limits.message_overhead_lines;
         let mut mark = None;
         for part in parts {
             let fields: BTreeMap<&str, &str> =
@@ -108,75 +113,75 @@
             let classes = fields.get("classes").copied().unwrap_or("*").to_string();
             if fields.contains_key("whole") {
                 if classes == "*" {
-                    holds.lines.clear();
+                    state.tables.clear();
                 }
-                holds.lines.insert(classes.clone(), BTreeMap::new());
-                lines += 1.0;
+                state.tables.insert(classes.clone(), BTreeMap::new());
+                cost_lines += 1.0;
             }
             for line in fields.get("lines").into_iter().flat_map(|lines| lines.split(',')) {
                 let (worker, weight) = line.split_once(':').unwrap_or((line, "nan"));
                 let weight: f64 = weight.parse().unwrap_or(f64::NAN);
-                if !known.contains(worker) || !weight.is_finite() || weight < 0.0 {
+                if !known_workers.contains(worker) || !weight.is_finite() || weight < 0.0 {
                     self.violations.push(Violation::Unknown { proxy, worker: worker.into() });
                 }
-                let tables = holds.lines.entry(classes.clone()).or_default();
+                let table = state.tables.entry(classes.clone()).or_default();
                 match weight > 0.0 {
-                    true => _ = tables.insert(worker.into(), weight),
-                    false => _ = tables.remove(worker),
+                    true => _ = table.insert(worker.into(), weight),
+                    false => _ = table.remove(worker),
                 }
-                lines += 1.0;
+                cost_lines += 1.0;
             }
             for worker in fields.get("out").into_iter().flat_map(|out| out.split(',')) {
-                holds.out.insert(worker.into());
-                lines += 1.0;
+                state.excluded.insert(worker.into());
+                cost_lines += 1.0;
             }
             for worker in fields.get("back").into_iter().flat_map(|back| back.split(',')) {
-                holds.out.remove(worker);
-                lines += 1.0;
+                state.excluded.remove(worker);
+                cost_lines += 1.0;
             }
-            lines += f64::from(u8::from(fields.contains_key("level")));
-            if let Some(ticket) = fields.get("ticket") {
-                lines += 1.0;
-                mark = Some(ticket.to_string());
+            cost_lines += f64::from(u8::from(fields.contains_key("level")));
+            if let Some(value) = fields.get("ticket") {
+                cost_lines += 1.0;
+                mark = Some(value.to_string());
             }
         }
-        holds.messages.retain(|at| now - at <= self.limits.message_window_ms);
-        holds.messages.push_back(now);
-        if holds.messages.len() > self.limits.max_messages {
-            self.violations.push(Violation::Messages { proxy, count: holds.messages.len() });
+        state.message_times.retain(|received_at_ms| now_ms - received_at_ms <= self.limits.message_window_ms);
+        state.message_times.push_back(now_ms);
+        if state.message_times.len() > self.limits.max_messages {
+            self.violations.push(Violation::Messages { proxy, count: state.message_times.len() });
         }
-        let picks = holds.lines.values().flatten().any(|(worker, _)| !holds.out.contains(worker));
-        if holds.had && !picks && !holds.bare {
-            self.violations.push(Violation::Bare { proxy, at: now });
+        let can_route = state.tables.values().flatten().any(|(worker, _)| !state.excluded.contains(worker));
+        if state.had_workers && !can_route && !state.lost_all_workers {
+            self.violations.push(Violation::Bare { proxy, at: now_ms });
         }
-        holds.bare = holds.had && !picks;
-        holds.had |= picks;
+        state.lost_all_workers = state.had_workers && !can_route;
+        state.had_workers |= can_route;
         if let Some(mark) = mark {
-            self.waiting.insert((proxy, mark), lines);
+            self.waiting_lines.insert((proxy, mark), cost_lines);
         }
-        let waiting: f64 = self.waiting.values().sum();
+        let waiting: f64 = self.waiting_lines.values().sum();
         if waiting > self.limits.max_waiting_lines {
             self.violations.push(Violation::Channel { lines: waiting });
         }
-        self.check_removals(now);
+        self.check_removals(now_ms);
     }
 
-    /// A proxy answers a mark; all before it left the channel.
+    /// A proxy acknowledged a mark: the message that carries it, and all before it, have left the channel.
     pub fn record_acknowledgement(&mut self, proxy: u16, mark: &str) {
-        self.waiting.remove(&(proxy, mark.to_string()));
+        self.waiting_lines.remove(&(proxy, mark.to_string()));
     }
 
-    /// Who still picks a worker whose grace is over.
-    pub fn check_removals(&mut self, now: f64) {
-        for (worker, since) in &self.leaving {
-            let late = now - since - self.limits.drain_grace_ms;
+    /// Records a violation for each proxy that may still route to a worker whose drain grace is over.
+    pub fn check_removals(&mut self, now_ms: f64) {
+        for (worker, removed_at_ms) in &self.removed_since {
+            let late = now_ms - removed_at_ms - self.limits.drain_grace_ms;
             if late <= 0.0 {
                 continue;
             }
-            for proxy in self.proxies.iter().filter(|(_, holds)| holds.picks(worker)).map(|(proxy, _)| proxy)
-            {
-                let known = |b: &Violation| matches!(b, Violation::Drain { proxy: p, worker: w, .. } if p == proxy && w == worker);
-                if !self.violations.iter().any(known) {
+            let routing = self.proxies.iter().filter(|(_, state)| state.may_route_to(worker));
+            for proxy in routing.map(|(proxy, _)| proxy) {
+                let is_recorded = |violation: &Violation| matches!(violation, Violation::Drain { proxy: p, worker: w, .. } if p == proxy && w == worker);
+                if !self.violations.iter().any(is_recorded) {
                     let worker = worker.clone();
                     self.violations.push(Violation::Drain { proxy: *proxy, worker, late });
                 }
@@ -184,13 +189,14 @@
         }
     }
 
-    /// What a proxy may pick, with the weights of its first table.
+    /// The workers to which a proxy may route requests. Where a worker is in the tables of several classes, the weight
+    /// is that of the last class in alphabetical order.
     pub fn routable_workers(&self, proxy: u16) -> BTreeMap<String, f64> {
-        let Some(holds) = self.proxies.get(&proxy) else { return BTreeMap::new() };
-        let lines = holds.lines.values().flatten();
-        lines
-            .filter(|(worker, _)| !holds.out.contains(*worker))
-            .map(|(w, weight)| (w.clone(), *weight))
+        let Some(state) = self.proxies.get(&proxy) else { return BTreeMap::new() };
+        let workers = state.tables.values().flatten();
+        workers
+            .filter(|(worker, _)| !state.excluded.contains(*worker))
+            .map(|(worker, weight)| (worker.clone(), *weight))
             .collect()
     }
 }
@@ -199,7 +205,7 @@
 mod tests {
     use super::*;
 
-    fn rules() -> RuleChecker {
+    fn checker_with_one_proxy() -> RuleChecker {
         let limits = RuleLimits {
             drain_grace_ms: 3000.0,
             max_messages: 3,
@@ -207,63 +213,67 @@
             max_waiting_lines: 30.0,
             message_overhead_lines: 4.0,
         };
-        let mut rules = RuleChecker::new(limits);
-        ["a", "b"].iter().for_each(|worker| rules.add_known_worker(worker));
-        rules.proxy_connected(1);
-        rules.record_message(1, &["push whole=1 lines=a:1,b:0.5 ticket=1".into()], 0.0);
-        rules.record_acknowledgement(1, "1");
-        rules
+        let mut checker = RuleChecker::new(limits);
+        ["a", "b"].iter().for_each(|worker| checker.add_known_worker(worker));
+        checker.proxy_connected(1);
+        checker.record_message(1, &["push whole=1 lines=a:1,b:0.5 ticket=1".into()], 0.0);
+        checker.record_acknowledgement(1, "1");
+        checker
     }
 
-    fn told(rules: &mut RuleChecker, parts: &[&str], now: f64) {
+    fn receive(checker: &mut RuleChecker, parts: &[&str], now_ms: f64) {
         let parts: Vec<String> = parts.iter().map(|part| part.to_string()).collect();
-        rules.record_message(1, &parts, now);
+        checker.record_message(1, &parts, now_ms);
     }
 
     #[test]
-    fn a_sound_course_breaks_nothing() {
-        let mut rules = rules();
-        rules.start_removal("a", 100.0);
-        told(&mut rules, &["push out=a ticket=2"], 200.0);
-        rules.check_removals(9_000.0);
+    fn valid_messages_violate_no_rule() {
+        let mut checker = checker_with_one_proxy();
+        checker.start_removal("a", 100.0);
+        receive(&mut checker, &["push out=a ticket=2"], 200.0);
+        checker.check_removals(9_000.0);
         assert_eq!(
-            (rules.violations.as_slice(), rules.routable_workers(1)),
+            (checker.violations.as_slice(), checker.routable_workers(1)),
             (&[][..], BTreeMap::from([("b".to_string(), 0.5)]))
         );
-        rules.cancel_removal("a");
-        told(&mut rules, &["push lines=a:2 more=1", "push back=a ticket=3"], 20_000.0);
-        assert_eq!((rules.violations.len(), rules.routable_workers(1).len()), (0, 2));
+        checker.cancel_removal("a");
+        receive(&mut checker, &["push lines=a:2 more=1", "push back=a ticket=3"], 20_000.0);
+        assert_eq!((checker.violations.len(), checker.routable_workers(1).len()), (0, 2));
     }
 
     #[test]
-    fn each_kind_of_breach_is_found() {
-        let mut bare = rules();
-        told(&mut bare, &["push out=a,b"], 10.0);
-        assert!(matches!(bare.violations[..], [Violation::Bare { proxy: 1, .. }]));
-        let mut drain = rules();
-        drain.start_removal("a", 100.0);
-        drain.check_removals(3_100.0);
-        assert!(drain.violations.is_empty(), "not yet");
-        drain.check_removals(3_101.0);
-        drain.check_removals(3_200.0);
+    fn each_kind_of_violation_is_found() {
+        let mut no_workers = checker_with_one_proxy();
+        receive(&mut no_workers, &["push out=a,b"], 10.0);
+        assert!(matches!(no_workers.violations[..], [Violation::Bare { proxy: 1, .. }]));
+        let mut late_drain = checker_with_one_proxy();
+        late_drain.start_removal("a", 100.0);
+        late_drain.check_removals(3_100.0);
+        assert!(late_drain.violations.is_empty(), "the drain grace is not over");
+        late_drain.check_removals(3_101.0);
+        late_drain.check_removals(3_200.0);
         assert!(
-            matches!(&drain.violations[..], [Violation::Drain { worker, .. }] if worker == "a"),
-            "told once"
+            matches!(&late_drain.violations[..], [Violation::Drain { worker, .. }] if worker == "a"),
+            "one violation per proxy and worker"
         );
-        let mut many = rules();
-        (1..=3).for_each(|n| told(&mut many, &["push ticket=9"], f64::from(n)));
-        assert!(matches!(many.violations[..], [Violation::Messages { count: 4, .. }]));
-        let mut full = rules();
-        told(&mut full, &["push whole=1 lines=a:1,b:1 ticket=2"], 1.0);
-        told(
-            &mut full,
+        let mut many_messages = checker_with_one_proxy();
+        (1..=3).for_each(|n| receive(&mut many_messages, &["push ticket=9"], f64::from(n)));
+        assert!(matches!(many_messages.violations[..], [Violation::Messages { count: 4, .. }]));
+        let mut full_channel = checker_with_one_proxy();
+        receive(&mut full_channel, &["push whole=1 lines=a:1,b:1 ticket=2"], 1.0);
+        receive(
+            &mut full_channel,
             &["push whole=1 lines=a:1,b:1,a:1,b:1,a:1,b:1,a:1,b:1,a:1,b:1,a:1,b:1,a:1,b:1,a:1,b:1,a:1,b:1 ticket=3"],
             2.0,
         );
-        assert!(matches!(full.violations[..], [Violation::Channel { .. }]), "{:?}", full.violations);
-        let mut unknown = rules();
-        told(&mut unknown, &["push lines=c:1"], 1.0);
-        told(&mut unknown, &["push lines=a:-1"], 2.0);
-        assert_eq!(unknown.violations.len(), 2);
+        assert!(
+            matches!(full_channel.violations[..], [Violation::Channel { .. }]),
+            "{:?}",
+            full_channel.violations
+        );
+        let mut unknown_worker = checker_with_one_proxy();
+        receive(&mut unknown_worker, &["push lines=c:1"], 1.0);
+        receive(&mut unknown_worker, &["push lines=a:-1"], 2.0);
+        assert_eq!(unknown_worker.violations.len(), 2);
     }
 }
