--- a/crates/standins/src/rules.rs
+++ b/crates/standins/src/rules.rs
@@ -249,7 +249,7 @@
         let mut late_drain = checker_with_one_proxy();
         late_drain.start_removal("a", 100.0);
         late_drain.check_removals(3_100.0);
-        assert!(late_drain.violations.is_empty(), "the drain grace is not over");
+        assert!(late_drain.violations.is_empty(), "a violation before the drain grace was over");
         late_drain.check_removals(3_101.0);
         late_drain.check_removals(3_200.0);
         assert!(
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -35,7 +35,7 @@
     pub heartbeat_ms: u32,
     /// Election timeout in milliseconds.
     pub election_timeout_ms: u32,
-    /// Log entries that are kept before compaction.
+    /// Log entries retained before the log is compacted.
     pub retained_entries: u32,
     /// Whether the managers agree on zone failover.
     pub failover: bool,
@@ -106,8 +106,12 @@
 /// The lease of a failover plan, in milliseconds.
 pub const PLAN_LEASE_MS: u64 = 4000;
 
+/// The XML namespace of a fleet's configuration.
 const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
 
+/// Proxies of a cluster are numbered from 0 and below this.
+const MAX_PROXIES: u16 = 100;
+
 /// The address a manager accepts the others on. Each cluster has its own loopback address, so that the port cannot be
 /// taken by another process that binds a free port on 127.0.0.1.
 fn listen_address(cluster: usize, id: MemberId) -> SocketAddr {
@@ -132,9 +136,10 @@
         let executor = Executor::start();
         let traffic = Arc::new(Mutex::new(Traffic::default()));
         let ids: Vec<MemberId> = (1..=config.managers).map(MemberId).collect();
-        let named: Vec<MemberId> = (1..=config.managers + config.absent_managers).map(MemberId).collect();
+        let configured: Vec<MemberId> =
+            (1..=config.managers + config.absent_managers).map(MemberId).collect();
         let listen_addresses: BTreeMap<MemberId, SocketAddr> =
-            named.iter().map(|id| (*id, listen_address(number, *id))).collect();
+            configured.iter().map(|id| (*id, listen_address(number, *id))).collect();
         let pairs =
             ids.iter().flat_map(|from| ids.iter().map(move |to| (*from, *to))).filter(|(a, b)| a != b);
         let links: BTreeMap<_, _> = pairs
@@ -155,9 +160,9 @@
         };
         for id in ids {
             let folder = cluster.folder.join(format!("n{}", id.0));
-            fs::create_dir_all(&folder).expect("a folder");
+            fs::create_dir_all(&folder).expect("the directory can be created");
             cluster.managers.insert(id, ManagerProcess::new(&format!("n{}", id.0), folder));
-            cluster.write_config_files(id, 0, &named);
+            cluster.write_config_files(id, 0, &configured);
         }
         cluster
     }
@@ -173,8 +178,9 @@
             id.0,
             manager_settings()
         );
-        fs::write(folder.join("config.json"), config).expect("a file");
-        fs::write(folder.join("operator.xml"), self.operator_xml(id, generation, members)).expect("a file");
+        fs::write(folder.join("config.json"), config).expect("the file can be written");
+        fs::write(folder.join("operator.xml"), self.operator_xml(id, generation, members))
+            .expect("the file can be written");
     }
 
     /// The operator file of a manager.
@@ -183,12 +189,16 @@
         if !self.config.fleet {
             return format!("{root}</config>");
         }
-        let address = |of: &MemberId| match self.links.get(&(id, *of)) {
+        let address = |other: &MemberId| match self.links.get(&(id, *other)) {
             Some(link) => link.address,
-            None => self.listen_addresses[of],
+            None => self.listen_addresses[other],
         };
-        let member = |of: &MemberId| {
-            format!("<member-of><number>{}</number><address>{}</address></member-of>", of.0, address(of))
+        let member = |other: &MemberId| {
+            format!(
+                "<member-of><number>{}</number><address>{}</address></member-of>",
+                other.0,
+                address(other)
+            )
         };
         let member_list: String = members.iter().map(member).collect();
         let schedules = self.config.schedules.replace("WORKER", &self.executor.address.to_string());
@@ -220,7 +230,7 @@
             return;
         }
         for (position, manager) in self.managers.values().enumerate() {
-            let mut rules = RuleChecker::new(RuleLimits {
+            let mut checker = RuleChecker::new(RuleLimits {
                 // The manager's grace period and an allowance for a busy machine.
                 drain_grace_ms: 3000.0 + 12_000.0,
                 max_messages: usize::MAX,
@@ -228,21 +238,23 @@
                 max_waiting_lines: 5000.0,
                 message_overhead_lines: 4.0,
             });
-            WORKERS.iter().for_each(|(worker, _)| rules.add_known_worker(worker));
+            WORKERS.iter().for_each(|(worker, _)| checker.add_known_worker(worker));
             let first = self.config.proxies_per_manager * position as u16;
             self.proxies.push(Proxies::start(
                 manager.wait_for_address(),
                 first,
                 self.config.proxies_per_manager,
                 &ZONES,
-                rules,
+                checker,
             ));
         }
         self.proxies.iter().for_each(|proxies| {
-            let all = |rules: &RuleChecker| {
-                (0..100).filter(|proxy| !rules.routable_workers(*proxy).is_empty()).count()
+            let with_table = |rules: &RuleChecker| {
+                (0..MAX_PROXIES).filter(|proxy| !rules.routable_workers(*proxy).is_empty()).count()
             };
-            proxies.wait_until("all hold a table", |rules| all(rules) >= usize::from(proxies.count()));
+            proxies.wait_until("every proxy has a table", |rules| {
+                with_table(rules) >= usize::from(proxies.count())
+            });
         });
     }
 
@@ -261,24 +273,24 @@
     pub fn count_proxies_routing_to(&self, id: u16, worker: &str) -> usize {
         let proxies = &self.proxies[usize::from(id) - 1];
         proxies.with_rules(|rules| {
-            (0..100).filter(|proxy| rules.routable_workers(*proxy).contains_key(worker)).count()
+            (0..MAX_PROXIES).filter(|proxy| rules.routable_workers(*proxy).contains_key(worker)).count()
         })
     }
 
-    /// Waits until all proxies of these managers may route to each of these workers (`held`) or none may. Panics after
+    /// Waits until all proxies of these managers may route to each of these workers (`routed`) or none may. Panics after
     /// [`WAIT_TIMEOUT`].
-    pub fn wait_for_routing(&self, ids: &[u16], workers: &[&str], held: bool) {
-        let begun = Instant::now();
-        let wanted = if held { usize::from(self.config.proxies_per_manager) } else { 0 };
+    pub fn wait_for_routing(&self, ids: &[u16], workers: &[&str], routed: bool) {
+        let started = Instant::now();
+        let expected = if routed { usize::from(self.config.proxies_per_manager) } else { 0 };
         loop {
-            let mut all = ids.iter().flat_map(|id| workers.iter().map(move |worker| (id, worker)));
-            if all.all(|(id, worker)| self.count_proxies_routing_to(*id, worker) == wanted) {
+            let mut pairs = ids.iter().flat_map(|id| workers.iter().map(move |worker| (id, worker)));
+            if pairs.all(|(id, worker)| self.count_proxies_routing_to(*id, worker) == expected) {
                 return;
             }
             assert!(
-                begun.elapsed() < WAIT_TIMEOUT,
-                "{workers:?} are not {} at {ids:?}",
-                if held { "held" } else { "out" }
+                started.elapsed() < WAIT_TIMEOUT,
+                "the proxies of managers {ids:?} {} {workers:?}",
+                if routed { "do not all route to" } else { "still route to some of" }
             );
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -286,14 +298,14 @@
 
     /// Violations of the proxy protocol's rules, as the checkers in the proxies found them.
     pub fn rule_violations(&self) -> Vec<String> {
-        let each = |proxies: &Proxies| {
+        let violations = |proxies: &Proxies| {
             let now = proxies.now_ms();
             proxies.with_rules(|rules| {
                 rules.check_removals(now);
                 rules.violations.iter().map(|violation| format!("{violation:?}")).collect::<Vec<_>>()
             })
         };
-        self.proxies.iter().flat_map(each).collect()
+        self.proxies.iter().flat_map(violations).collect()
     }
 
     /// Marks a worker as draining in discovery; from now on the checkers expect every proxy to stop routing to it.
@@ -313,7 +325,7 @@
 
     /// The manager with this member id.
     pub fn manager(&mut self, id: u16) -> &mut ManagerProcess {
-        self.managers.get_mut(&MemberId(id)).expect("a manager of that number")
+        self.managers.get_mut(&MemberId(id)).expect("the cluster has a manager with this id")
     }
 
     /// Sets the links between a group of managers and the others, in both directions.
@@ -335,16 +347,16 @@
         self.links.values().for_each(|link| link.set(LinkState::Open));
     }
 
-    /// The leader and its term as a manager last logged them. `None` where it knows of no leader: it stepped down, or
-    /// it was restarted and heard of none yet.
+    /// The leader and its term as a manager last logged them. `None` where it knows no leader: it stepped down, or it
+    /// was restarted and has not learned of one yet.
     pub fn known_leader(&self, id: MemberId) -> Option<(u16, u64)> {
         let lines = self.managers[&id].log_lines();
-        let tells_of_leader = |line: &&String| {
+        let changes_known_leader = |line: &&String| {
             [" leads in term ", "stepped down in term", "cannot lead and", "serves on"]
                 .iter()
                 .any(|part| line.contains(part))
         };
-        let line = lines.iter().rev().find(tells_of_leader)?;
+        let line = lines.iter().rev().find(changes_known_leader)?;
         let (leader, term) = line.split_once("fleet: ")?.1.split_once(" leads in term ")?;
         let leader = match leader {
             "this manager" => id.0,
@@ -365,7 +377,7 @@
     /// Waits until all managers, the leader included, know the same leader in the same term, and that term is later
     /// than `term`. Returns both. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_common_leader_after(&self, term: u64) -> (u16, u64) {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let known: Vec<Option<(u16, u64)>> =
                 self.managers.keys().map(|id| self.known_leader(*id)).collect();
@@ -374,13 +386,14 @@
                     return common;
                 }
             }
-            assert!(begun.elapsed() < WAIT_TIMEOUT, "no common leader after term {term}: {known:?}");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "no common leader after term {term}: {known:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Cuts off the leader together with so many followers. Returns them, the leader first, and the leader's term. Where
-    /// another manager took over just before the cut, as on a busy machine, it is tried again; panics after ten tries.
+    /// Partitions the leader and this many followers from the others. Returns this minority, the leader first, and the
+    /// leader's term. Where another manager was elected just before, as happens on a busy machine, this is repeated;
+    /// panics after ten attempts.
     pub fn cut_off_leader_with(&self, followers: usize) -> (Vec<u16>, u64) {
         for _ in 0..10 {
             let (leader, term) = self.wait_for_common_leader_after(0);
@@ -393,16 +406,16 @@
             }
             self.heal_links();
         }
-        panic!("no leader stayed until it was cut off");
+        panic!("in ten attempts no leader still led when it was partitioned");
     }
 
     /// Waits until one of these managers has refused a message that `leader` sent as the leader of `term`. Panics after
     /// [`WAIT_TIMEOUT`].
     pub fn wait_for_refusal(&self, by: &[u16], leader: u16, term: u64) {
         let refusal = format!("member {leader} still acts as the leader of term {term}: rejected");
-        let begun = Instant::now();
+        let started = Instant::now();
         while !by.iter().any(|id| self.managers[&MemberId(*id)].count_log_lines(&refusal) > 0) {
-            assert!(begun.elapsed() < WAIT_TIMEOUT, "none of {by:?} logged {refusal:?}");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "none of {by:?} logged {refusal:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -414,12 +427,12 @@
 
     /// Waits until a manager other than these leads. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_leader_except(&self, excluded: &[u16]) -> u16 {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some(leader) = self.leader().filter(|leader| !excluded.contains(leader)) {
                 return leader;
             }
-            assert!(begun.elapsed() < WAIT_TIMEOUT, "nobody leads but {excluded:?}");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "no manager leads, or only one of {excluded:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -433,9 +446,9 @@
 /// Replaces the directory `to` by a copy of `from`, which holds only plain files.
 pub fn copy_dir(from: &Path, to: &Path) {
     _ = fs::remove_dir_all(to);
-    fs::create_dir_all(to).expect("a folder");
-    for file in fs::read_dir(from).expect("a folder").flatten() {
-        fs::copy(file.path(), to.join(file.file_name())).expect("a copy");
+    fs::create_dir_all(to).expect("the directory can be created");
+    for file in fs::read_dir(from).expect("the directory can be read").flatten() {
+        fs::copy(file.path(), to.join(file.file_name())).expect("the file can be copied");
     }
 }
 
--- a/crates/trials/src/executor.rs
+++ b/crates/trials/src/executor.rs
@@ -55,7 +55,7 @@
     /// Starts it on a free port.
     pub fn start() -> Executor {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("a bound port");
+        let address = listener.local_addr().expect("the listener is bound");
         let (executions, highest_tokens, rejected, response_mode) =
             (Vec::new(), BTreeMap::new(), 0, ResponseMode::Normal);
         let shared = Arc::new((
@@ -89,20 +89,20 @@
 
     /// Waits until the executions so far satisfy a condition. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_until(&self, what: &str, condition: impl Fn(&[Execution]) -> bool) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut shared = self.shared.0.lock().expect("no worker panics");
         while !condition(&shared.executions) {
-            if begun.elapsed() >= WAIT_TIMEOUT {
+            if started.elapsed() >= WAIT_TIMEOUT {
                 let last: Vec<Execution> = shared.executions.iter().rev().take(4).cloned().collect();
                 drop(shared);
-                panic!("still waiting for {what}: {last:?}");
+                panic!("timed out waiting for {what}; the last executions: {last:?}");
             }
             shared =
                 self.shared.1.wait_timeout(shared, Duration::from_millis(50)).expect("no worker panics").0;
         }
     }
 
-    /// Waits until each of these schedules was executed `more` times more than now.
+    /// Waits until each of these schedules was executed `more` further times. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_more(&self, schedules: &[&str], more: usize) {
         let count = |executions: &[Execution], schedule: &str| {
             executions.iter().filter(|execution| execution.schedule == schedule).count()
@@ -111,7 +111,7 @@
         let enough = |executions: &[Execution]| {
             schedules.iter().all(|schedule| count(executions, schedule) >= count(&before, schedule) + more)
         };
-        self.wait_until(&format!("{more} more of {schedules:?}"), enough);
+        self.wait_until(&format!("{more} more executions of each of {schedules:?}"), enough);
     }
 }
 
@@ -143,13 +143,13 @@
         *highest = fencing_token.max(*highest);
         match accepted {
             true => {
-                let unix =
+                let unix_time =
                     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
                 state.executions.push(Execution {
                     schedule,
                     due,
                     fencing_token,
-                    received_at: unix.as_secs_f64() * 1000.0,
+                    received_at: unix_time.as_secs_f64() * 1000.0,
                 });
             }
             false => state.rejected += 1,
--- a/crates/trials/src/invariants.rs
+++ b/crates/trials/src/invariants.rs
@@ -33,9 +33,10 @@
                 violations.push(format!("two leaders in {term}: {leaders:?}"));
             }
         }
-        violations.extend(traffic.conflicts.iter().map(|conflict| format!("two logs: {conflict}")));
+        violations
+            .extend(traffic.conflicts.iter().map(|conflict| format!("conflicting log entries: {conflict}")));
         let executions = cluster.executor.executions();
-        violations.extend(check_effects(&executions, side_effecting));
+        violations.extend(check_executions(&executions, side_effecting));
         let logs: Vec<Vec<String>> = cluster.managers.values().map(|manager| manager.log_lines()).collect();
         violations.extend(check_claims(&logs));
         violations.extend(check_due_times(&logs, &executions));
@@ -66,19 +67,20 @@
 }
 
 /// No side-effecting schedule is executed twice for one due time, and fencing tokens never decrease.
-fn check_effects(executions: &[Execution], side_effecting: &[&str]) -> Vec<String> {
+fn check_executions(executions: &[Execution], side_effecting: &[&str]) -> Vec<String> {
     let mut violations = Vec::new();
-    let mut count: BTreeMap<(&str, i64), usize> = BTreeMap::new();
-    let mut fences: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut counts: BTreeMap<(&str, i64), usize> = BTreeMap::new();
+    let mut last_tokens: BTreeMap<&str, u64> = BTreeMap::new();
     for execution in executions {
-        let times = count.entry((&execution.schedule, execution.due)).or_default();
+        let times = counts.entry((&execution.schedule, execution.due)).or_default();
         *times += 1;
         if *times > 1 && side_effecting.contains(&execution.schedule.as_str()) {
-            violations.push(format!("{} of {} took effect {times} times", execution.schedule, execution.due));
+            violations
+                .push(format!("{} due at {} was executed {times} times", execution.schedule, execution.due));
         }
-        let previous = fences.entry(&execution.schedule).or_default();
+        let previous = last_tokens.entry(&execution.schedule).or_default();
         if execution.fencing_token < *previous {
-            violations.push(format!("{execution:?} after {previous}"));
+            violations.push(format!("{execution:?} after fencing token {previous}"));
         }
         *previous = execution.fencing_token;
     }
@@ -99,51 +101,51 @@
         else {
             continue;
         };
-        let Some(fence) =
-            text_after(event, " with fencing token ").and_then(|fence| fence.trim().parse().ok())
+        let Some(fencing_token) =
+            text_after(event, " with fencing token ").and_then(|token| token.trim().parse().ok())
         else {
             continue;
         };
-        let before = known.entry(fence).or_insert(event);
-        if *before != event {
-            violations.push(format!("two claims of one number: {before:?} and {event:?}"));
+        let first = known.entry(fencing_token).or_insert(event);
+        if *first != event {
+            violations.push(format!("two claims with the same fencing token: {first:?} and {event:?}"));
         }
     }
     violations
 }
 
-/// Each due time of a schedule between its first and last claimed ones was claimed or logged as passed over, and all
-/// that was executed was claimed. The schedules of the tests are due each second.
+/// Each due time of a schedule, from the first to the last that was logged, was claimed or logged as skipped, and each
+/// execution was of such a due time. The schedules of the tests are due each second.
 fn check_due_times(logs: &[Vec<String>], executions: &[Execution]) -> Vec<String> {
-    let mut accounted: BTreeMap<&str, BTreeSet<i64>> = BTreeMap::new();
+    let mut logged_dues: BTreeMap<&str, BTreeSet<i64>> = BTreeMap::new();
     for line in logs.iter().flatten() {
         if let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains(" is claimed by ")) {
             if let Some((schedule, due)) = event.split_once(" of ") {
                 let due = due.split(' ').next().and_then(|due| due.parse().ok());
-                due.into_iter().for_each(|due| _ = accounted.entry(schedule).or_default().insert(due));
+                due.into_iter().for_each(|due| _ = logged_dues.entry(schedule).or_default().insert(due));
             }
         }
         // "3 of warm up to 1796000003000 are skipped: Missed"
         if let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains(" are skipped: ")) {
             let words: Vec<&str> = event.split(' ').collect();
-            if let [count, "of", schedule, "up", "to", upto, ..] = words[..] {
-                if let (Ok(count), Ok(upto)) = (count.parse::<i64>(), upto.parse::<i64>()) {
-                    let passed = (0..count).map(|back| upto - back * 1000);
-                    accounted.entry(schedule).or_default().extend(passed);
+            if let [count, "of", schedule, "up", "to", last, ..] = words[..] {
+                if let (Ok(count), Ok(last)) = (count.parse::<i64>(), last.parse::<i64>()) {
+                    let skipped = (0..count).map(|back| last - back * 1000);
+                    logged_dues.entry(schedule).or_default().extend(skipped);
                 }
             }
         }
     }
     let mut violations = Vec::new();
-    for (schedule, accounted) in &accounted {
-        let (Some(first), Some(last)) = (accounted.first(), accounted.last()) else { continue };
-        let missed = (*first..=*last).step_by(1000).filter(|due| !accounted.contains(due));
-        violations.extend(missed.map(|due| format!("{schedule} of {due} is silently left out")));
+    for (schedule, logged) in &logged_dues {
+        let (Some(first), Some(last)) = (logged.first(), logged.last()) else { continue };
+        let missed = (*first..=*last).step_by(1000).filter(|due| !logged.contains(due));
+        violations.extend(
+            missed.map(|due| format!("{schedule} due at {due} was neither claimed nor logged as skipped")),
+        );
     }
     for execution in executions {
-        if !accounted
-            .get(execution.schedule.as_str())
-            .is_some_and(|accounted| accounted.contains(&execution.due))
+        if !logged_dues.get(execution.schedule.as_str()).is_some_and(|logged| logged.contains(&execution.due))
         {
             violations.push(format!("{execution:?} was never claimed"));
         }
@@ -166,33 +168,36 @@
     }
 
     #[test]
-    fn effects_that_come_twice_or_under_lower_numbers_are_found() {
-        assert!(check_effects(
+    fn repeated_executions_and_decreasing_fencing_tokens_are_found() {
+        assert!(check_executions(
             &[execution("a", 1, 5), execution("b", 1, 4), execution("a", 2, 6)],
             &["a", "b"]
         )
         .is_empty());
-        assert_eq!(check_effects(&[execution("a", 1, 5), execution("a", 1, 6)], &["a"]).len(), 1);
+        assert_eq!(check_executions(&[execution("a", 1, 5), execution("a", 1, 6)], &["a"]).len(), 1);
         assert!(
-            check_effects(&[execution("a", 1, 5), execution("a", 1, 6)], &[]).is_empty(),
-            "it may run again"
+            check_executions(&[execution("a", 1, 5), execution("a", 1, 6)], &[]).is_empty(),
+            "an idempotent schedule may be executed again"
         );
-        assert_eq!(check_effects(&[execution("a", 1, 5), execution("a", 2, 4)], &[]).len(), 1);
+        assert_eq!(check_executions(&[execution("a", 1, 5), execution("a", 2, 4)], &[]).len(), 1);
     }
 
     #[test]
-    fn what_is_agreed_twice_or_left_out_is_found() {
+    fn conflicting_claims_and_missing_due_times_are_found() {
         let log = |lines: &[&str]| lines.iter().map(|line| format!("INFO fleet: {line}")).collect::<Vec<_>>();
-        let one = log(&[
+        let claims = log(&[
             "warm of 1000 is claimed by member 1 with fencing token 4",
             "warm of 3000 is claimed by member 2 with fencing token 9",
         ]);
-        assert_eq!(check_due_times(std::slice::from_ref(&one), &[]), ["warm of 2000 is silently left out"]);
-        let passed_over = log(&["1 of warm up to 2000 are skipped: Missed"]);
-        assert!(check_due_times(&[one.clone(), passed_over], &[]).is_empty());
-        assert_eq!(check_due_times(std::slice::from_ref(&one), &[execution("warm", 7000, 4)]).len(), 2);
-        assert!(check_claims(&[one.clone(), one.clone()]).is_empty());
-        let other = log(&["warm of 1000 is claimed by member 3 with fencing token 4"]);
-        assert_eq!(check_claims(&[one, other]).len(), 1);
+        assert_eq!(
+            check_due_times(std::slice::from_ref(&claims), &[]),
+            ["warm due at 2000 was neither claimed nor logged as skipped"]
+        );
+        let skipped = log(&["1 of warm up to 2000 are skipped: Missed"]);
+        assert!(check_due_times(&[claims.clone(), skipped], &[]).is_empty());
+        assert_eq!(check_due_times(std::slice::from_ref(&claims), &[execution("warm", 7000, 4)]).len(), 2);
+        assert!(check_claims(&[claims.clone(), claims.clone()]).is_empty());
+        let conflicting = log(&["warm of 1000 is claimed by member 3 with fencing token 4"]);
+        assert_eq!(check_claims(&[claims, conflicting]).len(), 1);
     }
 }
--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -1,4 +1,4 @@
-//! A fault-injecting TCP relay from one manager to another, which also records what leaders send.
+//! A fault-injecting TCP forwarder from one manager to another, which also records what leaders send.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -22,7 +22,7 @@
     Reset,
     /// Connections are accepted and never read from.
     HalfOpen,
-    /// Each chunk read is held back by this many milliseconds, and with it all that follows.
+    /// Each chunk that is read is delayed by this many milliseconds, and with it all later bytes.
     Delayed(u64),
 }
 
@@ -37,21 +37,21 @@
     pub conflicts: Vec<String>,
 }
 
-/// A relay for one direction between two managers.
+/// A forwarder for one direction between two managers.
 pub struct Link {
     /// The address that the sending manager connects to.
     pub address: SocketAddr,
     state: Arc<Mutex<LinkState>>,
 }
 
-/// Time between two looks at the state of the link.
+/// Interval at which a connection checks the state of its link.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Link {
-    /// Starts an open relay for `from`, to the address `to` that another manager listens on.
+    /// Starts an open link for `from`, to the address `to` that another manager listens on.
     pub fn start(from: MemberId, to: SocketAddr, traffic: Arc<Mutex<Traffic>>) -> Link {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("a bound port");
+        let address = listener.local_addr().expect("the listener is bound");
         let state = Arc::new(Mutex::new(LinkState::Open));
         let shared_state = state.clone();
         thread::spawn(move || {
@@ -61,7 +61,7 @@
                     close(&socket);
                     continue;
                 }
-                thread::spawn(move || relay(from, socket, to, &shared_state, &traffic));
+                thread::spawn(move || forward_connection(from, socket, to, &shared_state, &traffic));
             }
         });
         Link { address, state }
@@ -84,7 +84,7 @@
 }
 
 /// Forwards one connection until either side closes it.
-fn relay(
+fn forward_connection(
     from: MemberId,
     mut socket: TcpStream,
     to: SocketAddr,
@@ -112,7 +112,7 @@
             Ok(0) => return close(&target),
             Ok(read) => read,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                // The far side may have closed it.
+                // The other side may have closed the connection.
                 if is_closed(&target) {
                     return close(&socket);
                 }
@@ -135,7 +135,7 @@
     }
 }
 
-/// Whether the far side has closed a connection.
+/// Whether the other side has closed a connection.
 fn is_closed(socket: &TcpStream) -> bool {
     if socket.set_nonblocking(true).is_err() {
         return true;
@@ -146,11 +146,11 @@
     closed
 }
 
-/// Splits a stream into length-prefixed messages; the first is a hello and is skipped.
+/// Splits a stream into length-prefixed messages; the first is the handshake and is skipped.
 #[derive(Default)]
 struct MessageReader {
     bytes: Vec<u8>,
-    hello_read: bool,
+    handshake_read: bool,
 }
 
 impl MessageReader {
@@ -161,17 +161,17 @@
             if rest.len() < length {
                 return;
             }
-            if self.hello_read {
+            if self.handshake_read {
                 // Undecodable messages are skipped: the receiving manager rejects and logs them.
                 postcard::from_bytes(&rest[..length]).into_iter().for_each(&mut on_message);
             }
-            self.hello_read = true;
+            self.handshake_read = true;
             self.bytes.drain(..4 + length);
         }
     }
 }
 
-/// Records what a leader sends, and conflicts with what was sent before.
+/// Records what a leader sends, and entries that differ from those sent before with the same index and term.
 fn record_message(from: MemberId, message: PeerMessage, traffic: &mut Traffic) {
     let (term, entries) = match message {
         PeerMessage::Consensus(Message::AppendEntries { term, entries, .. }) => (term, entries),
@@ -185,7 +185,7 @@
     for Entry { index, term, payload } in entries {
         let known = traffic.entries.entry((index, term)).or_insert_with(|| payload.clone());
         if *known != payload {
-            traffic.conflicts.push(format!("{index:?} of {term}: {known:?} and {payload:?}"));
+            traffic.conflicts.push(format!("{index:?} in {term}: {known:?} and {payload:?}"));
         }
     }
 }
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -33,8 +33,8 @@
             // Same profile as the caller, so that measurements are of optimised code where the caller is.
             let profile = if cfg!(debug_assertions) { "debug" } else { "release" };
             build.args((profile == "release").then_some("--release"));
-            let build_status = build.status().expect("cargo starts");
-            assert!(build_status.success(), "the program with points is built");
+            let build_status = build.status().expect("cargo can be started");
+            assert!(build_status.success(), "the build of the manager binary with fault points failed");
             ManagerBinary(target.join(profile).join("juniperrail"))
         })
     }
@@ -91,13 +91,19 @@
         command.env_clear().env("PROXY_CONFIG", self.folder.join("config.json")).env("RUST_LOG", "info");
         command.envs(&self.env).envs(std::mem::take(&mut self.next_start_env));
         command.arg("--operator-file").arg(self.folder.join("operator.xml"));
-        let mut child =
-            command.stderr(Stdio::piped()).stdout(Stdio::null()).spawn().expect("the program starts");
+        let mut child = command
+            .stderr(Stdio::piped())
+            .stdout(Stdio::null())
+            .spawn()
+            .expect("the manager binary can be started");
         self.start_count += 1;
-        let stderr = child.stderr.take().expect("it is piped");
+        let stderr = child.stderr.take().expect("stderr is piped");
         let log = self.log.clone();
-        let mut log_file =
-            File::options().append(true).create(true).open(self.folder.join("log")).expect("a log");
+        let mut log_file = File::options()
+            .append(true)
+            .create(true)
+            .open(self.folder.join("log"))
+            .expect("the log file can be opened");
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 _ = writeln!(log_file, "{line}");
@@ -120,13 +126,13 @@
 
     /// Waits until at least `count` log lines contain `part`. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_log(&self, part: &str, count: usize) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut log = self.log.0.lock().expect("no reader panics");
         while log.lines.iter().filter(|line| line.contains(part)).count() < count {
-            if begun.elapsed() >= WAIT_TIMEOUT {
+            if started.elapsed() >= WAIT_TIMEOUT {
                 let last: Vec<String> = log.lines.iter().rev().take(12).cloned().collect();
                 drop(log);
-                panic!("{}: still waiting for {count} times {part:?}: {last:#?}", self.name);
+                panic!("{}: fewer than {count} log lines with {part:?}; newest first: {last:#?}", self.name);
             }
             log = self.log.1.wait_timeout(log, Duration::from_millis(50)).expect("no reader panics").0;
         }
@@ -137,7 +143,7 @@
         self.wait_for_log("serves on ", self.start_count);
         let lines = self.log_lines();
         let last = lines.iter().rev().find_map(|line| Some(line.split_once("serves on ")?.1.trim()));
-        last.and_then(|at| at.parse().ok()).expect("an address")
+        last.and_then(|at| at.parse().ok()).expect("the log line contains an address")
     }
 
     /// Sends a signal to the process.
@@ -173,15 +179,15 @@
     /// Waits for the process to exit; `None` where none was started. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut child = self.child.take()?;
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             match child.try_wait() {
                 Ok(Some(status)) => return Some(status),
-                Ok(None) if begun.elapsed() < WAIT_TIMEOUT => thread::sleep(Duration::from_millis(5)),
+                Ok(None) if started.elapsed() < WAIT_TIMEOUT => thread::sleep(Duration::from_millis(5)),
                 _ => {
                     _ = child.kill();
                     _ = child.wait();
-                    panic!("{} does not end", self.name);
+                    panic!("{} did not exit", self.name);
                 }
             }
         }
@@ -192,7 +198,7 @@
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// The id of the process, until its exit was waited for.
+    /// The process id; `None` before the first start and once the exit was waited for.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -13,7 +13,7 @@
 use crate::invariants::InvariantReport;
 use crate::link::LinkState;
 
-/// One run of the sweep: a fault at a passing of a fault point.
+/// One run of a sweep: a fault at a passing of a fault point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultCase {
     /// The fault point.
@@ -26,7 +26,7 @@
     pub at_all_managers: bool,
 }
 
-/// What one run showed.
+/// The outcome of one run.
 #[derive(Clone, Debug)]
 pub struct CaseOutcome {
     /// The run.
@@ -81,8 +81,8 @@
                 *counts.entry(point).or_default() += 1;
             }
             for (point, count) in counts {
-                let known = maxima.entry(point).or_default();
-                *known = count.max(*known);
+                let maximum = maxima.entry(point).or_default();
+                *maximum = count.max(*maximum);
             }
         }
     }
@@ -129,9 +129,9 @@
 
 /// Waits for a condition. Managers that die meanwhile are restarted without the fault, as a supervisor would.
 fn wait_until(cluster: &mut TestCluster, what: &str, condition: impl Fn(&TestCluster) -> bool) {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     while !condition(cluster) {
-        assert!(begun.elapsed() < crate::process::WAIT_TIMEOUT, "still waiting for {what}");
+        assert!(started.elapsed() < crate::process::WAIT_TIMEOUT, "timed out waiting for {what}");
         let mut restarted = Vec::new();
         for (id, manager) in cluster.managers.iter_mut().filter(|(_, manager)| manager.start_count > 0) {
             if !manager.is_running() {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Rounds of a workload after which a fault that is not yet injected is given up.
+/// Most rounds of a workload, after which a fault that is not yet injected is given up.
 ///
 /// One round is not enough for every point. A manager removes an old file of its store once it has compacted its log,
 /// which it does when the log holds more than `retained_entries`, 20. The two schedules append five entries a second
@@ -174,23 +174,23 @@
 
 /// Executions of schedules, a planned restart of the leader, and further executions.
 fn run_schedules(cluster: &mut TestCluster) {
-    let work = |cluster: &mut TestCluster, more: usize| {
-        let count = |cluster: &TestCluster, of: &str| {
-            cluster.executor.executions().iter().filter(|ran| ran.schedule == of).count()
+    let wait_for_more = |cluster: &mut TestCluster, more: usize| {
+        let count = |cluster: &TestCluster, schedule: &str| {
+            cluster.executor.executions().iter().filter(|execution| execution.schedule == schedule).count()
         };
-        let before = SCHEDULES.map(|of| count(cluster, of));
+        let before = SCHEDULES.map(|schedule| count(cluster, schedule));
         let enough = |cluster: &TestCluster| {
-            SCHEDULES.iter().zip(before).all(|(of, before)| count(cluster, of) >= before + more)
+            SCHEDULES.iter().zip(before).all(|(schedule, before)| count(cluster, schedule) >= before + more)
         };
-        wait_until(cluster, &format!("{more} more effects of each schedule"), enough);
+        wait_until(cluster, &format!("{more} more executions of each schedule"), enough);
     };
-    work(cluster, 2);
+    wait_for_more(cluster, 2);
     if let Some(leader) = cluster.leader() {
         let manager = cluster.manager(leader);
         manager.terminate();
         manager.start();
     }
-    work(cluster, 2);
+    wait_for_more(cluster, 2);
 }
 
 /// A zone fails, a manager is partitioned until the lease of its failover plan expires, and the zone recovers.
@@ -205,23 +205,23 @@
     };
     wait_until(cluster, "a leader", |cluster| cluster.leader().is_some());
     cluster.zone_faults.set_lost(&["b"]);
-    wait_until(cluster, "the zone to be out", |cluster| {
+    wait_until(cluster, "all managers to follow a plan that reduces the zone", |cluster| {
         all.iter().all(|id| last_plan_contains(cluster, *id, ": b 0."))
     });
     let isolated = all.iter().find(|id| Some(id.0) != cluster.leader()).copied().unwrap_or(MemberId(1));
     let starts_before = cluster.managers[&isolated].start_count;
     let expiries_before = cluster.managers[&isolated].count_log_lines("expired: all zones at full weight");
     cluster.set_links_across(&[isolated.0], LinkState::Silent);
-    // Or it died meanwhile: while partitioned it restarts without a plan.
-    let over = |cluster: &TestCluster| {
+    // Or it exited meanwhile: restarted in the partition, it has no plan.
+    let lease_expired = |cluster: &TestCluster| {
         let manager = &cluster.managers[&isolated];
         manager.count_log_lines("expired: all zones at full weight") > expiries_before
             || manager.start_count > starts_before
     };
-    wait_until(cluster, "the lease to be over", over);
+    wait_until(cluster, "the lease of the isolated manager's plan to expire", lease_expired);
     cluster.heal_links();
     cluster.zone_faults.set_lost(&[]);
-    wait_until(cluster, "the zone to be back", |cluster| {
+    wait_until(cluster, "all managers to follow a plan with all zones at full weight", |cluster| {
         all.iter().all(|id| last_plan_contains(cluster, *id, "all zones at full weight"))
     });
 }
@@ -240,9 +240,9 @@
         }
         manager.start();
     }
-    let announcement = format!("{point}: {}", fault.name());
+    let injection_log = format!("{point}: {}", fault.name());
     let is_reached = |cluster: &TestCluster| {
-        cluster.managers.values().any(|manager| manager.count_log_lines(&announcement) > 0)
+        cluster.managers.values().any(|manager| manager.count_log_lines(&injection_log) > 0)
     };
     let done = |cluster: &TestCluster| {
         let reached = is_reached(cluster);
@@ -251,15 +251,15 @@
         }
         reached
     };
-    let ran = catch_unwind(AssertUnwindSafe(|| run_workload(&mut cluster, workload, done)));
+    let result = catch_unwind(AssertUnwindSafe(|| run_workload(&mut cluster, workload, done)));
     let reached = is_reached(&cluster);
     let mut violations = InvariantReport::check(&cluster, &["grade"]).violations;
-    if let Err(panic) = ran {
+    if let Err(panic) = result {
         let text = panic
             .downcast_ref::<String>()
             .cloned()
             .or(panic.downcast_ref::<&str>().map(|text| text.to_string()));
-        violations.push(text.unwrap_or_else(|| "it did not go on".into()));
+        violations.push(text.unwrap_or_else(|| "the run panicked without a message".into()));
     }
     if !violations.is_empty() {
         for (id, manager) in &cluster.managers {
--- a/crates/trials/src/zone_faults.rs
+++ b/crates/trials/src/zone_faults.rs
@@ -8,7 +8,7 @@
 
 use crate::topology::WORKERS;
 
-/// The failures in force.
+/// The failures that are currently simulated.
 #[derive(Clone, Default)]
 struct Conditions {
     /// Zones in which every request fails.
@@ -22,7 +22,7 @@
 /// Interval between two reports of a collector.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The zone failures in force, shared with the collectors that report their effects. None at first.
+/// The zone failures that are currently simulated, shared with the collectors that report their effects. None at first.
 #[derive(Default)]
 pub struct ZoneFaults(Mutex<Conditions>);
 
--- a/crates/trials/tests/sweep.rs
+++ b/crates/trials/tests/sweep.rs
@@ -4,16 +4,16 @@
 use juniperrail_faults::{Point, POINTS};
 use juniperrail_trials::{count_point_passings, fault_cases, run_sweep};
 
-/// Cases run at a time: each is three processes that mostly wait.
+/// Cases run at a time. Each is a cluster of three processes that mostly wait.
 const PARALLELISM: usize = 6;
 
 #[test]
-fn whatever_fails_at_any_point_nothing_is_done_twice_forgotten_or_left_out() {
+fn no_fault_at_any_point_violates_an_invariant() {
     let counts = count_point_passings();
     let cases = fault_cases(&counts, false);
     let report = run_sweep(&cases, PARALLELISM);
-    let broken: Vec<_> = report.outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violating: Vec<_> = report.outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).collect();
+    assert!(violating.is_empty(), "{violating:#?}");
     assert_eq!(report.outcomes.len(), cases.len());
     let unreached: Vec<Point> = report.unreached;
     assert_eq!(unreached, Vec::<Point>::new(), "of {} points", POINTS.len());
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -5,9 +5,12 @@
 use juniperrail_consensus::MemberId;
 use juniperrail_trials::*;
 
-const ALL: [u16; 3] = [1, 2, 3];
-const B: [&str; 2] = ["s-3", "s-4"];
+/// The member ids of all managers.
+const ALL_MANAGERS: [u16; 3] = [1, 2, 3];
+/// The workers of zone b.
+const ZONE_B_WORKERS: [&str; 2] = ["s-3", "s-4"];
 
+/// Starts a cluster with failover and without schedules, waits for a leader and connects collectors.
 fn start_with_leader() -> TestCluster {
     let cluster = TestCluster::start(ClusterConfig {
         failover: true,
@@ -19,17 +22,17 @@
     cluster
 }
 
-/// The failover plans that a manager logged, in its wording.
+/// The failover plans that a manager logged, as it words them.
 fn logged_plans(cluster: &TestCluster, id: u16) -> Vec<String> {
     let lines = cluster.managers[&MemberId(id)].log_lines();
     lines.iter().filter_map(|line| Some(line.split_once("fleet: plan ")?.1.to_string())).collect()
 }
 
 #[test]
-fn a_lost_zone_is_out_at_all_managers_and_comes_back_in_steps() {
+fn all_managers_stop_routing_to_a_lost_zone_and_restore_it_in_steps() {
     let cluster = start_with_leader();
     cluster.zone_faults.set_lost(&["b"]);
-    cluster.wait_for_routing(&ALL, &B, false);
+    cluster.wait_for_routing(&ALL_MANAGERS, &ZONE_B_WORKERS, false);
     let leader = cluster.wait_for_leader();
     assert!(
         logged_plans(&cluster, leader).iter().any(|plan| plan.ends_with(": b 0.00 (Lost)")),
@@ -38,13 +41,13 @@
     );
     cluster.zone_faults.set_lost(&[]);
     cluster.managers[&MemberId(leader)].wait_for_log("all zones at full weight", 1);
-    cluster.wait_for_routing(&ALL, &B, true);
+    cluster.wait_for_routing(&ALL_MANAGERS, &ZONE_B_WORKERS, true);
     let steps = logged_plans(&cluster, leader);
     for part in ["b 0.10", "b 0.30", "b 0.60"] {
         assert!(steps.iter().any(|plan| plan.contains(part)), "{part} in {steps:?}");
     }
     // All managers followed the same plans.
-    for id in ALL {
+    for id in ALL_MANAGERS {
         cluster.managers[&MemberId(id)].wait_for_log("all zones at full weight", 1);
         assert_eq!(logged_plans(&cluster, id), steps, "member {id}");
     }
@@ -52,49 +55,49 @@
 }
 
 #[test]
-fn the_leader_dies_while_a_zone_is_out_and_nobody_lets_it_back() {
+fn a_lost_zone_is_not_restored_when_the_leader_dies() {
     let mut cluster = start_with_leader();
     cluster.zone_faults.set_lost(&["b"]);
-    cluster.wait_for_routing(&ALL, &B, false);
+    cluster.wait_for_routing(&ALL_MANAGERS, &ZONE_B_WORKERS, false);
     let leader = cluster.wait_for_leader();
-    let rest: Vec<u16> = ALL.into_iter().filter(|id| *id != leader).collect();
+    let rest: Vec<u16> = ALL_MANAGERS.into_iter().filter(|id| *id != leader).collect();
     cluster.manager(leader).kill();
     cluster.wait_for_leader_except(&[leader]);
     let until = Instant::now() + Duration::from_millis(PLAN_LEASE_MS);
     while Instant::now() < until {
         // Trial steps of the recovery may occur; the zone must not be fully restored.
-        let whole: usize = rest
+        let restorations: usize = rest
             .iter()
             .map(|id| cluster.managers[&MemberId(*id)].count_log_lines("all zones at full weight"))
             .sum();
-        assert_eq!(whole, 0, "{:?}", logged_plans(&cluster, rest[0]));
+        assert_eq!(restorations, 0, "{:?}", logged_plans(&cluster, rest[0]));
         std::thread::sleep(Duration::from_millis(50));
     }
     cluster.zone_faults.set_lost(&[]);
     rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones at full weight", 1));
-    cluster.wait_for_routing(&rest, &B, true);
+    cluster.wait_for_routing(&rest, &ZONE_B_WORKERS, true);
     cluster.assert_invariants(&[]);
 }
 
 #[test]
-fn who_is_cut_off_from_the_council_goes_home_as_the_lease_ends() {
+fn a_partitioned_manager_drops_the_plan_when_its_lease_expires() {
     let cluster = start_with_leader();
     cluster.zone_faults.set_lost(&["b"]);
-    cluster.wait_for_routing(&ALL, &B, false);
+    cluster.wait_for_routing(&ALL_MANAGERS, &ZONE_B_WORKERS, false);
     let leader = cluster.wait_for_leader();
-    let isolated = ALL.into_iter().find(|id| *id != leader).unwrap();
+    let isolated = ALL_MANAGERS.into_iter().find(|id| *id != leader).unwrap();
     cluster.set_links_across(&[isolated], LinkState::Silent);
     cluster.managers[&MemberId(isolated)].wait_for_log("expired: all zones at full weight", 1);
     // It decides alone again, as without a fleet; the others continue to agree.
-    cluster.wait_for_routing(&[isolated], &B, true);
+    cluster.wait_for_routing(&[isolated], &ZONE_B_WORKERS, true);
     assert_eq!(cluster.managers[&MemberId(leader)].count_log_lines("expired: all zones at full weight"), 0);
     cluster.heal_links();
-    cluster.wait_for_routing(&[isolated], &B, false);
+    cluster.wait_for_routing(&[isolated], &ZONE_B_WORKERS, false);
     cluster.assert_invariants(&[]);
 }
 
 #[test]
-fn without_a_quorum_there_is_no_plan_and_nothing_changes() {
+fn without_a_quorum_there_is_no_plan_and_routing_does_not_change() {
     let mut cluster = start_with_leader();
     cluster.manager(1).kill();
     cluster.manager(2).kill();
@@ -105,22 +108,22 @@
     (1..=2).for_each(|id| cluster.manager(id).start());
     cluster.wait_for_leader();
     cluster.start_collectors();
-    cluster.wait_for_routing(&[3], &B, false);
+    cluster.wait_for_routing(&[3], &ZONE_B_WORKERS, false);
     cluster.assert_invariants(&[]);
 }
 
 #[test]
-fn two_zones_of_three_are_lost_and_one_stays() {
+fn with_two_zones_of_three_lost_the_third_stays_in_use() {
     let cluster = start_with_leader();
     cluster.zone_faults.set_lost(&["b", "c"]);
-    cluster.wait_for_routing(&ALL, &["s-3", "s-4", "s-5", "s-6"], false);
-    cluster.wait_for_routing(&ALL, &["s-1", "s-2"], true);
+    cluster.wait_for_routing(&ALL_MANAGERS, &["s-3", "s-4", "s-5", "s-6"], false);
+    cluster.wait_for_routing(&ALL_MANAGERS, &["s-1", "s-2"], true);
     cluster.zone_faults.set_lost(&["a", "b", "c"]);
     std::thread::sleep(Duration::from_millis(2500));
-    for id in ALL {
-        let left: usize =
+    for id in ALL_MANAGERS {
+        let routing: usize =
             WORKERS.iter().map(|(worker, _)| cluster.count_proxies_routing_to(id, worker)).sum();
-        assert!(left > 0, "member {id} leaves its proxies somebody");
+        assert!(routing > 0, "member {id} leaves its proxies without workers");
     }
     cluster.zone_faults.set_lost(&[]);
     let leader = cluster.wait_for_leader();
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn a_zone_that_flaps_with_sums_that_are_late() {
+fn a_flapping_zone_with_late_reports_is_taken_out_a_limited_number_of_times() {
     let cluster = start_with_leader();
     cluster.zone_faults.set_report_delay(Duration::from_millis(600));
     for _ in 0..4 {
@@ -139,29 +142,29 @@
         std::thread::sleep(Duration::from_millis(1500));
     }
     let leader = cluster.wait_for_leader();
-    let outs = logged_plans(&cluster, leader).iter().filter(|plan| plan.contains("b 0.00")).count();
+    let removals = logged_plans(&cluster, leader).iter().filter(|plan| plan.contains("b 0.00")).count();
     // Each relapse doubles the wait of one second before the next trial step: in about 13 s the zone can be taken out at
     // most five times.
-    assert!(outs <= 5, "out {outs} times in four flaps: {:?}", logged_plans(&cluster, leader));
+    assert!(removals <= 5, "taken out {removals} times in four flaps: {:?}", logged_plans(&cluster, leader));
     cluster.assert_invariants(&[]);
 }
 
 #[test]
-fn a_cut_zone_inside_which_the_leader_is() {
+fn a_partitioned_zone_contains_the_leader() {
     let cluster = start_with_leader();
     let leader = cluster.wait_for_leader();
-    let rest: Vec<u16> = ALL.into_iter().filter(|id| *id != leader).collect();
+    let rest: Vec<u16> = ALL_MANAGERS.into_iter().filter(|id| *id != leader).collect();
     // Zone b and the manager in it are partitioned from all others.
     cluster.zone_faults.set_cut_off(&["b"]);
     cluster.set_links_across(&[leader], LinkState::Silent);
     cluster.wait_for_leader_except(&[leader]);
-    cluster.wait_for_routing(&rest, &B, false);
+    cluster.wait_for_routing(&rest, &ZONE_B_WORKERS, false);
     let logged = logged_plans(&cluster, rest[0]);
     assert!(logged.iter().any(|plan| plan.contains("b 0.00 (CutOff)")), "{logged:?}");
     cluster.zone_faults.set_cut_off(&[]);
     cluster.heal_links();
     rest.iter().for_each(|id| cluster.managers[&MemberId(*id)].wait_for_log("all zones at full weight", 1));
-    cluster.wait_for_routing(&ALL, &B, true);
+    cluster.wait_for_routing(&ALL_MANAGERS, &ZONE_B_WORKERS, true);
     cluster.assert_invariants(&[]);
 }
 
@@ -169,8 +172,8 @@
 fn a_rolling_restart_during_a_failover() {
     let mut cluster = start_with_leader();
     cluster.zone_faults.set_lost(&["b"]);
-    cluster.wait_for_routing(&ALL, &B, false);
-    for id in ALL {
+    cluster.wait_for_routing(&ALL_MANAGERS, &ZONE_B_WORKERS, false);
+    for id in ALL_MANAGERS {
         assert_eq!(cluster.manager(id).terminate().and_then(|status| status.code()), Some(0));
         cluster.manager(id).start();
         cluster.manager(id).wait_for_address();
