--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -120,7 +120,7 @@
         name: "relay-subscribers",
         against: "subscribers",
         sizes: &[50, 100, 200, 400],
-        small: &[20, 40, 80, 160],
+        small: &[80, 160, 320, 640],
         play: Play::Relay(|subscribers| Letter { workers: RELAY_WORKERS, subscribers, ..RELAY }),
     },
 ];
