--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use juniperrail_model::xml::{Element, NETCONF};
+use juniperrail_model::xml::{Element, NETCONF_NAMESPACE};
 
 /// How far an operation got before it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,10 +62,11 @@
 
     /// Returns the reply, or an error if the reply contains `rpc-error` elements.
     pub(crate) fn check_reply(reply: Element) -> Result<Element, ClientError> {
-        let error_elements = reply.children.iter().filter(|child| child.is(NETCONF, "rpc-error"));
+        let error_elements = reply.children.iter().filter(|child| child.is(NETCONF_NAMESPACE, "rpc-error"));
         let to_rpc_error = |error: &Element| {
-            let text =
-                |name: &str| error.get(NETCONF, name).map(|element| element.trimmed_text().to_string());
+            let text = |name: &str| {
+                error.child(NETCONF_NAMESPACE, name).map(|element| element.trimmed_text().to_string())
+            };
             RpcError {
                 tag: text("error-tag").unwrap_or_default(),
                 app_tag: text("error-app-tag"),
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -20,7 +20,7 @@
 use std::collections::VecDeque;
 
 use juniperrail_framing::{encode, Decoder, Framing};
-use juniperrail_model::xml::{self, Attr, Element, NETCONF};
+use juniperrail_model::xml::{self, Attr, Element, NETCONF_NAMESPACE};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 pub use endpoint::Endpoint;
@@ -112,11 +112,11 @@
 }
 
 fn element(name: &str) -> Element {
-    Element::new(NETCONF, name)
+    Element::new(NETCONF_NAMESPACE, name)
 }
 
 fn leaf(name: &str, text: &str) -> Element {
-    Element::with_text(NETCONF, name, text)
+    Element::with_text(NETCONF_NAMESPACE, name, text)
 }
 
 impl Client {
@@ -142,18 +142,19 @@
             transport: None,
         };
         let capabilities = [BASE_1_0, BASE_1_1].map(|name| leaf("capability", name));
-        let hello = element("hello").with(element("capabilities").with_all(capabilities));
+        let hello = element("hello").with_child(element("capabilities").with_children(capabilities));
         client.send(&xml::write(&hello, false)).await?;
         let hello = client.receive().await?;
         let malformed =
             |message: &str| ClientError::new(Stage::Receiving, ErrorKind::MalformedMessage(message.into()));
-        if !hello.is(NETCONF, "hello") {
+        if !hello.is(NETCONF_NAMESPACE, "hello") {
             return Err(malformed("the first message of the server is not a hello"));
         }
-        let session_id = hello.get(NETCONF, "session-id").and_then(|id| id.trimmed_text().parse().ok());
+        let session_id =
+            hello.child(NETCONF_NAMESPACE, "session-id").and_then(|id| id.trimmed_text().parse().ok());
         client.session_id = session_id.ok_or_else(|| malformed("the server's hello has no session-id"))?;
         let capability_elements =
-            hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
+            hello.child(NETCONF_NAMESPACE, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
         client.capabilities =
             capability_elements.iter().map(|item| item.trimmed_text().to_string()).collect();
         if client.capabilities.iter().any(|name| name == BASE_1_1) {
@@ -185,8 +186,8 @@
             if let Some(message) =
                 message.map_err(|error| receive_error(ErrorKind::MalformedMessage(error.to_string())))?
             {
-                return xml::read(&message)
-                    .map_err(|error| receive_error(ErrorKind::MalformedMessage(error.what)));
+                return xml::parse(&message)
+                    .map_err(|error| receive_error(ErrorKind::MalformedMessage(error.message)));
             }
             let Some(stream) = &mut self.stream else {
                 return Err(receive_error(ErrorKind::ConnectionLost("the session is closed".into())));
@@ -221,7 +222,7 @@
     pub async fn rpc(&mut self, operation: Element) -> Result<Element, ClientError> {
         let (ns, name, value) = ("".into(), "message-id".to_string(), self.next_message_id.to_string());
         self.next_message_id += 1;
-        let rpc = Element { attrs: vec![Attr { ns, name, value }], ..element("rpc").with(operation) };
+        let rpc = Element { attrs: vec![Attr { ns, name, value }], ..element("rpc").with_child(operation) };
         self.send(&xml::write(&rpc, false)).await?;
         self.read_reply().await
     }
@@ -237,18 +238,18 @@
     /// Wraps the elements of a subtree filter, given as XML text, in a `filter` element.
     fn filter_element(text: Option<&str>) -> Result<Option<Element>, ClientError> {
         let Some(text) = text else { return Ok(None) };
-        let filter = format!("<filter xmlns=\"{NETCONF}\">{text}</filter>");
-        let parsed = xml::read(filter.as_bytes());
+        let filter = format!("<filter xmlns=\"{NETCONF_NAMESPACE}\">{text}</filter>");
+        let parsed = xml::parse(filter.as_bytes());
         parsed
             .map(Some)
-            .map_err(|error| ClientError::new(Stage::NotStarted, ErrorKind::MalformedMessage(error.what)))
+            .map_err(|error| ClientError::new(Stage::NotStarted, ErrorKind::MalformedMessage(error.message)))
     }
 
     /// Reads configuration and state. `filter` contains the elements of a subtree filter as XML text; `None`
     /// selects everything.
     pub async fn get(&mut self, filter: Option<&str>) -> Result<Data, ClientError> {
         let filter = Client::filter_element(filter)?;
-        self.request_data(element("get").with_all(filter)).await
+        self.request_data(element("get").with_children(filter)).await
     }
 
     /// Reads a datastore; `filter` as in [`Client::get`].
@@ -258,8 +259,8 @@
         filter: Option<&str>,
     ) -> Result<Data, ClientError> {
         let filter = Client::filter_element(filter)?;
-        let source = element("source").with(element(datastore.name()));
-        self.request_data(element("get-config").with(source).with_all(filter)).await
+        let source = element("source").with_child(element(datastore.name()));
+        self.request_data(element("get-config").with_child(source).with_children(filter)).await
     }
 
     /// Merges XML elements into the candidate. For an element with an `operation` attribute, that operation applies
@@ -275,15 +276,16 @@
         default_operation: &str,
         test_option: &str,
     ) -> Result<(), ClientError> {
-        let config = format!("<config xmlns=\"{NETCONF}\">{config}</config>");
-        let config = xml::read(config.as_bytes());
-        let config = config
-            .map_err(|error| ClientError::new(Stage::NotStarted, ErrorKind::MalformedMessage(error.what)))?;
+        let config = format!("<config xmlns=\"{NETCONF_NAMESPACE}\">{config}</config>");
+        let config = xml::parse(config.as_bytes());
+        let config = config.map_err(|error| {
+            ClientError::new(Stage::NotStarted, ErrorKind::MalformedMessage(error.message))
+        })?;
         let edit = element("edit-config")
-            .with(element("target").with(element("candidate")))
-            .with(leaf("default-operation", default_operation))
-            .with(leaf("test-option", test_option))
-            .with(config);
+            .with_child(element("target").with_child(element("candidate")))
+            .with_child(leaf("default-operation", default_operation))
+            .with_child(leaf("test-option", test_option))
+            .with_child(config);
         self.rpc(edit).await.map(drop)
     }
 
@@ -291,18 +293,20 @@
     pub async fn commit(&mut self, commit: &Commit) -> Result<(), ClientError> {
         let mut operation = element("commit");
         if let Some(seconds) = commit.confirm_timeout_s {
-            operation =
-                operation.with(element("confirmed")).with(leaf("confirm-timeout", &seconds.to_string()));
-            operation = operation.with_all(commit.persist.as_ref().map(|token| leaf("persist", token)));
+            operation = operation
+                .with_child(element("confirmed"))
+                .with_child(leaf("confirm-timeout", &seconds.to_string()));
+            operation = operation.with_children(commit.persist.as_ref().map(|token| leaf("persist", token)));
         }
-        operation = operation.with_all(commit.persist_id.as_ref().map(|token| leaf("persist-id", token)));
+        operation =
+            operation.with_children(commit.persist_id.as_ref().map(|token| leaf("persist-id", token)));
         self.rpc(operation).await.map(drop)
     }
 
     /// Cancels the confirmed commit that awaits confirmation.
     pub async fn cancel_commit(&mut self, persist_id: Option<&str>) -> Result<(), ClientError> {
         let persist_id = persist_id.map(|token| leaf("persist-id", token));
-        self.rpc(element("cancel-commit").with_all(persist_id)).await.map(drop)
+        self.rpc(element("cancel-commit").with_children(persist_id)).await.map(drop)
     }
 
     /// Discards the changes of the candidate.
@@ -312,37 +316,43 @@
 
     /// Validates the content of a datastore.
     pub async fn validate(&mut self, datastore: Datastore) -> Result<(), ClientError> {
-        self.rpc(element("validate").with(element("source").with(element(datastore.name())))).await.map(drop)
+        self.rpc(element("validate").with_child(element("source").with_child(element(datastore.name()))))
+            .await
+            .map(drop)
     }
 
     /// Locks a datastore for this session.
     pub async fn lock(&mut self, datastore: Datastore) -> Result<(), ClientError> {
-        self.rpc(element("lock").with(element("target").with(element(datastore.name())))).await.map(drop)
+        self.rpc(element("lock").with_child(element("target").with_child(element(datastore.name()))))
+            .await
+            .map(drop)
     }
 
     /// Releases the lock of a datastore.
     pub async fn unlock(&mut self, datastore: Datastore) -> Result<(), ClientError> {
-        self.rpc(element("unlock").with(element("target").with(element(datastore.name())))).await.map(drop)
+        self.rpc(element("unlock").with_child(element("target").with_child(element(datastore.name()))))
+            .await
+            .map(drop)
     }
 
     /// Replaces the content of the target datastore by that of the source.
     pub async fn copy(&mut self, source: Datastore, target: Datastore) -> Result<(), ClientError> {
-        let target = element("target").with(element(target.name()));
-        let source = element("source").with(element(source.name()));
-        self.rpc(element("copy-config").with(target).with(source)).await.map(drop)
+        let target = element("target").with_child(element(target.name()));
+        let source = element("source").with_child(element(source.name()));
+        self.rpc(element("copy-config").with_child(target).with_child(source)).await.map(drop)
     }
 
     /// Loads an earlier version of the running datastore into the candidate.
     pub async fn rollback(&mut self, version: u64) -> Result<(), ClientError> {
         const MANAGER: &str = "tag:juniperrail.example,2026:yang:manager";
         let version = Element::with_text(MANAGER, "version", version.to_string());
-        self.rpc(Element::new(MANAGER, "rollback").with(version)).await.map(drop)
+        self.rpc(Element::new(MANAGER, "rollback").with_child(version)).await.map(drop)
     }
 
     /// Reads the source of a YANG module.
     pub async fn schema(&mut self, module: &str) -> Result<String, ClientError> {
         let identifier = Element::with_text(MONITORING, "identifier", module);
-        let reply = self.rpc(Element::new(MONITORING, "get-schema").with(identifier)).await?;
+        let reply = self.rpc(Element::new(MONITORING, "get-schema").with_child(identifier)).await?;
         Ok(reply.children.into_iter().next().map(|data| data.text).unwrap_or_default())
     }
 
@@ -350,7 +360,7 @@
     pub async fn subscribe(&mut self, filter: Option<&str>) -> Result<(), ClientError> {
         let filter =
             Client::filter_element(filter)?.map(|filter| Element { ns: NOTIFICATION.into(), ..filter });
-        self.rpc(Element::new(NOTIFICATION, "create-subscription").with_all(filter)).await.map(drop)
+        self.rpc(Element::new(NOTIFICATION, "create-subscription").with_children(filter)).await.map(drop)
     }
 
     /// Waits for the next notification: an element with `eventTime` and the event.
--- a/crates/intent/src/access.rs
+++ b/crates/intent/src/access.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use juniperrail_model::{diff, Content, Data, Kind, NodeId, Path, Schema, Step, View};
+use juniperrail_model::{diff, Content, Data, NodeId, NodeKind, Path, Schema, Step, View};
 
 /// What a user may do where no rule matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,9 +64,9 @@
     /// Reads the users and rules from a configuration. Fails with a one-line message if the path of a rule names no
     /// node of the model.
     pub fn from_data(schema: &Schema, data: &Data) -> Result<AccessControl, String> {
-        let northbound = View::new(schema, data).inner("northbound");
+        let northbound = View::new(schema, data).container("northbound");
         let leaf_list = |view: &View<'_>, name: &str| -> BTreeSet<String> {
-            view.leaves(name).into_iter().map(ToString::to_string).collect()
+            view.leaf_list(name).into_iter().map(ToString::to_string).collect()
         };
         let mut access =
             AccessControl { northbound_node: schema.find(&["northbound"]), ..AccessControl::default() };
@@ -79,7 +79,7 @@
             let name = user.text("name").unwrap_or_default().to_string();
             access.users.insert(name, User { role, ssh_keys: leaf_list(&user, "ssh-key") });
         }
-        for client in northbound.inner("netconf").inner("tls").entries("client") {
+        for client in northbound.container("netconf").container("tls").entries("client") {
             let mapping = match client.text("name-from") {
                 Some("common-name") => CertToName::CommonName,
                 Some("dns-name") => CertToName::DnsName,
@@ -161,32 +161,33 @@
         let may_read = |path: &Path| self.permits(user, AccessOperation::Read, path);
         let mut readable = Data::default();
         for (id, content) in data.iter() {
-            let path = parent.with(Step::to(id));
+            let path = parent.child(Step::without_keys(id));
             match content {
                 Content::Leaf(_) if may_read(&path) => readable.set(id, content.clone()),
                 Content::Leaf(_) => {}
-                Content::Leaves(values) => {
-                    let may_read_value =
-                        |value: &&_| may_read(&parent.with(Step::entry(id, std::slice::from_ref(*value))));
+                Content::LeafList(values) => {
+                    let may_read_value = |value: &&_| {
+                        may_read(&parent.child(Step::with_keys(id, std::slice::from_ref(*value))))
+                    };
                     let values: BTreeSet<_> = values.iter().filter(may_read_value).cloned().collect();
                     if !values.is_empty() {
-                        readable.set(id, Content::Leaves(values));
+                        readable.set(id, Content::LeafList(values));
                     }
                 }
-                Content::Inner(inner) => {
+                Content::Container(inner) => {
                     let inner = self.filter_subtree(schema, user, inner, &path);
-                    let presence = matches!(schema.node(id).kind, Kind::Container { presence: true });
+                    let presence = matches!(schema.node(id).kind, NodeKind::Container { presence: true });
                     if !inner.is_empty() || presence && may_read(&path) {
-                        readable.set(id, Content::Inner(inner));
+                        readable.set(id, Content::Container(inner));
                     }
                 }
                 Content::List(entries) => {
                     for (keys, entry) in entries {
-                        let path = parent.with(Step::entry(id, keys));
+                        let path = parent.child(Step::with_keys(id, keys));
                         let inner = self.filter_subtree(schema, user, entry, &path);
                         if !inner.is_empty() {
-                            let entry = readable.entry(schema, id, keys);
-                            *entry = std::mem::take(entry).joined(inner);
+                            let entry = readable.list_entry(schema, id, keys);
+                            *entry = std::mem::take(entry).merged(inner);
                         }
                     }
                 }
@@ -220,7 +221,7 @@
 
     fn load(rules: &str) -> (Schema, Data, AccessControl) {
         let schema = juniperrail_model::schema();
-        let data = xml::from_file(&schema, FILE.replace("RULES", rules).as_bytes()).unwrap();
+        let data = xml::parse_config(&schema, FILE.replace("RULES", rules).as_bytes()).unwrap();
         let access = AccessControl::from_data(&schema, &data).unwrap();
         (schema, data, access)
     }
@@ -228,7 +229,7 @@
     /// The configuration file as the user may read it.
     fn readable_file(rules: &str, user: &str) -> String {
         let (schema, data, access) = load(rules);
-        xml::to_file(&schema, &access.filter_readable(&schema, user, &data))
+        xml::write_config(&schema, &access.filter_readable(&schema, user, &data))
     }
 
     /// The path at which the user is denied replacing `old` by `new` in the file.
@@ -236,8 +237,8 @@
         let (schema, data, access) = load(rules);
         let changed = FILE.replace("RULES", rules).replace(old, new);
         assert_ne!(changed, FILE.replace("RULES", rules));
-        let changed = xml::from_file(&schema, changed.as_bytes()).unwrap();
-        access.first_denied_write(&schema, user, &data, &changed).map(|path| path.spelled(&schema))
+        let changed = xml::parse_config(&schema, changed.as_bytes()).unwrap();
+        access.first_denied_write(&schema, user, &data, &changed).map(|path| path.format(&schema))
     }
 
     #[test]
@@ -304,7 +305,7 @@
     fn a_rule_whose_path_is_not_in_the_model_is_an_error() {
         let rule = "<rule><number>7</number><path>/workers/shift</path><action>deny</action></rule>";
         let schema = juniperrail_model::schema();
-        let data = xml::from_file(&schema, FILE.replace("RULES", rule).as_bytes()).unwrap();
+        let data = xml::parse_config(&schema, FILE.replace("RULES", rule).as_bytes()).unwrap();
         let error = AccessControl::from_data(&schema, &data).unwrap_err();
         assert!(error.contains("rule 7") && error.contains("there is no \"shift\""), "{error}");
     }
--- a/crates/intent/src/datastores.rs
+++ b/crates/intent/src/datastores.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use juniperrail_interface::Ms;
-use juniperrail_model::{Data, Draft, Fault, Schema, View};
+use juniperrail_model::{Data, EditNode, ModelError, Schema, View};
 
 use crate::access::AccessControl;
 use crate::admission::Refusal;
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DatastoreError {
     /// The data does not match the data model.
-    Faults(Vec<Fault>),
+    Faults(Vec<ModelError>),
     /// The admission checks refuse the change.
     NotAdmitted(Vec<Refusal>),
     /// The lock cannot be granted: this session holds it or has a pending confirmed commit.
@@ -263,10 +263,10 @@
     pub fn edit_candidate(
         &self,
         session: Session,
-        drafts: &[Draft],
+        drafts: &[EditNode],
         default: DefaultOperation,
         errors: ErrorOption,
-    ) -> Result<(Data, Vec<Fault>), DatastoreError> {
+    ) -> Result<(Data, Vec<ModelError>), DatastoreError> {
         self.check_not_locked(Datastore::Candidate, session)?;
         let (edited, faults) =
             edit_config(&self.schema, self.get(Datastore::Candidate), drafts, default, errors);
@@ -434,24 +434,25 @@
 
 /// Checks the constraints that the types of the data model cannot express.
 fn validate_data(schema: &Schema, data: &Data) -> Result<(), DatastoreError> {
-    use juniperrail_model::Rule;
+    use juniperrail_model::ErrorKind;
     let invalid = |path: &str, name: &str, message: String| {
-        Err(DatastoreError::Faults(vec![Fault::new(Rule::BadValue, path, name, message)]))
+        Err(DatastoreError::Faults(vec![ModelError::new(ErrorKind::BadValue, path, name, message)]))
     };
-    data.complete(schema).map_err(|fault| DatastoreError::Faults(vec![fault]))?;
+    data.check_mandatory(schema).map_err(|fault| DatastoreError::Faults(vec![fault]))?;
     let access = match AccessControl::from_data(schema, data) {
         Ok(access) => access,
         Err(message) => return invalid("/jrm:northbound/rule", "path", message),
     };
-    let netconf = View::new(schema, data).inner("northbound").inner("netconf");
-    let has_listener = netconf.inner("ssh").is_there() || netconf.inner("tls").is_there();
+    let netconf = View::new(schema, data).container("northbound").container("netconf");
+    let has_listener = netconf.container("ssh").exists() || netconf.container("tls").exists();
     if has_listener && !access.has_admin() {
         let message = "a listener without a user whose role is admin: no user could change the access rights";
         return invalid("/jrm:northbound/user", "role", message.into());
     }
     let lacks_user =
         |client: &View<'_>| client.text("name-from") == Some("specified") && client.text("user").is_none();
-    if let Some(client) = netconf.inner("tls").entries("client").iter().find(|client| lacks_user(client)) {
+    if let Some(client) = netconf.container("tls").entries("client").iter().find(|client| lacks_user(client))
+    {
         let fingerprint = client.text("fingerprint").unwrap_or_default();
         let path = format!("/jrm:northbound/netconf/tls/client[fingerprint='{fingerprint}']");
         return invalid(&path, "user", "name-from is specified, but no user is given".into());
@@ -471,12 +472,12 @@
         Datastores::new(Arc::new(schema()), 0.0, Data::default()).unwrap()
     }
 
-    fn drafts(weight: u32) -> Vec<Draft> {
+    fn drafts(weight: u32) -> Vec<EditNode> {
         let text = format!(
             "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\"><worker><name>s-1</name>\
              <weight>{weight}</weight></worker></workers>"
         );
-        xml::drafts(&schema(), &[xml::read(text.as_bytes()).unwrap()], true).unwrap()
+        xml::to_edit_nodes(&schema(), &[xml::parse(text.as_bytes()).unwrap()], true).unwrap()
     }
 
     impl Datastores {
@@ -721,7 +722,7 @@
             let text = format!(
                 "<northbound xmlns=\"tag:juniperrail.example,2026:yang:manager\">{body}</northbound>"
             );
-            xml::drafts(&schema(), &[xml::read(text.as_bytes()).unwrap()], true).unwrap()
+            xml::to_edit_nodes(&schema(), &[xml::parse(text.as_bytes()).unwrap()], true).unwrap()
         };
         let ssh = "<netconf><ssh><listen>127.0.0.1:0</listen><host-key>k</host-key></ssh></netconf>";
         let incomplete_ssh = "<netconf><ssh><listen>127.0.0.1:0</listen></ssh></netconf><user><name>a</name><role>admin</role></user>";
--- a/crates/intent/src/edit.rs
+++ b/crates/intent/src/edit.rs
@@ -1,6 +1,8 @@
 //! The edit-config operation (RFC 6241 section 7.2) on drafts, independent of the protocol that they came by.
 
-use juniperrail_model::{Content, Data, Draft, Fault, Kind, Op, Path, Rule, Schema};
+use juniperrail_model::{
+    Content, Data, EditNode, EditOperation, ErrorKind, ModelError, NodeKind, Path, Schema,
+};
 
 /// What is done with nodes that name no operation (RFC 6241's `default-operation`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -26,14 +28,14 @@
 /// The operation in effect at a node, its own or inherited from an ancestor.
 #[derive(Clone, Copy, PartialEq)]
 enum EffectiveOperation {
-    Op(Op),
+    Op(EditOperation),
     None,
 }
 
 struct Editor<'a> {
     schema: &'a Schema,
     errors: ErrorOption,
-    faults: Vec<Fault>,
+    faults: Vec<ModelError>,
 }
 
 /// Returns the data after the edit and the faults found. With [`ErrorOption::RollbackOnError`], data with a fault is
@@ -41,22 +43,25 @@
 pub fn edit_config(
     schema: &Schema,
     data: &Data,
-    drafts: &[Draft],
+    drafts: &[EditNode],
     default: DefaultOperation,
     errors: ErrorOption,
-) -> (Data, Vec<Fault>) {
+) -> (Data, Vec<ModelError>) {
     let mut editor = Editor { schema, errors, faults: Vec::new() };
     let operation = match default {
-        DefaultOperation::Merge => EffectiveOperation::Op(Op::Merge),
-        DefaultOperation::Replace => EffectiveOperation::Op(Op::Replace),
+        DefaultOperation::Merge => EffectiveOperation::Op(EditOperation::Merge),
+        DefaultOperation::Replace => EffectiveOperation::Op(EditOperation::Replace),
         DefaultOperation::None => EffectiveOperation::None,
     };
     // A default operation of replace replaces the whole datastore, not just the nodes named (section 7.2).
     let mut edited = if default == DefaultOperation::Replace { Data::default() } else { data.clone() };
-    let operation =
-        if default == DefaultOperation::Replace { EffectiveOperation::Op(Op::Merge) } else { operation };
+    let operation = if default == DefaultOperation::Replace {
+        EffectiveOperation::Op(EditOperation::Merge)
+    } else {
+        operation
+    };
     editor.apply_all(&mut edited, drafts, &Path::default(), operation);
-    edited.tidy(schema);
+    edited.prune_empty(schema);
     if errors == ErrorOption::RollbackOnError && !editor.faults.is_empty() {
         return (data.clone(), editor.faults);
     }
@@ -64,7 +69,13 @@
 }
 
 impl Editor<'_> {
-    fn apply_all(&mut self, data: &mut Data, drafts: &[Draft], parent: &Path, inherited: EffectiveOperation) {
+    fn apply_all(
+        &mut self,
+        data: &mut Data,
+        drafts: &[EditNode],
+        parent: &Path,
+        inherited: EffectiveOperation,
+    ) {
         for draft in drafts {
             if let Err(fault) = self.apply_one(data, draft, parent, inherited) {
                 self.faults.push(fault);
@@ -78,118 +89,125 @@
     fn apply_one(
         &mut self,
         data: &mut Data,
-        draft: &Draft,
+        draft: &EditNode,
         parent: &Path,
         inherited: EffectiveOperation,
-    ) -> Result<(), Fault> {
-        let operation = draft.op.map_or(inherited, EffectiveOperation::Op);
+    ) -> Result<(), ModelError> {
+        let operation = draft.operation.map_or(inherited, EffectiveOperation::Op);
         let exists = contains(data, draft);
         match operation {
-            EffectiveOperation::Op(Op::Delete) if !exists => {
-                return Err(draft.fault(
+            EffectiveOperation::Op(EditOperation::Delete) if !exists => {
+                return Err(draft.error(
                     self.schema,
                     parent,
-                    Rule::DataMissing,
+                    ErrorKind::DataMissing,
                     "does not exist and cannot be deleted",
                 ));
             }
-            EffectiveOperation::Op(Op::Delete | Op::Remove) => {
+            EffectiveOperation::Op(EditOperation::Delete | EditOperation::Remove) => {
                 remove_node(data, draft);
                 return Ok(());
             }
-            EffectiveOperation::Op(Op::Create) if exists && draft.op.is_some() => {
-                return Err(draft.fault(self.schema, parent, Rule::DataExists, "exists already"));
+            EffectiveOperation::Op(EditOperation::Create) if exists && draft.operation.is_some() => {
+                return Err(draft.error(self.schema, parent, ErrorKind::DataExists, "exists already"));
             }
             _ => {}
         }
-        let path = parent.with(draft.step());
+        let path = parent.child(draft.step());
         let inner = match &self.schema.node(draft.node).kind {
-            Kind::Leaf { .. } => {
+            NodeKind::Leaf { .. } => {
                 // The list entry sets its keys; without an operation nothing is changed.
                 if let (EffectiveOperation::Op(_), Some(value)) = (operation, &draft.value) {
                     data.set(draft.node, Content::Leaf(value.clone()));
                 }
                 return Ok(());
             }
-            Kind::LeafList { .. } => {
+            NodeKind::LeafList { .. } => {
                 if let (EffectiveOperation::Op(_), Some(value)) = (operation, &draft.value) {
-                    if draft.op == Some(Op::Replace) {
+                    if draft.operation == Some(EditOperation::Replace) {
                         remove_node(data, draft);
                     }
-                    data.leaves(draft.node).insert(value.clone());
+                    data.leaf_list(draft.node).insert(value.clone());
                 }
                 return Ok(());
             }
             _ if operation == EffectiveOperation::None && !exists => {
                 return self.apply_below_absent(data, draft, parent);
             }
-            Kind::Container { .. } => data.inner(draft.node),
-            Kind::List { .. } => data.entry(self.schema, draft.node, &draft.keys),
+            NodeKind::Container { .. } => data.container(draft.node),
+            NodeKind::List { .. } => data.list_entry(self.schema, draft.node, &draft.keys),
         };
-        if draft.op == Some(Op::Replace)
-            || operation == EffectiveOperation::Op(Op::Replace) && draft.op.is_none()
+        if draft.operation == Some(EditOperation::Replace)
+            || operation == EffectiveOperation::Op(EditOperation::Replace) && draft.operation.is_none()
         {
             *inner = Data::default();
         }
         // A node that was just replaced or created has no existing content below it, so the rest is merged.
-        let below = if matches!(operation, EffectiveOperation::Op(Op::Replace | Op::Create)) {
-            EffectiveOperation::Op(Op::Merge)
-        } else {
-            operation
-        };
-        self.apply_all(inner, &draft.below, &path, below);
+        let below =
+            if matches!(operation, EffectiveOperation::Op(EditOperation::Replace | EditOperation::Create)) {
+                EffectiveOperation::Op(EditOperation::Merge)
+            } else {
+                operation
+            };
+        self.apply_all(inner, &draft.children, &path, below);
         Ok(())
     }
 
     /// Applies the drafts below a node that has no operation and does not exist. Only a non-presence container may be
     /// absent, and only if a descendant names an operation.
-    fn apply_below_absent(&mut self, data: &mut Data, draft: &Draft, parent: &Path) -> Result<(), Fault> {
-        if !draft.below.iter().any(names_operation) {
-            return Err(draft.fault(self.schema, parent, Rule::DataMissing, "does not exist"));
+    fn apply_below_absent(
+        &mut self,
+        data: &mut Data,
+        draft: &EditNode,
+        parent: &Path,
+    ) -> Result<(), ModelError> {
+        if !draft.children.iter().any(names_operation) {
+            return Err(draft.error(self.schema, parent, ErrorKind::DataMissing, "does not exist"));
         }
-        let non_presence = matches!(self.schema.node(draft.node).kind, Kind::Container { presence: false });
+        let non_presence =
+            matches!(self.schema.node(draft.node).kind, NodeKind::Container { presence: false });
         if !non_presence {
-            return Err(draft.fault(
+            return Err(draft.error(
                 self.schema,
                 parent,
-                Rule::DataMissing,
+                ErrorKind::DataMissing,
                 "does not exist and cannot contain the nodes below it",
             ));
         }
         // A non-presence container exists implicitly.
         let mut inner = Data::default();
-        self.apply_all(&mut inner, &draft.below, &parent.with(draft.step()), EffectiveOperation::None);
+        self.apply_all(&mut inner, &draft.children, &parent.child(draft.step()), EffectiveOperation::None);
         if !inner.is_empty() {
-            *data.inner(draft.node) = inner;
+            *data.container(draft.node) = inner;
         }
         Ok(())
     }
 }
 
 /// Whether the draft or a descendant names an operation.
-fn names_operation(draft: &Draft) -> bool {
-    draft.op.is_some() || draft.below.iter().any(names_operation)
+fn names_operation(draft: &EditNode) -> bool {
+    draft.operation.is_some() || draft.children.iter().any(names_operation)
 }
 
-fn contains(data: &Data, draft: &Draft) -> bool {
+fn contains(data: &Data, draft: &EditNode) -> bool {
     match data.get(draft.node) {
         Some(Content::List(entries)) => entries.contains_key(&draft.keys),
-        Some(Content::Leaves(values)) => draft.value.as_ref().is_some_and(|value| values.contains(value)),
+        Some(Content::LeafList(values)) => draft.value.as_ref().is_some_and(|value| values.contains(value)),
         Some(_) => true,
         None => false,
     }
 }
 
 /// Removes the node of the draft, and its list or leaf-list if that becomes empty.
-fn remove_node(data: &mut Data, draft: &Draft) {
+fn remove_node(data: &mut Data, draft: &EditNode) {
     let is_empty = match data.get(draft.node) {
         Some(Content::List(_)) => {
             let entries = data.list(draft.node);
             entries.remove(&draft.keys);
             entries.is_empty()
         }
-        Some(Content::Leaves(_)) => {
-            let values = data.leaves(draft.node);
+        Some(Content::LeafList(_)) => {
+            let values = data.leaf_list(draft.node);
             draft.value.iter().for_each(|value| _ = values.remove(value));
             values.is_empty()
         }
@@ -208,20 +226,20 @@
     const START_TAG: &str = "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\" \
                              xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">";
 
-    fn drafts(body: &str) -> Vec<Draft> {
+    fn drafts(body: &str) -> Vec<EditNode> {
         let text = format!("{START_TAG}{body}</workers>");
-        xml::drafts(&schema(), &[xml::read(text.as_bytes()).unwrap()], true).unwrap()
+        xml::to_edit_nodes(&schema(), &[xml::parse(text.as_bytes()).unwrap()], true).unwrap()
     }
 
     fn data(body: &str) -> Data {
-        Data::from_drafts(&schema(), &drafts(body)).unwrap()
+        Data::from_edit_nodes(&schema(), &drafts(body)).unwrap()
     }
 
     const TWO_WORKERS: &str = "<worker><name>a</name><weight>1</weight></worker>\
                                <worker><name>b</name><wanted>out</wanted></worker>";
 
     /// Edits a datastore with the two workers; a fault must leave it unchanged.
-    fn edited(body: &str, default: DefaultOperation) -> Result<Data, Fault> {
+    fn edited(body: &str, default: DefaultOperation) -> Result<Data, ModelError> {
         let before = data(TWO_WORKERS);
         let (after, mut faults) =
             edit_config(&schema(), &before, &drafts(body), default, ErrorOption::RollbackOnError);
@@ -275,14 +293,14 @@
         let create = "<worker n:operation=\"create\"><name>a</name></worker>";
         let valid = "<worker><name>a</name><weight>9</weight></worker>";
         for (body, default, rule) in [
-            (format!("{valid}{create}"), Merge, Rule::DataExists),
-            (format!("{valid}<worker n:operation=\"delete\"><name>c</name></worker>"), Merge, Rule::DataMissing),
-            ("<worker><name>b</name><weight n:operation=\"delete\"/></worker>".into(), Merge, Rule::DataMissing),
-            ("<worker><name>b</name><weight n:operation=\"create\">1</weight><wanted n:operation=\"create\">out</wanted></worker>".into(), Merge, Rule::DataExists),
-            ("<worker><name>c</name></worker>".into(), None, Rule::DataMissing),
-            ("<worker><name>c</name><weight n:operation=\"create\">1</weight></worker>".into(), None, Rule::DataMissing),
+            (format!("{valid}{create}"), Merge, ErrorKind::DataExists),
+            (format!("{valid}<worker n:operation=\"delete\"><name>c</name></worker>"), Merge, ErrorKind::DataMissing),
+            ("<worker><name>b</name><weight n:operation=\"delete\"/></worker>".into(), Merge, ErrorKind::DataMissing),
+            ("<worker><name>b</name><weight n:operation=\"create\">1</weight><wanted n:operation=\"create\">out</wanted></worker>".into(), Merge, ErrorKind::DataExists),
+            ("<worker><name>c</name></worker>".into(), None, ErrorKind::DataMissing),
+            ("<worker><name>c</name><weight n:operation=\"create\">1</weight></worker>".into(), None, ErrorKind::DataMissing),
         ] {
-            assert_eq!(edited(&body, default).unwrap_err().rule, rule, "{body}");
+            assert_eq!(edited(&body, default).unwrap_err().kind, rule, "{body}");
         }
     }
 
@@ -299,8 +317,8 @@
             ErrorOption::ContinueOnError,
         );
         assert_eq!(
-            faults.iter().map(|fault| fault.rule).collect::<Vec<_>>(),
-            [Rule::DataExists, Rule::DataMissing]
+            faults.iter().map(|fault| fault.kind).collect::<Vec<_>>(),
+            [ErrorKind::DataExists, ErrorKind::DataMissing]
         );
         assert_eq!(after, data(&TWO_WORKERS.replace("<weight>1", "<weight>9")));
     }
--- a/crates/intent/src/intent.rs
+++ b/crates/intent/src/intent.rs
@@ -51,7 +51,7 @@
     /// Reads an intent from data of the schema, which has already checked each value by itself.
     pub fn from_data(schema: &Schema, data: &Data) -> Intent {
         let top = View::new(schema, data);
-        let figures = top.inner("figures");
+        let figures = top.container("figures");
         let text = |view: &View<'_>, name: &str| view.text(name).unwrap_or_default().to_string();
         let placement = |view: View<'_>| Placement {
             zone: text(&view, "zone"),
@@ -67,18 +67,18 @@
                 Some("out") => DesiredState::Out,
                 _ => DesiredState::Follow,
             },
-            weight: view.figure("weight"),
-            placement: Some(view.inner("place")).filter(View::is_there).map(placement),
+            weight: view.number("weight"),
+            placement: Some(view.container("place")).filter(View::exists).map(placement),
         };
-        let workers = top.inner("workers").entries("worker");
+        let workers = top.container("workers").entries("worker");
         let operations = figures.entries("operation");
-        let overrides = |view: &View<'_>| (view.figure("latency-objective"), view.figure("billed-value"));
+        let overrides = |view: &View<'_>| (view.number("latency-objective"), view.number("billed-value"));
         Intent {
             workers: workers.iter().map(|view| (text(view, "name"), worker_intent(view))).collect(),
-            drain_grace: figures.figure("drain-grace"),
-            warm_up: figures.figure("warm-up"),
-            cold_share: figures.figure("cold-share"),
-            overload_factor: figures.figure("overload-factor"),
+            drain_grace: figures.number("drain-grace"),
+            warm_up: figures.number("warm-up"),
+            cold_share: figures.number("cold-share"),
+            overload_factor: figures.number("overload-factor"),
             operations: operations.iter().map(|view| (text(view, "name"), overrides(view))).collect(),
         }
     }
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -6,7 +6,7 @@
 
 use juniperrail_intent::*;
 use juniperrail_interface::{CellId, MachineId, Phase, WorkerEntry, WorkerId, ZoneId};
-use juniperrail_model::{schema, Data, Draft, Op, Path, Rule, Schema, Value};
+use juniperrail_model::{schema, Data, EditNode, EditOperation, ErrorKind, Path, Schema, Value};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     /// Session, worker, operation, weight, default operation.
-    Edit(u32, usize, Option<Op>, Option<u32>, DefaultOperation),
+    Edit(u32, usize, Option<EditOperation>, Option<u32>, DefaultOperation),
     Discard(u32),
     /// Session, whether it is a confirmed commit, persist, persist id.
     Commit(u32, bool, Option<u8>, Option<u8>),
@@ -40,11 +40,11 @@
 fn step() -> impl Strategy<Value = Step> {
     let op = prop_oneof![
         Just(None),
-        Just(Some(Op::Merge)),
-        Just(Some(Op::Replace)),
-        Just(Some(Op::Create)),
-        Just(Some(Op::Delete)),
-        Just(Some(Op::Remove))
+        Just(Some(EditOperation::Merge)),
+        Just(Some(EditOperation::Replace)),
+        Just(Some(EditOperation::Create)),
+        Just(Some(EditOperation::Delete)),
+        Just(Some(EditOperation::Remove))
     ];
     let default = prop_oneof![
         Just(DefaultOperation::Merge),
@@ -107,7 +107,7 @@
         &mut self,
         session: u32,
         worker: &'static str,
-        op: Option<Op>,
+        op: Option<EditOperation>,
         weight: Option<u32>,
         default: DefaultOperation,
     ) -> bool {
@@ -120,10 +120,10 @@
         };
         let exists = workers.contains_key(worker);
         match (op, default) {
-            (Some(Op::Delete), _) if !exists => return false,
-            (Some(Op::Delete | Op::Remove), _) => _ = workers.remove(worker),
-            (Some(Op::Create), _) if exists => return false,
-            (Some(Op::Create | Op::Replace), _) => _ = workers.insert(worker, weight),
+            (Some(EditOperation::Delete), _) if !exists => return false,
+            (Some(EditOperation::Delete | EditOperation::Remove), _) => _ = workers.remove(worker),
+            (Some(EditOperation::Create), _) if exists => return false,
+            (Some(EditOperation::Create | EditOperation::Replace), _) => _ = workers.insert(worker, weight),
             (None, DefaultOperation::None) if !exists => return false,
             (None, DefaultOperation::None) => {}
             _ => {
@@ -141,14 +141,14 @@
     }
 }
 
-fn drafts(schema: &Schema, worker: &str, op: Option<Op>, weight: Option<u32>) -> Vec<Draft> {
+fn drafts(schema: &Schema, worker: &str, op: Option<EditOperation>, weight: Option<u32>) -> Vec<EditNode> {
     let below = weight.map(|weight| {
         let path = Path::parse(schema, "/workers/worker/weight").unwrap();
         let value = Some(Value::Decimal(i64::from(weight) * 10_000, 4));
-        Draft { node: path.0[2].node, keys: vec![], value, op: None, line: 0, below: vec![] }
+        EditNode { node: path.0[2].node, keys: vec![], value, operation: None, line: 0, children: vec![] }
     });
     let path = Path::parse(schema, &format!("/workers/worker[name='{worker}']")).unwrap();
-    Draft::at(schema, &path, op, None, below.into_iter().collect())
+    EditNode::at_path(schema, &path, op, None, below.into_iter().collect())
 }
 
 fn workers_of(schema: &Schema, stores: &Datastores, datastore: Datastore) -> Workers {
@@ -394,11 +394,17 @@
     let schema = Arc::new(schema());
     let mut stores = Datastores::new(schema.clone(), 0.0, Data::default()).unwrap();
     let mut rng = fastrand::Rng::with_seed(17);
-    let ops =
-        [None, Some(Op::Merge), Some(Op::Replace), Some(Op::Create), Some(Op::Delete), Some(Op::Remove)];
+    let ops = [
+        None,
+        Some(EditOperation::Merge),
+        Some(EditOperation::Replace),
+        Some(EditOperation::Create),
+        Some(EditOperation::Delete),
+        Some(EditOperation::Remove),
+    ];
     let (mut accepted, mut rejected) = (0, 0);
     for _ in 0..3_000 {
-        let edit: Vec<Draft> = (0..rng.usize(1..4))
+        let edit: Vec<EditNode> = (0..rng.usize(1..4))
             .flat_map(|_| {
                 let weight = rng.bool().then(|| rng.u32(0..4));
                 drafts(&schema, WORKERS[rng.usize(..3)], ops[rng.usize(..6)], weight)
@@ -415,7 +421,7 @@
             Err(DatastoreError::Faults(faults)) => {
                 assert!(faults
                     .iter()
-                    .all(|fault| matches!(fault.rule, Rule::DataExists | Rule::DataMissing)));
+                    .all(|fault| matches!(fault.kind, ErrorKind::DataExists | ErrorKind::DataMissing)));
                 assert_eq!(*stores.get(Datastore::Candidate), before);
                 rejected += 1;
             }
--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -213,5 +213,5 @@
 
 /// Converts XML elements of the model to JSON (RFC 7951).
 pub fn as_json(elements: &[juniperrail_model::xml::Element]) -> serde_json::Value {
-    json::from_xml(&schema(), elements)
+    json::from_elements(&schema(), elements)
 }
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use juniperrail_client::{Client, Commit, Data as XmlData, Datastore, Endpoint};
-use juniperrail_model::xml::{self, Element, NETCONF};
+use juniperrail_model::xml::{self, Element, NETCONF_NAMESPACE};
 use juniperrail_model::{diff, schema, Data, Difference, Path, Schema, Value};
 
 use super::{as_json, print, print_json, read_text, CommandError};
@@ -238,10 +238,13 @@
 /// The child elements of a file's <config> element, as XML text for an `edit-config`.
 fn edit_content(text: &str) -> Result<String, CommandError> {
     let local_error = |message: String| CommandError::Local(message);
-    let root = xml::read(text.as_bytes())
-        .map_err(|fault| local_error(format!("line {}: {}", fault.line, fault.what)))?;
-    if !root.is(NETCONF, "config") {
-        return Err(local_error(format!("expected <config xmlns=\"{NETCONF}\">, found <{}>", root.name)));
+    let root = xml::parse(text.as_bytes())
+        .map_err(|fault| local_error(format!("line {}: {}", fault.line, fault.message)))?;
+    if !root.is(NETCONF_NAMESPACE, "config") {
+        return Err(local_error(format!(
+            "expected <config xmlns=\"{NETCONF_NAMESPACE}\">, found <{}>",
+            root.name
+        )));
     }
     Ok(root.children.iter().map(|child| xml::write(child, false)).collect())
 }
@@ -249,7 +252,8 @@
 async fn read_datastore(client: &mut Client, datastore: DatastoreArg) -> Result<Data, CommandError> {
     let reply = client.get_config(datastore.to_datastore(), None).await?;
     let schema = schema();
-    let drafts = xml::drafts(&schema, &reply.0, false).and_then(|drafts| Data::from_drafts(&schema, &drafts));
+    let drafts = xml::to_edit_nodes(&schema, &reply.0, false)
+        .and_then(|drafts| Data::from_edit_nodes(&schema, &drafts));
     drafts.map_err(|fault| {
         CommandError::Local(format!(
             "the manager's configuration does not fit the model of this program: {fault}"
@@ -260,11 +264,11 @@
 fn print_differences(schema: &Schema, differences: &[Difference], json: bool) -> Result<(), CommandError> {
     let text = |value: &Option<Value>| value.as_ref().map(Value::to_string);
     if json {
-        let to_json = |difference: &Difference| serde_json::json!({"path": difference.path.spelled(schema), "old": text(&difference.old), "new": text(&difference.new)});
+        let to_json = |difference: &Difference| serde_json::json!({"path": difference.path.format(schema), "old": text(&difference.old), "new": text(&difference.new)});
         return print_json(&differences.iter().map(to_json).collect());
     }
     for difference in differences {
-        let path = difference.path.spelled(schema);
+        let path = difference.path.format(schema);
         let line = match (&difference.old, &difference.new) {
             (Some(old), Some(new)) => format!("~ {path} {old} -> {new}\n"),
             (Some(old), None) => format!("- {path} {old}\n"),
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -39,12 +39,12 @@
     settings: &Settings,
 ) -> Result<Option<FleetConfig>, String> {
     let data = data.with_defaults(schema);
-    let fleet = View::new(schema, &data).inner("fleet");
-    if !fleet.is_there() {
+    let fleet = View::new(schema, &data).container("fleet");
+    if !fleet.exists() {
         return Ok(None);
     }
     let error_at = |path: &str, reason: &str| format!("/jrm:fleet{path}: {reason}");
-    let decimal = |name: &str| fleet.figure(name).unwrap_or_default();
+    let decimal = |name: &str| fleet.number(name).unwrap_or_default();
     let integer =
         |view: &View<'_>, name: &str| view.leaf(name).and_then(|leaf| leaf.as_u64()).unwrap_or_default();
     let member = |view: &View<'_>| {
@@ -93,12 +93,12 @@
         let schedule = schedule.map_err(|reason| error_at(&format!("/schedule[name='{name}']"), &reason))?;
         schedules.insert(name, schedule);
     }
-    let failover = fleet.inner("failover");
-    let plan_lease_ms = failover.figure("plan-lease").unwrap_or_default();
+    let failover = fleet.container("failover");
+    let plan_lease_ms = failover.number("plan-lease").unwrap_or_default();
     let report_period_ms = settings.report_period;
     let max_transit_ms = settings.max_transit;
     // The lease must outlast the age of the sums that a plan is based on; otherwise plans would expire and return in turn.
-    if failover.is_there() && plan_lease_ms < 3.0 * (report_period_ms + max_transit_ms) {
+    if failover.exists() && plan_lease_ms < 3.0 * (report_period_ms + max_transit_ms) {
         let reason = format!(
             "{plan_lease_ms} ms is less than three times the maximum age of sums, {} ms",
             report_period_ms + max_transit_ms
@@ -106,7 +106,7 @@
         return Err(error_at("/failover/plan-lease", &reason));
     }
     Ok(Some(FleetConfig {
-        failover: failover.is_there().then_some(juniperrail_failover::FailoverConfig {
+        failover: failover.exists().then_some(juniperrail_failover::FailoverConfig {
             report_period: report_period_ms,
             max_transit: max_transit_ms,
             plan_lease: plan_lease_ms,
@@ -140,7 +140,7 @@
 
 fn read_schedule(name: &str, view: &View<'_>, election_ms: f64) -> Result<Schedule, String> {
     let text = |name: &str| view.text(name).unwrap_or_default();
-    let decimal = |name: &str| view.figure(name).unwrap_or_default();
+    let decimal = |name: &str| view.number(name).unwrap_or_default();
     let integer = |name: &str| view.leaf(name).and_then(|leaf| leaf.as_u64()).unwrap_or_default() as u32;
     let gap_policy = if text("left-out") == "skip" { GapPolicy::Skip } else { GapPolicy::AtGapEnd };
     let fold_policy = match text("repeated") {
--- a/crates/manager/src/northbound.rs
+++ b/crates/manager/src/northbound.rs
@@ -27,7 +27,7 @@
     /// Binds the listeners of the operator's file; `None` where it configures none.
     pub fn bind(launch: &Launch) -> Result<Option<Northbound>, String> {
         let Some(config) = &launch.operator_config else { return Ok(None) };
-        let netconf = View::new(&config.schema, &config.data).inner("northbound").inner("netconf");
+        let netconf = View::new(&config.schema, &config.data).container("northbound").container("netconf");
         let resolve = |name: &str| config.file.resolve(name);
         let file_path = config.file.path().display();
         let listeners =
--- a/crates/manager/src/subscription.rs
+++ b/crates/manager/src/subscription.rs
@@ -19,8 +19,8 @@
 impl Subscription {
     /// Reads the subscription from the configuration data. An error names the path and the value.
     pub fn read(schema: &Schema, data: &Data) -> Result<Subscription, String> {
-        let discovery = View::new(schema, data).inner("discovery");
-        let scope = discovery.inner("scope");
+        let discovery = View::new(schema, data).container("discovery");
+        let scope = discovery.container("scope");
         let names = |leaf: &str| texts(&scope, leaf).map(str::to_string).collect::<Vec<String>>();
         Ok(Subscription {
             relays: texts(&discovery, "relay").map(parse_relay).collect::<Result<_, _>>()?,
@@ -30,7 +30,7 @@
 }
 
 fn texts<'a>(view: &View<'a>, leaf: &str) -> impl Iterator<Item = &'a str> {
-    view.leaves(leaf).into_iter().filter_map(Value::as_str)
+    view.leaf_list(leaf).into_iter().filter_map(Value::as_str)
 }
 
 fn parse_relay(address: &str) -> Result<SocketAddr, String> {
--- a/crates/manager/tests/northbound.rs
+++ b/crates/manager/tests/northbound.rs
@@ -514,8 +514,8 @@
         );
         edit_and_commit(&mut ann, &delete_eve).await.unwrap();
         assert!(Client::connect(&env.ssh(&manager, "eve")).await.is_err());
-        let kill_session =
-            Element::new("urn:ietf:params:xml:ns:netconf:base:1.0", "kill-session").with(Element::with_text(
+        let kill_session = Element::new("urn:ietf:params:xml:ns:netconf:base:1.0", "kill-session")
+            .with_child(Element::with_text(
                 "urn:ietf:params:xml:ns:netconf:base:1.0",
                 "session-id",
                 eve.session_id.to_string(),
--- a/crates/model/src/data.rs
+++ b/crates/model/src/data.rs
@@ -2,19 +2,19 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::fault::{Fault, Rule};
+use crate::fault::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
 /// What stands at one schema node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Content {
-    Inner(Data),
+    Container(Data),
     /// Entries by the values of their keys, which stand in the entries as well.
     List(BTreeMap<Vec<Value>, Data>),
     Leaf(Value),
-    Leaves(BTreeSet<Value>),
+    LeafList(BTreeSet<Value>),
 }
 
 /// What stands below one place: the top, a container or an entry of a list.
@@ -48,9 +48,9 @@
     }
 
     /// The container there, made if it is missing.
-    pub fn inner(&mut self, id: NodeId) -> &mut Data {
-        match self.0.entry(id).or_insert_with(|| Content::Inner(Data::default())) {
-            Content::Inner(data) => data,
+    pub fn container(&mut self, id: NodeId) -> &mut Data {
+        match self.0.entry(id).or_insert_with(|| Content::Container(Data::default())) {
+            Content::Container(data) => data,
             _ => unreachable!("the schema says that a container stands here"),
         }
     }
@@ -62,15 +62,15 @@
         }
     }
 
-    pub fn leaves(&mut self, id: NodeId) -> &mut BTreeSet<Value> {
-        match self.0.entry(id).or_insert_with(|| Content::Leaves(BTreeSet::new())) {
-            Content::Leaves(values) => values,
+    pub fn leaf_list(&mut self, id: NodeId) -> &mut BTreeSet<Value> {
+        match self.0.entry(id).or_insert_with(|| Content::LeafList(BTreeSet::new())) {
+            Content::LeafList(values) => values,
             _ => unreachable!("the schema says that a leaf-list stands here"),
         }
     }
 
     /// The list's entry of these keys, made with its key leaves if it is missing.
-    pub fn entry(&mut self, schema: &Schema, id: NodeId, keys: &[Value]) -> &mut Data {
+    pub fn list_entry(&mut self, schema: &Schema, id: NodeId, keys: &[Value]) -> &mut Data {
         let names = schema.node(id).keys();
         self.list(id).entry(keys.to_vec()).or_insert_with(|| {
             let leaves = names.iter().zip(keys).map(|(id, key)| (*id, Content::Leaf(key.clone())));
@@ -79,40 +79,45 @@
     }
 
     /// Takes out containers without presence, lists and leaf-lists that hold nothing: they say nothing.
-    pub fn tidy(&mut self, schema: &Schema) {
+    pub fn prune_empty(&mut self, schema: &Schema) {
         self.0.retain(|id, content| match content {
-            Content::Inner(data) => {
-                data.tidy(schema);
-                !data.is_empty() || matches!(schema.node(*id).kind, Kind::Container { presence: true })
+            Content::Container(data) => {
+                data.prune_empty(schema);
+                !data.is_empty() || matches!(schema.node(*id).kind, NodeKind::Container { presence: true })
             }
             Content::List(entries) => {
-                entries.values_mut().for_each(|entry| entry.tidy(schema));
+                entries.values_mut().for_each(|entry| entry.prune_empty(schema));
                 !entries.is_empty()
             }
-            Content::Leaves(values) => !values.is_empty(),
+            Content::LeafList(values) => !values.is_empty(),
             Content::Leaf(_) => true,
         });
     }
 
     /// Finds each mandatory leaf that is missing below something that is there.
-    pub fn complete(&self, schema: &Schema) -> Result<(), Fault> {
+    pub fn check_mandatory(&self, schema: &Schema) -> Result<(), ModelError> {
         self.complete_below(schema, None, &Path::default())
     }
 
-    fn complete_below(&self, schema: &Schema, parent: Option<NodeId>, at: &Path) -> Result<(), Fault> {
-        for id in schema.below(parent) {
+    fn complete_below(&self, schema: &Schema, parent: Option<NodeId>, at: &Path) -> Result<(), ModelError> {
+        for id in schema.children_of(parent) {
             let node = schema.node(*id);
             match (self.get(*id), &node.kind) {
-                (None, Kind::Leaf { mandatory: true, .. }) if parent.is_some() => {
+                (None, NodeKind::Leaf { mandatory: true, .. }) if parent.is_some() => {
                     let what = format!("{} is missing", node.name);
-                    return Err(Fault::new(Rule::MissingElement, at.spelled(schema), &node.name, what));
+                    return Err(ModelError::new(
+                        ErrorKind::MissingElement,
+                        at.format(schema),
+                        &node.name,
+                        what,
+                    ));
                 }
-                (Some(Content::Inner(data)), _) => {
-                    data.complete_below(schema, Some(*id), &at.with(Step::to(*id)))?;
+                (Some(Content::Container(data)), _) => {
+                    data.complete_below(schema, Some(*id), &at.child(Step::without_keys(*id)))?;
                 }
                 (Some(Content::List(entries)), _) => {
                     for (keys, entry) in entries {
-                        entry.complete_below(schema, Some(*id), &at.with(Step::entry(*id, keys)))?;
+                        entry.complete_below(schema, Some(*id), &at.child(Step::with_keys(*id, keys)))?;
                     }
                 }
                 _ => {}
@@ -128,10 +133,10 @@
 
     fn defaults_below(&self, schema: &Schema, parent: Option<NodeId>) -> Data {
         let mut all = Data::default();
-        for id in schema.below(parent) {
+        for id in schema.children_of(parent) {
             match (self.get(*id), &schema.node(*id).kind) {
-                (Some(Content::Inner(data)), _) => {
-                    all.set(*id, Content::Inner(data.defaults_below(schema, Some(*id))));
+                (Some(Content::Container(data)), _) => {
+                    all.set(*id, Content::Container(data.defaults_below(schema, Some(*id))));
                 }
                 (Some(Content::List(entries)), _) => {
                     let entry = |(keys, entry): (&Vec<Value>, &Data)| {
@@ -140,13 +145,13 @@
                     all.set(*id, Content::List(entries.iter().map(entry).collect()));
                 }
                 (Some(content), _) => all.set(*id, content.clone()),
-                (None, Kind::Leaf { default: Some(default), .. }) => {
+                (None, NodeKind::Leaf { default: Some(default), .. }) => {
                     all.set(*id, Content::Leaf(default.clone()));
                 }
-                (None, Kind::Container { presence: false }) if schema.node(*id).config => {
+                (None, NodeKind::Container { presence: false }) if schema.node(*id).config => {
                     let below = Data::default().defaults_below(schema, Some(*id));
                     if !below.is_empty() {
-                        all.set(*id, Content::Inner(below));
+                        all.set(*id, Content::Container(below));
                     }
                 }
                 _ => {}
@@ -156,21 +161,22 @@
     }
 
     /// The data of one part only: that at the roots of which `keep` holds.
-    pub fn part(&self, keep: impl Fn(NodeId) -> bool) -> Data {
+    pub fn filter_roots(&self, keep: impl Fn(NodeId) -> bool) -> Data {
         Data(self.0.iter().filter(|(id, _)| keep(**id)).map(|(id, of)| (*id, of.clone())).collect())
     }
 
     /// What of it lies at a path, as a tree from the top; nothing where nothing is there.
-    pub fn cut(&self, schema: &Schema, path: &Path) -> Data {
+    pub fn subtree(&self, schema: &Schema, path: &Path) -> Data {
         fn below(schema: &Schema, steps: &[Step], data: &Data) -> Data {
             let Some((step, rest)) = steps.split_first() else { return data.clone() };
             let mut cut = Data::default();
             match data.get(step.node) {
-                Some(Content::Inner(inner)) => {
+                Some(Content::Container(inner)) => {
                     let inner = below(schema, rest, inner);
-                    let presence = matches!(schema.node(step.node).kind, Kind::Container { presence: true });
+                    let presence =
+                        matches!(schema.node(step.node).kind, NodeKind::Container { presence: true });
                     if !inner.is_empty() || presence && rest.is_empty() {
-                        cut.set(step.node, Content::Inner(inner));
+                        cut.set(step.node, Content::Container(inner));
                     }
                 }
                 Some(Content::List(entries)) => {
@@ -180,14 +186,14 @@
                         let inner = below(schema, rest, entry);
                         if !inner.is_empty() {
                             // Its keys say which entry it is.
-                            let kept = cut.entry(schema, step.node, keys);
-                            *kept = std::mem::take(kept).joined(inner);
+                            let kept = cut.list_entry(schema, step.node, keys);
+                            *kept = std::mem::take(kept).merged(inner);
                         }
                     }
                 }
-                Some(Content::Leaves(values)) if !step.keys.is_empty() => {
+                Some(Content::LeafList(values)) if !step.keys.is_empty() => {
                     if let Some(value) = values.get(&step.keys[0]) {
-                        cut.leaves(step.node).insert(value.clone());
+                        cut.leaf_list(step.node).insert(value.clone());
                     }
                 }
                 Some(content) if rest.is_empty() => cut.set(step.node, content.clone()),
@@ -199,7 +205,7 @@
     }
 
     /// Both together, of which no node stands in both.
-    pub fn joined(mut self, other: Data) -> Data {
+    pub fn merged(mut self, other: Data) -> Data {
         self.0.extend(other.0);
         self
     }
@@ -224,16 +230,16 @@
         id.unwrap_or_else(|| panic!("the modules have no {name} here"))
     }
 
-    pub fn inner(&self, name: &str) -> View<'a> {
+    pub fn container(&self, name: &str) -> View<'a> {
         let id = self.id(name);
         let data = match self.data.and_then(|data| data.get(id)) {
-            Some(Content::Inner(data)) => Some(data),
+            Some(Content::Container(data)) => Some(data),
             _ => None,
         };
         View { schema: self.schema, at: Some(id), data }
     }
 
-    pub fn is_there(&self) -> bool {
+    pub fn exists(&self) -> bool {
         self.data.is_some()
     }
 
@@ -253,16 +259,16 @@
         match self.data.and_then(|data| data.get(id)) {
             Some(Content::Leaf(value)) => Some(value),
             _ => match &self.schema.node(id).kind {
-                Kind::Leaf { default, .. } => default.as_ref(),
+                NodeKind::Leaf { default, .. } => default.as_ref(),
                 _ => None,
             },
         }
     }
 
-    pub fn leaves(&self, name: &str) -> Vec<&'a Value> {
+    pub fn leaf_list(&self, name: &str) -> Vec<&'a Value> {
         let id = self.id(name);
         match self.data.and_then(|data| data.get(id)) {
-            Some(Content::Leaves(values)) => values.iter().collect(),
+            Some(Content::LeafList(values)) => values.iter().collect(),
             _ => Vec::new(),
         }
     }
@@ -271,7 +277,7 @@
         self.leaf(name).and_then(Value::as_str)
     }
 
-    pub fn figure(&self, name: &str) -> Option<f64> {
+    pub fn number(&self, name: &str) -> Option<f64> {
         self.leaf(name).and_then(Value::as_f64)
     }
 }
--- a/crates/model/src/diff.rs
+++ b/crates/model/src/diff.rs
@@ -4,7 +4,7 @@
 
 use crate::data::{Content, Data};
 use crate::path::{Path, Step};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
 /// One place that differs. A list's entry, a container with presence and a value of a leaf-list read as `Empty`.
@@ -34,21 +34,25 @@
                     Some(Content::Leaf(value)) => Some(value.clone()),
                     _ => None,
                 };
-                found.push(Difference { path: at.with(Step::to(id)), old: value(a), new: value(b) });
+                found.push(Difference {
+                    path: at.child(Step::without_keys(id)),
+                    old: value(a),
+                    new: value(b),
+                });
             }
             (a, b) => {
-                if let (Some(Content::Leaves(_)), _) | (_, Some(Content::Leaves(_))) = (a, b) {
+                if let (Some(Content::LeafList(_)), _) | (_, Some(Content::LeafList(_))) = (a, b) {
                     let values = |content: Option<&Content>| match content {
-                        Some(Content::Leaves(values)) => values.clone(),
+                        Some(Content::LeafList(values)) => values.clone(),
                         _ => BTreeSet::new(),
                     };
                     let (a, b) = (values(a), values(b));
                     for value in a.symmetric_difference(&b) {
-                        let path = at.with(Step::entry(id, std::slice::from_ref(value)));
+                        let path = at.child(Step::with_keys(id, std::slice::from_ref(value)));
                         let (old, new) = (there(a.contains(value)), there(b.contains(value)));
                         found.push(Difference { path, old, new });
                     }
-                } else if let Kind::List { .. } = schema.node(id).kind {
+                } else if let NodeKind::List { .. } = schema.node(id).kind {
                     let entries = |content: Option<&'_ Content>| match content {
                         Some(Content::List(entries)) => entries.clone(),
                         _ => Default::default(),
@@ -56,7 +60,7 @@
                     let (a, b) = (entries(a), entries(b));
                     let keys: BTreeSet<&Vec<Value>> = a.keys().chain(b.keys()).collect();
                     for keys in keys {
-                        let path = at.with(Step::entry(id, keys));
+                        let path = at.child(Step::with_keys(id, keys));
                         let (was, is) = (a.get(keys), b.get(keys));
                         if was.is_some() != is.is_some() {
                             let (old, new) = (there(was.is_some()), there(is.is_some()));
@@ -66,12 +70,12 @@
                     }
                 } else {
                     let inner = |content: Option<&'_ Content>| match content {
-                        Some(Content::Inner(data)) => Some(data.clone()),
+                        Some(Content::Container(data)) => Some(data.clone()),
                         _ => None,
                     };
                     let (a, b) = (inner(a), inner(b));
-                    let path = at.with(Step::to(id));
-                    if let (Kind::Container { presence: true }, true) =
+                    let path = at.child(Step::without_keys(id));
+                    if let (NodeKind::Container { presence: true }, true) =
                         (&schema.node(id).kind, a.is_some() != b.is_some())
                     {
                         let (old, new) = (there(a.is_some()), there(b.is_some()));
--- a/crates/model/src/draft.rs
+++ b/crates/model/src/draft.rs
@@ -2,14 +2,14 @@
 //! done with it if that was said.
 
 use crate::data::{Content, Data};
-use crate::fault::{Fault, Rule};
+use crate::fault::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
 /// What is to be done with a node, RFC 6241 section 7.2.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Op {
+pub enum EditOperation {
     Merge,
     Replace,
     Create,
@@ -18,53 +18,54 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Draft {
+pub struct EditNode {
     pub node: NodeId,
     /// A list entry's keys, in the schema's order.
     pub keys: Vec<Value>,
     /// A leaf's value; one that is only to be deleted may have none.
     pub value: Option<Value>,
-    pub op: Option<Op>,
+    pub operation: Option<EditOperation>,
     /// The line that it was read from; 0 where there is none.
     pub line: u32,
-    pub below: Vec<Draft>,
+    pub children: Vec<EditNode>,
 }
 
-impl Draft {
+impl EditNode {
     pub fn step(&self) -> Step {
-        Step::entry(self.node, &self.keys)
+        Step::with_keys(self.node, &self.keys)
     }
 
-    pub fn fault(&self, schema: &Schema, at: &Path, rule: Rule, what: &str) -> Fault {
+    pub fn error(&self, schema: &Schema, at: &Path, rule: ErrorKind, what: &str) -> ModelError {
         let name = &schema.node(self.node).name;
-        Fault::new(rule, at.with(self.step()).spelled(schema), name, format!("{name} {what}")).on(self.line)
+        ModelError::new(rule, at.child(self.step()).format(schema), name, format!("{name} {what}"))
+            .at_line(self.line)
     }
 
     /// A draft for one value or for the whole part at a path, with what stands below it.
-    pub fn at(
+    pub fn at_path(
         schema: &Schema,
         path: &Path,
-        op: Option<Op>,
+        op: Option<EditOperation>,
         value: Option<Value>,
-        below: Vec<Draft>,
-    ) -> Vec<Draft> {
+        below: Vec<EditNode>,
+    ) -> Vec<EditNode> {
         let Some((last, before)) = path.0.split_last() else { return below };
-        let node = |step: &Step, op, value, below: Vec<Draft>| {
+        let node = |step: &Step, op, value, below: Vec<EditNode>| {
             let keys = schema.node(step.node).keys().iter().zip(&step.keys);
-            let key = |(id, key): (&NodeId, &Value)| Draft {
+            let key = |(id, key): (&NodeId, &Value)| EditNode {
                 node: *id,
                 keys: vec![],
                 value: Some(key.clone()),
-                op: None,
+                operation: None,
                 line: 0,
-                below: vec![],
+                children: vec![],
             };
-            let told = |id: &NodeId| below.iter().any(|draft: &Draft| draft.node == *id);
-            let mut all: Vec<Draft> = keys.filter(|(id, _)| !told(id)).map(key).collect();
+            let told = |id: &NodeId| below.iter().any(|draft: &EditNode| draft.node == *id);
+            let mut all: Vec<EditNode> = keys.filter(|(id, _)| !told(id)).map(key).collect();
             all.extend(below);
-            let list = matches!(schema.node(step.node).kind, Kind::List { .. });
+            let list = matches!(schema.node(step.node).kind, NodeKind::List { .. });
             let keys = if list { step.keys.clone() } else { vec![] };
-            Draft { node: step.node, keys, value, op, line: 0, below: all }
+            EditNode { node: step.node, keys, value, operation: op, line: 0, children: all }
         };
         let leaf = node(last, op, value.or_else(|| last_value(schema, last)), below);
         before.iter().rev().fold(vec![leaf], |below, step| vec![node(step, None, None, below)])
@@ -72,78 +73,80 @@
 }
 
 fn last_value(schema: &Schema, step: &Step) -> Option<Value> {
-    matches!(schema.node(step.node).kind, Kind::LeafList { .. }).then(|| step.keys.first().cloned()).flatten()
+    matches!(schema.node(step.node).kind, NodeKind::LeafList { .. })
+        .then(|| step.keys.first().cloned())
+        .flatten()
 }
 
 impl Data {
     /// Data as drafts, in its order.
-    pub fn drafts(&self) -> Vec<Draft> {
-        let leaf = |node, value: &Value| Draft {
+    pub fn to_edit_nodes(&self) -> Vec<EditNode> {
+        let leaf = |node, value: &Value| EditNode {
             node,
             keys: vec![],
             value: Some(value.clone()),
-            op: None,
+            operation: None,
             line: 0,
-            below: vec![],
+            children: vec![],
         };
-        let inner = |node, keys: &[Value], below: &Data| Draft {
+        let inner = |node, keys: &[Value], below: &Data| EditNode {
             node,
             keys: keys.to_vec(),
             value: None,
-            op: None,
+            operation: None,
             line: 0,
-            below: below.drafts(),
+            children: below.to_edit_nodes(),
         };
         let mut drafts = Vec::new();
         for (id, content) in self.iter() {
             match content {
-                Content::Inner(data) => drafts.push(inner(id, &[], data)),
+                Content::Container(data) => drafts.push(inner(id, &[], data)),
                 Content::List(entries) => drafts.extend(entries.iter().map(|(keys, of)| inner(id, keys, of))),
                 Content::Leaf(value) => drafts.push(leaf(id, value)),
-                Content::Leaves(values) => drafts.extend(values.iter().map(|value| leaf(id, value))),
+                Content::LeafList(values) => drafts.extend(values.iter().map(|value| leaf(id, value))),
             }
         }
         drafts
     }
 
     /// Drafts without operations as data. Nothing may be said twice.
-    pub fn from_drafts(schema: &Schema, drafts: &[Draft]) -> Result<Data, Fault> {
+    pub fn from_edit_nodes(schema: &Schema, drafts: &[EditNode]) -> Result<Data, ModelError> {
         gather(schema, drafts, &Path::default())
     }
 }
 
-fn gather(schema: &Schema, drafts: &[Draft], at: &Path) -> Result<Data, Fault> {
+fn gather(schema: &Schema, drafts: &[EditNode], at: &Path) -> Result<Data, ModelError> {
     let mut data = Data::default();
     for draft in drafts {
-        let refused = |rule, what: &str| Err(draft.fault(schema, at, rule, what));
-        if draft.op.is_some() {
-            return refused(Rule::UnknownAttribute, "has an operation, which has no place here");
+        let refused = |rule, what: &str| Err(draft.error(schema, at, rule, what));
+        if draft.operation.is_some() {
+            return refused(ErrorKind::UnknownAttribute, "has an operation, which has no place here");
         }
         match &schema.node(draft.node).kind {
-            Kind::Container { .. } => {
+            NodeKind::Container { .. } => {
                 if data.get(draft.node).is_some() {
-                    return refused(Rule::Repeated, "stands here twice");
+                    return refused(ErrorKind::Duplicate, "stands here twice");
                 }
-                let inner = gather(schema, &draft.below, &at.with(draft.step()))?;
-                data.set(draft.node, Content::Inner(inner));
+                let inner = gather(schema, &draft.children, &at.child(draft.step()))?;
+                data.set(draft.node, Content::Container(inner));
             }
-            Kind::List { .. } => {
-                let entry = gather(schema, &draft.below, &at.with(draft.step()))?;
+            NodeKind::List { .. } => {
+                let entry = gather(schema, &draft.children, &at.child(draft.step()))?;
                 if data.list(draft.node).insert(draft.keys.clone(), entry).is_some() {
-                    return refused(Rule::Repeated, "stands here twice with these keys");
+                    return refused(ErrorKind::Duplicate, "stands here twice with these keys");
                 }
             }
-            Kind::Leaf { .. } => {
-                let Some(value) = &draft.value else { return refused(Rule::BadValue, "has no value") };
+            NodeKind::Leaf { .. } => {
+                let Some(value) = &draft.value else { return refused(ErrorKind::BadValue, "has no value") };
                 if data.get(draft.node).is_some() {
-                    return refused(Rule::Repeated, "stands here twice");
+                    return refused(ErrorKind::Duplicate, "stands here twice");
                 }
                 data.set(draft.node, Content::Leaf(value.clone()));
             }
-            Kind::LeafList { .. } => {
-                let Some(value) = &draft.value else { return refused(Rule::BadValue, "has no value") };
-                if !data.leaves(draft.node).insert(value.clone()) {
-                    return refused(Rule::Repeated, "stands here twice with this value");
+            NodeKind::LeafList { .. } => {
+                let Some(value) = &draft.value else { return refused(ErrorKind::BadValue, "has no value") };
+                if !data.leaf_list(draft.node).insert(value.clone()) {
+                    return refused(ErrorKind::Duplicate, "stands here twice with this value");
                 }
             }
         }
--- a/crates/model/src/fault.rs
+++ b/crates/model/src/fault.rs
@@ -4,7 +4,7 @@
 
 /// The rule that is broken. The fronts word it as their protocols do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
+pub enum ErrorKind {
     /// Not well-formed, or beyond a bound on size or depth.
     Malformed,
     UnknownElement,
@@ -15,7 +15,7 @@
     BadValue,
     MissingElement,
     /// A key or leaf given twice.
-    Repeated,
+    Duplicate,
     /// State can be read only.
     NotConfiguration,
     DataExists,
@@ -24,33 +24,33 @@
 
 /// What does not fit, where, and the rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    pub rule: Rule,
+pub struct ModelError {
+    pub kind: ErrorKind,
     /// The line of the text it was read from, from 1 on; 0 where there is none.
     pub line: u32,
     /// The path of the node concerned, or what is known of it.
     pub path: String,
     /// The element or attribute concerned.
     pub name: String,
-    pub what: String,
+    pub message: String,
 }
 
-impl Fault {
+impl ModelError {
     pub fn new(
-        rule: Rule,
+        rule: ErrorKind,
         path: impl Into<String>,
         name: impl Into<String>,
         what: impl Into<String>,
     ) -> Self {
-        Fault { rule, line: 0, path: path.into(), name: name.into(), what: what.into() }
+        ModelError { kind: rule, line: 0, path: path.into(), name: name.into(), message: what.into() }
     }
 
-    pub fn on(self, line: u32) -> Self {
-        Fault { line, ..self }
+    pub fn at_line(self, line: u32) -> Self {
+        ModelError { line, ..self }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ModelError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line > 0 {
             write!(f, "line {}: ", self.line)?;
@@ -58,8 +58,8 @@
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
         }
-        f.write_str(&self.what)
+        f.write_str(&self.message)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ModelError {}
--- a/crates/model/src/json.rs
+++ b/crates/model/src/json.rs
@@ -3,10 +3,10 @@
 use serde_json::{Map, Value as Json};
 
 use crate::data::{Content, Data};
-use crate::draft::Draft;
-use crate::fault::{Fault, Rule};
+use crate::draft::EditNode;
+use crate::fault::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::{Type, Value};
 use crate::xml::Element;
 
@@ -15,15 +15,15 @@
     let mut object = Map::new();
     for (id, content) in data.iter() {
         let node = schema.node(id);
-        let name = match schema.enters_module(id) {
+        let name = match schema.is_namespace_qualified(id) {
             true => format!("{}:{}", schema.modules[node.module].name, node.name),
             false => node.name.clone(),
         };
         let json = match content {
-            Content::Inner(data) => write(schema, data),
+            Content::Container(data) => write(schema, data),
             Content::List(entries) => entries.values().map(|entry| write(schema, entry)).collect(),
-            Content::Leaf(value) => scalar(value, &node.kind),
-            Content::Leaves(values) => values.iter().map(|value| scalar(value, &node.kind)).collect(),
+            Content::Leaf(value) => write_value(value, &node.kind),
+            Content::LeafList(values) => values.iter().map(|value| write_value(value, &node.kind)).collect(),
         };
         object.insert(name, json);
     }
@@ -31,11 +31,11 @@
 }
 
 /// One value, RFC 7951 section 6.
-pub fn scalar(value: &Value, kind: &Kind) -> Json {
+pub fn write_value(value: &Value, kind: &NodeKind) -> Json {
     let wide = matches!(
         kind,
-        Kind::Leaf { ty: Type::Integer { wide: true, .. }, .. }
-            | Kind::LeafList { ty: Type::Integer { wide: true, .. } }
+        NodeKind::Leaf { ty: Type::Integer { is_64_bit: true, .. }, .. }
+            | NodeKind::LeafList { ty: Type::Integer { is_64_bit: true, .. } }
     );
     match value {
         Value::Integer(number) if wide => number.to_string().into(),
@@ -49,7 +49,7 @@
 
 /// Elements as they came from a server, state among them, as one JSON object. What the modules don't know is left
 /// out: other namespaces are not ours to word.
-pub fn from_xml(schema: &Schema, elements: &[Element]) -> Json {
+pub fn from_elements(schema: &Schema, elements: &[Element]) -> Json {
     from_xml_below(schema, None, elements)
 }
 
@@ -61,17 +61,18 @@
             continue;
         };
         let node = schema.node(id);
-        let name = match schema.enters_module(id) {
+        let name = match schema.is_namespace_qualified(id) {
             true => format!("{}:{}", schema.modules[node.module].name, node.name),
             false => node.name.clone(),
         };
-        let value = |ty: &Type| ty.read(&element.text).map_or(Json::Null, |value| scalar(&value, &node.kind));
+        let value =
+            |ty: &Type| ty.parse(&element.text).map_or(Json::Null, |value| write_value(&value, &node.kind));
         let json = match &node.kind {
-            Kind::Leaf { ty, .. } | Kind::LeafList { ty } => value(ty),
+            NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => value(ty),
             _ => from_xml_below(schema, Some(id), &element.children),
         };
         match &node.kind {
-            Kind::List { .. } | Kind::LeafList { .. } => {
+            NodeKind::List { .. } | NodeKind::LeafList { .. } => {
                 match object.entry(name).or_insert(Json::Array(vec![])) {
                     Json::Array(entries) => entries.push(json),
                     _ => unreachable!("the schema says that a list stands here"),
@@ -84,7 +85,11 @@
 }
 
 /// A JSON object as drafts of configuration, below a place (`None`: the top).
-pub fn drafts(schema: &Schema, parent: Option<NodeId>, json: &Json) -> Result<Vec<Draft>, Fault> {
+pub fn to_edit_nodes(
+    schema: &Schema,
+    parent: Option<NodeId>,
+    json: &Json,
+) -> Result<Vec<EditNode>, ModelError> {
     drafts_below(schema, parent, &Path::default(), json)
 }
 
@@ -93,65 +98,103 @@
     parent: Option<NodeId>,
     at: &Path,
     json: &Json,
-) -> Result<Vec<Draft>, Fault> {
-    let place = || at.spelled(schema);
+) -> Result<Vec<EditNode>, ModelError> {
+    let place = || at.format(schema);
     let object = json.as_object();
-    let object =
-        object.ok_or_else(|| Fault::new(Rule::BadValue, place(), "", "an object should stand here"))?;
+    let object = object
+        .ok_or_else(|| ModelError::new(ErrorKind::BadValue, place(), "", "an object should stand here"))?;
     let mut drafts = Vec::new();
     for (name, json) in object {
         let (module, bare) = match name.split_once(':') {
             Some((module, bare)) => {
-                let unknown =
-                    || Fault::new(Rule::UnknownNamespace, place(), name, format!("no module {module:?}"));
-                (Some(schema.module(module).ok_or_else(unknown)?), bare)
+                let unknown = || {
+                    ModelError::new(
+                        ErrorKind::UnknownNamespace,
+                        place(),
+                        name,
+                        format!("no module {module:?}"),
+                    )
+                };
+                (Some(schema.module_index(module).ok_or_else(unknown)?), bare)
             }
             None => (parent.map(|parent| schema.node(parent).module), name.as_str()),
         };
-        let unknown =
-            || Fault::new(Rule::UnknownElement, place(), name, format!("{name:?} has no place here"));
+        let unknown = || {
+            ModelError::new(ErrorKind::UnknownElement, place(), name, format!("{name:?} has no place here"))
+        };
         // RFC 7951 section 4: at the top a name without its module says nothing.
         let id = module.and_then(|module| schema.child(parent, bare, Some(module))).ok_or_else(unknown)?;
         let node = schema.node(id);
         if !node.config {
             let what = format!("{name} is state, which can be read only");
-            return Err(Fault::new(Rule::NotConfiguration, place(), name, what));
+            return Err(ModelError::new(ErrorKind::NotConfiguration, place(), name, what));
         }
         let array = || {
             let what = format!("{name} should be an array");
-            json.as_array().ok_or_else(|| Fault::new(Rule::BadValue, place(), name, what))
+            json.as_array().ok_or_else(|| ModelError::new(ErrorKind::BadValue, place(), name, what))
         };
         let leaf = |ty: &Type, json: &Json| {
-            let value = read(ty, json).map_err(|why| {
-                Fault::new(Rule::BadValue, at.with(Step::to(id)).spelled(schema), name, why)
+            let value = parse_value(ty, json).map_err(|why| {
+                ModelError::new(
+                    ErrorKind::BadValue,
+                    at.child(Step::without_keys(id)).format(schema),
+                    name,
+                    why,
+                )
             })?;
-            Ok(Draft { node: id, keys: vec![], value: Some(value), op: None, line: 0, below: vec![] })
+            Ok(EditNode {
+                node: id,
+                keys: vec![],
+                value: Some(value),
+                operation: None,
+                line: 0,
+                children: vec![],
+            })
         };
         match &node.kind {
-            Kind::Leaf { ty, .. } => drafts.push(leaf(ty, json)?),
-            Kind::LeafList { ty } => {
+            NodeKind::Leaf { ty, .. } => drafts.push(leaf(ty, json)?),
+            NodeKind::LeafList { ty } => {
                 for json in array()? {
                     drafts.push(leaf(ty, json)?);
                 }
             }
-            Kind::Container { .. } => {
-                let below = drafts_below(schema, Some(id), &at.with(Step::to(id)), json)?;
-                drafts.push(Draft { node: id, keys: vec![], value: None, op: None, line: 0, below });
+            NodeKind::Container { .. } => {
+                let below = drafts_below(schema, Some(id), &at.child(Step::without_keys(id)), json)?;
+                drafts.push(EditNode {
+                    node: id,
+                    keys: vec![],
+                    value: None,
+                    operation: None,
+                    line: 0,
+                    children: below,
+                });
             }
-            Kind::List { keys } => {
+            NodeKind::List { keys } => {
                 for json in array()? {
-                    let below = drafts_below(schema, Some(id), &at.with(Step::to(id)), json)?;
+                    let below = drafts_below(schema, Some(id), &at.child(Step::without_keys(id)), json)?;
                     let mut values = Vec::new();
                     for key in keys {
                         let found = below.iter().find(|draft| draft.node == *key);
                         let key = &schema.node(*key).name;
                         let missing = || {
-                            let at = at.with(Step::to(id)).spelled(schema);
-                            Fault::new(Rule::MissingElement, at, key, format!("the key {key} is missing"))
+                            let at = at.child(Step::without_keys(id)).format(schema);
+                            ModelError::new(
+                                ErrorKind::MissingElement,
+                                at,
+                                key,
+                                format!("the key {key} is missing"),
+                            )
                         };
                         values.push(found.and_then(|draft| draft.value.clone()).ok_or_else(missing)?);
                     }
-                    drafts.push(Draft { node: id, keys: values, value: None, op: None, line: 0, below });
+                    drafts.push(EditNode {
+                        node: id,
+                        keys: values,
+                        value: None,
+                        operation: None,
+                        line: 0,
+                        children: below,
+                    });
                 }
             }
         }
@@ -160,14 +203,14 @@
 }
 
 /// One value of a type.
-pub fn read(ty: &Type, json: &Json) -> Result<Value, String> {
+pub fn parse_value(ty: &Type, json: &Json) -> Result<Value, String> {
     match (ty, json) {
         (Type::Empty, Json::Array(one)) if one[..] == [Json::Null] => Ok(Value::Empty),
         (Type::Boolean, Json::Bool(yes)) => Ok(Value::Boolean(*yes)),
-        (Type::Integer { wide: false, .. }, Json::Number(number)) => ty.read(&number.to_string()),
-        (Type::Integer { wide: true, .. } | Type::Decimal { .. }, Json::String(text)) => ty.read(text),
-        (Type::Text { .. } | Type::Enumeration(_), Json::String(text)) => ty.read(text),
-        (Type::Integer { wide: true, .. } | Type::Decimal { .. }, Json::Number(_)) => {
+        (Type::Integer { is_64_bit: false, .. }, Json::Number(number)) => ty.parse(&number.to_string()),
+        (Type::Integer { is_64_bit: true, .. } | Type::Decimal { .. }, Json::String(text)) => ty.parse(text),
+        (Type::Text { .. } | Type::Enumeration(_), Json::String(text)) => ty.parse(text),
+        (Type::Integer { is_64_bit: true, .. } | Type::Decimal { .. }, Json::Number(_)) => {
             Err(format!("{json} should be a string"))
         }
         _ => Err(format!("{} is not of this type", crate::value::quoted(&json.to_string()))),
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' model: YANG modules (RFC 7950) as schema nodes, and data under them as one typed tree that
 //! files, NETCONF and gNMI all go through. XML (RFC 7950 section 7 of each statement) and JSON (RFC 7951) are
-//! read into [`Draft`]s, checked node by node, and written from [`Data`]. No decision is taken here.
+//! read into [`EditNode`]s, checked node by node, and written from [`Data`]. No decision is taken here.
 
 mod data;
 mod diff;
@@ -16,10 +16,10 @@
 
 pub use data::{Content, Data, View};
 pub use diff::{diff, Difference};
-pub use draft::{Draft, Op};
-pub use fault::{Fault, Rule};
+pub use draft::{EditNode, EditOperation};
+pub use fault::{ErrorKind, ModelError};
 pub use path::{Path, Step};
-pub use schema::{Kind, Module, Node, NodeId, Schema};
+pub use schema::{Module, Node, NodeId, NodeKind, Schema};
 pub use value::{Type, Value};
 
 /// The modules that come with the manager, each after those that it imports.
@@ -32,5 +32,5 @@
 /// The schema of the modules that come with the manager.
 pub fn schema() -> Schema {
     // They are part of the program, and a test reads them.
-    Schema::read(&MODULES).expect("the modules that come with the program are sound")
+    Schema::parse(&MODULES).expect("the modules that come with the program are sound")
 }
--- a/crates/model/src/path.rs
+++ b/crates/model/src/path.rs
@@ -1,7 +1,7 @@
 //! Paths to nodes, as RFC 7950 section 9.13 spells instance-identifiers: `/jrm:workers/worker[name='s-1']`.
 
-use crate::fault::{Fault, Rule};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::fault::{ErrorKind, ModelError};
+use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -12,11 +12,11 @@
 }
 
 impl Step {
-    pub fn to(node: NodeId) -> Step {
+    pub fn without_keys(node: NodeId) -> Step {
         Step { node, keys: Vec::new() }
     }
 
-    pub fn entry(node: NodeId, keys: &[Value]) -> Step {
+    pub fn with_keys(node: NodeId, keys: &[Value]) -> Step {
         Step { node, keys: keys.to_vec() }
     }
 }
@@ -26,7 +26,7 @@
 pub struct Path(pub Vec<Step>);
 
 impl Path {
-    pub fn with(&self, step: Step) -> Path {
+    pub fn child(&self, step: Step) -> Path {
         let mut steps = self.0.clone();
         steps.push(step);
         Path(steps)
@@ -39,12 +39,12 @@
     }
 
     /// With the module's prefix wherever the module changes.
-    pub fn spelled(&self, schema: &Schema) -> String {
+    pub fn format(&self, schema: &Schema) -> String {
         let mut text = String::new();
         for step in &self.0 {
             let node = schema.node(step.node);
             text.push('/');
-            if schema.enters_module(step.node) {
+            if schema.is_namespace_qualified(step.node) {
                 text.push_str(&schema.modules[node.module].prefix);
                 text.push(':');
             }
@@ -63,8 +63,8 @@
 
     /// Reads such a path. A prefix or a module's name may stand before each name, and must before the first
     /// only where names clash. A list may stand without keys.
-    pub fn parse(schema: &Schema, text: &str) -> Result<Path, Fault> {
-        let bad = |what: String| Fault::new(Rule::Malformed, text, "path", what);
+    pub fn parse(schema: &Schema, text: &str) -> Result<Path, ModelError> {
+        let bad = |what: String| ModelError::new(ErrorKind::Malformed, text, "path", what);
         let mut rest = text.strip_prefix('/').ok_or_else(|| bad("a path starts with /".into()))?;
         let (mut path, mut at) = (Path::default(), None);
         while !rest.is_empty() {
@@ -107,10 +107,10 @@
         return Ok(Vec::new());
     }
     let read = |id: NodeId, text: &str| match &schema.node(id).kind {
-        Kind::Leaf { ty, .. } | Kind::LeafList { ty } => ty.read(text),
+        NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => ty.parse(text),
         _ => Err(format!("{} has no value", schema.node(id).name)),
     };
-    if let (Kind::LeafList { .. }, [(".", value)]) = (&node.kind, told) {
+    if let (NodeKind::LeafList { .. }, [(".", value)]) = (&node.kind, told) {
         return Ok(vec![read(id, value)?]);
     }
     if node.keys().len() != told.len() {
@@ -140,10 +140,10 @@
             "/jrm:northbound/user[name='ann']/ssh-key[.='ssh-ed25519 AAAAC3NzaC1=']",
             "/jrs:state/proxies/proxy[number='7']/operation[name=\"it's\"]",
         ] {
-            assert_eq!(Path::parse(&schema, text).unwrap().spelled(&schema), text);
+            assert_eq!(Path::parse(&schema, text).unwrap().format(&schema), text);
         }
         let long = Path::parse(&schema, "/juniperrail-manager:workers/jrm:worker[jrm:name=\"s-1\"]").unwrap();
-        assert_eq!(long.spelled(&schema), "/jrm:workers/worker[name='s-1']");
+        assert_eq!(long.format(&schema), "/jrm:workers/worker[name='s-1']");
         assert!(Path::parse(&schema, "/workers/worker").unwrap().covers(&long));
         assert!(!long.covers(&Path::parse(&schema, "/workers/worker[name='s-2']/weight").unwrap()));
         for (text, why) in [
@@ -158,7 +158,7 @@
             ("/workers[name='a']", "has the keys []"),
         ] {
             let fault = Path::parse(&schema, text).unwrap_err();
-            assert!(fault.what.contains(why), "{text}: {fault}");
+            assert!(fault.message.contains(why), "{text}: {fault}");
         }
     }
 }
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Kind {
+pub enum NodeKind {
     Container {
         /// Its being there says something by itself.
         presence: bool,
@@ -49,7 +49,7 @@
     /// The place of its module in [`Schema::modules`].
     pub module: usize,
     pub parent: Option<NodeId>,
-    pub kind: Kind,
+    pub kind: NodeKind,
     /// Configuration, or state that can be read only.
     pub config: bool,
     pub description: String,
@@ -59,7 +59,7 @@
 impl Node {
     pub fn keys(&self) -> &[NodeId] {
         match &self.kind {
-            Kind::List { keys } => keys,
+            NodeKind::List { keys } => keys,
             _ => &[],
         }
     }
@@ -92,7 +92,7 @@
 
 impl Schema {
     /// Reads modules, each after those it imports. The error names the module, the line and the statement.
-    pub fn read(modules: &[(&str, &str)]) -> Result<Schema, String> {
+    pub fn parse(modules: &[(&str, &str)]) -> Result<Schema, String> {
         let empty = Schema { modules: vec![], nodes: vec![], roots: vec![], notifications: vec![] };
         let mut reader = Reader { schema: empty, typedefs: HashMap::new(), prefixes: Vec::new() };
         for (name, text) in modules {
@@ -105,7 +105,7 @@
         &self.nodes[id.0 as usize]
     }
 
-    pub fn ids(&self) -> impl Iterator<Item = NodeId> {
+    pub fn node_ids(&self) -> impl Iterator<Item = NodeId> {
         (0..self.nodes.len() as u32).map(NodeId)
     }
 
@@ -113,12 +113,12 @@
         &self.modules[self.node(id).module]
     }
 
-    pub fn module(&self, name: &str) -> Option<usize> {
+    pub fn module_index(&self, name: &str) -> Option<usize> {
         self.modules.iter().position(|module| module.name == name)
     }
 
     /// The nodes below one, or at the top.
-    pub fn below(&self, parent: Option<NodeId>) -> &[NodeId] {
+    pub fn children_of(&self, parent: Option<NodeId>) -> &[NodeId] {
         parent.map_or(&self.roots, |parent| &self.node(parent).children)
     }
 
@@ -128,7 +128,7 @@
             let node = self.node(**id);
             node.name == name && module.is_none_or(|module| node.module == module)
         };
-        self.below(parent).iter().find(fits).copied()
+        self.children_of(parent).iter().find(fits).copied()
     }
 
     /// A node by names from the top, each of which is unique at its place in our modules.
@@ -137,7 +137,7 @@
     }
 
     /// Whether the node starts a module's own part of the tree: names are then spelled with the module.
-    pub fn enters_module(&self, id: NodeId) -> bool {
+    pub fn is_namespace_qualified(&self, id: NodeId) -> bool {
         let node = self.node(id);
         node.parent.is_none_or(|parent| self.node(parent).module != node.module)
     }
@@ -156,7 +156,7 @@
         let (here, prefix) = (self.schema.modules.len(), told("prefix")?);
         let mut prefixes = HashMap::from([(prefix.clone(), here)]);
         for import in module.all("import") {
-            let known = self.schema.module(&import.argument);
+            let known = self.schema.module_index(&import.argument);
             let known =
                 known.ok_or_else(|| format!("line {}: no module {}", import.line, import.argument))?;
             let prefix = import.text("prefix").ok_or_else(|| format!("line {}: no prefix", import.line))?;
@@ -221,24 +221,24 @@
         let kind = match statement.keyword.as_str() {
             "container" | "notification" => {
                 allowed(statement, &["container", "list", "leaf", "leaf-list", "presence", "config"])?;
-                Kind::Container { presence: statement.get("presence").is_some() }
+                NodeKind::Container { presence: statement.get("presence").is_some() }
             }
             "list" => {
                 allowed(statement, &["container", "list", "leaf", "leaf-list", "key", "config"])?;
                 let keys = statement.text("key").ok_or_else(|| format!("line {line}: no key"))?;
                 names = keys.split_whitespace().map(str::to_string).collect();
-                Kind::List { keys: Vec::new() }
+                NodeKind::List { keys: Vec::new() }
             }
             "leaf" => {
                 allowed(statement, &["type", "default", "mandatory", "config"])?;
                 let ty = self.ty(statement, module)?;
-                let default = statement.text("default").map(|text| ty.read(text)).transpose();
+                let default = statement.text("default").map(|text| ty.parse(text)).transpose();
                 let default = default.map_err(|why| format!("line {line}: the default {why}"))?;
-                Kind::Leaf { ty, default, mandatory }
+                NodeKind::Leaf { ty, default, mandatory }
             }
             "leaf-list" => {
                 allowed(statement, &["type", "config"])?;
-                Kind::LeafList { ty: self.ty(statement, module)? }
+                NodeKind::LeafList { ty: self.ty(statement, module)? }
             }
             other => return Err(format!("line {line}: {other} is no data")),
         };
@@ -251,11 +251,11 @@
         }
         let key = |name: &String| {
             let found = self.schema.child(Some(id), name, Some(module));
-            let leaf = found.filter(|id| matches!(self.schema.node(*id).kind, Kind::Leaf { .. }));
+            let leaf = found.filter(|id| matches!(self.schema.node(*id).kind, NodeKind::Leaf { .. }));
             leaf.ok_or_else(|| format!("line {line}: the key {name} is no leaf"))
         };
         let found = names.iter().map(key).collect::<Result<Vec<NodeId>, String>>()?;
-        if let Kind::List { keys } = &mut self.schema.nodes[id.0 as usize].kind {
+        if let NodeKind::List { keys } = &mut self.schema.nodes[id.0 as usize].kind {
             *keys = found;
         }
         Ok(id)
@@ -296,8 +296,8 @@
     };
     allowed(by, kinds)?;
     Ok(match base {
-        Type::Integer { wide, ranges } => {
-            Type::Integer { wide, ranges: narrowed(ranges, by.text("range"), |text| text.parse().ok())? }
+        Type::Integer { is_64_bit, ranges } => {
+            Type::Integer { is_64_bit, ranges: narrowed(ranges, by.text("range"), |text| text.parse().ok())? }
         }
         Type::Decimal { digits, mut ranges } => {
             let digits = match by.text("fraction-digits") {
@@ -353,7 +353,7 @@
 
     fn module(body: &str) -> Result<Schema, String> {
         let head = "module m { yang-version 1.1; namespace \"urn:m\"; prefix m; revision 2026-01-01;";
-        Schema::read(&[("m", &format!("{head}\n{body} }}"))])
+        Schema::parse(&[("m", &format!("{head}\n{body} }}"))])
     }
 
     #[test]
@@ -362,16 +362,16 @@
         let worker = schema.find(&["workers", "worker"]).unwrap();
         assert_eq!(schema.node(schema.node(worker).keys()[0]).name, "name");
         let weight = schema.find(&["workers", "worker", "weight"]).unwrap();
-        let Kind::Leaf { ty, .. } = &schema.node(weight).kind else { panic!("a leaf") };
-        assert_eq!(ty.read("0.5").unwrap(), Value::Decimal(5000, 4));
-        assert!(ty.read("1000.1").unwrap_err().contains("not within 0.0..1000.0"));
+        let NodeKind::Leaf { ty, .. } = &schema.node(weight).kind else { panic!("a leaf") };
+        assert_eq!(ty.parse("0.5").unwrap(), Value::Decimal(5000, 4));
+        assert!(ty.parse("1000.1").unwrap_err().contains("not within 0.0..1000.0"));
         let grace = schema.find(&["figures", "drain-grace"]).unwrap();
-        let Kind::Leaf { ty, .. } = &schema.node(grace).kind else { panic!("a leaf") };
-        assert!(ty.read("0").unwrap_err().contains("within 1.0..3600000.0"), "narrowed where it is used");
+        let NodeKind::Leaf { ty, .. } = &schema.node(grace).kind else { panic!("a leaf") };
+        assert!(ty.parse("0").unwrap_err().contains("within 1.0..3600000.0"), "narrowed where it is used");
         let state = schema.find(&["state", "proxies", "proxy", "operation", "level"]).unwrap();
         assert!(!schema.node(state).config && schema.node(worker).config);
         assert_eq!(schema.notifications.len(), 1);
-        for id in schema.ids() {
+        for id in schema.node_ids() {
             assert!(!schema.node(id).description.is_empty(), "{} says what it is", schema.node(id).name);
         }
     }
--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -77,7 +77,7 @@
 pub enum Type {
     /// Of 8 to 64 bits; those of 64 are strings in JSON.
     Integer {
-        wide: bool,
+        is_64_bit: bool,
         ranges: Ranges<i128>,
     },
     /// Bounds are in units of the last digit.
@@ -96,8 +96,10 @@
 
 impl Type {
     pub fn builtin(name: &str) -> Option<Type> {
-        let integer =
-            |wide: bool, least: i128, most: i128| Type::Integer { wide, ranges: vec![(least, most)] };
+        let integer = |is_64_bit: bool, least: i128, most: i128| Type::Integer {
+            is_64_bit,
+            ranges: vec![(least, most)],
+        };
         Some(match name {
             "int8" => integer(false, i8::MIN.into(), i8::MAX.into()),
             "int16" => integer(false, i16::MIN.into(), i16::MAX.into()),
@@ -119,7 +121,7 @@
     }
 
     /// Reads a value's text. The error says what may stand there.
-    pub fn read(&self, text: &str) -> Result<Value, String> {
+    pub fn parse(&self, text: &str) -> Result<Value, String> {
         match self {
             Type::Integer { ranges, .. } => {
                 let number: i128 =
@@ -210,13 +212,13 @@
         for (text, canonical) in
             [("1", "1.0"), ("0.25", "0.25"), ("1.50000", "1.5"), (" 7.1 ", "7.1"), ("+3", "3.0")]
         {
-            assert_eq!(weight.read(text).unwrap().to_string(), canonical);
+            assert_eq!(weight.parse(text).unwrap().to_string(), canonical);
         }
-        assert_eq!(weight.read("0.1").unwrap().as_f64(), Some(0.1));
+        assert_eq!(weight.parse("0.1").unwrap().as_f64(), Some(0.1));
         for text in
             ["", ".", "1.", ".5", "1e3", "NaN", "inf", "1.23456", "-0.1", "1000.1", "9".repeat(40).as_str()]
         {
-            assert!(weight.read(text).is_err(), "{text:?}");
+            assert!(weight.parse(text).is_err(), "{text:?}");
         }
         assert_eq!(Value::decimal(-0.5, 3), Some(Value::Decimal(-500, 3)));
         assert_eq!(Value::Decimal(-500, 3).to_string(), "-0.5");
@@ -226,11 +228,11 @@
 
     #[test]
     fn what_a_type_does_not_take_is_said_with_what_it_takes() {
-        let fault = |of: &Type, text: &str| of.read(text).unwrap_err();
+        let fault = |of: &Type, text: &str| of.parse(text).unwrap_err();
         let word = Type::Text { lengths: vec![(1, 3)], patterns: vec![Regex::new("^(?:[a-z]+)$").unwrap()] };
         assert_eq!(fault(&word, "long"), "\"long\" is not 1..3 characters long");
         assert_eq!(fault(&word, "a\n"), "\"a\\n\" does not match [a-z]+");
-        let small = Type::Integer { wide: false, ranges: vec![(1, 3), (7, 7)] };
+        let small = Type::Integer { is_64_bit: false, ranges: vec![(1, 3), (7, 7)] };
         assert_eq!(fault(&small, "5"), "5 is not within 1..3 | 7");
         assert_eq!(fault(&Type::Boolean, "yes"), "\"yes\" is neither true nor false");
         assert_eq!(fault(&Type::Enumeration(vec!["a".into(), "b".into()]), "c"), "\"c\" is none of a, b");
--- a/crates/model/src/xml.rs
+++ b/crates/model/src/xml.rs
@@ -11,22 +11,22 @@
 use quick_xml::{NsReader, XmlVersion};
 
 use crate::data::{Content, Data};
-use crate::draft::{Draft, Op};
-use crate::fault::{Fault, Rule};
+use crate::draft::{EditNode, EditOperation};
+use crate::fault::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
-use crate::schema::{Kind, NodeId, Schema};
+use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::quoted;
 
 /// NETCONF's own namespace, RFC 6241, of the `operation` attribute among others.
-pub const NETCONF: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
+pub const NETCONF_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 
 /// The namespace of `xml:lang`, always bound to that prefix.
-pub const XML: &str = "http://www.w3.org/XML/1998/namespace";
+pub const XML_NAMESPACE: &str = "http://www.w3.org/XML/1998/namespace";
 
 /// Elements nested deeper are refused: the modules need eight, and what nests ten thousand deep is an attack.
-pub const DEEPEST: usize = 64;
+pub const MAX_DEPTH: usize = 64;
 /// An element has no more attributes and namespaces of its own.
-const MOST_ATTRIBUTES: usize = 64;
+const MAX_ATTRIBUTES: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attr {
@@ -57,12 +57,12 @@
         Element { text: text.into(), ..Element::new(ns, name) }
     }
 
-    pub fn with(mut self, child: Element) -> Element {
+    pub fn with_child(mut self, child: Element) -> Element {
         self.children.push(child);
         self
     }
 
-    pub fn with_all(mut self, children: impl IntoIterator<Item = Element>) -> Element {
+    pub fn with_children(mut self, children: impl IntoIterator<Item = Element>) -> Element {
         self.children.extend(children);
         self
     }
@@ -71,7 +71,7 @@
         &*self.ns == ns && self.name == name
     }
 
-    pub fn get(&self, ns: &str, name: &str) -> Option<&Element> {
+    pub fn child(&self, ns: &str, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.is(ns, name))
     }
 
@@ -87,22 +87,22 @@
 
 /// Why text is no XML: the line and the reason.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Malformed {
+pub struct XmlError {
     pub line: u32,
-    pub what: String,
+    pub message: String,
 }
 
-impl Malformed {
-    pub fn fault(&self) -> Fault {
-        Fault::new(Rule::Malformed, "", "", self.what.clone()).on(self.line)
+impl XmlError {
+    pub fn to_model_error(&self) -> ModelError {
+        ModelError::new(ErrorKind::Malformed, "", "", self.message.clone()).at_line(self.line)
     }
 }
 
 /// Reads one element with all below it. Its size is bounded by whoever has the text.
-pub fn read(text: &[u8]) -> Result<Element, Malformed> {
+pub fn parse(text: &[u8]) -> Result<Element, XmlError> {
     let text = std::str::from_utf8(text).map_err(|cause| {
         let line = 1 + text[..cause.valid_up_to()].iter().filter(|byte| **byte == b'\n').count() as u32;
-        Malformed { line, what: "the text is no UTF-8".into() }
+        XmlError { line, message: "the text is no UTF-8".into() }
     })?;
     let mut reader = NsReader::from_str(text);
     reader.config_mut().check_comments = true;
@@ -114,12 +114,12 @@
         let start = (reader.buffer_position() as usize).min(text.len());
         line += text.as_bytes()[seen..start].iter().filter(|byte| **byte == b'\n').count() as u32;
         seen = start;
-        let bad = |what: String| Malformed { line, what };
+        let bad = |what: String| XmlError { line, message: what };
         let event = reader.read_event().map_err(|cause| bad(cause.to_string()))?;
         match event {
             Event::Start(tag) => {
-                if open.len() >= DEEPEST {
-                    return Err(bad(format!("elements are nested more than {DEEPEST} deep")));
+                if open.len() >= MAX_DEPTH {
+                    return Err(bad(format!("elements are nested more than {MAX_DEPTH} deep")));
                 }
                 open.push(element(&reader, &tag, line, &mut spaces).map_err(bad)?);
             }
@@ -189,7 +189,7 @@
 }
 
 /// Nothing but comments and white space follows the one element.
-fn rest(reader: &mut NsReader<&[u8]>, line: u32) -> Result<(), Malformed> {
+fn rest(reader: &mut NsReader<&[u8]>, line: u32) -> Result<(), XmlError> {
     loop {
         let what = match reader.read_event() {
             Ok(Event::Eof) => return Ok(()),
@@ -198,7 +198,7 @@
             Ok(_) => "something follows the element".to_string(),
             Err(cause) => cause.to_string(),
         };
-        return Err(Malformed { line, what });
+        return Err(XmlError { line, message: what });
     }
 }
 
@@ -240,8 +240,8 @@
     let (resolved, name) = reader.resolver().resolve_element(tag.name());
     let mut element = Element { ns: space(resolved)?, line, ..Element::new("", name.as_ref()) };
     for (place, attr) in tag.attributes().enumerate() {
-        if place >= MOST_ATTRIBUTES {
-            return Err(format!("{} has more than {MOST_ATTRIBUTES} attributes", element.name));
+        if place >= MAX_ATTRIBUTES {
+            return Err(format!("{} has more than {MAX_ATTRIBUTES} attributes", element.name));
         }
         let attr: Attribute<'_> = attr.map_err(|cause| cause.to_string())?;
         let value = attr.normalized_value(XmlVersion::Implicit1_0).map_err(|cause| cause.to_string())?;
@@ -281,7 +281,7 @@
         _ = write!(text, " xmlns:{prefix}=\"{}\"", escape(ns.as_str()));
     }
     for (place, attr) in element.attrs.iter().enumerate() {
-        if &*attr.ns == XML {
+        if &*attr.ns == XML_NAMESPACE {
             // No other prefix may be bound to it.
             _ = write!(text, " xml:{}=\"{}\"", attr.name, attribute(&attr.value));
         } else if attr.ns.is_empty() {
@@ -319,13 +319,13 @@
 }
 
 /// Data as elements.
-pub fn elements(schema: &Schema, data: &Data) -> Vec<Element> {
+pub fn to_elements(schema: &Schema, data: &Data) -> Vec<Element> {
     let mut elements = Vec::new();
     for (id, content) in data.iter() {
         let node = schema.node(id);
         let ns = &*schema.modules[node.module].namespace;
         let entry = |data: &Data| {
-            let mut below = self::elements(schema, data);
+            let mut below = self::to_elements(schema, data);
             // RFC 7950 section 7.8.5: the keys come first, in their order.
             let rank = |element: &Element| {
                 node.keys()
@@ -334,15 +334,15 @@
                     .unwrap_or(usize::MAX)
             };
             below.sort_by_key(rank);
-            Element::new(ns, &node.name).with_all(below)
+            Element::new(ns, &node.name).with_children(below)
         };
         match content {
-            Content::Inner(data) => {
-                elements.push(Element::new(ns, &node.name).with_all(self::elements(schema, data)))
+            Content::Container(data) => {
+                elements.push(Element::new(ns, &node.name).with_children(self::to_elements(schema, data)))
             }
             Content::List(entries) => elements.extend(entries.values().map(entry)),
             Content::Leaf(value) => elements.push(Element::with_text(ns, &node.name, value.to_string())),
-            Content::Leaves(values) => {
+            Content::LeafList(values) => {
                 elements
                     .extend(values.iter().map(|value| Element::with_text(ns, &node.name, value.to_string())));
             }
@@ -352,7 +352,11 @@
 }
 
 /// Elements as drafts. Only configuration may stand there; `operation` attributes only where they are `allowed`.
-pub fn drafts(schema: &Schema, elements: &[Element], allowed: bool) -> Result<Vec<Draft>, Fault> {
+pub fn to_edit_nodes(
+    schema: &Schema,
+    elements: &[Element],
+    allowed: bool,
+) -> Result<Vec<EditNode>, ModelError> {
     drafts_below(schema, None, &Path::default(), elements, allowed)
 }
 
@@ -362,7 +366,7 @@
     at: &Path,
     elements: &[Element],
     allowed: bool,
-) -> Result<Vec<Draft>, Fault> {
+) -> Result<Vec<EditNode>, ModelError> {
     elements.iter().map(|element| draft(schema, parent, at, element, allowed)).collect()
 }
 
@@ -372,97 +376,110 @@
     at: &Path,
     element: &Element,
     allowed: bool,
-) -> Result<Draft, Fault> {
-    let place = at.spelled(schema);
-    let refused = |rule, what: String| Err(Fault::new(rule, &*place, &element.name, what).on(element.line));
+) -> Result<EditNode, ModelError> {
+    let place = at.format(schema);
+    let refused =
+        |rule, what: String| Err(ModelError::new(rule, &*place, &element.name, what).at_line(element.line));
     let name = quoted(&element.name);
     let Some(module) = schema.modules.iter().position(|module| module.namespace == *element.ns) else {
         return refused(
-            Rule::UnknownNamespace,
+            ErrorKind::UnknownNamespace,
             format!("{name} is in the unknown namespace {}", quoted(&element.ns)),
         );
     };
     let Some(id) = schema.child(parent, &element.name, Some(module)) else {
-        return refused(Rule::UnknownElement, format!("{name} has no place here"));
+        return refused(ErrorKind::UnknownElement, format!("{name} has no place here"));
     };
     let node = schema.node(id);
     if !node.config {
-        return refused(Rule::NotConfiguration, format!("{name} is state, which can be read only"));
+        return refused(ErrorKind::NotConfiguration, format!("{name} is state, which can be read only"));
     }
     let mut op = None;
     for attr in &element.attrs {
-        if &*attr.ns != NETCONF || attr.name != "operation" || !allowed {
+        if &*attr.ns != NETCONF_NAMESPACE || attr.name != "operation" || !allowed {
             let what = format!("the attribute {} has no place here", quoted(&attr.name));
-            return Err(Fault::new(Rule::UnknownAttribute, &*place, &attr.name, what).on(element.line));
+            return Err(
+                ModelError::new(ErrorKind::UnknownAttribute, &*place, &attr.name, what).at_line(element.line)
+            );
         }
         op = Some(match attr.value.as_str() {
-            "merge" => Op::Merge,
-            "replace" => Op::Replace,
-            "create" => Op::Create,
-            "delete" => Op::Delete,
-            "remove" => Op::Remove,
+            "merge" => EditOperation::Merge,
+            "replace" => EditOperation::Replace,
+            "create" => EditOperation::Create,
+            "delete" => EditOperation::Delete,
+            "remove" => EditOperation::Remove,
             other => {
                 let what = format!("{} is no operation", quoted(other));
-                return Err(Fault::new(Rule::BadAttribute, &*place, "operation", what).on(element.line));
+                return Err(ModelError::new(ErrorKind::BadAttribute, &*place, "operation", what)
+                    .at_line(element.line));
             }
         });
     }
-    let leaves = matches!(op, Some(Op::Delete | Op::Remove));
-    let mut draft = Draft { node: id, keys: vec![], value: None, op, line: element.line, below: vec![] };
+    let leaves = matches!(op, Some(EditOperation::Delete | EditOperation::Remove));
+    let mut draft =
+        EditNode { node: id, keys: vec![], value: None, operation: op, line: element.line, children: vec![] };
     match &node.kind {
-        Kind::Leaf { ty, .. } | Kind::LeafList { ty } => {
+        NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => {
             if let Some(child) = element.children.first() {
                 return refused(
-                    Rule::UnknownElement,
+                    ErrorKind::UnknownElement,
                     format!("{} has no place in {name}", quoted(&child.name)),
                 );
             }
-            let empties = leaves && element.text.is_empty() && matches!(node.kind, Kind::Leaf { .. });
-            draft.value = match ty.read(&element.text) {
+            let empties = leaves && element.text.is_empty() && matches!(node.kind, NodeKind::Leaf { .. });
+            draft.value = match ty.parse(&element.text) {
                 Ok(value) => Some(value),
                 Err(_) if empties => None,
                 Err(why) => {
-                    let place = at.with(Step::to(id)).spelled(schema);
-                    return Err(Fault::new(Rule::BadValue, place, &element.name, why).on(element.line));
+                    let place = at.child(Step::without_keys(id)).format(schema);
+                    return Err(
+                        ModelError::new(ErrorKind::BadValue, place, &element.name, why).at_line(element.line)
+                    );
                 }
             };
         }
-        Kind::Container { .. } | Kind::List { .. } => {
+        NodeKind::Container { .. } | NodeKind::List { .. } => {
             if !element.text.trim().is_empty() {
-                return refused(Rule::BadValue, format!("{name} holds elements and no text"));
+                return refused(ErrorKind::BadValue, format!("{name} holds elements and no text"));
             }
-            let mut step = Step::to(id);
+            let mut step = Step::without_keys(id);
             for key in node.keys() {
                 let key = schema.node(*key);
                 let Some(found) =
                     element.children.iter().find(|child| child.name == key.name && child.ns == element.ns)
                 else {
                     let what = format!("the key {} is missing", key.name);
-                    let place = at.with(step).spelled(schema);
-                    return Err(Fault::new(Rule::MissingElement, place, &key.name, what).on(element.line));
+                    let place = at.child(step).format(schema);
+                    return Err(ModelError::new(ErrorKind::MissingElement, place, &key.name, what)
+                        .at_line(element.line));
                 };
-                if let Kind::Leaf { ty, .. } = &key.kind {
-                    let value = ty.read(&found.text).map_err(|why| {
-                        Fault::new(Rule::BadValue, at.with(step.clone()).spelled(schema), &key.name, why)
-                            .on(found.line)
+                if let NodeKind::Leaf { ty, .. } = &key.kind {
+                    let value = ty.parse(&found.text).map_err(|why| {
+                        ModelError::new(
+                            ErrorKind::BadValue,
+                            at.child(step.clone()).format(schema),
+                            &key.name,
+                            why,
+                        )
+                        .at_line(found.line)
                     })?;
                     draft.keys.push(value);
                 }
             }
             step.keys = draft.keys.clone();
-            draft.below = drafts_below(schema, Some(id), &at.with(step), &element.children, allowed)?;
-            let is_key = |below: &&Draft| node.keys().contains(&below.node);
-            if let Some(key) = draft.below.iter().filter(is_key).find(|below| below.op.is_some()) {
-                let here = at.with(draft.step());
-                return Err(key.fault(
+            draft.children = drafts_below(schema, Some(id), &at.child(step), &element.children, allowed)?;
+            let is_key = |below: &&EditNode| node.keys().contains(&below.node);
+            if let Some(key) = draft.children.iter().filter(is_key).find(|below| below.operation.is_some()) {
+                let here = at.child(draft.step());
+                return Err(key.error(
                     schema,
                     &here,
-                    Rule::BadAttribute,
+                    ErrorKind::BadAttribute,
                     "is a key and has no operation of its own",
                 ));
             }
-            if draft.below.iter().filter(is_key).count() > node.keys().len() {
-                return Err(draft.fault(schema, at, Rule::Repeated, "names a key twice"));
+            if draft.children.iter().filter(is_key).count() > node.keys().len() {
+                return Err(draft.error(schema, at, ErrorKind::Duplicate, "names a key twice"));
             }
         }
     }
@@ -470,25 +487,26 @@
 }
 
 /// A file of configuration: the element `config`, or any of ours, with data below it.
-pub fn from_file(schema: &Schema, text: &[u8]) -> Result<Data, Fault> {
-    let root = read(text).map_err(|malformed| malformed.fault())?;
-    if !root.is(NETCONF, "config") {
-        let what = format!("the file holds <{}> and should hold <config xmlns=\"{NETCONF}\">", root.name);
-        return Err(Fault::new(Rule::UnknownElement, "", &root.name, what).on(root.line));
+pub fn parse_config(schema: &Schema, text: &[u8]) -> Result<Data, ModelError> {
+    let root = parse(text).map_err(|malformed| malformed.to_model_error())?;
+    if !root.is(NETCONF_NAMESPACE, "config") {
+        let what =
+            format!("the file holds <{}> and should hold <config xmlns=\"{NETCONF_NAMESPACE}\">", root.name);
+        return Err(ModelError::new(ErrorKind::UnknownElement, "", &root.name, what).at_line(root.line));
     }
     if let Some(attr) = root.attrs.first() {
         let what = format!("the attribute {} has no place here", quoted(&attr.name));
-        return Err(Fault::new(Rule::UnknownAttribute, "", &attr.name, what).on(root.line));
+        return Err(ModelError::new(ErrorKind::UnknownAttribute, "", &attr.name, what).at_line(root.line));
     }
-    let drafts = drafts(schema, &root.children, false)?;
-    let mut data = Data::from_drafts(schema, &drafts)?;
-    data.complete(schema)?;
-    data.tidy(schema);
+    let drafts = to_edit_nodes(schema, &root.children, false)?;
+    let mut data = Data::from_edit_nodes(schema, &drafts)?;
+    data.check_mandatory(schema)?;
+    data.prune_empty(schema);
     Ok(data)
 }
 
 /// Such a file's text.
-pub fn to_file(schema: &Schema, data: &Data) -> String {
-    let root = Element::new(NETCONF, "config").with_all(elements(schema, data));
+pub fn write_config(schema: &Schema, data: &Data) -> String {
+    let root = Element::new(NETCONF_NAMESPACE, "config").with_children(to_elements(schema, data));
     format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{}", write(&root, true))
 }
--- a/crates/model/src/xsd.rs
+++ b/crates/model/src/xsd.rs
@@ -4,9 +4,9 @@
 
 use quick_xml::escape::escape;
 
-use crate::schema::{Kind, Node, NodeId, Schema};
+use crate::schema::{Node, NodeId, NodeKind, Schema};
 use crate::value::{Ranges, Type, Value};
-use crate::xml::NETCONF;
+use crate::xml::NETCONF_NAMESPACE;
 
 /// One schema document for each namespace that the file may hold, by file name. The first is the one to start
 /// from; it names the others.
@@ -39,7 +39,7 @@
         text.push_str("</xs:schema>\n");
         documents.push((name, text));
     }
-    _ = writeln!(root, "<xs:schema {head} targetNamespace=\"{NETCONF}\"{spaces}>");
+    _ = writeln!(root, "<xs:schema {head} targetNamespace=\"{NETCONF_NAMESPACE}\"{spaces}>");
     _ = write!(root, "{imports}  <xs:element name=\"config\">\n    <xs:complexType>\n      <xs:all>\n{refs}");
     root.push_str("      </xs:all>\n    </xs:complexType>\n  </xs:element>\n</xs:schema>\n");
     documents.insert(0, ("juniperrail.xsd".into(), root));
@@ -51,14 +51,14 @@
     let pad = "  ".repeat(depth);
     let occurs = match (&of.kind, top) {
         (_, true) => "",
-        (Kind::Leaf { mandatory: true, .. }, _) => "",
-        (Kind::Leaf { .. }, _) if is_key(schema, id) => "",
-        (Kind::Leaf { .. } | Kind::Container { .. }, _) => " minOccurs=\"0\"",
-        (Kind::List { .. } | Kind::LeafList { .. }, _) => " minOccurs=\"0\" maxOccurs=\"unbounded\"",
+        (NodeKind::Leaf { mandatory: true, .. }, _) => "",
+        (NodeKind::Leaf { .. }, _) if is_key(schema, id) => "",
+        (NodeKind::Leaf { .. } | NodeKind::Container { .. }, _) => " minOccurs=\"0\"",
+        (NodeKind::List { .. } | NodeKind::LeafList { .. }, _) => " minOccurs=\"0\" maxOccurs=\"unbounded\"",
     };
     let told = documented(of, &pad);
     match &of.kind {
-        Kind::Leaf { ty, default, .. } => {
+        NodeKind::Leaf { ty, default, .. } => {
             let default = default.as_ref().map(|value| format!(" default=\"{}\"", escape(value.to_string())));
             _ = writeln!(
                 text,
@@ -69,18 +69,19 @@
             text.push_str(&told);
             simple(ty, depth + 1, text);
         }
-        Kind::LeafList { ty } => {
+        NodeKind::LeafList { ty } => {
             _ = writeln!(text, "{pad}<xs:element name=\"{}\"{occurs}>", of.name);
             text.push_str(&told);
             simple(ty, depth + 1, text);
         }
-        Kind::Container { .. } | Kind::List { .. } => {
+        NodeKind::Container { .. } | NodeKind::List { .. } => {
             _ = writeln!(text, "{pad}<xs:element name=\"{}\"{occurs}>", of.name);
             text.push_str(&told);
             // YANG lets other nodes come in any order, which XSD 1.0 says only by a choice over and over where
             // some come more than once; how often each comes the program checks itself.
-            let many =
-                |id: &&NodeId| matches!(schema.node(**id).kind, Kind::List { .. } | Kind::LeafList { .. });
+            let many = |id: &&NodeId| {
+                matches!(schema.node(**id).kind, NodeKind::List { .. } | NodeKind::LeafList { .. })
+            };
             let (open, close) = match of.children.iter().any(|id| many(&id)) {
                 true => ("<xs:choice minOccurs=\"0\" maxOccurs=\"unbounded\">", "</xs:choice>"),
                 false => ("<xs:all>", "</xs:all>"),
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -1,6 +1,6 @@
 //! Stories of the model: what is read from XML and JSON, what is refused and how, and the file's schema.
 
-use juniperrail_model::{diff, json, schema, xml, xsd, Data, Path, Rule, Value, View};
+use juniperrail_model::{diff, json, schema, xml, xsd, Data, ErrorKind, Path, Value, View};
 
 const FILE: &str = r#"<?xml version="1.0"?>
 <config xmlns="urn:ietf:params:xml:ns:netconf:base:1.0">
@@ -20,33 +20,33 @@
 </config>"#;
 
 fn file(text: &str) -> Data {
-    xml::from_file(&schema(), text.as_bytes()).unwrap()
+    xml::parse_config(&schema(), text.as_bytes()).unwrap()
 }
 
 #[test]
 fn a_file_is_read_whole_and_written_so_that_it_reads_alike() {
     let (schema, data) = (schema(), file(FILE));
     let top = View::new(&schema, &data);
-    let workers = top.inner("workers").entries("worker");
+    let workers = top.container("workers").entries("worker");
     let word = |place: usize, name: &str| workers[place].leaf(name).map(Value::to_string);
     assert_eq!(word(0, "wanted").as_deref(), Some("draining"));
     assert_eq!((word(1, "wanted").as_deref(), word(1, "weight").as_deref()), (Some("follow"), Some("0.5")));
     assert_eq!(word(0, "weight"), None, "without a default nothing is said");
-    assert_eq!(top.inner("figures").figure("drain-grace"), Some(2500.0));
-    let user = &top.inner("northbound").entries("user")[0];
-    assert_eq!(user.leaves("ssh-key"), [&Value::text("ssh-ed25519 AAAA<A> ann")]);
-    let written = xml::to_file(&schema, &data);
+    assert_eq!(top.container("figures").number("drain-grace"), Some(2500.0));
+    let user = &top.container("northbound").entries("user")[0];
+    assert_eq!(user.leaf_list("ssh-key"), [&Value::text("ssh-ed25519 AAAA<A> ann")]);
+    let written = xml::write_config(&schema, &data);
     assert_eq!(file(&written), data, "{written}");
     let text = json::write(&schema, &data);
     assert_eq!(text["juniperrail-manager:figures"]["drain-grace"], "2500.0");
-    let drafts = json::drafts(&schema, None, &text).unwrap();
-    assert_eq!(Data::from_drafts(&schema, &drafts).unwrap(), data);
+    let drafts = json::to_edit_nodes(&schema, None, &text).unwrap();
+    assert_eq!(Data::from_edit_nodes(&schema, &drafts).unwrap(), data);
     assert_eq!(
-        json::from_xml(&schema, &xml::elements(&schema, &data)),
+        json::from_elements(&schema, &xml::to_elements(&schema, &data)),
         text,
         "as a client words what it got"
     );
-    assert_eq!(Data::from_drafts(&schema, &data.drafts()).unwrap(), data);
+    assert_eq!(Data::from_edit_nodes(&schema, &data.to_edit_nodes()).unwrap(), data);
 }
 
 #[test]
@@ -58,31 +58,45 @@
 fn a_fault_names_line_path_and_rule() {
     let schema = schema();
     for (old, new, rule, line, path, why) in [
-        ("0.50", "x", Rule::BadValue, 6, "/jrm:workers/worker[name='s-2']/weight", "\"x\" is no figure"),
+        ("0.50", "x", ErrorKind::BadValue, 6, "/jrm:workers/worker[name='s-2']/weight", "\"x\" is no figure"),
         (
             "0.50",
             "1000.5",
-            Rule::BadValue,
+            ErrorKind::BadValue,
             6,
             "/jrm:workers/worker[name='s-2']/weight",
             "not within 0.0..1000.0",
         ),
-        ("0.50", "NaN", Rule::BadValue, 6, "/jrm:workers/worker[name='s-2']/weight", "no figure"),
+        ("0.50", "NaN", ErrorKind::BadValue, 6, "/jrm:workers/worker[name='s-2']/weight", "no figure"),
         (
             "<wanted>",
             "<wanted a='1'>",
-            Rule::UnknownAttribute,
+            ErrorKind::UnknownAttribute,
             4,
             "/jrm:workers/worker[name='s-1']",
             "the attribute",
         ),
-        ("draining", "asleep", Rule::BadValue, 4, "/jrm:workers/worker[name='s-1']/wanted", "none of follow"),
-        ("<name>s-1</name>", "", Rule::MissingElement, 4, "/jrm:workers/worker", "the key name is missing"),
-        ("s-2<", "s-1<", Rule::Repeated, 6, "/jrm:workers/worker[name='s-1']", "twice"),
+        (
+            "draining",
+            "asleep",
+            ErrorKind::BadValue,
+            4,
+            "/jrm:workers/worker[name='s-1']/wanted",
+            "none of follow",
+        ),
+        (
+            "<name>s-1</name>",
+            "",
+            ErrorKind::MissingElement,
+            4,
+            "/jrm:workers/worker",
+            "the key name is missing",
+        ),
+        ("s-2<", "s-1<", ErrorKind::Duplicate, 6, "/jrm:workers/worker[name='s-1']", "twice"),
         (
             "<listen>127.0.0.1:830</listen>",
             "",
-            Rule::MissingElement,
+            ErrorKind::MissingElement,
             0,
             "/jrm:northbound/netconf/ssh",
             "listen is missing",
@@ -90,7 +104,7 @@
         (
             "127.0.0.1:830",
             "anywhere:830",
-            Rule::BadValue,
+            ErrorKind::BadValue,
             13,
             "/jrm:northbound/netconf/ssh/listen",
             "does not match",
@@ -98,7 +112,7 @@
         (
             "manager\">\n    <worker>",
             "mangler\">\n    <worker>",
-            Rule::UnknownNamespace,
+            ErrorKind::UnknownNamespace,
             3,
             "/",
             "unknown namespace",
@@ -106,7 +120,7 @@
         (
             "<netconf>",
             "<netconf><quick/>",
-            Rule::UnknownElement,
+            ErrorKind::UnknownElement,
             13,
             "/jrm:northbound/netconf",
             "\"quick\" has no place",
@@ -114,19 +128,19 @@
         (
             "</config>",
             "<state xmlns='tag:juniperrail.example,2026:yang:state'/></config>",
-            Rule::NotConfiguration,
+            ErrorKind::NotConfiguration,
             16,
             "/",
             "read only",
         ),
-        ("<config ", "<other ", Rule::Malformed, 16, "", ""),
-        ("</workers>", "words</workers>", Rule::Malformed, 7, "", "text beside elements"),
+        ("<config ", "<other ", ErrorKind::Malformed, 16, "", ""),
+        ("</workers>", "words</workers>", ErrorKind::Malformed, 7, "", "text beside elements"),
     ] {
         let text = FILE.replace(old, new);
         assert_ne!(text, FILE, "{old}");
-        let fault = xml::from_file(&schema, text.as_bytes()).unwrap_err();
-        assert_eq!((fault.rule, fault.line), (rule, line), "{fault}");
-        assert!(fault.path == path && fault.what.contains(why), "{fault}");
+        let fault = xml::parse_config(&schema, text.as_bytes()).unwrap_err();
+        assert_eq!((fault.kind, fault.line), (rule, line), "{fault}");
+        assert!(fault.path == path && fault.message.contains(why), "{fault}");
     }
 }
 
@@ -155,12 +169,12 @@
         (bomb, "a document type has no place here"),
         (outside, "a document type has no place here"),
     ] {
-        let malformed = xml::read(text.as_bytes()).unwrap_err();
-        assert!(malformed.what.contains(why), "{text:.40}: {malformed:?}");
+        let malformed = xml::parse(text.as_bytes()).unwrap_err();
+        assert!(malformed.message.contains(why), "{text:.40}: {malformed:?}");
     }
-    assert_eq!(xml::read(b"<a>\n\xff</a>").unwrap_err().line, 2);
+    assert_eq!(xml::parse(b"<a>\n\xff</a>").unwrap_err().line, 2);
     let odd = "<a>\n &lt;&#x41;<![CDATA[<&]]>&gt;\r\n</a>";
-    assert_eq!(xml::read(odd.as_bytes()).unwrap().trimmed_text(), "<A<&>");
+    assert_eq!(xml::parse(odd.as_bytes()).unwrap().trimmed_text(), "<A<&>");
 }
 
 #[test]
@@ -181,14 +195,14 @@
                 _ => bytes[place] = b"<>&;'\"/! \0\xff0a"[rng.usize(..13)],
             }
         }
-        match xml::from_file(&schema, &bytes) {
+        match xml::parse_config(&schema, &bytes) {
             Err(fault) => {
-                assert!(!fault.what.is_empty() && fault.to_string().len() < 600, "{fault}");
+                assert!(!fault.message.is_empty() && fault.to_string().len() < 600, "{fault}");
                 refused += 1;
             }
             // What is still taken is data of the model: it can be written and read again.
             Ok(data) => {
-                assert_eq!(file(&xml::to_file(&schema, &data)), data);
+                assert_eq!(file(&xml::write_config(&schema, &data)), data);
                 taken += 1;
             }
         }
@@ -201,19 +215,19 @@
     let schema = schema();
     let worker = |body: &str| format!(r#"{{"juniperrail-manager:workers":{{"worker":[{body}]}}}}"#);
     for (text, rule, why) in [
-        ("[]".to_string(), Rule::BadValue, "an object"),
-        (r#"{"workers":{}}"#.into(), Rule::UnknownElement, "has no place"),
-        (r#"{"other:workers":{}}"#.into(), Rule::UnknownNamespace, "no module"),
-        (r#"{"juniperrail-state:state":{}}"#.into(), Rule::NotConfiguration, "read only"),
-        (worker("{}"), Rule::MissingElement, "the key name"),
-        (worker(r#"{"name":"s","weight":1}"#), Rule::BadValue, "should be a string"),
-        (worker(r#"{"name":"s","weight":"1e3"}"#), Rule::BadValue, "no figure"),
-        (worker(r#"{"name":5}"#), Rule::BadValue, "not of this type"),
-        (worker("5"), Rule::BadValue, "an object"),
-        (r#"{"juniperrail-manager:workers":{"worker":{}}}"#.into(), Rule::BadValue, "an array"),
+        ("[]".to_string(), ErrorKind::BadValue, "an object"),
+        (r#"{"workers":{}}"#.into(), ErrorKind::UnknownElement, "has no place"),
+        (r#"{"other:workers":{}}"#.into(), ErrorKind::UnknownNamespace, "no module"),
+        (r#"{"juniperrail-state:state":{}}"#.into(), ErrorKind::NotConfiguration, "read only"),
+        (worker("{}"), ErrorKind::MissingElement, "the key name"),
+        (worker(r#"{"name":"s","weight":1}"#), ErrorKind::BadValue, "should be a string"),
+        (worker(r#"{"name":"s","weight":"1e3"}"#), ErrorKind::BadValue, "no figure"),
+        (worker(r#"{"name":5}"#), ErrorKind::BadValue, "not of this type"),
+        (worker("5"), ErrorKind::BadValue, "an object"),
+        (r#"{"juniperrail-manager:workers":{"worker":{}}}"#.into(), ErrorKind::BadValue, "an array"),
     ] {
-        let fault = json::drafts(&schema, None, &serde_json::from_str(&text).unwrap()).unwrap_err();
-        assert!(fault.rule == rule && fault.what.contains(why), "{text}: {fault:?}");
+        let fault = json::to_edit_nodes(&schema, None, &serde_json::from_str(&text).unwrap()).unwrap_err();
+        assert!(fault.kind == rule && fault.message.contains(why), "{text}: {fault:?}");
     }
 }
 
@@ -232,7 +246,7 @@
         .map(|d| {
             format!(
                 "{} {:?} {:?}",
-                d.path.spelled(&schema),
+                d.path.format(&schema),
                 d.old.is_some(),
                 d.new.as_ref().map(Value::to_string)
             )
@@ -255,7 +269,8 @@
 #[test]
 fn a_path_cuts_out_what_lies_there_with_its_keys() {
     let (schema, data) = (schema(), file(FILE));
-    let cut = |path: &str| xml::to_file(&schema, &data.cut(&schema, &Path::parse(&schema, path).unwrap()));
+    let cut =
+        |path: &str| xml::write_config(&schema, &data.subtree(&schema, &Path::parse(&schema, path).unwrap()));
     let weight = cut("/workers/worker[name='s-2']/weight");
     assert!(
         weight.contains("<name>s-2</name>") && weight.contains("0.5") && !weight.contains("s-1"),
@@ -265,7 +280,7 @@
     assert!(all.contains("s-1") && !all.contains("s-2"), "only where it is: {all}");
     assert!(cut("/workers/worker[name='s-9']")
         .contains("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"/>"));
-    assert_eq!(data.cut(&schema, &Path::default()), data);
+    assert_eq!(data.subtree(&schema, &Path::default()), data);
 }
 
 #[test]
@@ -284,7 +299,7 @@
     let root = uppsala::parse(&documents[0].1).unwrap();
     let validator = uppsala::XsdValidator::from_schema_with_base_path(&root, Some(&folder)).unwrap();
     let faults = |text: &str| validator.validate(&uppsala::parse(text).unwrap());
-    let written = xml::to_file(&schema, &file(FILE));
+    let written = xml::write_config(&schema, &file(FILE));
     assert!(faults(&written).is_empty(), "{:?}", faults(&written));
     assert!(faults(FILE).is_empty(), "{:?}", faults(FILE));
     for (old, new) in [
@@ -298,7 +313,7 @@
         ("s-2<", "s-1<"),
     ] {
         let text = FILE.replace(old, new);
-        assert!(xml::from_file(&schema, text.as_bytes()).is_err(), "{new}");
+        assert!(xml::parse_config(&schema, text.as_bytes()).is_err(), "{new}");
         assert!(!faults(&text).is_empty(), "the schema takes {new:?} for {old:?}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -2,8 +2,8 @@
 //! `rpc-error`s.
 
 use juniperrail_intent::{DatastoreError, Refusal, Session};
-use juniperrail_model::xml::{Attr, Element, NETCONF, XML};
-use juniperrail_model::{Fault, Rule};
+use juniperrail_model::xml::{Attr, Element, NETCONF_NAMESPACE, XML_NAMESPACE};
+use juniperrail_model::{ErrorKind, ModelError};
 
 /// The `error-type` of an error: the layer at which it occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,16 +48,16 @@
 
     /// Builds the `rpc-error` element. `prefixes` are the prefixes and namespaces that paths of the model use.
     pub fn to_element(&self, prefixes: &[(String, String)]) -> Element {
-        let leaf = |name: &str, text: &str| Element::with_text(NETCONF, name, text);
+        let leaf = |name: &str, text: &str| Element::with_text(NETCONF_NAMESPACE, name, text);
         let error_type = match self.error_type {
             ErrorType::Rpc => "rpc",
             ErrorType::Protocol => "protocol",
             ErrorType::Application => "application",
         };
-        let mut error = Element::new(NETCONF, "rpc-error")
-            .with(leaf("error-type", error_type))
-            .with(leaf("error-tag", self.tag))
-            .with(leaf("error-severity", "error"));
+        let mut error = Element::new(NETCONF_NAMESPACE, "rpc-error")
+            .with_child(leaf("error-type", error_type))
+            .with_child(leaf("error-tag", self.tag))
+            .with_child(leaf("error-severity", "error"));
         error.children.extend(self.app_tag.map(|tag| leaf("error-app-tag", tag)));
         if let Some(path) = &self.path {
             let used_prefixes = prefixes.iter().filter(|(prefix, _)| path.contains(&format!("{prefix}:")));
@@ -65,39 +65,39 @@
                 .children
                 .push(Element { prefixes: used_prefixes.cloned().collect(), ..leaf("error-path", path) });
         }
-        let language = Attr { ns: XML.into(), name: "lang".into(), value: "en".into() };
+        let language = Attr { ns: XML_NAMESPACE.into(), name: "lang".into(), value: "en".into() };
         error.children.push(Element { attrs: vec![language], ..leaf("error-message", &self.message) });
         if !self.info.is_empty() {
             let info = self.info.iter().map(|(name, value)| leaf(name, value));
-            error.children.push(Element::new(NETCONF, "error-info").with_all(info));
+            error.children.push(Element::new(NETCONF_NAMESPACE, "error-info").with_children(info));
         }
         error
     }
 }
 
 /// Converts a violation of the data model.
-pub fn from_model_fault(fault: &Fault) -> RpcError {
+pub fn from_model_fault(fault: &ModelError) -> RpcError {
     let message = match fault.line {
         // The fault is not about one line of the message.
-        0 => fault.what.clone(),
-        line => format!("line {line} of the message: {}", fault.what),
+        0 => fault.message.clone(),
+        line => format!("line {line} of the message: {}", fault.message),
     };
     let application_error = |tag| RpcError::new(ErrorType::Application, tag, message.clone());
     let with_bad_element = |error: RpcError| error.with_info("bad-element", &*fault.name);
-    let error = match fault.rule {
-        Rule::Malformed => RpcError::new(ErrorType::Rpc, "malformed-message", message.clone()),
-        Rule::UnknownElement | Rule::NotConfiguration => {
+    let error = match fault.kind {
+        ErrorKind::Malformed => RpcError::new(ErrorType::Rpc, "malformed-message", message.clone()),
+        ErrorKind::UnknownElement | ErrorKind::NotConfiguration => {
             with_bad_element(application_error("unknown-element"))
         }
-        Rule::UnknownNamespace => with_bad_element(application_error("unknown-namespace"))
-            .with_info("bad-namespace", quoted_namespace(&fault.what)),
-        Rule::UnknownAttribute => with_bad_attribute(application_error("unknown-attribute"), fault),
-        Rule::BadAttribute => with_bad_attribute(application_error("bad-attribute"), fault),
-        Rule::BadValue => application_error("invalid-value"),
-        Rule::MissingElement => with_bad_element(application_error("missing-element")),
-        Rule::Repeated => with_bad_element(application_error("bad-element")),
-        Rule::DataExists => application_error("data-exists"),
-        Rule::DataMissing => application_error("data-missing"),
+        ErrorKind::UnknownNamespace => with_bad_element(application_error("unknown-namespace"))
+            .with_info("bad-namespace", quoted_namespace(&fault.message)),
+        ErrorKind::UnknownAttribute => with_bad_attribute(application_error("unknown-attribute"), fault),
+        ErrorKind::BadAttribute => with_bad_attribute(application_error("bad-attribute"), fault),
+        ErrorKind::BadValue => application_error("invalid-value"),
+        ErrorKind::MissingElement => with_bad_element(application_error("missing-element")),
+        ErrorKind::Duplicate => with_bad_element(application_error("bad-element")),
+        ErrorKind::DataExists => application_error("data-exists"),
+        ErrorKind::DataMissing => application_error("data-missing"),
     };
     match fault.path.is_empty() {
         true => error,
@@ -105,7 +105,7 @@
     }
 }
 
-fn with_bad_attribute(error: RpcError, fault: &Fault) -> RpcError {
+fn with_bad_attribute(error: RpcError, fault: &ModelError) -> RpcError {
     let element = fault.path.rsplit('/').next().unwrap_or_default();
     let element = element.split('[').next().unwrap_or_default();
     let element = element.rsplit(':').next().unwrap_or_default();
@@ -170,8 +170,8 @@
         let schema = schema();
         let namespace = "xmlns='tag:juniperrail.example,2026:yang:manager'";
         let convert_fault = |text: String| {
-            let element = xml::read(text.as_bytes()).unwrap();
-            from_model_fault(&xml::drafts(&schema, &[element], true).unwrap_err())
+            let element = xml::parse(text.as_bytes()).unwrap();
+            from_model_fault(&xml::to_edit_nodes(&schema, &[element], true).unwrap_err())
         };
         let unknown = convert_fault("<workers xmlns='urn:none'/>".into());
         assert_eq!((unknown.tag, unknown.info.len()), ("unknown-namespace", 2));
@@ -193,7 +193,7 @@
         let text = xml::write(&value.to_element(&prefixes), false);
         assert!(text.contains("<error-path xmlns:jrm=\"tag:x\">/jrm:workers"), "{text}");
         assert!(text.contains(" xml:lang=\"en\">"), "{text}");
-        assert!(xml::read(text.as_bytes()).is_ok(), "{text}");
+        assert!(xml::parse(text.as_bytes()).is_ok(), "{text}");
     }
 
     #[test]
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -126,12 +126,12 @@
         </users><rest>r</rest></top><other xmlns='v'><x>1</x></other></d>";
 
     fn selected(filter: &str) -> String {
-        let filter = xml::read(format!("<filter>{filter}</filter>").as_bytes()).unwrap();
+        let filter = xml::parse(format!("<filter>{filter}</filter>").as_bytes()).unwrap();
         let keys = |element: &Element| match element.name.as_str() {
             "user" => vec!["name".to_string()],
             _ => vec![],
         };
-        let all = select(&filter, &xml::read(DATA.as_bytes()).unwrap().children, &keys);
+        let all = select(&filter, &xml::parse(DATA.as_bytes()).unwrap().children, &keys);
         all.iter().map(|element| xml::write(element, false)).collect()
     }
 
--- a/crates/netconf/src/notification.rs
+++ b/crates/netconf/src/notification.rs
@@ -1,7 +1,7 @@
 //! Notifications (RFC 5277) for subscribers: the events of RFC 6470, and `change-held` for a change that every
 //! proxy has applied.
 
-use juniperrail_model::xml::{Element, NETCONF};
+use juniperrail_model::xml::{Element, NETCONF_NAMESPACE};
 use juniperrail_model::Schema;
 use juniperrail_northbound::{Notification, TerminationReason};
 use time::format_description::well_known::Rfc3339;
@@ -17,30 +17,30 @@
     let element = |name: &str| Element::new(BASE_NOTIFICATIONS, name);
     let leaf = |name: &str, text: &str| Element::with_text(BASE_NOTIFICATIONS, name, text);
     let with_session = |event: Element, user: &str, id: u32| {
-        event.with(leaf("username", user)).with(leaf("session-id", &id.to_string()))
+        event.with_child(leaf("username", user)).with_child(leaf("session-id", &id.to_string()))
     };
     match notification {
         Notification::ConfigChanged { by, session: by_session, edits, .. } => {
             let changed_by = match by_session {
                 Some(id) => with_session(element("changed-by"), by, id.0),
-                None => element("changed-by").with(element("server")),
+                None => element("changed-by").with_child(element("server")),
             };
             let edit = |(path, operation): &(String, &'static str)| {
                 let target = Element { prefixes: prefixes.to_vec(), ..leaf("target", path) };
-                element("edit").with(target).with(leaf("operation", operation))
+                element("edit").with_child(target).with_child(leaf("operation", operation))
             };
             element("netconf-config-change")
-                .with(changed_by)
-                .with(leaf("datastore", "running"))
-                .with_all(edits.iter().take(MAX_EDITS).map(edit))
+                .with_child(changed_by)
+                .with_child(leaf("datastore", "running"))
+                .with_children(edits.iter().take(MAX_EDITS).map(edit))
         }
         Notification::ConfirmedCommit { how } => {
-            element("netconf-confirmed-commit").with(leaf("confirm-event", how))
+            element("netconf-confirmed-commit").with_child(leaf("confirm-event", how))
         }
         Notification::SessionStarted { caller, client_origin } => {
             let host = client_origin.split(' ').nth(1).unwrap_or_default();
             with_session(element("netconf-session-start"), &caller.user, caller.session.0)
-                .with(leaf("source-host", host))
+                .with_child(leaf("source-host", host))
         }
         Notification::SessionEnded { caller, how } => {
             let (killed_by, reason) = match how {
@@ -50,15 +50,17 @@
                 TerminationReason::TimedOut => (None, "timeout"),
             };
             with_session(element("netconf-session-end"), &caller.user, caller.session.0)
-                .with_all(killed_by.map(|by| leaf("killed-by", &by)))
-                .with(leaf("termination-reason", reason))
+                .with_children(killed_by.map(|by| leaf("killed-by", &by)))
+                .with_child(leaf("termination-reason", reason))
         }
         Notification::ChangeApplied { number, after } => {
-            let namespace =
-                schema.notifications.first().map_or(NETCONF, |id| &*schema.module_of(*id).namespace);
+            let namespace = schema
+                .notifications
+                .first()
+                .map_or(NETCONF_NAMESPACE, |id| &*schema.module_of(*id).namespace);
             Element::new(namespace, "change-held")
-                .with(Element::with_text(namespace, "number", number.to_string()))
-                .with(Element::with_text(namespace, "held-after", format!("{after:.3}")))
+                .with_child(Element::with_text(namespace, "number", number.to_string()))
+                .with_child(Element::with_text(namespace, "held-after", format!("{after:.3}")))
         }
     }
 }
@@ -77,6 +79,6 @@
         .unwrap_or(OffsetDateTime::UNIX_EPOCH);
     let event_time = event_time.format(&Rfc3339).unwrap_or_default();
     Element::new(NOTIFICATION, "notification")
-        .with(Element::with_text(NOTIFICATION, "eventTime", event_time))
-        .with(event)
+        .with_child(Element::with_text(NOTIFICATION, "eventTime", event_time))
+        .with_child(event)
 }
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use juniperrail_intent::{Commit, Datastore, DatastoreError, DefaultOperation, ErrorOption, Session};
-use juniperrail_model::xml::{self, Element, NETCONF};
-use juniperrail_model::{Data, Kind as NodeKind, Path, Schema};
+use juniperrail_model::xml::{self, Element, NETCONF_NAMESPACE};
+use juniperrail_model::{Data, NodeKind, Path, Schema};
 use juniperrail_northbound::{Caller, DatastoreManager, Source, TestOption};
 
 use crate::capabilities::{self, MONITORING, NMDA, NOTIFICATION, WITH_DEFAULTS, YANG_LIBRARY};
@@ -29,7 +29,7 @@
     pub fn new(datastore_manager: DatastoreManager) -> ServerContext {
         let schema = datastore_manager.schema().clone();
         let mut keys: HashMap<(String, String), Vec<String>> = HashMap::new();
-        for id in schema.ids() {
+        for id in schema.node_ids() {
             let node = schema.node(id);
             let list = (schema.modules[node.module].namespace.clone(), node.name.clone());
             if let NodeKind::List { keys: ids } = &node.kind {
@@ -114,9 +114,9 @@
 /// The datastore that a parameter such as `<target>` names.
 fn datastore_parameter(operation: &Element, name: &str) -> Result<Datastore, Vec<RpcError>> {
     let parameter =
-        operation.get(&operation.ns, name).ok_or_else(|| missing_element(name, &operation.name))?;
+        operation.child(&operation.ns, name).ok_or_else(|| missing_element(name, &operation.name))?;
     let [datastore] = &parameter.children[..] else { return Err(missing_element("a datastore", name)) };
-    match (&*datastore.ns == NETCONF, datastore.name.as_str()) {
+    match (&*datastore.ns == NETCONF_NAMESPACE, datastore.name.as_str()) {
         (true, "running") => Ok(Datastore::Running),
         (true, "candidate") => Ok(Datastore::Candidate),
         (true, "startup") => Ok(Datastore::Startup),
@@ -134,7 +134,7 @@
     default: T,
     values: &[(&str, T)],
 ) -> Result<T, Vec<RpcError>> {
-    let Some(parameter) = operation.get(&operation.ns, name) else { return Ok(default) };
+    let Some(parameter) = operation.child(&operation.ns, name) else { return Ok(default) };
     let found = values.iter().find(|(word, _)| *word == parameter.trimmed_text()).map(|(_, value)| *value);
     found.ok_or_else(|| {
         invalid_value(name, format!("{:.60?} is not a valid {name}", parameter.trimmed_text()))
@@ -143,7 +143,7 @@
 
 /// The value of an unsigned integer parameter.
 fn number_parameter(operation: &Element, name: &str) -> Result<Option<u64>, Vec<RpcError>> {
-    let Some(parameter) = operation.get(&operation.ns, name) else { return Ok(None) };
+    let Some(parameter) = operation.child(&operation.ns, name) else { return Ok(None) };
     let number = parameter.trimmed_text().parse();
     number.map(Some).map_err(|_| {
         invalid_value(name, format!("{:.60?} is not an unsigned integer", parameter.trimmed_text()))
@@ -152,7 +152,7 @@
 
 /// The text of a parameter.
 fn text_parameter<'a>(operation: &'a Element, name: &str) -> Option<&'a str> {
-    operation.get(&operation.ns, name).map(Element::trimmed_text)
+    operation.child(&operation.ns, name).map(Element::trimmed_text)
 }
 
 /// Rejects an operation with a parameter that is not among `names`. Parameters may also be in the namespace of
@@ -169,11 +169,11 @@
     /// Executes the operation of one message and returns the reply. The reply repeats all attributes of the `rpc`
     /// (RFC 6241 section 4.1).
     pub async fn reply(&self, message: &[u8]) -> (String, SessionAction) {
-        let reply = Element::new(NETCONF, "rpc-reply");
-        let rpc = match xml::read(message) {
+        let reply = Element::new(NETCONF_NAMESPACE, "rpc-reply");
+        let rpc = match xml::parse(message) {
             Ok(rpc) => rpc,
             Err(malformed) => {
-                let message = format!("line {} of the message: {}", malformed.line, malformed.what);
+                let message = format!("line {} of the message: {}", malformed.line, malformed.message);
                 let error = RpcError::new(ErrorType::Rpc, "malformed-message", message);
                 return (self.write_reply(reply, Err(vec![error])), SessionAction::Continue);
             }
@@ -190,10 +190,10 @@
     /// The complete `rpc-reply` as XML.
     fn write_reply(&self, reply: Element, body: Result<ReplyBody, Vec<RpcError>>) -> String {
         let reply = match body {
-            Ok(ReplyBody::Ok) => reply.with(Element::new(NETCONF, "ok")),
-            Ok(ReplyBody::Data(data)) => reply.with(data),
+            Ok(ReplyBody::Ok) => reply.with_child(Element::new(NETCONF_NAMESPACE, "ok")),
+            Ok(ReplyBody::Data(data)) => reply.with_child(data),
             Err(errors) => {
-                reply.with_all(errors.iter().map(|error| error.to_element(&self.context.prefixes)))
+                reply.with_children(errors.iter().map(|error| error.to_element(&self.context.prefixes)))
             }
         };
         xml::write(&reply, false)
@@ -201,7 +201,7 @@
 
     /// Checks the `rpc` element and executes its operation.
     async fn dispatch(&self, rpc: &Element) -> OperationResult {
-        if !rpc.is(NETCONF, "rpc") {
+        if !rpc.is(NETCONF_NAMESPACE, "rpc") {
             return Err(rpc_error(
                 ErrorType::Rpc,
                 "malformed-message",
@@ -239,25 +239,25 @@
             .iter()
             .any(|module| module.namespace == *operation.ns);
         match (&*operation.ns, name) {
-            (NETCONF, "get") => self.get(operation).await,
-            (NETCONF, "get-config") => self.get_config(operation).await,
-            (NETCONF, "edit-config") => self.edit_config(operation).await,
-            (NETCONF, "copy-config") => self.copy_config(operation).await,
-            (NETCONF, "delete-config") => self.delete_config(operation).await,
-            (NETCONF, "lock" | "unlock") => self.locking(operation).await,
-            (NETCONF, "validate") => self.validate(operation).await,
-            (NETCONF, "commit") => self.commit(operation).await,
-            (NETCONF, "cancel-commit") => self.cancel_commit(operation).await,
-            (NETCONF, "discard-changes") => {
+            (NETCONF_NAMESPACE, "get") => self.get(operation).await,
+            (NETCONF_NAMESPACE, "get-config") => self.get_config(operation).await,
+            (NETCONF_NAMESPACE, "edit-config") => self.edit_config(operation).await,
+            (NETCONF_NAMESPACE, "copy-config") => self.copy_config(operation).await,
+            (NETCONF_NAMESPACE, "delete-config") => self.delete_config(operation).await,
+            (NETCONF_NAMESPACE, "lock" | "unlock") => self.locking(operation).await,
+            (NETCONF_NAMESPACE, "validate") => self.validate(operation).await,
+            (NETCONF_NAMESPACE, "commit") => self.commit(operation).await,
+            (NETCONF_NAMESPACE, "cancel-commit") => self.cancel_commit(operation).await,
+            (NETCONF_NAMESPACE, "discard-changes") => {
                 check_parameters(operation, &[])?;
                 self.context.datastore_manager.discard(&self.caller).await.map_err(datastore_error)?;
                 reply_with(ReplyBody::Ok)
             }
-            (NETCONF, "close-session") => {
+            (NETCONF_NAMESPACE, "close-session") => {
                 check_parameters(operation, &[])?;
                 Ok((ReplyBody::Ok, SessionAction::Close))
             }
-            (NETCONF, "kill-session") => self.kill_session(operation).await,
+            (NETCONF_NAMESPACE, "kill-session") => self.kill_session(operation).await,
             (NMDA, "get-data") => self.get_data(operation).await,
             (MONITORING, "get-schema") => self.get_schema(operation),
             (NOTIFICATION, "create-subscription") => self.create_subscription(operation),
@@ -274,19 +274,19 @@
     fn elements(&self, data: &Data, with_defaults: bool) -> Vec<Element> {
         let schema = self.context.datastore_manager.schema();
         match with_defaults {
-            true => xml::elements(schema, &data.with_defaults(schema)),
-            false => xml::elements(schema, data),
+            true => xml::to_elements(schema, &data.with_defaults(schema)),
+            false => xml::to_elements(schema, data),
         }
     }
 
     fn data(&self, ns: &str, elements: Vec<Element>) -> ReplyBody {
-        ReplyBody::Data(Element::new(ns, "data").with_all(elements))
+        ReplyBody::Data(Element::new(ns, "data").with_children(elements))
     }
 
     /// The filter parameter. Filters other than subtree filters are rejected.
     fn filter<'a>(&self, operation: &'a Element, name: &str) -> Result<Option<&'a Element>, Vec<RpcError>> {
-        let Some(filter) = operation.get(&operation.ns, name) else { return Ok(None) };
-        match filter.attr("", "type").or(filter.attr(NETCONF, "type")) {
+        let Some(filter) = operation.child(&operation.ns, name) else { return Ok(None) };
+        match filter.attr("", "type").or(filter.attr(NETCONF_NAMESPACE, "type")) {
             None | Some("subtree") => Ok(Some(filter)),
             Some(other) => {
                 let error = RpcError::new(
@@ -301,8 +301,9 @@
 
     /// Whether the reply includes default values (RFC 6243).
     fn with_defaults(&self, operation: &Element) -> Result<bool, Vec<RpcError>> {
-        let mode =
-            operation.get(WITH_DEFAULTS, "with-defaults").or(operation.get(&operation.ns, "with-defaults"));
+        let mode = operation
+            .child(WITH_DEFAULTS, "with-defaults")
+            .or(operation.child(&operation.ns, "with-defaults"));
         match mode.map(Element::trimmed_text) {
             None | Some("explicit") => Ok(false),
             Some("report-all") => Ok(true),
@@ -320,7 +321,7 @@
         let running = self.context.datastore_manager.get(&self.caller, Datastore::Running).await;
         let mut all = self.elements(&running, with_defaults);
         all.extend(self.state(filter).await?);
-        reply_with(self.data(NETCONF, self.context.apply_filter(filter, all)))
+        reply_with(self.data(NETCONF_NAMESPACE, self.context.apply_filter(filter, all)))
     }
 
     /// The operational state that the filter can select.
@@ -334,7 +335,7 @@
         let mut all = Vec::new();
         let state = &datastore_manager
             .schema()
-            .module("juniperrail-state")
+            .module_index("juniperrail-state")
             .map(|index| &datastore_manager.schema().modules[index]);
         if state.is_some_and(|module| can_select(&module.namespace)) {
             all.extend(
@@ -362,9 +363,9 @@
             let global_lock = locks.iter().find(|(datastore, _)| *datastore == store);
             let lock = global_lock.map(|(_, session)| {
                 let locked_by = leaf("locked-by-session", &session.0.to_string());
-                element("locks").with(element("global-lock").with(locked_by))
+                element("locks").with_child(element("global-lock").with_child(locked_by))
             });
-            element("datastore").with(leaf("name", name)).with_all(lock)
+            element("datastore").with_child(leaf("name", name)).with_children(lock)
         };
         let datastores = [
             (Datastore::Running, "running"),
@@ -373,26 +374,26 @@
         ];
         let schema_element = |module: &juniperrail_model::Module| {
             element("schema")
-                .with(leaf("identifier", &module.name))
-                .with(leaf("version", &module.revision))
-                .with(leaf("format", "yang"))
-                .with(leaf("namespace", &module.namespace))
-                .with(leaf("location", "NETCONF"))
+                .with_child(leaf("identifier", &module.name))
+                .with_child(leaf("version", &module.revision))
+                .with_child(leaf("format", "yang"))
+                .with_child(leaf("namespace", &module.namespace))
+                .with_child(leaf("location", "NETCONF"))
         };
         let sessions = datastore_manager.sessions().await;
         let session_element = |(id, user, client_origin): (Session, String, String)| {
             let transport = if client_origin.starts_with("tls") { "netconf-tls" } else { "netconf-ssh" };
             element("session")
-                .with(leaf("session-id", &id.0.to_string()))
-                .with(leaf("transport", transport))
-                .with(leaf("username", &user))
-                .with(leaf("source-host", client_origin.split(' ').nth(1).unwrap_or_default()))
+                .with_child(leaf("session-id", &id.0.to_string()))
+                .with_child(leaf("transport", transport))
+                .with_child(leaf("username", &user))
+                .with_child(leaf("source-host", client_origin.split(' ').nth(1).unwrap_or_default()))
         };
         element("netconf-state")
-            .with(element("capabilities").with_all(capabilities))
-            .with(element("datastores").with_all(datastores.map(datastore_element)))
-            .with(element("schemas").with_all(schema.modules.iter().map(schema_element)))
-            .with(element("sessions").with_all(sessions.into_iter().map(session_element)))
+            .with_child(element("capabilities").with_children(capabilities))
+            .with_child(element("datastores").with_children(datastores.map(datastore_element)))
+            .with_child(element("schemas").with_children(schema.modules.iter().map(schema_element)))
+            .with_child(element("sessions").with_children(sessions.into_iter().map(session_element)))
     }
 
     /// The `yang-library` of RFC 8525.
@@ -404,24 +405,26 @@
             let import_only = schema.roots.iter().all(|id| schema.module_of(*id).name != module.name);
             let name = if import_only { "import-only-module" } else { "module" };
             element(name)
-                .with(leaf("name", &module.name))
-                .with(leaf("revision", &module.revision))
-                .with(leaf("namespace", &module.namespace))
+                .with_child(leaf("name", &module.name))
+                .with_child(leaf("revision", &module.revision))
+                .with_child(leaf("namespace", &module.namespace))
         };
         let module_set = element("module-set")
-            .with(leaf("name", "all"))
-            .with_all(schema.modules.iter().map(module_element));
+            .with_child(leaf("name", "all"))
+            .with_children(schema.modules.iter().map(module_element));
         let datastores = ["running", "candidate", "startup", "operational"].map(|name| {
             let prefixes =
                 vec![("ds".to_string(), "urn:ietf:params:xml:ns:yang:ietf-datastores".to_string())];
             let name = Element { prefixes, ..leaf("name", &format!("ds:{name}")) };
-            element("datastore").with(name).with(leaf("schema", "all"))
+            element("datastore").with_child(name).with_child(leaf("schema", "all"))
         });
         element("yang-library")
-            .with(module_set)
-            .with(element("schema").with(leaf("name", "all")).with(leaf("module-set", "all")))
-            .with_all(datastores)
-            .with(leaf("content-id", &capabilities::content_id(schema)))
+            .with_child(module_set)
+            .with_child(
+                element("schema").with_child(leaf("name", "all")).with_child(leaf("module-set", "all")),
+            )
+            .with_children(datastores)
+            .with_child(leaf("content-id", &capabilities::content_id(schema)))
     }
 
     async fn get_config(&self, operation: &Element) -> OperationResult {
@@ -429,7 +432,12 @@
         let store = datastore_parameter(operation, "source")?;
         let (filter, with_defaults) = (self.filter(operation, "filter")?, self.with_defaults(operation)?);
         let data = self.context.datastore_manager.get(&self.caller, store).await;
-        reply_with(self.data(NETCONF, self.context.apply_filter(filter, self.elements(&data, with_defaults))))
+        reply_with(
+            self.data(
+                NETCONF_NAMESPACE,
+                self.context.apply_filter(filter, self.elements(&data, with_defaults)),
+            ),
+        )
     }
 
     /// `get-data` of RFC 8526 section 3.1.1, with subtree filters only.
@@ -515,10 +523,11 @@
         ];
         let error_option =
             enum_parameter(operation, "error-option", ErrorOption::RollbackOnError, &error_options)?;
-        let config =
-            operation.get(NETCONF, "config").ok_or_else(|| missing_element("config", "edit-config"))?;
+        let config = operation
+            .child(NETCONF_NAMESPACE, "config")
+            .ok_or_else(|| missing_element("config", "edit-config"))?;
         let datastore_manager = &self.context.datastore_manager;
-        let drafts = xml::drafts(datastore_manager.schema(), &config.children, true);
+        let drafts = xml::to_edit_nodes(datastore_manager.schema(), &config.children, true);
         let drafts = drafts.map_err(|fault| datastore_error(DatastoreError::Faults(vec![fault])))?;
         let faults = datastore_manager
             .edit(&self.caller, &drafts, default_operation, error_option, test_option)
@@ -533,12 +542,12 @@
     /// The `source` parameter: a datastore or an inline configuration.
     fn source(&self, operation: &Element) -> Result<Source, Vec<RpcError>> {
         let source = operation
-            .get(&operation.ns, "source")
+            .child(&operation.ns, "source")
             .ok_or_else(|| missing_element("source", &operation.name))?;
-        let Some(config) = source.get(NETCONF, "config") else {
+        let Some(config) = source.child(NETCONF_NAMESPACE, "config") else {
             return datastore_parameter(operation, "source").map(Source::Store);
         };
-        let drafts = xml::drafts(self.context.datastore_manager.schema(), &config.children, false);
+        let drafts = xml::to_edit_nodes(self.context.datastore_manager.schema(), &config.children, false);
         drafts.map(Source::Inline).map_err(|fault| datastore_error(DatastoreError::Faults(vec![fault])))
     }
 
@@ -588,7 +597,7 @@
             seconds => seconds.map(|seconds| seconds as f64 * 1000.0),
         };
         let commit = Commit {
-            confirmed: operation.get(NETCONF, "confirmed").is_some(),
+            confirmed: operation.child(NETCONF_NAMESPACE, "confirmed").is_some(),
             confirm_timeout,
             persist: string_parameter("persist"),
             persist_id: string_parameter("persist-id"),
@@ -661,8 +670,8 @@
         if let Some(stream) = text_parameter(operation, "stream").filter(|stream| *stream != "NETCONF") {
             return Err(invalid_value("stream", format!("there is no stream {stream:.60?}, only NETCONF")));
         }
-        if operation.get(NOTIFICATION, "startTime").is_some()
-            || operation.get(NOTIFICATION, "stopTime").is_some()
+        if operation.child(NOTIFICATION, "startTime").is_some()
+            || operation.child(NOTIFICATION, "stopTime").is_some()
         {
             let message = "replay is not supported, so startTime and stopTime are not accepted";
             return Err(rpc_error(ErrorType::Protocol, "operation-not-supported", message));
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use juniperrail_framing::{delimiters, Decoder, Framing};
-use juniperrail_model::xml::{self, Element, NETCONF};
+use juniperrail_model::xml::{self, Element, NETCONF_NAMESPACE};
 use juniperrail_northbound::{Caller, Notification, TerminationReason};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::sync::broadcast::{error::RecvError, Receiver};
@@ -80,27 +80,29 @@
 
 /// The server's hello.
 fn hello(context: &ServerContext, session_id: u32) -> String {
-    let capability = |name: &String| Element::with_text(NETCONF, "capability", &**name);
+    let capability = |name: &String| Element::with_text(NETCONF_NAMESPACE, "capability", &**name);
     let capabilities = context.capabilities.iter().map(capability);
-    let hello = Element::new(NETCONF, "hello")
-        .with(Element::new(NETCONF, "capabilities").with_all(capabilities))
-        .with(Element::with_text(NETCONF, "session-id", session_id.to_string()));
+    let hello = Element::new(NETCONF_NAMESPACE, "hello")
+        .with_child(Element::new(NETCONF_NAMESPACE, "capabilities").with_children(capabilities))
+        .with_child(Element::with_text(NETCONF_NAMESPACE, "session-id", session_id.to_string()));
     xml::write(&hello, false)
 }
 
 /// The framing that both hellos allow. The error says what is wrong with the client's hello.
 fn negotiate_framing(message: &[u8]) -> Result<Framing, String> {
-    let hello = xml::read(message).map_err(|malformed| malformed.what)?;
-    if !hello.is(NETCONF, "hello") {
+    let hello = xml::parse(message).map_err(|malformed| malformed.message)?;
+    if !hello.is(NETCONF_NAMESPACE, "hello") {
         return Err(format!("expected <hello>, got <{:.60}>", hello.name));
     }
-    if hello.get(NETCONF, "session-id").is_some() {
+    if hello.child(NETCONF_NAMESPACE, "session-id").is_some() {
         return Err("the client's hello has a session-id".into());
     }
     let capability_elements =
-        hello.get(NETCONF, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
+        hello.child(NETCONF_NAMESPACE, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
     let lists_capability = |name: &str| {
-        capability_elements.iter().any(|item| item.is(NETCONF, "capability") && item.trimmed_text() == name)
+        capability_elements
+            .iter()
+            .any(|item| item.is(NETCONF_NAMESPACE, "capability") && item.trimmed_text() == name)
     };
     match (lists_capability(BASE_1_1), lists_capability(BASE_1_0)) {
         (true, _) => Ok(Framing::Chunked),
--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -48,17 +48,17 @@
 
 /// Reads a setting in milliseconds; 0 if it is absent.
 fn duration_setting(view: &View<'_>, name: &str) -> Duration {
-    Duration::from_secs_f64(view.figure(name).unwrap_or(0.0) / 1000.0)
+    Duration::from_secs_f64(view.number(name).unwrap_or(0.0) / 1000.0)
 }
 
 impl Listeners {
     /// Binds the listeners that the container `northbound/netconf` of the configuration names; `None` if the
     /// container names none. `resolve` returns the path of a file that the configuration names. The error is one line.
     pub fn bind(netconf: View<'_>, resolve: &dyn Fn(&str) -> PathBuf) -> Result<Option<Listeners>, String> {
-        let (ssh, tls) = (netconf.inner("ssh"), netconf.inner("tls"));
+        let (ssh, tls) = (netconf.container("ssh"), netconf.container("tls"));
         let file = |view: &View<'_>, name: &str| resolve(view.text(name).unwrap_or_default());
         let bind = |view: &View<'_>| bind_listener(view.text("listen").unwrap_or_default());
-        let ssh = match ssh.is_there() {
+        let ssh = match ssh.exists() {
             true => {
                 let path = file(&ssh, "host-key");
                 let host_key = russh::keys::load_secret_key(&path, None)
@@ -67,7 +67,7 @@
             }
             false => None,
         };
-        let tls = match tls.is_there() {
+        let tls = match tls.exists() {
             true => {
                 let config = tls_server_config(
                     &file(&tls, "certificate"),
--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -11,7 +11,7 @@
     DefaultOperation, ErrorOption, Proposal, Role, Session,
 };
 use juniperrail_interface::Ms;
-use juniperrail_model::{Data, Draft, Fault, Schema};
+use juniperrail_model::{Data, EditNode, ModelError, Schema};
 use tokio::sync::{broadcast, mpsc, oneshot, watch, Mutex, Notify};
 use tokio::time::Instant;
 
@@ -74,7 +74,7 @@
     /// The content of a datastore.
     Store(Datastore),
     /// Data sent with the request.
-    Inline(Vec<Draft>),
+    Inline(Vec<EditNode>),
 }
 
 /// An open session.
@@ -260,7 +260,7 @@
                 (true, false) => "delete",
                 (true, true) => "replace",
             };
-            (difference.path.spelled(&self.0.schema), operation)
+            (difference.path.format(&self.0.schema), operation)
         };
         differences.into_iter().map(edit).collect()
     }
@@ -394,11 +394,11 @@
     pub async fn edit(
         &self,
         caller: &Caller,
-        drafts: &[Draft],
+        drafts: &[EditNode],
         default_operation: DefaultOperation,
         error_option: ErrorOption,
         test_option: TestOption,
-    ) -> Result<Vec<Fault>, DatastoreError> {
+    ) -> Result<Vec<ModelError>, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let (data, faults) =
             inner.datastores.edit_candidate(caller.session, drafts, default_operation, error_option)?;
@@ -421,7 +421,7 @@
         new: &Data,
     ) -> Result<(), DatastoreError> {
         match inner.access.first_denied_write(&self.0.schema, &caller.user, old, new) {
-            Some(path) => Err(DatastoreError::AccessDenied(path.spelled(&self.0.schema))),
+            Some(path) => Err(DatastoreError::AccessDenied(path.format(&self.0.schema))),
             None => Ok(()),
         }
     }
@@ -439,9 +439,9 @@
                 readable
             }
             Source::Inline(drafts) => {
-                let mut data = Data::from_drafts(&self.0.schema, &drafts)
+                let mut data = Data::from_edit_nodes(&self.0.schema, &drafts)
                     .map_err(|fault| DatastoreError::Faults(vec![fault]))?;
-                data.tidy(&self.0.schema);
+                data.prune_empty(&self.0.schema);
                 data
             }
         })
--- a/crates/northbound/src/file.rs
+++ b/crates/northbound/src/file.rs
@@ -47,7 +47,7 @@
             Ok(_) => {}
         }
         let text = fs::read(&self.path).map_err(read_error)?;
-        xml::from_file(schema, &text).map(Some).map_err(|fault| format!("{path}: {fault}"))
+        xml::parse_config(schema, &text).map(Some).map_err(|fault| format!("{path}: {fault}"))
     }
 
     /// Replaces the file atomically: a concurrent reader, or one after a crash at any step, finds either the old or
@@ -62,7 +62,7 @@
         let temporary = folder.join(name);
         let mut file = File::create(&temporary)?;
         let result = file
-            .write_all(xml::to_file(schema, data).as_bytes())
+            .write_all(xml::write_config(schema, data).as_bytes())
             .and_then(|()| file.sync_all())
             .and_then(|()| fs::rename(&temporary, &self.path))
             // Without syncing the directory, the rename may be lost in a power failure.
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -174,12 +174,12 @@
 
     fn inner<R>(&mut self, name: &str, write: impl FnOnce(&mut Writer<'_>) -> R) -> R {
         let node = self.id(name);
-        write(&mut Writer { schema: self.schema, node, data: self.data.inner(node) })
+        write(&mut Writer { schema: self.schema, node, data: self.data.container(node) })
     }
 
     fn entry<R>(&mut self, name: &str, keys: &[Value], write: impl FnOnce(&mut Writer<'_>) -> R) -> R {
         let node = self.id(name);
-        write(&mut Writer { schema: self.schema, node, data: self.data.entry(self.schema, node, keys) })
+        write(&mut Writer { schema: self.schema, node, data: self.data.list_entry(self.schema, node, keys) })
     }
 }
 
@@ -208,7 +208,7 @@
     pub fn data(&self, schema: &Schema, versions: &VersionsState) -> Data {
         let mut data = Data::default();
         let node = schema.find(&["state"]).expect("the module has a state container");
-        let mut top = Writer { schema, node, data: data.inner(node) };
+        let mut top = Writer { schema, node, data: data.container(node) };
         top.text("manager", &self.manager).integer("list-version", self.list_version);
         top.inner("workers", |all| self.workers.iter().for_each(|worker| worker.write(all)));
         top.inner("tables", |all| self.tables.iter().for_each(|table| table.write(all)));
@@ -222,7 +222,7 @@
         if let Some(fleet) = &self.fleet {
             top.inner("fleet", |all| fleet.write(all));
         }
-        data.tidy(schema);
+        data.prune_empty(schema);
         data
     }
 }
@@ -271,7 +271,7 @@
             }
             let shut_out = proxy.id("shut-out");
             for worker in &self.excluded_workers {
-                proxy.data.leaves(shut_out).insert(Value::text(&**worker));
+                proxy.data.leaf_list(shut_out).insert(Value::text(&**worker));
             }
             for state in &self.operations {
                 proxy.entry("operation", &[Value::text(&*state.name)], |operation| {
@@ -349,22 +349,22 @@
 mod tests {
     use super::*;
     use juniperrail_interface::{CellId, MachineId, WorkerEntry, WorkerId, ZoneId};
-    use juniperrail_model::{json, Kind};
+    use juniperrail_model::{json, NodeKind};
 
     /// Checks that each leaf has a valid value of its type in the module.
     fn check_types(schema: &Schema, data: &Data) {
         for (id, content) in data.iter() {
             let check_value = |value: &Value| match &schema.node(id).kind {
-                Kind::Leaf { ty, .. } | Kind::LeafList { ty } => {
-                    let read = ty.read(&value.to_string());
+                NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => {
+                    let read = ty.parse(&value.to_string());
                     assert_eq!(read.as_ref(), Ok(value), "{}", schema.node(id).name);
                 }
                 _ => panic!("{} is not a leaf", schema.node(id).name),
             };
             match content {
                 Content::Leaf(value) => check_value(value),
-                Content::Leaves(values) => values.iter().for_each(check_value),
-                Content::Inner(data) => check_types(schema, data),
+                Content::LeafList(values) => values.iter().for_each(check_value),
+                Content::Container(data) => check_types(schema, data),
                 Content::List(entries) => entries.values().for_each(|entry| check_types(schema, entry)),
             }
         }
--- a/crates/northbound/tests/datastore_manager.rs
+++ b/crates/northbound/tests/datastore_manager.rs
@@ -17,18 +17,18 @@
 /// A datastore manager, and the receiver of its requests to the planner task.
 fn manager() -> (DatastoreManager, mpsc::Receiver<PlannerRequest>) {
     let schema = Arc::new(schema());
-    let data = xml::from_file(&schema, FILE.as_bytes()).unwrap();
+    let data = xml::parse_config(&schema, FILE.as_bytes()).unwrap();
     let (sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
     (DatastoreManager::new(schema, 1e12, data, None, sender).unwrap(), requests)
 }
 
 /// An edit that sets the weight of worker s-1.
-fn set_weight(manager: &DatastoreManager, weight: u32) -> Vec<juniperrail_model::Draft> {
+fn set_weight(manager: &DatastoreManager, weight: u32) -> Vec<juniperrail_model::EditNode> {
     let text = format!(
         "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\"><worker><name>s-1</name>\
          <weight>{weight}</weight></worker></workers>"
     );
-    xml::drafts(manager.schema(), &[xml::read(text.as_bytes()).unwrap()], true).unwrap()
+    xml::to_edit_nodes(manager.schema(), &[xml::parse(text.as_bytes()).unwrap()], true).unwrap()
 }
 
 #[tokio::test]
