--- a/crates/model/src/data.rs
+++ b/crates/model/src/data.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::fault::{ErrorKind, ModelError};
+use crate::error::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
--- a/crates/model/src/draft.rs
+++ b/crates/model/src/edit_node.rs
@@ -2,7 +2,7 @@
 //! done with it if that was said.
 
 use crate::data::{Content, Data};
-use crate::fault::{ErrorKind, ModelError};
+use crate::error::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
--- a/crates/model/src/json.rs
+++ b/crates/model/src/json.rs
@@ -3,8 +3,8 @@
 use serde_json::{Map, Value as Json};
 
 use crate::data::{Content, Data};
-use crate::draft::EditNode;
-use crate::fault::{ErrorKind, ModelError};
+use crate::edit_node::EditNode;
+use crate::error::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::{Type, Value};
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -4,8 +4,8 @@
 
 mod data;
 mod diff;
-mod draft;
-mod fault;
+mod edit_node;
+mod error;
 pub mod json;
 mod path;
 mod schema;
@@ -16,8 +16,8 @@
 
 pub use data::{Content, Data, View};
 pub use diff::{diff, Difference};
-pub use draft::{EditNode, EditOperation};
-pub use fault::{ErrorKind, ModelError};
+pub use edit_node::{EditNode, EditOperation};
+pub use error::{ErrorKind, ModelError};
 pub use path::{Path, Step};
 pub use schema::{Module, Node, NodeId, NodeKind, Schema};
 pub use value::{Type, Value};
--- a/crates/model/src/path.rs
+++ b/crates/model/src/path.rs
@@ -1,6 +1,6 @@
 //! Paths to nodes, as RFC 7950 section 9.13 spells instance-identifiers: `/jrm:workers/worker[name='s-1']`.
 
-use crate::fault::{ErrorKind, ModelError};
+use crate::error::{ErrorKind, ModelError};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
--- a/crates/model/src/xml.rs
+++ b/crates/model/src/xml.rs
@@ -11,8 +11,8 @@
 use quick_xml::{NsReader, XmlVersion};
 
 use crate::data::{Content, Data};
-use crate::draft::{EditNode, EditOperation};
-use crate::fault::{ErrorKind, ModelError};
+use crate::edit_node::{EditNode, EditOperation};
+use crate::error::{ErrorKind, ModelError};
 use crate::path::{Path, Step};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::quoted;
