--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CursorLimits {
     /// Bytes of entries written at a time. An entry that is longer by itself is written alone.
-    pub chunk: usize,
+    pub chunk_bytes: usize,
     /// Workers or changes looked at.
-    pub scan: usize,
+    pub scanned_records: usize,
 }
 
 impl Default for CursorLimits {
     /// 64 KiB, and 65,536 workers.
     fn default() -> Self {
-        CursorLimits { chunk: 64 << 10, scan: 65_536 }
+        CursorLimits { chunk_bytes: 64 << 10, scanned_records: 65_536 }
     }
 }
 
@@ -186,12 +186,12 @@
     }
 
     fn step_snapshot(&mut self, list: &WorkerList, out: &mut Vec<u8>, from: u32, mut is_first: bool) -> Step {
-        let scan = u32::try_from(self.limits.scan.max(1)).unwrap_or(u32::MAX);
+        let scan = u32::try_from(self.limits.scanned_records.max(1)).unwrap_or(u32::MAX);
         let end = from.saturating_add(scan).min(list.slots());
         for slot in from..end {
             let wanted = |record: &&Record| record.lifecycle != Lifecycle::Gone && self.concerns(record);
             let Some(record) = list.record(slot).filter(wanted) else { continue };
-            if !out.is_empty() && out.len() + record.entry.len() > self.limits.chunk {
+            if !out.is_empty() && out.len() + record.entry.len() > self.limits.chunk_bytes {
                 self.progress = Progress::Snapshot { next_slot: slot, is_first };
                 return Step::Send;
             }
@@ -210,7 +210,7 @@
     /// One line of differences: departures first, over everything that is pending.
     fn step_differences(&mut self, list: &WorkerList, out: &mut Vec<u8>) -> Step {
         let mut picked = Picked::default();
-        let mut scan = self.limits.scan.max(1);
+        let mut scan = self.limits.scanned_records.max(1);
         let (departures, departures_done) =
             self.pick(list, list.departures(), self.departures, &mut picked, &mut scan);
         self.departures = departures;
@@ -254,7 +254,7 @@
             *scan -= 1;
             let record = list.changed_record(&logged);
             if let Some(record) = record.filter(|record| self.concerns(record)) {
-                if !picked.slots.is_empty() && picked.bytes + record.entry.len() > self.limits.chunk {
+                if !picked.slots.is_empty() && picked.bytes + record.entry.len() > self.limits.chunk_bytes {
                     return (position, false);
                 }
                 picked.bytes += record.entry.len() + 1;
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -14,5 +14,5 @@
 pub use entry::EntryError;
 pub use list_reader::{ListEnd, ListError, ListEvent, ListLimits, ListReader};
 pub use relay_choice::{RelayChoice, RelayFailure, Retry, Round};
-pub use scope::{Place, Scope, ScopeError};
+pub use scope::{Location, Scope, ScopeError};
 pub use worker_list::{Applied, ApplyError, WorkerList, WorkerListLimits};
--- a/crates/distribution/src/list_reader.rs
+++ b/crates/distribution/src/list_reader.rs
@@ -20,15 +20,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListLimits {
     /// Bytes of one entry.
-    pub entry: usize,
+    pub entry_bytes: usize,
     /// Bytes of one line without its entries.
-    pub envelope: usize,
+    pub envelope_bytes: usize,
 }
 
 impl Default for ListLimits {
     /// 64 KiB each.
     fn default() -> Self {
-        ListLimits { entry: 64 << 10, envelope: 64 << 10 }
+        ListLimits { entry_bytes: 64 << 10, envelope_bytes: 64 << 10 }
     }
 }
 
@@ -58,9 +58,9 @@
 /// Why a line is no list. Nothing of it counts, and the rest of its bytes can't be relied on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListError {
-    /// The entry that begins so exceeds [`ListLimits::entry`].
+    /// The entry that begins so exceeds [`ListLimits::entry_bytes`].
     EntryTooLong(String),
-    /// What is not an entry exceeds [`ListLimits::envelope`].
+    /// What is not an entry exceeds [`ListLimits::envelope_bytes`].
     EnvelopeTooLong,
     /// The line, or the connection, ended within the entry that begins so.
     EntryCut(String),
@@ -235,7 +235,7 @@
     }
 
     fn take_envelope(&mut self, byte: u8) -> Result<(), ListError> {
-        if self.envelope.len() == self.limits.envelope {
+        if self.envelope.len() == self.limits.envelope_bytes {
             return Err(ListError::EnvelopeTooLong);
         }
         let was_in_string = self.nesting.in_string;
@@ -304,9 +304,9 @@
             }
         }
         let (own, rest) = bytes.split_at(taken);
-        self.entry.extend_from_slice(&own[..own.len().min(self.limits.entry + 1)]);
+        self.entry.extend_from_slice(&own[..own.len().min(self.limits.entry_bytes + 1)]);
         *bytes = rest;
-        if self.entry.len() > self.limits.entry {
+        if self.entry.len() > self.limits.entry_bytes {
             return Err(ListError::EntryTooLong(beginning(&self.entry)));
         }
         if !complete && !rest.is_empty() {
--- a/crates/distribution/src/places.rs
+++ b/crates/distribution/src/places.rs
@@ -5,7 +5,7 @@
 
 use hashbrown::{DefaultHashBuilder, HashTable};
 
-use crate::scope::{Place, Scope};
+use crate::scope::{Location, Scope};
 
 /// Zones, and services, that one list may have.
 const MOST_NAMES: usize = u16::MAX as usize;
@@ -70,7 +70,7 @@
 
 impl Places {
     /// The numbers of a place; `None` if a name of it is new and there are too many.
-    pub fn id(&mut self, place: Place<'_>) -> Option<PlaceId> {
+    pub fn id(&mut self, place: Location<'_>) -> Option<PlaceId> {
         let zone = self.zones.id(place.zone)?;
         // A service without a name is taken for none: the worker may serve any.
         let service = self.services.id(place.service.unwrap_or_default())?;
--- a/crates/distribution/src/relay_choice.rs
+++ b/crates/distribution/src/relay_choice.rs
@@ -31,9 +31,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Round {
     /// There are relays that it has not asked yet.
-    UnderWay,
+    InProgress,
     /// It has asked every relay, and none served.
-    Over,
+    Exhausted,
     /// It has asked every relay, and every one was behind, so that the source itself has begun anew: the whole list is
     /// to be asked for, and taken whatever its version is.
     AllBehind,
@@ -78,17 +78,17 @@
     }
 
     /// The current relay serves: a round begins with it.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         (self.failed, self.behind, self.rounds) = (0, 0, 0);
     }
 
     /// The current relay failed: the next one is current from now on.
-    pub fn failed(&mut self, failure: RelayFailure, rng: &mut fastrand::Rng) -> Retry {
+    pub fn record_failure(&mut self, failure: RelayFailure, rng: &mut fastrand::Rng) -> Retry {
         self.current = (self.current + 1) % self.order.len();
         self.failed += 1;
         self.behind += usize::from(failure == RelayFailure::Behind);
         let (wait, round) = if self.failed < self.order.len() {
-            (self.wait_in_round(failure), Round::UnderWay)
+            (self.wait_in_round(failure), Round::InProgress)
         } else {
             self.end_round()
         };
@@ -112,7 +112,7 @@
         }
         let wait = doubled(FIRST_WAIT_BETWEEN_ROUNDS, self.rounds, LONGEST_WAIT_BETWEEN_ROUNDS);
         self.rounds = self.rounds.saturating_add(1);
-        (wait, Round::Over)
+        (wait, Round::Exhausted)
     }
 }
 
--- a/crates/distribution/src/scope.rs
+++ b/crates/distribution/src/scope.rs
@@ -16,7 +16,7 @@
 
 /// Where a worker stands, as far as scopes go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place<'a> {
+pub struct Location<'a> {
     pub zone: &'a str,
     /// The service it belongs to. A source that knows no services names none; such a worker may serve any of them.
     pub service: Option<&'a str>,
@@ -71,12 +71,12 @@
     }
 
     /// Whether it holds every worker there can be.
-    pub fn is_everything(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.zones.is_empty() && self.services.is_empty()
     }
 
     /// Whether a worker at this place belongs to it.
-    pub fn contains(&self, place: Place<'_>) -> bool {
+    pub fn contains(&self, place: Location<'_>) -> bool {
         let in_zone = self.zones.is_empty() || self.zones.contains(place.zone);
         let serves = |service| self.services.contains(service);
         in_zone && (self.services.is_empty() || place.service.is_none_or(serves))
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -14,7 +14,7 @@
 use crate::change_log::{Change, ChangeLog, Logged};
 use crate::entry::{as_gone, summarize, EntryError, IdSpan, Lifecycle};
 use crate::places::{PlaceId, Places};
-use crate::scope::Place;
+use crate::scope::Location;
 
 /// Versions remembered as those that were held; a subscriber that resumes from another one gets a snapshot.
 const MOST_VERSIONS: usize = 65_536;
@@ -254,7 +254,7 @@
         let place = match &summary.zone {
             None => None,
             Some(zone) => {
-                let place = Place { zone, service: summary.service.as_deref() };
+                let place = Location { zone, service: summary.service.as_deref() };
                 Some(self.places.id(place).ok_or(EntryError::TooManyPlaces)?)
             }
         };
--- a/crates/distribution/tests/cursor.rs
+++ b/crates/distribution/tests/cursor.rs
@@ -4,13 +4,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use juniperrail_distribution::{
-    ApplyError, Cursor, CursorLimits, ListEnd, ListEvent, ListLimits, ListReader, Place, Scope, Step,
+    ApplyError, Cursor, CursorLimits, ListEnd, ListEvent, ListLimits, ListReader, Location, Scope, Step,
     WorkerList, WorkerListLimits,
 };
 use proptest::prelude::*;
 use serde::Deserialize;
 
-const LIMITS: CursorLimits = CursorLimits { chunk: 300, scan: 3 };
+const LIMITS: CursorLimits = CursorLimits { chunk_bytes: 300, scanned_records: 3 };
 const LIST_LIMITS: WorkerListLimits = WorkerListLimits { tombstones: 2 };
 
 /// Versions start anew far below the old ones, so that a number of the old ones is never reached again.
@@ -37,7 +37,7 @@
     }
 
     fn is_in(&self, scope: &Scope) -> bool {
-        scope.contains(Place { zone: &self.zone, service: self.service.as_deref() })
+        scope.contains(Location { zone: &self.zone, service: self.service.as_deref() })
     }
 
     fn is_gone(&self) -> bool {
@@ -222,7 +222,7 @@
     fn step(&mut self, relays: &[Relay]) -> Step {
         let before = self.unsent.len();
         let step = self.cursor.next(&relays[self.relay].list, &mut self.unsent);
-        assert!(self.unsent.len() - before <= LIMITS.chunk + 64, "a bounded piece at a time");
+        assert!(self.unsent.len() - before <= LIMITS.chunk_bytes + 64, "a bounded piece at a time");
         if step == Step::Send {
             let bytes = std::mem::take(&mut self.unsent);
             self.receive(&bytes, &relays[self.relay]);
--- a/crates/distribution/tests/list_reader.rs
+++ b/crates/distribution/tests/list_reader.rs
@@ -22,7 +22,7 @@
     instances: Vec<Box<RawValue>>,
 }
 
-const LIMITS: ListLimits = ListLimits { entry: 1024, envelope: 1024 };
+const LIMITS: ListLimits = ListLimits { entry_bytes: 1024, envelope_bytes: 1024 };
 
 fn read_pieces(pieces: &[&[u8]], limits: ListLimits) -> Result<Vec<Read>, ListError> {
     let mut reader = ListReader::new(limits);
@@ -108,7 +108,7 @@
 
 #[test]
 fn what_is_held_is_bounded() {
-    let limits = ListLimits { entry: 10, envelope: 40 };
+    let limits = ListLimits { entry_bytes: 10, envelope_bytes: 40 };
     let read =
         |text: &str| read_pieces(&text.bytes().collect::<Vec<_>>().chunks(3).collect::<Vec<_>>(), limits);
     let entries = vec!["[12345678]"; 1000].join(",");
--- a/crates/distribution/tests/relay_choice.rs
+++ b/crates/distribution/tests/relay_choice.rs
@@ -60,7 +60,7 @@
             assert_eq!(choice.current(), without.current(), "it stays where it is");
             continue;
         }
-        choice.failed(RelayFailure::Broken, &mut rng);
+        choice.record_failure(RelayFailure::Broken, &mut rng);
         assert_eq!(choice.current(), without.current(), "its next is its first without the dead one");
         moved.push(choice.current());
     }
@@ -78,7 +78,7 @@
     let mut tried = BTreeSet::new();
     for _ in 0..RELAYS {
         assert!(tried.insert(choice.current()), "{} is tried twice", choice.current());
-        choice.failed(RelayFailure::Broken, &mut rng);
+        choice.record_failure(RelayFailure::Broken, &mut rng);
     }
     assert_eq!((tried.len(), choice.current()), (RELAYS.into(), first));
 }
@@ -88,12 +88,12 @@
     let mut rng = fastrand::Rng::with_seed(5);
     let mut choice = RelayChoice::new("n0", relays()).unwrap();
     let first = choice.current();
-    choice.failed(RelayFailure::Broken, &mut rng);
+    choice.record_failure(RelayFailure::Broken, &mut rng);
     let second = choice.current();
-    choice.succeeded();
+    choice.record_success();
     assert_eq!(choice.current(), second, "it does not go back");
     for _ in 1..RELAYS {
-        let retry = choice.failed(RelayFailure::Broken, &mut rng);
+        let retry = choice.record_failure(RelayFailure::Broken, &mut rng);
         assert!(retry.wait < Duration::from_millis(1501), "within the round: {retry:?}");
     }
     assert_eq!(choice.current(), first, "the last of a round that began with the second");
@@ -104,7 +104,7 @@
     let first_waits: BTreeSet<Duration> = (0..64)
         .map(|seed| {
             let mut choice = RelayChoice::new("n0", relays()).unwrap();
-            choice.failed(RelayFailure::Broken, &mut fastrand::Rng::with_seed(seed)).wait
+            choice.record_failure(RelayFailure::Broken, &mut fastrand::Rng::with_seed(seed)).wait
         })
         .collect();
     assert!(first_waits.len() > 60, "managers that fail together come apart");
@@ -115,7 +115,7 @@
     let mut between_rounds = Vec::new();
     for _ in 0..12 {
         let waits: Vec<Duration> =
-            (0..RELAYS).map(|_| choice.failed(RelayFailure::Broken, &mut rng).wait).collect();
+            (0..RELAYS).map(|_| choice.record_failure(RelayFailure::Broken, &mut rng).wait).collect();
         let (last, within) = waits.split_last().unwrap();
         assert!(within.iter().all(|wait| *wait <= Duration::from_millis(1500)), "{within:?}");
         between_rounds.push(*last);
@@ -124,8 +124,8 @@
         let middle = Duration::from_secs(1).mul_f64(2f64.powi(round as i32)).min(Duration::from_secs(8));
         assert!((middle / 2..=middle * 3 / 2).contains(wait), "round {round}: {wait:?}");
     }
-    choice.succeeded();
-    let again = choice.failed(RelayFailure::Broken, &mut rng).wait;
+    choice.record_success();
+    let again = choice.record_failure(RelayFailure::Broken, &mut rng).wait;
     assert!(again <= Duration::from_millis(75), "after a success it is short again: {again:?}");
 }
 
@@ -137,24 +137,28 @@
             true => RelayFailure::Broken,
             false => RelayFailure::Behind,
         };
-        let retries: Vec<Retry> = (0..RELAYS).map(|place| choice.failed(failure(place), &mut rng)).collect();
+        let retries: Vec<Retry> =
+            (0..RELAYS).map(|place| choice.record_failure(failure(place), &mut rng)).collect();
         retries.iter().map(|retry| retry.round).collect()
     };
     let mut choice = RelayChoice::new("n0", relays()).unwrap();
     for broken in [0, 20, RELAYS - 1] {
         let rounds = round(&mut choice, Some(broken));
         let (last, before) = rounds.split_last().unwrap();
-        assert_eq!(*last, Round::Over, "{broken} said nothing");
-        assert!(before.iter().all(|round| *round == Round::UnderWay), "{before:?}");
+        assert_eq!(*last, Round::Exhausted, "{broken} said nothing");
+        assert!(before.iter().all(|round| *round == Round::InProgress), "{before:?}");
     }
     let rounds = round(&mut choice, None);
     let (last, before) = rounds.split_last().unwrap();
     assert_eq!(*last, Round::AllBehind);
-    assert!(before.iter().all(|round| *round == Round::UnderWay), "not before the last of them: {before:?}");
+    assert!(
+        before.iter().all(|round| *round == Round::InProgress),
+        "not before the last of them: {before:?}"
+    );
     // Who serves in between ends the round: what was behind before it counts no more.
-    choice.failed(RelayFailure::Behind, &mut fastrand::Rng::with_seed(1));
-    choice.succeeded();
-    assert_eq!(round(&mut choice, Some(RELAYS - 1)).last(), Some(&Round::Over));
+    choice.record_failure(RelayFailure::Behind, &mut fastrand::Rng::with_seed(1));
+    choice.record_success();
+    assert_eq!(round(&mut choice, Some(RELAYS - 1)).last(), Some(&Round::Exhausted));
 }
 
 #[test]
@@ -162,8 +166,8 @@
     let only = SocketAddr::from(([127, 0, 0, 1], 7100));
     let mut choice = RelayChoice::new("n0", [only, only]).unwrap();
     let mut rng = fastrand::Rng::with_seed(5);
-    assert_eq!(choice.failed(RelayFailure::Broken, &mut rng).round, Round::Over);
+    assert_eq!(choice.record_failure(RelayFailure::Broken, &mut rng).round, Round::Exhausted);
     assert_eq!(choice.current(), only);
-    assert_eq!(choice.failed(RelayFailure::Behind, &mut rng).round, Round::AllBehind);
+    assert_eq!(choice.record_failure(RelayFailure::Behind, &mut rng).round, Round::AllBehind);
     assert!(RelayChoice::new("n0", []).is_none());
 }
--- a/crates/distribution/tests/scope.rs
+++ b/crates/distribution/tests/scope.rs
@@ -1,6 +1,6 @@
 //! Scopes: who belongs to them, and that a query carries them unchanged.
 
-use juniperrail_distribution::{Place, Scope, ScopeError};
+use juniperrail_distribution::{Location, Scope, ScopeError};
 use proptest::prelude::*;
 
 fn scope(zones: &[&str], services: &[&str]) -> Scope {
@@ -10,8 +10,8 @@
 
 #[test]
 fn a_scope_without_names_holds_every_worker() {
-    let place = Place { zone: "a", service: Some("grading") };
-    assert!(Scope::default().is_everything());
+    let place = Location { zone: "a", service: Some("grading") };
+    assert!(Scope::default().is_unrestricted());
     assert!(Scope::default().contains(place));
     assert_eq!(Scope::default().to_query(), "");
 }
@@ -19,11 +19,11 @@
 #[test]
 fn both_dimensions_restrict_and_a_worker_without_a_service_may_serve_any() {
     let scope = scope(&["a", "b"], &["grading"]);
-    assert!(scope.contains(Place { zone: "b", service: Some("grading") }));
-    assert!(scope.contains(Place { zone: "b", service: None }));
-    assert!(!scope.contains(Place { zone: "b", service: Some("quiz") }));
-    assert!(!scope.contains(Place { zone: "c", service: Some("grading") }));
-    assert!(!scope.contains(Place { zone: "c", service: None }));
+    assert!(scope.contains(Location { zone: "b", service: Some("grading") }));
+    assert!(scope.contains(Location { zone: "b", service: None }));
+    assert!(!scope.contains(Location { zone: "b", service: Some("quiz") }));
+    assert!(!scope.contains(Location { zone: "c", service: Some("grading") }));
+    assert!(!scope.contains(Location { zone: "c", service: None }));
 }
 
 #[test]
--- a/crates/manager/src/cli/relay.rs
+++ b/crates/manager/src/cli/relay.rs
@@ -36,8 +36,8 @@
         let mut options = Options::new(self.listen, self.source);
         options.limits.subscribers = self.subscribers;
         options.limits.list.tombstones = self.tombstones;
-        options.limits.line.entry = kib_to_bytes(self.entry_kib);
-        options.limits.cursor.chunk = kib_to_bytes(self.chunk_kib);
+        options.limits.line.entry_bytes = kib_to_bytes(self.entry_kib);
+        options.limits.cursor.chunk_bytes = kib_to_bytes(self.chunk_kib);
         options
     }
 }
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -146,8 +146,8 @@
         }
         let mut retry = self.upstream.record_end(end.failure(), source_works, &mut self.rng);
         match retry.round {
-            Round::UnderWay => {}
-            Round::Over => self.follower.behind = Behind::default(),
+            Round::InProgress => {}
+            Round::Exhausted => self.follower.behind = Behind::default(),
             Round::AllBehind => {
                 tracing::warn!(
                     "every source has only older lists than the current one: the full list is requested"
@@ -398,7 +398,7 @@
     fn limits(&self) -> ListLimits {
         match self.filter {
             Some(_) => ListLimits::default(),
-            None => ListLimits { entry: MAX_LIST_BYTES, envelope: MAX_LIST_BYTES },
+            None => ListLimits { entry_bytes: MAX_LIST_BYTES, envelope_bytes: MAX_LIST_BYTES },
         }
     }
 
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -242,7 +242,7 @@
 
     /// Sets the subscription, and applies its scope to the cached list.
     fn with_subscription(mut self, subscription: Subscription) -> Launch {
-        if !subscription.scope.is_everything() {
+        if !subscription.scope.is_unrestricted() {
             let mut filter = ScopeFilter::new(subscription.scope.clone());
             self.cached_list = self.cached_list.map(|list| filter.filter(list));
             self.filter = Some(filter);
--- a/crates/manager/src/scope_filter.rs
+++ b/crates/manager/src/scope_filter.rs
@@ -7,7 +7,7 @@
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
-use juniperrail_distribution::{Place, Scope};
+use juniperrail_distribution::{Location, Scope};
 use juniperrail_interface::Phase;
 use serde::Deserialize;
 
@@ -124,9 +124,9 @@
     }
 
     fn classify_placed(&mut self, entry: Placement<'_>) -> Classification {
-        let place = Place { zone: &entry.zone, service: entry.service.as_deref() };
+        let location = Location { zone: &entry.zone, service: entry.service.as_deref() };
         let worker = &*entry.instance_id;
-        if self.scope.contains(place) {
+        if self.scope.contains(location) {
             self.staged.insert(worker.to_string(), entry.lifecycle != "gone");
             return Classification::Kept;
         }
--- a/crates/manager/src/upstream.rs
+++ b/crates/manager/src/upstream.rs
@@ -71,13 +71,13 @@
                 // Starts at 1/32 of a heartbeat and doubles up to one, with jitter so that managers do not retry
                 // together.
                 let wait = HEARTBEAT.mul_f64(0.5 + rng.f64()) / (32 >> (*failures).min(5));
-                Retry { wait, round: if behind { Round::AllBehind } else { Round::UnderWay } }
+                Retry { wait, round: if behind { Round::AllBehind } else { Round::InProgress } }
             }
             Upstream::Relays(relays) => {
                 if source_works {
-                    relays.succeeded();
+                    relays.record_success();
                 }
-                relays.failed(failure, rng)
+                relays.record_failure(failure, rng)
             }
         }
     }
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -114,7 +114,7 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let next = |_| {
         let relay = choice.current();
-        choice.failed(juniperrail_distribution::RelayFailure::Broken, &mut rng);
+        choice.record_failure(juniperrail_distribution::RelayFailure::Broken, &mut rng);
         relay
     };
     relays.iter().map(next).collect()
