--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -48,9 +48,9 @@
 impl fmt::Display for ApplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ApplyError::NoWholeList => write!(f, "changes came before any whole list"),
+            ApplyError::NoWholeList => write!(f, "changes arrived before the first full list"),
             ApplyError::Behind { version, held } => {
-                write!(f, "list {version} is older than {held}, which is held")
+                write!(f, "list {version} is older than the current list {held}")
             }
         }
     }
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -103,14 +103,15 @@
             Ok((_, peer)) => {
                 if let Some(left_out) = refusals.admit() {
                     tracing::warn!(
-                        "{most} connections are open: that of {peer} is closed ({left_out} more since)"
+                        "{most} connections are open: the limit is reached, and that of {peer} is closed \
+                         ({left_out} more since the last such line)"
                     );
                 }
             }
             Err(cause) => {
                 if let Some(left_out) = failures.admit() {
                     tracing::warn!(
-                        "no connection can be taken ({left_out} more since the last such line): {cause}"
+                        "no connection can be accepted ({left_out} more since the last such line): {cause}"
                     );
                 }
                 sleep(ACCEPT_PAUSE).await;
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -51,7 +51,7 @@
         self.heard_at.set(Instant::now());
         let gained = |status: &mut Status| !std::mem::replace(&mut status.in_sync, true);
         if self.status.send_if_modified(gained) {
-            tracing::info!("in step with the source");
+            tracing::info!("in sync with the source");
         }
     }
 
@@ -71,7 +71,7 @@
             }
             if self.status.send_if_modified(|status| std::mem::take(&mut status.in_sync)) {
                 let silence = self.options.timing.source_silence.as_millis();
-                tracing::warn!("the source is lost, silent for {silence} ms: subscribers are told nothing");
+                tracing::warn!("the source has been silent for {silence} ms: all watches end");
             }
             // The sender lives as long as this does.
             _ = status.wait_for(|status| status.in_sync).await;
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -39,16 +39,16 @@
 impl fmt::Display for SourceFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SourceFault::Dialling(cause) => write!(f, "the source can't be dialled: {cause}"),
-            SourceFault::DiallingTookTooLong => write!(f, "dialling the source took too long"),
-            SourceFault::Http(cause) => write!(f, "the connection to the source broke: {cause}"),
+            SourceFault::Dialling(cause) => write!(f, "{cause} (while dialling)"),
+            SourceFault::DiallingTookTooLong => write!(f, "the connection timed out (while dialling)"),
+            SourceFault::Http(cause) => write!(f, "connection error: {cause}"),
             SourceFault::Refused(status) => write!(f, "the source answered {status}"),
-            SourceFault::Silent => write!(f, "the source is silent"),
-            SourceFault::Ended => write!(f, "the source ended its watch"),
+            SourceFault::Silent => write!(f, "the watch is silent"),
+            SourceFault::Ended => write!(f, "the watch ended"),
             SourceFault::Line(cause) => cause.fmt(f),
             SourceFault::List(cause) => cause.fmt(f),
             SourceFault::StaysBehind => {
-                write!(f, "its lists stay older than the one held; the whole is asked for")
+                write!(f, "its lists stay older than the current one; the full list is requested")
             }
         }
     }
@@ -178,7 +178,9 @@
 
     fn log_odd_entry(&self, error: &EntryError) {
         if let Some(left_out) = self.odd_entries.admit() {
-            tracing::warn!("an entry is passed over ({left_out} more since the last such line): {error}");
+            tracing::warn!(
+                "an entry cannot be read and is skipped ({left_out} more since the last such line): {error}"
+            );
         }
     }
 
@@ -186,7 +188,7 @@
         let counts_anew = self.takes_anew && end.reset && self.held().is_some_and(|held| end.version < held);
         if counts_anew {
             let applied = self.shared.list.borrow_mut().restart(end.version);
-            tracing::warn!("the source counts anew from {}: all watches end", end.version);
+            tracing::warn!("the source restarted its versions at {}: all watches end", end.version);
             self.applied(end, applied);
             return Ok(());
         }
@@ -195,7 +197,7 @@
             Ok(applied) => self.applied(end, applied),
             Err(behind @ ApplyError::Behind { .. }) => {
                 if self.behind.is_none() {
-                    tracing::warn!("{behind}: it is passed over");
+                    tracing::warn!("{behind}: it is skipped");
                 }
                 self.behind.get_or_insert_with(Instant::now);
             }
@@ -207,7 +209,7 @@
     fn applied(&mut self, end: ListEnd, applied: Applied) {
         (self.behind, self.takes_anew) = (None, false);
         let workers = self.shared.list.borrow().workers();
-        let kind = if end.reset { "whole" } else { "changes" };
+        let kind = if end.reset { "full" } else { "changes" };
         tracing::debug!("list {} ({kind}): {} changed, {workers} workers", end.version, applied.changed);
         self.shared.announce();
         self.shared.confirm();
