--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -13,7 +13,7 @@
 
 use crate::change_log::{Change, ChangeLog};
 use crate::entry::Lifecycle;
-use crate::places::PlaceSet;
+use crate::locations::PlaceSet;
 use crate::scope::Scope;
 use crate::worker_list::{FormerPlace, Record, WorkerList};
 
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -5,7 +5,7 @@
 mod cursor;
 mod entry;
 mod list_reader;
-mod places;
+mod locations;
 mod relay_choice;
 mod scope;
 mod worker_list;
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -13,7 +13,7 @@
 
 use crate::change_log::{Change, ChangeLog, Logged};
 use crate::entry::{as_gone, summarize, EntryError, IdSpan, Lifecycle};
-use crate::places::{PlaceId, Places};
+use crate::locations::{PlaceId, Places};
 use crate::scope::Location;
 
 /// Versions remembered as those that were held; a subscriber that resumes from another one gets a snapshot.
