--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -13,8 +13,8 @@
 
 use crate::change_log::{Change, ChangeLog, Logged};
 use crate::entry::{as_gone, summarize, EntryError, IdSpan, Lifecycle};
-use crate::places::{PlaceId, Places};
-use crate::scope::Place;
+use crate::locations::{PlaceId, Places};
+use crate::scope::Location;
 
 /// Versions remembered as those that were held; a subscriber that resumes from another one gets a snapshot.
 const MOST_VERSIONS: usize = 65_536;
@@ -48,9 +48,9 @@
 impl fmt::Display for ApplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ApplyError::NoWholeList => write!(f, "changes came before any whole list"),
+            ApplyError::NoWholeList => write!(f, "changes arrived before the first full list"),
             ApplyError::Behind { version, held } => {
-                write!(f, "list {version} is older than {held}, which is held")
+                write!(f, "list {version} is older than the current list {held}")
             }
         }
     }
@@ -254,7 +254,7 @@
         let place = match &summary.zone {
             None => None,
             Some(zone) => {
-                let place = Place { zone, service: summary.service.as_deref() };
+                let place = Location { zone, service: summary.service.as_deref() };
                 Some(self.places.id(place).ok_or(EntryError::TooManyPlaces)?)
             }
         };
