--- a/crates/lab/src/capacity/assumptions.rs
+++ b/crates/lab/src/capacity/assumptions.rs
@@ -1,7 +1,7 @@
 //! What the page takes for granted and the letter does not say. Each can be halved or doubled, so that the page shows
 //! which of its figures rest on it.
 
-use super::letter;
+use super::requirements;
 
 /// One assumption.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -145,60 +145,60 @@
 
     /// Workers whose entries a manager needs that follows its services alone.
     pub fn workers_in_scope(&self) -> f64 {
-        letter::WORKERS / letter::SERVICES * self.assumed(Assumption::ServicesPerManager)
+        requirements::WORKERS / requirements::SERVICES * self.assumed(Assumption::ServicesPerManager)
     }
 
     /// The part of the whole list in such a scope.
     pub fn scope_share(&self) -> f64 {
-        self.workers_in_scope() / letter::WORKERS
+        self.workers_in_scope() / requirements::WORKERS
     }
 
     /// Managers that need a given worker's entry.
     pub fn managers_per_service(&self) -> f64 {
-        letter::MANAGERS * self.scope_share()
+        requirements::MANAGERS * self.scope_share()
     }
 
     /// Proxies of the whole fleet.
     pub fn proxies(&self) -> f64 {
-        letter::REQUESTS_PER_SECOND / self.assumed(Assumption::RequestsPerProxy)
+        requirements::REQUESTS_PER_SECOND / self.assumed(Assumption::RequestsPerProxy)
     }
 
     /// Proxies of one manager.
     pub fn proxies_per_manager(&self) -> f64 {
-        self.proxies() / letter::MANAGERS
+        self.proxies() / requirements::MANAGERS
     }
 
     /// Operations for which one manager writes tables.
     pub fn operations_per_manager(&self) -> f64 {
-        let operations = letter::ROUTES / self.assumed(Assumption::RoutesPerOperation);
-        operations / letter::SERVICES * self.assumed(Assumption::ServicesPerManager)
+        let operations = requirements::ROUTES / self.assumed(Assumption::RoutesPerOperation);
+        operations / requirements::SERVICES * self.assumed(Assumption::ServicesPerManager)
     }
 
     /// Managers that one control machine serves.
     pub fn managers_per_control_machine(&self) -> f64 {
-        letter::MANAGERS / letter::CONTROL_MACHINES
+        requirements::MANAGERS / requirements::CONTROL_MACHINES
     }
 
     /// Workers of the zone that fails.
     pub fn workers_per_zone(&self) -> f64 {
-        letter::WORKERS / letter::ZONES * self.assumed(Assumption::LargestZone)
+        requirements::WORKERS / requirements::ZONES * self.assumed(Assumption::LargestZone)
     }
 
     /// Managers of the zone that fails.
     pub fn managers_per_zone(&self) -> f64 {
-        letter::MANAGERS / letter::ZONES * self.assumed(Assumption::LargestZone)
+        requirements::MANAGERS / requirements::ZONES * self.assumed(Assumption::LargestZone)
     }
 
     /// Workers of one region.
     pub fn workers_per_region(&self) -> f64 {
-        letter::WORKERS / letter::REGIONS
+        requirements::WORKERS / requirements::REGIONS
     }
 
     /// Entries of the list that change in a second of an ordinary day.
     pub fn entries_per_second(&self) -> f64 {
-        let restarts = letter::RESTARTS_PER_DAY * self.assumed(Assumption::EntriesPerRestart);
-        let failures = letter::FAILURES_PER_DAY * self.assumed(Assumption::EntriesPerFailure);
-        (restarts + failures) * self.assumed(Assumption::WorkersPerMachine) / letter::DAY_SECONDS
+        let restarts = requirements::RESTARTS_PER_DAY * self.assumed(Assumption::EntriesPerRestart);
+        let failures = requirements::FAILURES_PER_DAY * self.assumed(Assumption::EntriesPerFailure);
+        (restarts + failures) * self.assumed(Assumption::WorkersPerMachine) / requirements::DAY_SECONDS
     }
 
     /// Bytes of so many entries of the list.
@@ -208,7 +208,7 @@
 
     /// Bytes of the whole list.
     pub fn list_bytes(&self) -> f64 {
-        self.entries_bytes(letter::WORKERS)
+        self.entries_bytes(requirements::WORKERS)
     }
 
     /// Bytes of a snapshot of one manager's scope.
@@ -218,12 +218,12 @@
 
     /// Changes of configuration in a second.
     pub fn changes_per_second(&self) -> f64 {
-        letter::CHANGES_PER_DAY / letter::DAY_SECONDS
+        requirements::CHANGES_PER_DAY / requirements::DAY_SECONDS
     }
 
     /// The part of all changes of configuration that concerns one manager.
     pub fn change_share(&self) -> f64 {
-        let of_service = self.assumed(Assumption::ServicesPerChange) / letter::SERVICES;
+        let of_service = self.assumed(Assumption::ServicesPerChange) / requirements::SERVICES;
         (of_service * self.assumed(Assumption::ServicesPerManager)).min(1.0)
     }
 
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -7,7 +7,7 @@
 use super::quantity::{number, Quantity, Unit};
 use super::row::{Failure, Role, Row, Verdict, When};
 use super::sensitivity::{self, Sensitivity};
-use super::{letter, requests};
+use super::{requests, requirements};
 use crate::measured::Measurements;
 
 const ROW_HEAD: [&str; 7] =
@@ -111,18 +111,18 @@
 
 fn fleet(sizes: &Sizes) -> String {
     let part = |name: &str, value: f64, unit| format!("{name} {}", Quantity::new(value, unit));
-    let regions = letter::REGIONS;
+    let regions = requirements::REGIONS;
     let parts = [
         part("managers of one control machine", sizes.managers_per_control_machine(), Unit::Count),
-        part("control machines of a region", letter::CONTROL_MACHINES / regions, Unit::Count),
+        part("control machines of a region", requirements::CONTROL_MACHINES / regions, Unit::Count),
         part("managers of a zone", sizes.managers_per_zone(), Unit::Count),
         part("workers of a zone", sizes.workers_per_zone(), Unit::Count),
-        part("managers of a region", letter::MANAGERS / regions, Unit::Count),
+        part("managers of a region", requirements::MANAGERS / regions, Unit::Count),
         part("workers of a region", sizes.workers_per_region(), Unit::Count),
-        part("workers of a service", letter::WORKERS / letter::SERVICES, Unit::Count),
+        part("workers of a service", requirements::WORKERS / requirements::SERVICES, Unit::Count),
         part("managers that need one service's workers", sizes.managers_per_service(), Unit::Count),
-        part("routes of a service", letter::ROUTES / letter::SERVICES, Unit::Count),
-        part("tenants of a service", letter::TENANTS / letter::SERVICES, Unit::Count),
+        part("routes of a service", requirements::ROUTES / requirements::SERVICES, Unit::Count),
+        part("tenants of a service", requirements::TENANTS / requirements::SERVICES, Unit::Count),
         part("proxies in all", sizes.proxies(), Unit::Count),
         part("proxies of a manager", sizes.proxies_per_manager(), Unit::Count),
         part("changed entries of the list", sizes.entries_per_second(), Unit::PerSecond),
--- a/crates/lab/src/capacity/roles/collector.rs
+++ b/crates/lab/src/capacity/roles/collector.rs
@@ -5,7 +5,7 @@
 use crate::capacity::quantity::Unit;
 use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
 use crate::capacity::series_measured as series;
-use crate::capacity::{letter, traffic};
+use crate::capacity::{requirements, traffic};
 
 /// Connections that a manager keeps free for the collectors of one zone.
 const CONNECTIONS_PER_ZONE: f64 = 4.0;
@@ -21,13 +21,13 @@
 }
 
 fn kept(table: &mut Table) {
-    let from_each = count(letter::MANAGERS);
+    let from_each = count(requirements::MANAGERS);
     let descriptors = Limit::descriptors();
     let by_zone = Mechanism::Missing("sums to the managers of their proxies alone");
     table.tell(When::Kept, "connections of one collector, to all managers", from_each, by_zone);
-    let in_all = count(letter::MANAGERS * letter::ZONES);
+    let in_all = count(requirements::MANAGERS * requirements::ZONES);
     table.tell(When::Kept, "connections in all, each to each", in_all, paths::LIMITER);
-    let kept_free = count(CONNECTIONS_PER_ZONE * letter::ZONES);
+    let kept_free = count(CONNECTIONS_PER_ZONE * requirements::ZONES);
     table.judge(
         When::Kept,
         "descriptors that a manager keeps for them",
@@ -39,7 +39,7 @@
 
 fn ordinary_day(inputs: &Inputs<'_>, table: &mut Table) {
     let sizes = &inputs.sizes;
-    let limit = Limit::letter(letter::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
+    let limit = Limit::letter(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
     let day = When::OrdinaryDay;
     let lines = per_second(traffic::outcome_lines(sizes));
     table.tell(day, "lines of sums on its services' workers, to one manager", lines, paths::PLANNER);
@@ -64,7 +64,7 @@
     let when = When::Worst(Failure::ZoneLost);
     let left = (sizes.managers_per_service() - 1.0).max(1.0);
     let grown = bytes_per_second(traffic::demand(sizes) * (1.0 + 1.0 / left));
-    let limit = Limit::letter(letter::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
+    let limit = Limit::letter(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
     table.judge(when, "bytes on demand, at a manager of a service that lost one", grown, limit, BUDGET);
     let others_zones = bytes_per_second(2.0 * traffic::outcomes(sizes));
     table.judge(
--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -5,7 +5,7 @@
 use crate::capacity::paths;
 use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
 use crate::capacity::series_measured as series;
-use crate::capacity::{letter, quantity::Unit, traffic, wire};
+use crate::capacity::{quantity::Unit, requirements, traffic, wire};
 
 /// Subscribers that a relay takes.
 const MOST_SUBSCRIBERS: f64 = 1_024.0;
@@ -27,8 +27,8 @@
     let when = When::Kept;
     let most = Limit::program(MOST_SUBSCRIBERS, Unit::Count);
     table.judge(when, "managers that watch it", count(subscribers), most, paths::RELAY);
-    let needed = count(letter::MANAGERS / MOST_SUBSCRIBERS);
-    let machines = Limit::letter(letter::CONTROL_MACHINES, Unit::Count);
+    let needed = count(requirements::MANAGERS / MOST_SUBSCRIBERS);
+    let machines = Limit::letter(requirements::CONTROL_MACHINES, Unit::Count);
     table.judge(when, "machines that could take all managers", needed, machines, paths::RELAY);
     table.tell(when, "the whole list, as sent", bytes(sizes.list_bytes()), paths::RELAY);
     let worker = series::RELAY_MEMORY_BY_WORKERS.each(measured);
@@ -59,13 +59,13 @@
     let manager = series::RELAY_PROCESSOR_BY_SUBSCRIBERS.each(measured);
     table.tell(when, "processor time for each manager", manager, paths::RELAY);
     let delay = series::RELAY_DELAY.figure(measured);
-    let in_force = Limit::letter(letter::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
+    let in_force = Limit::letter(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
     table.judge(when, "a changed entry until the last manager has it, p99", delay, in_force, paths::RELAY);
 }
 
 /// Bytes that one control machine sends for so many changed entries, each to the managers that need it.
 fn sent(sizes: &Sizes, entries: f64) -> f64 {
-    sizes.entries_bytes(entries) * sizes.managers_per_service() / letter::CONTROL_MACHINES
+    sizes.entries_bytes(entries) * sizes.managers_per_service() / requirements::CONTROL_MACHINES
 }
 
 fn lists_change(inputs: &Inputs<'_>, table: &mut Table) {
@@ -82,7 +82,7 @@
         table.tell(when, "bytes out by services", bytes(sent(sizes, workers)), paths::SCOPE);
     }
     let when = When::Worst(Failure::RegionCut);
-    let behind = sizes.entries_per_second() * letter::REGION_CUT_SECONDS;
+    let behind = sizes.entries_per_second() * requirements::REGION_CUT_SECONDS;
     let remembered = Limit::program(MOST_VERSIONS, Unit::Count);
     table.judge(when, "there: versions behind, at most", count(behind), remembered, paths::VERSIONS);
     let difference = bytes(sizes.entries_bytes(behind));
@@ -95,11 +95,11 @@
 fn regions_not_heeded(table: &mut Table) {
     let when = When::Worst(Failure::RegionCut);
     let heeded = Mechanism::Missing("a choice of relay that heeds regions");
-    let elsewhere = letter::MANAGERS / letter::REGIONS * (1.0 - 1.0 / letter::REGIONS);
+    let elsewhere = requirements::MANAGERS / requirements::REGIONS * (1.0 - 1.0 / requirements::REGIONS);
     table.tell(when, "there: managers whose relay is elsewhere", count(elsewhere), heeded);
-    let own = letter::CONTROL_MACHINES / letter::REGIONS;
+    let own = requirements::CONTROL_MACHINES / requirements::REGIONS;
     // The expected place of the first of `own` in a random order of all.
-    let asked = (letter::CONTROL_MACHINES + 1.0) / (own + 1.0);
+    let asked = (requirements::CONTROL_MACHINES + 1.0) / (own + 1.0);
     table.tell(when, "there: relays asked until one of the region is met", count(asked), heeded);
 }
 
@@ -108,10 +108,10 @@
     let subscribers = sizes.managers_per_control_machine();
     let snapshots = |managers: f64| bytes(managers * sizes.snapshot_bytes());
     let lost = When::Worst(Failure::ZoneLost);
-    let with_it = count(letter::CONTROL_MACHINES / letter::ZONES);
+    let with_it = count(requirements::CONTROL_MACHINES / requirements::ZONES);
     table.tell(lost, "control machines lost with it, if spread evenly", with_it, paths::RELAY_CHOICE);
     let zone = When::Worst(Failure::ZoneBack);
-    let returning = sizes.managers_per_zone() / letter::CONTROL_MACHINES;
+    let returning = sizes.managers_per_zone() / requirements::CONTROL_MACHINES;
     table.tell(zone, "managers that come to each", count(returning), paths::RELAY_CHOICE);
     table.tell(zone, "snapshots for them by services", snapshots(returning), paths::SCOPE);
     let dead = When::Worst(Failure::ControlMachineDead);
@@ -121,7 +121,7 @@
     table.tell(dead, "one other takes all: its memory", memory, paths::RELAY);
     let processor = series::RELAY_PROCESSOR_TWICE.figure(inputs.measured);
     table.tell(dead, "one other takes all: its processor time", processor, paths::RELAY);
-    let shared = subscribers / (letter::CONTROL_MACHINES - 1.0);
+    let shared = subscribers / (requirements::CONTROL_MACHINES - 1.0);
     table.tell(dead, "managers that come to each other one", count(shared), paths::RELAY_CHOICE);
     table.tell(dead, "snapshots for them by services, at most", snapshots(shared), paths::SCOPE);
     let whole = bytes(shared * sizes.list_bytes());
--- a/crates/lab/src/capacity/roles/manager.rs
+++ b/crates/lab/src/capacity/roles/manager.rs
@@ -7,21 +7,21 @@
 use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
 use crate::capacity::series::Series;
 use crate::capacity::series_measured as series;
-use crate::capacity::{letter, quantity::Unit, traffic, wire};
+use crate::capacity::{quantity::Unit, requirements, traffic, wire};
 
 /// Bytes of entries that a manager takes of one list.
 const MOST_KEPT_BYTES: f64 = 16.0 * 1024.0 * 1024.0;
 
 fn memory_limit() -> Limit {
-    Limit::letter(letter::MANAGER_MEMORY_BYTES, Unit::Bytes)
+    Limit::letter(requirements::MANAGER_MEMORY_BYTES, Unit::Bytes)
 }
 
 fn processor_limit() -> Limit {
-    Limit::letter(letter::MANAGER_CORES, Unit::Cores)
+    Limit::letter(requirements::MANAGER_CORES, Unit::Cores)
 }
 
 fn traffic_limit() -> Limit {
-    Limit::letter(letter::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond)
+    Limit::letter(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond)
 }
 
 pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
@@ -42,10 +42,10 @@
     let entries = bytes(inputs.sizes.list_bytes());
     let most = Limit::program(MOST_KEPT_BYTES, Unit::Bytes);
     table.judge(When::Kept, "entries taken without a scope", entries, most, paths::LIST_ASSEMBLER);
-    let memory = series::MANAGER_MEMORY.at(inputs.measured, letter::WORKERS);
+    let memory = series::MANAGER_MEMORY.at(inputs.measured, requirements::WORKERS);
     table.judge(When::Kept, "memory with the whole list", memory, memory_limit(), paths::ROSTER);
-    let most = series::MANAGER_MEMORY.reaches(inputs.measured, letter::MANAGER_MEMORY_BYTES);
-    let all = Limit::reached(letter::WORKERS);
+    let most = series::MANAGER_MEMORY.reaches(inputs.measured, requirements::MANAGER_MEMORY_BYTES);
+    let all = Limit::reached(requirements::WORKERS);
     table.judge(When::Kept, "workers listed that 32 MB bear", most, all, paths::ROSTER);
 }
 
@@ -85,10 +85,10 @@
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
     let when = When::OrdinaryDay;
     let processor = |workers| series::MANAGER_PROCESSOR.at(measured, workers);
-    let whole = processor(letter::WORKERS);
+    let whole = processor(requirements::WORKERS);
     table.judge(when, "processor time with the whole list", whole, processor_limit(), paths::ROSTER);
-    let most = series::MANAGER_PROCESSOR.reaches(measured, letter::MANAGER_CORES);
-    let all = Limit::reached(letter::WORKERS);
+    let most = series::MANAGER_PROCESSOR.reaches(measured, requirements::MANAGER_CORES);
+    let all = Limit::reached(requirements::WORKERS);
     table.judge(when, "workers listed that 1.3% of a core bears", most, all, paths::ROSTER);
     let by_zone = processor(sizes.workers_per_zone());
     table.judge(
@@ -171,7 +171,7 @@
 fn region_cut(inputs: &Inputs<'_>, table: &mut Table) {
     let sizes = &inputs.sizes;
     let when = When::Worst(Failure::RegionCut);
-    let behind = sizes.entries_per_second() * letter::REGION_CUT_SECONDS;
+    let behind = sizes.entries_per_second() * requirements::REGION_CUT_SECONDS;
     let entries = |workers: f64| bytes(sizes.entries_bytes(workers * sizes.scope_share()));
     table.tell(when, "there: entries missed of its services", entries(behind), paths::VERSIONS);
     let snapshot = bytes(sizes.snapshot_bytes());
@@ -188,7 +188,7 @@
     let snapshot = bytes(sizes.snapshot_bytes());
     table.tell(dead, "a snapshot from another, at most", snapshot, paths::MANAGER_SCOPE);
     let all = When::Worst(Failure::AllRestarted);
-    let at_budget = |bytes: f64| seconds(bytes / letter::MANAGER_BYTES_PER_SECOND);
+    let at_budget = |bytes: f64| seconds(bytes / requirements::MANAGER_BYTES_PER_SECOND);
     table.tell(all, "the whole list at 5 KB/s", at_budget(sizes.list_bytes()), paths::WATCH);
     let zone = at_budget(sizes.entries_bytes(sizes.workers_per_zone()));
     let named = Mechanism::Missing("entries that name their service");
--- a/crates/lab/src/capacity/roles/proxy_stream.rs
+++ b/crates/lab/src/capacity/roles/proxy_stream.rs
@@ -6,7 +6,7 @@
 use crate::capacity::quantity::Unit;
 use crate::capacity::row::{Failure, Limit, Mechanism, Role, Row, When};
 use crate::capacity::series_measured as series;
-use crate::capacity::{letter, traffic, wire};
+use crate::capacity::{requirements, traffic, wire};
 
 /// What the numbers of 16 bits can tell apart.
 const NUMBERS_OF_16_BITS: f64 = 65_536.0;
@@ -30,7 +30,7 @@
     table.judge(When::Kept, "proxies numbered across the fleet", count(sizes.proxies()), wide, numbered);
     let operations = count(sizes.operations_per_manager());
     table.judge(When::Kept, "operations of its services", operations, narrow, paths::IDS);
-    let all_operations = count(letter::ROUTES);
+    let all_operations = count(requirements::ROUTES);
     table.judge(
         When::Kept,
         "operations, were one manager to serve all",
@@ -38,7 +38,7 @@
         narrow,
         paths::SCOPE,
     );
-    let tables = count(letter::SERVICES * letter::ZONES);
+    let tables = count(requirements::SERVICES * requirements::ZONES);
     table.judge(When::Kept, "tables, were one manager to serve all", tables, wide, paths::SCOPE);
 }
 
@@ -47,9 +47,9 @@
     let proxies = sizes.proxies_per_manager();
     table.tell(When::Kept, "proxies of one manager", count(proxies), paths::PLANE);
     let memory = series::MANAGER_MEMORY_BY_PROXIES.at(measured, proxies);
-    let limit = Limit::letter(letter::MANAGER_MEMORY_BYTES, Unit::Bytes);
+    let limit = Limit::letter(requirements::MANAGER_MEMORY_BYTES, Unit::Bytes);
     table.judge(When::Kept, "memory of a manager with its proxies", memory, limit, paths::PLANE);
-    let keeps = series::MANAGER_MEMORY_BY_PROXIES.reaches(measured, letter::MANAGER_MEMORY_BYTES);
+    let keeps = series::MANAGER_MEMORY_BY_PROXIES.reaches(measured, requirements::MANAGER_MEMORY_BYTES);
     table.judge(When::Kept, "proxies that 32 MB bear", keeps, Limit::reached(proxies), paths::PLANE);
     let whole = bytes(wire::order_bytes(sizes.workers_in_scope()));
     table.tell(When::Kept, "a whole table, as sent", whole, paths::PLANE);
@@ -58,7 +58,7 @@
 fn ordinary_day(inputs: &Inputs<'_>, table: &mut Table) {
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
     let orders = Figure::computed_at_most(traffic::orders_at_most(sizes), Unit::BytesPerSecond);
-    let limit = Limit::letter(letter::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
+    let limit = Limit::letter(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
     table.judge(
         When::OrdinaryDay,
         "orders, every weight moved as often as may be",
@@ -68,10 +68,10 @@
     );
     let measured_orders = series::MANAGER_BYTES_OUT_BY_PROXIES.at(measured, sizes.proxies_per_manager());
     let name = "orders, one worker of 100 changing each second";
-    let limit = Limit::letter(letter::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
+    let limit = Limit::letter(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
     table.judge(When::OrdinaryDay, name, measured_orders, limit, paths::PLANNER);
     let processor = series::MANAGER_PROCESSOR_BY_PROXIES.at(measured, sizes.proxies_per_manager());
-    let limit = Limit::letter(letter::MANAGER_CORES, Unit::Cores);
+    let limit = Limit::letter(requirements::MANAGER_CORES, Unit::Cores);
     table.judge(
         When::OrdinaryDay,
         "processor time of a manager with its proxies",
--- a/crates/lab/src/capacity/traffic.rs
+++ b/crates/lab/src/capacity/traffic.rs
@@ -1,7 +1,7 @@
 //! Bytes a second between a manager and its surroundings on an ordinary day.
 
 use super::assumptions::{Assumption, Sizes};
-use super::{letter, wire};
+use super::{requirements, wire};
 
 /// Changed entries of the whole list.
 pub fn whole_list(sizes: &Sizes) -> f64 {
@@ -32,7 +32,7 @@
 /// Lines of demand a second: one for each proxy and operation, but no more than there are requests.
 pub fn demand_lines(sizes: &Sizes) -> f64 {
     let pairs = sizes.proxies_per_manager() * sizes.operations_per_manager();
-    let requests = letter::REQUESTS_PER_SECOND / letter::MANAGERS;
+    let requests = requirements::REQUESTS_PER_SECOND / requirements::MANAGERS;
     (pairs / sizes.assumed(Assumption::ReportPeriodSeconds)).min(requests)
 }
 
