--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -8,8 +8,8 @@
 use juniperrail_model::xml::Element;
 use juniperrail_standins::{Proxies, Rules};
 
+use crate::cluster::{Size, Town, MANAGER};
 use crate::report::Report;
-use crate::town::{Size, Town, MANAGER};
 
 const PROXIES: u16 = 12;
 const WORKERS: usize = 9;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,11 +4,11 @@
 mod capacity_command;
 mod changes;
 mod child;
+mod cluster;
 mod council;
 mod gangs;
 mod netconf;
 mod schedule;
-mod town;
 mod trials;
 mod turns;
 
--- a/crates/lab/src/netconf.rs
+++ b/crates/lab/src/netconf.rs
@@ -12,8 +12,8 @@
 use juniperrail_client::{Client, Commit, Datastore};
 use juniperrail_standins::Proxies;
 
+use crate::cluster::{Running, Size, Town, MANAGER};
 use crate::report::Report;
-use crate::town::{Running, Size, Town, MANAGER};
 
 const PROXIES: u16 = 150;
 const SESSIONS: usize = 64;
--- a/crates/lab/src/scale/agreement.rs
+++ b/crates/lab/src/scale/agreement.rs
@@ -8,11 +8,11 @@
 use super::error::ScaleError;
 use super::fit::{Fit, Sample};
 use super::guard::Need;
-use super::hollow::{Discovery, Fleet, Forwarder};
 use super::manager::{operator_element, Manager};
 use super::record::Subject;
 use super::role::Host;
 use super::scenario::{Pace, Scenario};
+use super::simulated::{Discovery, Fleet, Forwarder};
 use super::ScaleRun;
 use crate::report::Report;
 
--- a/crates/lab/src/scale/drain.rs
+++ b/crates/lab/src/scale/drain.rs
@@ -7,14 +7,14 @@
 
 use super::error::ScaleError;
 use super::guard::Need;
-use super::hollow::{Change, Discovery, Fleet, Proxies};
-use super::letter::Letter;
 use super::manager::{Manager, DRAIN_GRACE_MS};
 use super::record::Subject;
 use super::relay::Relay;
 use super::role::Host;
 use super::scenario::Scenario;
 use super::scoped::subscription;
+use super::simulated::{Change, Discovery, Fleet, Proxies};
+use super::target_fleet::Letter;
 use super::ScaleRun;
 use crate::report::Report;
 
--- a/crates/lab/src/scale/manager.rs
+++ b/crates/lab/src/scale/manager.rs
@@ -7,9 +7,9 @@
 use serde_json::json;
 
 use super::error::ScaleError;
-use super::hollow::Fleet;
 use super::role::{alive, Host, Role};
 use super::scenario::Scenario;
+use super::simulated::Fleet;
 
 /// Descriptors of a manager besides its proxies'.
 const OWN_SOCKETS: usize = 1024;
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -9,9 +9,7 @@
 mod error;
 pub mod fit;
 mod guard;
-pub mod hollow;
 pub mod judge;
-mod letter;
 mod manager;
 mod process;
 pub mod record;
@@ -19,7 +17,9 @@
 mod role;
 mod scenario;
 mod scoped;
+pub mod simulated;
 mod slopes;
+mod target_fleet;
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -30,11 +30,11 @@
 pub use error::ScaleError;
 use fit::{Fit, Sample};
 use guard::{Need, Started, Watchdog};
-use letter::Letter;
 use record::{Recorder, Subject};
 use role::{Host, Program};
 use scenario::{Cost, Pace, FIGURES};
 use slopes::Growth;
+use target_fleet::Letter;
 
 use crate::report::Report;
 
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -6,9 +6,9 @@
 
 use super::error::ScaleError;
 use super::guard::Need;
-use super::hollow::{Collectors, Discovery, Fleet, Proxies, Workers};
 use super::manager::Manager;
 use super::role::Host;
+use super::simulated::{Collectors, Discovery, Fleet, Proxies, Workers};
 
 /// Memory of a real process that any scenario of a single manager stays below, in bytes, besides its list.
 const PROCESS_MEMORY: u64 = 256 << 20;
--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -2,10 +2,10 @@
 
 use super::error::ScaleError;
 use super::guard::Need;
-use super::letter::{Letter, WHOLE};
 use super::relay::{self, ordinary_cost};
 use super::role::Host;
 use super::scenario::{play, Cost, Pace, Scenario};
+use super::target_fleet::{Letter, WHOLE};
 
 /// One size that grows.
 pub struct Growth {
--- a/crates/lab/src/scale/letter.rs
+++ b/crates/lab/src/scale/target_fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::hollow::Fleet;
+use super::simulated::Fleet;
 
 /// What one manager may use for control.
 pub const MEMORY_MOST: f64 = 32e6;
