--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -8,7 +8,7 @@
 use juniperrail_model::xml::Element;
 use juniperrail_standins::{Proxies, Rules};
 
-use crate::cluster::{Size, Town, MANAGER};
+use crate::cluster::{Cluster, ClusterSize, MANAGER_NAMESPACE};
 use crate::report::Report;
 
 const PROXIES: u16 = 12;
@@ -33,7 +33,7 @@
 }
 
 /// One drawn change: its XML, what it makes of the wishes, and whether it is wrong by itself.
-fn drawn(rng: &mut fastrand::Rng, town: &Town, wishes: &Wishes) -> (String, Wishes, bool) {
+fn drawn(rng: &mut fastrand::Rng, town: &Cluster, wishes: &Wishes) -> (String, Wishes, bool) {
     let worker = |name: &str, body: &str| format!("<worker><name>{name}</name>{body}</worker>");
     if rng.u8(..4) == 0 {
         let wrong = [
@@ -48,11 +48,11 @@
             "<workers xmlns='MANAGER' xmlns:n='urn:ietf:params:xml:ns:netconf:base:1.0'>\
              <worker n:operation='delete'><name>s-77</name></worker></workers>",
         ];
-        let text = wrong[rng.usize(..wrong.len())].replace("MANAGER", MANAGER);
+        let text = wrong[rng.usize(..wrong.len())].replace("MANAGER", MANAGER_NAMESPACE);
         return (text, wishes.clone(), true);
     }
     let mut after = wishes.clone();
-    let mut text = format!("<workers xmlns=\"{MANAGER}\">");
+    let mut text = format!("<workers xmlns=\"{MANAGER_NAMESPACE}\">");
     // Now and then all at once, which leaves nothing ready.
     let many = if rng.u8(..12) == 0 { WORKERS } else { rng.usize(1..4) };
     let departs = rng.bool();
@@ -65,7 +65,8 @@
         wish.weight = weight.or(wish.weight);
         let weight = weight
             .map_or(String::new(), |weight| format!("<weight>{:.2}</weight>", f64::from(weight) / 100.0));
-        text += &worker(&town.worker(number), &format!("<wanted>{}</wanted>{weight}", WANTED[wish.wanted]));
+        text +=
+            &worker(&town.worker_name(number), &format!("<wanted>{}</wanted>{weight}", WANTED[wish.wanted]));
     }
     (text + "</workers>", after, false)
 }
@@ -108,9 +109,9 @@
 
 pub fn run(report: &mut Report, count: u32, seed: u64) {
     println!("seed {seed}");
-    let size = Size { workers: WORKERS, proxies: 2 * PROXIES, managers: 2, period: 160 };
-    let town = Town::new("changes", size);
-    let managers = [town.manager("n0", None), town.manager("n1", None)];
+    let size = ClusterSize { workers: WORKERS, proxies: 2 * PROXIES, managers: 2, report_period_ms: 160 };
+    let town = Cluster::new("changes", size);
+    let managers = [town.start_manager("n0", None), town.start_manager("n1", None)];
     let zones = ["a", "b", "c"];
     let proxies = [0, PROXIES].map(|first| {
         let manager = &managers[usize::from(first / PROXIES)];
@@ -126,8 +127,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let started = Instant::now();
     runtime.block_on(async {
-        let mut clients = [town.client(&managers[0]).await, town.client(&managers[1]).await];
-        let mut readers = [town.client(&managers[0]).await, town.client(&managers[1]).await];
+        let mut clients = [town.connect(&managers[0]).await, town.connect(&managers[1]).await];
+        let mut readers = [town.connect(&managers[0]).await, town.connect(&managers[1]).await];
         let mut wishes = Wishes::new();
         // Who has to be out, and since when by the clock of each manager's proxies.
         let mut leaving: BTreeMap<usize, [f64; 2]> = BTreeMap::new();
@@ -149,7 +150,8 @@
             // Who comes back may be told to the proxies before the answer to the commit is here.
             let back: Vec<usize> = will.difference(&was).copied().collect();
             for proxies in &proxies {
-                proxies.rules(|rules| back.iter().for_each(|worker| rules.returns(&town.worker(*worker))));
+                proxies
+                    .rules(|rules| back.iter().for_each(|worker| rules.returns(&town.worker_name(*worker))));
             }
             let (one, other, odd) = tokio::join!(changed(first, &config), changed(second, &config), reading);
             mixed += odd;
@@ -174,7 +176,9 @@
             }
             for (of, proxies) in proxies.iter().enumerate() {
                 let leaves = |rules: &mut Rules| {
-                    leaving.iter().for_each(|(worker, since)| rules.leaves(&town.worker(*worker), since[of]));
+                    leaving
+                        .iter()
+                        .for_each(|(worker, since)| rules.leaves(&town.worker_name(*worker), since[of]));
                 };
                 proxies.rules(leaves);
             }
--- a/crates/lab/src/netconf.rs
+++ b/crates/lab/src/netconf.rs
@@ -12,7 +12,7 @@
 use juniperrail_client::{Client, Commit, Datastore};
 use juniperrail_standins::Proxies;
 
-use crate::cluster::{Running, Size, Town, MANAGER};
+use crate::cluster::{Cluster, ClusterSize, ManagerProcess, MANAGER_NAMESPACE};
 use crate::report::Report;
 
 const PROXIES: u16 = 150;
@@ -21,9 +21,9 @@
 const ROUND: Duration = Duration::from_secs(3);
 
 pub fn run(report: &mut Report, commits: u32, rounds: u32) {
-    let size = Size { workers: 30, proxies: PROXIES, managers: 1, period: 2000 };
+    let size = ClusterSize { workers: 30, proxies: PROXIES, managers: 1, report_period_ms: 2000 };
     held(report, size, commits);
-    let quick = Size { period: 160, ..size };
+    let quick = ClusterSize { report_period_ms: 160, ..size };
     turns(report, quick, rounds);
     memory(report, quick);
 }
@@ -32,7 +32,7 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-fn joined(town: &Town, manager: &Running) -> Proxies {
+fn joined(town: &Cluster, manager: &ManagerProcess) -> Proxies {
     let proxies = Proxies::start(manager.address, 0, PROXIES, &["a", "b", "c"], town.rules());
     proxies
         .until("every proxy has a table", |rules| (0..PROXIES).all(|proxy| rules.holds(proxy).len() >= 10));
@@ -40,25 +40,25 @@
 }
 
 fn worker(name: &str, body: &str) -> String {
-    format!("<workers xmlns=\"{MANAGER}\"><worker><name>{name}</name>{body}</worker></workers>")
+    format!("<workers xmlns=\"{MANAGER_NAMESPACE}\"><worker><name>{name}</name>{body}</worker></workers>")
 }
 
 /// From the commit to the notice that all hold it, as a client sees it.
-fn held(report: &mut Report, size: Size, commits: u32) {
-    let town = Town::new("held", size);
-    let manager = town.manager("n0", None);
+fn held(report: &mut Report, size: ClusterSize, commits: u32) {
+    let town = Cluster::new("held", size);
+    let manager = town.start_manager("n0", None);
     let proxies = joined(&town, &manager);
     let mut rng = fastrand::Rng::with_seed(17);
     let histogram = || Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).expect("the bounds are sound");
     let (mut drains, mut weights) = (histogram(), histogram());
     let mut unheld = 0;
     runtime().block_on(async {
-        let mut client = town.client(&manager).await;
-        let mut watcher = town.client(&manager).await;
+        let mut client = town.connect(&manager).await;
+        let mut watcher = town.connect(&manager).await;
         let filter = "<change-held xmlns=\"tag:juniperrail.example,2026:yang:state\"/>";
         watcher.subscribe(Some(filter)).await.expect("a subscription");
         for turn in 0..commits {
-            let name = town.worker(rng.usize(..size.workers));
+            let name = town.worker_name(rng.usize(..size.workers));
             let back = worker(&name, "<wanted>follow</wanted>");
             let (body, times): (String, _) = match turn % 2 {
                 0 => ("<wanted>draining</wanted>".into(), &mut drains),
@@ -104,9 +104,9 @@
 }
 
 impl Flood {
-    fn start(town: &Town, manager: &Running) -> Flood {
+    fn start(town: &Cluster, manager: &ManagerProcess) -> Flood {
         let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let dial = town.dial(manager);
+        let dial = town.endpoint(manager);
         let thread = |number: usize| {
             let (stop, asked, dial) = (stop.clone(), asked.clone(), dial.clone());
             thread::spawn(move || {
@@ -177,9 +177,9 @@
 }
 
 /// Wakes that came late, quiet and under the flood, in turns. The manager has one processor for all its threads.
-fn turns(report: &mut Report, size: Size, rounds: u32) {
-    let town = Town::new("turns", size);
-    let mut manager = town.manager("n0", Some(0));
+fn turns(report: &mut Report, size: ClusterSize, rounds: u32) {
+    let town = Cluster::new("turns", size);
+    let mut manager = town.start_manager("n0", Some(0));
     let _proxies = joined(&town, &manager);
     let stop = Arc::new(AtomicBool::new(false));
     let reports = collector(manager.address, size.workers, stop.clone());
@@ -189,37 +189,37 @@
         for name in ["quiet", "flood"] {
             let flood = (name == "flood").then(|| Flood::start(&town, &manager));
             thread::sleep(Duration::from_secs(1));
-            manager.forget_turns();
+            manager.discard_lateness();
             thread::sleep(ROUND);
-            manager.keep_turns(name);
+            manager.save_lateness(name);
             asked += flood.map_or(0, Flood::end);
         }
     }
     stop.store(true, Ordering::Relaxed);
     _ = reports.join();
-    let (quiet, flood) = (manager.turns("quiet"), manager.turns("flood"));
+    let (quiet, flood) = (manager.lateness("quiet"), manager.lateness("flood"));
     for (name, of) in [("quiet", quiet), ("under the flood", flood)] {
         let ms = |us: u64| us as f64 / 1e3;
-        let figures = format!("{:.2} {:.2} {:.2}", ms(of.p50), ms(of.p99), ms(of.most));
+        let figures = format!("{:.2} {:.2} {:.2}", ms(of.p50_us), ms(of.p99_us), ms(of.max_us));
         report.figure(&format!("{} turns {name}, late by p50, p99, most ms", of.count), figures);
     }
     report.figure("operations of the flood", asked);
-    let ratio = flood.p99 as f64 / quiet.p99 as f64;
+    let ratio = flood.p99_us as f64 / quiet.p99_us as f64;
     report.bound("late p99 under the flood over quiet, 1.2 at most", format!("{ratio:.3}"), ratio <= 1.2);
 }
 
-fn memory(report: &mut Report, size: Size) {
-    let town = Town::new("memory", size);
-    let manager = town.manager("n0", None);
+fn memory(report: &mut Report, size: ClusterSize) {
+    let town = Cluster::new("memory", size);
+    let manager = town.start_manager("n0", None);
     let _proxies = joined(&town, &manager);
-    let resident = || manager.resident() as f64 / 1024.0;
+    let resident = || manager.resident_kib() as f64 / 1024.0;
     let before = resident();
     report.figure("resident with 150 proxies, no session, MiB", format!("{before:.1}"));
     let runtime = runtime();
     let sessions = runtime.block_on(async {
         let mut sessions = Vec::new();
         for _ in 0..SESSIONS {
-            sessions.push(town.client(&manager).await);
+            sessions.push(town.connect(&manager).await);
         }
         sessions
     });
