--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The town of an experiment: discovery, managers in processes of their own, proxies, and a client's way in.
+//! The cluster of an experiment: a stand-in of discovery, managers in processes of their own, and NETCONF access to them.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Write};
@@ -9,48 +9,52 @@
 use juniperrail_client::{Client, Endpoint};
 use juniperrail_standins::{entry, list, Discovery, Limits, Rules, SshKeys};
 
+/// The XML namespace of the manager's configuration.
 pub const MANAGER_NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
 
-/// What the settings say of a town with so many proxies and managers.
+/// The sizes and the report period that the managers' settings state.
 #[derive(Clone, Copy)]
 pub struct ClusterSize {
     pub workers: usize,
     pub proxies: u16,
     pub managers: u16,
-    /// How often reports come; changes are gathered for half of it.
+    /// The period of the reports in milliseconds; managers gather changes for half of it.
     pub report_period_ms: u32,
 }
 
+/// Discovery, the configuration folder and the keys that the managers of one experiment share. Dropping it removes the folder.
 pub struct Cluster {
     pub size: ClusterSize,
     pub folder: PathBuf,
     pub discovery: Discovery,
-    host: SshKeys,
-    key: SshKeys,
+    host_key: SshKeys,
+    user_key: SshKeys,
 }
 
 impl Cluster {
+    /// Starts discovery with a list of all workers, all of them ready.
     pub fn new(name: &str, size: ClusterSize) -> Cluster {
         let folder = std::env::temp_dir().join(format!("juniperrail-lab-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("the temporary folder can be written");
         let discovery = Discovery::start();
-        let (host, key) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
-        let cluster = Cluster { size, folder, discovery, host, key };
+        let (host_key, user_key) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
+        let cluster = Cluster { size, folder, discovery, host_key, user_key };
         cluster.discovery.tell(&cluster.list());
         cluster
     }
 
+    /// The name under which discovery lists a worker.
     pub fn worker_name(&self, number: usize) -> String {
         format!("s-{number}")
     }
 
     fn list(&self) -> String {
         let zone = |number: usize| ["a", "b", "c"][number % 3];
-        let one = |number| entry(&self.worker_name(number), zone(number), "127.0.0.1:9", "ready");
-        list(1, true, &(0..self.size.workers).map(one).collect::<Vec<_>>())
+        let ready = |number| entry(&self.worker_name(number), zone(number), "127.0.0.1:9", "ready");
+        list(1, true, &(0..self.size.workers).map(ready).collect::<Vec<_>>())
     }
 
-    /// Starts a manager. `core`: the one processor that it has, if it is to have one alone.
+    /// Starts a manager in a process of its own and reads its addresses. With `core`, it runs on that processor alone.
     pub fn start_manager(&self, name: &str, core: Option<usize>) -> ManagerProcess {
         let ClusterSize { proxies, managers, report_period_ms, .. } = self.size;
         let settings = format!(
@@ -71,7 +75,7 @@
             r#"<config xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><northbound xmlns="{MANAGER_NAMESPACE}"><netconf>
             <sessions>160</sessions><ssh><listen>127.0.0.1:0</listen><host-key>host</host-key></ssh></netconf>
             <user><name>ann</name><role>admin</role><ssh-key>{}</ssh-key></user></northbound></config>"#,
-            self.key.line
+            self.user_key.line
         );
         let (config_path, operator_path) =
             (self.folder.join(format!("{name}.json")), self.folder.join(format!("{name}.xml")));
@@ -80,27 +84,32 @@
         let program = std::env::current_exe().expect("this program has a path");
         let mut command = Command::new(program);
         command.arg("serve").args([&config_path, &operator_path]);
-        let mut child = pinned(core, || {
+        let mut child = start_pinned(core, || {
             command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().expect("this program starts")
         });
-        let (asked, said) = (child.stdin.take().expect("piped"), child.stdout.take().expect("piped"));
-        let mut said = BufReader::new(said);
+        let stdin = child.stdin.take().expect("standard input is piped");
+        let stdout = child.stdout.take().expect("standard output is piped");
+        let mut stdout = BufReader::new(stdout);
         let mut line = String::new();
-        said.read_line(&mut line).expect("the manager says where it listens");
-        let mut at = line.split_whitespace().map(|at| at.parse().expect("an address"));
-        let (address, ssh) = (at.next().expect("lines"), at.next().expect("NETCONF"));
-        ManagerProcess { child, asked, said, address, ssh }
+        stdout.read_line(&mut line).expect("the manager prints its addresses");
+        let mut addresses = line.split_whitespace().map(|address| address.parse().expect("an address"));
+        let address = addresses.next().expect("the address of the line protocol");
+        let ssh = addresses.next().expect("the address of NETCONF over SSH");
+        ManagerProcess { child, stdin, stdout, address, ssh }
     }
 
+    /// The manager's NETCONF endpoint, with the credentials of the user that its file names.
     pub fn endpoint(&self, manager: &ManagerProcess) -> Endpoint {
-        Endpoint::ssh(manager.ssh.to_string(), "ann", &self.key.private).with_host_key(&self.host.public)
+        Endpoint::ssh(manager.ssh.to_string(), "ann", &self.user_key.private)
+            .with_host_key(&self.host_key.public)
     }
 
+    /// Opens a NETCONF session with the manager.
     pub async fn connect(&self, manager: &ManagerProcess) -> Client {
-        Client::connect(&self.endpoint(manager)).await.expect("the manager takes a known user")
+        Client::connect(&self.endpoint(manager)).await.expect("the manager accepts its configured user")
     }
 
-    /// A checker that knows every worker.
+    /// A protocol checker that has every worker in its list.
     pub fn rules(&self) -> Rules {
         let mut rules = Rules::new(Limits {
             drain_grace: 3300.0,
@@ -120,28 +129,31 @@
     }
 }
 
-/// Has something started with one processor alone, which what it starts inherits.
-fn pinned<R>(core: Option<usize>, start: impl FnOnce() -> R) -> R {
+/// Starts a process while this thread is pinned to one processor, since a child inherits the affinity of its parent.
+fn start_pinned<R>(core: Option<usize>, start: impl FnOnce() -> R) -> R {
     use rustix::thread::{sched_getaffinity, sched_setaffinity, CpuSet};
     let Some(core) = core else { return start() };
-    let before = sched_getaffinity(None).expect("this thread runs somewhere");
-    let mut one = CpuSet::new();
-    one.set(core);
-    sched_setaffinity(None, &one).expect("the processor is there");
+    let before = sched_getaffinity(None).expect("the thread's affinity can be read");
+    let mut single = CpuSet::new();
+    single.set(core);
+    sched_setaffinity(None, &single).expect("the processor exists");
     let started = start();
-    sched_setaffinity(None, &before).expect("it ran there before");
+    sched_setaffinity(None, &before).expect("the previous affinity can be restored");
     started
 }
 
+/// A manager that runs in a child process; dropping it kills the process.
 pub struct ManagerProcess {
     child: Child,
-    asked: ChildStdin,
-    said: BufReader<ChildStdout>,
+    stdin: ChildStdin,
+    stdout: BufReader<ChildStdout>,
+    /// Where it serves the line protocol of proxies and collectors.
     pub address: SocketAddr,
+    /// Where it serves NETCONF over SSH.
     pub ssh: SocketAddr,
 }
 
-/// How late turns were, in microseconds.
+/// How late a manager's turns were, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnLateness {
     pub count: u64,
@@ -151,30 +163,31 @@
 }
 
 impl ManagerProcess {
-    fn say(&mut self, word: &str) {
-        self.asked.write_all(format!("{word}\n").as_bytes()).expect("the manager runs");
+    fn send_command(&mut self, command: &str) {
+        self.stdin.write_all(format!("{command}\n").as_bytes()).expect("the manager runs");
     }
 
-    /// How late turns were up to now is forgotten.
+    /// Discards the lateness recorded since the last command.
     pub fn discard_lateness(&mut self) {
-        self.say("drop");
+        self.send_command("drop");
     }
 
-    /// How late turns were since the last word goes to what is kept under that name.
+    /// Adds the lateness recorded since the last command to the histogram of that name.
     pub fn save_lateness(&mut self, name: &str) {
-        self.say(&format!("keep {name}"));
+        self.send_command(&format!("keep {name}"));
     }
 
+    /// The lateness saved under that name.
     pub fn lateness(&mut self, name: &str) -> TurnLateness {
-        self.say(&format!("tell {name}"));
+        self.send_command(&format!("tell {name}"));
         let mut line = String::new();
-        self.said.read_line(&mut line).expect("the manager answers");
+        self.stdout.read_line(&mut line).expect("the manager answers");
         let mut figures = line.split_whitespace().map(|figure| figure.parse().expect("a figure"));
         let mut next = || figures.next().expect("four figures");
         TurnLateness { count: next(), p50_us: next(), p99_us: next(), max_us: next() }
     }
 
-    /// Memory that it holds, in KiB.
+    /// Its resident memory in KiB; 0 if the kernel does not report it.
     pub fn resident_kib(&self) -> u64 {
         let path = Path::new("/proc").join(self.child.id().to_string()).join("status");
         let status = fs::read_to_string(path).unwrap_or_default();
--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -1,5 +1,5 @@
-//! What agreement costs and how long nobody leads: commits over real syncs and without, and real processes whose leader is
-//! killed, stopped and cut off.
+//! The cost of consensus and the time without a leader: the commit rate with and without file syncs, and clusters of real
+//! processes whose leader is killed, suspended, partitioned or terminated.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 
 use crate::report::Report;
 
-const FIGURES: RaftConfig = RaftConfig {
+const RAFT_CONFIG: RaftConfig = RaftConfig {
     heartbeat_interval_ms: 50.0,
     election_timeout_ms: 400.0,
     max_clock_drift_ratio: 0.05,
@@ -22,189 +22,259 @@
     max_uncommitted_entries: 4096,
 };
 
-/// A member with its store; messages take no time, so that what is left is deciding and syncing.
-struct One<D> {
-    council: RaftNode,
+/// A member with its store. Messages are delivered without delay, so only the node's computation and its syncs are timed.
+struct GroupMember<D> {
+    node: RaftNode,
     store: Store<D>,
-    written: u64,
+    /// Records committed to the store so far.
+    durable_records: u64,
 }
 
+/// A consensus group in this process, with a simulated clock.
 struct Group<D> {
-    all: BTreeMap<MemberId, One<D>>,
-    now: f64,
+    members: BTreeMap<MemberId, GroupMember<D>>,
+    now_ms: f64,
 }
 
 impl<D: Disk> Group<D> {
+    /// Creates the group and advances its clock until a member leads.
     fn new(count: u16, disk: impl Fn(u16) -> D) -> Group<D> {
-        let member = |id| (MemberId(id), Member { address: String::new(), role: MemberRole::Voter });
-        let named: Members = (1..=count).map(member).collect();
-        let one = |id: u16| {
+        let voter = |id| (MemberId(id), Member { address: String::new(), role: MemberRole::Voter });
+        let voters: Members = (1..=count).map(voter).collect();
+        let member = |id: u16| {
             let store = Store::open(disk(id), Limits::default())
-                .unwrap_or_else(|why| panic!("a new store: {why}"))
+                .unwrap_or_else(|error| panic!("cannot open a new store: {error}"))
                 .store;
-            let council =
-                RaftNode::start(MemberId(id), FIGURES, named.clone(), id.into(), 0.0, StoredState::default());
-            (MemberId(id), One { council, store, written: 0 })
+            let node = RaftNode::start(
+                MemberId(id),
+                RAFT_CONFIG,
+                voters.clone(),
+                id.into(),
+                0.0,
+                StoredState::default(),
+            );
+            (MemberId(id), GroupMember { node, store, durable_records: 0 })
         };
-        let mut group = Group { all: (1..=count).map(one).collect(), now: 0.0 };
+        let mut group = Group { members: (1..=count).map(member).collect(), now_ms: 0.0 };
         while group.leader().is_none() {
-            group.now += 10.0;
-            let now = group.now;
-            group.all.values_mut().for_each(|one| one.council.tick(now));
-            group.settle();
+            group.now_ms += 10.0;
+            let now_ms = group.now_ms;
+            group.members.values_mut().for_each(|member| member.node.tick(now_ms));
+            group.run_until_idle();
         }
         group
     }
 
+    /// The leader that holds a lease.
     fn leader(&self) -> Option<MemberId> {
-        let leads =
-            |one: &One<D>| one.council.lease(self.now).is_some() && one.council.role() == Role::Leader;
-        self.all.iter().find(|(_, one)| leads(one)).map(|(id, _)| *id)
+        let leads = |member: &GroupMember<D>| {
+            member.node.lease(self.now_ms).is_some() && member.node.role() == Role::Leader
+        };
+        self.members.iter().find(|(_, member)| leads(member)).map(|(id, _)| *id)
     }
 
-    /// Until nobody has anything to write or to say.
-    fn settle(&mut self) {
+    /// Writes records and delivers messages until no member has any left.
+    fn run_until_idle(&mut self) {
         loop {
+            // The sender, the receiver and the message.
             let mut sends: Vec<(MemberId, MemberId, Message)> = Vec::new();
             let mut idle = true;
-            for (id, one) in &mut self.all {
-                let done = one.council.take_actions();
-                idle &= done.records.is_empty() && done.messages.is_empty();
-                sends.extend(done.messages.into_iter().map(|(to, message)| (*id, to, message)));
-                for record in &done.records {
-                    one.store.append(&record.encode()).unwrap_or_else(|why| panic!("room: {why}"));
-                    one.written += 1;
+            for (id, member) in &mut self.members {
+                let actions = member.node.take_actions();
+                idle &= actions.records.is_empty() && actions.messages.is_empty();
+                sends.extend(actions.messages.into_iter().map(|(to, message)| (*id, to, message)));
+                for record in &actions.records {
+                    member
+                        .store
+                        .append(&record.encode())
+                        .unwrap_or_else(|error| panic!("cannot append to the store: {error}"));
+                    member.durable_records += 1;
                 }
-                if !done.records.is_empty() {
-                    one.store.commit().unwrap_or_else(|why| panic!("a sound disk: {why}"));
-                    one.council.handle_durable(self.now, one.written);
+                if !actions.records.is_empty() {
+                    member
+                        .store
+                        .commit()
+                        .unwrap_or_else(|error| panic!("cannot commit to the store: {error}"));
+                    member.node.handle_durable(self.now_ms, member.durable_records);
                 }
             }
             if idle {
                 return;
             }
             for (from, to, message) in sends {
-                let one = self.all.get_mut(&to).expect("a member");
-                one.council.handle_message(self.now, from, message);
+                let receiver = self.members.get_mut(&to).expect("a member of the group");
+                receiver.node.handle_message(self.now_ms, from, message);
             }
         }
     }
 
-    /// Commits so many, `together` at once: how many a second, and the time of each round.
-    fn commits(&mut self, count: usize, together: usize) -> (f64, Histogram<u64>) {
-        let mut took = Histogram::new(3).expect("three digits");
-        let begun = Instant::now();
-        for _ in 0..count / together {
-            let round = Instant::now();
-            let leader = self.leader().expect("it leads");
-            let one = self.all.get_mut(&leader).expect("a member");
-            let before = one.council.commit_index().0;
-            for _ in 0..together {
-                one.council.propose(self.now, vec![7; 64]).unwrap_or_else(|why| panic!("{why}"));
+    /// Commits `count` entries in rounds of `batch` at a time. Returns the commits per second and the duration of each round
+    /// in microseconds.
+    fn commit_entries(&mut self, count: usize, batch: usize) -> (f64, Histogram<u64>) {
+        let mut round_times_us = Histogram::new(3).expect("three significant digits are valid");
+        let started = Instant::now();
+        for _ in 0..count / batch {
+            let round_started = Instant::now();
+            let leader = self.leader().expect("a member leads");
+            let member = self.members.get_mut(&leader).expect("a member of the group");
+            let before = member.node.commit_index().0;
+            for _ in 0..batch {
+                member.node.propose(self.now_ms, vec![7; 64]).unwrap_or_else(|error| panic!("{error}"));
             }
-            self.settle();
-            assert!(self.all[&leader].council.commit_index().0 >= before + together as u64, "all are agreed");
-            took.record(round.elapsed().as_micros() as u64).expect("within an hour");
-            // A log that grows without end is not what is measured.
-            if self.all[&leader].council.log().len() > 4096 {
-                for one in self.all.values_mut() {
-                    let at = one.council.commit_index();
-                    one.council.compact(at, Vec::new());
+            self.run_until_idle();
+            assert!(
+                self.members[&leader].node.commit_index().0 >= before + batch as u64,
+                "all entries of the round are committed"
+            );
+            let round_us = round_started.elapsed().as_micros() as u64;
+            round_times_us.record(round_us).expect("a resizing histogram takes every value");
+            // Compaction keeps the log short, so that its growth does not enter the measurement.
+            if self.members[&leader].node.log().len() > 4096 {
+                for member in self.members.values_mut() {
+                    let committed = member.node.commit_index();
+                    member.node.compact(committed, Vec::new());
                 }
             }
-            self.now += 1.0;
-            let now = self.now;
-            self.all
+            self.now_ms += 1.0;
+            let now_ms = self.now_ms;
+            self.members
                 .values_mut()
-                .filter(|one| now >= one.council.next_tick())
-                .for_each(|one| one.council.tick(now));
-            self.settle();
+                .filter(|member| now_ms >= member.node.next_tick())
+                .for_each(|member| member.node.tick(now_ms));
+            self.run_until_idle();
         }
-        (count as f64 / begun.elapsed().as_secs_f64(), took)
+        (count as f64 / started.elapsed().as_secs_f64(), round_times_us)
     }
 }
 
-fn figures(report: &Report, what: &str, (rate, took): (f64, Histogram<u64>)) -> f64 {
-    let p99 = took.value_at_quantile(0.99) as f64 / 1000.0;
-    report.figure(what, format!("{rate:.0} commits/s, a round {p99:.2} ms at p99"));
-    rate
+/// Prints the commit rate and the round time, and returns the rate.
+fn report_commits(
+    report: &Report,
+    what: &str,
+    (commits_per_second, round_times_us): (f64, Histogram<u64>),
+) -> f64 {
+    let p99_ms = round_times_us.value_at_quantile(0.99) as f64 / 1000.0;
+    report.figure(what, format!("{commits_per_second:.0} commits/s, p99 of a round {p99_ms:.2} ms"));
+    commits_per_second
 }
 
-/// How long nobody leads, in milliseconds: the time to the next leader's log line.
-fn leaderless(
-    town: &mut TestCluster,
+/// Injects a fault at the leader and returns the milliseconds until another member logs that it leads; the fault is reverted
+/// afterwards.
+fn time_without_leader_ms(
+    cluster: &mut TestCluster,
     fault: impl Fn(&mut TestCluster, u16),
-    mend: impl Fn(&mut TestCluster, u16),
+    revert: impl Fn(&mut TestCluster, u16),
 ) -> f64 {
-    let leader = town.wait_for_leader();
+    let leader = cluster.wait_for_leader();
     std::thread::sleep(Duration::from_millis(300));
-    let begun = Instant::now();
-    fault(town, leader);
-    town.wait_for_leader_except(&[leader]);
-    let took = begun.elapsed().as_secs_f64() * 1000.0;
-    mend(town, leader);
+    let started = Instant::now();
+    fault(cluster, leader);
+    cluster.wait_for_leader_except(&[leader]);
+    let elapsed_ms = started.elapsed().as_secs_f64() * 1000.0;
+    revert(cluster, leader);
     std::thread::sleep(Duration::from_millis(700));
-    took
+    elapsed_ms
 }
 
+/// Measures groups of 1, 3 and 5 members, then the time without a leader for each fault, `rounds` times.
 pub fn run(report: &mut Report, rounds: usize) {
     for members in [1, 3, 5] {
         let mut group = Group::new(members, |id| SimDisk::new(id.into()));
-        figures(report, &format!("{members} members, no sync cost, one at a time"), group.commits(2000, 1));
-        figures(report, &format!("{members} members, no sync cost, 64 together"), group.commits(20_000, 64));
+        report_commits(
+            report,
+            &format!("{members} members, no syncs, batches of 1"),
+            group.commit_entries(2000, 1),
+        );
+        report_commits(
+            report,
+            &format!("{members} members, no syncs, batches of 64"),
+            group.commit_entries(20_000, 64),
+        );
     }
     let folder: PathBuf = std::env::temp_dir().join(format!("juniperrail-council-{}", std::process::id()));
-    let mut single = 0.0;
+    let mut batch_speedup = 0.0;
     for members in [1, 3, 5] {
-        let disk = |id: u16| DirectoryDisk::open(folder.join(format!("{members}-{id}"))).expect("a folder");
+        let disk = |id: u16| {
+            DirectoryDisk::open(folder.join(format!("{members}-{id}")))
+                .expect("the temporary folder can be written")
+        };
         let mut group = Group::new(members, disk);
-        let one = figures(
+        let single_rate = report_commits(
             report,
-            &format!("{members} members, real syncs one by one, one at a time"),
-            group.commits(300, 1),
+            &format!("{members} members, file syncs in sequence, batches of 1"),
+            group.commit_entries(300, 1),
         );
-        let many = figures(
+        let batch_rate = report_commits(
             report,
-            &format!("{members} members, real syncs one by one, 64 together"),
-            group.commits(6400, 64),
+            &format!("{members} members, file syncs in sequence, batches of 64"),
+            group.commit_entries(6400, 64),
         );
         if members == 3 {
-            single = many / one;
+            batch_speedup = batch_rate / single_rate;
         }
     }
     _ = std::fs::remove_dir_all(&folder);
-    report.bound("3 members: 64 together against one at a time", format!("{single:.1} times"), single >= 8.0);
-    let made = ClusterConfig { proxies_per_manager: 0, schedules: String::new(), ..ClusterConfig::default() };
-    let election = f64::from(made.election_timeout_ms);
-    let mut town = TestCluster::start(made);
-    let mut all: Vec<(&str, Vec<f64>)> =
-        vec![("killed", vec![]), ("stopped", vec![]), ("cut off", vec![]), ("ended by SIGTERM", vec![])];
+    report.bound(
+        "3 members: rate in batches of 64 over batches of 1",
+        format!("{batch_speedup:.1} times"),
+        batch_speedup >= 8.0,
+    );
+    let config =
+        ClusterConfig { proxies_per_manager: 0, schedules: String::new(), ..ClusterConfig::default() };
+    let election_timeout_ms = f64::from(config.election_timeout_ms);
+    let mut cluster = TestCluster::start(config);
+    let mut times_by_fault: Vec<(&str, Vec<f64>)> = vec![
+        ("killed", vec![]),
+        ("suspended", vec![]),
+        ("partitioned", vec![]),
+        ("ended by SIGTERM", vec![]),
+    ];
     for _ in 0..rounds {
-        let start = |town: &mut TestCluster, id: u16| town.manager(id).start();
-        all[0].1.push(leaderless(&mut town, |town, id| town.manager(id).kill(), start));
-        let go_on = |town: &mut TestCluster, id: u16| town.manager(id).resume();
-        all[1].1.push(leaderless(&mut town, |town, id| town.manager(id).suspend(), go_on));
-        let heal = |town: &mut TestCluster, _| town.heal_links();
-        all[2].1.push(leaderless(
-            &mut town,
-            |town, id| town.set_links_across(&[id], LinkState::Silent),
+        let start = |cluster: &mut TestCluster, id: u16| cluster.manager(id).start();
+        times_by_fault[0].1.push(time_without_leader_ms(
+            &mut cluster,
+            |cluster, id| cluster.manager(id).kill(),
+            start,
+        ));
+        let resume = |cluster: &mut TestCluster, id: u16| cluster.manager(id).resume();
+        times_by_fault[1].1.push(time_without_leader_ms(
+            &mut cluster,
+            |cluster, id| cluster.manager(id).suspend(),
+            resume,
+        ));
+        let heal = |cluster: &mut TestCluster, _| cluster.heal_links();
+        times_by_fault[2].1.push(time_without_leader_ms(
+            &mut cluster,
+            |cluster, id| cluster.set_links_across(&[id], LinkState::Silent),
             heal,
         ));
-        all[3].1.push(leaderless(&mut town, |town, id| _ = town.manager(id).terminate(), start));
+        times_by_fault[3].1.push(time_without_leader_ms(
+            &mut cluster,
+            |cluster, id| _ = cluster.manager(id).terminate(),
+            start,
+        ));
     }
-    for (what, took) in &mut all {
-        took.sort_by(f64::total_cmp);
-        let (middle, worst) = (took[took.len() / 2], took[took.len() - 1]);
-        let shown = format!("{middle:.0} ms at the middle, {worst:.0} ms at the worst of {}", took.len());
-        match *what {
-            // Nobody waits for an election: less than one passes.
+    for (fault, times_ms) in &mut times_by_fault {
+        times_ms.sort_by(f64::total_cmp);
+        let (median, max) = (times_ms[times_ms.len() / 2], times_ms[times_ms.len() - 1]);
+        let shown = format!("median {median:.0} ms, maximum {max:.0} ms of {}", times_ms.len());
+        match *fault {
+            // A terminated leader hands over, so the others do not wait for an election timeout.
             "ended by SIGTERM" => {
-                report.bound(&format!("without a leader, one {what}"), shown, middle < election)
+                report.bound(&format!("time without a leader, {fault}"), shown, median < election_timeout_ms)
             }
-            _ => report.bound(&format!("without a leader, one {what}"), shown, middle < 4.0 * election),
+            _ => report.bound(
+                &format!("time without a leader, {fault}"),
+                shown,
+                median < 4.0 * election_timeout_ms,
+            ),
         }
     }
-    let seen = town.traffic.lock().expect("no wire panics");
-    let two = seen.leaders.values().filter(|leaders| leaders.len() > 1).count();
-    report.bound("terms with two leaders", format!("{two} of {}", seen.leaders.len()), two == 0);
+    let traffic = cluster.traffic.lock().expect("no link thread panics");
+    let conflicting_terms = traffic.leaders.values().filter(|leaders| leaders.len() > 1).count();
+    report.bound(
+        "terms with two leaders",
+        format!("{conflicting_terms} of {}", traffic.leaders.len()),
+        conflicting_terms == 0,
+    );
 }
--- a/crates/lab/src/gangs.rs
+++ b/crates/lab/src/gangs.rs
@@ -1,5 +1,5 @@
-//! Stragglers on drawn gangs: who is called one, how soon, and what that saves; and how many sums a second many gangs take
-//! by threads.
+//! Straggler detection on randomly drawn gangs: which workers are detected, how soon, and the run time saved. Also the rate
+//! at which many gangs record progress reports, by the number of threads.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,26 +10,30 @@
 
 use crate::report::Report;
 
-const PERIOD: f64 = 1000.0;
-const EXTRA: f64 = 0.05;
-/// Published for progress against the mean of all: a part is slow that is 20% under it.
-const UNDER: f64 = 0.2;
+/// The period of progress reports.
+const REPORT_PERIOD_MS: f64 = 1000.0;
+/// The share of the total work that second attempts may add.
+const EXTRA_WORK_RATIO: f64 = 0.05;
+/// The published fixed threshold: a part is slow if its progress is 20% of the part below the mean of all.
+const FIXED_THRESHOLD: f64 = 0.2;
 
-/// One drawn run: how fast each worker really is, and who is a straggler.
-struct Drawn {
+/// One randomly drawn gang: the true speed of each worker, the size of its part, and whether it is a straggler.
+struct DrawnGang {
     kinds: Vec<WorkerKind>,
     speeds: Vec<f64>,
     sizes: Vec<f64>,
-    slow: Vec<bool>,
+    stragglers: Vec<bool>,
 }
 
-fn normal(rng: &mut fastrand::Rng) -> f64 {
-    // Twelve sums of chance are close to a normal one.
+/// An approximately standard normal value: the sum of twelve uniform ones, less its mean.
+fn standard_normal(rng: &mut fastrand::Rng) -> f64 {
     (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0
 }
 
-impl Drawn {
-    fn new(rng: &mut fastrand::Rng, count: usize, whole: f64) -> Drawn {
+impl DrawnGang {
+    /// Draws a gang of `count` workers whose speeds are all multiplied by `speed_factor`. It has stragglers only at a factor
+    /// of 1.
+    fn new(rng: &mut fastrand::Rng, count: usize, speed_factor: f64) -> DrawnGang {
         let kinds: Vec<WorkerKind> = (0..count)
             .map(|n| WorkerKind {
                 machine: MachineId(rng.u16(..2)),
@@ -38,91 +42,106 @@
                 warm: true,
             })
             .collect();
-        let slow: Vec<bool> = (0..count).map(|_| whole == 1.0 && rng.f64() < 0.04).collect();
+        let stragglers: Vec<bool> = (0..count).map(|_| speed_factor == 1.0 && rng.f64() < 0.04).collect();
         let speed = |n: usize, rng: &mut fastrand::Rng| {
-            let kind = if kinds[n].machine.0 == 0 { 1.0 } else { 0.7 };
-            let own = (0.08 * normal(rng)).exp();
-            let lag = if slow[n] { 0.15 + 0.35 * rng.f64() } else { 1.0 };
-            whole * kind * own * lag
+            let kind_factor = if kinds[n].machine.0 == 0 { 1.0 } else { 0.7 };
+            let worker_factor = (0.08 * standard_normal(rng)).exp();
+            let straggler_factor = if stragglers[n] { 0.15 + 0.35 * rng.f64() } else { 1.0 };
+            speed_factor * kind_factor * worker_factor * straggler_factor
         };
         let speeds = (0..count).map(|n| speed(n, rng)).collect();
-        let sizes = (0..count).map(|_| 60_000.0 * (0.15 * normal(rng)).exp()).collect();
-        Drawn { kinds, speeds, sizes, slow }
+        let sizes = (0..count).map(|_| 60_000.0 * (0.15 * standard_normal(rng)).exp()).collect();
+        DrawnGang { kinds, speeds, sizes, stragglers }
     }
 }
 
-/// How a second attempt is decided on.
+/// The policy that decides on second attempts.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
-    Nothing,
-    Ours,
-    Fixed,
-    TrueSight,
+enum Policy {
+    /// No second attempts.
+    None,
+    /// The verdicts and mitigations of the `gangs` package.
+    Detector,
+    /// A fixed distance below the mean progress.
+    FixedThreshold,
+    /// Knows the stragglers and starts their second attempts at once.
+    Oracle,
 }
 
+/// The outcome of one simulated run.
 #[derive(Default)]
-struct Ran {
-    time: f64,
-    extra: f64,
-    called: Vec<bool>,
-    /// Sums until each was called.
-    after: Vec<u32>,
+struct Outcome {
+    time_ms: f64,
+    /// The work of second attempts, as a ratio of the total work.
+    extra_work: f64,
+    /// Whether each worker was detected as a straggler.
+    detected: Vec<bool>,
+    /// The report periods until each worker was detected.
+    periods_until_detected: Vec<u32>,
 }
 
-/// Plays a run to its end.
-fn play(drawn: &Drawn, way: Way, seed: u64) -> Ran {
+/// Simulates a run until every part is complete.
+fn simulate(drawn: &DrawnGang, policy: Policy, seed: u64) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let count = drawn.speeds.len();
-    let mut gang = Gang::new(PERIOD, true);
-    let work: f64 = drawn.sizes.iter().sum();
-    let mut budget = Budget::from_ratio(work, EXTRA);
-    let (mut done, mut second) = (vec![0.0f64; count], vec![None::<f64>; count]);
-    let mut ran = Ran { called: vec![false; count], after: vec![0; count], ..Ran::default() };
-    let mut over = vec![false; count];
-    let mut now = 0.0;
-    let mut under_way: Vec<(f64, ProgressReport)> = Vec::new();
-    if way == Way::TrueSight {
-        (0..count).filter(|n| drawn.slow[*n]).for_each(|n| second[n] = Some(0.0));
+    let mut gang = Gang::new(REPORT_PERIOD_MS, true);
+    let total_work: f64 = drawn.sizes.iter().sum();
+    let mut budget = Budget::from_ratio(total_work, EXTRA_WORK_RATIO);
+    // The progress of each part's first and second attempt, from 0 to 1.
+    let (mut first, mut second) = (vec![0.0f64; count], vec![None::<f64>; count]);
+    let mut outcome = Outcome {
+        detected: vec![false; count],
+        periods_until_detected: vec![0; count],
+        ..Outcome::default()
+    };
+    let mut complete = vec![false; count];
+    let mut now_ms = 0.0;
+    // Reports on the way to the gang, with the time of their arrival.
+    let mut in_transit: Vec<(f64, ProgressReport)> = Vec::new();
+    if policy == Policy::Oracle {
+        (0..count).filter(|n| drawn.stragglers[*n]).for_each(|n| second[n] = Some(0.0));
     }
-    while over.iter().any(|over| !over) && now < 2_000_000.0 {
-        now += PERIOD;
+    while complete.iter().any(|complete| !complete) && now_ms < 2_000_000.0 {
+        now_ms += REPORT_PERIOD_MS;
         for n in 0..count {
-            if over[n] {
+            if complete[n] {
                 continue;
             }
-            let step = drawn.speeds[n] * (0.15 * normal(&mut rng)).exp() * PERIOD / drawn.sizes[n];
-            done[n] = (done[n] + step).min(1.0);
-            if let Some(other) = &mut second[n] {
-                let usual = if drawn.kinds[n].machine.0 == 0 { 1.0 } else { 0.7 };
-                let step = (usual * PERIOD / drawn.sizes[n]).min(1.0 - *other);
-                *other += step;
-                ran.extra += step * drawn.sizes[n];
+            let step = drawn.speeds[n] * (0.15 * standard_normal(&mut rng)).exp() * REPORT_PERIOD_MS
+                / drawn.sizes[n];
+            first[n] = (first[n] + step).min(1.0);
+            if let Some(progress) = &mut second[n] {
+                let kind_speed = if drawn.kinds[n].machine.0 == 0 { 1.0 } else { 0.7 };
+                let step = (kind_speed * REPORT_PERIOD_MS / drawn.sizes[n]).min(1.0 - *progress);
+                *progress += step;
+                outcome.extra_work += step * drawn.sizes[n];
             }
-            over[n] = done[n] >= 1.0 || second[n].is_some_and(|other| other >= 1.0);
+            complete[n] = first[n] >= 1.0 || second[n].is_some_and(|progress| progress >= 1.0);
+            // One report in 20 is lost, and one in ten of the others may be delayed by more than two periods.
             if rng.f64() > 0.05 {
-                let late = if rng.u8(..10) == 0 { 2500.0 } else { 300.0 };
+                let max_delay_ms = if rng.u8(..10) == 0 { 2500.0 } else { 300.0 };
                 let (part, worker) = (PartId(n as u32), WorkerId(n as u32));
-                let (kind, size, done) = (drawn.kinds[n], drawn.sizes[n], done[n]);
-                under_way.push((
-                    now + rng.f64() * late,
-                    ProgressReport { round: 1, part, worker, kind, size, done, reported_at: now },
+                let (kind, size, done) = (drawn.kinds[n], drawn.sizes[n], first[n]);
+                in_transit.push((
+                    now_ms + rng.f64() * max_delay_ms,
+                    ProgressReport { round: 1, part, worker, kind, size, done, reported_at: now_ms },
                 ));
             }
         }
-        for (_, sum) in under_way.extract_if(.., |(at, _)| *at <= now) {
-            gang.record(&sum);
+        for (_, report) in in_transit.extract_if(.., |(arrives_at, _)| *arrives_at <= now_ms) {
+            gang.record(&report);
         }
-        let called: Vec<usize> = match way {
-            Way::Ours => {
-                let verdicts = gang.verdicts(now);
-                let slow = verdicts.iter().filter(|verdict| verdict.cause == Cause::Straggler);
-                for verdict in slow {
+        let below_threshold: Vec<usize> = match policy {
+            Policy::Detector => {
+                let verdicts = gang.verdicts(now_ms);
+                let stragglers = verdicts.iter().filter(|verdict| verdict.cause == Cause::Straggler);
+                for verdict in stragglers {
                     let n = verdict.worker.0 as usize;
-                    if !ran.called[n] {
-                        ran.called[n] = true;
-                        ran.after[n] = (now / PERIOD) as u32;
+                    if !outcome.detected[n] {
+                        outcome.detected[n] = true;
+                        outcome.periods_until_detected[n] = (now_ms / REPORT_PERIOD_MS) as u32;
                     }
-                    let spare = Some(WorkerId(u32::MAX)).filter(|_| second[n].is_none() && !over[n]);
+                    let spare = Some(WorkerId(u32::MAX)).filter(|_| second[n].is_none() && !complete[n]);
                     if let Mitigation::Speculate { .. } = gang.choose_mitigation(verdict, spare, &mut budget)
                     {
                         second[n] = Some(0.0);
@@ -130,114 +149,138 @@
                 }
                 Vec::new()
             }
-            Way::Fixed if now >= 10.0 * PERIOD => {
-                let mean = done.iter().sum::<f64>() / count as f64;
-                (0..count).filter(|n| done[*n] < mean - UNDER && !over[*n]).collect()
+            Policy::FixedThreshold if now_ms >= 10.0 * REPORT_PERIOD_MS => {
+                let mean = first.iter().sum::<f64>() / count as f64;
+                (0..count).filter(|n| first[*n] < mean - FIXED_THRESHOLD && !complete[*n]).collect()
             }
             _ => Vec::new(),
         };
-        for n in called {
-            ran.called[n] = true;
+        for n in below_threshold {
+            outcome.detected[n] = true;
             second[n] = second[n].or(Some(0.0));
         }
     }
-    ran.time = now;
-    ran.extra /= work;
-    ran
+    outcome.time_ms = now_ms;
+    outcome.extra_work /= total_work;
+    outcome
 }
 
+/// Compares the policies on one gang per seed, checks that gangs that are slow throughout have no stragglers, and measures the
+/// rate of reports.
 pub fn run(report: &mut Report, seeds: u64) {
-    let (mut right, mut wrong, mut missed) = (0u32, 0u32, 0u32);
-    let mut after: Vec<u32> = Vec::new();
-    let mut times: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-    let (mut fixed_right, mut fixed_wrong, mut worst_extra) = (0u32, 0u32, 0.0f64);
+    let (mut true_positives, mut false_positives, mut false_negatives) = (0u32, 0u32, 0u32);
+    let mut periods_until_detected: Vec<u32> = Vec::new();
+    // Per policy, summed over the seeds: the time relative to no mitigation, and the extra work.
+    let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+    let (mut fixed_true_positives, mut fixed_false_positives, mut max_extra_work) = (0u32, 0u32, 0.0f64);
     for seed in 0..seeds {
         let mut rng = fastrand::Rng::with_seed(seed);
         let count = [8, 16, 32, 64, 128, 256, 512][(seed % 7) as usize];
-        let drawn = Drawn::new(&mut rng, count, 1.0);
-        let ways = [
-            ("nothing", Way::Nothing),
-            ("ours", Way::Ours),
-            ("fixed threshold", Way::Fixed),
-            ("true sight", Way::TrueSight),
+        let drawn = DrawnGang::new(&mut rng, count, 1.0);
+        let policies = [
+            ("no mitigation", Policy::None),
+            ("the detector", Policy::Detector),
+            ("a fixed threshold", Policy::FixedThreshold),
+            ("the oracle", Policy::Oracle),
         ];
-        let nothing = play(&drawn, Way::Nothing, seed).time;
-        for (name, way) in ways {
-            let ran = play(&drawn, way, seed);
-            let sum = times.entry(name).or_default();
-            (sum.0, sum.1) = (sum.0 + ran.time / nothing, sum.1 + ran.extra);
+        let unmitigated_ms = simulate(&drawn, Policy::None, seed).time_ms;
+        for (name, policy) in policies {
+            let outcome = simulate(&drawn, policy, seed);
+            let sum = sums.entry(name).or_default();
+            (sum.0, sum.1) = (sum.0 + outcome.time_ms / unmitigated_ms, sum.1 + outcome.extra_work);
             for n in 0..count {
-                // Of small gangs with fewer than five of a kind nothing can be said surely.
-                match (way, ran.called[n], drawn.slow[n]) {
-                    (Way::Ours, true, true) => {
-                        right += 1;
-                        after.push(ran.after[n]);
+                // In small gangs with fewer than five workers of a kind, detection is not reliable.
+                match (policy, outcome.detected[n], drawn.stragglers[n]) {
+                    (Policy::Detector, true, true) => {
+                        true_positives += 1;
+                        periods_until_detected.push(outcome.periods_until_detected[n]);
                     }
-                    (Way::Ours, true, false) => wrong += 1,
-                    (Way::Ours, false, true) => missed += 1,
-                    (Way::Fixed, true, true) => fixed_right += 1,
-                    (Way::Fixed, true, false) => fixed_wrong += 1,
+                    (Policy::Detector, true, false) => false_positives += 1,
+                    (Policy::Detector, false, true) => false_negatives += 1,
+                    (Policy::FixedThreshold, true, true) => fixed_true_positives += 1,
+                    (Policy::FixedThreshold, true, false) => fixed_false_positives += 1,
                     _ => {}
                 }
             }
-            if way == Way::Ours {
-                worst_extra = worst_extra.max(ran.extra);
+            if policy == Policy::Detector {
+                max_extra_work = max_extra_work.max(outcome.extra_work);
             }
         }
     }
-    after.sort();
-    let part = |a: u32, b: u32| f64::from(a) / f64::from((a + b).max(1));
-    let (precision, recall) = (part(right, wrong), part(right, missed));
-    report.figure("gangs of 8 to 512 workers, stragglers in them", format!("{seeds}, {}", right + missed));
+    periods_until_detected.sort();
+    let ratio = |part: u32, rest: u32| f64::from(part) / f64::from((part + rest).max(1));
+    let precision = ratio(true_positives, false_positives);
+    let recall = ratio(true_positives, false_negatives);
+    report.figure(
+        "gangs of 8 to 512 workers, stragglers in them",
+        format!("{seeds}, {}", true_positives + false_negatives),
+    );
     report.bound("precision", format!("{precision:.3}"), precision >= 0.97);
-    report.bound("recall, of those at half speed or less", format!("{recall:.3}"), recall >= 0.95);
-    let at = |q: f64| after.get((after.len() as f64 * q) as usize).copied().unwrap_or(0);
-    report.figure("sums until found, middle and nine in ten", format!("{}, {}", at(0.5), at(0.9)));
-    let fixed = format!("{:.3}, right {fixed_right}, wrong {fixed_wrong}", part(fixed_right, fixed_wrong));
-    report.figure("precision of 20% under the mean", fixed);
-    for (name, (time, extra)) in &times {
-        let shown =
-            format!("{:.3} of the time, {:.3} of the work extra", time / seeds as f64, extra / seeds as f64);
+    report.bound("recall of stragglers at half speed or less", format!("{recall:.3}"), recall >= 0.95);
+    let quantile = |q: f64| {
+        let index = (periods_until_detected.len() as f64 * q) as usize;
+        periods_until_detected.get(index).copied().unwrap_or(0)
+    };
+    report.figure(
+        "report periods until detection, p50 and p90",
+        format!("{}, {}", quantile(0.5), quantile(0.9)),
+    );
+    let fixed_precision = format!(
+        "{:.3}, true positives {fixed_true_positives}, false positives {fixed_false_positives}",
+        ratio(fixed_true_positives, fixed_false_positives)
+    );
+    report.figure("precision of the threshold 20% below the mean", fixed_precision);
+    for (name, (time, extra_work)) in &sums {
+        let shown = format!(
+            "{:.3} of the time without mitigation, {:.3} extra work",
+            time / seeds as f64,
+            extra_work / seeds as f64
+        );
         report.figure(&format!("run time with {name}"), shown);
     }
-    report.bound("extra work at the most", format!("{worst_extra:.3}"), worst_extra <= EXTRA + 1e-9);
-    let mut called = 0;
+    report.bound(
+        "maximum extra work",
+        format!("{max_extra_work:.3}"),
+        max_extra_work <= EXTRA_WORK_RATIO + 1e-9,
+    );
+    let mut detected = 0;
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let ran = play(&Drawn::new(&mut rng, 128, 0.3), Way::Ours, seed);
-        called += ran.called.iter().filter(|called| **called).count();
+        let outcome = simulate(&DrawnGang::new(&mut rng, 128, 0.3), Policy::Detector, seed);
+        detected += outcome.detected.iter().filter(|detected| **detected).count();
     }
-    report.bound("called in 50 gangs of 128 that are slow as a whole", called, called == 0);
-    intake(report);
+    report.bound("stragglers detected in 50 uniformly slow gangs of 128", detected, detected == 0);
+    report_rates(report);
 }
 
-/// Sums a second of 1,000 gangs of ten workers each, by threads.
-fn intake(report: &mut Report) {
+/// Measures how many progress reports a second 1,000 gangs of ten workers each record, by the number of threads.
+fn report_rates(report: &mut Report) {
     const GANGS: u32 = 1000;
-    const EACH: u32 = 10;
-    const WORDS: u32 = 40;
+    const WORKERS_PER_GANG: u32 = 10;
+    const REPORTS_PER_WORKER: u32 = 40;
     let rate = |threads: u32| {
         let shards: Shards<BTreeMap<u32, Gang>> = Shards::new(64);
-        let begun = Instant::now();
+        let started = Instant::now();
         std::thread::scope(|scope| {
             for thread in 0..threads {
                 let shards = &shards;
                 scope.spawn(move || {
-                    for word in 1..=WORDS {
+                    for number in 1..=REPORTS_PER_WORKER {
                         for gang in (0..GANGS).filter(|gang| gang % threads == thread) {
-                            shards.with(gang.into(), |all| {
-                                let own = all.entry(gang).or_insert_with(|| Gang::new(PERIOD, true));
-                                for worker in 0..EACH {
+                            shards.with(gang.into(), |gangs| {
+                                let state =
+                                    gangs.entry(gang).or_insert_with(|| Gang::new(REPORT_PERIOD_MS, true));
+                                for worker in 0..WORKERS_PER_GANG {
                                     let kind = WorkerKind {
                                         machine: MachineId(0),
                                         cell: CellId(0),
                                         zone: ZoneId(0),
                                         warm: true,
                                     };
-                                    let done = f64::from(word) / f64::from(WORDS + 1);
-                                    let (part, worker, reported_at) =
-                                        (PartId(worker), WorkerId(worker), f64::from(word) * PERIOD);
-                                    own.record(&ProgressReport {
+                                    let done = f64::from(number) / f64::from(REPORTS_PER_WORKER + 1);
+                                    let (part, worker) = (PartId(worker), WorkerId(worker));
+                                    let reported_at = f64::from(number) * REPORT_PERIOD_MS;
+                                    state.record(&ProgressReport {
                                         round: 1,
                                         part,
                                         worker,
@@ -253,19 +296,23 @@
                 });
             }
         });
-        f64::from(GANGS * EACH * WORDS) / begun.elapsed().as_secs_f64()
+        f64::from(GANGS * WORKERS_PER_GANG * REPORTS_PER_WORKER) / started.elapsed().as_secs_f64()
     };
-    // In turns, so that a machine that speeds up or slows down does so for all.
+    // The thread counts alternate, so that a machine that speeds up or slows down affects all of them alike.
     let mut rates: BTreeMap<u32, Vec<f64>> = BTreeMap::new();
     for _ in 0..5 {
         [1, 2, 4].into_iter().for_each(|threads| rates.entry(threads).or_default().push(rate(threads)));
     }
-    let middle = |threads: u32| {
-        let mut all = rates[&threads].clone();
-        all.sort_by(f64::total_cmp);
-        all[all.len() / 2]
+    let median = |threads: u32| {
+        let mut sorted = rates[&threads].clone();
+        sorted.sort_by(f64::total_cmp);
+        sorted[sorted.len() / 2]
     };
-    let (one, two, four) = (middle(1), middle(2), middle(4));
-    report.figure("sums a second by 1, 2 and 4 threads", format!("{one:.0}, {two:.0}, {four:.0}"));
-    report.bound("4 threads against one", format!("{:.2} times", four / one), four / one >= 2.5);
+    let (one, two, four) = (median(1), median(2), median(4));
+    report.figure("reports per second with 1, 2 and 4 threads", format!("{one:.0}, {two:.0}, {four:.0}"));
+    report.bound(
+        "rate with 4 threads over rate with 1",
+        format!("{:.2} times", four / one),
+        four / one >= 2.5,
+    );
 }
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -1,4 +1,5 @@
-//! Many schedules at five replicas whose leader is lost again and again: none twice, none silently missed, and how late.
+//! Many schedules at five replicas whose leader is killed repeatedly: no side-effecting occurrence takes effect twice, none is
+//! missed without a log line, and how late they run.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,22 +10,26 @@
 
 use crate::report::Report;
 
-/// Each is due once a minute, and jitter spreads them over it.
+/// Every schedule is due once a minute, and jitter spreads the schedules over the minute.
 const CRON: &str = "* * * * *";
-const JITTER: f64 = 58_000.0;
-/// A leader is killed so often, and started again.
-const LOST_EVERY: Duration = Duration::from_secs(10);
+const PERIOD_MS: i64 = 60_000;
+const JITTER_MS: f64 = 58_000.0;
+/// The time between two kills of a leader; it is restarted once another one leads.
+const KILL_INTERVAL: Duration = Duration::from_secs(10);
+/// A claimed occurrence completes within this time after the last kill.
+const COMPLETION_WAIT: Duration = Duration::from_secs(6);
 
+/// Runs `count` schedules for `seconds`, every other one side-effecting, then checks the executor's and the managers' logs.
 pub fn run(report: &mut Report, count: usize, seconds: u64) {
     let schedule = |n: usize| {
         let effect = if n.is_multiple_of(2) { "idempotent" } else { "side-effecting" };
         format!(
-            "<schedule><name>s-{n}</name><cron>{CRON}</cron><jitter>{JITTER}</jitter><worker>WORKER</worker><path>/run</path>\
+            "<schedule><name>s-{n}</name><cron>{CRON}</cron><jitter>{JITTER_MS}</jitter><worker>WORKER</worker><path>/run</path>\
              <effect>{effect}</effect><deadline>30000</deadline><backoff>100</backoff><lease>4000</lease></schedule>"
         )
     };
     let schedules: String = (0..count).map(schedule).collect();
-    let made = ClusterConfig {
+    let config = ClusterConfig {
         managers: 5,
         proxies_per_manager: 0,
         schedules,
@@ -33,96 +38,110 @@
         retained_entries: 20_000,
         ..ClusterConfig::default()
     };
-    let mut town = TestCluster::start(made);
-    town.wait_for_leader();
-    let begun = Instant::now();
-    let mut lost = 0;
-    while begun.elapsed() < Duration::from_secs(seconds) {
-        std::thread::sleep(LOST_EVERY);
-        let leader = town.wait_for_leader();
-        town.manager(leader).kill();
-        lost += 1;
-        town.wait_for_leader_except(&[leader]);
-        town.manager(leader).start();
+    let mut cluster = TestCluster::start(config);
+    cluster.wait_for_leader();
+    let started = Instant::now();
+    let mut kills = 0;
+    while started.elapsed() < Duration::from_secs(seconds) {
+        std::thread::sleep(KILL_INTERVAL);
+        let leader = cluster.wait_for_leader();
+        cluster.manager(leader).kill();
+        kills += 1;
+        cluster.wait_for_leader_except(&[leader]);
+        cluster.manager(leader).start();
     }
-    // What was claimed last may come to its end.
-    std::thread::sleep(Duration::from_secs(6));
-    let ran = town.executor.executions();
-    let mut by_due: BTreeMap<(String, i64), usize> = BTreeMap::new();
-    ran.iter().for_each(|ran| *by_due.entry((ran.schedule.clone(), ran.due)).or_default() += 1);
-    let side = |name: &str| {
+    std::thread::sleep(COMPLETION_WAIT);
+    let executions = cluster.executor.executions();
+    // The number of executions of each occurrence, by the schedule's name and the due time.
+    let mut executions_by_occurrence: BTreeMap<(String, i64), usize> = BTreeMap::new();
+    executions.iter().for_each(|execution| {
+        *executions_by_occurrence.entry((execution.schedule.clone(), execution.due)).or_default() += 1;
+    });
+    let is_side_effecting = |name: &str| {
         name.strip_prefix("s-").and_then(|n| n.parse::<usize>().ok()).is_some_and(|n| n % 2 == 1)
     };
-    let twice = by_due.iter().filter(|((name, _), times)| side(name) && **times > 1).count();
-    // What each manager logged, together: claims, what was passed over, and effects.
-    let mut claimed: BTreeMap<(String, i64), ()> = BTreeMap::new();
-    let (mut unknown, mut passed) = (0, 0);
-    for manager in town.managers.values() {
+    let executed_twice = executions_by_occurrence
+        .iter()
+        .filter(|((name, _), count)| is_side_effecting(name) && **count > 1)
+        .count();
+    // Occurrences that any manager logged as claimed or skipped.
+    let mut decided: BTreeMap<(String, i64), ()> = BTreeMap::new();
+    let (mut unanswered, mut skip_lines) = (0, 0);
+    for manager in cluster.managers.values() {
         for line in manager.log_lines() {
-            let Some((_, told)) = line.split_once("fleet: ") else { continue };
-            if told.contains(" is claimed by ") {
-                let due = told
+            let Some((_, event)) = line.split_once("fleet: ") else { continue };
+            if event.contains(" is claimed by ") {
+                let occurrence = event
                     .split_once(" of ")
                     .and_then(|(name, rest)| Some((name.to_string(), rest.split(' ').next()?.parse().ok()?)));
-                due.into_iter().for_each(|due| _ = claimed.insert(due, ()));
+                occurrence.into_iter().for_each(|occurrence| _ = decided.insert(occurrence, ()));
             }
-            // "3 of s-7 up to 1796000003000 are skipped: Missed"
-            if let [count, "of", name, "up", "to", upto, "are", "skipped:", ..] =
-                told.split(' ').collect::<Vec<_>>()[..]
+            // As "3 of s-7 up to 1796000003000 are skipped: Missed"
+            if let [count, "of", name, "up", "to", last_due, "are", "skipped:", ..] =
+                event.split(' ').collect::<Vec<_>>()[..]
             {
-                let (count, upto) = (count.parse::<i64>().unwrap_or(0), upto.parse::<i64>().unwrap_or(0));
-                passed += 1;
-                (0..count).for_each(|back| _ = claimed.insert((name.to_string(), upto - back * 60_000), ()));
+                let count = count.parse::<i64>().unwrap_or(0);
+                let last_due = last_due.parse::<i64>().unwrap_or(0);
+                skip_lines += 1;
+                (0..count).for_each(|periods_before| {
+                    _ = decided.insert((name.to_string(), last_due - periods_before * PERIOD_MS), ());
+                });
             }
-            unknown += usize::from(told.contains("committed outcome Unanswered"));
+            unanswered += usize::from(event.contains("committed outcome Unanswered"));
         }
     }
-    let minutes: Vec<i64> = claimed.keys().map(|(_, due)| *due).collect();
+    let due_times: Vec<i64> = decided.keys().map(|(_, due)| *due).collect();
     let (first, last) =
-        (minutes.iter().min().copied().unwrap_or(0), minutes.iter().max().copied().unwrap_or(0));
-    // Of the minutes that were over when it ended each schedule has to be accounted for.
-    let whole: Vec<i64> = (first..last).step_by(60_000).collect();
-    let missed = (0..count).flat_map(|n| whole.iter().map(move |due| (format!("s-{n}"), *due)));
-    let missed = missed.filter(|due| !claimed.contains_key(due)).count();
-    let mut late = Histogram::<u64>::new(3).expect("three digits");
-    let mut tenths = [0usize; 10];
-    let mut firsts: BTreeMap<(&str, i64), f64> = BTreeMap::new();
-    for one in &ran {
-        let first = firsts.entry((&one.schedule, one.due)).or_insert(one.received_at);
-        *first = first.min(one.received_at);
+        (due_times.iter().min().copied().unwrap_or(0), due_times.iter().max().copied().unwrap_or(0));
+    // The minutes that had ended by then; each schedule needs a claim or a skip for each of them.
+    let complete_minutes: Vec<i64> = (first..last).step_by(PERIOD_MS as usize).collect();
+    let expected = (0..count).flat_map(|n| complete_minutes.iter().map(move |due| (format!("s-{n}"), *due)));
+    let missed = expected.filter(|occurrence| !decided.contains_key(occurrence)).count();
+    let mut lateness_ms = Histogram::<u64>::new(3).expect("three significant digits are valid");
+    // Occurrences by the tenth of the jitter into which their run times fall.
+    let mut jitter_tenths = [0usize; 10];
+    let mut first_received: BTreeMap<(&str, i64), f64> = BTreeMap::new();
+    for execution in &executions {
+        let first =
+            first_received.entry((&execution.schedule, execution.due)).or_insert(execution.received_at);
+        *first = first.min(execution.received_at);
     }
-    for ((name, due), at) in firsts {
-        // As every manager reckons it.
-        let timing = Timing::parse(name, CRON, "UTC").map(|timing| timing.with_jitter(JITTER));
-        let Some(when) = timing.ok().and_then(|timing| timing.after(due as f64 - 1.0).next()) else {
+    for ((name, due), received_at) in first_received {
+        // The same pseudo-random jitter as at every manager.
+        let timing = Timing::parse(name, CRON, "UTC").map(|timing| timing.with_jitter(JITTER_MS));
+        let Some(scheduled) = timing.ok().and_then(|timing| timing.after(due as f64 - 1.0).next()) else {
             continue;
         };
-        late.record((at - when.run_at).max(0.0) as u64).expect("within an hour");
-        // Of a minute that was cut short the late tenths are missing.
-        if !whole.contains(&due) {
+        let late_ms = (received_at - scheduled.run_at).max(0.0) as u64;
+        lateness_ms.record(late_ms).expect("a resizing histogram takes every value");
+        // An incomplete minute lacks the late tenths.
+        if !complete_minutes.contains(&due) {
             continue;
         }
-        tenths[(((when.run_at - when.due) * 10.0 / JITTER) as usize).min(9)] += 1;
+        jitter_tenths[(((scheduled.run_at - scheduled.due) * 10.0 / JITTER_MS) as usize).min(9)] += 1;
     }
-    report.figure("schedules, replicas, leaders lost", format!("{count}, 5, {lost}"));
-    report.figure("occurrences with an effect, effects", format!("{}, {}", by_due.len(), ran.len()));
-    report.figure("words on occurrences passed over, of all managers together", passed);
-    report.figure("tries without an answer, as managers told", unknown);
+    report.figure("schedules, replicas, leaders killed", format!("{count}, 5, {kills}"));
     report.figure(
-        "late at p50 and p99",
-        format!("{} ms, {} ms", late.value_at_quantile(0.5), late.value_at_quantile(0.99)),
+        "executed occurrences, executions",
+        format!("{}, {}", executions_by_occurrence.len(), executions.len()),
     );
-    report.bound("side-effecting occurrences that took effect twice", twice, twice == 0);
+    report.figure("log lines about skipped occurrences, of all managers", skip_lines);
+    report.figure("log lines about tries without an answer, of all managers", unanswered);
+    report.figure(
+        "lateness at p50 and p99",
+        format!("{} ms, {} ms", lateness_ms.value_at_quantile(0.5), lateness_ms.value_at_quantile(0.99)),
+    );
+    report.bound("side-effecting occurrences that took effect twice", executed_twice, executed_twice == 0);
     report.bound(
-        "occurrences of whole minutes silently missed",
-        format!("{missed} of {}", whole.len() * count),
-        missed == 0 && !whole.is_empty(),
+        "occurrences of complete minutes missed without a log line",
+        format!("{missed} of {}", complete_minutes.len() * count),
+        missed == 0 && !complete_minutes.is_empty(),
     );
-    let spread: usize = tenths.iter().sum();
-    let (least, most) =
-        (tenths.iter().min().copied().unwrap_or(0), tenths.iter().max().copied().unwrap_or(0));
-    // In ten equal parts, five standard deviations from the tenth that is expected.
-    let (expected, off) = (spread as f64 / 10.0, 5.0 * (spread as f64 * 0.09).sqrt());
-    let even = (least as f64) > expected - off && (most as f64) < expected + off;
-    report.bound("jitter's tenths, least and most", format!("{least} and {most} of {spread}"), even);
+    let total: usize = jitter_tenths.iter().sum();
+    let (min, max) =
+        (jitter_tenths.iter().min().copied().unwrap_or(0), jitter_tenths.iter().max().copied().unwrap_or(0));
+    // A tenth has a binomial count with mean total / 10 and variance 0.09 * total; five standard deviations are allowed.
+    let (expected, tolerance) = (total as f64 / 10.0, 5.0 * (total as f64 * 0.09).sqrt());
+    let is_uniform = (min as f64) > expected - tolerance && (max as f64) < expected + tolerance;
+    report.bound("occurrences per tenth of the jitter", format!("{min} to {max} of {total}"), is_uniform);
 }
