--- a/crates/lab/src/scale/manager.rs
+++ b/crates/lab/src/scale/manager.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 use super::error::ScaleError;
-use super::role::{alive, Host, Role};
+use super::measured_process::{alive, Host, Role};
 use super::scenario::Scenario;
 use super::simulated::Fleet;
 
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -8,8 +8,8 @@
 
 use super::error::ScaleError;
 use super::guard::Need;
+use super::measured_process::{Host, Role, WITHIN};
 use super::record::Subject;
-use super::role::{Host, Role, WITHIN};
 use super::scenario::{cost, Bytes, Cost, Pace};
 use super::simulated::{Arrival, Change, Discovery, Fleet, Subscribers, Watch};
 use super::target_fleet::Letter;
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -7,7 +7,7 @@
 use super::error::ScaleError;
 use super::guard::Need;
 use super::manager::Manager;
-use super::role::Host;
+use super::measured_process::Host;
 use super::simulated::{Collectors, Discovery, Fleet, Proxies, Workers};
 
 /// Memory of a real process that any scenario of a single manager stays below, in bytes, besides its list.
@@ -84,7 +84,7 @@
 
 /// Waits until things settled, then measures a process over a window. `bytes`: what went in and out so far.
 pub async fn cost(
-    role: &super::role::Role,
+    role: &super::measured_process::Role,
     pace: Pace,
     bytes: impl Fn() -> Bytes,
 ) -> Result<Cost, ScaleError> {
--- a/crates/lab/src/scale/scoped.rs
+++ b/crates/lab/src/scale/scoped.rs
@@ -4,9 +4,9 @@
 use super::error::ScaleError;
 use super::guard::Need;
 use super::manager::{operator_element, Manager};
+use super::measured_process::Host;
 use super::record::Subject;
 use super::relay::Relay;
-use super::role::Host;
 use super::scenario::{cost, Bytes, Cost, Pace, Scenario, FIGURES};
 use super::simulated::{Discovery, Fleet, Forwarder};
 use super::target_fleet::{Letter, BYTES_MOST, CORES_MOST, MEMORY_AIM, MEMORY_MOST};
--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -2,8 +2,8 @@
 
 use super::error::ScaleError;
 use super::guard::Need;
+use super::measured_process::Host;
 use super::relay::{self, ordinary_cost};
-use super::role::Host;
 use super::scenario::{play, Cost, Pace, Scenario};
 use super::target_fleet::{Letter, WHOLE};
 
