--- a/crates/distribution/src/change_log.rs
+++ b/crates/distribution/src/change_log.rs
@@ -2,78 +2,78 @@
 
 use std::collections::VecDeque;
 
-/// The log is compacted once it holds so many entries more than twice what the last compaction left.
-const SLACK: usize = 1024;
+/// The log is compacted once it exceeds twice its length after the last compaction by this many changes.
+const COMPACTION_SLACK: usize = 1024;
 
-/// The position of a change: its version, and the how manieth it was of that version.
+/// The position of a change: its version, and its number within that version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Change {
+pub(crate) struct ChangePosition {
     pub version: u64,
     pub ordinal: u32,
 }
 
-impl Change {
-    /// The position behind every change of a version.
-    pub fn after(version: u64) -> Change {
-        Change { version, ordinal: u32::MAX }
+impl ChangePosition {
+    /// The position after every change of a version.
+    pub fn end_of(version: u64) -> ChangePosition {
+        ChangePosition { version, ordinal: u32::MAX }
     }
 }
 
-/// A change as the log holds it, in 16 bytes.
+/// A change in the log, in 16 bytes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Logged {
+pub(crate) struct LoggedChange {
     version: u64,
     ordinal: u32,
-    /// Where the worker is held.
+    /// The slot of the worker's record.
     pub slot: u32,
 }
 
-impl Logged {
-    pub fn change(&self) -> Change {
-        Change { version: self.version, ordinal: self.ordinal }
+impl LoggedChange {
+    pub fn position(&self) -> ChangePosition {
+        ChangePosition { version: self.version, ordinal: self.ordinal }
     }
 }
 
-/// Changes in ascending order. An entry counts only while its worker's latest change is this one; those that no longer
-/// count are taken out now and then, so the log is bounded by the number of workers.
+/// Changes in ascending order. A change is current only while it is the latest of its worker. Changes that no longer are
+/// current are removed by compaction, so the number of workers bounds the log.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
-    entries: VecDeque<Logged>,
-    compacted: usize,
+    changes: VecDeque<LoggedChange>,
+    len_after_compaction: usize,
 }
 
 impl ChangeLog {
     /// Appends a change that is later than all others.
-    pub fn push(&mut self, change: Change, slot: u32) {
-        self.entries.push_back(Logged { version: change.version, ordinal: change.ordinal, slot });
+    pub fn push(&mut self, position: ChangePosition, slot: u32) {
+        self.changes.push_back(LoggedChange { version: position.version, ordinal: position.ordinal, slot });
     }
 
-    pub fn pop_oldest(&mut self) -> Option<Logged> {
-        self.entries.pop_front()
+    pub fn pop_oldest(&mut self) -> Option<LoggedChange> {
+        self.changes.pop_front()
     }
 
-    /// The changes behind a position.
-    pub fn since(&self, position: Change) -> impl Iterator<Item = Logged> + '_ {
-        let start = self.entries.partition_point(|logged| logged.change() <= position);
-        self.entries.range(start..).copied()
+    /// The changes after a position.
+    pub fn since(&self, position: ChangePosition) -> impl Iterator<Item = LoggedChange> + '_ {
+        let start = self.changes.partition_point(|change| change.position() <= position);
+        self.changes.range(start..).copied()
     }
 
-    /// Takes out the entries that don't count, if there may be many.
-    pub fn compact(&mut self, counts: impl Fn(&Logged) -> bool) {
-        if self.entries.len() <= 2 * self.compacted + SLACK {
+    /// Removes the changes that are not current, unless the log has grown little since the last compaction.
+    pub fn compact(&mut self, is_current: impl Fn(&LoggedChange) -> bool) {
+        if self.changes.len() <= 2 * self.len_after_compaction + COMPACTION_SLACK {
             return;
         }
-        self.entries.retain(counts);
-        self.entries.shrink_to(self.entries.len() + SLACK);
-        self.compacted = self.entries.len();
+        self.changes.retain(is_current);
+        self.changes.shrink_to(self.changes.len() + COMPACTION_SLACK);
+        self.len_after_compaction = self.changes.len();
     }
 
     pub fn clear(&mut self) {
         *self = ChangeLog::default();
     }
 
-    /// The memory it takes, in bytes.
+    /// The memory that the changes take, in bytes.
     pub fn heap_bytes(&self) -> usize {
-        self.entries.capacity() * size_of::<Logged>()
+        self.changes.capacity() * size_of::<LoggedChange>()
     }
 }
--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -1,28 +1,29 @@
-//! What one subscriber is told next.
+//! The position of one subscriber in the list, and what to send to it next.
 //!
-//! A cursor holds no entries: what is pending is looked up in the list when the subscriber can take more, so a slow
-//! subscriber costs its position and one bounded piece of text, and of several changes to a worker it is told the latest.
+//! A cursor has no copies of entries. Pending entries are read from the list when the subscriber can take more, so a slow
+//! subscriber costs a position and one chunk of limited size, and of several changes of a worker it receives only the
+//! latest.
 //!
-//! What doesn't fit into one piece is told under a version that lies before some of it: a snapshot under the version at
-//! its begin, a part of the differences under the version up to which everything was told. Resuming from there repeats
-//! what is told. One case is left: a subscriber that saw a worker arrive in its scope in such a piece, goes to another
-//! relay before the rest, and that relay learns of the worker only after it has moved on. A scope whose workers fit into
-//! one piece never meets it.
+//! Whatever does not fit into one chunk is sent under a version that precedes some of its changes: a snapshot under the
+//! version at which it began, and a part of the differences under the version up to which every change was sent. A
+//! subscriber that resumes from there receives some changes twice. One case is not covered: a subscriber receives the
+//! arrival of a worker in its scope in such a part, moves to another relay before the rest, and that relay learns of the
+//! worker only after the worker has left the scope again. It cannot occur in a scope whose workers fit into one chunk.
 
 use std::io::Write;
 
-use crate::change_log::{Change, ChangeLog};
+use crate::change_log::{ChangeLog, ChangePosition};
 use crate::entry::Lifecycle;
-use crate::locations::PlaceSet;
+use crate::locations::LocationFilter;
 use crate::scope::Scope;
-use crate::worker_list::{FormerPlace, Record, WorkerList};
+use crate::worker_list::{FormerLocation, Record, WorkerList};
 
-/// What one call of [`Cursor::next`] does at most.
+/// Limits on one call of [`Cursor::next`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CursorLimits {
-    /// Bytes of entries written at a time. An entry that is longer by itself is written alone.
+    /// Bytes of entries written. A single entry that is longer is written alone.
     pub chunk_bytes: usize,
-    /// Workers or changes looked at.
+    /// Workers or changes examined.
     pub scanned_records: usize,
 }
 
@@ -33,60 +34,61 @@
     }
 }
 
-/// What a call of [`Cursor::next`] came to.
+/// The result of a call of [`Cursor::next`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// What was written is to be sent now. It may end within a line, where the next call goes on.
+    /// The output is to be sent now. It may end within a line, which the next call continues.
     Send,
-    /// There is more to be looked at: it is to be called again, with what was written, once others had their turn.
+    /// More records are to be examined. The call is to be repeated with the same output, after other subscribers had
+    /// their turn.
     Scanning,
-    /// The subscriber has been told everything: it is to be called again once the list has changed.
+    /// The subscriber has received everything. The call is to be repeated once the list has changed.
     UpToDate,
-    /// The source has started its versions anew: this watch has to end, within a line or not.
-    Void,
+    /// The source has restarted its versions: the watch has to end, even within a line.
+    Invalidated,
 }
 
-/// How far a subscriber has come.
+/// What the subscriber is currently being sent.
 #[derive(Debug)]
 enum Progress {
-    /// The subscriber has seen a version that the list has yet to reach.
+    /// Nothing: the subscriber has seen a version that the list has not reached yet.
     Ahead,
-    /// A snapshot has yet to begin.
+    /// A snapshot that has not begun yet.
     SnapshotDue,
-    /// The snapshot is written up to this slot.
+    /// A snapshot, which is written up to this slot.
     Snapshot { next_slot: u32, is_first: bool },
-    /// Differences are sent.
+    /// Differences.
     Following,
 }
 
-/// One subscriber's position in the list.
+/// The position of one subscriber in the list.
 #[derive(Debug)]
 pub struct Cursor {
     limits: CursorLimits,
-    places: PlaceSet,
+    filter: LocationFilter,
     epoch: u64,
     progress: Progress,
-    /// Everything up to here was told.
-    complete: Change,
-    /// The version that goes with it, from which the subscriber may resume.
+    /// Every change up to here was sent.
+    sent_through: ChangePosition,
+    /// The version that belongs to `sent_through`, from which the subscriber may resume.
     version: u64,
-    /// The version last told on this watch.
-    told: Option<u64>,
-    /// The departures up to here were told.
-    departures: Change,
-    /// All other changes up to here were told.
-    others: Change,
+    /// The version sent last on this watch.
+    last_sent_version: Option<u64>,
+    /// The departures up to here were sent.
+    departures_sent_through: ChangePosition,
+    /// All other changes up to here were sent.
+    others_sent_through: ChangePosition,
 }
 
-/// A line of differences, before it is written.
+/// The content of a line of differences.
 #[derive(Default)]
-struct Picked {
+struct Batch {
     slots: Vec<u32>,
     bytes: usize,
 }
 
 impl Cursor {
-    /// A watch of a scope, from the version that the subscriber holds if it holds one.
+    /// A watch of a scope, from the subscriber's current version if it has one.
     pub fn new(scope: Scope, index: Option<u64>, list: &WorkerList, limits: CursorLimits) -> Cursor {
         let version = list.version().unwrap_or_default();
         let progress = match index {
@@ -95,45 +97,45 @@
             Some(index) if list.can_resume(index) => Progress::Following,
             Some(_) => Progress::SnapshotDue,
         };
-        let complete = Change::after(index.unwrap_or_default().min(version));
+        let sent_through = ChangePosition::end_of(index.unwrap_or_default().min(version));
         Cursor {
             limits,
-            places: PlaceSet::new(&scope),
+            filter: LocationFilter::new(&scope),
             epoch: list.epoch(),
             progress,
-            complete,
+            sent_through,
             version: index.unwrap_or_default(),
-            told: None,
-            departures: complete,
-            others: complete,
+            last_sent_version: None,
+            departures_sent_through: sent_through,
+            others_sent_through: sent_through,
         }
     }
 
-    /// Whether a snapshot has yet to begin or to end.
+    /// Whether a snapshot has not begun or not ended yet.
     pub fn is_in_snapshot(&self) -> bool {
         matches!(self.progress, Progress::SnapshotDue | Progress::Snapshot { .. })
     }
 
-    /// Whether what was written last ended within a line.
+    /// Whether the last output ended within a line.
     pub fn is_within_line(&self) -> bool {
         matches!(self.progress, Progress::Snapshot { .. })
     }
 
-    /// Whether the subscriber has been told everything up to the version that was last told, and nothing beyond it.
+    /// Whether the subscriber has received every change up to the version sent last, and none after it.
     pub fn is_complete(&self, list: &WorkerList) -> bool {
-        let follows = self.epoch == list.epoch() && matches!(self.progress, Progress::Following);
-        follows && self.complete == list.head() && list.head().version <= self.version
+        let is_following = self.epoch == list.epoch() && matches!(self.progress, Progress::Following);
+        is_following && self.sent_through == list.head() && list.head().version <= self.version
     }
 
-    /// Writes what the subscriber is to be told next behind what `out` holds.
+    /// Appends to `out` what to send to the subscriber next.
     pub fn next(&mut self, list: &WorkerList, out: &mut Vec<u8>) -> Step {
         if self.epoch != list.epoch() {
-            return Step::Void;
+            return Step::Invalidated;
         }
-        self.places.extend(list.places());
+        self.filter.extend(list.locations());
         match self.progress {
             Progress::Ahead => return self.step_ahead(list, out),
-            Progress::Following if self.complete < list.floor_position() => {
+            Progress::Following if self.sent_through < list.floor_position() => {
                 self.progress = Progress::SnapshotDue;
             }
             _ => {}
@@ -148,49 +150,52 @@
         }
     }
 
-    /// Writes what shows that the watch lives while nothing is to be told: an empty line, or the list's version if
-    /// that has risen.
+    /// Appends a heartbeat, which shows that the watch is alive while there is nothing to send: an empty line, or the
+    /// list's version if it is not the version sent last.
     pub fn heartbeat(&mut self, list: &WorkerList, out: &mut Vec<u8>) {
         let current = match self.progress {
             Progress::Ahead => list.version().unwrap_or_default(),
             _ => self.version,
         };
-        match self.told {
-            Some(told) if told == current => out.push(b'\n'),
+        match self.last_sent_version {
+            Some(last_sent) if last_sent == current => out.push(b'\n'),
             _ => self.write_version(current, out),
         }
     }
 
-    /// Tells a subscriber that it is ahead, so that it can look for another relay, and nothing that it may know better.
+    /// Sends a subscriber that is ahead only the list's version, so that it can look for another relay. Entries are not
+    /// sent, because the subscriber may have newer ones.
     fn step_ahead(&mut self, list: &WorkerList, out: &mut Vec<u8>) -> Step {
         let version = list.version().unwrap_or_default();
         if version >= self.version {
-            // Guards against versions that count anew: what the subscriber holds may belong to the old ones.
+            // After a restart of the versions, the subscriber's version may be one from before the restart.
             let can_follow = list.epoch() == 0 && list.can_resume(self.version);
             self.progress = if can_follow { Progress::Following } else { Progress::SnapshotDue };
             return Step::Scanning;
         }
-        if self.told.is_some() {
+        if self.last_sent_version.is_some() {
             return Step::UpToDate;
         }
         self.write_version(version, out);
         Step::Send
     }
 
-    /// From here on the snapshot's version is the subscriber's: what changes while it is written is told again behind it.
+    /// From here on the subscriber's version is the snapshot's. Changes made while the snapshot is written are sent again
+    /// after it.
     fn begin_snapshot(&mut self, list: &WorkerList, out: &mut Vec<u8>) {
-        self.complete = list.head();
-        (self.departures, self.others) = (self.complete, self.complete);
+        self.sent_through = list.head();
+        (self.departures_sent_through, self.others_sent_through) = (self.sent_through, self.sent_through);
         self.version = list.version().unwrap_or_default();
-        write_head(out, self.version, true);
+        write_line_start(out, self.version, true);
     }
 
     fn step_snapshot(&mut self, list: &WorkerList, out: &mut Vec<u8>, from: u32, mut is_first: bool) -> Step {
-        let scan = u32::try_from(self.limits.scanned_records.max(1)).unwrap_or(u32::MAX);
-        let end = from.saturating_add(scan).min(list.slots());
+        let scan_limit = u32::try_from(self.limits.scanned_records.max(1)).unwrap_or(u32::MAX);
+        let end = from.saturating_add(scan_limit).min(list.slots());
         for slot in from..end {
-            let wanted = |record: &&Record| record.lifecycle != Lifecycle::Gone && self.concerns(record);
-            let Some(record) = list.record(slot).filter(wanted) else { continue };
+            let is_included =
+                |record: &&Record| record.lifecycle != Lifecycle::Gone && self.is_relevant(record);
+            let Some(record) = list.record(slot).filter(is_included) else { continue };
             if !out.is_empty() && out.len() + record.entry.len() > self.limits.chunk_bytes {
                 self.progress = Progress::Snapshot { next_slot: slot, is_first };
                 return Step::Send;
@@ -201,36 +206,37 @@
             self.progress = Progress::Snapshot { next_slot: end, is_first };
             return Step::Scanning;
         }
-        out.extend_from_slice(TAIL);
-        self.told = Some(self.version);
+        out.extend_from_slice(LINE_END);
+        self.last_sent_version = Some(self.version);
         self.progress = Progress::Following;
         Step::Send
     }
 
-    /// One line of differences: departures first, over everything that is pending.
+    /// Writes one line of differences. All pending departures come before any other change.
     fn step_differences(&mut self, list: &WorkerList, out: &mut Vec<u8>) -> Step {
-        let mut picked = Picked::default();
-        let mut scan = self.limits.scanned_records.max(1);
+        let mut batch = Batch::default();
+        let mut scan_budget = self.limits.scanned_records.max(1);
         let (departures, departures_done) =
-            self.pick(list, list.departures(), self.departures, &mut picked, &mut scan);
-        self.departures = departures;
+            self.collect(list, list.departures(), self.departures_sent_through, &mut batch, &mut scan_budget);
+        self.departures_sent_through = departures;
         let mut all_done = false;
         if departures_done {
-            (self.others, all_done) = self.pick(list, list.others(), self.others, &mut picked, &mut scan);
+            (self.others_sent_through, all_done) =
+                self.collect(list, list.others(), self.others_sent_through, &mut batch, &mut scan_budget);
         }
         if all_done {
-            self.complete = list.head();
-            (self.departures, self.others) = (self.complete, self.complete);
+            self.sent_through = list.head();
+            (self.departures_sent_through, self.others_sent_through) = (self.sent_through, self.sent_through);
             self.version = list.version().unwrap_or_default();
         }
-        if !picked.slots.is_empty() {
-            self.write_differences(list, &picked, out);
+        if !batch.slots.is_empty() {
+            self.write_differences(list, &batch, out);
             return Step::Send;
         }
-        match (all_done, self.told) {
+        match (all_done, self.last_sent_version) {
             (false, _) => Step::Scanning,
             (true, Some(_)) => Step::UpToDate,
-            // The first line shows the subscriber that it is in step.
+            // The first line of a watch shows the subscriber that it is up to date.
             (true, None) => {
                 self.write_version(self.version, out);
                 Step::Send
@@ -238,65 +244,68 @@
         }
     }
 
-    /// Picks changes behind a position as far as there is room; returns how far it came, and whether that is the end.
-    fn pick(
+    /// Adds the changes after a position to the batch, within the limits. Returns the position reached and whether it is
+    /// the end of the log.
+    fn collect(
         &self,
         list: &WorkerList,
         log: &ChangeLog,
-        mut position: Change,
-        picked: &mut Picked,
-        scan: &mut usize,
-    ) -> (Change, bool) {
-        for logged in log.since(position) {
-            if *scan == 0 {
+        mut position: ChangePosition,
+        batch: &mut Batch,
+        scan_budget: &mut usize,
+    ) -> (ChangePosition, bool) {
+        for change in log.since(position) {
+            if *scan_budget == 0 {
                 return (position, false);
             }
-            *scan -= 1;
-            let record = list.changed_record(&logged);
-            if let Some(record) = record.filter(|record| self.concerns(record)) {
-                if !picked.slots.is_empty() && picked.bytes + record.entry.len() > self.limits.chunk_bytes {
+            *scan_budget -= 1;
+            let record = list.changed_record(&change);
+            if let Some(record) = record.filter(|record| self.is_relevant(record)) {
+                if !batch.slots.is_empty() && batch.bytes + record.entry.len() > self.limits.chunk_bytes {
                     return (position, false);
                 }
-                picked.bytes += record.entry.len() + 1;
-                picked.slots.push(logged.slot);
+                batch.bytes += record.entry.len() + 1;
+                batch.slots.push(change.slot);
             }
-            position = logged.change();
+            position = change.position();
         }
         (position, true)
     }
 
-    /// Whether the subscriber is told of a worker: it is in the scope, or was, as far as that is remembered.
+    /// Whether the worker's entry is sent to the subscriber: the worker is in the scope, or one of its remembered former
+    /// locations is.
     ///
-    /// A worker that moves out of a scope is not gone, and must not be told so. The subscriber sees by the entry where the
-    /// worker is now, and is told as well when it leaves there or comes back.
-    fn concerns(&self, record: &Record) -> bool {
-        let is_former = |former: &FormerPlace| self.places.contains(former.place);
-        self.places.contains(record.place) || record.former_places().iter().any(is_former)
+    /// A worker that moves out of a scope is not gone and must not be reported as gone. The entry shows the subscriber
+    /// where the worker is now. The subscriber also receives the later changes: that the worker leaves its new location,
+    /// or that it comes back.
+    fn is_relevant(&self, record: &Record) -> bool {
+        let was_in_scope = |former: &FormerLocation| self.filter.contains(former.location);
+        self.filter.contains(record.location) || record.former_locations().iter().any(was_in_scope)
     }
 
-    fn write_differences(&mut self, list: &WorkerList, picked: &Picked, out: &mut Vec<u8>) {
-        write_head(out, self.version, false);
+    fn write_differences(&mut self, list: &WorkerList, batch: &Batch, out: &mut Vec<u8>) {
+        write_line_start(out, self.version, false);
         let mut is_first = true;
-        for slot in &picked.slots {
+        for slot in &batch.slots {
             let Some(record) = list.record(*slot) else { continue };
             write_entry(out, &record.entry, &mut is_first);
         }
-        out.extend_from_slice(TAIL);
-        self.told = Some(self.version);
+        out.extend_from_slice(LINE_END);
+        self.last_sent_version = Some(self.version);
     }
 
     fn write_version(&mut self, version: u64, out: &mut Vec<u8>) {
-        write_head(out, version, false);
-        out.extend_from_slice(TAIL);
-        self.told = Some(version);
+        write_line_start(out, version, false);
+        out.extend_from_slice(LINE_END);
+        self.last_sent_version = Some(version);
     }
 }
 
-/// What stands behind the entries of a line.
-const TAIL: &[u8] = b"]}\n";
+/// What follows the entries of a line.
+const LINE_END: &[u8] = b"]}\n";
 
-fn write_head(out: &mut Vec<u8>, version: u64, reset: bool) {
-    // Writing to memory doesn't fail.
+fn write_line_start(out: &mut Vec<u8>, version: u64, reset: bool) {
+    // Writing to memory does not fail.
     _ = write!(out, "{{\"generation\":{version},\"reset\":{reset},\"instances\":[");
 }
 
--- a/crates/distribution/src/entry.rs
+++ b/crates/distribution/src/entry.rs
@@ -1,4 +1,4 @@
-//! What a relay needs to know of a worker's entry. The entry itself goes on as the bytes that came.
+//! The fields of a worker's entry that the list depends on. The entry itself is passed on byte for byte.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -7,41 +7,41 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// How far a worker is from its end.
+/// The lifecycle of a worker, as far as the list distinguishes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lifecycle {
-    /// Neither of the others.
-    Present,
-    /// It finishes the work it has and wants nothing new.
+    /// Neither draining nor gone.
+    Active,
+    /// It finishes the work it has and takes no new work.
     Draining,
     /// It is no longer in the list.
     Gone,
 }
 
-/// Why an entry can't be held.
+/// Why an entry is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryError {
-    /// It is no object that names a worker.
-    NoWorker(String),
+    /// It is not an object with the id of a worker.
+    NoWorkerId(String),
     /// It is longer than 65,535 bytes.
     TooLong,
-    /// There are too many places already.
-    TooManyPlaces,
+    /// Its zone or service is new, and the list already has the maximum number of them.
+    TooManyNames,
 }
 
 impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EntryError::NoWorker(cause) => write!(f, "an entry names no worker: {cause}"),
-            EntryError::TooLong => write!(f, "an entry is longer than {} bytes", u16::MAX),
-            EntryError::TooManyPlaces => write!(f, "an entry names one place too many"),
+            EntryError::NoWorkerId(cause) => write!(f, "no valid worker id: {cause}"),
+            EntryError::TooLong => write!(f, "longer than {} bytes", u16::MAX),
+            EntryError::TooManyNames => write!(f, "too many distinct zones or services"),
         }
     }
 }
 
 impl std::error::Error for EntryError {}
 
-/// Where in an entry the worker's name stands, with its quotes.
+/// The range of the worker's id within an entry, quotes included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct IdSpan {
     start: u16,
@@ -49,17 +49,17 @@
 }
 
 impl IdSpan {
-    /// The worker's name in an entry with this span.
-    pub fn text(self, entry: &[u8]) -> Cow<'_, str> {
+    /// The worker's id in an entry with this span.
+    pub fn id_in(self, entry: &[u8]) -> Cow<'_, str> {
         let quoted = entry.get(usize::from(self.start)..usize::from(self.end)).unwrap_or_default();
-        string(quoted).unwrap_or_default()
+        parse_string(quoted).unwrap_or_default()
     }
 }
 
-/// What was read of an entry.
-pub(crate) struct Summary<'a> {
+/// The parsed fields of an entry.
+pub(crate) struct ParsedEntry<'a> {
     pub id: IdSpan,
-    /// `None` if it can't be read.
+    /// `None` if it cannot be parsed.
     pub zone: Option<Cow<'a, str>>,
     pub service: Option<Cow<'a, str>>,
     pub lifecycle: Lifecycle,
@@ -78,69 +78,70 @@
     lifecycle: Option<&'a RawValue>,
 }
 
-/// Of an entry whose other fields can't be read: whom it is about.
+/// The worker's id in an entry whose other fields cannot be parsed.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct About<'a> {
+struct Identity<'a> {
     #[serde(borrow)]
     instance_id: &'a RawValue,
 }
 
-fn fields(entry: &[u8]) -> Result<Fields<'_>, serde_json::Error> {
+fn parse_fields(entry: &[u8]) -> Result<Fields<'_>, serde_json::Error> {
     serde_json::from_slice::<Fields>(entry).or_else(|_| {
-        let About { instance_id } = serde_json::from_slice(entry)?;
+        let Identity { instance_id } = serde_json::from_slice(entry)?;
         Ok(Fields { instance_id, zone: None, service: None, lifecycle: None })
     })
 }
 
-/// Reads what is needed of an entry. What can't be read beside the worker's name is passed over: subscribers are to see
-/// the entry as it is.
-pub(crate) fn summarize(entry: &[u8]) -> Result<Summary<'_>, EntryError> {
-    let fields = fields(entry).map_err(|cause| EntryError::NoWorker(cause.to_string()))?;
+/// Parses the fields that the list depends on. Only an invalid worker id is an error; other invalid fields are ignored,
+/// because subscribers receive the entry unchanged.
+pub(crate) fn parse_entry(entry: &[u8]) -> Result<ParsedEntry<'_>, EntryError> {
+    let fields = parse_fields(entry).map_err(|cause| EntryError::NoWorkerId(cause.to_string()))?;
     let id = range_of(entry, fields.instance_id);
-    if string(&entry[id.clone()]).is_none_or(|name| name.is_empty()) {
-        return Err(EntryError::NoWorker("its instanceId is no name".into()));
+    if parse_string(&entry[id.clone()]).is_none_or(|id| id.is_empty()) {
+        return Err(EntryError::NoWorkerId("instanceId is not a non-empty string".into()));
     }
     let (Ok(start), Ok(end)) = (u16::try_from(id.start), u16::try_from(id.end)) else {
         return Err(EntryError::TooLong);
     };
-    let lifecycle = match text_in(entry, fields.lifecycle).as_deref() {
+    let lifecycle = match string_field(entry, fields.lifecycle).as_deref() {
         Some("draining") => Lifecycle::Draining,
         Some("gone") => Lifecycle::Gone,
-        _ => Lifecycle::Present,
+        _ => Lifecycle::Active,
     };
-    let (zone, service) = (text_in(entry, fields.zone), text_in(entry, fields.service));
-    Ok(Summary { id: IdSpan { start, end }, zone, service, lifecycle })
+    let (zone, service) = (string_field(entry, fields.zone), string_field(entry, fields.service));
+    Ok(ParsedEntry { id: IdSpan { start, end }, zone, service, lifecycle })
 }
 
-/// The entry with the lifecycle `gone`, all else as it is.
-pub(crate) fn as_gone(entry: &[u8]) -> Vec<u8> {
+/// The entry with the lifecycle `gone` and otherwise unchanged. If it has no readable lifecycle, only the worker's id is
+/// kept of it.
+pub(crate) fn with_lifecycle_gone(entry: &[u8]) -> Vec<u8> {
     const GONE: &[u8] = b"\"gone\"";
-    let Ok(fields) = fields(entry) else { return entry.to_vec() };
+    let Ok(fields) = parse_fields(entry) else { return entry.to_vec() };
     match fields.lifecycle {
         Some(lifecycle) => {
             let range = range_of(entry, lifecycle);
             [&entry[..range.start], GONE, &entry[range.end..]].concat()
         }
         None => {
-            let name = fields.instance_id.get().as_bytes();
-            [b"{\"instanceId\":", name, b",\"zone\":\"\",\"lifecycle\":", GONE, b"}"].concat()
+            let id = fields.instance_id.get().as_bytes();
+            [b"{\"instanceId\":", id, b",\"zone\":\"\",\"lifecycle\":", GONE, b"}"].concat()
         }
     }
 }
 
-fn text_in<'a>(entry: &'a [u8], raw: Option<&RawValue>) -> Option<Cow<'a, str>> {
-    string(&entry[range_of(entry, raw?)])
+fn string_field<'a>(entry: &'a [u8], raw: Option<&RawValue>) -> Option<Cow<'a, str>> {
+    parse_string(&entry[range_of(entry, raw?)])
 }
 
-/// Where a value that was borrowed from an entry stands in it.
+/// The range within an entry of a value that was borrowed from it.
 fn range_of(entry: &[u8], value: &RawValue) -> Range<usize> {
     let start = (value.get().as_ptr() as usize).saturating_sub(entry.as_ptr() as usize).min(entry.len());
     start..(start + value.get().len()).min(entry.len())
 }
 
-/// The text of a JSON string; copied only where it has escapes.
-fn string(quoted: &[u8]) -> Option<Cow<'_, str>> {
+/// The text of a JSON string. It is copied only if it has escapes.
+fn parse_string(quoted: &[u8]) -> Option<Cow<'_, str>> {
     let within = quoted.strip_prefix(b"\"")?.strip_suffix(b"\"")?;
     if within.contains(&b'\\') {
         return serde_json::from_slice(quoted).ok().map(Cow::Owned);
--- a/crates/distribution/src/list_reader.rs
+++ b/crates/distribution/src/list_reader.rs
@@ -1,8 +1,8 @@
-//! Reads worker lists out of bytes as they come, entry by entry, in memory bounded by one entry.
+//! An incremental parser of worker lists, which buffers no more than one entry and the other fields of a line.
 //!
-//! A list is one JSON object a line, as discovery sends it. A whole list of a large fleet is a line of many megabytes,
-//! so a line is never held: each element of its `instances` is handed on as soon as it is complete. The version may
-//! stand behind the entries, so a receiver stages them until [`ListEvent::End`].
+//! A list is one JSON object on one line, as discovery sends it. The line of a full list of a large fleet has many
+//! megabytes, so it is never buffered: each element of its `instances` is returned as soon as it is complete. The
+//! version may come after the entries, so a receiver stages them until [`ListEvent::End`].
 
 use std::fmt;
 
@@ -10,18 +10,18 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The field that holds the entries.
+/// The field with the entries.
 const INSTANCES: &str = "instances";
 
-/// How much of an entry an error shows, in bytes.
-const SHOWN: usize = 120;
+/// Bytes of the input that an error message quotes.
+const EXCERPT_BYTES: usize = 120;
 
-/// What a [`ListReader`] holds at most.
+/// Limits on what a [`ListReader`] buffers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListLimits {
     /// Bytes of one entry.
     pub entry_bytes: usize,
-    /// Bytes of one line without its entries.
+    /// Bytes of one line, its entries excluded.
     pub envelope_bytes: usize,
 }
 
@@ -32,52 +32,56 @@
     }
 }
 
-/// What a line turned out to hold.
+/// What a [`ListReader`] has read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ListEvent<'a> {
-    /// One element of the list that is being read: sound JSON in UTF-8, exactly as it came. It counts only once the
-    /// end of its line is reached.
+    /// One element of the list that is being read: valid JSON in UTF-8, byte for byte as received. It counts only once
+    /// the end of its line is reached.
     Entry(&'a [u8]),
     /// An empty line, which shows that the source is alive.
     Heartbeat,
-    /// The end of a list: all entries since the last event of this kind belong to it.
+    /// The end of a list, to which all entries since the previous event of this kind belong.
     End(ListEnd),
 }
 
-/// What a line says beside its entries.
+/// The fields of a list other than its entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListEnd {
     /// The `generation` of the source.
     pub version: u64,
-    /// Whether this is the whole list; otherwise its entries are changes.
+    /// Whether this is the full list; otherwise its entries are changes.
     pub reset: bool,
-    /// How many entries it had.
-    pub entries: usize,
+    /// The number of its entries.
+    pub entry_count: usize,
 }
 
-/// Why a line is no list. Nothing of it counts, and the rest of its bytes can't be relied on.
+/// Why a line is not a list. None of its entries counts, and the rest of its bytes must not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListError {
-    /// The entry that begins so exceeds [`ListLimits::entry_bytes`].
+    /// The entry with this beginning exceeds [`ListLimits::entry_bytes`].
     EntryTooLong(String),
-    /// What is not an entry exceeds [`ListLimits::envelope_bytes`].
+    /// The line without its entries exceeds [`ListLimits::envelope_bytes`].
     EnvelopeTooLong,
-    /// The line, or the connection, ended within the entry that begins so.
-    EntryCut(String),
-    /// The entry that begins so is no JSON.
-    EntryUnsound { beginning: String, cause: String },
-    /// The line is no object with a `generation` and a list.
+    /// The line, or the connection, ended within the entry with this beginning.
+    EntryTruncated(String),
+    /// The entry with this beginning is not valid JSON.
+    EntryNotJson { beginning: String, cause: String },
+    /// The line is not an object with a `generation` and a list.
     NotAList(String),
 }
 
 impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ListError::EntryTooLong(beginning) => write!(f, "an entry is too long: {beginning}"),
-            ListError::EnvelopeTooLong => write!(f, "a line is too long beside its entries"),
-            ListError::EntryCut(beginning) => write!(f, "cut within the entry {beginning}"),
-            ListError::EntryUnsound { beginning, cause } => write!(f, "no JSON ({cause}): {beginning}"),
-            ListError::NotAList(cause) => write!(f, "no list: {cause}"),
+            ListError::EntryTooLong(beginning) => write!(f, "an entry exceeds the size limit: {beginning}"),
+            ListError::EnvelopeTooLong => {
+                write!(f, "the fields of a line besides its entries exceed the size limit")
+            }
+            ListError::EntryTruncated(beginning) => write!(f, "truncated within the entry {beginning}"),
+            ListError::EntryNotJson { beginning, cause } => {
+                write!(f, "an entry is not valid JSON ({cause}): {beginning}")
+            }
+            ListError::NotAList(cause) => write!(f, "not a list: {cause}"),
         }
     }
 }
@@ -90,12 +94,12 @@
     generation: u64,
     #[serde(default)]
     reset: bool,
-    /// Always empty: the elements are taken out before.
+    /// Always empty, because the elements are extracted before.
     #[serde(default)]
     instances: Vec<IgnoredAny>,
 }
 
-/// What may stand next between the brackets of the entries.
+/// What may come next between the brackets of the array of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Expected {
     EntryOrEnd,
@@ -103,7 +107,7 @@
     CommaOrEnd,
 }
 
-/// Where in a line the next byte stands.
+/// The part of a line to which the next byte belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Position {
     Envelope,
@@ -111,7 +115,7 @@
     WithinEntry,
 }
 
-/// Which brackets and strings are open.
+/// The nesting of brackets and strings.
 #[derive(Clone, Copy, Debug, Default)]
 struct Nesting {
     depth: u32,
@@ -120,10 +124,10 @@
 }
 
 impl Nesting {
-    /// Takes the next byte; true if it closes a string, an array or an object.
-    fn closes(&mut self, byte: u8) -> bool {
+    /// Processes the next byte. True if it closes a string, an array or an object.
+    fn advance(&mut self, byte: u8) -> bool {
         if self.in_string {
-            return self.closes_string(byte);
+            return self.advance_in_string(byte);
         }
         match byte {
             b'"' => self.in_string = true,
@@ -137,7 +141,7 @@
         false
     }
 
-    fn closes_string(&mut self, byte: u8) -> bool {
+    fn advance_in_string(&mut self, byte: u8) -> bool {
         if self.escaped {
             self.escaped = false;
         } else if byte == b'\\' {
@@ -154,23 +158,24 @@
     }
 }
 
-/// Reads the lines of one connection. After an error it is of no more use.
+/// Reads the lines of one connection. After an error it must not be used again.
 #[derive(Debug)]
 pub struct ListReader {
     limits: ListLimits,
     position: Position,
     nesting: Nesting,
-    /// What came of the line without its entries.
+    /// The line so far, without its entries.
     envelope: Vec<u8>,
-    /// Where in the envelope the last string of the outermost object began.
-    string_at: usize,
-    /// Whether the last key of the outermost object names the entries, and its value has yet to begin.
-    entries_follow: bool,
-    /// What came of the entry.
+    /// Where in the envelope the last string directly in the outermost object began.
+    last_string_start: usize,
+    /// Whether the last token was the colon after the key [`INSTANCES`] of the outermost object.
+    instances_expected: bool,
+    /// The current entry so far.
     entry: Vec<u8>,
-    /// The entry was handed on.
-    entry_given: bool,
-    entries: usize,
+    /// The entry was returned and is to be cleared.
+    entry_returned: bool,
+    /// Entries read of the current line.
+    entry_count: usize,
 }
 
 impl ListReader {
@@ -181,24 +186,24 @@
             position: Position::Envelope,
             nesting: Nesting::default(),
             envelope: Vec::new(),
-            string_at: 0,
-            entries_follow: false,
+            last_string_start: 0,
+            instances_expected: false,
             entry: Vec::new(),
-            entry_given: false,
-            entries: 0,
+            entry_returned: false,
+            entry_count: 0,
         }
     }
 
-    /// Takes bytes off the front of `bytes` up to the next event; `None` once all are taken without one.
+    /// Consumes bytes from the front of `bytes` up to the next event; `None` if all are consumed without one.
     pub fn next(&mut self, bytes: &mut &[u8]) -> Result<Option<ListEvent<'_>>, ListError> {
-        if std::mem::take(&mut self.entry_given) {
+        if std::mem::take(&mut self.entry_returned) {
             self.entry.clear();
         }
         while let Some((&byte, rest)) = bytes.split_first() {
             if self.position == Position::WithinEntry {
-                if self.entry_ends(bytes)? {
-                    self.check_entry()?;
-                    self.entry_given = true;
+                if self.read_entry(bytes)? {
+                    self.finish_entry()?;
+                    self.entry_returned = true;
                     return Ok(Some(ListEvent::Entry(&self.entry)));
                 }
                 continue;
@@ -211,11 +216,11 @@
                 Position::BetweenEntries(expected) if begins_entry(byte, expected) => self.begin_entry(),
                 Position::BetweenEntries(expected) => {
                     *bytes = rest;
-                    self.take_between(byte, expected)?;
+                    self.read_separator(byte, expected)?;
                 }
                 _ => {
                     *bytes = rest;
-                    self.take_envelope(byte)?;
+                    self.read_envelope(byte)?;
                 }
             }
         }
@@ -225,56 +230,60 @@
     /// Checks that the connection ended between two lines.
     pub fn finish(self) -> Result<(), ListError> {
         match self.position {
-            Position::WithinEntry => Err(ListError::EntryCut(beginning(&self.entry))),
-            Position::BetweenEntries(_) => Err(ListError::NotAList("cut between two entries".into())),
+            Position::WithinEntry => Err(ListError::EntryTruncated(excerpt(&self.entry))),
+            Position::BetweenEntries(_) => Err(ListError::NotAList("truncated between two entries".into())),
             Position::Envelope if self.envelope.trim_ascii().is_empty() => Ok(()),
             Position::Envelope => {
-                Err(ListError::NotAList(format!("cut after {}", beginning(&self.envelope))))
+                Err(ListError::NotAList(format!("truncated after {}", excerpt(&self.envelope))))
             }
         }
     }
 
-    fn take_envelope(&mut self, byte: u8) -> Result<(), ListError> {
+    fn read_envelope(&mut self, byte: u8) -> Result<(), ListError> {
         if self.envelope.len() == self.limits.envelope_bytes {
             return Err(ListError::EnvelopeTooLong);
         }
         let was_in_string = self.nesting.in_string;
         self.envelope.push(byte);
-        self.nesting.closes(byte);
+        self.nesting.advance(byte);
         if was_in_string || byte.is_ascii_whitespace() {
             return Ok(());
         }
-        let at_outermost = self.nesting.depth == 1;
+        let in_outermost_object = self.nesting.depth == 1;
         match byte {
-            b'"' if at_outermost => self.string_at = self.envelope.len() - 1,
-            b':' if at_outermost => {
-                self.entries_follow = self.last_key_is(INSTANCES);
+            b'"' if in_outermost_object => self.last_string_start = self.envelope.len() - 1,
+            b':' if in_outermost_object => {
+                self.instances_expected = self.last_key_is(INSTANCES);
                 return Ok(());
             }
-            b'[' if self.entries_follow => self.position = Position::BetweenEntries(Expected::EntryOrEnd),
+            b'[' if self.instances_expected => self.position = Position::BetweenEntries(Expected::EntryOrEnd),
             _ => {}
         }
-        self.entries_follow = false;
+        self.instances_expected = false;
         Ok(())
     }
 
     fn last_key_is(&self, name: &str) -> bool {
-        let key = self.envelope[self.string_at..].trim_ascii_end().strip_suffix(b":").unwrap_or_default();
-        // A key may be written with escapes.
+        let key =
+            self.envelope[self.last_string_start..].trim_ascii_end().strip_suffix(b":").unwrap_or_default();
+        // A key may have escapes.
         serde_json::from_slice::<String>(key).is_ok_and(|key| key == name)
     }
 
-    fn take_between(&mut self, byte: u8, expected: Expected) -> Result<(), ListError> {
+    fn read_separator(&mut self, byte: u8, expected: Expected) -> Result<(), ListError> {
         match (byte, expected) {
             (b' ' | b'\t' | b'\r', _) => {}
             (b',', Expected::CommaOrEnd) => self.position = Position::BetweenEntries(Expected::Entry),
             (b']', Expected::CommaOrEnd | Expected::EntryOrEnd) => {
                 self.position = Position::Envelope;
-                return self.take_envelope(byte);
+                return self.read_envelope(byte);
             }
             _ => {
                 let found = char::from(byte);
-                return Err(ListError::NotAList(format!("{found:?} after entry {}", self.entries)));
+                return Err(ListError::NotAList(format!(
+                    "unexpected {found:?} after entry {}",
+                    self.entry_count
+                )));
             }
         }
         Ok(())
@@ -282,14 +291,14 @@
 
     fn begin_entry(&mut self) {
         self.position = Position::WithinEntry;
-        // The envelope's own nesting is known here: within the list of the outermost object.
+        // Tracks the nesting of the entry alone: that of the envelope is known here, the array in the outermost object.
         self.nesting = Nesting::default();
     }
 
-    /// Takes what belongs to the entry; true once it is complete.
-    fn entry_ends(&mut self, bytes: &mut &[u8]) -> Result<bool, ListError> {
+    /// Consumes the bytes that belong to the entry. True once the entry is complete.
+    fn read_entry(&mut self, bytes: &mut &[u8]) -> Result<bool, ListError> {
         let is_scalar = !matches!(self.entry.first().unwrap_or(&bytes[0]), b'{' | b'[' | b'"');
-        let mut taken = 0;
+        let mut length = 0;
         let mut complete = false;
         for &byte in bytes.iter() {
             let ends_scalar = is_scalar && matches!(byte, b',' | b']' | b' ' | b'\t' | b'\r');
@@ -297,47 +306,47 @@
                 complete = ends_scalar;
                 break;
             }
-            taken += 1;
-            if self.nesting.closes(byte) && !self.nesting.is_open() && !is_scalar {
+            length += 1;
+            if self.nesting.advance(byte) && !self.nesting.is_open() && !is_scalar {
                 complete = true;
                 break;
             }
         }
-        let (own, rest) = bytes.split_at(taken);
+        let (own, rest) = bytes.split_at(length);
         self.entry.extend_from_slice(&own[..own.len().min(self.limits.entry_bytes + 1)]);
         *bytes = rest;
         if self.entry.len() > self.limits.entry_bytes {
-            return Err(ListError::EntryTooLong(beginning(&self.entry)));
+            return Err(ListError::EntryTooLong(excerpt(&self.entry)));
         }
         if !complete && !rest.is_empty() {
-            return Err(ListError::EntryCut(beginning(&self.entry)));
+            return Err(ListError::EntryTruncated(excerpt(&self.entry)));
         }
         Ok(complete)
     }
 
-    /// Checks an entry once its last byte is there.
-    fn check_entry(&mut self) -> Result<(), ListError> {
+    /// Validates an entry once it is complete.
+    fn finish_entry(&mut self) -> Result<(), ListError> {
         self.position = Position::BetweenEntries(Expected::CommaOrEnd);
-        // The list and the outermost object are open.
+        // The array of entries and the outermost object are open.
         self.nesting = Nesting { depth: 2, ..Nesting::default() };
-        self.entries += 1;
+        self.entry_count += 1;
         match serde_json::from_slice::<&RawValue>(&self.entry) {
             Ok(_) => Ok(()),
             Err(cause) => {
-                Err(ListError::EntryUnsound { beginning: beginning(&self.entry), cause: cause.to_string() })
+                Err(ListError::EntryNotJson { beginning: excerpt(&self.entry), cause: cause.to_string() })
             }
         }
     }
 
     fn end_line(&mut self) -> Result<ListEvent<'static>, ListError> {
         if self.position != Position::Envelope {
-            return Err(ListError::NotAList(format!("the line ends after entry {}", self.entries)));
+            return Err(ListError::NotAList(format!("the line ends after entry {}", self.entry_count)));
         }
         let line = std::mem::take(&mut self.envelope);
-        let entries = std::mem::take(&mut self.entries);
+        let entry_count = std::mem::take(&mut self.entry_count);
         self.nesting = Nesting::default();
-        self.entries_follow = false;
-        self.string_at = 0;
+        self.instances_expected = false;
+        self.last_string_start = 0;
         let line = line.trim_ascii();
         if line.is_empty() {
             return Ok(ListEvent::Heartbeat);
@@ -348,9 +357,9 @@
         let not_a_list = |cause: serde_json::Error| ListError::NotAList(cause.to_string());
         let envelope: Envelope = serde_json::from_slice(line).map_err(not_a_list)?;
         if !envelope.instances.is_empty() {
-            return Err(ListError::NotAList("its entries stand where none are looked for".into()));
+            return Err(ListError::NotAList("entries outside the array of entries".into()));
         }
-        Ok(ListEvent::End(ListEnd { version: envelope.generation, reset: envelope.reset, entries }))
+        Ok(ListEvent::End(ListEnd { version: envelope.generation, reset: envelope.reset, entry_count }))
     }
 }
 
@@ -358,6 +367,6 @@
     expected != Expected::CommaOrEnd && !matches!(byte, b' ' | b'\t' | b'\r' | b',' | b']')
 }
 
-fn beginning(bytes: &[u8]) -> String {
-    String::from_utf8_lossy(&bytes[..bytes.len().min(SHOWN)]).into_owned()
+fn excerpt(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(&bytes[..bytes.len().min(EXCERPT_BYTES)]).into_owned()
 }
--- a/crates/distribution/src/locations.rs
+++ b/crates/distribution/src/locations.rs
@@ -1,4 +1,4 @@
-//! The places workers stand in, each name held once, and the set of those that a scope contains.
+//! The locations of workers, with each name of a zone or service stored once, and the locations that a scope contains.
 
 use std::collections::BTreeSet;
 use std::hash::BuildHasher;
@@ -7,105 +7,109 @@
 
 use crate::scope::{Location, Scope};
 
-/// Zones, and services, that one list may have.
-const MOST_NAMES: usize = u16::MAX as usize;
+/// Zones, and likewise services, that one list may have, the unnamed one included.
+const MAX_NAMES: usize = u16::MAX as usize;
 
-/// The number of the zone without a name, and of no service.
+/// The id of the zone without a name, and of no service.
 const UNNAMED: u16 = 0;
 
-/// The numbers of a place.
+/// The ids of the zone and the service of a location.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct PlaceId {
+pub(crate) struct LocationId {
     zone: u16,
     service: u16,
 }
 
-impl PlaceId {
-    /// The place of a worker whose entry names none that can be read: no zone, any service.
-    pub const NOWHERE: PlaceId = PlaceId { zone: UNNAMED, service: UNNAMED };
+impl LocationId {
+    /// The location of a worker whose entry has no readable zone: no zone, any service.
+    pub const UNKNOWN: LocationId = LocationId { zone: UNNAMED, service: UNNAMED };
 }
 
-/// Names in the order in which they came up, the first of them empty.
+/// Gives each distinct name an id, in the order in which the names are first seen. Id 0 is the empty name.
 #[derive(Debug)]
-struct Names {
+struct NameTable {
     names: Vec<Box<str>>,
-    by_name: HashTable<u16>,
+    id_by_name: HashTable<u16>,
     hasher: DefaultHashBuilder,
 }
 
-impl Default for Names {
-    fn default() -> Names {
-        Names { names: vec!["".into()], by_name: HashTable::new(), hasher: DefaultHashBuilder::default() }
+impl Default for NameTable {
+    fn default() -> NameTable {
+        NameTable {
+            names: vec!["".into()],
+            id_by_name: HashTable::new(),
+            hasher: DefaultHashBuilder::default(),
+        }
     }
 }
 
-impl Names {
-    /// The number of a name; `None` if it is new and there are too many.
-    fn id(&mut self, name: &str) -> Option<u16> {
+impl NameTable {
+    /// The id of a name; `None` if the name is new and the table is full.
+    fn intern(&mut self, name: &str) -> Option<u16> {
         if name.is_empty() {
             return Some(UNNAMED);
         }
         let hash = self.hasher.hash_one(name);
-        let same = |id: &u16| &*self.names[usize::from(*id)] == name;
-        if let Some(id) = self.by_name.find(hash, same) {
+        let has_name = |id: &u16| &*self.names[usize::from(*id)] == name;
+        if let Some(id) = self.id_by_name.find(hash, has_name) {
             return Some(*id);
         }
-        if self.names.len() >= MOST_NAMES {
+        if self.names.len() >= MAX_NAMES {
             return None;
         }
         let id = u16::try_from(self.names.len()).ok()?;
         self.names.push(name.into());
         let (names, hasher) = (&self.names, &self.hasher);
-        self.by_name.insert_unique(hash, id, |id| hasher.hash_one(&*names[usize::from(*id)]));
+        self.id_by_name.insert_unique(hash, id, |id| hasher.hash_one(&*names[usize::from(*id)]));
         Some(id)
     }
 }
 
-/// All zones and services that were ever named.
+/// All zones and services that any entry has named so far.
 #[derive(Debug, Default)]
-pub(crate) struct Places {
-    zones: Names,
-    services: Names,
+pub(crate) struct LocationTable {
+    zones: NameTable,
+    services: NameTable,
 }
 
-impl Places {
-    /// The numbers of a place; `None` if a name of it is new and there are too many.
-    pub fn id(&mut self, place: Location<'_>) -> Option<PlaceId> {
-        let zone = self.zones.id(place.zone)?;
-        // A service without a name is taken for none: the worker may serve any.
-        let service = self.services.id(place.service.unwrap_or_default())?;
-        Some(PlaceId { zone, service })
+impl LocationTable {
+    /// The id of a location; `None` if its zone or service is new and there are too many.
+    pub fn intern(&mut self, location: Location<'_>) -> Option<LocationId> {
+        let zone = self.zones.intern(location.zone)?;
+        // An empty service name counts as no service: the worker may serve any.
+        let service = self.services.intern(location.service.unwrap_or_default())?;
+        Some(LocationId { zone, service })
     }
 }
 
-/// Which names one dimension of a scope contains, worked out for those that are known.
+/// The known names that one dimension of a scope contains.
 ///
-/// Zones and services are looked at apart: a new watch costs as many steps as there are names, and not as many as there are
-/// pairs of them, of which a large fleet has nearly one for each worker.
+/// Zones and services are evaluated separately, so a new watch costs one step for each name rather than one for each
+/// pair of zone and service. In a large fleet there are almost as many pairs as workers.
 #[derive(Debug)]
-struct NameSet {
+struct NameFilter {
     /// `None` contains every name.
     wanted: Option<BTreeSet<String>>,
-    /// A bit for each name that was looked at.
+    /// One bit for each evaluated name, by its id.
     contained: Vec<u64>,
-    looked_at: usize,
+    evaluated_names: usize,
 }
 
-impl NameSet {
-    fn new(wanted: &BTreeSet<String>) -> NameSet {
+impl NameFilter {
+    fn new(wanted: &BTreeSet<String>) -> NameFilter {
         let wanted = (!wanted.is_empty()).then(|| wanted.clone());
-        NameSet { wanted, contained: Vec::new(), looked_at: 0 }
+        NameFilter { wanted, contained: Vec::new(), evaluated_names: 0 }
     }
 
-    /// Looks at the names that are new.
-    fn extend(&mut self, names: &Names) {
+    /// Evaluates the names that are new since the last call.
+    fn extend(&mut self, table: &NameTable) {
         let Some(wanted) = &self.wanted else { return };
-        self.contained.resize(names.names.len().div_ceil(64), 0);
-        for (id, name) in names.names.iter().enumerate().skip(self.looked_at) {
+        self.contained.resize(table.names.len().div_ceil(64), 0);
+        for (id, name) in table.names.iter().enumerate().skip(self.evaluated_names) {
             let bit = u64::from(wanted.contains(&**name));
             self.contained[id / 64] |= bit << (id % 64);
         }
-        self.looked_at = names.names.len();
+        self.evaluated_names = table.names.len();
     }
 
     fn contains(&self, id: u16) -> bool {
@@ -114,26 +118,26 @@
     }
 }
 
-/// A scope, worked out for the places that are known.
+/// A scope, evaluated for the known locations.
 #[derive(Debug)]
-pub(crate) struct PlaceSet {
-    zones: NameSet,
-    services: NameSet,
+pub(crate) struct LocationFilter {
+    zones: NameFilter,
+    services: NameFilter,
 }
 
-impl PlaceSet {
-    pub fn new(scope: &Scope) -> PlaceSet {
-        PlaceSet { zones: NameSet::new(scope.zones()), services: NameSet::new(scope.services()) }
+impl LocationFilter {
+    pub fn new(scope: &Scope) -> LocationFilter {
+        LocationFilter { zones: NameFilter::new(scope.zones()), services: NameFilter::new(scope.services()) }
     }
 
-    /// Looks at the names that are new.
-    pub fn extend(&mut self, places: &Places) {
-        self.zones.extend(&places.zones);
-        self.services.extend(&places.services);
+    /// Evaluates the names that are new since the last call.
+    pub fn extend(&mut self, table: &LocationTable) {
+        self.zones.extend(&table.zones);
+        self.services.extend(&table.services);
     }
 
-    pub fn contains(&self, place: PlaceId) -> bool {
-        let serves = place.service == UNNAMED || self.services.contains(place.service);
-        serves && self.zones.contains(place.zone)
+    pub fn contains(&self, location: LocationId) -> bool {
+        let in_service = location.service == UNNAMED || self.services.contains(location.service);
+        in_service && self.zones.contains(location.zone)
     }
 }
--- a/crates/distribution/src/relay_choice.rs
+++ b/crates/distribution/src/relay_choice.rs
@@ -1,132 +1,141 @@
-//! Which relay a subscriber watches, which one is next when that fails, and how long it waits in between.
+//! Which relay a subscriber watches, which relay is next when that one fails, and how long to wait before the next.
 //!
 //! Every subscriber has an order of preference of its own, by rendezvous hashing of its name with each relay's
-//! address: subscribers spread evenly over the relays, and when a relay dies only its own subscribers move, again
-//! evenly over all others. No relay needs to know of another, and nobody hands out places.
+//! address: subscribers spread evenly over the relays, and when a relay fails only its own subscribers move, again
+//! evenly over all others. Relays need no knowledge of each other, and no coordinator assigns subscribers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The wait before the second relay of a round, and before every relay that follows one that was merely behind.
-const FIRST_WAIT: Duration = Duration::from_millis(50);
-/// The longest wait between two relays of a round. It bounds the dials of a whole fleet that lost every relay.
-const LONGEST_WAIT_IN_ROUND: Duration = Duration::from_secs(1);
-/// The wait after the first round without success; it doubles with each further one.
-const FIRST_WAIT_BETWEEN_ROUNDS: Duration = Duration::from_secs(1);
-/// The longest wait between two rounds.
-const LONGEST_WAIT_BETWEEN_ROUNDS: Duration = Duration::from_secs(8);
-
-/// Why a relay is left.
+/// The wait before the second relay of a round, and after every relay that was only behind.
+const MIN_WAIT_IN_ROUND: Duration = Duration::from_millis(50);
+/// Limit on the wait between two relays of a round. While every relay is down, it determines the rate at which a whole
+/// fleet dials.
+const MAX_WAIT_IN_ROUND: Duration = Duration::from_secs(1);
+/// The wait after the first unsuccessful round; it doubles with each further one.
+const MIN_WAIT_BETWEEN_ROUNDS: Duration = Duration::from_secs(1);
+/// Limit on the wait between two rounds.
+const MAX_WAIT_BETWEEN_ROUNDS: Duration = Duration::from_secs(8);
+
+/// Why a watch of a relay failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayFailure {
-    /// It could not be reached, or its watch broke.
+    /// The relay could not be reached, or the watch broke.
     Broken,
-    /// It serves, but an older version than the one held.
+    /// The relay serves an older version than the subscriber's current one.
     Behind,
 }
 
-/// How far a subscriber has come in asking every relay.
+/// The state of a round, in which a subscriber tries every relay once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Round {
-    /// There are relays that it has not asked yet.
+    /// Some relays have not been tried yet.
     InProgress,
-    /// It has asked every relay, and none served.
+    /// Every relay has failed.
     Exhausted,
-    /// It has asked every relay, and every one was behind, so that the source itself has begun anew: the whole list is
-    /// to be asked for, and taken whatever its version is.
+    /// Every relay was behind, so the source itself has restarted its versions: the subscriber has to request the full
+    /// list and to accept any version.
     AllBehind,
 }
 
-/// When, and how, the next relay is asked.
+/// When and how to try the next relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retry {
-    /// How long to wait before.
+    /// The wait before the next relay is tried.
     pub wait: Duration,
-    /// Whether there are relays left to ask before.
+    /// The state of the round after this failure.
     pub round: Round,
 }
 
-/// The relays of one subscriber in its order of preference, and where in it the subscriber is.
+/// The relays of one subscriber in its order of preference, and the one it currently uses.
 #[derive(Clone, Debug)]
 pub struct RelayChoice {
-    /// Never empty.
+    /// Not empty.
     order: Vec<SocketAddr>,
     current: usize,
-    /// Relays that failed since the last success, in this round.
-    failed: usize,
-    /// Of these, how many were behind.
-    behind: usize,
-    /// Whole rounds since the last success.
-    rounds: u32,
+    /// Relays that failed in this round.
+    failed_count: usize,
+    /// How many of these were behind.
+    behind_count: usize,
+    /// Consecutive exhausted rounds.
+    failed_rounds: u32,
 }
 
 impl RelayChoice {
-    /// The order of preference of the subscriber of this name; `None` without a relay.
+    /// The order of preference of the subscriber with this name; `None` if there are no relays.
     pub fn new(subscriber: &str, relays: impl IntoIterator<Item = SocketAddr>) -> Option<RelayChoice> {
         let mut order: Vec<SocketAddr> = relays.into_iter().collect();
-        // By the address as well: two equal scores must not make the order depend on that of the file.
+        // Also by address: with equal scores, the result must not depend on the order in which the relays are given.
         order.sort_by_cached_key(|relay| std::cmp::Reverse((score(subscriber, *relay), *relay)));
         order.dedup();
-        (!order.is_empty()).then_some(RelayChoice { order, current: 0, failed: 0, behind: 0, rounds: 0 })
+        (!order.is_empty()).then_some(RelayChoice {
+            order,
+            current: 0,
+            failed_count: 0,
+            behind_count: 0,
+            failed_rounds: 0,
+        })
     }
 
-    /// The relay to ask.
+    /// The relay to use.
     pub fn current(&self) -> SocketAddr {
         self.order[self.current]
     }
 
-    /// The current relay serves: a round begins with it.
+    /// Records that the current relay works. The next round begins with it.
     pub fn record_success(&mut self) {
-        (self.failed, self.behind, self.rounds) = (0, 0, 0);
+        (self.failed_count, self.behind_count, self.failed_rounds) = (0, 0, 0);
     }
 
-    /// The current relay failed: the next one is current from now on.
+    /// Records that the current relay failed, and makes the next one current.
     pub fn record_failure(&mut self, failure: RelayFailure, rng: &mut fastrand::Rng) -> Retry {
         self.current = (self.current + 1) % self.order.len();
-        self.failed += 1;
-        self.behind += usize::from(failure == RelayFailure::Behind);
-        let (wait, round) = if self.failed < self.order.len() {
+        self.failed_count += 1;
+        self.behind_count += usize::from(failure == RelayFailure::Behind);
+        let (wait, round) = if self.failed_count < self.order.len() {
             (self.wait_in_round(failure), Round::InProgress)
         } else {
             self.end_round()
         };
-        Retry { wait: jittered(wait, rng), round }
+        Retry { wait: with_jitter(wait, rng), round }
     }
 
     fn wait_in_round(&self, failure: RelayFailure) -> Duration {
         match failure {
-            // It works, so that the next may soon be asked the same short question.
-            RelayFailure::Behind => FIRST_WAIT,
-            RelayFailure::Broken => doubled(FIRST_WAIT, self.failed as u32 - 1, LONGEST_WAIT_IN_ROUND),
+            // The relay works, and a watch that ends because of its version is short, so the next one may be tried soon.
+            RelayFailure::Behind => MIN_WAIT_IN_ROUND,
+            RelayFailure::Broken => {
+                backoff(MIN_WAIT_IN_ROUND, self.failed_count as u32 - 1, MAX_WAIT_IN_ROUND)
+            }
         }
     }
 
     fn end_round(&mut self) -> (Duration, Round) {
-        let all_behind = self.behind == self.order.len();
-        (self.failed, self.behind) = (0, 0);
+        let all_behind = self.behind_count == self.order.len();
+        (self.failed_count, self.behind_count) = (0, 0);
         if all_behind {
-            self.rounds = 0;
-            return (FIRST_WAIT, Round::AllBehind);
+            self.failed_rounds = 0;
+            return (MIN_WAIT_IN_ROUND, Round::AllBehind);
         }
-        let wait = doubled(FIRST_WAIT_BETWEEN_ROUNDS, self.rounds, LONGEST_WAIT_BETWEEN_ROUNDS);
-        self.rounds = self.rounds.saturating_add(1);
+        let wait = backoff(MIN_WAIT_BETWEEN_ROUNDS, self.failed_rounds, MAX_WAIT_BETWEEN_ROUNDS);
+        self.failed_rounds = self.failed_rounds.saturating_add(1);
         (wait, Round::Exhausted)
     }
 }
 
-/// How much a subscriber prefers a relay. It must not change from one build to the next: a fleet is restarted in parts.
+/// How much a subscriber prefers a relay. The hash must be the same in every build, because a fleet is upgraded in parts.
 fn score(subscriber: &str, relay: SocketAddr) -> u64 {
-    // No name holds a zero byte, so that two different pairs never read alike.
+    // The names do not contain NUL, so different pairs never give the same text.
     xxh3_64(format!("{subscriber}\0{relay}").as_bytes())
 }
 
-fn doubled(first: Duration, times: u32, longest: Duration) -> Duration {
-    first.saturating_mul(2u32.saturating_pow(times)).min(longest)
+fn backoff(min: Duration, doublings: u32, max: Duration) -> Duration {
+    min.saturating_mul(2u32.saturating_pow(doublings)).min(max)
 }
 
-/// Anywhere from half of it to one and a half, so that subscribers that failed together come apart.
-fn jittered(wait: Duration, rng: &mut fastrand::Rng) -> Duration {
+/// A random duration between 0.5 and 1.5 times the wait, so that subscribers that failed together do not retry together.
+fn with_jitter(wait: Duration, rng: &mut fastrand::Rng) -> Duration {
     wait.mul_f64(0.5 + rng.f64())
 }
--- a/crates/distribution/src/scope.rs
+++ b/crates/distribution/src/scope.rs
@@ -1,52 +1,54 @@
-//! The part of the worker list that a subscriber needs.
+//! Scopes: the part of the worker list that a subscriber needs.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 
-/// Names one query parameter may hold; a longer one is refused.
-const MOST_NAMES: usize = 65_536;
+/// Names that one query parameter may have.
+const MAX_NAMES_PER_PARAMETER: usize = 65_536;
 
-/// What a query may hold as it is; all else is percent-encoded.
-const ENCODED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
+/// The characters that are percent-encoded in a query: all but the unreserved ones of RFC 3986.
+const PERCENT_ENCODED: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
 const ZONES: &str = "zones";
 const SERVICES: &str = "services";
 
-/// Where a worker stands, as far as scopes go.
+/// The zone and the service of a worker, which determine the scopes that contain it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location<'a> {
     pub zone: &'a str,
-    /// The service it belongs to. A source that knows no services names none; such a worker may serve any of them.
+    /// The service that it belongs to. Without one, as from a source that has no services, a worker may serve any.
     pub service: Option<&'a str>,
 }
 
 /// The zones and services whose workers a subscriber needs.
 ///
-/// A dimension that names nothing is not restricted, so the default scope holds every worker.
+/// A dimension without names is not restricted, so the default scope contains every worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Scope {
     zones: BTreeSet<String>,
     services: BTreeSet<String>,
 }
 
-/// Why the scope in a query can't be read.
+/// Why the scope in a query is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScopeError {
-    /// A name in this parameter is not UTF-8 once it is decoded.
-    NotText(&'static str),
-    /// This parameter holds more names than a scope may have.
-    TooMany(&'static str),
-    /// This parameter is there and names nothing.
+    /// A name in this parameter is not UTF-8 after percent-decoding.
+    NotUtf8(&'static str),
+    /// This parameter has more names than a scope may have.
+    TooManyNames(&'static str),
+    /// This parameter is present without a name.
     Empty(&'static str),
 }
 
 impl fmt::Display for ScopeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ScopeError::NotText(parameter) => write!(f, "a name in {parameter} is not UTF-8"),
-            ScopeError::TooMany(parameter) => write!(f, "{parameter} holds more than {MOST_NAMES} names"),
+            ScopeError::NotUtf8(parameter) => write!(f, "a name in {parameter} is not UTF-8"),
+            ScopeError::TooManyNames(parameter) => {
+                write!(f, "{parameter} holds more than {MAX_NAMES_PER_PARAMETER} names")
+            }
             ScopeError::Empty(parameter) => write!(f, "{parameter} names nothing"),
         }
     }
@@ -55,34 +57,34 @@
 impl std::error::Error for ScopeError {}
 
 impl Scope {
-    /// A scope of these zones and services.
+    /// A scope of these zones and services. A dimension without names is not restricted.
     pub fn new(zones: impl IntoIterator<Item = String>, services: impl IntoIterator<Item = String>) -> Scope {
         Scope { zones: zones.into_iter().collect(), services: services.into_iter().collect() }
     }
 
-    /// The zones it names; none restricts nothing.
+    /// The zones of the scope; if there are none, every zone is in it.
     pub(crate) fn zones(&self) -> &BTreeSet<String> {
         &self.zones
     }
 
-    /// The services it names; none restricts nothing.
+    /// The services of the scope; if there are none, every service is in it.
     pub(crate) fn services(&self) -> &BTreeSet<String> {
         &self.services
     }
 
-    /// Whether it holds every worker there can be.
+    /// Whether the scope contains every possible worker.
     pub fn is_unrestricted(&self) -> bool {
         self.zones.is_empty() && self.services.is_empty()
     }
 
-    /// Whether a worker at this place belongs to it.
-    pub fn contains(&self, place: Location<'_>) -> bool {
-        let in_zone = self.zones.is_empty() || self.zones.contains(place.zone);
-        let serves = |service| self.services.contains(service);
-        in_zone && (self.services.is_empty() || place.service.is_none_or(serves))
+    /// Whether the scope contains a worker at this location.
+    pub fn contains(&self, location: Location<'_>) -> bool {
+        let in_zone = self.zones.is_empty() || self.zones.contains(location.zone);
+        let in_services = |service| self.services.contains(service);
+        in_zone && (self.services.is_empty() || location.service.is_none_or(in_services))
     }
 
-    /// The query parameters that ask for this scope, each with a leading `&`; empty for every worker.
+    /// The query parameters that request this scope, each with a leading `&`; empty for an unrestricted scope.
     pub fn to_query(&self) -> String {
         let mut query = String::new();
         for (parameter, names) in [(ZONES, &self.zones), (SERVICES, &self.services)] {
@@ -90,19 +92,19 @@
                 continue;
             }
             let encoded: Vec<String> =
-                names.iter().map(|name| utf8_percent_encode(name, ENCODED).to_string()).collect();
+                names.iter().map(|name| utf8_percent_encode(name, PERCENT_ENCODED).to_string()).collect();
             query.push_str(&format!("&{parameter}={}", encoded.join(",")));
         }
         query
     }
 
-    /// Reads what [`Scope::to_query`] wrote out of a whole query string; other parameters are passed over.
+    /// Parses the parameters of [`Scope::to_query`] in a full query string; other parameters are ignored.
     pub fn from_query(query: &str) -> Result<Scope, ScopeError> {
         let mut scope = Scope::default();
         for parameter in query.split('&') {
             match parameter.split_once('=') {
-                Some((ZONES, names)) => scope.zones = decoded(ZONES, names)?,
-                Some((SERVICES, names)) => scope.services = decoded(SERVICES, names)?,
+                Some((ZONES, names)) => scope.zones = decode_names(ZONES, names)?,
+                Some((SERVICES, names)) => scope.services = decode_names(SERVICES, names)?,
                 _ => {}
             }
         }
@@ -110,14 +112,14 @@
     }
 }
 
-fn decoded(parameter: &'static str, names: &str) -> Result<BTreeSet<String>, ScopeError> {
+fn decode_names(parameter: &'static str, names: &str) -> Result<BTreeSet<String>, ScopeError> {
     if names.is_empty() {
         return Err(ScopeError::Empty(parameter));
     }
-    if names.split(',').nth(MOST_NAMES).is_some() {
-        return Err(ScopeError::TooMany(parameter));
+    if names.split(',').nth(MAX_NAMES_PER_PARAMETER).is_some() {
+        return Err(ScopeError::TooManyNames(parameter));
     }
-    let text = |name| percent_decode_str(name).decode_utf8().map(|name| name.into_owned());
-    let read: Result<_, _> = names.split(',').map(text).collect();
-    read.map_err(|_| ScopeError::NotText(parameter))
+    let decode = |name| percent_decode_str(name).decode_utf8().map(|name| name.into_owned());
+    let decoded: Result<_, _> = names.split(',').map(decode).collect();
+    decoded.map_err(|_| ScopeError::NotUtf8(parameter))
 }
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -1,9 +1,9 @@
-//! The whole list of workers, held once, with the versions at which they changed.
+//! The full list of workers, stored once, with the versions at which they changed.
 //!
-//! The versions are the source's own, so that every relay of one source counts alike and a subscriber can move from one
-//! to another. Every worker is held with its latest change only; a worker that left stays as a tombstone until there
-//! are too many of those. Forgetting one raises the floor: whoever has seen less than the floor can no longer be told
-//! what changed since and needs a snapshot.
+//! The versions are those of the source, so all relays of one source use the same ones and a subscriber can move from one
+//! relay to another. Only the latest change of each worker is stored. A worker that is gone stays as a tombstone until
+//! there are too many tombstones. Evicting a tombstone raises the floor: a subscriber that has seen only versions below
+//! the floor can no longer receive the differences and needs a snapshot.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -11,21 +11,21 @@
 
 use hashbrown::{DefaultHashBuilder, HashTable};
 
-use crate::change_log::{Change, ChangeLog, Logged};
-use crate::entry::{as_gone, summarize, EntryError, IdSpan, Lifecycle};
-use crate::locations::{PlaceId, Places};
+use crate::change_log::{ChangeLog, ChangePosition, LoggedChange};
+use crate::entry::{parse_entry, with_lifecycle_gone, EntryError, IdSpan, Lifecycle};
+use crate::locations::{LocationId, LocationTable};
 use crate::scope::Location;
 
-/// Versions remembered as those that were held; a subscriber that resumes from another one gets a snapshot.
-const MOST_VERSIONS: usize = 65_536;
+/// Versions of the list that are remembered. A subscriber that resumes from any other version receives a snapshot.
+const MAX_VERSIONS: usize = 65_536;
 
-/// Former places remembered of one worker; one more raises the floor.
-const MOST_FORMER_PLACES: usize = 16;
+/// Former locations that are remembered of one worker. Discarding one raises the floor.
+const MAX_FORMER_LOCATIONS: usize = 16;
 
-/// What a [`WorkerList`] holds at most beside the workers in the list.
+/// Limits on what a [`WorkerList`] stores besides the workers in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerListLimits {
-    /// Workers that left.
+    /// Workers that are gone.
     pub tombstones: usize,
 }
 
@@ -39,18 +39,18 @@
 /// Why a line of the source was not applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyError {
-    /// It holds changes, and there is no list that they could change.
-    NoWholeList,
-    /// Its version is lower than the one held.
-    Behind { version: u64, held: u64 },
+    /// It has changes, and there is no list to which they could be applied.
+    NoFullList,
+    /// Its version is lower than the current one.
+    Behind { version: u64, current: u64 },
 }
 
 impl fmt::Display for ApplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ApplyError::NoWholeList => write!(f, "changes arrived before the first full list"),
-            ApplyError::Behind { version, held } => {
-                write!(f, "list {version} is older than the current list {held}")
+            ApplyError::NoFullList => write!(f, "changes arrived before the first full list"),
+            ApplyError::Behind { version, current } => {
+                write!(f, "list {version} is older than the current list {current}")
             }
         }
     }
@@ -58,61 +58,63 @@
 
 impl std::error::Error for ApplyError {}
 
-/// What a line of the source did.
+/// The effect of a line of the source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// Workers whose entry changed, appeared or left.
+    /// Workers whose entry changed, that are new, or that are gone.
     pub changed: usize,
-    /// Entries that were passed over, as they name no worker.
+    /// Entries that were rejected with an [`EntryError`].
     pub unreadable: usize,
 }
 
-/// A place that a worker left.
+/// A location that a worker has left.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FormerPlace {
-    pub place: PlaceId,
-    /// The change by which it left.
-    pub left: Change,
+pub(crate) struct FormerLocation {
+    pub location: LocationId,
+    /// The change with which the worker left it.
+    pub left_at: ChangePosition,
 }
 
-/// In the order in which they were left. Boxed twice, so that the many workers without any pay for one pointer.
+/// In the order in which they were left. Boxed twice, so that for the many workers without any it takes one pointer.
 #[allow(clippy::box_collection)]
-type FormerPlaces = Option<Box<Vec<FormerPlace>>>;
+type FormerLocations = Option<Box<Vec<FormerLocation>>>;
 
 /// One worker.
 #[derive(Debug)]
 pub(crate) struct Record {
-    /// The bytes that came.
+    /// The entry as received.
     pub entry: Box<[u8]>,
     /// `None` for nearly all workers.
-    former: FormerPlaces,
+    former: FormerLocations,
+    /// The version of the latest change.
     version: u64,
+    /// The number of the latest change within its version.
     ordinal: u32,
-    pub place: PlaceId,
+    pub location: LocationId,
     id: IdSpan,
     pub lifecycle: Lifecycle,
 }
 
 impl Record {
-    /// Its latest change.
-    pub fn change(&self) -> Change {
-        Change { version: self.version, ordinal: self.ordinal }
+    /// The position of its latest change.
+    pub fn position(&self) -> ChangePosition {
+        ChangePosition { version: self.version, ordinal: self.ordinal }
     }
 
-    pub fn former_places(&self) -> &[FormerPlace] {
+    pub fn former_locations(&self) -> &[FormerLocation] {
         self.former.as_deref().map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Whether its latest change takes it away from somebody.
-    fn departs(&self) -> bool {
-        self.lifecycle != Lifecycle::Present || self.former.is_some()
+    /// Whether its latest change may take the worker away from a scope: a drain, its removal or a move.
+    fn is_departure(&self) -> bool {
+        self.lifecycle != Lifecycle::Active || self.former.is_some()
     }
 }
 
-/// An entry of a line whose end has yet to come.
+/// An entry of a line that has not ended yet.
 #[derive(Debug)]
 enum Staged {
-    /// The worker in this slot, unchanged.
+    /// The same entry as that of the worker in this slot.
     Unchanged(u32),
     Changed(StagedEntry),
 }
@@ -120,40 +122,43 @@
 #[derive(Debug)]
 struct StagedEntry {
     entry: Box<[u8]>,
-    /// Where the worker is held, if it is.
+    /// The slot of the worker, if it has one already.
     slot: Option<u32>,
-    /// `None` if it can't be read.
-    place: Option<PlaceId>,
+    /// `None` if the entry has no readable zone.
+    location: Option<LocationId>,
     id: IdSpan,
     lifecycle: Lifecycle,
 }
 
-/// The list of workers at the source's latest version.
+/// The list of workers at the latest version of the source.
 #[derive(Debug, Default)]
 pub struct WorkerList {
     limits: WorkerListLimits,
     version: Option<u64>,
-    /// The versions that were held, in ascending order, the latest included.
+    /// The versions that the list has had, in ascending order, including the current one.
     versions: VecDeque<u64>,
-    /// How often the source has started its versions anew.
+    /// How often the source has restarted its versions.
     epoch: u64,
-    /// The latest change.
-    head: Change,
-    /// Whoever has seen less needs a snapshot.
-    floor: Change,
+    /// The position of the latest change.
+    head: ChangePosition,
+    /// A subscriber that has not received the changes up to here needs a snapshot.
+    floor: ChangePosition,
+    /// The workers by slot.
     records: Vec<Option<Record>>,
-    free: Vec<u32>,
-    by_id: HashTable<u32>,
+    free_slots: Vec<u32>,
+    slot_by_id: HashTable<u32>,
     hasher: DefaultHashBuilder,
-    places: Places,
-    /// Changes that take a worker away: drains, ends and moves.
+    locations: LocationTable,
+    /// Changes that may take a worker away from a scope: drains, removals and moves.
     departures: ChangeLog,
     /// All other changes.
     others: ChangeLog,
+    /// Removals, the oldest of which is evicted first.
     tombstones: ChangeLog,
     tombstone_count: usize,
     staged: Vec<Staged>,
-    unreadable: usize,
+    /// Rejected entries of the line that is being staged.
+    unreadable_count: usize,
 }
 
 /// A set of slots.
@@ -164,7 +169,7 @@
         SlotSet(vec![0; slots.div_ceil(64)])
     }
 
-    /// Whether it is new.
+    /// Adds a slot. Returns whether it is new.
     fn insert(&mut self, slot: u32) -> bool {
         let (word, bit) = (slot as usize / 64, 1 << (slot % 64));
         if word >= self.0.len() {
@@ -181,142 +186,145 @@
 }
 
 impl WorkerList {
-    /// A list of which nothing is known.
+    /// A list without a version, before the first line of the source.
     pub fn new(limits: WorkerListLimits) -> WorkerList {
         WorkerList { limits, ..WorkerList::default() }
     }
 
-    /// The version held; `None` before the first whole list.
+    /// The current version; `None` before the first full list.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// How many workers are in the list.
-    pub fn workers(&self) -> usize {
-        self.records.len() - self.free.len() - self.tombstone_count
+    /// The number of workers in the list.
+    pub fn worker_count(&self) -> usize {
+        self.records.len() - self.free_slots.len() - self.tombstone_count
     }
 
-    /// How many workers that left are remembered.
-    pub fn tombstones(&self) -> usize {
+    /// The number of workers that are gone and still remembered.
+    pub fn tombstone_count(&self) -> usize {
         self.tombstone_count
     }
 
-    /// The lowest version from which on a subscriber can be told differences.
+    /// The lowest version from which a subscriber can receive differences.
     pub fn floor(&self) -> u64 {
         self.floor.version
     }
 
-    /// Whether a subscriber that holds this version can be told differences.
+    /// Whether a subscriber with this version can receive differences.
     ///
-    /// Not from a version that was passed over on the way from one to the next: a worker may have stood elsewhere for
-    /// just that time, and a subscriber that has seen it there would never be told that it left.
+    /// It cannot from a version that the list skipped on the way from one version to the next: a worker may have been
+    /// elsewhere for just that time, and a subscriber that has seen it there would never learn that it left.
     pub fn can_resume(&self, version: u64) -> bool {
-        Change::after(version) >= self.floor && self.versions.binary_search(&version).is_ok()
+        ChangePosition::end_of(version) >= self.floor && self.versions.binary_search(&version).is_ok()
     }
 
-    /// The memory taken by workers, their index and the log, in bytes, without the allocator's own.
+    /// The memory of the workers, their index and the logs in bytes, without the overhead of the allocator.
     pub fn heap_bytes(&self) -> usize {
-        let of_record = |record: &Record| record.entry.len() + size_of_val(record.former_places());
-        let entries: usize = self.records.iter().flatten().map(of_record).sum();
+        let record_bytes = |record: &Record| record.entry.len() + size_of_val(record.former_locations());
+        let entries: usize = self.records.iter().flatten().map(record_bytes).sum();
         let logs = [&self.departures, &self.others, &self.tombstones].map(ChangeLog::heap_bytes);
         entries
             + self.records.capacity() * size_of::<Option<Record>>()
-            + self.by_id.allocation_size()
-            + self.free.capacity() * size_of::<u32>()
+            + self.slot_by_id.allocation_size()
+            + self.free_slots.capacity() * size_of::<u32>()
             + self.versions.capacity() * size_of::<u64>()
             + logs.iter().sum::<usize>()
     }
 
-    /// Takes an entry of a line whose end has yet to come. One that is refused is counted and changes nothing.
+    /// Adds an entry of a line that has not ended yet. A rejected entry is counted and otherwise has no effect.
     pub fn stage(&mut self, entry: &[u8]) -> Result<(), EntryError> {
-        let staged = self.staged_entry(entry);
+        let staged = self.compare_entry(entry);
         match staged {
             Ok(staged) => {
                 self.staged.push(staged);
                 Ok(())
             }
             Err(error) => {
-                self.unreadable += 1;
+                self.unreadable_count += 1;
                 Err(error)
             }
         }
     }
 
-    fn staged_entry(&mut self, entry: &[u8]) -> Result<Staged, EntryError> {
+    /// Parses an entry and compares it with the current entry of its worker.
+    fn compare_entry(&mut self, entry: &[u8]) -> Result<Staged, EntryError> {
         if entry.len() > usize::from(u16::MAX) {
             return Err(EntryError::TooLong);
         }
-        let summary = summarize(entry)?;
-        let slot = self.slot_of(&summary.id.text(entry));
-        if let Some(slot) = slot.filter(|slot| self.record(*slot).is_some_and(|held| *held.entry == *entry)) {
+        let parsed = parse_entry(entry)?;
+        let slot = self.find_slot(&parsed.id.id_in(entry));
+        if let Some(slot) =
+            slot.filter(|slot| self.record(*slot).is_some_and(|current| *current.entry == *entry))
+        {
             return Ok(Staged::Unchanged(slot));
         }
-        let place = match &summary.zone {
+        let location = match &parsed.zone {
             None => None,
             Some(zone) => {
-                let place = Location { zone, service: summary.service.as_deref() };
-                Some(self.places.id(place).ok_or(EntryError::TooManyPlaces)?)
+                let location = Location { zone, service: parsed.service.as_deref() };
+                Some(self.locations.intern(location).ok_or(EntryError::TooManyNames)?)
             }
         };
-        let (id, lifecycle) = (summary.id, summary.lifecycle);
-        Ok(Staged::Changed(StagedEntry { entry: entry.into(), slot, place, id, lifecycle }))
+        let (id, lifecycle) = (parsed.id, parsed.lifecycle);
+        Ok(Staged::Changed(StagedEntry { entry: entry.into(), slot, location, id, lifecycle }))
     }
 
-    /// Drops what was staged: its line was broken.
+    /// Discards the staged entries of a line that is broken.
     pub fn discard_staged(&mut self) {
         self.staged = Vec::new();
-        self.unreadable = 0;
+        self.unreadable_count = 0;
     }
 
-    /// Applies what was staged as one line of the source: the whole list (`reset`), or changes. What is refused is
-    /// dropped.
+    /// Applies the staged entries as one line of the source: the full list (`reset`) or changes. After an error they are
+    /// discarded.
     pub fn apply(&mut self, version: u64, reset: bool) -> Result<Applied, ApplyError> {
-        let refusal = match self.version {
-            None if !reset => Some(ApplyError::NoWholeList),
-            Some(held) if version < held => Some(ApplyError::Behind { version, held }),
+        let error = match self.version {
+            None if !reset => Some(ApplyError::NoFullList),
+            Some(current) if version < current => Some(ApplyError::Behind { version, current }),
             _ => None,
         };
-        if let Some(refusal) = refusal {
+        if let Some(error) = error {
             self.discard_staged();
-            return Err(refusal);
+            return Err(error);
         }
         let is_first = self.version.is_none();
-        let tag = self.tag(version);
-        let applied = self.apply_staged(tag, reset);
+        let logged_version = self.logged_version(version);
+        let applied = self.apply_staged(logged_version, reset);
         if is_first {
-            self.begin_at(version);
+            self.clear_history(version);
         }
-        self.hold(version);
+        self.set_version(version);
         Ok(applied)
     }
 
-    /// Applies what was staged as a whole list whose version may be lower than the one held: the source has started
-    /// its versions anew. Every subscriber's position is void.
+    /// Applies the staged entries as a full list whose version may be lower than the current one, because the source has
+    /// restarted its versions. The positions of all subscribers become invalid.
     pub fn restart(&mut self, version: u64) -> Applied {
         self.version = None;
         self.epoch += 1;
         let applied = self.apply_staged(version, true);
-        self.begin_at(version);
-        self.hold(version);
+        self.clear_history(version);
+        self.set_version(version);
         applied
     }
 
-    fn hold(&mut self, version: u64) {
+    fn set_version(&mut self, version: u64) {
         if self.version.replace(version) != Some(version) {
             self.versions.push_back(version);
         }
-        if self.versions.len() > MOST_VERSIONS {
+        if self.versions.len() > MAX_VERSIONS {
             self.versions.pop_front();
         }
     }
 
-    /// Forgets all history: who has seen less than this version needs a snapshot.
-    fn begin_at(&mut self, version: u64) {
+    /// Discards all history: a subscriber with a lower version than this one needs a snapshot.
+    fn clear_history(&mut self, version: u64) {
         for slot in 0..self.records.len() as u32 {
             let Some(record) = self.records[slot as usize].as_mut() else { continue };
             (record.version, record.ordinal, record.former) = (version, 0, None);
             if record.lifecycle == Lifecycle::Gone {
-                self.forget(slot);
+                self.remove_slot(slot);
             }
         }
         self.tombstone_count = 0;
@@ -324,58 +332,61 @@
             log.clear();
         }
         self.versions.clear();
-        self.floor = Change::after(version);
+        self.floor = ChangePosition::end_of(version);
         self.head = self.floor;
     }
 
     /// The version under which the changes of a line are logged.
     ///
-    /// A line with the version that is held is a part of what leads to the next version. Its changes are logged under
-    /// the version after the one held, as a subscriber that resumes from the one held may lack them. If the next version
-    /// turns out to be a higher one, nobody can resume from between ([`WorkerList::can_resume`]).
-    fn tag(&self, version: u64) -> u64 {
+    /// A line with the current version is a part of the changes that lead to the next version. Its changes are logged
+    /// under the version after the current one, because a subscriber that resumes from the current one may not have them.
+    /// If the next version turns out to be a higher one, no subscriber can resume from a version in between
+    /// ([`WorkerList::can_resume`]).
+    fn logged_version(&self, version: u64) -> u64 {
         match self.version {
-            Some(held) if version == held => held.saturating_add(1),
+            Some(current) if version == current => current.saturating_add(1),
             _ => version,
         }
     }
 
     fn apply_staged(&mut self, version: u64, reset: bool) -> Applied {
         let staged = std::mem::take(&mut self.staged);
-        let unreadable = std::mem::take(&mut self.unreadable);
+        let unreadable = std::mem::take(&mut self.unreadable_count);
         self.records.reserve_exact(staged.len().saturating_sub(self.records.len()));
-        let mut named = SlotSet::new(self.records.len());
+        let mut listed = SlotSet::new(self.records.len());
         let mut changed = 0;
-        for staged in latest_of_each(staged, self.records.len()) {
+        for staged in latest_per_worker(staged, self.records.len()) {
             let slot = match staged {
                 Staged::Unchanged(slot) => slot,
                 Staged::Changed(staged) => {
                     changed += 1;
-                    self.take(staged, version)
+                    self.apply_entry(staged, version)
                 }
             };
-            named.insert(slot);
+            listed.insert(slot);
         }
-        // Guards against an entry of which not even the worker can be read: the list would tell that one gone.
+        // A rejected entry may be that of a worker in the list, which would then wrongly count as gone.
         if reset && unreadable == 0 {
-            changed += self.bury_all_but(&named, version);
+            changed += self.mark_unlisted_gone(&listed, version);
         }
-        self.forget_tombstones();
+        self.evict_tombstones();
         self.compact();
         Applied { changed, unreadable }
     }
 
-    /// Takes a changed entry over; returns where it is held.
-    fn take(&mut self, staged: StagedEntry, version: u64) -> u32 {
-        let StagedEntry { entry, slot, place, id, lifecycle } = staged;
-        let slot = slot.or_else(|| self.slot_of(&id.text(&entry)));
-        let held = slot.and_then(|slot| self.records[slot as usize].take());
-        let place = place.or(held.as_ref().map(|held| held.place)).unwrap_or(PlaceId::NOWHERE);
-        let was_tombstone = held.as_ref().is_some_and(|held| held.lifecycle == Lifecycle::Gone);
+    /// Stores a changed entry. Returns the slot of its worker.
+    fn apply_entry(&mut self, staged: StagedEntry, version: u64) -> u32 {
+        let StagedEntry { entry, slot, location, id, lifecycle } = staged;
+        let slot = slot.or_else(|| self.find_slot(&id.id_in(&entry)));
+        let previous = slot.and_then(|slot| self.records[slot as usize].take());
+        // Without a readable zone the worker stays where it was.
+        let location =
+            location.or(previous.as_ref().map(|previous| previous.location)).unwrap_or(LocationId::UNKNOWN);
+        let was_tombstone = previous.as_ref().is_some_and(|previous| previous.lifecycle == Lifecycle::Gone);
         self.tombstone_count -= usize::from(was_tombstone);
-        let change = self.next_change(version);
-        let former = held.and_then(|held| self.former_places(held, place, change));
-        let record = Record { entry, former, version: 0, ordinal: 0, place, id, lifecycle };
+        let position = self.next_position(version);
+        let former = previous.and_then(|previous| self.former_locations(previous, location, position));
+        let record = Record { entry, former, version: 0, ordinal: 0, location, id, lifecycle };
         let slot = match slot {
             Some(slot) => {
                 self.records[slot as usize] = Some(record);
@@ -387,125 +398,134 @@
         slot
     }
 
-    /// The places a worker stood in before it came to `place`, as far as somebody may have yet to be told.
-    fn former_places(&mut self, held: Record, place: PlaceId, change: Change) -> FormerPlaces {
-        if held.former.is_none() && held.place == place {
+    /// The former locations of a worker that is now at `location`. A move at or below the floor is dropped, because every
+    /// subscriber that can still resume has received it.
+    fn former_locations(
+        &mut self,
+        previous: Record,
+        location: LocationId,
+        position: ChangePosition,
+    ) -> FormerLocations {
+        if previous.former.is_none() && previous.location == location {
             return None;
         }
-        let mut former = held.former.unwrap_or_default();
-        former.retain(|former| former.place != place && former.left > self.floor);
-        if held.place != place {
-            former.retain(|former| former.place != held.place);
-            former.push(FormerPlace { place: held.place, left: change });
+        let mut former = previous.former.unwrap_or_default();
+        former.retain(|former| former.location != location && former.left_at > self.floor);
+        if previous.location != location {
+            former.retain(|former| former.location != previous.location);
+            former.push(FormerLocation { location: previous.location, left_at: position });
         }
-        if former.len() > MOST_FORMER_PLACES {
-            let forgotten = former.remove(0);
-            self.floor = self.floor.max(forgotten.left);
+        if former.len() > MAX_FORMER_LOCATIONS {
+            let oldest = former.remove(0);
+            self.floor = self.floor.max(oldest.left_at);
         }
         (!former.is_empty()).then_some(former)
     }
 
     fn insert(&mut self, record: Record) -> u32 {
-        let hash = self.hasher.hash_one(&*record.id.text(&record.entry));
-        let slot = self.free.pop().unwrap_or(self.records.len() as u32);
+        let hash = self.hasher.hash_one(&*record.id.id_in(&record.entry));
+        let slot = self.free_slots.pop().unwrap_or(self.records.len() as u32);
         match self.records.get_mut(slot as usize) {
-            Some(free) => *free = Some(record),
+            Some(free_slot) => *free_slot = Some(record),
             None => self.records.push(Some(record)),
         }
         let (records, hasher) = (&self.records, &self.hasher);
-        self.by_id.insert_unique(hash, slot, |slot| hash_of(records, hasher, *slot));
+        self.slot_by_id.insert_unique(hash, slot, |slot| hash_of(records, hasher, *slot));
         slot
     }
 
     /// The position of the next change of this version.
-    fn next_change(&self, version: u64) -> Change {
+    fn next_position(&self, version: u64) -> ChangePosition {
         let is_first = self.head.version != version;
-        Change { version, ordinal: if is_first { 0 } else { self.head.ordinal.saturating_add(1) } }
+        ChangePosition { version, ordinal: if is_first { 0 } else { self.head.ordinal.saturating_add(1) } }
     }
 
     fn log_change(&mut self, slot: u32, version: u64) {
-        self.head = self.next_change(version);
+        self.head = self.next_position(version);
         let Some(record) = self.records[slot as usize].as_mut() else { return };
         (record.version, record.ordinal) = (self.head.version, self.head.ordinal);
         self.tombstone_count += usize::from(record.lifecycle == Lifecycle::Gone);
-        // All of the first list lies below the floor.
+        // The first list becomes the floor, so none of its changes is ever sent as a difference.
         if self.version.is_none() {
             return;
         }
         if record.lifecycle == Lifecycle::Gone {
             self.tombstones.push(self.head, slot);
         }
-        let log = if record.departs() { &mut self.departures } else { &mut self.others };
+        let log = if record.is_departure() { &mut self.departures } else { &mut self.others };
         log.push(self.head, slot);
     }
 
-    /// Makes tombstones of all workers that a whole list did not name; returns how many.
-    fn bury_all_but(&mut self, named: &SlotSet, version: u64) -> usize {
-        let mut buried = 0;
-        for slot in (0..self.records.len() as u32).filter(|slot| !named.contains(*slot)) {
+    /// Turns all workers that a full list does not include into tombstones. Returns their number.
+    fn mark_unlisted_gone(&mut self, listed: &SlotSet, version: u64) -> usize {
+        let mut gone_count = 0;
+        for slot in (0..self.records.len() as u32).filter(|slot| !listed.contains(*slot)) {
             let Some(record) = self.records[slot as usize].as_mut() else { continue };
             if record.lifecycle != Lifecycle::Gone {
-                record.entry = as_gone(&record.entry).into();
+                record.entry = with_lifecycle_gone(&record.entry).into();
                 record.lifecycle = Lifecycle::Gone;
                 self.log_change(slot, version);
-                buried += 1;
+                gone_count += 1;
             }
         }
-        buried
+        gone_count
     }
 
-    fn forget_tombstones(&mut self) {
+    fn evict_tombstones(&mut self) {
         while self.tombstone_count > self.limits.tombstones {
             let Some(oldest) = self.tombstones.pop_oldest() else { return };
-            if self.counts(&oldest) {
-                self.floor = self.floor.max(oldest.change());
+            if self.is_current(&oldest) {
+                self.floor = self.floor.max(oldest.position());
                 self.tombstone_count -= 1;
-                self.forget(oldest.slot);
+                self.remove_slot(oldest.slot);
             }
         }
     }
 
-    fn forget(&mut self, slot: u32) {
+    /// Removes a worker and frees its slot.
+    fn remove_slot(&mut self, slot: u32) {
         let hash = hash_of(&self.records, &self.hasher, slot);
-        if let Ok(found) = self.by_id.find_entry(hash, |other| *other == slot) {
-            found.remove();
+        if let Ok(index_entry) = self.slot_by_id.find_entry(hash, |other| *other == slot) {
+            index_entry.remove();
         }
         self.records[slot as usize] = None;
-        self.free.push(slot);
+        self.free_slots.push(slot);
     }
 
     fn compact(&mut self) {
         let (records, floor) = (&self.records, self.floor);
-        let counts = |logged: &Logged| is_latest(records, logged) && logged.change() > floor;
-        self.departures.compact(counts);
-        self.others.compact(counts);
-        self.tombstones.compact(|logged| is_latest(records, logged));
+        let is_needed = |change: &LoggedChange| is_latest(records, change) && change.position() > floor;
+        self.departures.compact(is_needed);
+        self.others.compact(is_needed);
+        self.tombstones.compact(|change| is_latest(records, change));
     }
 
-    fn slot_of(&self, id: &str) -> Option<u32> {
-        let named = |slot: &u32| self.record(*slot).is_some_and(|held| held.id.text(&held.entry) == id);
-        self.by_id.find(self.hasher.hash_one(id), named).copied()
+    fn find_slot(&self, id: &str) -> Option<u32> {
+        let has_id =
+            |slot: &u32| self.record(*slot).is_some_and(|record| record.id.id_in(&record.entry) == id);
+        self.slot_by_id.find(self.hasher.hash_one(id), has_id).copied()
     }
 
-    fn counts(&self, logged: &Logged) -> bool {
-        is_latest(&self.records, logged)
+    fn is_current(&self, change: &LoggedChange) -> bool {
+        is_latest(&self.records, change)
     }
 
     pub(crate) fn record(&self, slot: u32) -> Option<&Record> {
         self.records.get(slot as usize)?.as_ref()
     }
 
-    /// The record of a logged change, if that is its latest.
-    pub(crate) fn changed_record(&self, logged: &Logged) -> Option<&Record> {
-        self.record(logged.slot).filter(|record| record.change() == logged.change())
+    /// The record of the changed worker, if the change is its latest.
+    pub(crate) fn changed_record(&self, change: &LoggedChange) -> Option<&Record> {
+        self.record(change.slot).filter(|record| record.position() == change.position())
     }
 
+    /// The number of slots, free ones included.
     pub(crate) fn slots(&self) -> u32 {
         self.records.len() as u32
     }
 
-    pub(crate) fn places(&self) -> &Places {
-        &self.places
+    pub(crate) fn locations(&self) -> &LocationTable {
+        &self.locations
     }
 
     pub(crate) fn departures(&self) -> &ChangeLog {
@@ -516,11 +536,11 @@
         &self.others
     }
 
-    pub(crate) fn head(&self) -> Change {
+    pub(crate) fn head(&self) -> ChangePosition {
         self.head
     }
 
-    pub(crate) fn floor_position(&self) -> Change {
+    pub(crate) fn floor_position(&self) -> ChangePosition {
         self.floor
     }
 
@@ -529,18 +549,19 @@
     }
 }
 
-fn is_latest(records: &[Option<Record>], logged: &Logged) -> bool {
-    let record = records.get(logged.slot as usize).and_then(Option::as_ref);
-    record.is_some_and(|record| record.change() == logged.change())
+/// Whether a change is the latest of its worker.
+fn is_latest(records: &[Option<Record>], change: &LoggedChange) -> bool {
+    let record = records.get(change.slot as usize).and_then(Option::as_ref);
+    record.is_some_and(|record| record.position() == change.position())
 }
 
 fn hash_of(records: &[Option<Record>], hasher: &DefaultHashBuilder, slot: u32) -> u64 {
     let record = records.get(slot as usize).and_then(Option::as_ref);
-    record.map_or(0, |record| hasher.hash_one(&*record.id.text(&record.entry)))
+    record.map_or(0, |record| hasher.hash_one(&*record.id.id_in(&record.entry)))
 }
 
-/// Of several entries about a worker that is held, only the last.
-fn latest_of_each(mut staged: Vec<Staged>, slots: usize) -> Vec<Staged> {
+/// Drops all but the last of several entries of one worker that has a slot.
+fn latest_per_worker(mut staged: Vec<Staged>, slots: usize) -> Vec<Staged> {
     let mut seen = SlotSet::new(slots);
     let mut is_latest = |staged: &Staged| match staged {
         Staged::Unchanged(slot) | Staged::Changed(StagedEntry { slot: Some(slot), .. }) => seen.insert(*slot),
--- a/crates/distribution/tests/cursor.rs
+++ b/crates/distribution/tests/cursor.rs
@@ -1,5 +1,5 @@
-//! A list, its log and its cursors under drawn histories: whatever comes between, each subscriber ends with exactly the
-//! part of the list that lies within its scope.
+//! Random histories of a list, its log and its cursors: whatever happens in between, each subscriber ends with exactly the
+//! part of the list that is in its scope.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,9 +13,10 @@
 const LIMITS: CursorLimits = CursorLimits { chunk_bytes: 300, scanned_records: 3 };
 const LIST_LIMITS: WorkerListLimits = WorkerListLimits { tombstones: 2 };
 
-/// Versions start anew far below the old ones, so that a number of the old ones is never reached again.
+/// Each restart of the versions begins this far below the previous one, so that no version from before a restart is
+/// reached again.
 const FIRST_VERSION: u64 = 1_000_000;
-const ANEW_BELOW: u64 = 10_000;
+const RESTART_DISTANCE: u64 = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -45,20 +46,22 @@
     }
 }
 
+/// Workers by their id.
 type View = BTreeMap<String, Worker>;
 
-fn within(view: &View, scope: &Scope) -> View {
-    let wanted = |worker: &Worker| !worker.is_gone() && worker.is_in(scope);
+fn in_scope(view: &View, scope: &Scope) -> View {
+    let is_included = |worker: &Worker| !worker.is_gone() && worker.is_in(scope);
     view.iter()
-        .filter(|(_, worker)| wanted(worker))
+        .filter(|(_, worker)| is_included(worker))
         .map(|(id, worker)| (id.clone(), worker.clone()))
         .collect()
 }
 
-/// The source of the list: the latest of every worker, and when it changed.
+/// The source of the list.
 struct Source {
     version: u64,
     restarts: u64,
+    /// The latest entry of every worker, and the version at which it changed.
     workers: BTreeMap<String, (u64, Worker)>,
 }
 
@@ -67,8 +70,8 @@
         Source { version: FIRST_VERSION, restarts: 0, workers: BTreeMap::new() }
     }
 
-    fn change(&mut self, by: u64, workers: &[Worker]) {
-        self.version += by;
+    fn change(&mut self, version_step: u64, workers: &[Worker]) {
+        self.version += version_step;
         for worker in workers {
             self.workers.insert(worker.instance_id.clone(), (self.version, worker.clone()));
         }
@@ -76,7 +79,7 @@
 
     fn restart(&mut self) {
         self.restarts += 1;
-        self.version = FIRST_VERSION - ANEW_BELOW * self.restarts;
+        self.version = FIRST_VERSION - RESTART_DISTANCE * self.restarts;
         self.workers.retain(|_, (_, worker)| !worker.is_gone());
         self.workers.values_mut().for_each(|(changed, _)| *changed = self.version);
     }
@@ -91,11 +94,12 @@
     }
 }
 
-/// A relay's list, beside what it was told.
+/// A relay's list, and a model of what it received.
 struct Relay {
     list: WorkerList,
     mirror: View,
-    /// Workers that ever moved; their changes are told with the departures, as they are one to somebody.
+    /// Workers that have ever moved. Their changes are sent with the departures, since each of them may be one from some
+    /// scope.
     moved: BTreeSet<String>,
 }
 
@@ -103,7 +107,7 @@
     fn new(source: &Source) -> Relay {
         let mut relay =
             Relay { list: WorkerList::new(LIST_LIMITS), mirror: View::new(), moved: BTreeSet::new() };
-        relay.take_whole(source);
+        relay.receive_full_list(source);
         relay
     }
 
@@ -115,15 +119,15 @@
 
     fn mirror(&mut self, workers: &[Worker]) {
         for worker in workers {
-            let before = self.mirror.insert(worker.instance_id.clone(), worker.clone());
-            let place = |worker: &Worker| (worker.zone.clone(), worker.service.clone());
-            if before.is_some_and(|before| place(&before) != place(worker)) {
+            let previous = self.mirror.insert(worker.instance_id.clone(), worker.clone());
+            let location = |worker: &Worker| (worker.zone.clone(), worker.service.clone());
+            if previous.is_some_and(|previous| location(&previous) != location(worker)) {
                 self.moved.insert(worker.instance_id.clone());
             }
         }
     }
 
-    fn take_whole(&mut self, source: &Source) {
+    fn receive_full_list(&mut self, source: &Source) {
         let all: Vec<Worker> = source.view().into_values().filter(|worker| !worker.is_gone()).collect();
         self.stage(&all);
         let applied = self.list.apply(source.version, true);
@@ -131,44 +135,45 @@
             self.stage(&all);
             self.list.restart(source.version);
         }
-        let named: BTreeSet<&String> = all.iter().map(|worker| &worker.instance_id).collect();
-        for (_, absent) in self.mirror.iter_mut().filter(|(id, _)| !named.contains(id)) {
-            absent.lifecycle = "gone".into();
+        let listed: BTreeSet<&String> = all.iter().map(|worker| &worker.instance_id).collect();
+        for (_, missing) in self.mirror.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            missing.lifecycle = "gone".into();
         }
         self.mirror(&all);
     }
 
-    fn take_changes(&mut self, source: &Source) {
-        let held = self.list.version().unwrap();
-        if source.version < held {
-            return self.take_whole(source);
+    fn receive_changes(&mut self, source: &Source) {
+        let current = self.list.version().unwrap();
+        if source.version < current {
+            return self.receive_full_list(source);
         }
-        let changes = source.since(held);
+        let changes = source.since(current);
         self.stage(&changes);
         self.list.apply(source.version, false).unwrap();
         self.mirror(&changes);
     }
 
-    /// A first part of the changes, as a relay sends it that has more.
-    fn take_part(&mut self, source: &Source) {
-        let held = self.list.version().unwrap();
-        if source.version <= held {
+    /// The first part of the changes, under the current version as from a relay that has more to send.
+    fn receive_part(&mut self, source: &Source) {
+        let current = self.list.version().unwrap();
+        if source.version <= current {
             return;
         }
-        let mut changes = source.since(held);
+        let mut changes = source.since(current);
         changes.truncate(changes.len() / 2);
         self.stage(&changes);
-        self.list.apply(held, false).unwrap();
+        self.list.apply(current, false).unwrap();
         self.mirror(&changes);
     }
 
-    fn take_broken(&mut self, source: &Source) {
+    /// A line that breaks off before its end.
+    fn receive_truncated(&mut self, source: &Source) {
         self.stage(&source.since(0));
         self.list.discard_staged();
     }
 }
 
-/// A manager, as far as the list goes.
+/// A model of a manager's watch of the list.
 struct Subscriber {
     scope: Scope,
     relay: usize,
@@ -176,12 +181,13 @@
     reader: ListReader,
     unsent: Vec<u8>,
     staged: Vec<Worker>,
-    held: Option<u64>,
+    current_version: Option<u64>,
     view: View,
-    /// The version last told on this watch was older than the one held.
+    /// The relay's version received last on this watch was older than the current one.
     is_behind: bool,
+    /// The relay's version was older than the current one at any time on this watch.
     was_behind: bool,
-    /// What is held goes with the version that is held.
+    /// The view has every change up to the current version and none after it.
     is_complete: bool,
 }
 
@@ -194,7 +200,7 @@
             reader: ListReader::new(ListLimits::default()),
             unsent: Vec::new(),
             staged: Vec::new(),
-            held: None,
+            current_version: None,
             view: View::new(),
             is_behind: false,
             was_behind: false,
@@ -204,25 +210,29 @@
 
     fn watch(&mut self, relay: usize, relays: &[Relay]) {
         self.relay = relay;
-        self.cursor = Cursor::new(self.scope.clone(), self.held, &relays[relay].list, LIMITS);
+        self.cursor = Cursor::new(self.scope.clone(), self.current_version, &relays[relay].list, LIMITS);
         self.reader = ListReader::new(ListLimits::default());
         self.unsent.clear();
         self.staged.clear();
         (self.is_behind, self.was_behind) = (false, false);
     }
 
-    /// With what is held, but for the one case that the cursor leaves open: then the whole is asked for.
+    /// Resumes from the current version, except in the one case that the cursor does not cover: then the full list is
+    /// requested.
     fn change_relay(&mut self, relay: usize, relays: &[Relay]) {
         if relay != self.relay && !self.is_complete {
-            self.held = None;
+            self.current_version = None;
         }
         self.watch(relay, relays);
     }
 
     fn step(&mut self, relays: &[Relay]) -> Step {
-        let before = self.unsent.len();
+        let bytes_before = self.unsent.len();
         let step = self.cursor.next(&relays[self.relay].list, &mut self.unsent);
-        assert!(self.unsent.len() - before <= LIMITS.chunk_bytes + 64, "a bounded piece at a time");
+        assert!(
+            self.unsent.len() - bytes_before <= LIMITS.chunk_bytes + 64,
+            "a call exceeded the size of a chunk"
+        );
         if step == Step::Send {
             let bytes = std::mem::take(&mut self.unsent);
             self.receive(&bytes, &relays[self.relay]);
@@ -230,7 +240,7 @@
         step
     }
 
-    /// Once it is up to date.
+    /// Receives a heartbeat. Only valid once the cursor is up to date.
     fn heartbeat(&mut self, relays: &[Relay]) {
         let relay = &relays[self.relay];
         let mut bytes = Vec::new();
@@ -241,7 +251,7 @@
 
     fn receive(&mut self, mut bytes: &[u8], relay: &Relay) {
         loop {
-            let end = match self.reader.next(&mut bytes).expect("sound lines") {
+            let end = match self.reader.next(&mut bytes).expect("valid lines") {
                 None => return,
                 Some(ListEvent::Heartbeat) => continue,
                 Some(ListEvent::Entry(entry)) => {
@@ -250,19 +260,19 @@
                 }
                 Some(ListEvent::End(end)) => end,
             };
-            self.take(end, relay);
+            self.apply(end, relay);
         }
     }
 
-    fn take(&mut self, end: ListEnd, relay: &Relay) {
+    fn apply(&mut self, end: ListEnd, relay: &Relay) {
         let entries = std::mem::take(&mut self.staged);
-        self.is_behind = self.held.is_some_and(|held| end.version < held);
+        self.is_behind = self.current_version.is_some_and(|current| end.version < current);
         self.was_behind |= self.is_behind;
         if self.is_behind {
-            assert!(entries.is_empty() && !end.reset, "nothing old");
+            assert!(entries.is_empty() && !end.reset, "a relay that is behind sent entries");
             return;
         }
-        self.held = Some(end.version);
+        self.current_version = Some(end.version);
         self.is_complete = self.cursor.is_complete(&relay.list);
         if end.reset {
             self.view.clear();
@@ -271,7 +281,7 @@
             |worker: &Worker| worker.lifecycle == "ready" && !relay.moved.contains(&worker.instance_id);
         let has_others = entries.iter().any(is_other);
         for worker in entries {
-            // An entry out of scope tells that the worker has left the scope.
+            // An entry out of scope means that the worker has left the scope.
             match worker.is_gone() || !worker.is_in(&self.scope) {
                 true => _ = self.view.remove(&worker.instance_id),
                 false => _ = self.view.insert(worker.instance_id.clone(), worker),
@@ -282,45 +292,54 @@
         }
     }
 
-    /// Once another change was told in a line of its own, no departure is pending.
+    /// Checks that no departure is pending, which holds once a line with another change was received.
     fn check_departures(&self, mirror: &View) {
         for id in mirror.keys().chain(self.view.keys()).collect::<BTreeSet<_>>() {
             let worker = mirror.get(id).filter(|worker| !worker.is_gone() && worker.is_in(&self.scope));
             let Some(seen) = self.view.get(id) else { continue };
             match worker {
-                None => panic!("{id} left and is still held"),
+                None => panic!("{id} left the scope and is still in the view"),
                 Some(worker) if worker.lifecycle == "draining" => assert_eq!(seen.lifecycle, "draining"),
                 Some(_) => {}
             }
         }
     }
 
-    /// Goes on until nothing is left to be told, as a manager does.
+    /// Receives everything that is pending. Watches again like a manager where a watch ends or the relay is behind.
     fn settle(&mut self, relays: &[Relay]) {
         for _ in 0..1_000 {
             match self.step(relays) {
                 Step::UpToDate if self.is_behind => {
-                    self.held = None;
+                    self.current_version = None;
                     self.watch(self.relay, relays);
                 }
                 Step::UpToDate => return self.heartbeat(relays),
-                Step::Void => self.watch(self.relay, relays),
+                Step::Invalidated => self.watch(self.relay, relays),
                 Step::Send | Step::Scanning => {}
             }
         }
-        panic!("it never came to an end");
+        panic!("the watch never became up to date");
     }
 }
 
+/// One step of a history. Relays and subscribers are given by their index.
 #[derive(Clone, Debug)]
 enum Op {
-    Change { by: u64, workers: Vec<Worker> },
-    Changes(usize),
-    Part(usize),
-    Whole(usize),
-    Broken(usize),
+    /// Workers change at the source.
+    Change { version_step: u64, workers: Vec<Worker> },
+    /// A relay receives the changes.
+    ReceiveChanges(usize),
+    /// A relay receives a first part of the changes.
+    ReceivePart(usize),
+    /// A relay receives the full list.
+    ReceiveFullList(usize),
+    /// A relay receives a line that breaks off.
+    ReceiveTruncated(usize),
+    /// The source restarts its versions.
     Restart,
+    /// A subscriber receives the next chunk.
     Step(usize),
+    /// A subscriber moves to a relay.
     Move { subscriber: usize, relay: usize },
 }
 
@@ -339,14 +358,14 @@
 
 fn op(with_restarts: bool) -> impl Strategy<Value = Op> {
     let change = (1..4_u64, prop::collection::vec(worker(), 0..4));
-    let restarts = u32::from(with_restarts);
+    let restart_weight = u32::from(with_restarts);
     prop_oneof![
-        6 => change.prop_map(|(by, workers)| Op::Change { by, workers }),
-        5 => (0..2_usize).prop_map(Op::Changes),
-        2 => (0..2_usize).prop_map(Op::Part),
-        1 => (0..2_usize).prop_map(Op::Whole),
-        1 => (0..2_usize).prop_map(Op::Broken),
-        restarts => Just(Op::Restart),
+        6 => change.prop_map(|(version_step, workers)| Op::Change { version_step, workers }),
+        5 => (0..2_usize).prop_map(Op::ReceiveChanges),
+        2 => (0..2_usize).prop_map(Op::ReceivePart),
+        1 => (0..2_usize).prop_map(Op::ReceiveFullList),
+        1 => (0..2_usize).prop_map(Op::ReceiveTruncated),
+        restart_weight => Just(Op::Restart),
         20 => (0..4_usize).prop_map(Op::Step),
         3 => (0..4_usize, 0..2_usize).prop_map(|(subscriber, relay)| Op::Move { subscriber, relay }),
     ]
@@ -368,16 +387,16 @@
     let mut subscribers = scopes().map(|scope| Subscriber::new(scope, &relays));
     for op in ops {
         match op {
-            Op::Change { by, workers } => source.change(by, &workers),
-            Op::Changes(relay) => relays[relay].take_changes(&source),
-            Op::Part(relay) => relays[relay].take_part(&source),
-            Op::Whole(relay) => relays[relay].take_whole(&source),
-            Op::Broken(relay) => relays[relay].take_broken(&source),
+            Op::Change { version_step, workers } => source.change(version_step, &workers),
+            Op::ReceiveChanges(relay) => relays[relay].receive_changes(&source),
+            Op::ReceivePart(relay) => relays[relay].receive_part(&source),
+            Op::ReceiveFullList(relay) => relays[relay].receive_full_list(&source),
+            Op::ReceiveTruncated(relay) => relays[relay].receive_truncated(&source),
             Op::Restart => source.restart(),
             Op::Step(subscriber) => {
                 let subscriber = &mut subscribers[subscriber];
                 match subscriber.step(&relays) {
-                    Step::Void => subscriber.watch(subscriber.relay, &relays),
+                    Step::Invalidated => subscriber.watch(subscriber.relay, &relays),
                     Step::UpToDate => subscriber.heartbeat(&relays),
                     Step::Send | Step::Scanning => {}
                 }
@@ -386,18 +405,18 @@
         }
     }
     for relay in &mut relays {
-        relay.take_changes(&source);
-        assert_eq!(relay.list.workers(), within(&source.view(), &Scope::default()).len());
-        assert!(relay.list.tombstones() <= LIST_LIMITS.tombstones);
+        relay.receive_changes(&source);
+        assert_eq!(relay.list.worker_count(), in_scope(&source.view(), &Scope::default()).len());
+        assert!(relay.list.tombstone_count() <= LIST_LIMITS.tombstones);
     }
     for subscriber in &mut subscribers {
         subscriber.settle(&relays);
-        assert_eq!(subscriber.view, within(&source.view(), &subscriber.scope));
-        assert_eq!(subscriber.held, relays[subscriber.relay].list.version());
+        assert_eq!(subscriber.view, in_scope(&source.view(), &subscriber.scope));
+        assert_eq!(subscriber.current_version, relays[subscriber.relay].list.version());
     }
 }
 
-/// At least 600 of them; more by PROPTEST_CASES.
+/// At least 600 histories; the environment variable PROPTEST_CASES sets a higher number.
 fn histories() -> ProptestConfig {
     let default = ProptestConfig::default();
     ProptestConfig { cases: default.cases.max(600), failure_persistence: None, ..default }
@@ -412,7 +431,7 @@
     }
 
     #[test]
-    fn so_it_does_where_versions_start_anew(ops in prop::collection::vec(op(true), 0..120)) {
+    fn each_subscriber_ends_with_its_part_of_the_list_after_restarts_of_the_versions(ops in prop::collection::vec(op(true), 0..120)) {
         run(ops);
     }
 }
--- a/crates/distribution/tests/list_reader.rs
+++ b/crates/distribution/tests/list_reader.rs
@@ -1,4 +1,5 @@
-//! Lists read out of pieces: the same as serde_json reads out of the whole, and an error wherever a line is broken.
+//! The incremental parser of lists gives the same as serde_json gives for the full line, however the bytes are split, and
+//! an error for every invalid line.
 
 use juniperrail_distribution::{ListEnd, ListError, ListEvent, ListLimits, ListReader};
 use proptest::prelude::*;
@@ -6,15 +7,15 @@
 use serde_json::value::RawValue;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Read {
+enum Event {
     Entry(String),
     Heartbeat,
     End(ListEnd),
 }
 
-/// A list as serde_json reads it whole.
+/// A list as serde_json parses it.
 #[derive(Deserialize)]
-struct Whole {
+struct ParsedList {
     generation: u64,
     #[serde(default)]
     reset: bool,
@@ -24,15 +25,15 @@
 
 const LIMITS: ListLimits = ListLimits { entry_bytes: 1024, envelope_bytes: 1024 };
 
-fn read_pieces(pieces: &[&[u8]], limits: ListLimits) -> Result<Vec<Read>, ListError> {
+fn read_pieces(pieces: &[&[u8]], limits: ListLimits) -> Result<Vec<Event>, ListError> {
     let mut reader = ListReader::new(limits);
     let mut events = Vec::new();
     for mut bytes in pieces.iter().copied() {
         while let Some(event) = reader.next(&mut bytes)? {
             events.push(match event {
-                ListEvent::Entry(entry) => Read::Entry(String::from_utf8(entry.to_vec()).unwrap()),
-                ListEvent::Heartbeat => Read::Heartbeat,
-                ListEvent::End(end) => Read::End(end),
+                ListEvent::Entry(entry) => Event::Entry(String::from_utf8(entry.to_vec()).unwrap()),
+                ListEvent::Heartbeat => Event::Heartbeat,
+                ListEvent::End(end) => Event::End(end),
             });
         }
     }
@@ -40,49 +41,52 @@
     Ok(events)
 }
 
-fn read(text: &str) -> Result<Vec<Read>, ListError> {
+fn read(text: &str) -> Result<Vec<Event>, ListError> {
     read_pieces(&[text.as_bytes()], LIMITS)
 }
 
-fn read_whole(line: &str) -> Option<Vec<Read>> {
-    let whole: Whole = serde_json::from_str(line).ok()?;
-    let end = ListEnd { version: whole.generation, reset: whole.reset, entries: whole.instances.len() };
-    let entries = whole.instances.iter().map(|raw| Read::Entry(raw.get().to_string()));
-    Some(entries.chain([Read::End(end)]).collect())
+fn parse_with_serde(line: &str) -> Option<Vec<Event>> {
+    let list: ParsedList = serde_json::from_str(line).ok()?;
+    let end = ListEnd { version: list.generation, reset: list.reset, entry_count: list.instances.len() };
+    let entries = list.instances.iter().map(|raw| Event::Entry(raw.get().to_string()));
+    Some(entries.chain([Event::End(end)]).collect())
 }
 
 #[test]
-fn entries_may_stand_before_the_version_and_unknown_fields_are_passed_over() {
+fn entries_may_come_before_the_version_and_unknown_fields_are_ignored() {
     let line =
         r#"{"instances" : [ {"a":"]}\"["} , 5 ,"x,]", [[]],null],"more":{"instances":[1]},"generation":7}"#;
-    assert_eq!(read(&format!("{line}\r\n")).ok(), read_whole(line));
-    assert_eq!(read_whole(line).unwrap().len(), 6);
+    assert_eq!(read(&format!("{line}\r\n")).ok(), parse_with_serde(line));
+    assert_eq!(parse_with_serde(line).unwrap().len(), 6);
 }
 
 #[test]
-fn only_the_outermost_list_counts_and_its_name_may_be_escaped() {
+fn only_the_instances_of_the_outermost_object_count_and_their_key_may_have_escapes() {
     let line = r#"{"x":["instances"],"y":"instances","inst\u0061nces":[{}],"generation":1,"reset":true}"#;
-    assert_eq!(read(&format!("{line}\n")).ok(), read_whole(line));
+    assert_eq!(read(&format!("{line}\n")).ok(), parse_with_serde(line));
 }
 
 #[test]
 fn an_empty_line_is_a_heartbeat() {
-    assert_eq!(read("\n\r\n  \n"), Ok(vec![Read::Heartbeat; 3]));
+    assert_eq!(read("\n\r\n  \n"), Ok(vec![Event::Heartbeat; 3]));
 }
 
 #[test]
-fn a_line_cut_within_an_entry_names_it() {
-    let cut = r#"{"generation":2,"instances":[{"instanceId":"s-1"},{"instanceId":"s-2""#;
-    let expected = Err(ListError::EntryCut(r#"{"instanceId":"s-2""#.into()));
-    assert_eq!(read(&format!("{cut}\n")), expected);
-    assert_eq!(read(cut), expected, "the connection ends there");
+fn the_error_of_a_line_truncated_within_an_entry_quotes_it() {
+    let truncated = r#"{"generation":2,"instances":[{"instanceId":"s-1"},{"instanceId":"s-2""#;
+    let expected = Err(ListError::EntryTruncated(r#"{"instanceId":"s-2""#.into()));
+    assert_eq!(read(&format!("{truncated}\n")), expected);
+    assert_eq!(read(truncated), expected, "the connection ends there");
     let within_string = r#"{"generation":2,"instances":[{"instanceId":"s-"#;
-    assert_eq!(read(&format!("{within_string}\n")), Err(ListError::EntryCut(r#"{"instanceId":"s-"#.into())));
+    assert_eq!(
+        read(&format!("{within_string}\n")),
+        Err(ListError::EntryTruncated(r#"{"instanceId":"s-"#.into()))
+    );
 }
 
 #[test]
-fn a_line_that_is_no_list_is_an_error() {
-    let broken = [
+fn a_line_that_is_not_a_list_is_an_error() {
+    let invalid_lines = [
         "{\"generation\":2,\"instances\":[{},{}\n",
         "{\"generation\":2,\"instances\":[{},,{}]}\n",
         "{\"generation\":2,\"instances\":[{},]}\n",
@@ -99,23 +103,23 @@
         "{\"generation\":2",
         "{\"generation\":2,\"instances\":[{}",
     ];
-    for line in broken {
+    for line in invalid_lines {
         assert!(read(line).is_err(), "{line}");
     }
-    let not_text = b"{\"generation\":2,\"instances\":[\"\xff\"]}\n".as_slice();
-    assert!(matches!(read_pieces(&[not_text], LIMITS), Err(ListError::EntryUnsound { .. })));
+    let not_utf8 = b"{\"generation\":2,\"instances\":[\"\xff\"]}\n".as_slice();
+    assert!(matches!(read_pieces(&[not_utf8], LIMITS), Err(ListError::EntryNotJson { .. })));
 }
 
 #[test]
-fn what_is_held_is_bounded() {
+fn entries_and_other_fields_are_limited_in_size() {
     let limits = ListLimits { entry_bytes: 10, envelope_bytes: 40 };
     let read =
         |text: &str| read_pieces(&text.bytes().collect::<Vec<_>>().chunks(3).collect::<Vec<_>>(), limits);
     let entries = vec!["[12345678]"; 1000].join(",");
     let events = read(&format!("{{\"generation\":2,\"instances\":[{entries}]}}\n")).unwrap();
-    assert_eq!(events.last(), Some(&Read::End(ListEnd { version: 2, reset: false, entries: 1000 })));
-    let long = read("{\"generation\":2,\"instances\":[[123456789]]}\n");
-    assert_eq!(long, Err(ListError::EntryTooLong("[123456789]".into())));
+    assert_eq!(events.last(), Some(&Event::End(ListEnd { version: 2, reset: false, entry_count: 1000 })));
+    let too_long = read("{\"generation\":2,\"instances\":[[123456789]]}\n");
+    assert_eq!(too_long, Err(ListError::EntryTooLong("[123456789]".into())));
     assert_eq!(read(&" ".repeat(41)), Err(ListError::EnvelopeTooLong));
 }
 
@@ -151,7 +155,7 @@
     ordered.prop_map(|fields| format!("{{{}}}", fields.join(", ")))
 }
 
-fn cut<'a>(bytes: &'a [u8], lengths: &[usize]) -> Vec<&'a [u8]> {
+fn split<'a>(bytes: &'a [u8], lengths: &[usize]) -> Vec<&'a [u8]> {
     let mut pieces = Vec::new();
     let (mut rest, mut lengths) = (bytes, lengths.iter().cycle());
     while !rest.is_empty() {
@@ -165,20 +169,20 @@
 
 proptest! {
     #[test]
-    fn pieces_give_what_serde_json_gives_for_the_whole(
+    fn split_input_gives_the_same_as_serde_json_for_the_full_line(
         lines in prop::collection::vec(prop_oneof![4 => line(), 1 => Just(String::new())], 1..4),
         lengths in prop::collection::vec(1..40_usize, 1..8),
     ) {
-        let expected: Vec<Read> = lines
+        let expected: Vec<Event> = lines
             .iter()
-            .flat_map(|line| if line.is_empty() { vec![Read::Heartbeat] } else { read_whole(line).unwrap() })
+            .flat_map(|line| if line.is_empty() { vec![Event::Heartbeat] } else { parse_with_serde(line).unwrap() })
             .collect();
         let text = format!("{}\n", lines.join("\n"));
-        prop_assert_eq!(read_pieces(&cut(text.as_bytes(), &lengths), LIMITS), Ok(expected));
+        prop_assert_eq!(read_pieces(&split(text.as_bytes(), &lengths), LIMITS), Ok(expected));
     }
 
     #[test]
-    fn a_line_spoilt_anywhere_is_read_as_serde_json_reads_it(
+    fn a_line_with_one_byte_replaced_gives_the_same_as_serde_json(
         line in line(),
         at in any::<prop::sample::Index>(),
         byte in prop::sample::select(b"{}[],:\"\\ 0at".to_vec()),
@@ -188,11 +192,11 @@
         bytes[at] = byte;
         let line = String::from_utf8_lossy(&bytes).into_owned();
         let read = read(&format!("{line}\n")).ok();
-        prop_assert_eq!(read, read_whole(&line), "{}", line);
+        prop_assert_eq!(read, parse_with_serde(&line), "{}", line);
     }
 
     #[test]
-    fn no_bytes_break_it(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6)) {
+    fn arbitrary_bytes_cause_no_panic(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6)) {
         let pieces: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
         _ = read_pieces(&pieces, LIMITS);
     }
--- a/crates/distribution/tests/scope.rs
+++ b/crates/distribution/tests/scope.rs
@@ -1,4 +1,4 @@
-//! Scopes: who belongs to them, and that a query carries them unchanged.
+//! Scopes: which workers they contain, and their form in a query.
 
 use juniperrail_distribution::{Location, Scope, ScopeError};
 use proptest::prelude::*;
@@ -9,10 +9,10 @@
 }
 
 #[test]
-fn a_scope_without_names_holds_every_worker() {
-    let place = Location { zone: "a", service: Some("grading") };
+fn a_scope_without_names_contains_every_worker() {
+    let location = Location { zone: "a", service: Some("grading") };
     assert!(Scope::default().is_unrestricted());
-    assert!(Scope::default().contains(place));
+    assert!(Scope::default().contains(location));
     assert_eq!(Scope::default().to_query(), "");
 }
 
@@ -27,16 +27,16 @@
 }
 
 #[test]
-fn a_query_that_names_nothing_or_no_text_is_refused() {
+fn an_empty_parameter_invalid_utf_8_and_too_many_names_are_rejected() {
     assert_eq!(Scope::from_query("stream=1&zones="), Err(ScopeError::Empty("zones")));
-    assert_eq!(Scope::from_query("services=%ff"), Err(ScopeError::NotText("services")));
+    assert_eq!(Scope::from_query("services=%ff"), Err(ScopeError::NotUtf8("services")));
     let many = vec!["a"; 65_537].join(",");
-    assert_eq!(Scope::from_query(&format!("zones={many}")), Err(ScopeError::TooMany("zones")));
+    assert_eq!(Scope::from_query(&format!("zones={many}")), Err(ScopeError::TooManyNames("zones")));
 }
 
 proptest! {
     #[test]
-    fn a_query_carries_a_scope_unchanged(
+    fn a_scope_parsed_from_its_own_query_is_unchanged(
         zones in prop::collection::vec(".{1,8}", 0..5),
         services in prop::collection::vec(".{1,8}", 0..5),
     ) {
--- a/crates/relay/src/log_limit.rs
+++ b/crates/relay/src/log_limit.rs
@@ -1,28 +1,28 @@
-//! Log lines about what strangers cause, at most one of a kind in a period.
+//! Rate limit on log lines about events that peers cause: at most one line of each kind in an interval.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-const PERIOD: Duration = Duration::from_secs(10);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Whether one kind of event may be logged.
+/// Limits the log lines about one kind of event.
 #[derive(Debug, Default)]
 pub(crate) struct LogLimit {
-    silent_until: Cell<Option<Instant>>,
-    left_out: Cell<usize>,
+    suppressed_until: Cell<Option<Instant>>,
+    suppressed_count: Cell<usize>,
 }
 
 impl LogLimit {
-    /// `Some` if this event is to be logged, with how many were not since the last that was.
+    /// Whether to log this event: `Some` with the number of events since the last logged one, or `None`.
     pub fn admit(&self) -> Option<usize> {
         let now = Instant::now();
-        if self.silent_until.get().is_some_and(|until| now < until) {
-            self.left_out.set(self.left_out.get() + 1);
+        if self.suppressed_until.get().is_some_and(|until| now < until) {
+            self.suppressed_count.set(self.suppressed_count.get() + 1);
             return None;
         }
-        self.silent_until.set(Some(now + PERIOD));
-        Some(self.left_out.take())
+        self.suppressed_until.set(Some(now + MIN_LOG_INTERVAL));
+        Some(self.suppressed_count.take())
     }
 }
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -1,43 +1,43 @@
-//! What a relay is told at its start.
+//! The options of a relay.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use juniperrail_distribution::{CursorLimits, ListLimits, WorkerListLimits};
 
-/// All that a relay is told at its start.
+/// The options with which a relay starts.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Where subscribers find it.
+    /// The address to listen on for subscribers.
     pub listen: SocketAddr,
-    /// Whose list it relays: discovery, or another relay.
+    /// The source of the list: discovery or another relay.
     pub source: SocketAddr,
     pub limits: Limits,
     pub timing: Timing,
 }
 
 impl Options {
-    /// The defaults for everything but the addresses.
+    /// The defaults for everything except the addresses.
     pub fn new(listen: SocketAddr, source: SocketAddr) -> Options {
         Options { listen, source, limits: Limits::default(), timing: Timing::default() }
     }
 }
 
-/// What a relay holds at most.
+/// The limits of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Subscribers at a time; fewer if the process may not open as many sockets.
+    /// Subscribers at a time; lower if the process may not open as many sockets.
     pub subscribers: usize,
-    /// Of the list beside its workers.
+    /// On the list, besides its workers.
     pub list: WorkerListLimits,
-    /// Of a line of the source.
+    /// On a line of the source.
     pub line: ListLimits,
-    /// Of what is written to a subscriber at a time.
+    /// On a single write to a subscriber.
     pub cursor: CursorLimits,
 }
 
 impl Default for Limits {
-    /// 1,024 subscribers, and the defaults of the list.
+    /// 1,024 subscribers, and the default limits of the list.
     fn default() -> Self {
         Limits {
             subscribers: 1_024,
@@ -48,30 +48,33 @@
     }
 }
 
-/// How long a relay waits for what.
+/// The intervals and time-outs of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// A subscriber is told something this often, if only an empty line; dialling the source takes no longer.
-    pub heartbeat: Duration,
-    /// A source that ends no line for so long is lost.
-    pub source_silence: Duration,
-    /// A source whose lists stay older than the one held for so long is taken to have started its versions anew.
-    pub source_behind: Duration,
-    /// The head of a request comes within this time.
-    pub request_head: Duration,
-    /// A subscriber that takes no byte for so long, while there are any for it, is given up.
-    pub stalled_write: Duration,
+    /// A subscriber to which nothing else was sent for this long receives a heartbeat. This is also the time-out for
+    /// connecting to the source.
+    pub heartbeat_interval: Duration,
+    /// A source that has not ended a line for this long is considered lost.
+    pub source_silence_timeout: Duration,
+    /// A source whose lists have been older than the current one for this long is considered to have restarted its
+    /// versions.
+    pub source_behind_timeout: Duration,
+    /// Time-out for receiving the head of a request.
+    pub request_head_timeout: Duration,
+    /// A subscriber that accepts no byte for this long while there is something to send is disconnected.
+    pub stalled_write_timeout: Duration,
 }
 
 impl Default for Timing {
-    /// As the protocol has it: a heartbeat of 2 s, silence after two of them, and 6 s until all is told.
+    /// By the protocol, heartbeats are 2 s apart, a source is lost after two of them, and every change reaches all relays
+    /// within 6 s.
     fn default() -> Self {
         Timing {
-            heartbeat: Duration::from_secs(2),
-            source_silence: Duration::from_secs(4),
-            source_behind: Duration::from_secs(6),
-            request_head: Duration::from_secs(5),
-            stalled_write: Duration::from_secs(60),
+            heartbeat_interval: Duration::from_secs(2),
+            source_silence_timeout: Duration::from_secs(4),
+            source_behind_timeout: Duration::from_secs(6),
+            request_head_timeout: Duration::from_secs(5),
+            stalled_write_timeout: Duration::from_secs(60),
         }
     }
 }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the source's side and the subscribers' side share, on one thread.
+//! The state that the watch of the source and the connections of subscribers share, on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,24 +10,24 @@
 use crate::log_limit::LogLimit;
 use crate::options::Options;
 
-/// What subscribers wait for.
+/// The state whose changes subscribers wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Status {
-    /// Whether the list is what the source says now.
+    /// Whether the list is the current one of the source.
     pub in_sync: bool,
-    /// Counts what came from the source.
+    /// Increases with every line of the source that is applied.
     pub revision: u64,
 }
 
-/// The state of a relay. No borrow of it is held while anything is awaited.
+/// The state of a relay. None of it may be borrowed across an await.
 pub(crate) struct Shared {
     pub options: Options,
     pub list: RefCell<WorkerList>,
     pub status: watch::Sender<Status>,
-    /// When the source last ended a line.
-    heard_at: Cell<Instant>,
-    subscribers: Cell<usize>,
-    pub refusals: LogLimit,
+    /// When the source last showed that the list is current.
+    confirmed_at: Cell<Instant>,
+    subscriber_count: Cell<usize>,
+    pub refusal_log: LogLimit,
 }
 
 impl Shared {
@@ -36,9 +36,9 @@
             options,
             list: RefCell::new(WorkerList::new(options.limits.list)),
             status: watch::Sender::new(Status::default()),
-            heard_at: Cell::new(Instant::now()),
-            subscribers: Cell::new(0),
-            refusals: LogLimit::default(),
+            confirmed_at: Cell::new(Instant::now()),
+            subscriber_count: Cell::new(0),
+            refusal_log: LogLimit::default(),
         })
     }
 
@@ -46,50 +46,50 @@
         self.status.borrow().in_sync
     }
 
-    /// The source has ended a line, and the list is what it says.
+    /// Records that the source has ended a line and that the list is current.
     pub fn confirm(&self) {
-        self.heard_at.set(Instant::now());
-        let gained = |status: &mut Status| !std::mem::replace(&mut status.in_sync, true);
-        if self.status.send_if_modified(gained) {
+        self.confirmed_at.set(Instant::now());
+        let set_in_sync = |status: &mut Status| !std::mem::replace(&mut status.in_sync, true);
+        if self.status.send_if_modified(set_in_sync) {
             tracing::info!("in sync with the source");
         }
     }
 
-    /// The list has changed, or only its version.
-    pub fn announce(&self) {
+    /// Notifies subscribers that the list has changed, or only its version.
+    pub fn notify_subscribers(&self) {
         self.status.send_modify(|status| status.revision += 1);
     }
 
-    /// Sets out of step whenever the source was silent for too long; never ends.
-    pub async fn expire(&self) {
+    /// Marks the list as out of sync whenever the source has been silent for too long. Never returns.
+    pub async fn expire_sync(&self) {
         let mut status = self.status.subscribe();
         loop {
-            let silent_at = self.heard_at.get() + self.options.timing.source_silence;
+            let silent_at = self.confirmed_at.get() + self.options.timing.source_silence_timeout;
             if Instant::now() < silent_at {
                 tokio::time::sleep_until(silent_at).await;
                 continue;
             }
             if self.status.send_if_modified(|status| std::mem::take(&mut status.in_sync)) {
-                let silence = self.options.timing.source_silence.as_millis();
+                let silence = self.options.timing.source_silence_timeout.as_millis();
                 tracing::warn!("the source has been silent for {silence} ms: all watches end");
             }
-            // The sender lives as long as this does.
+            // Cannot fail, because `self` owns the sender.
             _ = status.wait_for(|status| status.in_sync).await;
         }
     }
 
-    /// Room for one more subscriber, if there is any.
+    /// Admits one more subscriber, unless the limit is reached.
     pub fn admit(self: &Rc<Shared>) -> Option<Admission> {
-        let subscribers = self.subscribers.get();
-        if subscribers >= self.options.limits.subscribers {
+        let subscriber_count = self.subscriber_count.get();
+        if subscriber_count >= self.options.limits.subscribers {
             return None;
         }
-        self.subscribers.set(subscribers + 1);
+        self.subscriber_count.set(subscriber_count + 1);
         Some(Admission(self.clone()))
     }
 }
 
-/// The room of one subscriber, given back when it is dropped.
+/// Counts one subscriber towards the limit until it is dropped.
 pub(crate) struct Admission(Rc<Shared>);
 
 impl Admission {
@@ -100,6 +100,6 @@
 
 impl Drop for Admission {
     fn drop(&mut self) {
-        self.0.subscribers.set(self.0.subscribers.get() - 1);
+        self.0.subscriber_count.set(self.0.subscriber_count.get() - 1);
     }
 }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -1,4 +1,4 @@
-//! The watch that keeps the list current.
+//! The watch of the source, which keeps the list current.
 
 use std::fmt;
 use std::rc::Rc;
@@ -18,50 +18,52 @@
 use crate::options::Timing;
 use crate::shared::Shared;
 
-/// The first wait before the source is dialled again is this fraction of a heartbeat; it doubles up to a whole one.
-const FIRST_WAIT_FRACTION: u32 = 32;
-const MOST_DOUBLINGS: u32 = 5;
+/// The first wait before the source is dialled again is a heartbeat interval divided by this. It doubles with each further
+/// failure, up to a full interval.
+const FIRST_WAIT_DIVISOR: u32 = 32;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// Why a watch of the source ended.
 #[derive(Debug)]
-enum SourceFault {
-    Dialling(std::io::Error),
-    DiallingTookTooLong,
+enum WatchEnd {
+    ConnectFailed(std::io::Error),
+    ConnectTimeout,
     Http(hyper::Error),
-    Refused(StatusCode),
+    Status(StatusCode),
     Silent,
     Ended,
-    Line(ListError),
-    List(ApplyError),
-    StaysBehind,
+    InvalidLine(ListError),
+    ListRejected(ApplyError),
+    /// Its lists stay older than the current one.
+    Behind,
 }
 
-impl fmt::Display for SourceFault {
+impl fmt::Display for WatchEnd {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SourceFault::Dialling(cause) => write!(f, "{cause} (while dialling)"),
-            SourceFault::DiallingTookTooLong => write!(f, "the connection timed out (while dialling)"),
-            SourceFault::Http(cause) => write!(f, "connection error: {cause}"),
-            SourceFault::Refused(status) => write!(f, "the source answered {status}"),
-            SourceFault::Silent => write!(f, "the watch is silent"),
-            SourceFault::Ended => write!(f, "the watch ended"),
-            SourceFault::Line(cause) => cause.fmt(f),
-            SourceFault::List(cause) => cause.fmt(f),
-            SourceFault::StaysBehind => {
+            WatchEnd::ConnectFailed(cause) => write!(f, "{cause} (while dialling)"),
+            WatchEnd::ConnectTimeout => write!(f, "the connection timed out (while dialling)"),
+            WatchEnd::Http(cause) => write!(f, "connection error: {cause}"),
+            WatchEnd::Status(status) => write!(f, "the source answered {status}"),
+            WatchEnd::Silent => write!(f, "the watch is silent"),
+            WatchEnd::Ended => write!(f, "the watch ended"),
+            WatchEnd::InvalidLine(cause) => cause.fmt(f),
+            WatchEnd::ListRejected(cause) => cause.fmt(f),
+            WatchEnd::Behind => {
                 write!(f, "its lists stay older than the current one; the full list is requested")
             }
         }
     }
 }
 
-/// Follows the source.
+/// Follows the list of the source.
 pub(crate) struct SourceWatch {
     shared: Rc<Shared>,
-    /// Since when it has told older lists than the one held.
-    behind: Option<Instant>,
-    /// The next whole list is taken even if its version is lower than the one held.
-    takes_anew: bool,
-    odd_entries: LogLimit,
+    /// Since when the lists of the source have been older than the current one.
+    behind_since: Option<Instant>,
+    /// The next full list is accepted even if its version is lower than the current one.
+    accepts_any_version: bool,
+    rejected_entry_log: LogLimit,
     rng: fastrand::Rng,
 }
 
@@ -69,24 +71,24 @@
     pub fn new(shared: Rc<Shared>) -> SourceWatch {
         SourceWatch {
             shared,
-            behind: None,
-            takes_anew: false,
-            odd_entries: LogLimit::default(),
+            behind_since: None,
+            accepts_any_version: false,
+            rejected_entry_log: LogLimit::default(),
             rng: fastrand::Rng::new(),
         }
     }
 
-    /// Follows the list for good; a watch that breaks is dialled again with the version held.
+    /// Follows the list forever. Whenever a watch breaks, it connects again and resumes from the current version.
     pub async fn run(mut self) {
         let mut failures = 0_u32;
         loop {
-            let before = self.held();
-            let fault = self.follow().await;
+            let version_before = self.current_version();
+            let end = self.follow().await;
             self.shared.list.borrow_mut().discard_staged();
-            failures = if self.held() == before { failures.saturating_add(1) } else { 0 };
-            let wait = self.wait(failures);
+            failures = if self.current_version() == version_before { failures.saturating_add(1) } else { 0 };
+            let wait = self.retry_wait(failures);
             if (failures + 1).is_power_of_two() {
-                tracing::warn!("the watch broke: {fault}; dialled again in {} ms", wait.as_millis());
+                tracing::warn!("the watch broke: {end}; dialled again in {} ms", wait.as_millis());
             }
             sleep(wait).await;
         }
@@ -96,133 +98,144 @@
         self.shared.options.timing
     }
 
-    fn held(&self) -> Option<u64> {
+    fn current_version(&self) -> Option<u64> {
         self.shared.list.borrow().version()
     }
 
-    /// Apart from other relays that lost the same source.
-    fn wait(&mut self, failures: u32) -> Duration {
+    /// The wait before the source is dialled again, with jitter so that relays that lost the same source do not dial
+    /// together.
+    fn retry_wait(&mut self, failures: u32) -> Duration {
         let jitter = 0.5 + self.rng.f64();
-        self.timing().heartbeat.mul_f64(jitter) / (FIRST_WAIT_FRACTION >> failures.min(MOST_DOUBLINGS))
+        self.timing().heartbeat_interval.mul_f64(jitter) / (FIRST_WAIT_DIVISOR >> failures.min(MAX_DOUBLINGS))
     }
 
-    /// One watch, from its dialling to its end.
-    async fn follow(&mut self) -> SourceFault {
-        let index = self.held().filter(|_| !self.takes_anew);
+    /// Runs one watch, from connecting to its end.
+    async fn follow(&mut self) -> WatchEnd {
+        let index = self.current_version().filter(|_| !self.accepts_any_version);
         match self.open(index).await {
-            Err(fault) => fault,
+            Err(end) => end,
             Ok(body) => match self.read(body).await {
-                Err(fault) => fault,
-                Ok(()) => SourceFault::Ended,
+                Err(end) => end,
+                Ok(()) => WatchEnd::Ended,
             },
         }
     }
 
-    async fn open(&self, index: Option<u64>) -> Result<Incoming, SourceFault> {
+    /// Connects to the source and requests a watch.
+    async fn open(&self, index: Option<u64>) -> Result<Incoming, WatchEnd> {
         let (address, timing) = (self.shared.options.source, self.timing());
-        let dialled = timeout(timing.heartbeat, TcpStream::connect(address)).await;
-        let socket = dialled.map_err(|_| SourceFault::DiallingTookTooLong)?.map_err(SourceFault::Dialling)?;
-        let answered = timeout(timing.source_silence, ask(socket, address.to_string(), index)).await;
-        let response = answered.map_err(|_| SourceFault::Silent)?.map_err(SourceFault::Http)?;
+        let connected = timeout(timing.heartbeat_interval, TcpStream::connect(address)).await;
+        let socket = connected.map_err(|_| WatchEnd::ConnectTimeout)?.map_err(WatchEnd::ConnectFailed)?;
+        let answered =
+            timeout(timing.source_silence_timeout, request_watch(socket, address.to_string(), index)).await;
+        let response = answered.map_err(|_| WatchEnd::Silent)?.map_err(WatchEnd::Http)?;
         if response.status() != StatusCode::OK {
-            return Err(SourceFault::Refused(response.status()));
+            return Err(WatchEnd::Status(response.status()));
         }
-        let from = index.map(|index| format!(" from {index} on")).unwrap_or_default();
-        tracing::info!("watching the list at {address}{from}");
+        let from_version = index.map(|index| format!(" from {index} on")).unwrap_or_default();
+        tracing::info!("watching the list at {address}{from_version}");
         Ok(response.into_body())
     }
 
-    async fn read(&mut self, mut body: Incoming) -> Result<(), SourceFault> {
+    /// Reads a watch until the source ends it.
+    async fn read(&mut self, mut body: Incoming) -> Result<(), WatchEnd> {
         let mut reader = ListReader::new(self.shared.options.limits.line);
-        let mut silent_at = Instant::now() + self.timing().source_silence;
+        let mut deadline = Instant::now() + self.timing().source_silence_timeout;
         loop {
-            // Guards against a watch that is silent for good, or that brings bytes without ever ending an entry.
-            let frame = timeout_at(silent_at, body.frame()).await.map_err(|_| SourceFault::Silent)?;
+            // Ends a watch that stays silent, or that sends bytes without ever ending an entry.
+            let frame = timeout_at(deadline, body.frame()).await.map_err(|_| WatchEnd::Silent)?;
             let Some(frame) = frame else {
-                return reader.finish().map_err(SourceFault::Line);
+                return reader.finish().map_err(WatchEnd::InvalidLine);
             };
-            let data = frame.map_err(SourceFault::Http)?.into_data().unwrap_or_default();
+            let data = frame.map_err(WatchEnd::Http)?.into_data().unwrap_or_default();
             let mut bytes = &data[..];
-            while let Some(event) = reader.next(&mut bytes).map_err(SourceFault::Line)? {
-                silent_at = Instant::now() + self.timing().source_silence;
-                self.take(event)?;
+            while let Some(event) = reader.next(&mut bytes).map_err(WatchEnd::InvalidLine)? {
+                deadline = Instant::now() + self.timing().source_silence_timeout;
+                self.process(event)?;
             }
-            // A long list comes in many frames; subscribers have their turn between them.
+            // A long list arrives in many frames; subscribers are served between them.
             yield_now().await;
         }
     }
 
-    fn take(&mut self, event: ListEvent<'_>) -> Result<(), SourceFault> {
+    fn process(&mut self, event: ListEvent<'_>) -> Result<(), WatchEnd> {
         match event {
             ListEvent::Entry(entry) => {
                 let staged = self.shared.list.borrow_mut().stage(entry);
                 if let Err(error) = staged {
-                    self.log_odd_entry(&error);
+                    self.log_rejected_entry(&error);
                 }
                 return Ok(());
             }
-            ListEvent::Heartbeat if self.behind.is_none() && self.held().is_some() && !self.takes_anew => {
+            ListEvent::Heartbeat
+                if self.behind_since.is_none()
+                    && self.current_version().is_some()
+                    && !self.accepts_any_version =>
+            {
                 self.shared.confirm();
             }
             ListEvent::Heartbeat => {}
             ListEvent::End(end) => self.apply(end)?,
         }
-        // Guards against a source that counts anew: its lists would be passed over for good.
-        let patience = self.timing().source_behind;
-        if self.behind.take_if(|since| since.elapsed() >= patience).is_some() {
-            self.takes_anew = true;
-            return Err(SourceFault::StaysBehind);
+        // If the source restarted its versions, its lists would otherwise be skipped forever.
+        let behind_timeout = self.timing().source_behind_timeout;
+        if self.behind_since.take_if(|since| since.elapsed() >= behind_timeout).is_some() {
+            self.accepts_any_version = true;
+            return Err(WatchEnd::Behind);
         }
         Ok(())
     }
 
-    fn log_odd_entry(&self, error: &EntryError) {
-        if let Some(left_out) = self.odd_entries.admit() {
+    fn log_rejected_entry(&self, error: &EntryError) {
+        if let Some(suppressed) = self.rejected_entry_log.admit() {
             tracing::warn!(
-                "an entry cannot be read and is skipped ({left_out} more since the last such line): {error}"
+                "an entry cannot be read and is skipped ({suppressed} more since the last such line): {error}"
             );
         }
     }
 
-    fn apply(&mut self, end: ListEnd) -> Result<(), SourceFault> {
-        let counts_anew = self.takes_anew && end.reset && self.held().is_some_and(|held| end.version < held);
-        if counts_anew {
+    fn apply(&mut self, end: ListEnd) -> Result<(), WatchEnd> {
+        let is_restart = self.accepts_any_version
+            && end.reset
+            && self.current_version().is_some_and(|current| end.version < current);
+        if is_restart {
             let applied = self.shared.list.borrow_mut().restart(end.version);
             tracing::warn!("the source restarted its versions at {}: all watches end", end.version);
-            self.applied(end, applied);
+            self.record_applied(end, applied);
             return Ok(());
         }
         let applied = self.shared.list.borrow_mut().apply(end.version, end.reset);
         match applied {
-            Ok(applied) => self.applied(end, applied),
+            Ok(applied) => self.record_applied(end, applied),
             Err(behind @ ApplyError::Behind { .. }) => {
-                if self.behind.is_none() {
+                if self.behind_since.is_none() {
                     tracing::warn!("{behind}: it is skipped");
                 }
-                self.behind.get_or_insert_with(Instant::now);
+                self.behind_since.get_or_insert_with(Instant::now);
             }
-            Err(refusal) => return Err(SourceFault::List(refusal)),
+            Err(error) => return Err(WatchEnd::ListRejected(error)),
         }
         Ok(())
     }
 
-    fn applied(&mut self, end: ListEnd, applied: Applied) {
-        (self.behind, self.takes_anew) = (None, false);
-        let workers = self.shared.list.borrow().workers();
+    fn record_applied(&mut self, end: ListEnd, applied: Applied) {
+        (self.behind_since, self.accepts_any_version) = (None, false);
+        let workers = self.shared.list.borrow().worker_count();
         let kind = if end.reset { "full" } else { "changes" };
         tracing::debug!("list {} ({kind}): {} changed, {workers} workers", end.version, applied.changed);
-        self.shared.announce();
+        self.shared.notify_subscribers();
         self.shared.confirm();
     }
 }
 
-async fn ask(
+/// Requests a watch on a new connection.
+async fn request_watch(
     socket: TcpStream,
     host: String,
     index: Option<u64>,
 ) -> Result<hyper::Response<Incoming>, hyper::Error> {
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket)).await?;
-    // Ends by itself with the response's body, or as that is dropped; its errors reach the body's reader.
+    // The task ends with the body of the response, or when that is dropped. Its errors reach the reader of the body.
     spawn_local(connection);
     let index = index.map(|index| format!("&index={index}")).unwrap_or_default();
     let mut request = Request::new(Empty::<Bytes>::new());
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A relay of its own for each test, between a source that a test scripts by hand and raw subscribers.
+//! Runs a relay for each test, between a source that the test controls and raw subscribers.
 #![allow(dead_code)]
 
 use std::net::{SocketAddr, TcpListener};
@@ -12,13 +12,13 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-/// Nothing that is waited for takes so long, however busy the machine is.
-pub const WITHIN: Duration = Duration::from_secs(60);
+/// Time limit of a wait, generous because the machine can be busy.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How often a source that lives says so.
-const ALIVE_EVERY: Duration = Duration::from_millis(50);
+/// The interval between the heartbeats of a source.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A relay on a thread of its own, ended when it is dropped.
+/// A relay on a thread of its own, stopped on drop.
 pub struct RunningRelay {
     pub address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
@@ -26,18 +26,19 @@
 }
 
 impl RunningRelay {
-    /// With the limits and timing that the test sets; a source may be silent for long unless it says otherwise.
-    pub fn start(source: SocketAddr, set: impl FnOnce(&mut Options)) -> RunningRelay {
+    /// Starts a relay with the options that `configure` sets. Unless it sets another time-out, the source may be silent for
+    /// the duration of a test.
+    pub fn start(source: SocketAddr, configure: impl FnOnce(&mut Options)) -> RunningRelay {
         let mut options = Options::new("127.0.0.1:0".parse().unwrap(), source);
-        options.timing.source_silence = WITHIN;
-        set(&mut options);
+        options.timing.source_silence_timeout = WAIT_TIMEOUT;
+        configure(&mut options);
         let (stop, stopped) = oneshot::channel();
-        let (bound, address) = std::sync::mpsc::channel();
+        let (address_sender, address) = std::sync::mpsc::channel();
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
             runtime.block_on(async {
                 let relay = Relay::bind(options).await.unwrap();
-                bound.send(relay.address()).unwrap();
+                address_sender.send(relay.address()).unwrap();
                 tokio::select! {
                     () = relay.serve() => {}
                     _ = stopped => {}
@@ -48,19 +49,20 @@
         RunningRelay { address, stop: Some(stop), thread: Some(thread) }
     }
 
-    pub fn ask(&self, query: &str) -> ListSubscriber {
+    /// Requests the list with this query.
+    pub fn request(&self, query: &str) -> ListSubscriber {
         ListSubscriber::ask(self.address, &format!("/v1/servers{query}"))
     }
 
-    /// Asks until it is answered: the relay may have yet to take what the source wrote.
-    pub fn ask_until_served(&self, query: &str) -> ListSubscriber {
+    /// Repeats the request until the relay serves it. It may not have read yet what the source has sent.
+    pub fn request_until_served(&self, query: &str) -> ListSubscriber {
         let started = Instant::now();
         loop {
-            let subscriber = self.ask(query);
+            let subscriber = self.request(query);
             if subscriber.status == 200 {
                 return subscriber;
             }
-            assert!(started.elapsed() < WITHIN, "it never serves");
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the relay did not serve the list");
             thread::yield_now();
         }
     }
@@ -79,7 +81,7 @@
     }
 }
 
-/// A source that says what the test lets it say.
+/// A source of the list that sends what the test tells it to.
 pub struct Source(TcpListener);
 
 impl Source {
@@ -91,45 +93,46 @@
         self.0.local_addr().unwrap()
     }
 
-    /// The relay's next watch: what it asked for, and the watch.
+    /// Accepts the relay's next watch. Returns the request line and the watch.
     pub fn accept(&self) -> (String, SourceWatch) {
-        let (asked, peer) = Discovery::accept(&self.0, "200 OK");
-        (asked, SourceWatch(Arc::new(Mutex::new(peer))))
+        let (request_line, peer) = Discovery::accept(&self.0, "200 OK");
+        (request_line, SourceWatch(Arc::new(Mutex::new(peer))))
     }
 }
 
-/// One watch of the relay at its source.
+/// One watch of the relay, at the side of its source.
 #[derive(Clone)]
 pub struct SourceWatch(Arc<Mutex<Peer>>);
 
 impl SourceWatch {
+    /// Sends one line.
     pub fn send(&self, line: &str) {
-        self.raw(&format!("{line}\n"));
+        self.send_raw(&format!("{line}\n"));
     }
 
-    /// Bytes of the body as they are.
-    pub fn raw(&self, text: &str) {
+    /// Sends text without a line end.
+    pub fn send_raw(&self, text: &str) {
         self.0.lock().unwrap().chunk(text);
     }
 
-    /// Sends heartbeats until the returned guard is dropped, or the relay has gone.
+    /// Sends heartbeats until the returned guard is dropped or the relay has disconnected.
     pub fn keep_alive(&self) -> KeepAlive {
         let stopped = Arc::new(AtomicBool::new(false));
         let (watch, is_stopped) = (self.clone(), stopped.clone());
         thread::spawn(move || {
             while !is_stopped.load(Ordering::SeqCst) {
-                let beat = watch.0.lock().unwrap().try_raw("1\r\n\n\r\n");
-                if beat.is_err() {
+                let sent = watch.0.lock().unwrap().try_raw("1\r\n\n\r\n");
+                if sent.is_err() {
                     return;
                 }
-                thread::sleep(ALIVE_EVERY);
+                thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
         KeepAlive(stopped)
     }
 }
 
-/// Stops heartbeats when it is dropped.
+/// Stops the heartbeats on drop.
 pub struct KeepAlive(Arc<AtomicBool>);
 
 impl Drop for KeepAlive {
@@ -143,34 +146,35 @@
     juniperrail_standins::entry(id, zone, "127.0.0.1:9", lifecycle)
 }
 
-/// A line of a list, read.
+/// A parsed line of a list.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Read {
+pub struct ParsedList {
     pub version: u64,
     pub reset: bool,
-    /// `instanceId zone lifecycle`, in the order in which they came.
+    /// `instanceId zone lifecycle` of each entry, in the order of the line.
     pub entries: Vec<String>,
 }
 
-pub fn read(line: &str) -> Read {
+pub fn parse(line: &str) -> ParsedList {
     let list: Value = serde_json::from_str(line).expect("a list");
     let text = |entry: &Value, field: &str| entry[field].as_str().unwrap().to_string();
-    let short = |entry: &Value| ["instanceId", "zone", "lifecycle"].map(|field| text(entry, field)).join(" ");
-    Read {
+    let summary =
+        |entry: &Value| ["instanceId", "zone", "lifecycle"].map(|field| text(entry, field)).join(" ");
+    ParsedList {
         version: list["generation"].as_u64().unwrap(),
         reset: list["reset"].as_bool().unwrap(),
-        entries: list["instances"].as_array().unwrap().iter().map(short).collect(),
+        entries: list["instances"].as_array().unwrap().iter().map(summary).collect(),
     }
 }
 
-pub fn expected(version: u64, reset: bool, entries: &[&str]) -> Read {
-    Read { version, reset, entries: entries.iter().map(|entry| entry.to_string()).collect() }
+pub fn expected(version: u64, reset: bool, entries: &[&str]) -> ParsedList {
+    ParsedList { version, reset, entries: entries.iter().map(|entry| entry.to_string()).collect() }
 }
 
-/// The next list that names workers; those that only bring a version are passed over.
-pub fn next_with_workers(subscriber: &mut ListSubscriber) -> Read {
+/// The next snapshot or list with workers. Lists with only a version are skipped.
+pub fn next_with_workers(subscriber: &mut ListSubscriber) -> ParsedList {
     loop {
-        let list = read(&subscriber.list().expect("the watch lives"));
+        let list = parse(&subscriber.list().expect("the watch goes on"));
         if !list.entries.is_empty() || list.reset {
             return list;
         }
