--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What breaks: the source's connection, the source itself, the relay, its subscribers.
+//! Failures of the connection to the source, of the source itself, of the relay and of its subscribers.
 
 mod common;
 
@@ -8,324 +8,331 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::{expected, next_with_workers, read, worker, RunningRelay, Source, WITHIN};
+use common::{expected, next_with_workers, parse, worker, RunningRelay, Source, WAIT_TIMEOUT};
 use juniperrail_standins::{list, Ending, ListSubscriber};
 
-const ALL_QUICK: usize = 300;
+const FAST_SUBSCRIBERS: usize = 300;
 
 #[test]
-fn a_line_of_the_source_that_is_cut_within_an_entry_does_not_count() {
+fn a_line_of_the_source_that_is_truncated_within_an_entry_has_no_effect() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
-    let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
+    let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
-    // A whole entry of it is there, and half of another; the line ends.
-    let half =
+    // The line has one complete entry and half of another.
+    let truncated_line =
         format!(r#"{{"generation":9,"reset":false,"instances":[{},{{"inst"#, worker("s-1", "a", "gone"));
-    watch.send(&half);
-    let (asked, watch) = source.accept();
-    assert!(asked.contains("index=7 "), "{asked}");
-    // The same once more, where the connection ends.
-    watch.raw(&half);
+    watch.send(&truncated_line);
+    let (request_line, watch) = source.accept();
+    assert!(request_line.contains("index=7 "), "{request_line}");
+    // The same, but the connection ends instead of the line.
+    watch.send_raw(&truncated_line);
     drop(watch);
-    let (asked, watch) = source.accept();
-    assert!(asked.contains("index=7 "), "{asked}");
+    let (request_line, watch) = source.accept();
+    assert!(request_line.contains("index=7 "), "{request_line}");
     watch.send(&list(8, false, &[worker("s-2", "a", "draining")]));
     assert_eq!(next_with_workers(&mut subscriber), expected(8, false, &["s-2 a draining"]));
-    let mut fresh = relay.ask("?stream=1&zones=a");
-    assert_eq!(next_with_workers(&mut fresh), expected(8, true, &["s-1 a ready", "s-2 a draining"]));
+    let mut new_subscriber = relay.request("?stream=1&zones=a");
+    assert_eq!(next_with_workers(&mut new_subscriber), expected(8, true, &["s-1 a ready", "s-2 a draining"]));
 }
 
 #[test]
-fn subscribers_stay_while_the_source_is_dialled_again_and_a_whole_list_tells_them_differences() {
+fn watches_outlast_a_reconnection_to_the_source_and_a_full_list_reaches_them_as_differences() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     watch.send(&list(7, true, &["s-1", "s-2", "s-3"].map(|id| worker(id, "a", "ready"))));
-    let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
+    let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     drop(watch);
-    let (asked, watch) = source.accept();
-    assert!(asked.contains("index=7 "), "{asked}");
+    let (request_line, watch) = source.accept();
+    assert!(request_line.contains("index=7 "), "{request_line}");
     watch.send(&list(9, true, &[worker("s-1", "a", "ready"), worker("s-3", "a", "draining")]));
-    let told = next_with_workers(&mut subscriber);
-    assert_eq!(told, expected(9, false, &["s-3 a draining", "s-2 a gone"]));
+    let differences = next_with_workers(&mut subscriber);
+    assert_eq!(differences, expected(9, false, &["s-3 a draining", "s-2 a gone"]));
 }
 
 #[test]
-fn an_entry_that_names_no_worker_makes_no_other_worker_gone() {
+fn a_full_list_with_an_invalid_entry_makes_no_missing_worker_gone() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
-    let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
+    let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
-    let odd = r#"{"instanceId":5,"zone":"a"}"#.to_string();
-    watch.send(&list(8, true, &[worker("s-1", "a", "draining"), odd]));
+    let invalid_entry = r#"{"instanceId":5,"zone":"a"}"#.to_string();
+    watch.send(&list(8, true, &[worker("s-1", "a", "draining"), invalid_entry]));
     assert_eq!(next_with_workers(&mut subscriber), expected(8, false, &["s-1 a draining"]));
     watch.send(&list(9, true, &[worker("s-1", "a", "draining")]));
     assert_eq!(next_with_workers(&mut subscriber), expected(9, false, &["s-2 a gone"]));
 }
 
 #[test]
-fn cut_off_from_its_source_it_says_nothing_and_then_the_drain_before_anything_old() {
+fn a_relay_that_has_lost_its_source_sends_nothing_and_then_no_list_without_the_missed_drain() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.source_silence = Duration::from_secs(2);
+        options.timing.source_silence_timeout = Duration::from_secs(2);
     });
-    assert_eq!(relay.ask("?stream=1").status, 503, "before the first list");
+    assert_eq!(relay.request("?stream=1").status, 503, "before the first list");
     let (_, watch) = source.accept();
     watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let alive = watch.keep_alive();
-    let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
+    let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     let health = |relay: &RunningRelay| ListSubscriber::ask(relay.address, "/healthz").status;
     assert_eq!(health(&relay), 200);
 
-    // Silent, with open connections; the worker drains meanwhile.
+    // The source is silent with its connection open. Meanwhile the worker begins to drain.
     drop(alive);
-    let (told, ending) = subscriber.rest();
+    let (remaining, ending) = subscriber.rest();
     assert_eq!(ending, Ending::Whole, "between two lines");
-    assert_eq!(told.trim(), "", "nothing but heartbeats");
-    let (refusal, _) = relay.ask("?stream=1&zones=a&index=7").rest();
+    assert_eq!(remaining.trim(), "", "only heartbeats");
+    let (refusal, _) = relay.request("?stream=1&zones=a&index=7").rest();
     assert_eq!(refusal, "this relay is not in step with its source\n");
-    assert_eq!(relay.ask("").status, 503);
+    assert_eq!(relay.request("").status, 503);
     assert_eq!(health(&relay), 503);
 
-    let (asked, watch) = source.accept();
-    assert!(asked.contains("index=7 "), "{asked}");
-    assert_eq!(relay.ask("?stream=1").status, 503, "the source has yet to say something");
+    let (request_line, watch) = source.accept();
+    assert!(request_line.contains("index=7 "), "{request_line}");
+    assert_eq!(relay.request("?stream=1").status, 503, "the source has not sent a line yet");
     watch.send(&list(9, false, &[worker("s-1", "a", "draining")]));
     let _alive = watch.keep_alive();
-    let mut back = relay.ask_until_served("?stream=1&zones=a&index=7");
-    assert_eq!(read(&back.list().unwrap()), expected(9, false, &["s-1 a draining"]));
-    let mut fresh = relay.ask_until_served("?stream=1&zones=a");
-    assert_eq!(read(&fresh.list().unwrap()), expected(9, true, &["s-1 a draining", "s-2 a ready"]));
+    let mut resumed = relay.request_until_served("?stream=1&zones=a&index=7");
+    assert_eq!(parse(&resumed.list().unwrap()), expected(9, false, &["s-1 a draining"]));
+    let mut new_subscriber = relay.request_until_served("?stream=1&zones=a");
+    assert_eq!(parse(&new_subscriber.list().unwrap()), expected(9, true, &["s-1 a draining", "s-2 a ready"]));
 }
 
 #[test]
-fn a_source_that_is_behind_confirms_nothing() {
+fn heartbeats_of_a_source_that_is_behind_do_not_keep_the_relay_in_sync() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.source_silence = Duration::from_secs(2);
-        options.timing.source_behind = WITHIN;
+        options.timing.source_silence_timeout = Duration::from_secs(2);
+        options.timing.source_behind_timeout = WAIT_TIMEOUT;
     });
     let (_, watch) = source.accept();
     watch.send(&list(7, true, &[worker("s-1", "a", "ready")]));
-    let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
+    let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     watch.send(&list(5, true, &[]));
     let _alive = watch.keep_alive();
-    let (told, ending) = subscriber.rest();
-    assert_eq!((told.trim(), ending), ("", Ending::Whole));
-    assert_eq!(relay.ask("?stream=1").status, 503);
+    let (remaining, ending) = subscriber.rest();
+    assert_eq!((remaining.trim(), ending), ("", Ending::Whole));
+    assert_eq!(relay.request("?stream=1").status, 503);
     watch.send(&list(8, false, &[worker("s-1", "a", "draining")]));
-    let mut back = relay.ask_until_served("?stream=1&zones=a&index=7");
-    assert_eq!(read(&back.list().unwrap()), expected(8, false, &["s-1 a draining"]));
+    let mut resumed = relay.request_until_served("?stream=1&zones=a&index=7");
+    assert_eq!(parse(&resumed.list().unwrap()), expected(8, false, &["s-1 a draining"]));
 }
 
 #[test]
-fn a_snapshot_that_the_loss_of_the_source_breaks_off_does_not_look_whole() {
+fn a_snapshot_interrupted_by_the_loss_of_the_source_does_not_look_complete() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.source_silence = Duration::from_secs(2);
+        options.timing.source_silence_timeout = Duration::from_secs(2);
     });
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..20_000).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    let whole = list(7, true, &workers);
-    watch.send(&whole);
+    let full_list = list(7, true, &workers);
+    watch.send(&full_list);
     let alive = watch.keep_alive();
-    drop(relay.ask_until_served("?stream=1&zones=none"));
+    drop(relay.request_until_served("?stream=1&zones=none"));
     let mut watching = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
     let mut once = ListSubscriber::ask_narrow(relay.address, "/v1/servers");
     assert_eq!((watching.status, once.status), (200, 200));
     drop(alive);
-    while relay.ask("?stream=1&zones=none").status == 200 {
+    while relay.request("?stream=1&zones=none").status == 200 {
         thread::yield_now();
     }
     for subscriber in [&mut watching, &mut once] {
-        let (told, ending) = subscriber.rest();
+        let (remaining, ending) = subscriber.rest();
         assert_eq!(ending, Ending::Broken);
-        assert!(told.len() < whole.len() && whole.starts_with(&told));
+        assert!(remaining.len() < full_list.len() && full_list.starts_with(&remaining));
     }
 }
 
 #[test]
-fn a_source_that_starts_its_versions_anew_is_asked_for_the_whole_list() {
+fn the_full_list_is_requested_from_a_source_that_restarted_its_versions() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.source_behind = Duration::from_millis(200);
+        options.timing.source_behind_timeout = Duration::from_millis(200);
     });
     let (_, watch) = source.accept();
     watch.send(&list(1_000, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
-    let mut subscriber = relay.ask_until_served("?stream=1&zones=a");
+    let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 1_000);
-    // Older than what is held: passed over, and the heartbeats behind it show nothing new.
+    // The list is older than the current one, so it is skipped, and heartbeats do not change that.
     watch.send(&list(5, true, &[worker("s-2", "a", "ready")]));
     let alive = watch.keep_alive();
-    let (asked, watch) = source.accept();
+    let (request_line, watch) = source.accept();
     drop(alive);
-    assert_eq!(asked, "GET /v1/servers?stream=1 HTTP/1.1");
+    assert_eq!(request_line, "GET /v1/servers?stream=1 HTTP/1.1");
     watch.send(&list(6, true, &[worker("s-2", "a", "draining")]));
-    let (told, ending) = subscriber.rest();
-    assert_eq!((told.trim(), ending), ("", Ending::Whole), "the watch ends, and nothing old was told");
-    let mut ahead = relay.ask_until_served("?stream=1&zones=a&index=1000");
-    assert_eq!(read(&ahead.list().unwrap()), expected(6, false, &[]));
-    let mut anew = relay.ask("?stream=1&zones=a");
-    assert_eq!(read(&anew.list().unwrap()), expected(6, true, &["s-2 a draining"]));
+    let (remaining, ending) = subscriber.rest();
+    assert_eq!((remaining.trim(), ending), ("", Ending::Whole), "the watch ends without an old list");
+    let mut ahead = relay.request_until_served("?stream=1&zones=a&index=1000");
+    assert_eq!(parse(&ahead.list().unwrap()), expected(6, false, &[]));
+    let mut new_subscriber = relay.request("?stream=1&zones=a");
+    assert_eq!(parse(&new_subscriber.list().unwrap()), expected(6, true, &["s-2 a draining"]));
     watch.send(&list(7, false, &[worker("s-3", "a", "ready")]));
-    assert_eq!(next_with_workers(&mut anew), expected(7, false, &["s-3 a ready"]));
+    assert_eq!(next_with_workers(&mut new_subscriber), expected(7, false, &["s-3 a ready"]));
 }
 
 #[test]
-fn a_relay_that_ends_within_a_snapshot_leaves_a_broken_line() {
+fn a_relay_that_stops_within_a_snapshot_leaves_an_incomplete_line() {
     let source = Source::new();
     let mut relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..20_000).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    let whole = list(7, true, &workers);
-    watch.send(&whole);
-    while relay.ask("?stream=1&zones=none").status != 200 {
+    let full_list = list(7, true, &workers);
+    watch.send(&full_list);
+    while relay.request("?stream=1&zones=none").status != 200 {
         thread::yield_now();
     }
-    // It has taken the head only, and more than its connection holds is left.
+    // The subscriber has read only the head of the response, and the rest exceeds what its connection buffers.
     let mut subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
     relay.stop();
-    let (told, ending) = subscriber.rest();
+    let (remaining, ending) = subscriber.rest();
     assert_eq!(ending, Ending::Broken);
-    assert!(told.len() < whole.len() && whole.starts_with(&told), "a part of one line, without its end");
+    assert!(
+        remaining.len() < full_list.len() && full_list.starts_with(&remaining),
+        "not a part of one line without its end"
+    );
 }
 
 #[test]
-fn one_that_reads_a_byte_a_second_delays_none_of_three_hundred() {
+fn a_subscriber_that_reads_a_byte_per_second_does_not_delay_three_hundred_others() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     let id = |number: usize| format!("s-{number:04}");
     let workers: Vec<String> = (0..5_000).map(|number| worker(&id(number), "a", "ready")).collect();
-    let whole = list(1, true, &workers);
-    watch.send(&whole);
-    while relay.ask("?stream=1&zones=none").status != 200 {
+    let full_list = list(1, true, &workers);
+    watch.send(&full_list);
+    while relay.request("?stream=1&zones=none").status != 200 {
         thread::yield_now();
     }
     let mut slow = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
     let address = relay.address;
-    let (done, released) = mpsc::channel::<()>();
+    let (done_sender, done) = mpsc::channel::<()>();
     let slow = thread::spawn(move || {
-        let mut read = 0;
-        // Until the others have all they were to have.
-        while released.recv_timeout(Duration::from_secs(1)).is_err() {
+        let mut bytes_read = 0;
+        // Until the others have received everything.
+        while done.recv_timeout(Duration::from_secs(1)).is_err() {
             assert!(slow.read_one_byte());
-            read += 1;
+            bytes_read += 1;
         }
-        (slow, read)
+        (slow, bytes_read)
     });
 
-    let mut quick: Vec<ListSubscriber> =
-        (0..ALL_QUICK).map(|_| ListSubscriber::ask(address, "/v1/servers?stream=1&zones=z")).collect();
-    for subscriber in &mut quick {
+    let mut fast: Vec<ListSubscriber> =
+        (0..FAST_SUBSCRIBERS).map(|_| ListSubscriber::ask(address, "/v1/servers?stream=1&zones=z")).collect();
+    for subscriber in &mut fast {
         assert_eq!(next_with_workers(subscriber), expected(1, true, &[]));
     }
-    // Each round changes every worker that the slow one is to be told of, and one that the quick ones are.
+    // Each round changes every worker for the slow subscriber, and one worker for the fast ones.
     let rounds = 12;
     for round in 2..2 + rounds {
         let lifecycle = if round % 2 == 0 { "draining" } else { "ready" };
         let mut changed: Vec<String> = (0..5_000).map(|number| worker(&id(number), "a", lifecycle)).collect();
         changed.push(worker("z-1", "z", lifecycle));
         watch.send(&list(round, false, &changed));
-        for subscriber in &mut quick {
+        for subscriber in &mut fast {
             assert_eq!(
                 next_with_workers(subscriber),
                 expected(round, false, &[&format!("z-1 z {lifecycle}")])
             );
         }
     }
-    done.send(()).unwrap();
-    let (mut slow, read) = slow.join().unwrap();
-    // What it is still told: the snapshot that was being written, and behind it the latest of each worker.
-    let mut told = 0;
-    let latest = format!("\"generation\":{},", 1 + rounds);
+    done_sender.send(()).unwrap();
+    let (mut slow, bytes_read) = slow.join().unwrap();
+    // The slow subscriber still receives the rest of the snapshot, and after it the latest change of each worker.
+    let mut remaining_bytes = 0;
+    let latest_version = format!("\"generation\":{},", 1 + rounds);
     loop {
-        let line = slow.list().expect("the watch lives");
-        told += line.len();
-        if line.contains(&latest) {
+        let line = slow.list().expect("the watch goes on");
+        remaining_bytes += line.len();
+        if line.contains(&latest_version) {
             break;
         }
     }
-    let each_round = whole.len();
-    assert!(told < 4 * each_round, "{told} bytes after {read}: coalesced, not {rounds} times {each_round}");
+    let round_bytes = full_list.len();
+    assert!(
+        remaining_bytes < 4 * round_bytes,
+        "{remaining_bytes} bytes after {bytes_read}: {rounds} rounds of {round_bytes} bytes are not coalesced"
+    );
 }
 
 #[test]
-fn one_subscriber_too_many_is_refused() {
+fn subscribers_over_the_limit_are_refused() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| options.limits.subscribers = 2);
     let (_, watch) = source.accept();
     watch.send(&list(7, true, &[worker("s-1", "a", "ready")]));
-    let mut first = relay.ask_until_served("?stream=1");
-    let second = relay.ask("?stream=1");
+    let mut first = relay.request_until_served("?stream=1");
+    let second = relay.request("?stream=1");
     assert_eq!(second.status, 200);
-    let mut third = relay.ask("?stream=1");
+    let mut third = relay.request("?stream=1");
     assert_eq!(third.status, 503);
     assert_eq!(third.rest().0, "this relay serves 2 subscribers already\n");
     assert_eq!(ListSubscriber::ask(relay.address, "/healthz").status, 200);
     assert_eq!(next_with_workers(&mut first).version, 7);
-    // Whose room is free as soon as the relay sees its end.
+    // Another subscriber is admitted as soon as the relay notices that the second has disconnected.
     drop(second);
-    relay.ask_until_served("?stream=1");
+    relay.request_until_served("?stream=1");
 }
 
-/// Whoever takes nothing of a list of so many workers is given up, and its room is another's.
-fn is_given_up(workers: usize) {
+/// Checks that a subscriber that reads nothing of a list with this number of workers is disconnected, and that another one
+/// is admitted in its place.
+fn check_stalled_subscriber_is_disconnected(workers: usize) {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
         options.limits.subscribers = 1;
-        options.timing.stalled_write = Duration::from_millis(300);
+        options.timing.stalled_write_timeout = Duration::from_millis(300);
     });
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..workers).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
     watch.send(&list(7, true, &workers));
-    drop(relay.ask_until_served("?stream=1&zones=none"));
+    drop(relay.request_until_served("?stream=1&zones=none"));
     let started = Instant::now();
     let stalled = loop {
         let subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
         if subscriber.status == 200 {
             break subscriber;
         }
-        assert!(started.elapsed() < WITHIN, "the room of the first is never given back");
+        assert!(started.elapsed() < WAIT_TIMEOUT, "no subscriber was admitted after the first");
     };
-    let mut next = relay.ask_until_served("?stream=1&zones=z");
+    let mut next = relay.request_until_served("?stream=1&zones=z");
     assert_eq!(next_with_workers(&mut next), expected(7, true, &[]));
     drop(stalled);
 }
 
 #[test]
-fn one_that_takes_nothing_is_given_up_and_its_room_is_another_s() {
-    is_given_up(20_000);
+fn a_subscriber_that_reads_nothing_is_disconnected() {
+    check_stalled_subscriber_is_disconnected(20_000);
 }
 
 #[test]
-fn so_it_is_where_the_kernel_holds_all_that_is_left_for_it() {
-    is_given_up(400);
+fn a_subscriber_that_reads_nothing_is_disconnected_if_the_kernel_buffers_the_rest() {
+    check_stalled_subscriber_is_disconnected(400);
 }
 
 #[test]
-fn a_request_that_is_none_gets_one_clear_line() {
+fn an_invalid_request_is_refused_with_one_line_of_text() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     watch.send(&list(7, true, &[]));
-    drop(relay.ask_until_served(""));
-    let refused = |path: &str| {
+    drop(relay.request_until_served(""));
+    let refusal = |path: &str| {
         let mut answer = ListSubscriber::ask(relay.address, path);
         (answer.status, answer.rest().0)
     };
-    assert_eq!(refused("/v1/server"), (404, "there is no /v1/server; the list is at /v1/servers\n".into()));
-    assert_eq!(refused("/v1/servers?zones="), (400, "zones names nothing\n".into()));
-    assert_eq!(refused("/v1/servers?services=%ff"), (400, "a name in services is not UTF-8\n".into()));
-    assert_eq!(refused("/v1/servers?stream=1&index=-1"), (400, "index is no version: -1\n".into()));
+    assert_eq!(refusal("/v1/server"), (404, "there is no /v1/server; the list is at /v1/servers\n".into()));
+    assert_eq!(refusal("/v1/servers?zones="), (400, "zones names nothing\n".into()));
+    assert_eq!(refusal("/v1/servers?services=%ff"), (400, "a name in services is not UTF-8\n".into()));
+    assert_eq!(refusal("/v1/servers?stream=1&index=-1"), (400, "index is no version: -1\n".into()));
     let mut posted = TcpStream::connect(relay.address).unwrap();
     posted.write_all(b"POST /v1/servers HTTP/1.1\r\nHost: relay\r\nContent-Length: 0\r\n\r\n").unwrap();
     let mut answer = String::new();
@@ -335,15 +342,15 @@
 }
 
 #[test]
-fn a_request_whose_head_never_ends_is_closed() {
+fn a_connection_whose_request_head_never_ends_is_closed() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.request_head = Duration::from_millis(200);
+        options.timing.request_head_timeout = Duration::from_millis(200);
     });
-    let mut stranger = TcpStream::connect(relay.address).unwrap();
-    // Shorter than what hyper allows by itself.
-    stranger.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    stranger.write_all(b"GET /v1/servers HTTP/1.1\r\nHost:").unwrap();
+    let mut client = TcpStream::connect(relay.address).unwrap();
+    // Shorter than the default time-out of hyper, so that it cannot be the one that closes the connection.
+    client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    client.write_all(b"GET /v1/servers HTTP/1.1\r\nHost:").unwrap();
     let mut answer = String::new();
-    stranger.read_to_string(&mut answer).expect("it is closed");
+    client.read_to_string(&mut answer).expect("the relay closes the connection");
 }
