--- a/crates/distribution/src/change_log.rs
+++ b/crates/distribution/src/change_log.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Changes in ascending order. A change is current only while it is the latest of its worker. Changes that no longer are
-/// current are removed by compaction, so the number of workers bounds the log.
+/// Changes in ascending order. A change is current only while it is the latest of its worker. Changes that no longer
+/// are current are removed by compaction, so the number of workers bounds the log.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
     changes: VecDeque<LoggedChange>,
--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -1,14 +1,15 @@
 //! The position of one subscriber in the list, and what to send to it next.
 //!
-//! A cursor has no copies of entries. Pending entries are read from the list when the subscriber can take more, so a slow
-//! subscriber costs a position and one chunk of limited size, and of several changes of a worker it receives only the
-//! latest.
+//! A cursor has no copies of entries. Pending entries are read from the list when the subscriber can take more, so a
+//! slow subscriber costs a position and one chunk of limited size, and of several changes of a worker it receives only
+//! the latest.
 //!
 //! Whatever does not fit into one chunk is sent under a version that precedes some of its changes: a snapshot under the
 //! version at which it began, and a part of the differences under the version up to which every change was sent. A
 //! subscriber that resumes from there receives some changes twice. One case is not covered: a subscriber receives the
-//! arrival of a worker in its scope in such a part, moves to another relay before the rest, and that relay learns of the
-//! worker only after the worker has left the scope again. It cannot occur in a scope whose workers fit into one chunk.
+//! arrival of a worker in its scope in such a part, moves to another relay before the rest, and that relay learns of
+//! the worker only after the worker has left the scope again. It cannot occur in a scope whose workers fit into one
+//! chunk.
 
 use std::io::Write;
 
@@ -180,8 +181,8 @@
         Step::Send
     }
 
-    /// From here on the subscriber's version is the snapshot's. Changes made while the snapshot is written are sent again
-    /// after it.
+    /// From here on the subscriber's version is the snapshot's. Changes made while the snapshot is written are sent
+    /// again after it.
     fn begin_snapshot(&mut self, list: &WorkerList, out: &mut Vec<u8>) {
         self.sent_through = list.head();
         (self.departures_sent_through, self.others_sent_through) = (self.sent_through, self.sent_through);
@@ -244,8 +245,8 @@
         }
     }
 
-    /// Adds the changes after a position to the batch, within the limits. Returns the position reached and whether it is
-    /// the end of the log.
+    /// Adds the changes after a position to the batch, within the limits. Returns the position reached and whether it
+    /// is the end of the log.
     fn collect(
         &self,
         list: &WorkerList,
@@ -272,12 +273,12 @@
         (position, true)
     }
 
-    /// Whether the worker's entry is sent to the subscriber: the worker is in the scope, or one of its remembered former
-    /// locations is.
+    /// Whether the worker's entry is sent to the subscriber: the worker is in the scope, or one of its remembered
+    /// former locations is.
     ///
     /// A worker that moves out of a scope is not gone and must not be reported as gone. The entry shows the subscriber
-    /// where the worker is now. The subscriber also receives the later changes: that the worker leaves its new location,
-    /// or that it comes back.
+    /// where the worker is now. The subscriber also receives the later changes: that the worker leaves its new
+    /// location, or that it comes back.
     fn is_relevant(&self, record: &Record) -> bool {
         let was_in_scope = |former: &FormerLocation| self.filter.contains(former.location);
         self.filter.contains(record.location) || record.former_locations().iter().any(was_in_scope)
--- a/crates/distribution/src/entry.rs
+++ b/crates/distribution/src/entry.rs
@@ -113,8 +113,8 @@
     Ok(ParsedEntry { id: IdSpan { start, end }, zone, service, lifecycle })
 }
 
-/// The entry with the lifecycle `gone` and otherwise unchanged. If it has no readable lifecycle, only the worker's id is
-/// kept of it.
+/// The entry with the lifecycle `gone` and otherwise unchanged. If it has no readable lifecycle, only the worker's id
+/// is kept of it.
 pub(crate) fn with_lifecycle_gone(entry: &[u8]) -> Vec<u8> {
     const GONE: &[u8] = b"\"gone\"";
     let Ok(fields) = parse_fields(entry) else { return entry.to_vec() };
--- a/crates/distribution/src/list_reader.rs
+++ b/crates/distribution/src/list_reader.rs
@@ -239,6 +239,7 @@
         }
     }
 
+    /// Processes a byte outside the array of entries.
     fn read_envelope(&mut self, byte: u8) -> Result<(), ListError> {
         if self.envelope.len() == self.limits.envelope_bytes {
             return Err(ListError::EnvelopeTooLong);
@@ -270,6 +271,7 @@
         serde_json::from_slice::<String>(key).is_ok_and(|key| key == name)
     }
 
+    /// Processes a byte between two entries, or at either end of the array.
     fn read_separator(&mut self, byte: u8, expected: Expected) -> Result<(), ListError> {
         match (byte, expected) {
             (b' ' | b'\t' | b'\r', _) => {}
@@ -291,7 +293,8 @@
 
     fn begin_entry(&mut self) {
         self.position = Position::WithinEntry;
-        // Tracks the nesting of the entry alone: that of the envelope is known here, the array in the outermost object.
+        // From here on the nesting is that of the entry alone. That of the envelope is known: the array in the
+        // outermost object.
         self.nesting = Nesting::default();
     }
 
@@ -338,6 +341,7 @@
         }
     }
 
+    /// Parses the envelope at the end of a line.
     fn end_line(&mut self) -> Result<ListEvent<'static>, ListError> {
         if self.position != Position::Envelope {
             return Err(ListError::NotAList(format!("the line ends after entry {}", self.entry_count)));
@@ -363,10 +367,12 @@
     }
 }
 
+/// Whether a byte between two entries is the first of an entry.
 fn begins_entry(byte: u8, expected: Expected) -> bool {
     expected != Expected::CommaOrEnd && !matches!(byte, b' ' | b'\t' | b'\r' | b',' | b']')
 }
 
+/// The beginning of the input, for an error message.
 fn excerpt(bytes: &[u8]) -> String {
     String::from_utf8_lossy(&bytes[..bytes.len().min(EXCERPT_BYTES)]).into_owned()
 }
--- a/crates/distribution/src/relay_choice.rs
+++ b/crates/distribution/src/relay_choice.rs
@@ -104,7 +104,7 @@
 
     fn wait_in_round(&self, failure: RelayFailure) -> Duration {
         match failure {
-            // The relay works, and a watch that ends because of its version is short, so the next one may be tried soon.
+            // The relay works, and to compare versions with the next one costs little.
             RelayFailure::Behind => MIN_WAIT_IN_ROUND,
             RelayFailure::Broken => {
                 backoff(MIN_WAIT_IN_ROUND, self.failed_count as u32 - 1, MAX_WAIT_IN_ROUND)
@@ -125,7 +125,8 @@
     }
 }
 
-/// How much a subscriber prefers a relay. The hash must be the same in every build, because a fleet is upgraded in parts.
+/// How much a subscriber prefers a relay. The hash must be the same in every build, because a fleet is upgraded in
+/// parts.
 fn score(subscriber: &str, relay: SocketAddr) -> u64 {
     // The names do not contain NUL, so different pairs never give the same text.
     xxh3_64(format!("{subscriber}\0{relay}").as_bytes())
@@ -135,7 +136,8 @@
     min.saturating_mul(2u32.saturating_pow(doublings)).min(max)
 }
 
-/// A random duration between 0.5 and 1.5 times the wait, so that subscribers that failed together do not retry together.
+/// A random duration between 0.5 and 1.5 times the wait, so that subscribers that failed together do not retry
+/// together.
 fn with_jitter(wait: Duration, rng: &mut fastrand::Rng) -> Duration {
     wait.mul_f64(0.5 + rng.f64())
 }
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -1,9 +1,9 @@
 //! The full list of workers, stored once, with the versions at which they changed.
 //!
-//! The versions are those of the source, so all relays of one source use the same ones and a subscriber can move from one
-//! relay to another. Only the latest change of each worker is stored. A worker that is gone stays as a tombstone until
-//! there are too many tombstones. Evicting a tombstone raises the floor: a subscriber that has seen only versions below
-//! the floor can no longer receive the differences and needs a snapshot.
+//! The versions are those of the source, so all relays of one source use the same ones and a subscriber can move from
+//! one relay to another. Only the latest change of each worker is stored. A worker that is gone stays as a tombstone
+//! until there are too many tombstones. Evicting a tombstone raises the floor: a subscriber that has seen only versions
+//! below the floor can no longer receive the differences and needs a snapshot.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -276,8 +276,8 @@
         self.unreadable_count = 0;
     }
 
-    /// Applies the staged entries as one line of the source: the full list (`reset`) or changes. After an error they are
-    /// discarded.
+    /// Applies the staged entries as one line of the source: the full list (`reset`) or changes. After an error they
+    /// are discarded.
     pub fn apply(&mut self, version: u64, reset: bool) -> Result<Applied, ApplyError> {
         let error = match self.version {
             None if !reset => Some(ApplyError::NoFullList),
@@ -298,8 +298,8 @@
         Ok(applied)
     }
 
-    /// Applies the staged entries as a full list whose version may be lower than the current one, because the source has
-    /// restarted its versions. The positions of all subscribers become invalid.
+    /// Applies the staged entries as a full list whose version may be lower than the current one, because the source
+    /// has restarted its versions. The positions of all subscribers become invalid.
     pub fn restart(&mut self, version: u64) -> Applied {
         self.version = None;
         self.epoch += 1;
@@ -339,8 +339,8 @@
     /// The version under which the changes of a line are logged.
     ///
     /// A line with the current version is a part of the changes that lead to the next version. Its changes are logged
-    /// under the version after the current one, because a subscriber that resumes from the current one may not have them.
-    /// If the next version turns out to be a higher one, no subscriber can resume from a version in between
+    /// under the version after the current one, because a subscriber that resumes from the current one may not have
+    /// them. If the next version turns out to be a higher one, no subscriber can resume from a version in between
     /// ([`WorkerList::can_resume`]).
     fn logged_version(&self, version: u64) -> u64 {
         match self.version {
@@ -398,8 +398,8 @@
         slot
     }
 
-    /// The former locations of a worker that is now at `location`. A move at or below the floor is dropped, because every
-    /// subscriber that can still resume has received it.
+    /// The former locations of a worker that is now at `location`. A move at or below the floor is dropped, because
+    /// every subscriber that can still resume has received it.
     fn former_locations(
         &mut self,
         previous: Record,
--- a/crates/distribution/tests/cursor.rs
+++ b/crates/distribution/tests/cursor.rs
@@ -1,5 +1,5 @@
-//! Random histories of a list, its log and its cursors: whatever happens in between, each subscriber ends with exactly the
-//! part of the list that is in its scope.
+//! Random histories of a list, its log and its cursors: whatever happens in between, each subscriber ends with exactly
+//! the part of the list that is in its scope.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -98,8 +98,8 @@
 struct Relay {
     list: WorkerList,
     mirror: View,
-    /// Workers that have ever moved. Their changes are sent with the departures, since each of them may be one from some
-    /// scope.
+    /// Workers that have ever moved. Their changes are sent with the departures, since each of them may be one from
+    /// some scope.
     moved: BTreeSet<String>,
 }
 
@@ -431,7 +431,9 @@
     }
 
     #[test]
-    fn each_subscriber_ends_with_its_part_of_the_list_after_restarts_of_the_versions(ops in prop::collection::vec(op(true), 0..120)) {
+    fn each_subscriber_ends_with_its_part_of_the_list_after_restarts_of_the_versions(
+        ops in prop::collection::vec(op(true), 0..120),
+    ) {
         run(ops);
     }
 }
--- a/crates/distribution/tests/list_reader.rs
+++ b/crates/distribution/tests/list_reader.rs
@@ -1,5 +1,5 @@
-//! The incremental parser of lists gives the same as serde_json gives for the full line, however the bytes are split, and
-//! an error for every invalid line.
+//! The incremental parser of lists gives the same as serde_json gives for the full line, however the bytes are split,
+//! and an error for every invalid line.
 
 use juniperrail_distribution::{ListEnd, ListError, ListEvent, ListLimits, ListReader};
 use proptest::prelude::*;
@@ -196,7 +196,9 @@
     }
 
     #[test]
-    fn arbitrary_bytes_cause_no_panic(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6)) {
+    fn arbitrary_bytes_cause_no_panic(
+        pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..6),
+    ) {
         let pieces: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
         _ = read_pieces(&pieces, LIMITS);
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! A relay of the worker list. It follows one source by the discovery protocol and serves any number of subscribers by the
-//! same protocol, each with the part of the list that it requests.
+//! A relay of the worker list. It follows one source by the discovery protocol and serves any number of subscribers by
+//! the same protocol, each with the part of the list that it requests.
 //!
-//! The list is stored once, on one thread; the decisions about it are made in `juniperrail_distribution`. A relay that has
-//! lost its source sends nothing rather than an old list: it ends its watches and refuses new ones.
+//! The list is stored once, on one thread; the decisions about it are made in `juniperrail_distribution`. A relay that
+//! has lost its source sends nothing rather than an old list: it ends its watches and refuses new ones.
 
 mod log_limit;
 mod options;
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -66,8 +66,8 @@
 }
 
 impl Default for Timing {
-    /// By the protocol, heartbeats are 2 s apart, a source is lost after two of them, and every change reaches all relays
-    /// within 6 s.
+    /// By the protocol, heartbeats are 2 s apart, a source is lost after two of them, and every change reaches all
+    /// relays within 6 s.
     fn default() -> Self {
         Timing {
             heartbeat_interval: Duration::from_secs(2),
--- a/crates/relay/src/requests.rs
+++ b/crates/relay/src/requests.rs
@@ -67,6 +67,7 @@
     Ok(serve_request(&shared, &request).unwrap_or_else(|refusal| refusal_response(&refusal)))
 }
 
+/// Begins the response to a valid request.
 fn serve_request(shared: &Rc<Shared>, request: &Request<Incoming>) -> Result<Response<Body>, Refusal> {
     let path = request.uri().path();
     if path != LIST_PATH && path != HEALTH_PATH {
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -89,6 +89,7 @@
     descriptors.saturating_sub(SPARE_CONNECTIONS + RESERVED_DESCRIPTORS).max(1)
 }
 
+/// Accepts connections forever, up to the limit.
 async fn accept(listener: &TcpListener, shared: &Rc<Shared>) {
     let max_connections = shared.options.limits.subscribers.saturating_add(SPARE_CONNECTIONS);
     let open_count = Rc::new(Cell::new(0));
@@ -106,8 +107,8 @@
             Ok((_, peer)) => {
                 if let Some(suppressed) = refusal_log.admit() {
                     tracing::warn!(
-                        "{max_connections} connections are open: the limit is reached, and that of {peer} is closed \
-                         ({suppressed} more since the last such line)"
+                        "{max_connections} connections are open: the limit is reached, and that of {peer} \
+                         is closed ({suppressed} more since the last such line)"
                     );
                 }
             }
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -18,8 +18,8 @@
 use crate::options::Timing;
 use crate::shared::Shared;
 
-/// The first wait before the source is dialled again is a heartbeat interval divided by this. It doubles with each further
-/// failure, up to a full interval.
+/// The first wait before the source is dialled again is a heartbeat interval divided by this. It doubles with each
+/// further failure, up to a full interval.
 const FIRST_WAIT_DIVISOR: u32 = 32;
 const MAX_DOUBLINGS: u32 = 5;
 
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -1,4 +1,5 @@
-//! The body of a response with a part of the list, sent once or followed by its changes until the subscriber disconnects.
+//! The body of a response with a part of the list, sent once or followed by its changes until the subscriber
+//! disconnects.
 
 use std::fmt;
 
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -26,8 +26,8 @@
 }
 
 impl RunningRelay {
-    /// Starts a relay with the options that `configure` sets. Unless it sets another time-out, the source may be silent for
-    /// the duration of a test.
+    /// Starts a relay with the options that `configure` sets. Unless it sets another time-out, the source may be silent
+    /// for the duration of a test.
     pub fn start(source: SocketAddr, configure: impl FnOnce(&mut Options)) -> RunningRelay {
         let mut options = Options::new("127.0.0.1:0".parse().unwrap(), source);
         options.timing.source_silence_timeout = WAIT_TIMEOUT;
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -283,8 +283,8 @@
     relay.request_until_served("?stream=1");
 }
 
-/// Checks that a subscriber that reads nothing of a list with this number of workers is disconnected, and that another one
-/// is admitted in its place.
+/// Checks that a subscriber that reads nothing of a list with this number of workers is disconnected, and that another
+/// one is admitted in its place.
 fn check_stalled_subscriber_is_disconnected(workers: usize) {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
