--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -192,7 +192,7 @@
 
     fn step_snapshot(&mut self, list: &WorkerList, out: &mut Vec<u8>, from: u32, mut is_first: bool) -> Step {
         let scan_limit = u32::try_from(self.limits.scanned_records.max(1)).unwrap_or(u32::MAX);
-        let end = from.saturating_add(scan_limit).min(list.slots());
+        let end = from.saturating_add(scan_limit).min(list.slot_count());
         for slot in from..end {
             let is_included =
                 |record: &&Record| record.lifecycle != Lifecycle::Gone && self.is_relevant(record);
@@ -203,7 +203,7 @@
             }
             write_entry(out, &record.entry, &mut is_first);
         }
-        if end < list.slots() {
+        if end < list.slot_count() {
             self.progress = Progress::Snapshot { next_slot: end, is_first };
             return Step::Scanning;
         }
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -309,6 +309,7 @@
         applied
     }
 
+    /// Makes this the current version and remembers it.
     fn set_version(&mut self, version: u64) {
         if self.version.replace(version) != Some(version) {
             self.versions.push_back(version);
@@ -349,6 +350,7 @@
         }
     }
 
+    /// Applies the staged entries and logs their changes under this version.
     fn apply_staged(&mut self, version: u64, reset: bool) -> Applied {
         let staged = std::mem::take(&mut self.staged);
         let unreadable = std::mem::take(&mut self.unreadable_count);
@@ -422,6 +424,7 @@
         (!former.is_empty()).then_some(former)
     }
 
+    /// Stores a new worker. Returns its slot.
     fn insert(&mut self, record: Record) -> u32 {
         let hash = self.hasher.hash_one(&*record.id.id_in(&record.entry));
         let slot = self.free_slots.pop().unwrap_or(self.records.len() as u32);
@@ -440,6 +443,7 @@
         ChangePosition { version, ordinal: if is_first { 0 } else { self.head.ordinal.saturating_add(1) } }
     }
 
+    /// Logs a change of the worker in this slot, which becomes its latest.
     fn log_change(&mut self, slot: u32, version: u64) {
         self.head = self.next_position(version);
         let Some(record) = self.records[slot as usize].as_mut() else { return };
@@ -471,6 +475,7 @@
         gone_count
     }
 
+    /// Removes the oldest tombstones above the limit, and raises the floor to them.
     fn evict_tombstones(&mut self) {
         while self.tombstone_count > self.limits.tombstones {
             let Some(oldest) = self.tombstones.pop_oldest() else { return };
@@ -492,6 +497,7 @@
         self.free_slots.push(slot);
     }
 
+    /// Compacts the logs: removes changes that are no longer the latest of their worker, or that no subscriber needs.
     fn compact(&mut self) {
         let (records, floor) = (&self.records, self.floor);
         let is_needed = |change: &LoggedChange| is_latest(records, change) && change.position() > floor;
@@ -500,12 +506,14 @@
         self.tombstones.compact(|change| is_latest(records, change));
     }
 
+    /// The slot of the worker with this id.
     fn find_slot(&self, id: &str) -> Option<u32> {
         let has_id =
             |slot: &u32| self.record(*slot).is_some_and(|record| record.id.id_in(&record.entry) == id);
         self.slot_by_id.find(self.hasher.hash_one(id), has_id).copied()
     }
 
+    /// Whether a change is the latest of its worker.
     fn is_current(&self, change: &LoggedChange) -> bool {
         is_latest(&self.records, change)
     }
@@ -520,7 +528,7 @@
     }
 
     /// The number of slots, free ones included.
-    pub(crate) fn slots(&self) -> u32 {
+    pub(crate) fn slot_count(&self) -> u32 {
         self.records.len() as u32
     }
 
@@ -555,6 +563,7 @@
     record.is_some_and(|record| record.position() == change.position())
 }
 
+/// The hash of the id of the worker in this slot.
 fn hash_of(records: &[Option<Record>], hasher: &DefaultHashBuilder, slot: u32) -> u64 {
     let record = records.get(slot as usize).and_then(Option::as_ref);
     record.map_or(0, |record| hasher.hash_one(&*record.id.id_in(&record.entry)))
@@ -563,12 +572,12 @@
 /// Drops all but the last of several entries of one worker that has a slot.
 fn latest_per_worker(mut staged: Vec<Staged>, slots: usize) -> Vec<Staged> {
     let mut seen = SlotSet::new(slots);
-    let mut is_latest = |staged: &Staged| match staged {
+    let mut is_last = |staged: &Staged| match staged {
         Staged::Unchanged(slot) | Staged::Changed(StagedEntry { slot: Some(slot), .. }) => seen.insert(*slot),
         Staged::Changed(_) => true,
     };
     staged.reverse();
-    staged.retain(|staged| is_latest(staged));
+    staged.retain(|staged| is_last(staged));
     staged.reverse();
     staged
 }
