--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -5,6 +5,10 @@
 //! until there are too many tombstones. Evicting a tombstone raises the floor: a subscriber that has seen only versions
 //! below the floor can no longer receive the differences and needs a snapshot.
 
+mod apply;
+mod history;
+mod record;
+
 use std::collections::VecDeque;
 use std::fmt;
 use std::hash::BuildHasher;
@@ -12,15 +16,10 @@
 use hashbrown::{DefaultHashBuilder, HashTable};
 
 use crate::change_log::{ChangeLog, ChangePosition, LoggedChange};
-use crate::entry::{parse_entry, with_lifecycle_gone, EntryError, IdSpan, Lifecycle};
-use crate::locations::{LocationId, LocationTable};
-use crate::scope::Location;
-
-/// Versions of the list that are remembered. A subscriber that resumes from any other version receives a snapshot.
-const MAX_VERSIONS: usize = 65_536;
+use crate::locations::LocationTable;
 
-/// Former locations that are remembered of one worker. Discarding one raises the floor.
-const MAX_FORMER_LOCATIONS: usize = 16;
+use apply::Staged;
+pub(crate) use record::{FormerLocation, Record};
 
 /// Limits on what a [`WorkerList`] stores besides the workers in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,73 +62,10 @@
 pub struct Applied {
     /// Workers whose entry changed, that are new, or that are gone.
     pub changed: usize,
-    /// Entries that were rejected with an [`EntryError`].
+    /// Entries that were rejected with an [`EntryError`](crate::EntryError).
     pub unreadable: usize,
 }
 
-/// A location that a worker has left.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct FormerLocation {
-    pub location: LocationId,
-    /// The change with which the worker left it.
-    pub left_at: ChangePosition,
-}
-
-/// In the order in which they were left. Boxed twice, so that for the many workers without any it takes one pointer.
-#[allow(clippy::box_collection)]
-type FormerLocations = Option<Box<Vec<FormerLocation>>>;
-
-/// One worker.
-#[derive(Debug)]
-pub(crate) struct Record {
-    /// The entry as received.
-    pub entry: Box<[u8]>,
-    /// `None` for nearly all workers.
-    former: FormerLocations,
-    /// The version of the latest change.
-    version: u64,
-    /// The number of the latest change within its version.
-    ordinal: u32,
-    pub location: LocationId,
-    id: IdSpan,
-    pub lifecycle: Lifecycle,
-}
-
-impl Record {
-    /// The position of its latest change.
-    pub fn position(&self) -> ChangePosition {
-        ChangePosition { version: self.version, ordinal: self.ordinal }
-    }
-
-    pub fn former_locations(&self) -> &[FormerLocation] {
-        self.former.as_deref().map(Vec::as_slice).unwrap_or_default()
-    }
-
-    /// Whether its latest change may take the worker away from a scope: a drain, its removal or a move.
-    fn is_departure(&self) -> bool {
-        self.lifecycle != Lifecycle::Active || self.former.is_some()
-    }
-}
-
-/// An entry of a line that has not ended yet.
-#[derive(Debug)]
-enum Staged {
-    /// The same entry as that of the worker in this slot.
-    Unchanged(u32),
-    Changed(StagedEntry),
-}
-
-#[derive(Debug)]
-struct StagedEntry {
-    entry: Box<[u8]>,
-    /// The slot of the worker, if it has one already.
-    slot: Option<u32>,
-    /// `None` if the entry has no readable zone.
-    location: Option<LocationId>,
-    id: IdSpan,
-    lifecycle: Lifecycle,
-}
-
 /// The list of workers at the latest version of the source.
 #[derive(Debug, Default)]
 pub struct WorkerList {
@@ -161,30 +97,6 @@
     unreadable_count: usize,
 }
 
-/// A set of slots.
-struct SlotSet(Vec<u64>);
-
-impl SlotSet {
-    fn new(slots: usize) -> SlotSet {
-        SlotSet(vec![0; slots.div_ceil(64)])
-    }
-
-    /// Adds a slot. Returns whether it is new.
-    fn insert(&mut self, slot: u32) -> bool {
-        let (word, bit) = (slot as usize / 64, 1 << (slot % 64));
-        if word >= self.0.len() {
-            self.0.resize(word + 1, 0);
-        }
-        let is_new = self.0[word] & bit == 0;
-        self.0[word] |= bit;
-        is_new
-    }
-
-    fn contains(&self, slot: u32) -> bool {
-        self.0.get(slot as usize / 64).is_some_and(|word| word >> (slot % 64) & 1 == 1)
-    }
-}
-
 impl WorkerList {
     /// A list without a version, before the first line of the source.
     pub fn new(limits: WorkerListLimits) -> WorkerList {
@@ -232,280 +144,6 @@
             + logs.iter().sum::<usize>()
     }
 
-    /// Adds an entry of a line that has not ended yet. A rejected entry is counted and otherwise has no effect.
-    pub fn stage(&mut self, entry: &[u8]) -> Result<(), EntryError> {
-        let staged = self.compare_entry(entry);
-        match staged {
-            Ok(staged) => {
-                self.staged.push(staged);
-                Ok(())
-            }
-            Err(error) => {
-                self.unreadable_count += 1;
-                Err(error)
-            }
-        }
-    }
-
-    /// Parses an entry and compares it with the current entry of its worker.
-    fn compare_entry(&mut self, entry: &[u8]) -> Result<Staged, EntryError> {
-        if entry.len() > usize::from(u16::MAX) {
-            return Err(EntryError::TooLong);
-        }
-        let parsed = parse_entry(entry)?;
-        let slot = self.find_slot(&parsed.id.id_in(entry));
-        if let Some(slot) =
-            slot.filter(|slot| self.record(*slot).is_some_and(|current| *current.entry == *entry))
-        {
-            return Ok(Staged::Unchanged(slot));
-        }
-        let location = match &parsed.zone {
-            None => None,
-            Some(zone) => {
-                let location = Location { zone, service: parsed.service.as_deref() };
-                Some(self.locations.intern(location).ok_or(EntryError::TooManyNames)?)
-            }
-        };
-        let (id, lifecycle) = (parsed.id, parsed.lifecycle);
-        Ok(Staged::Changed(StagedEntry { entry: entry.into(), slot, location, id, lifecycle }))
-    }
-
-    /// Discards the staged entries of a line that is broken.
-    pub fn discard_staged(&mut self) {
-        self.staged = Vec::new();
-        self.unreadable_count = 0;
-    }
-
-    /// Applies the staged entries as one line of the source: the full list (`reset`) or changes. After an error they
-    /// are discarded.
-    pub fn apply(&mut self, version: u64, reset: bool) -> Result<Applied, ApplyError> {
-        let error = match self.version {
-            None if !reset => Some(ApplyError::NoFullList),
-            Some(current) if version < current => Some(ApplyError::Behind { version, current }),
-            _ => None,
-        };
-        if let Some(error) = error {
-            self.discard_staged();
-            return Err(error);
-        }
-        let is_first = self.version.is_none();
-        let logged_version = self.logged_version(version);
-        let applied = self.apply_staged(logged_version, reset);
-        if is_first {
-            self.clear_history(version);
-        }
-        self.set_version(version);
-        Ok(applied)
-    }
-
-    /// Applies the staged entries as a full list whose version may be lower than the current one, because the source
-    /// has restarted its versions. The positions of all subscribers become invalid.
-    pub fn restart(&mut self, version: u64) -> Applied {
-        self.version = None;
-        self.epoch += 1;
-        let applied = self.apply_staged(version, true);
-        self.clear_history(version);
-        self.set_version(version);
-        applied
-    }
-
-    /// Makes this the current version and remembers it.
-    fn set_version(&mut self, version: u64) {
-        if self.version.replace(version) != Some(version) {
-            self.versions.push_back(version);
-        }
-        if self.versions.len() > MAX_VERSIONS {
-            self.versions.pop_front();
-        }
-    }
-
-    /// Discards all history: a subscriber with a lower version than this one needs a snapshot.
-    fn clear_history(&mut self, version: u64) {
-        for slot in 0..self.records.len() as u32 {
-            let Some(record) = self.records[slot as usize].as_mut() else { continue };
-            (record.version, record.ordinal, record.former) = (version, 0, None);
-            if record.lifecycle == Lifecycle::Gone {
-                self.remove_slot(slot);
-            }
-        }
-        self.tombstone_count = 0;
-        for log in [&mut self.departures, &mut self.others, &mut self.tombstones] {
-            log.clear();
-        }
-        self.versions.clear();
-        self.floor = ChangePosition::end_of(version);
-        self.head = self.floor;
-    }
-
-    /// The version under which the changes of a line are logged.
-    ///
-    /// A line with the current version is a part of the changes that lead to the next version. Its changes are logged
-    /// under the version after the current one, because a subscriber that resumes from the current one may not have
-    /// them. If the next version turns out to be a higher one, no subscriber can resume from a version in between
-    /// ([`WorkerList::can_resume`]).
-    fn logged_version(&self, version: u64) -> u64 {
-        match self.version {
-            Some(current) if version == current => current.saturating_add(1),
-            _ => version,
-        }
-    }
-
-    /// Applies the staged entries and logs their changes under this version.
-    fn apply_staged(&mut self, version: u64, reset: bool) -> Applied {
-        let staged = std::mem::take(&mut self.staged);
-        let unreadable = std::mem::take(&mut self.unreadable_count);
-        self.records.reserve_exact(staged.len().saturating_sub(self.records.len()));
-        let mut listed = SlotSet::new(self.records.len());
-        let mut changed = 0;
-        for staged in latest_per_worker(staged, self.records.len()) {
-            let slot = match staged {
-                Staged::Unchanged(slot) => slot,
-                Staged::Changed(staged) => {
-                    changed += 1;
-                    self.apply_entry(staged, version)
-                }
-            };
-            listed.insert(slot);
-        }
-        // A rejected entry may be that of a worker in the list, which would then wrongly count as gone.
-        if reset && unreadable == 0 {
-            changed += self.mark_unlisted_gone(&listed, version);
-        }
-        self.evict_tombstones();
-        self.compact();
-        Applied { changed, unreadable }
-    }
-
-    /// Stores a changed entry. Returns the slot of its worker.
-    fn apply_entry(&mut self, staged: StagedEntry, version: u64) -> u32 {
-        let StagedEntry { entry, slot, location, id, lifecycle } = staged;
-        let slot = slot.or_else(|| self.find_slot(&id.id_in(&entry)));
-        let previous = slot.and_then(|slot| self.records[slot as usize].take());
-        // Without a readable zone the worker stays where it was.
-        let location =
-            location.or(previous.as_ref().map(|previous| previous.location)).unwrap_or(LocationId::UNKNOWN);
-        let was_tombstone = previous.as_ref().is_some_and(|previous| previous.lifecycle == Lifecycle::Gone);
-        self.tombstone_count -= usize::from(was_tombstone);
-        let position = self.next_position(version);
-        let former = previous.and_then(|previous| self.former_locations(previous, location, position));
-        let record = Record { entry, former, version: 0, ordinal: 0, location, id, lifecycle };
-        let slot = match slot {
-            Some(slot) => {
-                self.records[slot as usize] = Some(record);
-                slot
-            }
-            None => self.insert(record),
-        };
-        self.log_change(slot, version);
-        slot
-    }
-
-    /// The former locations of a worker that is now at `location`. A move at or below the floor is dropped, because
-    /// every subscriber that can still resume has received it.
-    fn former_locations(
-        &mut self,
-        previous: Record,
-        location: LocationId,
-        position: ChangePosition,
-    ) -> FormerLocations {
-        if previous.former.is_none() && previous.location == location {
-            return None;
-        }
-        let mut former = previous.former.unwrap_or_default();
-        former.retain(|former| former.location != location && former.left_at > self.floor);
-        if previous.location != location {
-            former.retain(|former| former.location != previous.location);
-            former.push(FormerLocation { location: previous.location, left_at: position });
-        }
-        if former.len() > MAX_FORMER_LOCATIONS {
-            let oldest = former.remove(0);
-            self.floor = self.floor.max(oldest.left_at);
-        }
-        (!former.is_empty()).then_some(former)
-    }
-
-    /// Stores a new worker. Returns its slot.
-    fn insert(&mut self, record: Record) -> u32 {
-        let hash = self.hasher.hash_one(&*record.id.id_in(&record.entry));
-        let slot = self.free_slots.pop().unwrap_or(self.records.len() as u32);
-        match self.records.get_mut(slot as usize) {
-            Some(free_slot) => *free_slot = Some(record),
-            None => self.records.push(Some(record)),
-        }
-        let (records, hasher) = (&self.records, &self.hasher);
-        self.slot_by_id.insert_unique(hash, slot, |slot| hash_of(records, hasher, *slot));
-        slot
-    }
-
-    /// The position of the next change of this version.
-    fn next_position(&self, version: u64) -> ChangePosition {
-        let is_first = self.head.version != version;
-        ChangePosition { version, ordinal: if is_first { 0 } else { self.head.ordinal.saturating_add(1) } }
-    }
-
-    /// Logs a change of the worker in this slot, which becomes its latest.
-    fn log_change(&mut self, slot: u32, version: u64) {
-        self.head = self.next_position(version);
-        let Some(record) = self.records[slot as usize].as_mut() else { return };
-        (record.version, record.ordinal) = (self.head.version, self.head.ordinal);
-        self.tombstone_count += usize::from(record.lifecycle == Lifecycle::Gone);
-        // The first list becomes the floor, so none of its changes is ever sent as a difference.
-        if self.version.is_none() {
-            return;
-        }
-        if record.lifecycle == Lifecycle::Gone {
-            self.tombstones.push(self.head, slot);
-        }
-        let log = if record.is_departure() { &mut self.departures } else { &mut self.others };
-        log.push(self.head, slot);
-    }
-
-    /// Turns all workers that a full list does not include into tombstones. Returns their number.
-    fn mark_unlisted_gone(&mut self, listed: &SlotSet, version: u64) -> usize {
-        let mut gone_count = 0;
-        for slot in (0..self.records.len() as u32).filter(|slot| !listed.contains(*slot)) {
-            let Some(record) = self.records[slot as usize].as_mut() else { continue };
-            if record.lifecycle != Lifecycle::Gone {
-                record.entry = with_lifecycle_gone(&record.entry).into();
-                record.lifecycle = Lifecycle::Gone;
-                self.log_change(slot, version);
-                gone_count += 1;
-            }
-        }
-        gone_count
-    }
-
-    /// Removes the oldest tombstones above the limit, and raises the floor to them.
-    fn evict_tombstones(&mut self) {
-        while self.tombstone_count > self.limits.tombstones {
-            let Some(oldest) = self.tombstones.pop_oldest() else { return };
-            if self.is_current(&oldest) {
-                self.floor = self.floor.max(oldest.position());
-                self.tombstone_count -= 1;
-                self.remove_slot(oldest.slot);
-            }
-        }
-    }
-
-    /// Removes a worker and frees its slot.
-    fn remove_slot(&mut self, slot: u32) {
-        let hash = hash_of(&self.records, &self.hasher, slot);
-        if let Ok(index_entry) = self.slot_by_id.find_entry(hash, |other| *other == slot) {
-            index_entry.remove();
-        }
-        self.records[slot as usize] = None;
-        self.free_slots.push(slot);
-    }
-
-    /// Compacts the logs: removes changes that are no longer the latest of their worker, or that no subscriber needs.
-    fn compact(&mut self) {
-        let (records, floor) = (&self.records, self.floor);
-        let is_needed = |change: &LoggedChange| is_latest(records, change) && change.position() > floor;
-        self.departures.compact(is_needed);
-        self.others.compact(is_needed);
-        self.tombstones.compact(|change| is_latest(records, change));
-    }
-
     /// The slot of the worker with this id.
     fn find_slot(&self, id: &str) -> Option<u32> {
         let has_id =
@@ -513,11 +151,6 @@
         self.slot_by_id.find(self.hasher.hash_one(id), has_id).copied()
     }
 
-    /// Whether a change is the latest of its worker.
-    fn is_current(&self, change: &LoggedChange) -> bool {
-        is_latest(&self.records, change)
-    }
-
     pub(crate) fn record(&self, slot: u32) -> Option<&Record> {
         self.records.get(slot as usize)?.as_ref()
     }
@@ -557,27 +190,8 @@
     }
 }
 
-/// Whether a change is the latest of its worker.
-fn is_latest(records: &[Option<Record>], change: &LoggedChange) -> bool {
-    let record = records.get(change.slot as usize).and_then(Option::as_ref);
-    record.is_some_and(|record| record.position() == change.position())
-}
-
 /// The hash of the id of the worker in this slot.
 fn hash_of(records: &[Option<Record>], hasher: &DefaultHashBuilder, slot: u32) -> u64 {
     let record = records.get(slot as usize).and_then(Option::as_ref);
     record.map_or(0, |record| hasher.hash_one(&*record.id.id_in(&record.entry)))
 }
-
-/// Drops all but the last of several entries of one worker that has a slot.
-fn latest_per_worker(mut staged: Vec<Staged>, slots: usize) -> Vec<Staged> {
-    let mut seen = SlotSet::new(slots);
-    let mut is_last = |staged: &Staged| match staged {
-        Staged::Unchanged(slot) | Staged::Changed(StagedEntry { slot: Some(slot), .. }) => seen.insert(*slot),
-        Staged::Changed(_) => true,
-    };
-    staged.reverse();
-    staged.retain(|staged| is_last(staged));
-    staged.reverse();
-    staged
-}
--- /dev/null
+++ b/crates/distribution/src/worker_list/record.rs
@@ -0,0 +1,49 @@
+//! The record of one worker in the list.
+
+use crate::change_log::ChangePosition;
+use crate::entry::{IdSpan, Lifecycle};
+use crate::locations::LocationId;
+
+/// A location that a worker has left.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct FormerLocation {
+    pub location: LocationId,
+    /// The change with which the worker left it.
+    pub left_at: ChangePosition,
+}
+
+/// In the order in which they were left. Boxed twice, so that for the many workers without any it takes one pointer.
+#[allow(clippy::box_collection)]
+pub(super) type FormerLocations = Option<Box<Vec<FormerLocation>>>;
+
+/// One worker.
+#[derive(Debug)]
+pub(crate) struct Record {
+    /// The entry as received.
+    pub entry: Box<[u8]>,
+    /// `None` for nearly all workers.
+    pub(super) former: FormerLocations,
+    /// The version of the latest change.
+    pub(super) version: u64,
+    /// The number of the latest change within its version.
+    pub(super) ordinal: u32,
+    pub location: LocationId,
+    pub(super) id: IdSpan,
+    pub lifecycle: Lifecycle,
+}
+
+impl Record {
+    /// The position of its latest change.
+    pub fn position(&self) -> ChangePosition {
+        ChangePosition { version: self.version, ordinal: self.ordinal }
+    }
+
+    pub fn former_locations(&self) -> &[FormerLocation] {
+        self.former.as_deref().map(Vec::as_slice).unwrap_or_default()
+    }
+
+    /// Whether its latest change may take the worker away from a scope: a drain, its removal or a move.
+    pub(super) fn is_departure(&self) -> bool {
+        self.lifecycle != Lifecycle::Active || self.former.is_some()
+    }
+}
