--- a/crates/distribution/tests/cursor.rs
+++ b/crates/distribution/tests/cursor.rs
@@ -13,9 +13,10 @@
 const LIMITS: CursorLimits = CursorLimits { chunk_bytes: 300, scanned_records: 3 };
 const LIST_LIMITS: WorkerListLimits = WorkerListLimits { tombstones: 2 };
 
+/// The version with which the source starts.
+const FIRST_VERSION: u64 = 1_000_000;
 /// Each restart of the versions begins this far below the previous one, so that no version from before a restart is
 /// reached again.
-const FIRST_VERSION: u64 = 1_000_000;
 const RESTART_DISTANCE: u64 = 10_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -97,6 +98,7 @@
 /// A relay's list, and a model of what it received.
 struct Relay {
     list: WorkerList,
+    /// The latest entry received of every worker.
     mirror: View,
     /// Workers that have ever moved. Their changes are sent with the departures, since each of them may be one from
     /// some scope.
@@ -183,9 +185,9 @@
     staged: Vec<Worker>,
     current_version: Option<u64>,
     view: View,
-    /// The relay's version received last on this watch was older than the current one.
+    /// The version received last on this watch was older than the subscriber's current one.
     is_behind: bool,
-    /// The relay's version was older than the current one at any time on this watch.
+    /// Some version received on this watch was older than the subscriber's current one.
     was_behind: bool,
     /// The view has every change up to the current version and none after it.
     is_complete: bool,
@@ -305,7 +307,7 @@
         }
     }
 
-    /// Receives everything that is pending. Watches again like a manager where a watch ends or the relay is behind.
+    /// Receives everything that is pending. Like a manager, it watches again if the watch ends or the relay is behind.
     fn settle(&mut self, relays: &[Relay]) {
         for _ in 0..1_000 {
             match self.step(relays) {
