--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -174,7 +174,7 @@
 /// The next snapshot or list with workers. Lists with only a version are skipped.
 pub fn next_with_workers(subscriber: &mut ListSubscriber) -> ParsedList {
     loop {
-        let list = parse(&subscriber.list().expect("the watch goes on"));
+        let list = parse(&subscriber.list().expect("the watch is still open"));
         if !list.entries.is_empty() || list.reset {
             return list;
         }
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -251,7 +251,7 @@
     let mut remaining_bytes = 0;
     let latest_version = format!("\"generation\":{},", 1 + rounds);
     loop {
-        let line = slow.list().expect("the watch goes on");
+        let line = slow.list().expect("the watch is still open");
         remaining_bytes += line.len();
         if line.contains(&latest_version) {
             break;
