--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -6,10 +6,10 @@
 
 use juniperrail_client::{Client, ClientError, Commit};
 use juniperrail_model::xml::Element;
-use juniperrail_standins::{Proxies, Rules};
+use juniperrail_standins::{Proxies, RuleChecker};
 
+use crate::cluster::{Cluster, ClusterSize, MANAGER_NAMESPACE};
 use crate::report::Report;
-use crate::town::{Size, Town, MANAGER};
 
 const PROXIES: u16 = 12;
 const WORKERS: usize = 9;
@@ -33,7 +33,7 @@
 }
 
 /// One drawn change: its XML, what it makes of the wishes, and whether it is wrong by itself.
-fn drawn(rng: &mut fastrand::Rng, town: &Town, wishes: &Wishes) -> (String, Wishes, bool) {
+fn drawn(rng: &mut fastrand::Rng, town: &Cluster, wishes: &Wishes) -> (String, Wishes, bool) {
     let worker = |name: &str, body: &str| format!("<worker><name>{name}</name>{body}</worker>");
     if rng.u8(..4) == 0 {
         let wrong = [
@@ -48,11 +48,11 @@
             "<workers xmlns='MANAGER' xmlns:n='urn:ietf:params:xml:ns:netconf:base:1.0'>\
              <worker n:operation='delete'><name>s-77</name></worker></workers>",
         ];
-        let text = wrong[rng.usize(..wrong.len())].replace("MANAGER", MANAGER);
+        let text = wrong[rng.usize(..wrong.len())].replace("MANAGER", MANAGER_NAMESPACE);
         return (text, wishes.clone(), true);
     }
     let mut after = wishes.clone();
-    let mut text = format!("<workers xmlns=\"{MANAGER}\">");
+    let mut text = format!("<workers xmlns=\"{MANAGER_NAMESPACE}\">");
     // Now and then all at once, which leaves nothing ready.
     let many = if rng.u8(..12) == 0 { WORKERS } else { rng.usize(1..4) };
     let departs = rng.bool();
@@ -65,7 +65,8 @@
         wish.weight = weight.or(wish.weight);
         let weight = weight
             .map_or(String::new(), |weight| format!("<weight>{:.2}</weight>", f64::from(weight) / 100.0));
-        text += &worker(&town.worker(number), &format!("<wanted>{}</wanted>{weight}", WANTED[wish.wanted]));
+        text +=
+            &worker(&town.worker_name(number), &format!("<wanted>{}</wanted>{weight}", WANTED[wish.wanted]));
     }
     (text + "</workers>", after, false)
 }
@@ -108,9 +109,9 @@
 
 pub fn run(report: &mut Report, count: u32, seed: u64) {
     println!("seed {seed}");
-    let size = Size { workers: WORKERS, proxies: 2 * PROXIES, managers: 2, period: 160 };
-    let town = Town::new("changes", size);
-    let managers = [town.manager("n0", None), town.manager("n1", None)];
+    let size = ClusterSize { workers: WORKERS, proxies: 2 * PROXIES, managers: 2, report_period_ms: 160 };
+    let town = Cluster::new("changes", size);
+    let managers = [town.start_manager("n0", None), town.start_manager("n1", None)];
     let zones = ["a", "b", "c"];
     let proxies = [0, PROXIES].map(|first| {
         let manager = &managers[usize::from(first / PROXIES)];
@@ -118,7 +119,9 @@
     });
     let numbers = |of: usize| (of as u16 * PROXIES)..((of as u16 + 1) * PROXIES);
     for (of, proxies) in proxies.iter().enumerate() {
-        proxies.until("tables", |rules| numbers(of).all(|proxy| rules.holds(proxy).len() == WORKERS));
+        proxies.wait_until("tables", |rules| {
+            numbers(of).all(|proxy| rules.routable_workers(proxy).len() == WORKERS)
+        });
     }
     let (mut taken, mut refused, mut unlike, mut unsaid, mut mixed, mut wrong, mut late) =
         (0, 0, 0, 0, 0, 0, 0);
@@ -126,8 +129,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let started = Instant::now();
     runtime.block_on(async {
-        let mut clients = [town.client(&managers[0]).await, town.client(&managers[1]).await];
-        let mut readers = [town.client(&managers[0]).await, town.client(&managers[1]).await];
+        let mut clients = [town.connect(&managers[0]).await, town.connect(&managers[1]).await];
+        let mut readers = [town.connect(&managers[0]).await, town.connect(&managers[1]).await];
         let mut wishes = Wishes::new();
         // Who has to be out, and since when by the clock of each manager's proxies.
         let mut leaving: BTreeMap<usize, [f64; 2]> = BTreeMap::new();
@@ -145,11 +148,13 @@
                 }
                 odd
             };
-            let asked = proxies.each_ref().map(Proxies::now);
+            let asked = proxies.each_ref().map(Proxies::now_ms);
             // Who comes back may be told to the proxies before the answer to the commit is here.
             let back: Vec<usize> = will.difference(&was).copied().collect();
             for proxies in &proxies {
-                proxies.rules(|rules| back.iter().for_each(|worker| rules.returns(&town.worker(*worker))));
+                proxies.with_rules(|rules| {
+                    back.iter().for_each(|worker| rules.cancel_removal(&town.worker_name(*worker)))
+                });
             }
             let (one, other, odd) = tokio::join!(changed(first, &config), changed(second, &config), reading);
             mixed += odd;
@@ -173,10 +178,12 @@
                 wishes = after;
             }
             for (of, proxies) in proxies.iter().enumerate() {
-                let leaves = |rules: &mut Rules| {
-                    leaving.iter().for_each(|(worker, since)| rules.leaves(&town.worker(*worker), since[of]));
+                let leaves = |rules: &mut RuleChecker| {
+                    leaving.iter().for_each(|(worker, since)| {
+                        rules.start_removal(&town.worker_name(*worker), since[of])
+                    });
                 };
-                proxies.rules(leaves);
+                proxies.with_rules(leaves);
             }
             let expected = ready(&wishes);
             for (of, reader) in readers.iter_mut().enumerate() {
@@ -191,7 +198,7 @@
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 let picks = |proxy: u16| {
-                    let holds = proxies[of].rules(|rules| rules.holds(proxy));
+                    let holds = proxies[of].with_rules(|rules| rules.routable_workers(proxy));
                     holds.keys().filter_map(|name| name[2..].parse().ok()).collect::<BTreeSet<usize>>()
                 };
                 mixed += numbers(of).filter(|proxy| picks(*proxy) != expected).count() as u32;
@@ -207,7 +214,7 @@
     report.bound("readings or proxies with a mixture", mixed, mixed == 0);
     report.bound("changes not held in time", late, late == 0);
     let broken: Vec<_> =
-        proxies.iter().flat_map(|proxies| proxies.rules(|rules| rules.broken.clone())).collect();
+        proxies.iter().flat_map(|proxies| proxies.with_rules(|rules| rules.violations.clone())).collect();
     let first =
         broken.first().map_or("none".to_string(), |first| format!("{first:?} and {} more", broken.len() - 1));
     report.bound("rules broken", first, broken.is_empty());
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -51,7 +51,7 @@
 
     /// Requests the list with this query.
     pub fn request(&self, query: &str) -> ListSubscriber {
-        ListSubscriber::ask(self.address, &format!("/v1/servers{query}"))
+        ListSubscriber::request(self.address, &format!("/v1/servers{query}"))
     }
 
     /// Repeats the request until the relay serves it. It may not have read yet what the source has sent.
@@ -95,7 +95,7 @@
 
     /// Accepts the relay's next watch. Returns the request line and the watch.
     pub fn accept(&self) -> (String, SourceWatch) {
-        let (request_line, peer) = Discovery::accept(&self.0, "200 OK");
+        let (request_line, peer) = Discovery::accept_watch(&self.0, "200 OK");
         (request_line, SourceWatch(Arc::new(Mutex::new(peer))))
     }
 }
@@ -112,7 +112,7 @@
 
     /// Sends text without a line end.
     pub fn send_raw(&self, text: &str) {
-        self.0.lock().unwrap().chunk(text);
+        self.0.lock().unwrap().send_chunk(text);
     }
 
     /// Sends heartbeats until the returned guard is dropped or the relay has disconnected.
@@ -121,7 +121,7 @@
         let (watch, is_stopped) = (self.clone(), stopped.clone());
         thread::spawn(move || {
             while !is_stopped.load(Ordering::SeqCst) {
-                let sent = watch.0.lock().unwrap().try_raw("1\r\n\n\r\n");
+                let sent = watch.0.lock().unwrap().try_send_raw("1\r\n\n\r\n");
                 if sent.is_err() {
                     return;
                 }
@@ -143,7 +143,7 @@
 
 /// A worker's entry.
 pub fn worker(id: &str, zone: &str, lifecycle: &str) -> String {
-    juniperrail_standins::entry(id, zone, "127.0.0.1:9", lifecycle)
+    juniperrail_standins::instance_json(id, zone, "127.0.0.1:9", lifecycle)
 }
 
 /// A parsed line of a list.
@@ -174,7 +174,7 @@
 /// The next snapshot or list with workers. Lists with only a version are skipped.
 pub fn next_with_workers(subscriber: &mut ListSubscriber) -> ParsedList {
     loop {
-        let list = parse(&subscriber.list().expect("the watch is still open"));
+        let list = parse(&subscriber.next_list().expect("the watch is still open"));
         if !list.entries.is_empty() || list.reset {
             return list;
         }
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use common::{expected, next_with_workers, parse, worker, RunningRelay, Source, WAIT_TIMEOUT};
-use juniperrail_standins::{list, Ending, ListSubscriber};
+use juniperrail_standins::{list_json, BodyEnd, ListSubscriber};
 
 const FAST_SUBSCRIBERS: usize = 300;
 
@@ -18,7 +18,7 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     // The line has one complete entry and half of another.
@@ -32,7 +32,7 @@
     drop(watch);
     let (request_line, watch) = source.accept();
     assert!(request_line.contains("index=7 "), "{request_line}");
-    watch.send(&list(8, false, &[worker("s-2", "a", "draining")]));
+    watch.send(&list_json(8, false, &[worker("s-2", "a", "draining")]));
     assert_eq!(next_with_workers(&mut subscriber), expected(8, false, &["s-2 a draining"]));
     let mut new_subscriber = relay.request("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut new_subscriber), expected(8, true, &["s-1 a ready", "s-2 a draining"]));
@@ -43,13 +43,13 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &["s-1", "s-2", "s-3"].map(|id| worker(id, "a", "ready"))));
+    watch.send(&list_json(7, true, &["s-1", "s-2", "s-3"].map(|id| worker(id, "a", "ready"))));
     let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     drop(watch);
     let (request_line, watch) = source.accept();
     assert!(request_line.contains("index=7 "), "{request_line}");
-    watch.send(&list(9, true, &[worker("s-1", "a", "ready"), worker("s-3", "a", "draining")]));
+    watch.send(&list_json(9, true, &[worker("s-1", "a", "ready"), worker("s-3", "a", "draining")]));
     let differences = next_with_workers(&mut subscriber);
     assert_eq!(differences, expected(9, false, &["s-3 a draining", "s-2 a gone"]));
 }
@@ -59,13 +59,13 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
     let invalid_entry = r#"{"instanceId":5,"zone":"a"}"#.to_string();
-    watch.send(&list(8, true, &[worker("s-1", "a", "draining"), invalid_entry]));
+    watch.send(&list_json(8, true, &[worker("s-1", "a", "draining"), invalid_entry]));
     assert_eq!(next_with_workers(&mut subscriber), expected(8, false, &["s-1 a draining"]));
-    watch.send(&list(9, true, &[worker("s-1", "a", "draining")]));
+    watch.send(&list_json(9, true, &[worker("s-1", "a", "draining")]));
     assert_eq!(next_with_workers(&mut subscriber), expected(9, false, &["s-2 a gone"]));
 }
 
@@ -77,19 +77,19 @@
     });
     assert_eq!(relay.request("?stream=1").status, 503, "before the first list");
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let alive = watch.keep_alive();
     let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
-    let health = |relay: &RunningRelay| ListSubscriber::ask(relay.address, "/healthz").status;
+    let health = |relay: &RunningRelay| ListSubscriber::request(relay.address, "/healthz").status;
     assert_eq!(health(&relay), 200);
 
     // The source is silent with its connection open. Meanwhile the worker begins to drain.
     drop(alive);
-    let (remaining, ending) = subscriber.rest();
-    assert_eq!(ending, Ending::Whole, "between two lines");
+    let (remaining, ending) = subscriber.read_to_end();
+    assert_eq!(ending, BodyEnd::Complete, "between two lines");
     assert_eq!(remaining.trim(), "", "only heartbeats");
-    let (refusal, _) = relay.request("?stream=1&zones=a&index=7").rest();
+    let (refusal, _) = relay.request("?stream=1&zones=a&index=7").read_to_end();
     assert_eq!(refusal, "this relay is not in step with its source\n");
     assert_eq!(relay.request("").status, 503);
     assert_eq!(health(&relay), 503);
@@ -97,12 +97,15 @@
     let (request_line, watch) = source.accept();
     assert!(request_line.contains("index=7 "), "{request_line}");
     assert_eq!(relay.request("?stream=1").status, 503, "the source has not sent a line yet");
-    watch.send(&list(9, false, &[worker("s-1", "a", "draining")]));
+    watch.send(&list_json(9, false, &[worker("s-1", "a", "draining")]));
     let _alive = watch.keep_alive();
     let mut resumed = relay.request_until_served("?stream=1&zones=a&index=7");
-    assert_eq!(parse(&resumed.list().unwrap()), expected(9, false, &["s-1 a draining"]));
+    assert_eq!(parse(&resumed.next_list().unwrap()), expected(9, false, &["s-1 a draining"]));
     let mut new_subscriber = relay.request_until_served("?stream=1&zones=a");
-    assert_eq!(parse(&new_subscriber.list().unwrap()), expected(9, true, &["s-1 a draining", "s-2 a ready"]));
+    assert_eq!(
+        parse(&new_subscriber.next_list().unwrap()),
+        expected(9, true, &["s-1 a draining", "s-2 a ready"])
+    );
 }
 
 #[test]
@@ -113,17 +116,17 @@
         options.timing.source_behind_timeout = WAIT_TIMEOUT;
     });
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready")]));
     let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 7);
-    watch.send(&list(5, true, &[]));
+    watch.send(&list_json(5, true, &[]));
     let _alive = watch.keep_alive();
-    let (remaining, ending) = subscriber.rest();
-    assert_eq!((remaining.trim(), ending), ("", Ending::Whole));
+    let (remaining, ending) = subscriber.read_to_end();
+    assert_eq!((remaining.trim(), ending), ("", BodyEnd::Complete));
     assert_eq!(relay.request("?stream=1").status, 503);
-    watch.send(&list(8, false, &[worker("s-1", "a", "draining")]));
+    watch.send(&list_json(8, false, &[worker("s-1", "a", "draining")]));
     let mut resumed = relay.request_until_served("?stream=1&zones=a&index=7");
-    assert_eq!(parse(&resumed.list().unwrap()), expected(8, false, &["s-1 a draining"]));
+    assert_eq!(parse(&resumed.next_list().unwrap()), expected(8, false, &["s-1 a draining"]));
 }
 
 #[test]
@@ -134,20 +137,20 @@
     });
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..20_000).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    let full_list = list(7, true, &workers);
+    let full_list = list_json(7, true, &workers);
     watch.send(&full_list);
     let alive = watch.keep_alive();
     drop(relay.request_until_served("?stream=1&zones=none"));
-    let mut watching = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
-    let mut once = ListSubscriber::ask_narrow(relay.address, "/v1/servers");
+    let mut watching = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
+    let mut once = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers");
     assert_eq!((watching.status, once.status), (200, 200));
     drop(alive);
     while relay.request("?stream=1&zones=none").status == 200 {
         thread::yield_now();
     }
     for subscriber in [&mut watching, &mut once] {
-        let (remaining, ending) = subscriber.rest();
-        assert_eq!(ending, Ending::Broken);
+        let (remaining, ending) = subscriber.read_to_end();
+        assert_eq!(ending, BodyEnd::Truncated);
         assert!(remaining.len() < full_list.len() && full_list.starts_with(&remaining));
     }
 }
@@ -159,23 +162,23 @@
         options.timing.source_behind_timeout = Duration::from_millis(200);
     });
     let (_, watch) = source.accept();
-    watch.send(&list(1_000, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
+    watch.send(&list_json(1_000, true, &[worker("s-1", "a", "ready"), worker("s-2", "a", "ready")]));
     let mut subscriber = relay.request_until_served("?stream=1&zones=a");
     assert_eq!(next_with_workers(&mut subscriber).version, 1_000);
     // The list is older than the current one, so it is skipped, and heartbeats do not change that.
-    watch.send(&list(5, true, &[worker("s-2", "a", "ready")]));
+    watch.send(&list_json(5, true, &[worker("s-2", "a", "ready")]));
     let alive = watch.keep_alive();
     let (request_line, watch) = source.accept();
     drop(alive);
     assert_eq!(request_line, "GET /v1/servers?stream=1 HTTP/1.1");
-    watch.send(&list(6, true, &[worker("s-2", "a", "draining")]));
-    let (remaining, ending) = subscriber.rest();
-    assert_eq!((remaining.trim(), ending), ("", Ending::Whole), "the watch ends without an old list");
+    watch.send(&list_json(6, true, &[worker("s-2", "a", "draining")]));
+    let (remaining, ending) = subscriber.read_to_end();
+    assert_eq!((remaining.trim(), ending), ("", BodyEnd::Complete), "the watch ends without an old list");
     let mut ahead = relay.request_until_served("?stream=1&zones=a&index=1000");
-    assert_eq!(parse(&ahead.list().unwrap()), expected(6, false, &[]));
+    assert_eq!(parse(&ahead.next_list().unwrap()), expected(6, false, &[]));
     let mut new_subscriber = relay.request("?stream=1&zones=a");
-    assert_eq!(parse(&new_subscriber.list().unwrap()), expected(6, true, &["s-2 a draining"]));
-    watch.send(&list(7, false, &[worker("s-3", "a", "ready")]));
+    assert_eq!(parse(&new_subscriber.next_list().unwrap()), expected(6, true, &["s-2 a draining"]));
+    watch.send(&list_json(7, false, &[worker("s-3", "a", "ready")]));
     assert_eq!(next_with_workers(&mut new_subscriber), expected(7, false, &["s-3 a ready"]));
 }
 
@@ -185,16 +188,16 @@
     let mut relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..20_000).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    let full_list = list(7, true, &workers);
+    let full_list = list_json(7, true, &workers);
     watch.send(&full_list);
     while relay.request("?stream=1&zones=none").status != 200 {
         thread::yield_now();
     }
     // The subscriber has read only the head of the response, and the rest exceeds what its connection buffers.
-    let mut subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
+    let mut subscriber = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
     relay.stop();
-    let (remaining, ending) = subscriber.rest();
-    assert_eq!(ending, Ending::Broken);
+    let (remaining, ending) = subscriber.read_to_end();
+    assert_eq!(ending, BodyEnd::Truncated);
     assert!(
         remaining.len() < full_list.len() && full_list.starts_with(&remaining),
         "not a part of one line without its end"
@@ -208,12 +211,12 @@
     let (_, watch) = source.accept();
     let id = |number: usize| format!("s-{number:04}");
     let workers: Vec<String> = (0..5_000).map(|number| worker(&id(number), "a", "ready")).collect();
-    let full_list = list(1, true, &workers);
+    let full_list = list_json(1, true, &workers);
     watch.send(&full_list);
     while relay.request("?stream=1&zones=none").status != 200 {
         thread::yield_now();
     }
-    let mut slow = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
+    let mut slow = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
     let address = relay.address;
     let (done_sender, done) = mpsc::channel::<()>();
     let slow = thread::spawn(move || {
@@ -226,8 +229,9 @@
         (slow, bytes_read)
     });
 
-    let mut fast: Vec<ListSubscriber> =
-        (0..FAST_SUBSCRIBERS).map(|_| ListSubscriber::ask(address, "/v1/servers?stream=1&zones=z")).collect();
+    let mut fast: Vec<ListSubscriber> = (0..FAST_SUBSCRIBERS)
+        .map(|_| ListSubscriber::request(address, "/v1/servers?stream=1&zones=z"))
+        .collect();
     for subscriber in &mut fast {
         assert_eq!(next_with_workers(subscriber), expected(1, true, &[]));
     }
@@ -237,7 +241,7 @@
         let lifecycle = if round % 2 == 0 { "draining" } else { "ready" };
         let mut changed: Vec<String> = (0..5_000).map(|number| worker(&id(number), "a", lifecycle)).collect();
         changed.push(worker("z-1", "z", lifecycle));
-        watch.send(&list(round, false, &changed));
+        watch.send(&list_json(round, false, &changed));
         for subscriber in &mut fast {
             assert_eq!(
                 next_with_workers(subscriber),
@@ -251,7 +255,7 @@
     let mut remaining_bytes = 0;
     let latest_version = format!("\"generation\":{},", 1 + rounds);
     loop {
-        let line = slow.list().expect("the watch is still open");
+        let line = slow.next_list().expect("the watch is still open");
         remaining_bytes += line.len();
         if line.contains(&latest_version) {
             break;
@@ -269,14 +273,14 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| options.limits.subscribers = 2);
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[worker("s-1", "a", "ready")]));
+    watch.send(&list_json(7, true, &[worker("s-1", "a", "ready")]));
     let mut first = relay.request_until_served("?stream=1");
     let second = relay.request("?stream=1");
     assert_eq!(second.status, 200);
     let mut third = relay.request("?stream=1");
     assert_eq!(third.status, 503);
-    assert_eq!(third.rest().0, "this relay serves 2 subscribers already\n");
-    assert_eq!(ListSubscriber::ask(relay.address, "/healthz").status, 200);
+    assert_eq!(third.read_to_end().0, "this relay serves 2 subscribers already\n");
+    assert_eq!(ListSubscriber::request(relay.address, "/healthz").status, 200);
     assert_eq!(next_with_workers(&mut first).version, 7);
     // Another subscriber is admitted as soon as the relay notices that the second has disconnected.
     drop(second);
@@ -293,11 +297,11 @@
     });
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..workers).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
-    watch.send(&list(7, true, &workers));
+    watch.send(&list_json(7, true, &workers));
     drop(relay.request_until_served("?stream=1&zones=none"));
     let started = Instant::now();
     let stalled = loop {
-        let subscriber = ListSubscriber::ask_narrow(relay.address, "/v1/servers?stream=1");
+        let subscriber = ListSubscriber::request_with_small_buffer(relay.address, "/v1/servers?stream=1");
         if subscriber.status == 200 {
             break subscriber;
         }
@@ -323,11 +327,11 @@
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
-    watch.send(&list(7, true, &[]));
+    watch.send(&list_json(7, true, &[]));
     drop(relay.request_until_served(""));
     let refusal = |path: &str| {
-        let mut answer = ListSubscriber::ask(relay.address, path);
-        (answer.status, answer.rest().0)
+        let mut answer = ListSubscriber::request(relay.address, path);
+        (answer.status, answer.read_to_end().0)
     };
     assert_eq!(refusal("/v1/server"), (404, "there is no /v1/server; the list is at /v1/servers\n".into()));
     assert_eq!(refusal("/v1/servers?zones="), (400, "zones names nothing\n".into()));
