--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -29,7 +29,8 @@
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Time from a commit until all proxies hold it, delay of turns under a flood of sessions, and memory of sessions.
+    /// Measure the time from a commit until all proxies hold it, the lateness of turns under a flood of sessions, and the
+    /// memory of sessions.
     Netconf {
         /// Number of timed commits.
         #[arg(long, default_value_t = 100)]
@@ -38,7 +39,7 @@
         #[arg(long, default_value_t = 16)]
         rounds: u32,
     },
-    /// Random valid and invalid configuration changes at two managers, with the rules checked throughout.
+    /// Apply random valid and invalid configuration changes at two managers, and check the rules throughout.
     Changes {
         /// Number of changes.
         #[arg(long, default_value_t = 1000)]
@@ -47,7 +48,7 @@
         #[arg(long, default_value_t = 17)]
         seed: u64,
     },
-    /// Faults at every numbered fault point, in test fleets of real processes.
+    /// Inject faults at every numbered fault point, in test fleets of real processes.
     Trials {
         /// Test fleets that run concurrently.
         #[arg(long, default_value_t = 6)]
@@ -56,24 +57,24 @@
         #[arg(long)]
         short: bool,
     },
-    /// Commits by group size and disk synchronization, and the time without a leader after the leader fails.
+    /// Measure commits by group size and disk synchronization, and the time without a leader after the leader fails.
     Council {
         #[arg(long, default_value_t = 5)]
         rounds: usize,
     },
-    /// Detection of stragglers in random gangs, and sums per second by number of threads.
+    /// Measure the detection of stragglers in random gangs, and the sums per second by number of threads.
     Gangs {
         #[arg(long, default_value_t = 140)]
         seeds: u64,
     },
-    /// Many schedules on five replicas that repeatedly lose their leader.
+    /// Run many schedules on five replicas that repeatedly lose their leader.
     Schedule {
         #[arg(long, default_value_t = 10_000)]
         count: usize,
         #[arg(long, default_value_t = 130)]
         seconds: u64,
     },
-    /// Cost of a planner turn as the numbers of workers and proxies grow.
+    /// Measure the cost of a planner turn as the numbers of workers and proxies grow.
     Turns,
     /// Print the tables of the capacity page, computed from the measured slopes, and check that the page contains them.
     Capacity {
@@ -81,7 +82,7 @@
         #[arg(long)]
         write: bool,
     },
-    /// Processor time, memory and traffic of real processes among simulated peers, as each size grows.
+    /// Measure processor time, memory and traffic of real processes among simulated peers, as each size grows.
     Scale(scale::Options),
     /// Run one manager for the other experiments.
     #[command(hide = true)]
