--- a/crates/lab/src/capacity/series_measured.rs
+++ b/crates/lab/src/capacity/series_measured.rs
@@ -112,7 +112,7 @@
     Unit::Seconds,
 );
 
-/// Memory of the consensus group member that uses most, against the size of the group.
+/// Memory of the consensus group member that uses most, once it has settled, against the size of the group.
 pub const MEMBER_MEMORY: Series = Series {
     role: AGREEMENT,
     figure: "settled memory of the largest member",
