--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -1,4 +1,5 @@
-//! The cluster of an experiment: a stand-in of discovery, managers in processes of their own, and NETCONF access to them.
+//! The cluster of an experiment: a stand-in of discovery, managers in processes of their own, and NETCONF access to
+//! them.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Write};
@@ -22,7 +23,8 @@
     pub report_period_ms: u32,
 }
 
-/// Discovery, the configuration folder and the keys that the managers of one experiment share. Dropping it removes the folder.
+/// Discovery, the configuration folder and the keys that the managers of one experiment share. Dropping it removes the
+/// folder.
 pub struct Cluster {
     pub size: ClusterSize,
     pub folder: PathBuf,
--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -1,5 +1,5 @@
-//! The cost of consensus and the time without a leader: the commit rate with and without file syncs, and clusters of real
-//! processes whose leader is killed, suspended, partitioned or terminated.
+//! The cost of consensus and the time without a leader: the commit rate with and without file syncs, and clusters of
+//! real processes whose leader is killed, suspended, partitioned or terminated.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -22,7 +22,8 @@
     max_uncommitted_entries: 4096,
 };
 
-/// A member with its store. Messages are delivered without delay, so only the node's computation and its syncs are timed.
+/// A member with its store. Messages are delivered without delay, so only the node's computation and its syncs are
+/// timed.
 struct GroupMember<D> {
     node: RaftNode,
     store: Store<D>,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Commits `count` entries in rounds of `batch` at a time. Returns the commits per second and the duration of each round
-    /// in microseconds.
+    /// Commits `count` entries in rounds of `batch` at a time. Returns the commits per second and the duration of each
+    /// round in microseconds.
     fn commit_entries(&mut self, count: usize, batch: usize) -> (f64, Histogram<u64>) {
         let mut round_times_us = Histogram::new(3).expect("three significant digits are valid");
         let started = Instant::now();
@@ -158,8 +159,8 @@
     commits_per_second
 }
 
-/// Injects a fault at the leader and returns the milliseconds until another member logs that it leads; the fault is reverted
-/// afterwards.
+/// Injects a fault at the leader and returns the milliseconds until another member logs that it leads; the fault is
+/// reverted afterwards.
 fn time_without_leader_ms(
     cluster: &mut TestCluster,
     fault: impl Fn(&mut TestCluster, u16),
--- a/crates/lab/src/gangs.rs
+++ b/crates/lab/src/gangs.rs
@@ -1,5 +1,5 @@
-//! Straggler detection on randomly drawn gangs: which workers are detected, how soon, and the run time saved. Also the rate
-//! at which many gangs record progress reports, by the number of threads.
+//! Straggler detection on randomly drawn gangs: which workers are detected, how soon, and the run time saved. Also the
+//! rate at which many gangs record progress reports, by the number of threads.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -31,8 +31,8 @@
 }
 
 impl DrawnGang {
-    /// Draws a gang of `count` workers whose speeds are all multiplied by `speed_factor`. It has stragglers only at a factor
-    /// of 1.
+    /// Draws a gang of `count` workers whose speeds are all multiplied by `speed_factor`. It has stragglers only at a
+    /// factor of 1.
     fn new(rng: &mut fastrand::Rng, count: usize, speed_factor: f64) -> DrawnGang {
         let kinds: Vec<WorkerKind> = (0..count)
             .map(|n| WorkerKind {
@@ -165,8 +165,8 @@
     outcome
 }
 
-/// Compares the policies on one gang per seed, checks that gangs that are slow throughout have no stragglers, and measures the
-/// rate of reports.
+/// Compares the policies on one gang per seed, checks that gangs that are slow throughout have no stragglers, and
+/// measures the rate of reports.
 pub fn run(report: &mut Report, seeds: u64) {
     let (mut true_positives, mut false_positives, mut false_negatives) = (0u32, 0u32, 0u32);
     let mut periods_until_detected: Vec<u32> = Vec::new();
--- a/crates/lab/src/scale/agreement.rs
+++ b/crates/lab/src/scale/agreement.rs
@@ -1,4 +1,5 @@
-//! What deciding in common costs as members grow: links and bytes between managers, and what each one uses.
+//! The cost of consensus as the number of members grows: links and bytes between the managers, and the processor time
+//! and memory of each.
 
 use std::net::SocketAddr;
 
@@ -7,19 +8,21 @@
 
 use super::error::ScaleError;
 use super::fit::{Fit, Sample};
-use super::guard::Need;
+use super::guard::Requirements;
 use super::manager::{operator_element, Manager};
-use super::measured_process::Host;
+use super::measured_process::Launcher;
 use super::record::Subject;
-use super::scenario::{Pace, Scenario};
+use super::scenario::{Durations, Scenario};
 use super::simulated::{Discovery, Fleet, Forwarder};
 use super::ScaleRun;
 use crate::report::Report;
 
+/// What the size counts, as recorded with the figures.
 const AGAINST: &str = "members that agree";
-const MEMBER_MEMORY: u64 = 128 << 20;
-/// One link each way.
-const LINKS_OF_PAIR: f64 = 2.0;
+/// An upper limit on the memory of a member.
+const MAX_MEMBER_BYTES: u64 = 128 << 20;
+/// The limit on links between two members, one in each direction.
+const MAX_LINKS_PER_PAIR: f64 = 2.0;
 
 const SCENARIO: Scenario = Scenario {
     workers: 100,
@@ -31,6 +34,7 @@
     reports_per_second: 0.0,
 };
 
+/// The numbers of members in a small or a full run.
 pub fn sizes(small: bool) -> &'static [usize] {
     if small {
         &[1, 2, 3, 4]
@@ -39,64 +43,70 @@
     }
 }
 
-pub fn need(small: bool) -> Need {
-    let most = sizes(small).iter().max().copied().unwrap_or_default();
-    Need {
-        memory: most as u64 * MEMBER_MEMORY,
-        processes: most,
-        // Each way between two has a forwarder with a listener and two sockets a link.
-        sockets: (most * most * 4) as u64,
+/// The resources that the largest group needs.
+pub fn requirements(small: bool) -> Requirements {
+    let members = sizes(small).iter().max().copied().unwrap_or_default();
+    Requirements {
+        memory_bytes: members as u64 * MAX_MEMBER_BYTES,
+        processes: members,
+        // Each direction between two members has a forwarder, with a listener and two sockets per link.
+        sockets: (members * members * 4) as u64,
     }
 }
 
-/// What a group of members uses, of all members together but for the last two.
-struct Cost {
+/// The resources that a group uses.
+struct GroupCost {
+    /// The links between all members.
     links: f64,
-    bytes: f64,
-    /// Of the dearest member, as a part of a core.
-    cores: f64,
-    /// Of the largest member.
-    settled: f64,
+    /// The bytes per second between all members.
+    bytes_per_second: f64,
+    /// The processor time of the member that uses the most, as a share of one core.
+    max_cores: f64,
+    /// The resident memory of the member that uses the most, at the end of the window.
+    max_settled_bytes: f64,
 }
 
+/// Measures groups of each size, fits each figure and judges its growth.
 pub fn run(run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
-    let mut played: Vec<(usize, Cost)> = Vec::new();
+    let mut costs: Vec<(usize, GroupCost)> = Vec::new();
     for _ in 0..run.plays {
         for members in sizes(run.small) {
-            let cost = run.runtime.block_on(play(&run.host, *members, run.pace))?;
-            played.push((*members, cost));
+            let cost = run.runtime.block_on(measure_group(&run.launcher, *members, run.durations))?;
+            costs.push((*members, cost));
         }
     }
     println!("\nagreement against {AGAINST}, {} plays of each size", run.plays);
-    type Of = fn(&Cost) -> f64;
-    let figures: [(&str, &str, Of); 3] = [
-        ("bytes between members", "B/s", |cost| cost.bytes),
-        ("processor time of the dearest member", "cores", |cost| cost.cores),
-        ("settled memory of the largest member", "B", |cost| cost.settled),
+    type Value = fn(&GroupCost) -> f64;
+    let figures: [(&str, &str, Value); 3] = [
+        ("bytes between members", "B/s", |cost| cost.bytes_per_second),
+        ("processor time of the dearest member", "cores", |cost| cost.max_cores),
+        ("settled memory of the largest member", "B", |cost| cost.max_settled_bytes),
     ];
-    let samples = |of: Of| -> Vec<Sample> {
-        played.iter().map(|(members, cost)| Sample { size: *members as f64, value: of(cost) }).collect()
+    let samples = |value: Value| -> Vec<Sample> {
+        costs.iter().map(|(members, cost)| Sample { size: *members as f64, value: value(cost) }).collect()
     };
-    links(run, report, &samples(|cost| cost.links));
-    for (figure, unit, of) in figures {
-        let samples = samples(of);
-        run.fitted(report, Subject { role: "agreement", figure, unit }, AGAINST, &samples);
+    judge_links(run, report, &samples(|cost| cost.links));
+    for (figure, unit, value) in figures {
+        let samples = samples(value);
+        run.fit_and_judge(report, Subject { role: "agreement", figure, unit }, AGAINST, &samples);
     }
     Ok(())
 }
 
-/// Members are linked each with each, so that links are no straight line: they are judged by pair.
-fn links(run: &mut ScaleRun, report: &mut Report, samples: &[Sample]) {
-    let Some(fit) = Fit::of(samples) else { return };
+/// Records the links and judges them per pair: every two members are linked, so their number grows with the square of
+/// the members.
+fn judge_links(run: &mut ScaleRun, report: &mut Report, samples: &[Sample]) {
+    let Some(fit) = Fit::from_samples(samples) else { return };
     let subject = Subject { role: "agreement", figure: "links", unit: "links" };
-    run.kept(subject, AGAINST, samples, &fit);
+    run.print_and_record(subject, AGAINST, samples, &fit);
     let pairs = |members: f64| members * (members - 1.0) / 2.0;
-    let by_pair = samples.iter().filter(|sample| sample.size > 1.0).map(|of| of.value / pairs(of.size));
-    let most = by_pair.fold(0.0, f64::max);
-    report.bound("links of a pair of members", format!("{most:.2}"), most <= LINKS_OF_PAIR);
+    let links_per_pair =
+        samples.iter().filter(|sample| sample.size > 1.0).map(|sample| sample.value / pairs(sample.size));
+    let max = links_per_pair.fold(0.0, f64::max);
+    report.bound("links per pair of members", format!("{max:.2}"), max <= MAX_LINKS_PER_PAIR);
 }
 
-/// Where the members listen for each other: free ports, as found a moment ago.
+/// Addresses with free ports for the links between the members. Another process may take a port before its member does.
 async fn free_addresses(count: usize) -> Result<Vec<SocketAddr>, ScaleError> {
     let mut listeners = Vec::new();
     for _ in 0..count {
@@ -107,7 +117,12 @@
     addresses.collect()
 }
 
-async fn play(host: &Host, members: usize, pace: Pace) -> Result<Cost, ScaleError> {
+/// Starts a group of managers with a forwarder on each link and measures it.
+async fn measure_group(
+    launcher: &Launcher,
+    members: usize,
+    durations: Durations,
+) -> Result<GroupCost, ScaleError> {
     let fleet = Fleet {
         workers: SCENARIO.workers,
         zones: SCENARIO.zones,
@@ -115,52 +130,54 @@
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
     };
     let discovery = Discovery::start(fleet).await?;
-    let listens = free_addresses(members).await?;
+    let listen_addresses = free_addresses(members).await?;
     let mut forwarders = Vec::new();
     let mut managers = Vec::new();
-    for (place, listen) in listens.iter().enumerate() {
-        let mut known = Vec::new();
-        for (other, address) in listens.iter().enumerate() {
-            if other == place {
-                known.push(*listen);
+    for (own, listen) in listen_addresses.iter().enumerate() {
+        let mut member_addresses = Vec::new();
+        for (other, address) in listen_addresses.iter().enumerate() {
+            if other == own {
+                member_addresses.push(*listen);
                 continue;
             }
             let forwarder = Forwarder::start(*address).await?;
-            known.push(forwarder.address);
+            member_addresses.push(forwarder.address);
             forwarders.push(forwarder);
         }
-        let operator = operator_file(place, *listen, &known);
-        managers.push(Manager::start(host, &SCENARIO, discovery.address, Some(&operator)).await?);
+        let operator = operator_file(own, *listen, &member_addresses);
+        managers.push(Manager::start(launcher, &SCENARIO, discovery.address, Some(&operator)).await?);
     }
-    // Every manager says who leads, the leader that it does itself.
+    // Every manager logs which member leads, and the leader logs that it leads itself.
     for manager in &mut managers {
-        let log = manager.role.log_path();
-        let led = || std::fs::read_to_string(&log).unwrap_or_default().contains("leads in term");
-        manager.role.until("a leader", led).await?;
+        let log = manager.process.log_path();
+        let knows_leader = || std::fs::read_to_string(&log).unwrap_or_default().contains("leads in term");
+        manager.process.wait_for("the log line about the leader", knows_leader).await?;
     }
-    sleep(pace.settle).await;
-    let usages = || managers.iter().map(|manager| manager.role.usage()).collect::<Result<Vec<_>, _>>();
+    sleep(durations.settle).await;
+    let usages = || managers.iter().map(|manager| manager.process.usage()).collect::<Result<Vec<_>, _>>();
     let bytes = || forwarders.iter().map(Forwarder::bytes).sum::<u64>();
-    let (begun, bytes_before, before) = (std::time::Instant::now(), bytes(), usages()?);
-    sleep(pace.window).await;
-    let (seconds, bytes_after, after) = (begun.elapsed().as_secs_f64(), bytes(), usages()?);
-    let used = before.iter().zip(&after).map(|(before, after)| after.processor - before.processor);
-    Ok(Cost {
+    let (started, bytes_before, before) = (std::time::Instant::now(), bytes(), usages()?);
+    sleep(durations.window).await;
+    let (seconds, bytes_after, after) = (started.elapsed().as_secs_f64(), bytes(), usages()?);
+    let processor_times =
+        before.iter().zip(&after).map(|(before, after)| after.processor_time - before.processor_time);
+    Ok(GroupCost {
         links: forwarders.iter().map(Forwarder::links).sum::<usize>() as f64,
-        bytes: (bytes_after - bytes_before) as f64 / seconds,
-        cores: used.max().unwrap_or_default().as_secs_f64() / seconds,
-        settled: after.iter().map(|usage| usage.resident).max().unwrap_or_default() as f64,
+        bytes_per_second: (bytes_after - bytes_before) as f64 / seconds,
+        max_cores: processor_times.max().unwrap_or_default().as_secs_f64() / seconds,
+        max_settled_bytes: after.iter().map(|usage| usage.resident_bytes).max().unwrap_or_default() as f64,
     })
 }
 
-fn operator_file(place: usize, listen: SocketAddr, known: &[SocketAddr]) -> String {
+/// The group's part of a member's operator's file. `addresses` has the address of each member, as this one dials it.
+fn operator_file(own: usize, listen: SocketAddr, addresses: &[SocketAddr]) -> String {
     let member = |(other, address): (usize, &SocketAddr)| {
         format!("<member-of><number>{}</number><address>{address}</address></member-of>", other + 1)
     };
-    let members: String = known.iter().enumerate().map(member).collect();
-    let own = format!(
+    let members: String = addresses.iter().enumerate().map(member).collect();
+    let own_settings = format!(
         "<name>scale</name><member>{}</member><listen>{listen}</listen><store>council</store>",
-        place + 1
+        own + 1
     );
-    operator_element("fleet", &(own + &members))
+    operator_element("fleet", &(own_settings + &members))
 }
--- a/crates/lab/src/scale/drain.rs
+++ b/crates/lab/src/scale/drain.rs
@@ -1,111 +1,126 @@
-//! By what margin a drain is in force within the grace: from the change at the source until the last proxy answered the
-//! order that takes the worker out, directly and through a relay.
+//! The margin by which drains are in force within the grace: the time from the change at the source until the last
+//! proxy has acknowledged the order that takes the worker out of use, for a manager that reads the list directly and
+//! one that reads it through a relay.
 
 use std::time::{Duration, Instant};
 
 use tokio::time::sleep;
 
 use super::error::ScaleError;
-use super::guard::Need;
+use super::guard::Requirements;
 use super::manager::{Manager, DRAIN_GRACE_MS};
-use super::measured_process::Host;
+use super::measured_process::Launcher;
 use super::record::Subject;
 use super::relay::Relay;
 use super::scenario::Scenario;
-use super::scoped::subscription;
+use super::scoped::discovery_element;
 use super::simulated::{Change, Discovery, Fleet, Proxies};
-use super::target_fleet::Letter;
+use super::target_fleet::TargetFleet;
 use super::ScaleRun;
 use crate::report::Report;
 
+/// The service in the scope of both managers, whose workers drain.
 const SERVICE: usize = 7;
+/// The proxies of each manager.
 const PROXIES: usize = 50;
+/// The drains of a full run.
 const DRAINS: usize = 10;
+/// The drains of a run with `--small`.
 const DRAINS_SMALL: usize = 3;
-/// The worker is back in use so long before the next one drains.
-const BETWEEN: Duration = Duration::from_secs(1);
+/// The time between the end of a drain and the start of the next one.
+const PAUSE: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_millis(DRAIN_GRACE_MS as u64);
-const BEYOND_GRACE: Duration = Duration::from_millis(500);
-const MEMORY: u64 = 1 << 30;
+/// The wait for late acknowledgements after the grace.
+const WAIT_AFTER_GRACE: Duration = Duration::from_millis(500);
+/// An upper limit on the memory of the experiment.
+const MAX_EXPERIMENT_BYTES: u64 = 1 << 30;
 
-pub fn need() -> Need {
-    Need { memory: MEMORY, processes: 3, sockets: 2 * PROXIES as u64 + 16 }
+/// The resources that the experiment needs.
+pub fn requirements() -> Requirements {
+    Requirements { memory_bytes: MAX_EXPERIMENT_BYTES, processes: 3, sockets: 2 * PROXIES as u64 + 16 }
 }
 
-/// How long each drain took, directly and through a relay, where any proxy had the worker.
-struct Found {
+/// The duration of each drain that proxies acknowledged, by the way on which the manager reads the list.
+struct DrainTimes {
     direct: Vec<Duration>,
     relayed: Vec<Duration>,
 }
 
+/// Times the drains and judges whether each was in force within the grace.
 pub fn run(run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
-    let (letter, drains) = (Letter::of(run.small), if run.small { DRAINS_SMALL } else { DRAINS });
-    let found = run.runtime.block_on(play(&run.host, &letter, drains))?;
+    let (fleet, drains) = (TargetFleet::for_run(run.small), if run.small { DRAINS_SMALL } else { DRAINS });
+    let drain_times = run.runtime.block_on(time_drains(&run.launcher, &fleet, drains))?;
     println!("\n{drains} drains at {PROXIES} proxies, grace {} ms", GRACE.as_millis());
-    for (way, mut took) in [("directly", found.direct), ("through a relay", found.relayed)] {
-        took.sort();
-        let ms = |took: Option<&Duration>| took.map_or(f64::NAN, |took| took.as_secs_f64() * 1000.0);
-        let (middle, worst) = (ms(took.get(took.len() / 2)), ms(took.last()));
-        let margin = GRACE.as_secs_f64() * 1000.0 - worst;
+    for (way, mut times) in [("directly", drain_times.direct), ("through a relay", drain_times.relayed)] {
+        times.sort();
+        let to_ms = |time: Option<&Duration>| time.map_or(f64::NAN, |time| time.as_secs_f64() * 1000.0);
+        let (median_ms, max_ms) = (to_ms(times.get(times.len() / 2)), to_ms(times.last()));
+        let margin_ms = GRACE.as_secs_f64() * 1000.0 - max_ms;
         let readings = [
-            ("a drain until the last proxy answered, median", middle),
-            ("a drain until the last proxy answered, worst", worst),
-            ("the grace that is left at the worst drain", margin),
+            ("a drain until the last proxy answered, median", median_ms),
+            ("a drain until the last proxy answered, worst", max_ms),
+            ("the grace that is left at the worst drain", margin_ms),
         ];
         for (figure, value) in readings {
             report.figure(&format!("{figure}, {way}"), format!("{value:.1} ms"));
-            run.recorder.reading(Subject { role: "manager", figure, unit: "ms" }, way, value);
+            run.recorder.add_reading(Subject { role: "manager", figure, unit: "ms" }, way, value);
         }
-        report.bound(&format!("drains that proxies were told, {way}"), took.len(), took.len() == drains);
-        let within = took.iter().filter(|took| **took <= GRACE).count();
-        run.absolute(
+        report.bound(&format!("drains that proxies acknowledged, {way}"), times.len(), times.len() == drains);
+        let within_grace = times.iter().filter(|time| **time <= GRACE).count();
+        run.absolute_bound(
             report,
             &format!("drains in force within the grace, {way}"),
-            &format!("{within} of {drains}"),
-            within == drains,
+            &format!("{within_grace} of {drains}"),
+            within_grace == drains,
         );
     }
     Ok(())
 }
 
-async fn play(host: &Host, letter: &Letter, drains: usize) -> Result<Found, ScaleError> {
+/// Drains one worker after the other, at a manager that reads the list directly and one that reads it through a relay.
+async fn time_drains(
+    launcher: &Launcher,
+    target: &TargetFleet,
+    drains: usize,
+) -> Result<DrainTimes, ScaleError> {
     let scenario = Scenario {
-        workers: letter.workers,
-        zones: letter.zones,
-        services: letter.services,
+        workers: target.workers,
+        zones: target.zones,
+        services: target.services,
         changes_per_second: 0.0,
         proxies: PROXIES,
         operations: 2,
         reports_per_second: 0.0,
     };
-    let fleet = letter.fleet();
+    let fleet = target.to_fleet();
     let discovery = Discovery::start(fleet.clone()).await?;
-    let relay = Relay::start(host, discovery.address).await?;
-    let (by_agent, by_relay) = (subscription(&[], &[SERVICE]), subscription(&[relay.address], &[SERVICE]));
-    let mut direct = Manager::start(host, &scenario, discovery.address, Some(&by_agent)).await?;
-    let mut relayed = Manager::start(host, &scenario, discovery.address, Some(&by_relay)).await?;
-    let direct_proxies = Proxies::join(direct.address, PROXIES, letter.zones);
-    let relayed_proxies = Proxies::join(relayed.address, PROXIES, letter.zones);
-    direct.role.until("orders to all proxies", || direct_proxies.ordered() == PROXIES).await?;
-    relayed.role.until("orders to all proxies", || relayed_proxies.ordered() == PROXIES).await?;
+    let relay = Relay::start(launcher, discovery.address).await?;
+    let direct_element = discovery_element(&[], &[SERVICE]);
+    let relayed_element = discovery_element(&[relay.address], &[SERVICE]);
+    let mut direct = Manager::start(launcher, &scenario, discovery.address, Some(&direct_element)).await?;
+    let mut relayed = Manager::start(launcher, &scenario, discovery.address, Some(&relayed_element)).await?;
+    let direct_proxies = Proxies::join(direct.address, PROXIES, target.zones);
+    let relayed_proxies = Proxies::join(relayed.address, PROXIES, target.zones);
+    direct.process.wait_for("orders to all proxies", || direct_proxies.ordered() == PROXIES).await?;
+    relayed.process.wait_for("orders to all proxies", || relayed_proxies.ordered() == PROXIES).await?;
     sleep(GRACE).await;
-    let mut found = Found { direct: Vec::new(), relayed: Vec::new() };
+    let mut times = DrainTimes { direct: Vec::new(), relayed: Vec::new() };
     for worker in fleet.workers_of(SERVICE).take(drains) {
         let name = Fleet::worker_name(worker);
-        [&direct_proxies, &relayed_proxies].iter().for_each(|proxies| proxies.await_drain(&name));
-        let drained = discovery.change(Change { worker, draining: true, started_at_ms: 0 });
-        // One that is late is seen to be, or not at all, which counts against it too.
-        sleep(GRACE + BEYOND_GRACE).await;
-        found.direct.extend(took(&direct_proxies, drained));
-        found.relayed.extend(took(&relayed_proxies, drained));
+        [&direct_proxies, &relayed_proxies].iter().for_each(|proxies| proxies.expect_drain(&name));
+        let drained_at = discovery.change(Change { worker, draining: true, started_at_ms: 0 });
+        // A drain that takes longer than the grace is recorded as such, or not at all, and fails a bound either way.
+        sleep(GRACE + WAIT_AFTER_GRACE).await;
+        times.direct.extend(drain_time(&direct_proxies, drained_at));
+        times.relayed.extend(drain_time(&relayed_proxies, drained_at));
         discovery.change(Change { worker, draining: false, started_at_ms: 0 });
-        sleep(BETWEEN).await;
+        sleep(PAUSE).await;
     }
-    Ok(found)
+    Ok(times)
 }
 
-/// None where no proxy was ordered to take the worker out.
-fn took(proxies: &Proxies, drained: Instant) -> Option<Duration> {
-    let (_, last) = proxies.drained();
-    last.map(|last| last.saturating_duration_since(drained))
+/// The time until the last proxy acknowledged the drain. `None` if no proxy was ordered to take the worker out of use.
+fn drain_time(proxies: &Proxies, drained_at: Instant) -> Option<Duration> {
+    let (_, last_acknowledged) = proxies.drain_acknowledgements();
+    last_acknowledged.map(|last| last.saturating_duration_since(drained_at))
 }
--- a/crates/lab/src/scale/guard.rs
+++ b/crates/lab/src/scale/guard.rs
@@ -1,4 +1,5 @@
-//! Keeps a run within its share of the machine: it is refused if it would need more, and ended if it takes more.
+//! Resource limits of a scale run: a run that needs more than its share of the machine is rejected, and one that
+//! exceeds it is stopped.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,49 +13,50 @@
 use super::error::ScaleError;
 use super::process::Usage;
 
-/// Processes at once, this one among them.
-const PROCESSES_MOST: usize = 300;
-const CHECK_EVERY: Duration = Duration::from_millis(500);
+/// The limit on processes at a time, including this one.
+const MAX_PROCESSES: usize = 300;
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 const MEBIBYTE: u64 = 1 << 20;
-/// Descriptors of this process besides the hollow peers' sockets.
+/// The file descriptors of this process besides the simulated peers' sockets.
 const OWN_DESCRIPTORS: u64 = 256;
 
-/// What a run needs at its dearest moment.
+/// The largest amounts of resources that a run needs at a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Need {
-    /// Memory of this process and of those that it starts, in bytes.
-    pub memory: u64,
-    /// Processes besides this one.
+pub struct Requirements {
+    /// The memory of this process and of those that it starts, in bytes.
+    pub memory_bytes: u64,
+    /// The processes besides this one.
     pub processes: usize,
-    /// Sockets of this process.
+    /// The sockets of this process.
     pub sockets: u64,
 }
 
-impl Need {
-    /// What covers either of two.
-    pub fn or(self, other: Need) -> Need {
-        Need {
-            memory: self.memory.max(other.memory),
+impl Requirements {
+    /// The larger of each amount, for experiments that run one after the other.
+    pub fn max(self, other: Requirements) -> Requirements {
+        Requirements {
+            memory_bytes: self.memory_bytes.max(other.memory_bytes),
             processes: self.processes.max(other.processes),
             sockets: self.sockets.max(other.sockets),
         }
     }
 }
 
-/// The processes that a run started and that have not been waited for.
+/// The ids of the processes that a run started and has not reaped.
 #[derive(Clone, Default)]
-pub struct Started(Arc<Mutex<BTreeSet<u32>>>);
+pub struct ChildProcesses(Arc<Mutex<BTreeSet<u32>>>);
 
-impl Started {
+impl ChildProcesses {
     fn lock(&self) -> MutexGuard<'_, BTreeSet<u32>> {
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// Adds a process that was started.
     pub fn add(&self, process: u32) {
         self.lock().insert(process);
     }
 
-    /// To be called before the process is waited for: afterwards its number may be another's.
+    /// Removes a process. It must be called before the process is reaped, since its id may be reused afterwards.
     pub fn remove(&self, process: u32) {
         self.lock().remove(&process);
     }
@@ -68,8 +70,8 @@
     }
 }
 
-/// Half of the machine's memory, in bytes.
-fn memory_most() -> Result<u64, ScaleError> {
+/// The limit on the memory of a run, half of the machine's, in bytes.
+fn memory_limit() -> Result<u64, ScaleError> {
     let path = "/proc/meminfo";
     let text = fs::read_to_string(path).map_err(ScaleError::io(path))?;
     let total = text.lines().find_map(|line| line.strip_prefix("MemTotal:")).unwrap_or_default();
@@ -77,66 +79,82 @@
     Ok(kib * 1024 / 2)
 }
 
-/// Refuses a run that would need too much, and raises the soft limit on descriptors as far as it needs and may.
-pub fn admit(need: Need) -> Result<(), ScaleError> {
-    let most = memory_most()?;
-    if need.memory > most {
-        return Err(ScaleError::TooMuchMemory { needed: need.memory / MEBIBYTE, most: most / MEBIBYTE });
+/// Rejects a run that needs too much, and raises the soft limit on file descriptors if the run needs that and the hard
+/// limit allows it.
+pub fn check_requirements(required: Requirements) -> Result<(), ScaleError> {
+    let limit = memory_limit()?;
+    if required.memory_bytes > limit {
+        return Err(ScaleError::TooMuchMemory {
+            needed: required.memory_bytes / MEBIBYTE,
+            limit: limit / MEBIBYTE,
+        });
     }
-    let processes = need.processes + 1;
-    if processes > PROCESSES_MOST {
-        return Err(ScaleError::TooManyProcesses { needed: processes, most: PROCESSES_MOST });
+    let processes = required.processes + 1;
+    if processes > MAX_PROCESSES {
+        return Err(ScaleError::TooManyProcesses { needed: processes, limit: MAX_PROCESSES });
     }
-    let needed = need.sockets + OWN_DESCRIPTORS;
-    let limit = getrlimit(Resource::Nofile);
-    let most = limit.maximum.unwrap_or(u64::MAX);
-    if needed > most {
-        return Err(ScaleError::TooManyDescriptors { needed, most });
+    let needed = required.sockets + OWN_DESCRIPTORS;
+    let descriptors = getrlimit(Resource::Nofile);
+    let limit = descriptors.maximum.unwrap_or(u64::MAX);
+    if needed > limit {
+        return Err(ScaleError::TooManyDescriptors { needed, limit });
     }
-    if limit.current.is_some_and(|current| current < needed) {
-        let raised = Rlimit { current: Some(needed), maximum: limit.maximum };
+    if descriptors.current.is_some_and(|current| current < needed) {
+        let raised = Rlimit { current: Some(needed), maximum: descriptors.maximum };
         setrlimit(Resource::Nofile, raised)
-            .map_err(|why| ScaleError::io("the limit on descriptors")(why.into()))?;
+            .map_err(|cause| ScaleError::io("the limit on file descriptors")(cause.into()))?;
     }
     Ok(())
 }
 
-/// Watches a run until it is dropped. A run that takes too much, or too long, ends with all that it started.
+/// Watches a run until it is dropped. If the run exceeds a limit or its timeout, all processes that it started are
+/// killed and this one exits.
 pub struct Watchdog {
     _alive: Arc<()>,
 }
 
 impl Watchdog {
-    pub fn start(started: Started, within: Duration) -> Result<Watchdog, ScaleError> {
-        let memory_most = memory_most()?;
+    /// Starts the thread that checks the limits.
+    pub fn start(children: ChildProcesses, timeout: Duration) -> Result<Watchdog, ScaleError> {
+        let memory_limit = memory_limit()?;
         let alive = Arc::new(());
         let watched = Arc::downgrade(&alive);
-        let begun = Instant::now();
+        let started = Instant::now();
         thread::spawn(move || {
             while watched.upgrade().is_some() {
-                if let Some(why) = excess(&started, memory_most, begun.elapsed(), within) {
-                    eprintln!("scale: the run is ended: {why}");
-                    started.kill_all();
+                if let Some(reason) = exceeded_limit(&children, memory_limit, started.elapsed(), timeout) {
+                    eprintln!("scale: stopping the run: {reason}");
+                    children.kill_all();
                     exit(1);
                 }
-                thread::sleep(CHECK_EVERY);
+                thread::sleep(CHECK_INTERVAL);
             }
         });
         Ok(Watchdog { _alive: alive })
     }
 }
 
-fn excess(started: &Started, memory_most: u64, elapsed: Duration, within: Duration) -> Option<String> {
-    let mut processes: Vec<u32> = started.lock().iter().copied().collect();
+/// Describes the limit that the run exceeds, if there is one.
+fn exceeded_limit(
+    children: &ChildProcesses,
+    memory_limit: u64,
+    elapsed: Duration,
+    timeout: Duration,
+) -> Option<String> {
+    let mut processes: Vec<u32> = children.lock().iter().copied().collect();
     processes.push(std::process::id());
-    if processes.len() > PROCESSES_MOST {
-        return Some(format!("{} processes", processes.len()));
+    if processes.len() > MAX_PROCESSES {
+        return Some(format!("{} processes, the limit is {MAX_PROCESSES}", processes.len()));
     }
-    // One that ended since holds nothing.
-    let resident = |process: &u32| Usage::of(*process).map_or(0, |usage| usage.resident);
+    // A process that has exited since uses no memory.
+    let resident = |process: &u32| Usage::of_process(*process).map_or(0, |usage| usage.resident_bytes);
     let memory: u64 = processes.iter().map(resident).sum();
-    if memory > memory_most {
-        return Some(format!("{} MB of memory, half of the machine's", memory / MEBIBYTE));
+    if memory > memory_limit {
+        return Some(format!(
+            "{} MiB of memory, the limit is {} MiB, half of the machine's memory",
+            memory / MEBIBYTE,
+            memory_limit / MEBIBYTE
+        ));
     }
-    (elapsed > within).then(|| format!("it took more than {} s", within.as_secs()))
+    (elapsed > timeout).then(|| format!("it did not finish within {} s", timeout.as_secs()))
 }
--- a/crates/lab/src/scale/judge.rs
+++ b/crates/lab/src/scale/judge.rs
@@ -1,50 +1,53 @@
-//! Whether a figure grows faster than its size: ratios within one run, so that the machine's speed does not matter.
+//! Bounds on how a figure grows with the size. They are ratios within one run, so they do not depend on the speed of
+//! the machine.
 
 use super::fit::Fit;
 
-/// Above the middle size memory may grow by so many times what it grows below it, for each unit of size.
-const STEEPENING_MOST: f64 = 1.6;
-/// At the largest size any other figure may be so many times what the sizes up to the middle one let expect. What else
-/// runs disturbs processor time, and a change that falls into a window or out of it moves the bytes a second.
-const BEYOND_EXPECTED_MOST: f64 = 2.0;
+/// The limit on the slope of memory above the middle size, relative to the slope below it.
+const MAX_SLOPE_RATIO: f64 = 1.6;
+/// The limit on any other figure at the largest size, relative to the value extrapolated from the sizes up to the
+/// middle one. It leaves room for other load on the machine, which disturbs processor time, and for a change just
+/// inside or outside a window, which shifts the bytes per second.
+const MAX_RATIO_TO_EXPECTED: f64 = 2.0;
 /// A figure that grows by less than this share of its largest mean over all sizes does not depend on the size.
-const FLAT: f64 = 0.1;
-/// The unit of memory.
-const MEMORY: &str = "B";
+const NEGLIGIBLE_GROWTH: f64 = 0.1;
+const MEMORY_UNIT: &str = "B";
 
-/// How a figure grows, as it is held against its bound.
+/// How a figure grows, in the form that its bound limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Growth {
-    /// It hardly grows.
+    /// Negligible growth.
     None,
-    /// So many times faster above the middle size than below.
-    Steepening(f64),
-    /// So many times what is expected at the largest size.
-    BeyondExpected(f64),
+    /// The slope above the middle size, relative to the slope below it.
+    SlopeRatio(f64),
+    /// The value at the largest size, relative to the value expected there.
+    RatioToExpected(f64),
 }
 
 impl Growth {
-    pub fn of(fit: &Fit, unit: &str) -> Growth {
+    /// Judges a fitted figure by its unit: memory by its slopes, any other figure by its value at the largest size.
+    pub fn from_fit(fit: &Fit, unit: &str) -> Growth {
         let Some((first, last)) = fit.means.first().zip(fit.means.last()) else { return Growth::None };
         let largest = fit.means.iter().copied().fold(0.0, f64::max);
-        if last - first <= FLAT * largest {
+        if last - first <= NEGLIGIBLE_GROWTH * largest {
             return Growth::None;
         }
-        if unit != MEMORY {
-            // What is there at the largest size alone was not expected at all.
+        if unit != MEMORY_UNIT {
+            // A figure that is zero up to the middle size exceeds any expectation.
             return fit
-                .beyond_expected()
-                .map_or(Growth::BeyondExpected(f64::INFINITY), Growth::BeyondExpected);
+                .ratio_to_expected()
+                .map_or(Growth::RatioToExpected(f64::INFINITY), Growth::RatioToExpected);
         }
-        // What grows only above the middle size has no slope below it to be held against.
-        fit.steepening().map_or(Growth::Steepening(f64::INFINITY), Growth::Steepening)
+        // Memory that grows only above the middle size has no slope below it for comparison.
+        fit.slope_ratio().map_or(Growth::SlopeRatio(f64::INFINITY), Growth::SlopeRatio)
     }
 
-    pub fn holds(self) -> bool {
+    /// Whether the growth keeps its limit.
+    pub fn is_within_limit(self) -> bool {
         match self {
             Growth::None => true,
-            Growth::Steepening(times) => times <= STEEPENING_MOST,
-            Growth::BeyondExpected(times) => times <= BEYOND_EXPECTED_MOST,
+            Growth::SlopeRatio(ratio) => ratio <= MAX_SLOPE_RATIO,
+            Growth::RatioToExpected(ratio) => ratio <= MAX_RATIO_TO_EXPECTED,
         }
     }
 }
@@ -53,11 +56,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Growth::None => write!(f, "does not grow"),
-            Growth::Steepening(times) => {
-                write!(f, "{times:.2} times as fast above the middle (limit {STEEPENING_MOST})")
+            Growth::SlopeRatio(ratio) => {
+                write!(f, "{ratio:.2} times as fast above the middle (limit {MAX_SLOPE_RATIO})")
             }
-            Growth::BeyondExpected(times) => {
-                write!(f, "{times:.2} times the expected at the largest (limit {BEYOND_EXPECTED_MOST})")
+            Growth::RatioToExpected(ratio) => {
+                write!(
+                    f,
+                    "{ratio:.2} times the value expected at the largest size (limit {MAX_RATIO_TO_EXPECTED})"
+                )
             }
         }
     }
--- a/crates/lab/src/scale/manager.rs
+++ b/crates/lab/src/scale/manager.rs
@@ -1,4 +1,4 @@
-//! A real manager of the shipped program, with the settings of a scenario.
+//! A manager process of the shipped program, with the settings of a scenario.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -7,55 +7,60 @@
 use serde_json::json;
 
 use super::error::ScaleError;
-use super::measured_process::{alive, Host, Role};
+use super::measured_process::{probe, Launcher, MeasuredProcess};
 use super::scenario::Scenario;
 use super::simulated::Fleet;
 
-/// Descriptors of a manager besides its proxies'.
-const OWN_SOCKETS: usize = 1024;
+/// The socket limit of a manager besides its proxies' connections.
+const OTHER_SOCKETS: usize = 1024;
+/// The XML namespace of the manager's configuration.
 const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
+/// The time within which a draining worker must be out of every table, in the settings of all scenarios.
+pub const DRAIN_GRACE_MS: u32 = 3000;
 
-/// A manager that runs, and where it serves.
+/// A running manager and the address that it serves.
 pub struct Manager {
-    pub role: Role,
+    pub process: MeasuredProcess,
     pub address: SocketAddr,
 }
 
 impl Manager {
-    /// Starts it and waits until it answers. `operator`: the content of the operator's file, if it has one.
+    /// Starts a manager and waits until it answers a probe. `operator` is the content of its operator's file, if it has
+    /// one.
     pub async fn start(
-        host: &Host,
+        launcher: &Launcher,
         scenario: &Scenario,
         discovery: SocketAddr,
         operator: Option<&str>,
     ) -> Result<Manager, ScaleError> {
-        let folder = host.folder("manager")?;
-        let config = write(&folder, "config.json", &config(scenario, discovery))?;
+        let folder = launcher.create_folder("manager")?;
+        let config = write_file(&folder, "config.json", &config(scenario, discovery))?;
         let mut arguments = Vec::new();
         if let Some(content) = operator {
             let content =
                 format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">{content}</config>");
-            let file = write(&folder, "operator.xml", &content)?;
+            let file = write_file(&folder, "operator.xml", &content)?;
             arguments = vec!["--operator-file".to_string(), file.display().to_string()];
         }
-        let mut role = host.start(&folder, &arguments, &[("PROXY_CONFIG", config)])?;
-        let address = role.address().await?;
-        alive(address).await?;
-        Ok(Manager { role, address })
+        let mut process = launcher.start(&folder, &arguments, &[("PROXY_CONFIG", config)])?;
+        let address = process.wait_for_address().await?;
+        probe(address).await?;
+        Ok(Manager { process, address })
     }
 }
 
-/// An element of the operator's file with this content.
+/// An element of the operator's file, in the manager's namespace.
 pub fn operator_element(name: &str, content: &str) -> String {
     format!("<{name} xmlns=\"{NAMESPACE}\">{content}</{name}>")
 }
 
-fn write(folder: &std::path::Path, name: &str, content: &str) -> Result<PathBuf, ScaleError> {
+fn write_file(folder: &std::path::Path, name: &str, content: &str) -> Result<PathBuf, ScaleError> {
     let path = folder.join(name);
     fs::write(&path, content).map_err(ScaleError::io(path.display().to_string()))?;
     Ok(path)
 }
 
+/// The manager's configuration file.
 fn config(scenario: &Scenario, discovery: SocketAddr) -> String {
     let zones: Vec<String> = (0..scenario.zones).map(Fleet::zone_name).collect();
     let operation = |number| json!({"name": format!("op-{number:02}"), "on-time-ms": 500, "worth": 1});
@@ -73,10 +78,7 @@
     });
     let config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": scenario.proxies + OWN_SOCKETS}, "settings": settings,
+        "limits": {"sockets": scenario.proxies + OTHER_SOCKETS}, "settings": settings,
     });
     config.to_string()
 }
-
-/// The time within which a draining worker must be out of every table, in the settings of all scenarios.
-pub const DRAIN_GRACE_MS: u32 = 3000;
--- a/crates/lab/src/scale/measured_process.rs
+++ b/crates/lab/src/scale/measured_process.rs
@@ -1,4 +1,4 @@
-//! The processes that are measured: the shipped program in its roles, each in a folder of its own.
+//! The processes that are measured: the shipped program as a manager or a relay, each in a folder of its own.
 
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 use tokio::time::sleep;
 
 use super::error::ScaleError;
-use super::guard::Started;
+use super::guard::ChildProcesses;
 use super::process::Usage;
 
-/// Nothing that is waited for takes so long, however busy the machine is.
-pub const WITHIN: Duration = Duration::from_secs(60);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// What the log says before the address.
-const MANAGER_SERVES: &str = " serves on ";
-const RELAY_SERVES: &str = "relays the list of ";
+/// The longest wait for any condition, long enough for a busy machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The parts of the log lines that end with the address served.
+const MANAGER_ADDRESS_LOG: &str = " serves on ";
+const RELAY_ADDRESS_LOG: &str = "relays the list of ";
 
-/// The shipped program, beside the one that measures it.
+/// The path of the shipped program.
 #[derive(Clone, Debug)]
 pub struct Program(PathBuf);
 
 impl Program {
-    /// Beside this executable, or in the folder above it, where this is a test.
+    /// Finds it beside this executable or in the folder above, where it is for a test.
     pub fn find() -> Result<Program, ScaleError> {
         let executable = std::env::current_exe().map_err(ScaleError::io("this executable"))?;
         let folders = executable.ancestors().skip(1).take(2);
@@ -36,132 +36,143 @@
     }
 }
 
-/// What all processes of a run share.
-pub struct Host {
+/// Starts the processes of a run, in folders that are removed when it is dropped.
+pub struct Launcher {
     program: Program,
     folder: PathBuf,
-    started: Started,
-    count: std::cell::Cell<usize>,
+    children: ChildProcesses,
+    folder_count: std::cell::Cell<usize>,
 }
 
-impl Host {
-    pub fn new(program: Program, started: Started) -> Result<Host, ScaleError> {
+impl Launcher {
+    /// Creates the folder of the run. Processes that are started are added to `children`.
+    pub fn new(program: Program, children: ChildProcesses) -> Result<Launcher, ScaleError> {
         let folder = std::env::temp_dir().join(format!("juniperrail-scale-{}", std::process::id()));
         fs::create_dir_all(&folder).map_err(ScaleError::io(folder.display().to_string()))?;
-        Ok(Host { program, folder, started, count: Default::default() })
+        Ok(Launcher { program, folder, children, folder_count: Default::default() })
     }
 
-    /// A new folder for one process.
-    pub fn folder(&self, role: &str) -> Result<PathBuf, ScaleError> {
-        self.count.set(self.count.get() + 1);
-        let folder = self.folder.join(format!("{role}-{}", self.count.get()));
+    /// Creates a folder for one process.
+    pub fn create_folder(&self, role: &str) -> Result<PathBuf, ScaleError> {
+        self.folder_count.set(self.folder_count.get() + 1);
+        let folder = self.folder.join(format!("{role}-{}", self.folder_count.get()));
         fs::create_dir_all(&folder).map_err(ScaleError::io(folder.display().to_string()))?;
         Ok(folder)
     }
 
-    /// Starts the program in that folder.
+    /// Starts the program in a folder, with these arguments and environment variables only. Its log goes to a file
+    /// there.
     pub fn start(
         &self,
         folder: &Path,
         arguments: &[String],
         variables: &[(&str, PathBuf)],
-    ) -> Result<Role, ScaleError> {
+    ) -> Result<MeasuredProcess, ScaleError> {
         let log = folder.join("log");
         let stderr = File::create(&log).map_err(ScaleError::io(log.display().to_string()))?;
         let mut command = Command::new(&self.program.0);
         command.env_clear().envs(variables.iter().cloned()).args(arguments).current_dir(folder);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(stderr);
         let child = command.spawn().map_err(ScaleError::io(self.program.0.display().to_string()))?;
-        self.started.add(child.id());
-        Ok(Role { child, log, started: self.started.clone() })
+        self.children.add(child.id());
+        Ok(MeasuredProcess { child, log, children: self.children.clone() })
     }
 }
 
-impl Drop for Host {
+impl Drop for Launcher {
     fn drop(&mut self) {
         _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A process that is measured; it ends when this is dropped.
-pub struct Role {
+/// A process that is measured; dropping it kills the process.
+pub struct MeasuredProcess {
     child: Child,
     log: PathBuf,
-    started: Started,
+    children: ChildProcesses,
 }
 
-impl Role {
+impl MeasuredProcess {
+    /// Its processor time and memory so far.
     pub fn usage(&self) -> Result<Usage, ScaleError> {
-        Usage::of(self.child.id())
+        Usage::of_process(self.child.id())
     }
 
-    /// Where its log is.
     pub fn log_path(&self) -> PathBuf {
         self.log.clone()
     }
 
-    fn last_line(&self) -> String {
+    fn last_log_line(&self) -> String {
         fs::read_to_string(&self.log).unwrap_or_default().lines().last().unwrap_or("nothing").to_string()
     }
 
-    /// Waits until it holds, and fails where that takes too long or the process ends.
-    pub async fn until(&mut self, what: &str, mut holds: impl FnMut() -> bool) -> Result<(), ScaleError> {
-        let begun = Instant::now();
-        while !holds() {
+    /// Waits until the condition holds. Fails after [`WAIT_TIMEOUT`] or when the process exits.
+    pub async fn wait_for(
+        &mut self,
+        what: &str,
+        mut condition: impl FnMut() -> bool,
+    ) -> Result<(), ScaleError> {
+        let started = Instant::now();
+        while !condition() {
             if !matches!(self.child.try_wait(), Ok(None)) {
-                return Err(ScaleError::Ended(self.child.id(), self.last_line()));
+                return Err(ScaleError::Exited(self.child.id(), self.last_log_line()));
             }
-            if begun.elapsed() > WITHIN {
-                return Err(self.overdue(what));
+            if started.elapsed() > WAIT_TIMEOUT {
+                return Err(self.timeout_error(what));
             }
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// The error of one that does not get there in time.
-    pub fn overdue(&self, what: &str) -> ScaleError {
-        ScaleError::Overdue { what: what.into(), seconds: WITHIN.as_secs(), last: self.last_line() }
+    /// The error for a condition that did not hold within [`WAIT_TIMEOUT`].
+    pub fn timeout_error(&self, what: &str) -> ScaleError {
+        ScaleError::Timeout {
+            what: what.into(),
+            seconds: WAIT_TIMEOUT.as_secs(),
+            last_line: self.last_log_line(),
+        }
     }
 
-    /// Where its log says that it serves, be it a manager or a relay.
-    pub async fn address(&mut self) -> Result<SocketAddr, ScaleError> {
+    /// Waits for the log line that states the address served, of a manager or a relay.
+    pub async fn wait_for_address(&mut self) -> Result<SocketAddr, ScaleError> {
         let log = self.log.clone();
         let mut address = None;
-        self.until("the address that it serves on", || {
+        self.wait_for("the log line with its address", || {
             address = served_address(&fs::read_to_string(&log).unwrap_or_default());
             address.is_some()
         })
         .await?;
-        Ok(address.unwrap_or_else(|| unreachable!("it was waited for")))
+        Ok(address.unwrap_or_else(|| unreachable!("the wait ends with an address")))
     }
 
-    /// Ends it at once.
+    /// Kills the process and reaps it.
     pub fn kill(&mut self) {
-        self.started.remove(self.child.id());
-        // It may have ended by itself.
+        self.children.remove(self.child.id());
+        // The process may have exited already.
         _ = self.child.kill();
         _ = self.child.wait();
     }
 }
 
-impl Drop for Role {
+impl Drop for MeasuredProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
 fn served_address(log: &str) -> Option<SocketAddr> {
-    let line = log.lines().find(|line| line.contains(MANAGER_SERVES) || line.contains(RELAY_SERVES))?;
+    let line =
+        log.lines().find(|line| line.contains(MANAGER_ADDRESS_LOG) || line.contains(RELAY_ADDRESS_LOG))?;
     line.split_whitespace().last()?.parse().ok()
 }
 
-/// Asks a manager whether it is alive, until it says so.
-pub async fn alive(address: SocketAddr) -> Result<(), ScaleError> {
-    let failed = || ScaleError::io(format!("the probe of {address}"));
-    let mut socket = TcpStream::connect(address).await.map_err(failed())?;
-    socket.write_all(b"probe\r\n").await.map_err(failed())?;
+/// Sends a probe to a manager and waits for the answer.
+pub async fn probe(address: SocketAddr) -> Result<(), ScaleError> {
+    let error = || ScaleError::io(format!("the probe of {address}"));
+    let mut socket = TcpStream::connect(address).await.map_err(error())?;
+    socket.write_all(b"probe\r\n").await.map_err(error())?;
     let mut answer = [0; 5];
-    socket.read_exact(&mut answer).await.map_err(failed())?;
+    socket.read_exact(&mut answer).await.map_err(error())?;
     Ok(())
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,8 +1,10 @@
-//! The scale run: real processes of the shipped program among hollow peers, as each size grows.
+//! The scale run: measures real processes of the shipped program, with simulated peers, as each size grows.
 //!
-//! Processor time is the kernel's count for the measured process, memory is its resident set, and bytes are counted at the
-//! hollow peers. Everything stays on the loopback. A run is refused, or ended, where it takes more than half of the
-//! machine's memory or 300 processes.
+//! Processor time is the kernel's count for the measured process, memory is its resident set, and bytes are counted at
+//! the simulated peers. All connections use the loopback interface. A run that needs more than half of the machine's
+//! memory or 300 processes is rejected, and one that exceeds these limits is stopped.
+//!
+//! A play is one measurement of one size. A slope experiment plays each size several times and fits a straight line.
 
 mod agreement;
 mod drain;
@@ -29,42 +31,43 @@
 
 pub use error::ScaleError;
 use fit::{Fit, Sample};
-use guard::{Need, Started, Watchdog};
-use measured_process::{Host, Program};
+use guard::{ChildProcesses, Requirements, Watchdog};
+use measured_process::{Launcher, Program};
 use record::{Recorder, Subject};
-use scenario::{Cost, Pace, FIGURES};
-use slopes::Growth;
-use target_fleet::Letter;
+use scenario::{Cost, Durations, FIGURES};
+use slopes::SlopeExperiment;
+use target_fleet::TargetFleet;
 
 use crate::report::Report;
 
-/// Threads for all hollow peers together.
+/// The threads that all simulated peers share.
 const PEER_THREADS: usize = 3;
-const SHORTEST_SETTLING: Duration = Duration::from_millis(750);
-/// A play may take so much longer than its settling and its window.
-const PLAY_OVERHEAD: Duration = Duration::from_secs(60);
-/// How a scale run is asked for.
+const MIN_SETTLE_TIME: Duration = Duration::from_millis(750);
+/// The time that a play may take beyond its settle time and its window.
+const MAX_PLAY_OVERHEAD: Duration = Duration::from_secs(60);
+
+/// The options of a scale run.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// These slopes and experiments alone.
+    /// Runs only these slopes and experiments.
     #[arg(long, value_delimiter = ',', value_name = "NAME")]
     pub only: Vec<String>,
-    /// The window over which a play is measured, in seconds.
+    /// The length of each measurement window, in seconds.
     #[arg(long, default_value_t = 10.0)]
     pub seconds: f64,
-    /// How often each size is played.
+    /// The number of plays (measurements) of each size.
     #[arg(long, default_value_t = 3)]
     pub plays: usize,
-    /// Few and small sizes, for CI.
+    /// Uses few and small sizes, for CI.
     #[arg(long)]
     pub small: bool,
-    /// Where the raw samples go, as JSON lines.
+    /// Writes the raw samples to this file, as JSON lines.
     #[arg(long, value_name = "FILE")]
     pub samples: Option<PathBuf>,
-    /// The file of measurements that takes up what is found.
+    /// Merges the results into this measurements file.
     #[arg(long, value_name = "FILE")]
     pub out: Option<PathBuf>,
-    /// What else runs on the machine, for the record.
+    /// Describes what else runs on the machine, for the record of the run.
     #[arg(long, default_value = "nothing else named")]
     pub beside: String,
 }
@@ -72,7 +75,7 @@
 /// One entry of `--only`.
 #[derive(Clone, Copy)]
 enum Experiment {
-    Slope(&'static Growth),
+    Slope(&'static SlopeExperiment),
     Agreement,
     Relay,
     Scoped,
@@ -85,9 +88,10 @@
         slopes::ALL.iter().map(Experiment::Slope).chain(others).collect()
     }
 
+    /// The name on the command line.
     fn name(self) -> &'static str {
         match self {
-            Experiment::Slope(growth) => growth.name,
+            Experiment::Slope(slope) => slope.name,
             Experiment::Agreement => "agreement",
             Experiment::Relay => "relay",
             Experiment::Scoped => "scoped",
@@ -95,46 +99,48 @@
         }
     }
 
-    fn chosen(only: &[String]) -> Result<Vec<Experiment>, ScaleError> {
+    /// The experiments with these names, or all if there are none.
+    fn select(only: &[String]) -> Result<Vec<Experiment>, ScaleError> {
         let all = Experiment::all();
-        let names: Vec<&str> = all.iter().map(|one| one.name()).collect();
+        let names: Vec<&str> = all.iter().map(|experiment| experiment.name()).collect();
         if let Some(unknown) = only.iter().find(|name| !names.contains(&name.as_str())) {
             return Err(ScaleError::UnknownExperiment(unknown.clone(), names.join(", ")));
         }
         Ok(all
             .into_iter()
-            .filter(|one| only.is_empty() || only.iter().any(|name| name == one.name()))
+            .filter(|experiment| only.is_empty() || only.iter().any(|name| name == experiment.name()))
             .collect())
     }
 
+    /// The number of plays, from which the timeout of the run is computed.
     fn plays(self, options: &Options) -> usize {
         match self {
-            Experiment::Slope(growth) => growth.sizes(options.small).len() * options.plays,
+            Experiment::Slope(slope) => slope.sizes(options.small).len() * options.plays,
             Experiment::Agreement => agreement::sizes(options.small).len() * options.plays,
             Experiment::Scoped => 1,
-            // Several windows without the neighbour's subscribers, and one with.
-            Experiment::Relay => 2 + Letter::of(options.small).relay_windows as usize,
-            // Each drain waits for its grace.
+            // Several windows on an ordinary day and one with the neighbour's subscribers.
+            Experiment::Relay => 2 + TargetFleet::for_run(options.small).relay_windows as usize,
+            // The drains wait for their grace, so they take longer than one play.
             Experiment::Drain => 2,
         }
     }
 
-    fn need(self, options: &Options) -> Need {
+    fn requirements(self, options: &Options) -> Requirements {
         match self {
-            Experiment::Slope(growth) => {
-                let needs = growth.sizes(options.small).iter().map(|size| growth.need(*size));
-                needs.fold(Need::default(), Need::or)
+            Experiment::Slope(slope) => {
+                let requirements = slope.sizes(options.small).iter().map(|size| slope.requirements(*size));
+                requirements.fold(Requirements::default(), Requirements::max)
             }
-            Experiment::Agreement => agreement::need(options.small),
-            Experiment::Relay => relay::need(&Letter::of(options.small)),
-            Experiment::Scoped => scoped::need(),
-            Experiment::Drain => drain::need(),
+            Experiment::Agreement => agreement::requirements(options.small),
+            Experiment::Relay => relay::requirements(&TargetFleet::for_run(options.small)),
+            Experiment::Scoped => scoped::requirements(),
+            Experiment::Drain => drain::requirements(),
         }
     }
 
     fn run(self, run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
         match self {
-            Experiment::Slope(growth) => run.growth(report, growth),
+            Experiment::Slope(slope) => run.measure_slope(report, slope),
             Experiment::Agreement => agreement::run(run, report),
             Experiment::Relay => relay::run(run, report),
             Experiment::Scoped => scoped::run(run, report),
@@ -143,38 +149,39 @@
     }
 }
 
-/// What all experiments of a run share.
+/// The state that all experiments of a run share.
 struct ScaleRun {
-    host: Host,
+    launcher: Launcher,
+    /// The runtime of the simulated peers.
     runtime: Runtime,
-    pace: Pace,
+    durations: Durations,
     plays: usize,
     small: bool,
     recorder: Recorder,
 }
 
-/// Runs what the options ask for, prints it, and judges its bounds.
+/// Runs the selected experiments, prints and records their figures, and judges the bounds.
 pub fn run(report: &mut Report, options: &Options) -> Result<(), ScaleError> {
-    let experiments = Experiment::chosen(&options.only)?;
-    let need = experiments.iter().map(|one| one.need(options)).fold(Need::default(), Need::or);
-    guard::admit(need)?;
-    let (window, started) = (Duration::from_secs_f64(options.seconds), Started::default());
-    let pace = Pace { settle: (window / 2).max(SHORTEST_SETTLING), window };
-    let plays: usize = experiments.iter().map(|one| one.plays(options)).sum();
-    let within = (pace.settle + pace.window + PLAY_OVERHEAD) * plays as u32;
+    let experiments = Experiment::select(&options.only)?;
+    let requirements = experiments.iter().map(|experiment| experiment.requirements(options));
+    guard::check_requirements(requirements.fold(Requirements::default(), Requirements::max))?;
+    let (window, children) = (Duration::from_secs_f64(options.seconds), ChildProcesses::default());
+    let durations = Durations { settle: (window / 2).max(MIN_SETTLE_TIME), window };
+    let plays: usize = experiments.iter().map(|experiment| experiment.plays(options)).sum();
+    let timeout = (durations.settle + durations.window + MAX_PLAY_OVERHEAD) * plays as u32;
     let mut run = ScaleRun {
-        host: Host::new(Program::find()?, started.clone())?,
+        launcher: Launcher::new(Program::find()?, children.clone())?,
         runtime: runtime()?,
-        pace,
+        durations,
         plays: options.plays,
         small: options.small,
         recorder: Recorder::new(&options.beside),
     };
-    let _watchdog = Watchdog::start(started, within)?;
+    let _watchdog = Watchdog::start(children, timeout)?;
     let about = run.recorder.run();
     println!("run {} of commit {}, on {}", about.id, about.commit, about.machine);
-    // What was found before a failure is kept too.
-    let ended = experiments.into_iter().try_for_each(|experiment| experiment.run(&mut run, report));
+    // Results from before a failure are written too.
+    let result = experiments.into_iter().try_for_each(|experiment| experiment.run(&mut run, report));
     print_not_measured();
     if let Some(path) = &options.samples {
         run.recorder.write_samples(path)?;
@@ -182,52 +189,52 @@
     if let Some(path) = &options.out {
         run.recorder.merge_into(path)?;
     }
-    ended
+    result
 }
 
 fn runtime() -> Result<Runtime, ScaleError> {
     let built = Builder::new_multi_thread().worker_threads(PEER_THREADS).enable_all().build();
-    built.map_err(ScaleError::io("the runtime of the hollow peers"))
+    built.map_err(ScaleError::io("the runtime of the simulated peers"))
 }
 
 impl ScaleRun {
-    /// Plays each size of a growth and fits each figure.
-    fn growth(&mut self, report: &mut Report, growth: &Growth) -> Result<(), ScaleError> {
-        let mut played: Vec<(usize, Cost)> = Vec::new();
-        // All sizes once, then all once more: what else runs on the machine meanwhile touches all of them alike.
+    /// Measures each size of a slope experiment and fits each figure.
+    fn measure_slope(&mut self, report: &mut Report, slope: &SlopeExperiment) -> Result<(), ScaleError> {
+        let mut costs: Vec<(usize, Cost)> = Vec::new();
+        // Each round plays every size once, so that other load on the machine affects all sizes alike.
         for _ in 0..self.plays {
-            for size in growth.sizes(self.small) {
-                let cost = self.runtime.block_on(growth.play(&self.host, *size, self.pace))?;
-                played.push((*size, cost));
+            for size in slope.sizes(self.small) {
+                let cost = self.runtime.block_on(slope.measure(&self.launcher, *size, self.durations))?;
+                costs.push((*size, cost));
             }
         }
-        println!("\na {} against {}, {} plays of each size", growth.role(), growth.against, self.plays);
+        println!("\na {} against {}, {} plays of each size", slope.role(), slope.against, self.plays);
         for figure in FIGURES {
             let sample =
-                |(size, cost): &(usize, Cost)| Sample { size: *size as f64, value: (figure.of)(cost) };
-            let samples: Vec<Sample> = played.iter().map(sample).collect();
-            let subject = Subject { role: growth.role(), figure: figure.name, unit: figure.unit };
-            self.fitted(report, subject, growth.against, &samples);
+                |(size, cost): &(usize, Cost)| Sample { size: *size as f64, value: (figure.value)(cost) };
+            let samples: Vec<Sample> = costs.iter().map(sample).collect();
+            let subject = Subject { role: slope.role(), figure: figure.name, unit: figure.unit };
+            self.fit_and_judge(report, subject, slope.against, &samples);
         }
         Ok(())
     }
 
-    /// Prints and keeps one figure.
-    fn kept(&mut self, subject: Subject, against: &str, samples: &[Sample], fit: &Fit) {
+    /// Prints and records the fit of one figure.
+    fn print_and_record(&mut self, subject: Subject, against: &str, samples: &[Sample], fit: &Fit) {
         print_fit(subject, fit);
-        self.recorder.slope(subject, against, samples, fit);
+        self.recorder.add_slope(subject, against, samples, fit);
     }
 
-    /// Fits, prints, keeps and judges one figure.
-    fn fitted(&mut self, report: &mut Report, subject: Subject, against: &str, samples: &[Sample]) {
-        let Some(fit) = Fit::of(samples) else { return };
-        self.kept(subject, against, samples, &fit);
-        let growth = judge::Growth::of(&fit, subject.unit);
-        report.bound(&format!("{}: growth", subject.figure), growth, growth.holds());
+    /// Fits, prints, records and judges one figure.
+    fn fit_and_judge(&mut self, report: &mut Report, subject: Subject, against: &str, samples: &[Sample]) {
+        let Some(fit) = Fit::from_samples(samples) else { return };
+        self.print_and_record(subject, against, samples, &fit);
+        let growth = judge::Growth::from_fit(&fit, subject.unit);
+        report.bound(&format!("{}: growth", subject.figure), growth, growth.is_within_limit());
     }
 
-    /// A bound in absolute terms: the small form prints it, and judges ratios alone.
-    fn absolute(&self, report: &mut Report, name: &str, value: &str, holds: bool) {
+    /// Judges a bound on an absolute value. A small run only prints the value, since it judges ratios alone.
+    fn absolute_bound(&self, report: &mut Report, name: &str, value: &str, holds: bool) {
         if self.small {
             report.figure(name, value);
         } else {
@@ -237,25 +244,25 @@
 }
 
 fn print_fit(subject: Subject, fit: &Fit) {
-    let shape = if fit.straight() { "straight" } else { "NOT straight" };
+    let shape = if fit.is_straight() { "straight" } else { "NOT straight" };
     println!(
-        "{:<16} {} + {} * size; r2 {:.4}, worst residual {:.1}%, {shape} (bend {:.1}%, by chance {:.3})",
+        "{:<16} {} + {} * size; r2 {:.4}, worst residual {:.1}%, {shape} (means off by {:.1}%, p-value {:.3})",
         subject.figure,
-        value(fit.fixed, subject.unit),
-        value(fit.each, subject.unit),
+        format_value(fit.intercept, subject.unit),
+        format_value(fit.slope, subject.unit),
         fit.r_squared,
         fit.worst_residual * 100.0,
-        fit.bend * 100.0,
-        fit.chance_of_bend,
+        fit.mean_deviation * 100.0,
+        fit.lack_of_fit_p_value,
     );
     let means = fit.sizes.iter().zip(&fit.means);
     let means: Vec<String> =
-        means.map(|(size, mean)| format!("{size}: {}", value(*mean, subject.unit))).collect();
+        means.map(|(size, mean)| format!("{size}: {}", format_value(*mean, subject.unit))).collect();
     println!("{:<16} {}", "", means.join(", "));
 }
 
-/// With a unit that keeps it readable.
-fn value(value: f64, unit: &str) -> String {
+/// Formats a value with its unit, scaled so that it is readable.
+fn format_value(value: f64, unit: &str) -> String {
     match unit {
         "B" | "B/s" if value.abs() >= 1e6 => format!("{:.2} M{unit}", value / 1e6),
         "B" | "B/s" if value.abs() >= 1e3 => format!("{:.2} k{unit}", value / 1e3),
@@ -271,14 +278,14 @@
     }
 }
 
-/// What a scale run leaves out.
+/// What a scale run does not measure, printed at its end.
 const NOT_MEASURED: [&str; 8] = [
-    "probes of workers: the settings of these scenarios allow none",
-    "proxies that report what came to them (`demand`)",
-    "NETCONF sessions (see `-- netconf`)",
-    "managers on links slower than the loopback",
-    "more than one size growing at once",
-    "a scoped manager with proxies and reports at the ordinary churn (drains alone are timed there)",
-    "relays of relays, and 51 relays at once",
-    "whether each proxy that held a drained worker was told: hollow proxies keep no table (the trials check it)",
+    "probes of workers: the settings of these scenarios disable them",
+    "proxies that report their demand (`demand`)",
+    "NETCONF sessions: see the experiment `netconf`",
+    "links slower than the loopback interface",
+    "several sizes that grow at the same time",
+    "a scoped manager with proxies and reports on an ordinary day: only its drains are timed",
+    "relays that subscribe to relays, and 51 relays at the same time",
+    "whether every proxy that has a drained worker gets the order: simulated proxies keep no table (see the trials)",
 ];
--- a/crates/lab/src/scale/record.rs
+++ b/crates/lab/src/scale/record.rs
@@ -1,4 +1,4 @@
-//! What a run found: raw samples as JSON lines, and slopes and readings in the form of [`crate::measured`].
+//! The results of a run: raw samples as JSON lines, and slopes and readings in the form of [`crate::measured`].
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use super::fit::{Fit, Sample};
 use crate::measured::{Measurements, Reading, Run, Slope};
 
-/// What a value is of.
+/// The role, figure and unit that a value belongs to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Subject<'a> {
     pub role: &'a str,
@@ -20,29 +20,29 @@
     pub unit: &'a str,
 }
 
-/// One value of one play, as a line of the file of samples.
+/// One value of one play: a line of the samples file.
 #[derive(Clone, Debug, Serialize)]
 struct RawSample {
     run: String,
     role: String,
     figure: String,
     unit: String,
-    /// What the size counts, or the conditions where there is no size.
+    /// What the size counts, or the conditions of a reading without a size.
     against: String,
     size: Option<f64>,
     play: usize,
     value: f64,
 }
 
-/// Gathers all that a run finds.
+/// Collects the results of a run.
 pub struct Recorder {
-    found: Measurements,
-    raw: Vec<RawSample>,
-    run: String,
+    measurements: Measurements,
+    raw_samples: Vec<RawSample>,
+    run_id: String,
 }
 
 impl Recorder {
-    /// `beside`: what else runs on the machine.
+    /// Starts the record of a run now. `beside` names what else runs on the machine.
     pub fn new(beside: &str) -> Recorder {
         let now = OffsetDateTime::now_utc();
         let at = now.replace_nanosecond(0).unwrap_or(now).format(&Rfc3339).unwrap_or_default();
@@ -54,54 +54,61 @@
             command: command_line(),
             machine: format!("{}, {beside}", machine()),
         };
-        let found = Measurements { runs: vec![run], ..Measurements::default() };
-        Recorder { found, raw: Vec::new(), run: id }
+        let measurements = Measurements { runs: vec![run], ..Measurements::default() };
+        Recorder { measurements, raw_samples: Vec::new(), run_id: id }
     }
 
-    /// The run, for its heading.
+    /// The run's id, commit, time, command and machine.
     pub fn run(&self) -> &Run {
-        &self.found.runs[0]
+        &self.measurements.runs[0]
     }
 
-    /// Samples of several sizes and the line through them.
-    pub fn slope(&mut self, subject: Subject, against: &str, samples: &[Sample], fit: &Fit) {
+    /// Adds the samples of several sizes and the line fitted to them.
+    pub fn add_slope(&mut self, subject: Subject, against: &str, samples: &[Sample], fit: &Fit) {
         let plays = samples.len() / fit.sizes.len();
         for (number, sample) in samples.iter().enumerate() {
-            self.raw(subject, against, Some(sample.size), number % plays, sample.value);
+            self.add_raw_sample(subject, against, Some(sample.size), number % plays, sample.value);
         }
-        self.found.slopes.push(Slope {
+        self.measurements.slopes.push(Slope {
             role: subject.role.into(),
             figure: subject.figure.into(),
             against: against.into(),
             unit: subject.unit.into(),
-            fixed: fit.fixed,
-            each: fit.each,
+            fixed: fit.intercept,
+            each: fit.slope,
             r_squared: fit.r_squared,
             worst_residual: fit.worst_residual,
-            straight: fit.straight(),
+            straight: fit.is_straight(),
             sizes: fit.sizes.clone(),
             means: fit.means.clone(),
             plays,
-            run: self.run.clone(),
+            run: self.run_id.clone(),
         });
     }
 
-    /// A figure at one size.
-    pub fn reading(&mut self, subject: Subject, at: &str, value: f64) {
-        self.raw(subject, at, None, 0, value);
-        self.found.readings.push(Reading {
+    /// Adds a figure measured under one set of conditions.
+    pub fn add_reading(&mut self, subject: Subject, at: &str, value: f64) {
+        self.add_raw_sample(subject, at, None, 0, value);
+        self.measurements.readings.push(Reading {
             role: subject.role.into(),
             figure: subject.figure.into(),
             at: at.into(),
             unit: subject.unit.into(),
             value,
-            run: self.run.clone(),
+            run: self.run_id.clone(),
         });
     }
 
-    fn raw(&mut self, subject: Subject, against: &str, size: Option<f64>, play: usize, value: f64) {
-        self.raw.push(RawSample {
-            run: self.run.clone(),
+    fn add_raw_sample(
+        &mut self,
+        subject: Subject,
+        against: &str,
+        size: Option<f64>,
+        play: usize,
+        value: f64,
+    ) {
+        self.raw_samples.push(RawSample {
+            run: self.run_id.clone(),
             role: subject.role.into(),
             figure: subject.figure.into(),
             unit: subject.unit.into(),
@@ -112,25 +119,25 @@
         });
     }
 
-    /// Writes the raw samples, one JSON object a line.
+    /// Writes the raw samples, one JSON object per line.
     pub fn write_samples(&self, path: &Path) -> Result<(), ScaleError> {
         let mut text = String::new();
-        for sample in &self.raw {
-            text += &serde_json::to_string(sample).map_err(json(path))?;
+        for sample in &self.raw_samples {
+            text += &serde_json::to_string(sample).map_err(json_error(path))?;
             text.push('\n');
         }
         fs::write(path, text).map_err(ScaleError::io(path.display().to_string()))
     }
 
-    /// Puts what was found into a file of measurements, which keeps all else that it has.
+    /// Merges the results into a measurements file, whose other entries stay.
     pub fn merge_into(&self, path: &Path) -> Result<(), ScaleError> {
-        let kept = match fs::read_to_string(path) {
-            Ok(text) => serde_json::from_str(&text).map_err(json(path))?,
-            Err(why) if why.kind() == std::io::ErrorKind::NotFound => Measurements::default(),
-            Err(why) => return Err(ScaleError::io(path.display().to_string())(why)),
+        let existing = match fs::read_to_string(path) {
+            Ok(text) => serde_json::from_str(&text).map_err(json_error(path))?,
+            Err(error) if error.kind() == std::io::ErrorKind::NotFound => Measurements::default(),
+            Err(error) => return Err(ScaleError::io(path.display().to_string())(error)),
         };
-        let merged = merged(kept, self.found.clone());
-        let text = serde_json::to_string_pretty(&merged).map_err(json(path))?;
+        let merged = merge(existing, self.measurements.clone());
+        let text = serde_json::to_string_pretty(&merged).map_err(json_error(path))?;
         if let Some(folder) = path.parent() {
             fs::create_dir_all(folder).map_err(ScaleError::io(folder.display().to_string()))?;
         }
@@ -138,32 +145,35 @@
     }
 }
 
-fn json(path: &Path) -> impl FnOnce(serde_json::Error) -> ScaleError {
+/// Returns a function for `map_err` that adds the path to a JSON error.
+fn json_error(path: &Path) -> impl FnOnce(serde_json::Error) -> ScaleError {
     let path = path.to_path_buf();
     move |cause| ScaleError::Json { path, cause }
 }
 
-/// Newer slopes and readings take the place of older ones of the same key; runs that nothing names any more go.
-pub fn merged(older: Measurements, newer: Measurements) -> Measurements {
-    let mut all = newer;
-    let slope = |of: &Slope| (of.role.clone(), of.figure.clone(), of.against.clone());
-    let reading = |of: &Reading| (of.role.clone(), of.figure.clone(), of.at.clone());
-    let new_slopes: Vec<_> = all.slopes.iter().map(slope).collect();
-    let new_readings: Vec<_> = all.readings.iter().map(reading).collect();
-    let slopes = older.slopes.into_iter().filter(|of| !new_slopes.contains(&slope(of)));
-    let readings = older.readings.into_iter().filter(|of| !new_readings.contains(&reading(of)));
-    all.slopes = slopes.chain(all.slopes).collect();
-    all.readings = readings.chain(all.readings).collect();
-    let own: Vec<String> = all.runs.iter().map(|run| run.id.clone()).collect();
-    let named = |run: &Run| {
-        all.slopes.iter().any(|of| of.run == run.id) || all.readings.iter().any(|of| of.run == run.id)
+/// Merges two measurements. Newer slopes and readings replace older ones of the same key, and older runs that no slope
+/// or reading refers to any more are removed.
+pub fn merge(older: Measurements, newer: Measurements) -> Measurements {
+    let mut merged = newer;
+    let slope_key = |slope: &Slope| (slope.role.clone(), slope.figure.clone(), slope.against.clone());
+    let reading_key = |reading: &Reading| (reading.role.clone(), reading.figure.clone(), reading.at.clone());
+    let new_slopes: Vec<_> = merged.slopes.iter().map(slope_key).collect();
+    let new_readings: Vec<_> = merged.readings.iter().map(reading_key).collect();
+    let slopes = older.slopes.into_iter().filter(|slope| !new_slopes.contains(&slope_key(slope)));
+    let readings = older.readings.into_iter().filter(|reading| !new_readings.contains(&reading_key(reading)));
+    merged.slopes = slopes.chain(merged.slopes).collect();
+    merged.readings = readings.chain(merged.readings).collect();
+    let new_runs: Vec<String> = merged.runs.iter().map(|run| run.id.clone()).collect();
+    let is_referenced = |run: &Run| {
+        merged.slopes.iter().any(|slope| slope.run == run.id)
+            || merged.readings.iter().any(|reading| reading.run == run.id)
     };
-    let runs = older.runs.into_iter().filter(|run| !own.contains(&run.id) && named(run));
-    all.runs = runs.chain(all.runs.clone()).collect();
-    all
+    let runs = older.runs.into_iter().filter(|run| !new_runs.contains(&run.id) && is_referenced(run));
+    merged.runs = runs.chain(merged.runs.clone()).collect();
+    merged
 }
 
-/// The commit that is measured, as git names it; a dirty tree says so.
+/// The abbreviated hash of the checked-out commit, with a note if tracked files have changes.
 fn commit() -> String {
     let git = |arguments: &[&str]| {
         let output = Command::new("git").arg("-C").arg(env!("CARGO_MANIFEST_DIR")).args(arguments).output();
@@ -171,24 +181,25 @@
         Some(String::from_utf8_lossy(&output.stdout).trim().to_string())
     };
     let Some(hash) = git(&["rev-parse", "--short", "HEAD"]) else { return "unknown".into() };
-    let changed =
+    let has_changes =
         git(&["status", "--porcelain", "--untracked-files=no"]).is_some_and(|text| !text.is_empty());
-    if changed {
+    if has_changes {
         return format!("{hash} with changes");
     }
     hash
 }
 
-/// The command, of whose files only the names are told.
+/// The command line, with paths shortened to their file names.
 fn command_line() -> String {
-    let name = |argument: String| match Path::new(&argument).file_name() {
+    let file_name = |argument: String| match Path::new(&argument).file_name() {
         Some(name) => name.to_string_lossy().into_owned(),
         None => argument,
     };
-    let arguments: Vec<String> = std::env::args().map(name).collect();
+    let arguments: Vec<String> = std::env::args().map(file_name).collect();
     arguments.join(" ")
 }
 
+/// The number of processors and the memory of the machine.
 fn machine() -> String {
     let processors = std::thread::available_parallelism().map_or(0, usize::from);
     let memory = fs::read_to_string("/proc/meminfo").unwrap_or_default();
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -1,5 +1,5 @@
-//! Relays: what one costs with a whole site of subscribers, how soon a change reaches the last of them, and what happens as
-//! a neighbour dies and its subscribers come too.
+//! Relays: the resources that a relay uses with all subscribers of a site, the time until a change reaches the last of
+//! them, and both again when another relay, its neighbour, dies and its subscribers move to this one.
 
 use std::time::{Duration, Instant};
 
@@ -7,273 +7,328 @@
 use tokio::time::{interval, sleep, sleep_until};
 
 use super::error::ScaleError;
-use super::guard::Need;
-use super::measured_process::{Host, Role, WITHIN};
+use super::guard::Requirements;
+use super::measured_process::{Launcher, MeasuredProcess, WAIT_TIMEOUT};
 use super::record::Subject;
-use super::scenario::{cost, Bytes, Cost, Pace};
+use super::scenario::{measure_cost, ByteCounts, Cost, Durations};
 use super::simulated::{Arrival, Change, Discovery, Fleet, Subscribers, Watch};
-use super::target_fleet::Letter;
+use super::target_fleet::TargetFleet;
 use super::ScaleRun;
 use crate::report::Report;
 
-/// Changes have to be in force everywhere within this time, and are wanted within the other.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(11);
-const IN_FORCE_AIM: Duration = Duration::from_secs(1);
-/// Timed changes a second on an ordinary day, which are among its changes.
+/// The limit on the time until a change is in force everywhere.
+const MAX_TIME_TO_IN_FORCE: Duration = Duration::from_secs(11);
+/// The desired time until a change is in force everywhere, below the limit.
+const TARGET_TIME_TO_IN_FORCE: Duration = Duration::from_secs(1);
+/// The timed changes per second on an ordinary day; they are part of that day's changes.
 const TIMED_PER_SECOND: f64 = 1.0;
-/// As the neighbour dies, so that some come while its subscribers have no relay.
-const TIMED_PER_SECOND_AT_DEATH: f64 = 5.0;
-/// Timed changes are of workers of this service, which every subscriber needs besides its own.
+/// The timed changes per second while the neighbour dies, enough that some fall into the time in which its subscribers
+/// have no relay.
+const TIMED_PER_SECOND_AT_FAILURE: f64 = 5.0;
+/// Timed changes are of workers of this service, which every subscriber has in its scope besides a service of its own.
 const COMMON_SERVICE: usize = 0;
-/// A relay that is not in step yet is asked again so much later.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-const RELAY_MEMORY: u64 = 512 << 20;
+/// The time between attempts to read the list from a relay that has not synchronized yet.
+const SYNC_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// An upper limit on the memory of a relay.
+const MAX_RELAY_BYTES: u64 = 512 << 20;
 
-/// A relay that runs, and where it serves.
+/// A running relay and the address that it serves.
 pub struct Relay {
-    pub role: Role,
+    pub process: MeasuredProcess,
     pub address: std::net::SocketAddr,
 }
 
 impl Relay {
-    /// Starts one that takes the list from this source.
-    pub async fn start(host: &Host, source: std::net::SocketAddr) -> Result<Relay, ScaleError> {
-        let folder = host.folder("relay")?;
+    /// Starts a relay that reads the list from this source.
+    pub async fn start(launcher: &Launcher, source: std::net::SocketAddr) -> Result<Relay, ScaleError> {
+        let folder = launcher.create_folder("relay")?;
         let source = source.to_string();
         let arguments = ["relay", "--listen", "127.0.0.1:0", "--source", &source].map(String::from);
-        let mut role = host.start(&folder, &arguments, &[])?;
-        let address = role.address().await?;
-        Ok(Relay { role, address })
+        let mut process = launcher.start(&folder, &arguments, &[])?;
+        let address = process.wait_for_address().await?;
+        Ok(Relay { process, address })
     }
 
-    /// Waits until it serves the list: before, it refuses all who ask. A service is asked for, so that little is sent.
-    async fn until_in_step(&self, letter: &Letter) -> Result<(), ScaleError> {
-        let begun = Instant::now();
-        let query = letter.query(&[COMMON_SERVICE]);
-        while begun.elapsed() < WITHIN {
+    /// Waits until the relay serves the list; it rejects all requests before it has synchronized with its source. The
+    /// scope of one service keeps the answer small.
+    async fn wait_until_synchronized(&self, fleet: &TargetFleet) -> Result<(), ScaleError> {
+        let started = Instant::now();
+        let query = fleet.query(&[COMMON_SERVICE]);
+        while started.elapsed() < WAIT_TIMEOUT {
             if let Ok(mut watch) = Watch::open(self.address, &query).await {
                 if watch.next().await.is_ok() {
                     return Ok(());
                 }
             }
-            sleep(ASK_AGAIN).await;
+            sleep(SYNC_RETRY_INTERVAL).await;
         }
-        Err(self.role.overdue("a relay in step with its source"))
+        Err(self.process.timeout_error("the relay to synchronize with its source"))
     }
 }
 
-pub fn need(letter: &Letter) -> Need {
-    Need {
-        memory: 3 * RELAY_MEMORY,
+/// The resources that the relays and their simulated peers need.
+pub fn requirements(fleet: &TargetFleet) -> Requirements {
+    Requirements {
+        memory_bytes: 3 * MAX_RELAY_BYTES,
         processes: 2,
-        // A socket for each subscriber, and those of the source.
-        sockets: 2 * letter.subscribers as u64 + 8,
+        // One socket for each subscriber of both relays, and those of the source.
+        sockets: 2 * fleet.subscribers as u64 + 8,
     }
 }
 
-/// What a relay costs on an ordinary day with these sizes.
-pub async fn ordinary_cost(host: &Host, letter: &Letter, pace: Pace) -> Result<Cost, ScaleError> {
-    let discovery = Discovery::start(letter.fleet()).await?;
-    let mut relay = Relay::start(host, discovery.address).await?;
-    relay.until_in_step(letter).await?;
-    let queries = (0..letter.subscribers).map(|number| letter.query(&[number]));
+/// Measures a relay with these sizes and changes on an ordinary day.
+pub async fn measure_relay(
+    launcher: &Launcher,
+    fleet: &TargetFleet,
+    durations: Durations,
+) -> Result<Cost, ScaleError> {
+    let discovery = Discovery::start(fleet.to_fleet()).await?;
+    let mut relay = Relay::start(launcher, discovery.address).await?;
+    relay.wait_until_synchronized(fleet).await?;
+    let queries = (0..fleet.subscribers).map(|number| fleet.query(&[number]));
     let subscribers = Subscribers::start(&[relay.address], queries);
-    relay.role.until("lists at all subscribers", || subscribers.listed() == letter.subscribers).await?;
-    let _churn = discovery.churn(letter.changes_per_second);
-    let bytes = || Bytes { into: discovery.traffic().sent(), out: subscribers.traffic().received() };
-    cost(&relay.role, pace, bytes).await
+    let all_listed = || subscribers.listed() == fleet.subscribers;
+    relay.process.wait_for("the list at all subscribers", all_listed).await?;
+    let _churn = discovery.churn(fleet.changes_per_second);
+    let bytes =
+        || ByteCounts { received: discovery.traffic().sent(), sent: subscribers.traffic().received() };
+    measure_cost(&relay.process, durations, bytes).await
 }
 
-/// A change that is timed: its number is carried in the entry as the worker's start time.
+/// A change whose propagation is timed. The worker's entry carries its number as the start time.
 #[derive(Clone, Copy)]
-struct Timed {
+struct TimedChange {
     number: usize,
-    at: Instant,
+    made_at: Instant,
 }
 
-/// How long timed changes took.
+/// The propagation delays of timed changes.
 struct Delays {
-    /// To each subscriber, in microseconds.
-    each: Histogram<u64>,
-    /// Until the last subscriber had it, in microseconds.
-    last: Histogram<u64>,
+    /// The delays to each subscriber, in microseconds.
+    each_us: Histogram<u64>,
+    /// The delays to the last subscriber, in microseconds.
+    last_us: Histogram<u64>,
     /// Changes that did not reach every subscriber.
     lost: usize,
 }
 
+/// Measures a relay on an ordinary day and while its neighbour dies, and judges the delays.
 pub fn run(run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
-    let letter = Letter::of(run.small);
-    let found = run.runtime.block_on(play(&run.host, &letter, run.pace))?;
-    let (ordinary, death) = (&found.ordinary, &found.at_death);
-    println!("\na relay of {} workers with {} subscribers", letter.workers, letter.subscribers);
-    cost_of(run, report, &format!("ordinary day, {} subscribers", letter.subscribers), &ordinary.cost);
-    delays_of(run, report, "ordinary day", &ordinary.delays);
-    println!("\nits neighbour dies, and {} subscribers come too", found.cut_off);
-    cost_of(run, report, &format!("neighbour died, {} subscribers", 2 * letter.subscribers), &death.cost);
-    delays_of(run, report, "neighbour died", &death.delays);
-    let back = found.all_back.as_secs_f64();
+    let fleet = TargetFleet::for_run(run.small);
+    let outcome = run.runtime.block_on(measure_takeover(&run.launcher, &fleet, run.durations))?;
+    let (ordinary, failure) = (&outcome.ordinary, &outcome.failure);
+    println!("\na relay of {} workers with {} subscribers", fleet.workers, fleet.subscribers);
+    report_cost(run, report, &format!("ordinary day, {} subscribers", fleet.subscribers), &ordinary.cost);
+    report_delays(run, report, "ordinary day", &ordinary.delays);
+    println!("\nits neighbour dies, and {} more subscribers connect", outcome.moved_subscribers);
+    report_cost(
+        run,
+        report,
+        &format!("neighbour died, {} subscribers", 2 * fleet.subscribers),
+        &failure.cost,
+    );
+    report_delays(run, report, "neighbour died", &failure.delays);
+    let takeover_seconds = outcome.takeover.as_secs_f64();
     let name = "until the last of the neighbour's subscribers is served";
     let subject = Subject { role: "relay", figure: name, unit: "ms" };
-    run.recorder.reading(subject, "neighbour died", back * 1000.0);
-    run.absolute(report, name, &format!("{back:.3} s (limit 11, aim 1)"), found.all_back <= IN_FORCE_WITHIN);
+    run.recorder.add_reading(subject, "neighbour died", takeover_seconds * 1000.0);
+    run.absolute_bound(
+        report,
+        name,
+        &format!("{takeover_seconds:.3} s (limit 11, target 1)"),
+        outcome.takeover <= MAX_TIME_TO_IN_FORCE,
+    );
     Ok(())
 }
 
-fn cost_of(run: &mut ScaleRun, report: &Report, at: &str, cost: &Cost) {
+/// Prints and records the figures of a cost.
+fn report_cost(run: &mut ScaleRun, report: &Report, at: &str, cost: &Cost) {
     for figure in super::scenario::FIGURES {
-        let value = (figure.of)(cost);
-        report.figure(&format!("relay, {at}: {}", figure.name), super::value(value, figure.unit));
-        run.recorder.reading(Subject { role: "relay", figure: figure.name, unit: figure.unit }, at, value);
+        let value = (figure.value)(cost);
+        report.figure(&format!("relay, {at}: {}", figure.name), super::format_value(value, figure.unit));
+        run.recorder.add_reading(
+            Subject { role: "relay", figure: figure.name, unit: figure.unit },
+            at,
+            value,
+        );
     }
 }
 
-fn delays_of(run: &mut ScaleRun, report: &mut Report, at: &str, delays: &Delays) {
-    let ms = |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-    let kinds = [("a subscriber", &delays.each), ("the last subscriber", &delays.last)];
-    for (whom, histogram) in kinds {
+/// Prints and records the delays and judges the slowest one.
+fn report_delays(run: &mut ScaleRun, report: &mut Report, at: &str, delays: &Delays) {
+    let quantile_ms =
+        |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
+    let kinds = [("a subscriber", &delays.each_us), ("the last subscriber", &delays.last_us)];
+    for (receiver, histogram) in kinds {
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99)] {
-            let figure = format!("a change until {whom} has it, {name}");
-            let value = ms(histogram, quantile);
+            let figure = format!("a change until {receiver} has it, {name}");
+            let value = quantile_ms(histogram, quantile);
             report.figure(&format!("{figure}, {at}"), format!("{value:.2} ms"));
-            run.recorder.reading(Subject { role: "relay", figure: &figure, unit: "ms" }, at, value);
+            run.recorder.add_reading(Subject { role: "relay", figure: &figure, unit: "ms" }, at, value);
         }
     }
-    let worst = Duration::from_micros(delays.last.max());
-    let slowest = format!(
-        "{:.3} s (limit {}, aim {})",
-        worst.as_secs_f64(),
-        IN_FORCE_WITHIN.as_secs(),
-        IN_FORCE_AIM.as_secs()
+    let max = Duration::from_micros(delays.last_us.max());
+    let shown = format!(
+        "{:.3} s (limit {}, target {})",
+        max.as_secs_f64(),
+        MAX_TIME_TO_IN_FORCE.as_secs(),
+        TARGET_TIME_TO_IN_FORCE.as_secs()
     );
-    run.absolute(
+    run.absolute_bound(
         report,
-        &format!("{at}: the slowest of {} changes at the last subscriber", delays.last.len()),
-        &slowest,
-        !delays.last.is_empty() && worst <= IN_FORCE_WITHIN,
+        &format!("{at}: maximum delay of {} changes to the last subscriber", delays.last_us.len()),
+        &shown,
+        !delays.last_us.is_empty() && max <= MAX_TIME_TO_IN_FORCE,
+    );
+    report.bound(
+        &format!("{at}: changes that did not reach every subscriber"),
+        delays.lost,
+        delays.lost == 0,
     );
-    report.bound(&format!("{at}: changes that did not reach all"), delays.lost, delays.lost == 0);
 }
 
+/// The results of one phase of the experiment.
 struct Phase {
     cost: Cost,
     delays: Delays,
 }
 
-struct Found {
+/// The results of the experiment.
+struct Takeover {
     ordinary: Phase,
-    at_death: Phase,
-    /// Subscribers that the neighbour had; one that is served too late at the start goes to the other relay.
-    cut_off: usize,
-    /// From the neighbour's death until the last of its subscribers was served.
-    all_back: Duration,
+    failure: Phase,
+    /// The subscribers that the neighbour had. A subscriber that it served too late at the start uses the other relay.
+    moved_subscribers: usize,
+    /// The time from the neighbour's death until the last of its subscribers was served.
+    takeover: Duration,
 }
 
-async fn play(host: &Host, letter: &Letter, pace: Pace) -> Result<Found, ScaleError> {
-    let discovery = Discovery::start(letter.fleet()).await?;
-    let mut relay = Relay::start(host, discovery.address).await?;
-    let mut neighbour = Relay::start(host, discovery.address).await?;
-    let queries = |from: usize| {
-        (from..from + letter.subscribers)
-            .map(|number| letter.query(&[COMMON_SERVICE, 1 + number]))
+/// Starts two relays with subscribers, measures one of them on an ordinary day, kills the other and measures again.
+async fn measure_takeover(
+    launcher: &Launcher,
+    fleet: &TargetFleet,
+    durations: Durations,
+) -> Result<Takeover, ScaleError> {
+    let discovery = Discovery::start(fleet.to_fleet()).await?;
+    let mut relay = Relay::start(launcher, discovery.address).await?;
+    let mut neighbour = Relay::start(launcher, discovery.address).await?;
+    let queries = |first: usize| {
+        (first..first + fleet.subscribers)
+            .map(|number| fleet.query(&[COMMON_SERVICE, 1 + number]))
             .collect::<Vec<_>>()
     };
-    relay.until_in_step(letter).await?;
-    neighbour.until_in_step(letter).await?;
+    relay.wait_until_synchronized(fleet).await?;
+    neighbour.wait_until_synchronized(fleet).await?;
     let own = Subscribers::start(&[relay.address], queries(0));
-    let others = Subscribers::start(&[neighbour.address, relay.address], queries(letter.subscribers));
-    relay.role.until("lists at all subscribers", || own.listed() == letter.subscribers).await?;
-    neighbour.role.until("lists at the neighbour's", || others.listed() == letter.subscribers).await?;
-    // The timed changes are among the ordinary ones.
-    let _churn = discovery.churn(letter.changes_per_second - TIMED_PER_SECOND);
-    let timing = Timing { discovery: &discovery, fleet: letter.fleet(), next: Default::default() };
-    let bytes = || Bytes {
-        // Two relays watch the one source alike.
-        into: discovery.traffic().sent() / 2,
-        out: own.traffic().received() + others.traffic().received(),
+    let others = Subscribers::start(&[neighbour.address, relay.address], queries(fleet.subscribers));
+    let own_listed = || own.listed() == fleet.subscribers;
+    relay.process.wait_for("the list at all subscribers", own_listed).await?;
+    let others_listed = || others.listed() == fleet.subscribers;
+    neighbour.process.wait_for("the list at the neighbour's subscribers", others_listed).await?;
+    // The timed changes are part of the ordinary ones.
+    let _churn = discovery.churn(fleet.changes_per_second - TIMED_PER_SECOND);
+    let changes = TimedChanges { discovery: &discovery, fleet: fleet.to_fleet(), last: Default::default() };
+    let bytes = || ByteCounts {
+        // Both relays read the same from the source.
+        received: discovery.traffic().sent() / 2,
+        sent: own.traffic().received() + others.traffic().received(),
     };
-    let own_bytes = || Bytes { out: own.traffic().received(), ..bytes() };
-    let day = Pace { window: pace.window * letter.relay_windows, ..pace };
-    let (cost_ordinary, timed) =
-        tokio::join!(cost(&relay.role, day, own_bytes), timing.changes(TIMED_PER_SECOND, day));
+    let own_bytes = || ByteCounts { sent: own.traffic().received(), ..bytes() };
+    let ordinary_durations = Durations { window: durations.window * fleet.relay_windows, ..durations };
+    let (ordinary_cost, timed) = tokio::join!(
+        measure_cost(&relay.process, ordinary_durations, own_bytes),
+        changes.make(TIMED_PER_SECOND, ordinary_durations)
+    );
     sleep(Duration::from_secs(1)).await;
-    let reached = [own.take_arrivals(), others.take_arrivals()];
-    let ordinary = Phase { cost: cost_ordinary?, delays: delays(&timed, &reached, letter, &timing) };
-    let (died, cut_off) = (Instant::now(), others.listed_at_first());
-    neighbour.role.kill();
-    let at_once = Pace { settle: Duration::ZERO, ..pace };
-    let (cost_death, timed) =
-        tokio::join!(cost(&relay.role, at_once, bytes), timing.changes(TIMED_PER_SECOND_AT_DEATH, at_once));
-    let moved = || others.listed_at_first() == 0 && others.listed() == letter.subscribers;
-    relay.role.until("the neighbour's subscribers", moved).await?;
+    let arrivals = [own.take_arrivals(), others.take_arrivals()];
+    let ordinary = Phase { cost: ordinary_cost?, delays: delays(&timed, &arrivals, fleet, &changes) };
+    let (killed_at, moved_subscribers) = (Instant::now(), others.listed_at_first());
+    neighbour.process.kill();
+    let failure_durations = Durations { settle: Duration::ZERO, ..durations };
+    let (failure_cost, timed) = tokio::join!(
+        measure_cost(&relay.process, failure_durations, bytes),
+        changes.make(TIMED_PER_SECOND_AT_FAILURE, failure_durations)
+    );
+    let all_moved = || others.listed_at_first() == 0 && others.listed() == fleet.subscribers;
+    relay.process.wait_for("the neighbour's subscribers", all_moved).await?;
     sleep(Duration::from_secs(1)).await;
-    let reached = [own.take_arrivals(), others.take_arrivals()];
-    let at_death = Phase { cost: cost_death?, delays: delays(&timed, &reached, letter, &timing) };
-    let all_back = others.last_listed().unwrap_or(died).saturating_duration_since(died);
-    Ok(Found { ordinary, at_death, cut_off, all_back })
+    let arrivals = [own.take_arrivals(), others.take_arrivals()];
+    let failure = Phase { cost: failure_cost?, delays: delays(&timed, &arrivals, fleet, &changes) };
+    let takeover = others.last_listed().unwrap_or(killed_at).saturating_duration_since(killed_at);
+    Ok(Takeover { ordinary, failure, moved_subscribers, takeover })
 }
 
 /// Makes timed changes, each of the next worker of the common service.
-struct Timing<'a> {
+struct TimedChanges<'a> {
     discovery: &'a Discovery,
     fleet: Fleet,
-    next: std::cell::Cell<usize>,
+    /// The number of the last change.
+    last: std::cell::Cell<usize>,
 }
 
-impl Timing<'_> {
-    fn workers(&self) -> usize {
+impl TimedChanges<'_> {
+    /// The number of workers that are changed in turn.
+    fn worker_count(&self) -> usize {
         self.fleet.workers_of(COMMON_SERVICE).count()
     }
 
-    /// So many a second for as long as a play lasts.
-    async fn changes(&self, per_second: f64, pace: Pace) -> Vec<Timed> {
-        let ends = tokio::time::Instant::now() + pace.settle + pace.window;
+    /// Makes changes at this rate during the settle time and the window.
+    async fn make(&self, per_second: f64, durations: Durations) -> Vec<TimedChange> {
+        let end = tokio::time::Instant::now() + durations.settle + durations.window;
         let mut ticks = interval(Duration::from_secs_f64(1.0 / per_second));
         let mut timed = Vec::new();
-        while tokio::time::Instant::now() < ends {
+        while tokio::time::Instant::now() < end {
             tokio::select! {
-                _ = ticks.tick() => timed.push(self.change()),
-                () = sleep_until(ends) => break,
+                _ = ticks.tick() => timed.push(self.make_one()),
+                () = sleep_until(end) => break,
             }
         }
         timed
     }
 
-    fn change(&self) -> Timed {
-        let number = self.next.get() + 1;
-        self.next.set(number);
-        let worker = self.fleet.workers_of(COMMON_SERVICE).nth(number % self.workers()).unwrap_or_default();
+    fn make_one(&self) -> TimedChange {
+        let number = self.last.get() + 1;
+        self.last.set(number);
+        let worker =
+            self.fleet.workers_of(COMMON_SERVICE).nth(number % self.worker_count()).unwrap_or_default();
         let change = Change { worker, draining: false, started_at_ms: number as u64 };
-        Timed { number, at: self.discovery.change(change) }
+        TimedChange { number, made_at: self.discovery.change(change) }
     }
 }
 
-/// When each subscriber had each change: a later change of the same worker tells the earlier one too.
-fn delays(timed: &[Timed], reached: &[Vec<Arrival>], letter: &Letter, timing: &Timing) -> Delays {
-    let new = || Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are sound");
-    let mut delays = Delays { each: new(), last: new(), lost: 0 };
-    let workers = timing.workers();
+/// The delays of the changes. A later change of the same worker replaces an earlier one in the entry, so its arrival
+/// counts for both. `arrivals` has those of each group of subscribers.
+fn delays(
+    timed: &[TimedChange],
+    arrivals: &[Vec<Arrival>],
+    fleet: &TargetFleet,
+    changes: &TimedChanges,
+) -> Delays {
+    let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are valid");
+    let mut delays = Delays { each_us: histogram(), last_us: histogram(), lost: 0 };
+    let workers = changes.worker_count();
     for change in timed {
         let mut last = Duration::ZERO;
         let mut count = 0;
-        for group in reached {
-            let mut first: Vec<Option<Instant>> = vec![None; letter.subscribers];
-            let tells = |arrival: &&Arrival| {
+        for group in arrivals {
+            let mut first_arrivals: Vec<Option<Instant>> = vec![None; fleet.subscribers];
+            let includes_change = |arrival: &&Arrival| {
                 let number = arrival.started_at_ms as usize;
                 number >= change.number && number % workers == change.number % workers
             };
-            for arrival in group.iter().filter(tells) {
-                let known = &mut first[arrival.subscriber];
-                *known = Some(known.map_or(arrival.at, |known| known.min(arrival.at)));
+            for arrival in group.iter().filter(includes_change) {
+                let first = &mut first_arrivals[arrival.subscriber];
+                *first = Some(first.map_or(arrival.at, |first| first.min(arrival.at)));
             }
-            for at in first.into_iter().flatten() {
-                let delay = at.saturating_duration_since(change.at);
-                delays.each.saturating_record(delay.as_micros() as u64);
+            for arrived_at in first_arrivals.into_iter().flatten() {
+                let delay = arrived_at.saturating_duration_since(change.made_at);
+                delays.each_us.saturating_record(delay.as_micros() as u64);
                 last = last.max(delay);
                 count += 1;
             }
         }
-        if count == reached.len() * letter.subscribers {
-            delays.last.saturating_record(last.as_micros() as u64);
+        if count == arrivals.len() * fleet.subscribers {
+            delays.last_us.saturating_record(last.as_micros() as u64);
         } else {
             delays.lost += 1;
         }
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -1,26 +1,27 @@
-//! What a manager meets in one play, and what that costs it.
+//! The load on a manager in one play, and the processor time, memory and bytes that the manager uses under it.
 
 use std::time::Duration;
 
 use tokio::time::sleep;
 
 use super::error::ScaleError;
-use super::guard::Need;
+use super::guard::Requirements;
 use super::manager::Manager;
-use super::measured_process::Host;
+use super::measured_process::{Launcher, MeasuredProcess};
 use super::simulated::{Collectors, Discovery, Fleet, Proxies, Workers};
 
-/// Memory of a real process that any scenario of a single manager stays below, in bytes, besides its list.
-const PROCESS_MEMORY: u64 = 256 << 20;
-/// Memory that an entry of the list takes at most, in this process and in a manager, in bytes.
-const ENTRY_MEMORY: u64 = 4 << 10;
+/// An upper limit on the memory of a single manager in any scenario, without its list.
+const MAX_PROCESS_BYTES: u64 = 256 << 20;
+/// An upper limit on the memory of a list entry, in this process and in a manager together.
+const MAX_ENTRY_BYTES: u64 = 4 << 10;
 
-/// The sizes of everything that a manager meets.
+/// The number of peers of a manager and the rates of changes and reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
     pub workers: usize,
     pub zones: usize,
     pub services: usize,
+    /// Changed list entries per second.
     pub changes_per_second: f64,
     pub proxies: usize,
     pub operations: usize,
@@ -28,81 +29,90 @@
 }
 
 impl Scenario {
-    pub fn need(&self) -> Need {
-        Need {
-            memory: PROCESS_MEMORY + self.workers as u64 * ENTRY_MEMORY,
+    /// The resources that a play of the scenario needs.
+    pub fn requirements(&self) -> Requirements {
+        Requirements {
+            memory_bytes: MAX_PROCESS_BYTES + self.workers as u64 * MAX_ENTRY_BYTES,
             processes: 1,
             sockets: (self.proxies + self.zones) as u64,
         }
     }
 }
 
-/// How long things are waited for.
+/// The durations of a measurement.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
-    /// From when all is in place until the window.
+pub struct Durations {
+    /// The wait between the end of the setup and the start of the window.
     pub settle: Duration,
-    /// The window over which is measured.
+    /// The window over which the usage is measured.
     pub window: Duration,
 }
 
-/// What a process used over a window.
+/// The resources that a process used over a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cost {
-    /// Processor time, as a part of one core.
+    /// Processor time, as a share of one core.
     pub cores: f64,
-    /// Resident memory in bytes: at its most since the start, and at the end of the window.
-    pub peak: f64,
-    pub settled: f64,
-    /// Bytes a second.
-    pub bytes_in: f64,
-    pub bytes_out: f64,
+    /// The largest resident memory since the start, in bytes.
+    pub peak_bytes: f64,
+    /// The resident memory at the end of the window, in bytes.
+    pub settled_bytes: f64,
+    /// Bytes received per second.
+    pub bytes_in_per_second: f64,
+    /// Bytes sent per second.
+    pub bytes_out_per_second: f64,
 }
 
-/// A figure of a cost, as it is printed and kept.
+/// A figure of a [`Cost`], with the name and unit that are printed and recorded.
 #[derive(Clone, Copy)]
 pub struct Figure {
     pub name: &'static str,
     pub unit: &'static str,
-    pub of: fn(&Cost) -> f64,
+    pub value: fn(&Cost) -> f64,
 }
 
+/// The figures of a cost.
 pub const FIGURES: [Figure; 5] = [
-    Figure { name: "processor time", unit: "cores", of: |cost| cost.cores },
-    Figure { name: "peak memory", unit: "B", of: |cost| cost.peak },
-    Figure { name: "settled memory", unit: "B", of: |cost| cost.settled },
-    Figure { name: "bytes in", unit: "B/s", of: |cost| cost.bytes_in },
-    Figure { name: "bytes out", unit: "B/s", of: |cost| cost.bytes_out },
+    Figure { name: "processor time", unit: "cores", value: |cost| cost.cores },
+    Figure { name: "peak memory", unit: "B", value: |cost| cost.peak_bytes },
+    Figure { name: "settled memory", unit: "B", value: |cost| cost.settled_bytes },
+    Figure { name: "bytes in", unit: "B/s", value: |cost| cost.bytes_in_per_second },
+    Figure { name: "bytes out", unit: "B/s", value: |cost| cost.bytes_out_per_second },
 ];
 
-/// Bytes of a process, both ways.
+/// The bytes that a process has received and sent so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Bytes {
-    pub into: u64,
-    pub out: u64,
+pub struct ByteCounts {
+    pub received: u64,
+    pub sent: u64,
 }
 
-/// Waits until things settled, then measures a process over a window. `bytes`: what went in and out so far.
-pub async fn cost(
-    role: &super::measured_process::Role,
-    pace: Pace,
-    bytes: impl Fn() -> Bytes,
+/// Waits for the settle time, then measures a process over the window. `bytes` reads the bytes that it has received and
+/// sent.
+pub async fn measure_cost(
+    process: &MeasuredProcess,
+    durations: Durations,
+    bytes: impl Fn() -> ByteCounts,
 ) -> Result<Cost, ScaleError> {
-    sleep(pace.settle).await;
-    let (begun, before, bytes_before) = (std::time::Instant::now(), role.usage()?, bytes());
-    sleep(pace.window).await;
-    let (seconds, after, bytes_after) = (begun.elapsed().as_secs_f64(), role.usage()?, bytes());
+    sleep(durations.settle).await;
+    let (started, before, bytes_before) = (std::time::Instant::now(), process.usage()?, bytes());
+    sleep(durations.window).await;
+    let (seconds, after, bytes_after) = (started.elapsed().as_secs_f64(), process.usage()?, bytes());
     Ok(Cost {
-        cores: (after.processor - before.processor).as_secs_f64() / seconds,
-        peak: after.peak as f64,
-        settled: after.resident as f64,
-        bytes_in: (bytes_after.into - bytes_before.into) as f64 / seconds,
-        bytes_out: (bytes_after.out - bytes_before.out) as f64 / seconds,
+        cores: (after.processor_time - before.processor_time).as_secs_f64() / seconds,
+        peak_bytes: after.peak_bytes as f64,
+        settled_bytes: after.resident_bytes as f64,
+        bytes_in_per_second: (bytes_after.received - bytes_before.received) as f64 / seconds,
+        bytes_out_per_second: (bytes_after.sent - bytes_before.sent) as f64 / seconds,
     })
 }
 
-/// Plays a scenario with a manager that is started for it.
-pub async fn play(host: &Host, scenario: &Scenario, pace: Pace) -> Result<Cost, ScaleError> {
+/// Starts a manager and simulated peers for a scenario and measures the manager.
+pub async fn measure_manager(
+    launcher: &Launcher,
+    scenario: &Scenario,
+    durations: Durations,
+) -> Result<Cost, ScaleError> {
     let workers = Workers::start().await?;
     let fleet = Fleet {
         workers: scenario.workers,
@@ -111,17 +121,17 @@
         address: workers.address,
     };
     let discovery = Discovery::start(fleet.clone()).await?;
-    let mut manager = Manager::start(host, scenario, discovery.address, None).await?;
-    let listed = || discovery.traffic().sent() > discovery.list_bytes() as u64;
-    manager.role.until("the list to be taken", listed).await?;
+    let mut manager = Manager::start(launcher, scenario, discovery.address, None).await?;
+    let list_sent = || discovery.traffic().sent() > discovery.list_bytes() as u64;
+    manager.process.wait_for("the manager to read the list", list_sent).await?;
     let proxies = Proxies::join(manager.address, scenario.proxies, scenario.zones);
-    manager.role.until("orders to all proxies", || proxies.ordered() >= scenario.proxies).await?;
+    manager.process.wait_for("orders to all proxies", || proxies.ordered() >= scenario.proxies).await?;
     let collectors = Collectors::start(manager.address, &fleet, scenario.reports_per_second);
     let _churn = discovery.churn(scenario.changes_per_second);
     let peers = [discovery.traffic(), proxies.traffic(), collectors.traffic()];
-    let bytes = || Bytes {
-        into: peers.iter().map(|peer| peer.sent()).sum(),
-        out: peers.iter().map(|peer| peer.received()).sum(),
+    let bytes = || ByteCounts {
+        received: peers.iter().map(|peer| peer.sent()).sum(),
+        sent: peers.iter().map(|peer| peer.received()).sum(),
     };
-    cost(&manager.role, pace, bytes).await
+    measure_cost(&manager.process, durations, bytes).await
 }
--- a/crates/lab/src/scale/scoped.rs
+++ b/crates/lab/src/scale/scoped.rs
@@ -1,113 +1,126 @@
-//! Side by side: a manager that takes a whole list, and one that takes its services' part of the whole fleet's list
-//! through a relay.
+//! Compares a manager without a scope, which reads a complete list directly, with a scoped one, which reads the part of
+//! one service from the list of the full fleet through a relay.
 
 use super::error::ScaleError;
-use super::guard::Need;
+use super::guard::Requirements;
 use super::manager::{operator_element, Manager};
-use super::measured_process::Host;
+use super::measured_process::Launcher;
 use super::record::Subject;
 use super::relay::Relay;
-use super::scenario::{cost, Bytes, Cost, Pace, Scenario, FIGURES};
+use super::scenario::{measure_cost, ByteCounts, Cost, Durations, Scenario, FIGURES};
 use super::simulated::{Discovery, Fleet, Forwarder};
-use super::target_fleet::{Letter, BYTES_MOST, CORES_MOST, MEMORY_AIM, MEMORY_MOST};
+use super::target_fleet::{
+    TargetFleet, MAX_BYTES_PER_SECOND, MAX_CORES, MAX_MEMORY_BYTES, TARGET_MEMORY_BYTES,
+};
 use super::ScaleRun;
 use crate::report::Report;
 
-/// The scoped manager needs the workers of this service alone.
+/// The only service in the scope of the scoped manager.
 const SERVICE: usize = 7;
-const MEMORY: u64 = 1 << 30;
+/// An upper limit on the memory of the experiment.
+const MAX_EXPERIMENT_BYTES: u64 = 1 << 30;
+/// A lower limit on the bytes of a list entry.
+const MIN_ENTRY_BYTES: u64 = 100;
 
-pub fn need() -> Need {
-    Need { memory: MEMORY, processes: 3, sockets: 16 }
+/// The resources that the experiment needs.
+pub fn requirements() -> Requirements {
+    Requirements { memory_bytes: MAX_EXPERIMENT_BYTES, processes: 3, sockets: 16 }
 }
 
+/// Measures both managers, records their figures, and judges the scoped one by the limits and by the other one.
 pub fn run(run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
-    let letter = Letter::of(run.small);
-    let (whole, scoped) = run.runtime.block_on(play(&run.host, &letter, run.pace))?;
-    let scope = letter.fleet().workers_of(SERVICE).count();
-    let whole_at = format!("no scope, {} workers", letter.unscoped_workers);
-    let scoped_at = format!("scope of {scope} of {} workers through a relay", letter.workers);
-    println!("\nside by side, {} changed entries a second", letter.changes_per_second);
-    for (at, cost) in [(&whole_at, &whole), (&scoped_at, &scoped)] {
+    let fleet = TargetFleet::for_run(run.small);
+    let (unscoped, scoped) = run.runtime.block_on(measure_both(&run.launcher, &fleet, run.durations))?;
+    let scope = fleet.to_fleet().workers_of(SERVICE).count();
+    let unscoped_at = format!("no scope, {} workers", fleet.unscoped_workers);
+    let scoped_at = format!("scope of {scope} of {} workers through a relay", fleet.workers);
+    println!("\na manager with and without a scope, {} changed entries per second", fleet.changes_per_second);
+    for (at, cost) in [(&unscoped_at, &unscoped), (&scoped_at, &scoped)] {
         for figure in FIGURES {
-            let value = (figure.of)(cost);
-            report.figure(&format!("{at}: {}", figure.name), super::value(value, figure.unit));
-            run.recorder.reading(
+            let value = (figure.value)(cost);
+            report.figure(&format!("{at}: {}", figure.name), super::format_value(value, figure.unit));
+            run.recorder.add_reading(
                 Subject { role: "manager", figure: figure.name, unit: figure.unit },
                 at,
                 value,
             );
         }
     }
-    let bytes = scoped.bytes_in + scoped.bytes_out;
-    run.absolute(
+    let bytes_per_second = scoped.bytes_in_per_second + scoped.bytes_out_per_second;
+    run.absolute_bound(
         report,
         "scoped: peak memory",
-        &format!("{:.1} MB (limit 32, aim {})", scoped.peak / 1e6, MEMORY_AIM / 1e6),
-        scoped.peak <= MEMORY_MOST,
+        &format!("{:.1} MB (limit 32, target {})", scoped.peak_bytes / 1e6, TARGET_MEMORY_BYTES / 1e6),
+        scoped.peak_bytes <= MAX_MEMORY_BYTES,
     );
-    run.absolute(
+    run.absolute_bound(
         report,
         "scoped: processor time",
         &format!("{:.3}% of a core (limit 1.3%)", scoped.cores * 100.0),
-        scoped.cores <= CORES_MOST,
+        scoped.cores <= MAX_CORES,
     );
-    run.absolute(
+    run.absolute_bound(
         report,
-        "scoped: bytes both ways",
-        &format!("{:.2} kB/s (limit 5)", bytes / 1e3),
-        bytes <= BYTES_MOST,
+        "scoped: bytes received and sent",
+        &format!("{:.2} kB/s (limit 5)", bytes_per_second / 1e3),
+        bytes_per_second <= MAX_BYTES_PER_SECOND,
     );
     report.bound(
-        "scoped against no scope: settled memory",
-        format!("{:.2} times", scoped.settled / whole.settled),
-        scoped.settled <= whole.settled,
+        "scoped over unscoped: settled memory",
+        format!("{:.2} times", scoped.settled_bytes / unscoped.settled_bytes),
+        scoped.settled_bytes <= unscoped.settled_bytes,
     );
     report.bound(
-        "scoped against no scope: processor time",
-        format!("{:.2} times", scoped.cores / whole.cores),
-        scoped.cores <= whole.cores,
+        "scoped over unscoped: processor time",
+        format!("{:.2} times", scoped.cores / unscoped.cores),
+        scoped.cores <= unscoped.cores,
     );
     Ok(())
 }
 
-/// The element of the operator's file by which a manager takes the part of these services through these relays.
-pub fn subscription(relays: &[std::net::SocketAddr], services: &[usize]) -> String {
+/// The element of the operator's file that makes a manager read the part of these services through these relays.
+pub fn discovery_element(relays: &[std::net::SocketAddr], services: &[usize]) -> String {
     let relays: String = relays.iter().map(|relay| format!("<relay>{relay}</relay>")).collect();
     let service = |service: &usize| format!("<service>{}</service>", Fleet::service_name(*service));
     let services: String = services.iter().map(service).collect();
     operator_element("discovery", &format!("{relays}<scope>{services}</scope>"))
 }
 
-async fn play(host: &Host, letter: &Letter, pace: Pace) -> Result<(Cost, Cost), ScaleError> {
+/// Measures the unscoped and the scoped manager at the same time.
+async fn measure_both(
+    launcher: &Launcher,
+    fleet: &TargetFleet,
+    durations: Durations,
+) -> Result<(Cost, Cost), ScaleError> {
     let scenario = Scenario {
-        workers: letter.unscoped_workers,
-        zones: letter.zones,
-        services: letter.services,
-        changes_per_second: letter.changes_per_second,
+        workers: fleet.unscoped_workers,
+        zones: fleet.zones,
+        services: fleet.services,
+        changes_per_second: fleet.changes_per_second,
         proxies: 0,
         operations: 2,
         reports_per_second: 0.0,
     };
-    let small = Discovery::start(Fleet { workers: letter.unscoped_workers, ..letter.fleet() }).await?;
-    let large = Discovery::start(letter.fleet()).await?;
-    let relay = Relay::start(host, large.address).await?;
+    let small = Discovery::start(Fleet { workers: fleet.unscoped_workers, ..fleet.to_fleet() }).await?;
+    let large = Discovery::start(fleet.to_fleet()).await?;
+    let relay = Relay::start(launcher, large.address).await?;
     let forwarder = Forwarder::start(relay.address).await?;
-    let mut whole = Manager::start(host, &scenario, small.address, None).await?;
-    let operator = subscription(&[forwarder.address], &[SERVICE]);
-    let mut scoped = Manager::start(host, &scenario, large.address, Some(&operator)).await?;
-    let listed = || small.traffic().sent() > small.list_bytes() as u64;
-    whole.role.until("the list to be taken", listed).await?;
-    let first_bytes = letter.fleet().workers_of(SERVICE).count() as u64 * SHORTEST_ENTRY;
-    scoped.role.until("its part to be taken", || forwarder.out_of_target() > first_bytes).await?;
+    let mut unscoped = Manager::start(launcher, &scenario, small.address, None).await?;
+    let operator = discovery_element(&[forwarder.address], &[SERVICE]);
+    let mut scoped = Manager::start(launcher, &scenario, large.address, Some(&operator)).await?;
+    let list_sent = || small.traffic().sent() > small.list_bytes() as u64;
+    unscoped.process.wait_for("the manager to read the list", list_sent).await?;
+    let min_part_bytes = fleet.to_fleet().workers_of(SERVICE).count() as u64 * MIN_ENTRY_BYTES;
+    let part_sent = || forwarder.bytes_from_target() > min_part_bytes;
+    scoped.process.wait_for("the manager to read its part of the list", part_sent).await?;
     let (_small_churn, _large_churn) =
-        (small.churn(letter.changes_per_second), large.churn(letter.changes_per_second));
-    let whole_bytes = || Bytes { into: small.traffic().sent(), out: small.traffic().received() };
-    let scoped_bytes = || Bytes { into: forwarder.out_of_target(), out: forwarder.into_target() };
-    let (whole, scoped) =
-        tokio::join!(cost(&whole.role, pace, whole_bytes), cost(&scoped.role, pace, scoped_bytes));
-    Ok((whole?, scoped?))
+        (small.churn(fleet.changes_per_second), large.churn(fleet.changes_per_second));
+    let unscoped_bytes = || ByteCounts { received: small.traffic().sent(), sent: small.traffic().received() };
+    let scoped_bytes =
+        || ByteCounts { received: forwarder.bytes_from_target(), sent: forwarder.bytes_to_target() };
+    let (unscoped_cost, scoped_cost) = tokio::join!(
+        measure_cost(&unscoped.process, durations, unscoped_bytes),
+        measure_cost(&scoped.process, durations, scoped_bytes)
+    );
+    Ok((unscoped_cost?, scoped_cost?))
 }
-
-/// An entry takes more bytes than this.
-const SHORTEST_ENTRY: u64 = 100;
--- a/crates/lab/src/scale/simulated/collectors.rs
+++ b/crates/lab/src/scale/simulated/collectors.rs
@@ -1,4 +1,4 @@
-//! Hollow collectors: one a zone, each forwards its part of the reports.
+//! Simulated collectors: one per zone, each sends its share of the reports.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,11 +11,11 @@
 
 use super::{Fleet, Traffic};
 
-const REDIAL: Duration = Duration::from_millis(100);
-/// Reports are written so often.
-const EVERY: Duration = Duration::from_millis(100);
-/// What a report says it covers, in ms.
-const INTERVAL: u32 = 2000;
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// The time between two writes of reports.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
+/// The period that a report states.
+const REPORT_PERIOD_MS: u32 = 2000;
 
 /// The collectors of one manager, until they are dropped.
 pub struct Collectors {
@@ -24,7 +24,7 @@
 }
 
 impl Collectors {
-    /// So many reports a second go to the manager, of all collectors together.
+    /// Starts a collector for each zone. Together they send the manager this many reports per second.
     pub fn start(manager: SocketAddr, fleet: &Fleet, reports_per_second: f64) -> Collectors {
         let traffic = Arc::<Traffic>::default();
         let mut tasks = JoinSet::new();
@@ -33,7 +33,7 @@
                 manager,
                 zone,
                 fleet: fleet.clone(),
-                per_second: reports_per_second / fleet.zones as f64,
+                reports_per_second: reports_per_second / fleet.zones as f64,
                 traffic: traffic.clone(),
             };
             tasks.spawn(collector.run());
@@ -41,6 +41,7 @@
         Collectors { traffic, _tasks: tasks }
     }
 
+    /// The bytes of all collectors.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
@@ -50,39 +51,41 @@
     manager: SocketAddr,
     zone: usize,
     fleet: Fleet,
-    per_second: f64,
+    reports_per_second: f64,
     traffic: Arc<Traffic>,
 }
 
 impl Collector {
     async fn run(self) {
         loop {
-            // Whatever ended the connection, a collector dials again.
-            _ = self.forward().await;
-            sleep(REDIAL).await;
+            // A collector reconnects after any error.
+            _ = self.send_reports().await;
+            sleep(RECONNECT_DELAY).await;
         }
     }
 
-    async fn forward(&self) -> std::io::Result<()> {
+    /// Connects to the manager and sends reports until the connection fails.
+    async fn send_reports(&self) -> std::io::Result<()> {
         let mut socket = TcpStream::connect(self.manager).await?;
         socket.set_nodelay(true)?;
         let zone = Fleet::zone_name(self.zone);
         self.write(&mut socket, &format!("agent locality={zone}\r\n")).await?;
-        let mut ticks = interval(EVERY);
-        let (mut due, mut turn) = (0.0, self.zone);
+        let mut ticks = interval(WRITE_INTERVAL);
+        // The reports that are due, as a fraction, and the number of the next one, which selects its worker.
+        let (mut due, mut number) = (0.0, self.zone);
         loop {
             ticks.tick().await;
-            due += self.per_second * EVERY.as_secs_f64();
+            due += self.reports_per_second * WRITE_INTERVAL.as_secs_f64();
             let mut reports = String::new();
             while due >= 1.0 {
-                let endpoint = Fleet::worker_name(turn % self.fleet.workers);
+                let endpoint = Fleet::worker_name(number % self.fleet.workers);
                 reports += &format!(
-                    "outcomes locality={zone} endpoint={endpoint} total=40 errors=0 rtt={rtt} interval={INTERVAL} \
+                    "outcomes locality={zone} endpoint={endpoint} total=40 errors=0 rtt={rtt} interval={REPORT_PERIOD_MS} \
                      metrics=inflight:2,util:0.40\r\n",
-                    rtt = 40 + turn % 5,
+                    rtt = 40 + number % 5,
                 );
                 due -= 1.0;
-                turn += 1;
+                number += 1;
             }
             self.write(&mut socket, &reports).await?;
         }
--- a/crates/lab/src/scale/simulated/discovery.rs
+++ b/crates/lab/src/scale/simulated/discovery.rs
@@ -1,4 +1,4 @@
-//! Hollow discovery: one list, held once however many watch it, and the changes made to it since.
+//! A simulated discovery service. It stores one list for all watches, and the changes made to it since.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -15,22 +15,22 @@
 use super::Traffic;
 use crate::scale::error::ScaleError;
 
-/// The version of the list before any change.
+/// The generation of the list before any change.
 const FIRST_GENERATION: u64 = 1;
-/// An empty line comes this often while nothing changes.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// The list is written in chunks of this size.
-const CHUNK: usize = 64 << 10;
-/// A longer request is none.
-const LONGEST_REQUEST: usize = 64 << 10;
-
-/// The workers that a hollow discovery lists.
+/// The interval of empty lines while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// The size of the chunks in which a line is written, in bytes.
+const CHUNK_SIZE: usize = 64 << 10;
+/// The limit on the head of a request, in bytes; a longer one is rejected.
+const MAX_REQUEST_SIZE: usize = 64 << 10;
+
+/// The workers that a simulated discovery service lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     pub workers: usize,
     pub zones: usize,
     pub services: usize,
-    /// Where every worker is said to listen.
+    /// The address that the list states for every worker.
     pub address: SocketAddr,
 }
 
@@ -67,16 +67,16 @@
             r#"{{"instanceId":"{name}","hostPort":"{address}","zone":"{zone}","machineType":"m2","cell":{cell},"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{started},"service":"{service}"}}"#,
             cell = worker % 8,
         )
-        .expect("a buffer in memory takes all");
+        .expect("writing to a buffer in memory does not fail");
     }
 
-    /// One line of a watch.
+    /// One line of a watch, with the entries as they are after these changes.
     fn line(&self, generation: u64, reset: bool, entries: impl Iterator<Item = Change>) -> Bytes {
         let mut text = BytesMut::new();
         write!(text, r#"{{"generation":{generation},"reset":{reset},"instances":["#)
-            .expect("a buffer in memory takes all");
-        for (place, entry) in entries.enumerate() {
-            if place > 0 {
+            .expect("writing to a buffer in memory does not fail");
+        for (index, entry) in entries.enumerate() {
+            if index > 0 {
                 text.extend_from_slice(b",");
             }
             self.write_entry(&mut text, &entry);
@@ -86,7 +86,7 @@
     }
 }
 
-/// What changes of a worker's entry.
+/// The fields of a worker's entry that change.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Change {
     pub worker: usize,
@@ -96,11 +96,12 @@
 
 struct Shared {
     fleet: Fleet,
-    whole: Bytes,
-    /// The line of each change; the first brings the list to the version after the first.
+    /// The line with the complete list of the first generation.
+    snapshot: Bytes,
+    /// The line of each change. The first change results in the generation after [`FIRST_GENERATION`].
     changes: Mutex<Vec<Bytes>>,
-    /// How many changes there are.
-    latest: watch::Sender<usize>,
+    /// The number of changes.
+    change_count: watch::Sender<usize>,
     traffic: Traffic,
 }
 
@@ -113,13 +114,13 @@
         let mut changes = self.changes();
         let generation = FIRST_GENERATION + changes.len() as u64 + 1;
         changes.push(self.fleet.line(generation, false, std::iter::once(change)));
-        let at = Instant::now();
-        self.latest.send_replace(changes.len());
-        at
+        let made_at = Instant::now();
+        self.change_count.send_replace(changes.len());
+        made_at
     }
 }
 
-/// Serves one list to all who ask, until it is dropped.
+/// Serves one list to all clients, until it is dropped.
 pub struct Discovery {
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -127,39 +128,45 @@
 }
 
 impl Discovery {
+    /// Starts to serve the list on a free port, with every worker ready.
     pub async fn start(fleet: Fleet) -> Result<Discovery, ScaleError> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ScaleError::io("hollow discovery"))?;
-        let address = listener.local_addr().map_err(ScaleError::io("hollow discovery"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(ScaleError::io("the address of the simulated discovery service"))?;
+        let address = listener
+            .local_addr()
+            .map_err(ScaleError::io("the address of the simulated discovery service"))?;
         let ready = (0..fleet.workers).map(|worker| Change { worker, ..Change::default() });
-        let whole = fleet.line(FIRST_GENERATION, true, ready);
-        let (changes, latest, traffic) = (Mutex::default(), watch::Sender::new(0), Traffic::default());
-        let shared = Arc::new(Shared { fleet, whole, changes, latest, traffic });
+        let snapshot = fleet.line(FIRST_GENERATION, true, ready);
+        let (changes, change_count, traffic) = (Mutex::default(), watch::Sender::new(0), Traffic::default());
+        let shared = Arc::new(Shared { fleet, snapshot, changes, change_count, traffic });
         let accepting = tokio::spawn(accept(listener, shared.clone()));
         Ok(Discovery { address, shared, accepting })
     }
 
+    /// The bytes of all connections.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
 
-    /// How long the line with the whole list is, in bytes.
+    /// The length of the line with the complete list, in bytes.
     pub fn list_bytes(&self) -> usize {
-        self.shared.whole.len()
+        self.shared.snapshot.len()
     }
 
-    /// Changes one entry, and tells when.
+    /// Changes one entry and returns the time of the change.
     pub fn change(&self, change: Change) -> Instant {
         self.shared.change(change)
     }
 
-    /// Changes so many entries a second until what it returns is dropped: a worker drains, then it is ready again, then
-    /// the next one drains.
+    /// Changes entries at this rate until the returned value is dropped. Workers take turns: each drains and becomes
+    /// ready again before the next one drains.
     pub fn churn(&self, per_second: f64) -> Churn {
         let shared = self.shared.clone();
-        let every = (per_second > 0.0).then(|| Duration::from_secs_f64(1.0 / per_second));
+        let period = (per_second > 0.0).then(|| Duration::from_secs_f64(1.0 / per_second));
         Churn(tokio::spawn(async move {
-            let Some(every) = every else { return };
-            let mut ticks = interval(every);
+            let Some(period) = period else { return };
+            let mut ticks = interval(period);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
             for number in 0.. {
                 ticks.tick().await;
@@ -170,10 +177,10 @@
     }
 }
 
-/// Goes through the workers in an order that mixes zones and services.
-fn worker_at(turn: usize, workers: usize) -> usize {
+/// The worker at a position of an order that mixes zones and services.
+fn worker_at(position: usize, workers: usize) -> usize {
     const STRIDE: usize = 7_919;
-    turn.wrapping_mul(STRIDE) % workers
+    position.wrapping_mul(STRIDE) % workers
 }
 
 impl Drop for Discovery {
@@ -182,7 +189,7 @@
     }
 }
 
-/// Changes that go on until this is dropped.
+/// Continuous changes of the list, until this is dropped.
 pub struct Churn(JoinHandle<()>);
 
 impl Drop for Churn {
@@ -192,21 +199,23 @@
 }
 
 async fn accept(listener: TcpListener, shared: Arc<Shared>) {
-    // The watches end with the listener.
+    // Dropping the set ends the watches together with the listener.
     let mut watches = tokio::task::JoinSet::new();
     while let Ok((socket, _)) = listener.accept().await {
         let shared = shared.clone();
         watches.spawn(async move {
-            // Whoever broke the connection dials again.
-            _ = answer(socket, &shared).await;
+            // Clients reconnect after any error.
+            _ = serve(socket, &shared).await;
         });
         while watches.try_join_next().is_some() {}
     }
 }
 
-/// What a request asks for.
+/// The parameters of a request.
 struct Request {
+    /// Whether it opens a watch.
     watch: bool,
+    /// The generation from which a watch resumes.
     index: Option<u64>,
 }
 
@@ -215,7 +224,7 @@
     while !head.windows(4).any(|end| end == b"\r\n\r\n") {
         let read = socket.read_buf(&mut head).await?;
         traffic.add_received(read);
-        if read == 0 || head.len() > LONGEST_REQUEST {
+        if read == 0 || head.len() > MAX_REQUEST_SIZE {
             return Err(std::io::ErrorKind::InvalidData.into());
         }
     }
@@ -223,27 +232,31 @@
     let target = text.split_whitespace().nth(1).unwrap_or_default();
     let query = target.split_once('?').map(|(_, query)| query).unwrap_or_default();
     let value = |name: &str| {
-        query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, v)| v)
+        query
+            .split('&')
+            .filter_map(|pair| pair.split_once('='))
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| value)
     };
     let index = value("index").and_then(|index| index.parse().ok());
     Ok(Request { watch: value("stream") == Some("1"), index })
 }
 
-/// Writes and counts.
-struct Answer<'a> {
+/// Writes a response and counts its bytes.
+struct ResponseWriter<'a> {
     socket: TcpStream,
     traffic: &'a Traffic,
 }
 
-impl Answer<'_> {
+impl ResponseWriter<'_> {
     async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.socket.write_all(bytes).await?;
         self.traffic.add_sent(bytes.len());
         Ok(())
     }
 
-    async fn chunks(&mut self, bytes: &[u8]) -> std::io::Result<()> {
-        for chunk in bytes.chunks(CHUNK) {
+    async fn write_chunks(&mut self, bytes: &[u8]) -> std::io::Result<()> {
+        for chunk in bytes.chunks(CHUNK_SIZE) {
             self.write(format!("{:x}\r\n", chunk.len()).as_bytes()).await?;
             self.write(chunk).await?;
             self.write(b"\r\n").await?;
@@ -252,34 +265,36 @@
     }
 }
 
-async fn answer(mut socket: TcpStream, shared: &Shared) -> std::io::Result<()> {
+/// Reads one request and writes the list, or a watch until the connection ends.
+async fn serve(mut socket: TcpStream, shared: &Shared) -> std::io::Result<()> {
     socket.set_nodelay(true)?;
     let request = read_request(&mut socket, &shared.traffic).await?;
-    let mut answer = Answer { socket, traffic: &shared.traffic };
+    let mut response = ResponseWriter { socket, traffic: &shared.traffic };
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
     if !request.watch {
-        // The list as it was at first; its version says so.
-        let length = shared.whole.len();
-        answer.write(format!("{head}Content-Length: {length}\r\n\r\n").as_bytes()).await?;
-        return answer.write(&shared.whole).await;
+        // The first generation of the list, without the changes since.
+        let length = shared.snapshot.len();
+        response.write(format!("{head}Content-Length: {length}\r\n\r\n").as_bytes()).await?;
+        return response.write(&shared.snapshot).await;
     }
-    answer.write(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes()).await?;
-    let mut latest = shared.latest.subscribe();
-    let held = request.index.and_then(|index| index.checked_sub(FIRST_GENERATION));
-    let known = held.filter(|held| *held <= *latest.borrow() as u64);
-    if known.is_none() {
-        answer.chunks(&shared.whole).await?;
+    response.write(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes()).await?;
+    let mut change_count = shared.change_count.subscribe();
+    // The number of changes that the client has, if it resumes from a generation of this list.
+    let requested = request.index.and_then(|index| index.checked_sub(FIRST_GENERATION));
+    let resumed = requested.filter(|requested| *requested <= *change_count.borrow() as u64);
+    if resumed.is_none() {
+        response.write_chunks(&shared.snapshot).await?;
     }
-    let mut told = known.unwrap_or(0) as usize;
+    let mut sent = resumed.unwrap_or(0) as usize;
     loop {
-        let lines: Vec<Bytes> = shared.changes()[told..].to_vec();
+        let lines: Vec<Bytes> = shared.changes()[sent..].to_vec();
         for line in &lines {
-            answer.chunks(line).await?;
+            response.write_chunks(line).await?;
         }
-        told += lines.len();
-        let changed = timeout(HEARTBEAT, latest.wait_for(|count| *count > told)).await.is_ok();
+        sent += lines.len();
+        let changed = timeout(HEARTBEAT_INTERVAL, change_count.wait_for(|count| *count > sent)).await.is_ok();
         if !changed {
-            answer.chunks(b"\n").await?;
+            response.write_chunks(b"\n").await?;
         }
     }
 }
--- a/crates/lab/src/scale/simulated/forwarder.rs
+++ b/crates/lab/src/scale/simulated/forwarder.rs
@@ -1,4 +1,4 @@
-//! A forwarder on the way between two managers: it passes all bytes on and counts them.
+//! A TCP forwarder on the path between two processes, which counts the bytes that it passes on.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,7 +13,9 @@
 
 #[derive(Default)]
 struct Shared {
+    /// The connections that are open.
     links: AtomicUsize,
+    /// The bytes sent to the target and received from it.
     traffic: Traffic,
 }
 
@@ -25,32 +27,33 @@
 }
 
 impl Forwarder {
-    pub async fn start(to: SocketAddr) -> Result<Forwarder, ScaleError> {
+    /// Starts a forwarder to the target on a free port.
+    pub async fn start(target: SocketAddr) -> Result<Forwarder, ScaleError> {
         let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ScaleError::io("a forwarder"))?;
         let address = listener.local_addr().map_err(ScaleError::io("a forwarder"))?;
         let shared = Arc::<Shared>::default();
-        let accepting = tokio::spawn(accept(listener, to, shared.clone()));
+        let accepting = tokio::spawn(accept(listener, target, shared.clone()));
         Ok(Forwarder { address, shared, accepting })
     }
 
-    /// Connections that are open now.
+    /// The number of connections that are open.
     pub fn links(&self) -> usize {
         self.shared.links.load(Ordering::Relaxed)
     }
 
-    /// Bytes passed on to the address.
-    pub fn into_target(&self) -> u64 {
+    /// The bytes passed to the target.
+    pub fn bytes_to_target(&self) -> u64 {
         self.shared.traffic.sent()
     }
 
-    /// Bytes passed back from the address.
-    pub fn out_of_target(&self) -> u64 {
+    /// The bytes passed back from the target.
+    pub fn bytes_from_target(&self) -> u64 {
         self.shared.traffic.received()
     }
 
-    /// Bytes passed on, both ways together.
+    /// The bytes passed in both directions.
     pub fn bytes(&self) -> u64 {
-        self.into_target() + self.out_of_target()
+        self.bytes_to_target() + self.bytes_from_target()
     }
 }
 
@@ -60,34 +63,35 @@
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddr, shared: Arc<Shared>) {
+async fn accept(listener: TcpListener, target: SocketAddr, shared: Arc<Shared>) {
     let mut links = JoinSet::new();
     while let Ok((socket, _)) = listener.accept().await {
         let shared = shared.clone();
         links.spawn(async move {
-            // A link that breaks is the managers' to notice.
-            _ = forward(socket, to, &shared).await;
+            // The processes at both ends notice a broken connection themselves.
+            _ = forward(socket, target, &shared).await;
         });
         while links.try_join_next().is_some() {}
     }
 }
 
-async fn forward(from: TcpStream, to: SocketAddr, shared: &Shared) -> std::io::Result<()> {
-    let to = TcpStream::connect(to).await?;
-    from.set_nodelay(true)?;
-    to.set_nodelay(true)?;
+async fn forward(client: TcpStream, target: SocketAddr, shared: &Shared) -> std::io::Result<()> {
+    let target = TcpStream::connect(target).await?;
+    client.set_nodelay(true)?;
+    target.set_nodelay(true)?;
     shared.links.fetch_add(1, Ordering::Relaxed);
-    let (from_read, from_write) = from.into_split();
-    let (to_read, to_write) = to.into_split();
+    let (client_read, client_write) = client.into_split();
+    let (target_read, target_write) = target.into_split();
     tokio::select! {
-        _ = pass(from_read, to_write, |bytes| shared.traffic.add_sent(bytes)) => {}
-        _ = pass(to_read, from_write, |bytes| shared.traffic.add_received(bytes)) => {}
+        _ = copy(client_read, target_write, |bytes| shared.traffic.add_sent(bytes)) => {}
+        _ = copy(target_read, client_write, |bytes| shared.traffic.add_received(bytes)) => {}
     }
     shared.links.fetch_sub(1, Ordering::Relaxed);
     Ok(())
 }
 
-async fn pass(
+/// Copies bytes until the end of the input, and counts them.
+async fn copy(
     mut read: impl AsyncRead + Unpin,
     mut write: impl AsyncWrite + Unpin,
     count: impl Fn(usize),
--- a/crates/lab/src/scale/simulated/mod.rs
+++ b/crates/lab/src/scale/simulated/mod.rs
@@ -1,5 +1,6 @@
-//! Hollow peers: they speak the real protocol and keep only what a measurement needs, so that thousands share this
-//! process. Each is a task or two on the runtime of the run; all listen and dial on the loopback alone.
+//! Simulated peers of a manager or a relay. They speak the real protocol but keep only the state that a measurement
+//! needs, so that thousands of them share this process. Each is one or two tasks on the runtime of the run, and all of
+//! them use the loopback interface.
 
 mod collectors;
 mod discovery;
@@ -19,7 +20,7 @@
 pub use watch::Watch;
 pub use workers::Workers;
 
-/// Bytes as a hollow peer counts them.
+/// The bytes that a group of simulated peers has sent and received.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: AtomicU64,
@@ -27,20 +28,22 @@
 }
 
 impl Traffic {
+    /// Counts bytes that a peer sent.
     pub fn add_sent(&self, bytes: usize) {
         self.sent.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
+    /// Counts bytes that a peer received.
     pub fn add_received(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Bytes that the peer sent: the measured process's bytes in.
+    /// The bytes that the peers sent, which the measured process received.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes that the peer received: the measured process's bytes out.
+    /// The bytes that the peers received, which the measured process sent.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
--- a/crates/lab/src/scale/simulated/proxies.rs
+++ b/crates/lab/src/scale/simulated/proxies.rs
@@ -1,4 +1,4 @@
-//! Hollow proxies: each joins a manager, answers every mark, and keeps no table.
+//! Simulated proxies: each joins a manager and acknowledges every mark, but keeps no table.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,24 +12,26 @@
 
 use super::{Fleet, Traffic};
 
-const REDIAL: Duration = Duration::from_millis(100);
-/// So many dial at once, so that the manager's queue of connections never overflows.
-const TOGETHER: usize = 64;
-const BETWEEN_BATCHES: Duration = Duration::from_millis(20);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// The number of proxies that connect at a time, small enough that the manager's accept queue does not overflow.
+const BATCH_SIZE: usize = 64;
+const BATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Which proxies took a worker out of use, as it is waited for.
+/// The acknowledgements of orders that take a worker out of use.
 #[derive(Default)]
 struct Drain {
+    /// The worker whose drain is expected.
     worker: Option<String>,
-    /// The proxies that answered the order, and when the last of them did.
-    answered: usize,
-    last: Option<Instant>,
+    /// The number of proxies that acknowledged the order.
+    acknowledged: usize,
+    /// The time of the last acknowledgement.
+    last_acknowledged: Option<Instant>,
 }
 
 #[derive(Default)]
 struct Shared {
     joins: AtomicUsize,
-    /// Proxies that were given an order since they last joined.
+    /// The proxies that have received an order since they last joined.
     ordered: AtomicUsize,
     drain: Mutex<Drain>,
     traffic: Traffic,
@@ -48,7 +50,7 @@
 }
 
 impl Proxies {
-    /// `count` proxies join, spread over the zones.
+    /// Starts `count` proxies, spread over the zones.
     pub fn join(manager: SocketAddr, count: usize, zones: usize) -> Proxies {
         let shared = Arc::<Shared>::default();
         let mut tasks = JoinSet::new();
@@ -60,29 +62,31 @@
         Proxies { shared, _tasks: tasks }
     }
 
+    /// The bytes of all proxies.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
 
-    /// How many were given an order since they joined.
+    /// The number of proxies that have received an order since they last joined.
     pub fn ordered(&self) -> usize {
         self.shared.ordered.load(Ordering::Relaxed)
     }
 
-    /// How often a proxy joined, also again.
+    /// The number of joins, including repeated ones.
     pub fn joins(&self) -> usize {
         self.shared.joins.load(Ordering::Relaxed)
     }
 
-    /// From now on, the orders that take this worker out of use are counted.
-    pub fn await_drain(&self, worker: &str) {
+    /// Starts to count the acknowledgements of orders that take this worker out of use.
+    pub fn expect_drain(&self, worker: &str) {
         *self.shared.drain() = Drain { worker: Some(worker.into()), ..Drain::default() };
     }
 
-    /// How many proxies answered an order that takes the worker out of use, and when the last one did.
-    pub fn drained(&self) -> (usize, Option<Instant>) {
+    /// The number of proxies that acknowledged an order that takes the expected worker out of use, and the time of the
+    /// last acknowledgement.
+    pub fn drain_acknowledgements(&self) -> (usize, Option<Instant>) {
         let drain = self.shared.drain();
-        (drain.answered, drain.last)
+        (drain.acknowledged, drain.last_acknowledged)
     }
 }
 
@@ -95,19 +99,20 @@
 
 impl Proxy {
     async fn run(self) {
-        sleep(BETWEEN_BATCHES * (self.number / TOGETHER) as u32).await;
+        sleep(BATCH_INTERVAL * (self.number / BATCH_SIZE) as u32).await;
         loop {
-            // Whatever ended the stream, a proxy dials again.
-            let mut ordered = false;
-            _ = self.stream(&mut ordered).await;
-            if ordered {
+            // A proxy reconnects after any error.
+            let mut has_order = false;
+            _ = self.run_stream(&mut has_order).await;
+            if has_order {
                 self.shared.ordered.fetch_sub(1, Ordering::Relaxed);
             }
-            sleep(REDIAL).await;
+            sleep(RECONNECT_DELAY).await;
         }
     }
 
-    async fn stream(&self, ordered: &mut bool) -> std::io::Result<()> {
+    /// Joins the manager and reads orders until the connection ends. Sets `has_order` on the first complete order.
+    async fn run_stream(&self, has_order: &mut bool) -> std::io::Result<()> {
         let socket = TcpStream::connect(self.manager).await?;
         socket.set_nodelay(true)?;
         let (read, mut write) = socket.into_split();
@@ -116,8 +121,8 @@
         self.shared.traffic.add_sent(hello.len());
         self.shared.joins.fetch_add(1, Ordering::Relaxed);
         let (mut read, mut line) = (BufReader::with_capacity(1024, read), Vec::new());
-        // Whether the message that is being read takes the awaited worker out of use.
-        let mut drains = false;
+        // Whether the order that is being read takes the expected worker out of use.
+        let mut is_drain = false;
         loop {
             line.clear();
             let count = read.read_until(b'\n', &mut line).await?;
@@ -125,47 +130,49 @@
             if count == 0 {
                 return Ok(());
             }
-            // A long order's room is not kept: thousands share this process.
+            // The buffer of a long order is released, since thousands of proxies share this process.
             line.shrink_to(1024);
             let order = String::from_utf8_lossy(&line);
-            let order = Order::read(order.trim_end());
-            drains |= self.takes_out(&order);
+            let order = Order::parse(order.trim_end());
+            is_drain |= self.drains_expected_worker(&order);
             if order.more {
                 continue;
             }
-            if !std::mem::replace(ordered, true) {
+            if !std::mem::replace(has_order, true) {
                 self.shared.ordered.fetch_add(1, Ordering::Relaxed);
             }
             if let Some(mark) = order.mark {
-                let answer = format!("ack node={} nonce={mark} latency=1.0\r\n", self.number);
-                write.write_all(answer.as_bytes()).await?;
-                self.shared.traffic.add_sent(answer.len());
+                let acknowledgement = format!("ack node={} nonce={mark} latency=1.0\r\n", self.number);
+                write.write_all(acknowledgement.as_bytes()).await?;
+                self.shared.traffic.add_sent(acknowledgement.len());
             }
-            if std::mem::take(&mut drains) {
+            if std::mem::take(&mut is_drain) {
                 let mut drain = self.shared.drain();
-                drain.answered += 1;
-                drain.last = Some(Instant::now());
+                drain.acknowledged += 1;
+                drain.last_acknowledged = Some(Instant::now());
             }
         }
     }
 
-    fn takes_out(&self, order: &Order) -> bool {
+    fn drains_expected_worker(&self, order: &Order) -> bool {
         let drain = self.shared.drain();
-        drain.worker.as_ref().is_some_and(|worker| order.takes_out(worker))
+        drain.worker.as_ref().is_some_and(|worker| order.takes_out_of_use(worker))
     }
 }
 
-/// What a hollow proxy reads of an order.
+/// The fields of an order that a simulated proxy reads.
 #[derive(Default)]
 struct Order<'a> {
+    /// Whether another part of the order follows.
     more: bool,
     mark: Option<&'a str>,
     lines: &'a str,
+    /// The workers that must not be used, separated by commas.
     out: &'a str,
 }
 
 impl<'a> Order<'a> {
-    fn read(line: &'a str) -> Order<'a> {
+    fn parse(line: &'a str) -> Order<'a> {
         let mut order = Order::default();
         for (name, value) in line.split(' ').filter_map(|word| word.split_once('=')) {
             match name {
@@ -179,11 +186,11 @@
         order
     }
 
-    /// Whether the worker is shut out, or its line taken away.
-    fn takes_out(&self, worker: &str) -> bool {
-        let removed = |line: &str| {
+    /// Whether the order excludes the worker or removes its line, which is one with a weight of 0.
+    fn takes_out_of_use(&self, worker: &str) -> bool {
+        let removes_worker = |line: &str| {
             line.split_once(':').is_some_and(|(name, weight)| name == worker && weight.parse() == Ok(0.0))
         };
-        self.out.split(',').any(|out| out == worker) || self.lines.split(',').any(removed)
+        self.out.split(',').any(|out| out == worker) || self.lines.split(',').any(removes_worker)
     }
 }
--- a/crates/lab/src/scale/simulated/watch.rs
+++ b/crates/lab/src/scale/simulated/watch.rs
@@ -1,4 +1,4 @@
-//! A watch of the worker list, as managers keep one.
+//! A watch of the worker list, as a manager has one open.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// A watch that brings nothing for so long is silent: two heartbeats.
-const SILENCE: Duration = Duration::from_secs(4);
+/// The time without data after which a watch is considered broken: two heartbeats.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What is read of a line of a watch.
+/// The fields that are read from a line of a watch.
 #[derive(Debug, Deserialize)]
 pub struct Line {
     pub generation: u64,
@@ -26,7 +26,7 @@
     pub instances: Vec<Entry>,
 }
 
-/// What is read of a worker's entry.
+/// The fields that are read from a worker's entry.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Entry {
@@ -37,52 +37,54 @@
 /// An open watch.
 pub struct Watch {
     body: Incoming,
-    unfinished: BytesMut,
-    /// Bytes of the body that came since they were last asked for.
+    /// Data after the last complete line.
+    unparsed: BytesMut,
+    /// The bytes of the body received since the last call of [`Watch::take_received`].
     received: usize,
     connection: JoinHandle<()>,
 }
 
-/// Why a watch ended; whoever watches dials again, whatever it was.
+/// A watch could not be opened or has ended. The cause is not kept, since a subscriber reconnects in every case.
 #[derive(Debug)]
-pub struct Broken;
+pub struct WatchEnded;
 
 impl Watch {
-    /// `parameters`: what stands in the query besides `stream=1`, as `&index=41`.
-    pub async fn open(source: SocketAddr, parameters: &str) -> Result<Watch, Broken> {
-        let socket = TcpStream::connect(source).await.map_err(|_| Broken)?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await.map_err(|_| Broken)?;
+    /// Opens a watch. `parameters` are added to the query after `stream=1`, as `&index=41`.
+    pub async fn open(source: SocketAddr, parameters: &str) -> Result<Watch, WatchEnded> {
+        let socket = TcpStream::connect(source).await.map_err(|_| WatchEnded)?;
+        let (mut sender, connection) =
+            http1::handshake(TokioIo::new(socket)).await.map_err(|_| WatchEnded)?;
         let connection = tokio::spawn(async move { _ = connection.await });
         let request = Request::get(format!("/v1/servers?stream=1{parameters}"))
             .header(HOST, source.to_string())
             .body(Empty::<Bytes>::new())
-            .map_err(|_| Broken)?;
-        let answer = sender.send_request(request).await;
-        let watch = |body| Watch { body, unfinished: BytesMut::new(), received: 0, connection };
-        match answer {
-            Ok(answer) if answer.status().is_success() => Ok(watch(answer.into_body())),
-            _ => Err(Broken),
+            .map_err(|_| WatchEnded)?;
+        let response = sender.send_request(request).await;
+        let watch = |body| Watch { body, unparsed: BytesMut::new(), received: 0, connection };
+        match response {
+            Ok(response) if response.status().is_success() => Ok(watch(response.into_body())),
+            _ => Err(WatchEnded),
         }
     }
 
-    /// The next line that tells something.
-    pub async fn next(&mut self) -> Result<Line, Broken> {
+    /// Waits for the next line that is not empty.
+    pub async fn next(&mut self) -> Result<Line, WatchEnded> {
         loop {
-            while let Some(end) = self.unfinished.iter().position(|byte| *byte == b'\n') {
-                let line = self.unfinished.split_to(end + 1);
+            while let Some(end) = self.unparsed.iter().position(|byte| *byte == b'\n') {
+                let line = self.unparsed.split_to(end + 1);
                 if !line.trim_ascii().is_empty() {
-                    return serde_json::from_slice(&line).map_err(|_| Broken);
+                    return serde_json::from_slice(&line).map_err(|_| WatchEnded);
                 }
             }
-            let frame = timeout(SILENCE, self.body.frame()).await.map_err(|_| Broken)?;
-            let frame = frame.ok_or(Broken)?.map_err(|_| Broken)?;
+            let frame = timeout(SILENCE_TIMEOUT, self.body.frame()).await.map_err(|_| WatchEnded)?;
+            let frame = frame.ok_or(WatchEnded)?.map_err(|_| WatchEnded)?;
             let data = frame.into_data().unwrap_or_default();
             self.received += data.len();
-            self.unfinished.extend_from_slice(&data);
+            self.unparsed.extend_from_slice(&data);
         }
     }
 
-    /// How many bytes came since the last call.
+    /// The bytes of the body received since the last call.
     pub fn take_received(&mut self) -> usize {
         std::mem::take(&mut self.received)
     }
--- a/crates/lab/src/scale/simulated/workers.rs
+++ b/crates/lab/src/scale/simulated/workers.rs
@@ -1,4 +1,4 @@
-//! Hollow workers: one address answers the probes of all of them.
+//! Simulated workers: one address answers the probes of all of them.
 
 use std::net::SocketAddr;
 
@@ -8,6 +8,7 @@
 
 use crate::scale::error::ScaleError;
 
+/// The load that every worker reports.
 const LOAD: &str = "inflight=2,queue=0,util=0.40";
 
 /// Answers probes until it is dropped.
@@ -17,9 +18,13 @@
 }
 
 impl Workers {
+    /// Starts to answer probes on a free port.
     pub async fn start() -> Result<Workers, ScaleError> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ScaleError::io("hollow workers"))?;
-        let address = listener.local_addr().map_err(ScaleError::io("hollow workers"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(ScaleError::io("the address of the simulated workers"))?;
+        let address =
+            listener.local_addr().map_err(ScaleError::io("the address of the simulated workers"))?;
         Ok(Workers { address, accepting: tokio::spawn(accept(listener)) })
     }
 }
@@ -34,18 +39,18 @@
     let mut probes = JoinSet::new();
     while let Ok((socket, _)) = listener.accept().await {
         probes.spawn(async move {
-            // A probe that breaks is the prober's to notice.
-            _ = answer(socket).await;
+            // The prober notices a broken connection itself.
+            _ = answer_probes(socket).await;
         });
         while probes.try_join_next().is_some() {}
     }
 }
 
-async fn answer(mut socket: TcpStream) -> std::io::Result<()> {
+async fn answer_probes(mut socket: TcpStream) -> std::io::Result<()> {
     let mut request = [0; 4096];
     while socket.read(&mut request).await? > 0 {
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LOAD}", LOAD.len());
-        socket.write_all(answer.as_bytes()).await?;
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{LOAD}", LOAD.len());
+        socket.write_all(response.as_bytes()).await?;
     }
     Ok(())
 }
--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -1,32 +1,34 @@
-//! What a manager or a relay costs as one size grows and all others stay.
+//! The resources that a manager or a relay uses as one size grows and all others stay the same.
 
 use super::error::ScaleError;
-use super::guard::Need;
-use super::measured_process::Host;
-use super::relay::{self, ordinary_cost};
-use super::scenario::{play, Cost, Pace, Scenario};
-use super::target_fleet::{Letter, WHOLE};
+use super::guard::Requirements;
+use super::measured_process::Launcher;
+use super::relay::{self, measure_relay};
+use super::scenario::{measure_manager, Cost, Durations, Scenario};
+use super::target_fleet::{TargetFleet, FULL};
 
-/// One size that grows.
-pub struct Growth {
-    /// The word for the command line.
+/// An experiment that measures one role at growing values of one size.
+pub struct SlopeExperiment {
+    /// Its name on the command line.
     pub name: &'static str,
-    /// What the figures are told against.
+    /// What the size counts, as recorded with the figures.
     pub against: &'static str,
+    /// The sizes of a full run.
     pub sizes: &'static [usize],
-    /// The sizes of the small form.
+    /// The sizes of a run with `--small`.
     pub small: &'static [usize],
     pub play: Play,
 }
 
-/// What is played at a size, and so which role is measured.
+/// The role that is measured, and what it serves at a size.
 #[derive(Clone, Copy)]
 pub enum Play {
     Manager(fn(usize) -> Scenario),
-    Relay(fn(usize) -> Letter),
+    Relay(fn(usize) -> TargetFleet),
 }
 
-impl Growth {
+impl SlopeExperiment {
+    /// The role that is measured, as recorded with the figures.
     pub fn role(&self) -> &'static str {
         match self.play {
             Play::Manager(_) => "manager",
@@ -34,22 +36,28 @@
         }
     }
 
-    /// What a play of this size needs.
-    pub fn need(&self, size: usize) -> Need {
+    /// The resources that a play of this size needs.
+    pub fn requirements(&self, size: usize) -> Requirements {
         match self.play {
-            Play::Manager(scenario) => scenario(size).need(),
-            Play::Relay(letter) => relay::need(&letter(size)),
+            Play::Manager(scenario) => scenario(size).requirements(),
+            Play::Relay(fleet) => relay::requirements(&fleet(size)),
         }
     }
 
-    /// Plays one size.
-    pub async fn play(&self, host: &Host, size: usize, pace: Pace) -> Result<Cost, ScaleError> {
+    /// Measures the role at one size.
+    pub async fn measure(
+        &self,
+        launcher: &Launcher,
+        size: usize,
+        durations: Durations,
+    ) -> Result<Cost, ScaleError> {
         match self.play {
-            Play::Manager(scenario) => play(host, &scenario(size), pace).await,
-            Play::Relay(letter) => ordinary_cost(host, &letter(size), pace).await,
+            Play::Manager(scenario) => measure_manager(launcher, &scenario(size), durations).await,
+            Play::Relay(fleet) => measure_relay(launcher, &fleet(size), durations).await,
         }
     }
 
+    /// The sizes of a small or a full run.
     pub fn sizes(&self, small: bool) -> &'static [usize] {
         if small {
             self.small
@@ -59,7 +67,7 @@
     }
 }
 
-/// What stays where nothing else is said: no proxies, no reports, one changed entry a second.
+/// The default sizes: no proxies, no reports, one changed entry per second.
 const BASE: Scenario = Scenario {
     workers: 1000,
     zones: 3,
@@ -70,61 +78,63 @@
     reports_per_second: 0.0,
 };
 
-/// With proxies, of fewer workers, so that their first tables pass at once.
+/// The default sizes with proxies. There are fewer workers, so that the proxies get their first tables without delay.
 const SERVING: Scenario = Scenario { workers: 100, proxies: 50, ..BASE };
 
-pub const ALL: [Growth; 7] = [
-    Growth {
+/// All slope experiments.
+pub const ALL: [SlopeExperiment; 7] = [
+    SlopeExperiment {
         name: "workers",
         against: "workers listed",
         sizes: &[500, 1000, 2000, 4000, 8000],
         small: &[500, 1000, 2000, 4000],
         play: Play::Manager(|workers| Scenario { workers, ..BASE }),
     },
-    Growth {
+    SlopeExperiment {
         name: "changes",
         against: "changes of the list a second",
         sizes: &[0, 2, 8, 32],
         small: &[0, 10, 20, 40],
         play: Play::Manager(|changes| Scenario { changes_per_second: changes as f64, ..BASE }),
     },
-    Growth {
+    SlopeExperiment {
         name: "proxies",
         against: "proxies joined",
         sizes: &[50, 200, 800, 2400],
         small: &[100, 200, 400, 800],
         play: Play::Manager(|proxies| Scenario { proxies, ..SERVING }),
     },
-    Growth {
+    SlopeExperiment {
         name: "operations",
         against: "operations",
         sizes: &[1, 2, 4, 8, 16],
         small: &[1, 2, 4, 8],
         play: Play::Manager(|operations| Scenario { operations, ..SERVING }),
     },
-    Growth {
+    SlopeExperiment {
         name: "reports",
         against: "reports a second",
         sizes: &[0, 100, 400, 1600],
         small: &[0, 100, 200, 400],
         play: Play::Manager(|reports| Scenario { reports_per_second: reports as f64, ..SERVING }),
     },
-    Growth {
+    SlopeExperiment {
         name: "relay-workers",
         against: "workers listed",
         sizes: &[25_000, 50_000, 100_000, 200_000],
         small: &[4000, 8000, 16_000, 32_000],
-        play: Play::Relay(|workers| Letter { workers, ..RELAY }),
+        play: Play::Relay(|workers| TargetFleet { workers, ..RELAY }),
     },
-    Growth {
+    SlopeExperiment {
         name: "relay-subscribers",
         against: "subscribers",
         sizes: &[50, 100, 200, 400],
         small: &[20, 40, 80, 160],
-        play: Play::Relay(|subscribers| Letter { workers: RELAY_WORKERS, subscribers, ..RELAY }),
+        play: Play::Relay(|subscribers| TargetFleet { workers: RELAY_WORKERS, subscribers, ..RELAY }),
     },
 ];
 
-/// For relays: few subscribers where the list grows, a list of this size where they do.
-const RELAY: Letter = Letter { subscribers: 20, ..WHOLE };
+/// The sizes for relays, with few subscribers while the list grows.
+const RELAY: TargetFleet = TargetFleet { subscribers: 20, ..FULL };
+/// The size of the list while the number of subscribers grows.
 const RELAY_WORKERS: usize = 9_000;
--- a/crates/lab/src/scale/target_fleet.rs
+++ b/crates/lab/src/scale/target_fleet.rs
@@ -1,32 +1,36 @@
-//! The fleet that the operators write of, and what a manager of it may use.
+//! The size of fleet that the operators require, and the limits on the resources of one of its managers.
 
 use std::net::SocketAddr;
 
 use super::simulated::Fleet;
 
-/// What one manager may use for control.
-pub const MEMORY_MOST: f64 = 32e6;
-pub const MEMORY_AIM: f64 = 12e6;
-pub const CORES_MOST: f64 = 0.013;
-pub const BYTES_MOST: f64 = 5e3;
+/// The limit on the memory of a manager.
+pub const MAX_MEMORY_BYTES: f64 = 32e6;
+/// The desired memory of a manager, below the limit.
+pub const TARGET_MEMORY_BYTES: f64 = 12e6;
+/// The limit on the processor time of a manager, as a share of one core.
+pub const MAX_CORES: f64 = 0.013;
+/// The limit on the bytes that a manager receives and sends per second.
+pub const MAX_BYTES_PER_SECOND: f64 = 5e3;
 
-/// The sizes of the whole fleet.
+/// The sizes of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Letter {
+pub struct TargetFleet {
     pub workers: usize,
     pub zones: usize,
     pub services: usize,
-    /// Managers of one relay.
+    /// The managers that subscribe to one relay.
     pub subscribers: usize,
-    /// Workers of a manager that takes the whole list, for comparison.
+    /// The workers in the list of a manager without a scope, which a scoped manager is compared with.
     pub unscoped_workers: usize,
-    /// On an ordinary day.
+    /// The changed list entries per second on an ordinary day.
     pub changes_per_second: f64,
-    /// How many windows a relay's ordinary day lasts, for enough timed changes.
+    /// The length of a relay's measurement on an ordinary day in windows, long enough for its timed changes.
     pub relay_windows: u32,
 }
 
-pub const WHOLE: Letter = Letter {
+/// The required sizes.
+pub const FULL: TargetFleet = TargetFleet {
     workers: 200_000,
     zones: 73,
     services: 4_400,
@@ -36,31 +40,33 @@
     relay_windows: 6,
 };
 
-const SMALL: Letter = Letter {
+/// The sizes of a run with `--small`.
+const SMALL: TargetFleet = TargetFleet {
     workers: 9_000,
     services: 200,
     subscribers: 40,
     unscoped_workers: 2_000,
     relay_windows: 2,
-    ..WHOLE
+    ..FULL
 };
 
-impl Letter {
-    pub fn of(small: bool) -> Letter {
+impl TargetFleet {
+    /// The sizes for a small or a full run.
+    pub fn for_run(small: bool) -> TargetFleet {
         if small {
             SMALL
         } else {
-            WHOLE
+            FULL
         }
     }
 
-    /// All workers; nobody probes them.
-    pub fn fleet(&self) -> Fleet {
+    /// The workers that discovery lists. They share an address that nothing serves, since they are not probed.
+    pub fn to_fleet(&self) -> Fleet {
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         Fleet { workers: self.workers, zones: self.zones, services: self.services, address }
     }
 
-    /// The parameters of a watch that asks for these services.
+    /// The query parameters of a watch with these services as its scope.
     pub fn query(&self, services: &[usize]) -> String {
         let names: Vec<String> =
             services.iter().map(|service| Fleet::service_name(service % self.services)).collect();
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Many schedules at five replicas whose leader is killed repeatedly: no side-effecting occurrence takes effect twice, none is
-//! missed without a log line, and how late they run.
+//! Many schedules at five replicas whose leader is killed repeatedly: no side-effecting occurrence takes effect twice,
+//! none is missed without a log line, and how late they run.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -19,7 +19,8 @@
 /// A claimed occurrence completes within this time after the last kill.
 const COMPLETION_WAIT: Duration = Duration::from_secs(6);
 
-/// Runs `count` schedules for `seconds`, every other one side-effecting, then checks the executor's and the managers' logs.
+/// Runs `count` schedules for `seconds`, every other one side-effecting, then checks the executor's and the managers'
+/// logs.
 pub fn run(report: &mut Report, count: usize, seconds: u64) {
     let schedule = |n: usize| {
         let effect = if n.is_multiple_of(2) { "idempotent" } else { "side-effecting" };
@@ -140,7 +141,8 @@
     let total: usize = jitter_tenths.iter().sum();
     let (min, max) =
         (jitter_tenths.iter().min().copied().unwrap_or(0), jitter_tenths.iter().max().copied().unwrap_or(0));
-    // A tenth has a binomial count with mean total / 10 and variance 0.09 * total; five standard deviations are allowed.
+    // A tenth has a binomial count with mean total / 10 and variance 0.09 * total; five standard deviations are
+    // allowed.
     let (expected, tolerance) = (total as f64 / 10.0, 5.0 * (total as f64 * 0.09).sqrt());
     let is_uniform = (min as f64) > expected - tolerance && (max as f64) < expected + tolerance;
     report.bound("occurrences per tenth of the jitter", format!("{min} to {max} of {total}"), is_uniform);
--- a/crates/lab/src/trials.rs
+++ b/crates/lab/src/trials.rs
@@ -1,5 +1,5 @@
-//! The exhaustive fault sweep: every fault at every fault point, injected at its first, a middle and a late passing, at one
-//! manager and at all managers, in clusters of three real processes.
+//! The exhaustive fault sweep: every fault at every fault point, injected at its first, a middle and a late passing, at
+//! one manager and at all managers, in clusters of three real processes.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,7 +9,8 @@
 
 use crate::report::Report;
 
-/// Runs the sweep with `parallelism` clusters at a time. Unless it is exhaustive, faults are injected only at first passings.
+/// Runs the sweep with `parallelism` clusters at a time. Unless it is exhaustive, faults are injected only at first
+/// passings.
 pub fn run(report: &mut Report, parallelism: usize, exhaustive: bool) {
     let started = Instant::now();
     let passings = count_point_passings();
--- a/crates/lab/tests/record.rs
+++ b/crates/lab/tests/record.rs
@@ -1,11 +1,11 @@
-//! The file of measurements as several runs write it.
+//! Merging the results of several runs into one measurements file.
 
 use juniperrail_lab::measured::{Measurements, Reading, Run, Slope};
-use juniperrail_lab::scale::record::merged;
+use juniperrail_lab::scale::record::merge;
 
 fn run(id: &str) -> Run {
-    let text = String::new;
-    Run { id: id.into(), commit: text(), at: text(), command: text(), machine: text() }
+    let empty = String::new;
+    Run { id: id.into(), commit: empty(), at: empty(), command: empty(), machine: empty() }
 }
 
 fn slope(figure: &str, run: &str) -> Slope {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_newer_run_replaces_what_it_measured_again_and_keeps_the_rest() {
+fn a_newer_run_replaces_only_the_figures_that_it_measured_again() {
     let older = Measurements {
         runs: vec![run("first")],
         slopes: vec![slope("peak memory", "first"), slope("bytes in", "first")],
@@ -43,18 +43,18 @@
         slopes: vec![slope("peak memory", "second")],
         readings: vec![reading("neighbour died", "second")],
     };
-    let merged = merged(older, newer);
+    let merged = merge(older, newer);
     assert_eq!(merged.runs, [run("first"), run("second")]);
     assert_eq!(merged.slopes, [slope("bytes in", "first"), slope("peak memory", "second")]);
     assert_eq!(merged.readings, [reading("ordinary day", "first"), reading("neighbour died", "second")]);
 }
 
 #[test]
-fn a_run_that_gave_nothing_that_is_left_goes() {
-    let of = |id: &str| Measurements {
+fn a_run_without_any_remaining_figure_is_removed() {
+    let measured_by = |id: &str| Measurements {
         runs: vec![run(id)],
         slopes: vec![slope("peak memory", id)],
         readings: Vec::new(),
     };
-    assert_eq!(merged(of("first"), of("second")), of("second"));
+    assert_eq!(merge(measured_by("first"), measured_by("second")), measured_by("second"));
 }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,4 +1,5 @@
-//! The small form of the scale run, with the program built as this test is. Its bounds are ratios within the one run.
+//! The scale run with `--small` and the program in the same build profile as this test. Its bounds are ratios within
+//! the run.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -7,7 +8,8 @@
 use juniperrail_lab::report::Report;
 use juniperrail_lab::scale::{self, Options};
 
-/// A test of the lab alone builds no program; a test of the workspace does.
+/// Builds the program if it is missing. Cargo builds it for a test of the workspace, but not for a test of the lab
+/// alone.
 fn build_program() {
     let executable = std::env::current_exe().unwrap();
     let folder = executable.parent().and_then(Path::parent).unwrap();
@@ -20,17 +22,17 @@
     build.args(["build", "--locked", "--quiet", "-p", "juniperrail-manager", "--target-dir"]);
     build.arg(folder.parent().unwrap());
     build.args((!cfg!(debug_assertions)).then_some("--release"));
-    assert!(build.status().unwrap().success(), "the program is built");
+    assert!(build.status().unwrap().success(), "cargo builds the program");
 }
 
-fn temporary(name: &str) -> PathBuf {
+fn temporary_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("juniperrail-scale-test-{}-{name}", std::process::id()))
 }
 
 #[test]
 fn the_small_form_keeps_its_bounds() {
     build_program();
-    let (samples, out) = (temporary("samples.jsonl"), temporary("measured.json"));
+    let (samples, out) = (temporary_path("samples.jsonl"), temporary_path("measured.json"));
     let options = Options {
         only: Vec::new(),
         seconds: 1.5,
@@ -41,19 +43,19 @@
         beside: "other tests".into(),
     };
     let mut report = Report::default();
-    let ran = scale::run(&mut report, &options);
+    let result = scale::run(&mut report, &options);
     let written = [&samples, &out].map(|path| std::fs::read_to_string(path).unwrap_or_default());
     [&samples, &out].into_iter().for_each(|path| _ = std::fs::remove_file(path));
-    ran.unwrap();
-    assert_eq!(report.failed(), 0, "bounds that are broken; see above");
+    result.unwrap();
+    assert_eq!(report.failed(), 0, "a bound is broken; the output above names it");
     let measured: Measurements = serde_json::from_str(&written[1]).unwrap();
     assert!(measured.slopes.iter().all(|slope| slope.sizes.len() >= 4 && slope.run == measured.runs[0].id));
-    let per_slope = measured.slopes.iter().map(|slope| slope.sizes.len() * slope.plays).sum::<usize>();
-    assert_eq!(written[0].lines().count(), per_slope + measured.readings.len());
+    let slope_samples = measured.slopes.iter().map(|slope| slope.sizes.len() * slope.plays).sum::<usize>();
+    assert_eq!(written[0].lines().count(), slope_samples + measured.readings.len());
 }
 
 #[test]
-fn an_unknown_experiment_is_named() {
+fn an_unknown_experiment_is_rejected_by_name() {
     let options = Options {
         only: vec!["wrokers".into()],
         seconds: 1.0,
@@ -63,6 +65,6 @@
         out: None,
         beside: String::new(),
     };
-    let why = scale::run(&mut Report::default(), &options).unwrap_err().to_string();
-    assert!(why.contains("wrokers") && why.contains("workers, changes, proxies"), "{why}");
+    let error = scale::run(&mut Report::default(), &options).unwrap_err().to_string();
+    assert!(error.contains("wrokers") && error.contains("workers, changes, proxies"), "{error}");
 }
