--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -16,8 +16,11 @@
 /// The sizes and the report period that the managers' settings state.
 #[derive(Clone, Copy)]
 pub struct ClusterSize {
+    /// The workers that discovery lists.
     pub workers: usize,
+    /// The proxies that the managers expect together.
     pub proxies: u16,
+    /// The managers that share the proxies.
     pub managers: u16,
     /// The period of the reports in milliseconds; managers gather changes for half of it.
     pub report_period_ms: u32,
@@ -27,6 +30,7 @@
 /// folder.
 pub struct Cluster {
     pub size: ClusterSize,
+    /// The folder of the keys and the managers' files.
     pub folder: PathBuf,
     pub discovery: Discovery,
     host_key: SshKeys,
@@ -100,7 +104,7 @@
         ManagerProcess { child, stdin, stdout, address, ssh }
     }
 
-    /// The manager's NETCONF endpoint, with the credentials of the user that its file names.
+    /// The manager's NETCONF endpoint, with the credentials of the user in its operator's file.
     pub fn endpoint(&self, manager: &ManagerProcess) -> Endpoint {
         Endpoint::ssh(manager.ssh.to_string(), "ann", &self.user_key.private)
             .with_host_key(&self.host_key.public)
@@ -158,6 +162,7 @@
 /// How late a manager's turns were, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnLateness {
+    /// The number of turns.
     pub count: u64,
     pub p50_us: u64,
     pub p99_us: u64,
--- a/crates/lab/src/gangs.rs
+++ b/crates/lab/src/gangs.rs
@@ -35,21 +35,21 @@
     /// factor of 1.
     fn new(rng: &mut fastrand::Rng, count: usize, speed_factor: f64) -> DrawnGang {
         let kinds: Vec<WorkerKind> = (0..count)
-            .map(|n| WorkerKind {
+            .map(|index| WorkerKind {
                 machine: MachineId(rng.u16(..2)),
                 cell: CellId(0),
-                zone: ZoneId((n % 3) as u16),
+                zone: ZoneId((index % 3) as u16),
                 warm: true,
             })
             .collect();
         let stragglers: Vec<bool> = (0..count).map(|_| speed_factor == 1.0 && rng.f64() < 0.04).collect();
-        let speed = |n: usize, rng: &mut fastrand::Rng| {
-            let kind_factor = if kinds[n].machine.0 == 0 { 1.0 } else { 0.7 };
+        let speed = |index: usize, rng: &mut fastrand::Rng| {
+            let kind_factor = if kinds[index].machine.0 == 0 { 1.0 } else { 0.7 };
             let worker_factor = (0.08 * standard_normal(rng)).exp();
-            let straggler_factor = if stragglers[n] { 0.15 + 0.35 * rng.f64() } else { 1.0 };
+            let straggler_factor = if stragglers[index] { 0.15 + 0.35 * rng.f64() } else { 1.0 };
             speed_factor * kind_factor * worker_factor * straggler_factor
         };
-        let speeds = (0..count).map(|n| speed(n, rng)).collect();
+        let speeds = (0..count).map(|index| speed(index, rng)).collect();
         let sizes = (0..count).map(|_| 60_000.0 * (0.15 * standard_normal(rng)).exp()).collect();
         DrawnGang { kinds, speeds, sizes, stragglers }
     }
@@ -71,6 +71,7 @@
 /// The outcome of one simulated run.
 #[derive(Default)]
 struct Outcome {
+    /// The time until every part was complete.
     time_ms: f64,
     /// The work of second attempts, as a ratio of the total work.
     extra_work: f64,
@@ -99,29 +100,29 @@
     // Reports on the way to the gang, with the time of their arrival.
     let mut in_transit: Vec<(f64, ProgressReport)> = Vec::new();
     if policy == Policy::Oracle {
-        (0..count).filter(|n| drawn.stragglers[*n]).for_each(|n| second[n] = Some(0.0));
+        (0..count).filter(|index| drawn.stragglers[*index]).for_each(|index| second[index] = Some(0.0));
     }
     while complete.iter().any(|complete| !complete) && now_ms < 2_000_000.0 {
         now_ms += REPORT_PERIOD_MS;
-        for n in 0..count {
-            if complete[n] {
+        for index in 0..count {
+            if complete[index] {
                 continue;
             }
-            let step = drawn.speeds[n] * (0.15 * standard_normal(&mut rng)).exp() * REPORT_PERIOD_MS
-                / drawn.sizes[n];
-            first[n] = (first[n] + step).min(1.0);
-            if let Some(progress) = &mut second[n] {
-                let kind_speed = if drawn.kinds[n].machine.0 == 0 { 1.0 } else { 0.7 };
-                let step = (kind_speed * REPORT_PERIOD_MS / drawn.sizes[n]).min(1.0 - *progress);
+            let step = drawn.speeds[index] * (0.15 * standard_normal(&mut rng)).exp() * REPORT_PERIOD_MS
+                / drawn.sizes[index];
+            first[index] = (first[index] + step).min(1.0);
+            if let Some(progress) = &mut second[index] {
+                let kind_speed = if drawn.kinds[index].machine.0 == 0 { 1.0 } else { 0.7 };
+                let step = (kind_speed * REPORT_PERIOD_MS / drawn.sizes[index]).min(1.0 - *progress);
                 *progress += step;
-                outcome.extra_work += step * drawn.sizes[n];
+                outcome.extra_work += step * drawn.sizes[index];
             }
-            complete[n] = first[n] >= 1.0 || second[n].is_some_and(|progress| progress >= 1.0);
+            complete[index] = first[index] >= 1.0 || second[index].is_some_and(|progress| progress >= 1.0);
             // One report in 20 is lost, and one in ten of the others may be delayed by more than two periods.
             if rng.f64() > 0.05 {
                 let max_delay_ms = if rng.u8(..10) == 0 { 2500.0 } else { 300.0 };
-                let (part, worker) = (PartId(n as u32), WorkerId(n as u32));
-                let (kind, size, done) = (drawn.kinds[n], drawn.sizes[n], first[n]);
+                let (part, worker) = (PartId(index as u32), WorkerId(index as u32));
+                let (kind, size, done) = (drawn.kinds[index], drawn.sizes[index], first[index]);
                 in_transit.push((
                     now_ms + rng.f64() * max_delay_ms,
                     ProgressReport { round: 1, part, worker, kind, size, done, reported_at: now_ms },
@@ -136,28 +137,31 @@
                 let verdicts = gang.verdicts(now_ms);
                 let stragglers = verdicts.iter().filter(|verdict| verdict.cause == Cause::Straggler);
                 for verdict in stragglers {
-                    let n = verdict.worker.0 as usize;
-                    if !outcome.detected[n] {
-                        outcome.detected[n] = true;
-                        outcome.periods_until_detected[n] = (now_ms / REPORT_PERIOD_MS) as u32;
+                    let index = verdict.worker.0 as usize;
+                    if !outcome.detected[index] {
+                        outcome.detected[index] = true;
+                        outcome.periods_until_detected[index] = (now_ms / REPORT_PERIOD_MS) as u32;
                     }
-                    let spare = Some(WorkerId(u32::MAX)).filter(|_| second[n].is_none() && !complete[n]);
+                    let spare =
+                        Some(WorkerId(u32::MAX)).filter(|_| second[index].is_none() && !complete[index]);
                     if let Mitigation::Speculate { .. } = gang.choose_mitigation(verdict, spare, &mut budget)
                     {
-                        second[n] = Some(0.0);
+                        second[index] = Some(0.0);
                     }
                 }
                 Vec::new()
             }
             Policy::FixedThreshold if now_ms >= 10.0 * REPORT_PERIOD_MS => {
                 let mean = first.iter().sum::<f64>() / count as f64;
-                (0..count).filter(|n| first[*n] < mean - FIXED_THRESHOLD && !complete[*n]).collect()
+                (0..count)
+                    .filter(|index| first[*index] < mean - FIXED_THRESHOLD && !complete[*index])
+                    .collect()
             }
             _ => Vec::new(),
         };
-        for n in below_threshold {
-            outcome.detected[n] = true;
-            second[n] = second[n].or(Some(0.0));
+        for index in below_threshold {
+            outcome.detected[index] = true;
+            second[index] = second[index].or(Some(0.0));
         }
     }
     outcome.time_ms = now_ms;
@@ -165,7 +169,7 @@
     outcome
 }
 
-/// Compares the policies on one gang per seed, checks that gangs that are slow throughout have no stragglers, and
+/// Compares the policies on one gang per seed, checks that none is detected in gangs whose workers are all slow, and
 /// measures the rate of reports.
 pub fn run(report: &mut Report, seeds: u64) {
     let (mut true_positives, mut false_positives, mut false_negatives) = (0u32, 0u32, 0u32);
@@ -188,12 +192,12 @@
             let outcome = simulate(&drawn, policy, seed);
             let sum = sums.entry(name).or_default();
             (sum.0, sum.1) = (sum.0 + outcome.time_ms / unmitigated_ms, sum.1 + outcome.extra_work);
-            for n in 0..count {
+            for index in 0..count {
                 // In small gangs with fewer than five workers of a kind, detection is not reliable.
-                match (policy, outcome.detected[n], drawn.stragglers[n]) {
+                match (policy, outcome.detected[index], drawn.stragglers[index]) {
                     (Policy::Detector, true, true) => {
                         true_positives += 1;
-                        periods_until_detected.push(outcome.periods_until_detected[n]);
+                        periods_until_detected.push(outcome.periods_until_detected[index]);
                     }
                     (Policy::Detector, true, false) => false_positives += 1,
                     (Policy::Detector, false, true) => false_negatives += 1,
@@ -217,8 +221,8 @@
     );
     report.bound("precision", format!("{precision:.3}"), precision >= 0.97);
     report.bound("recall of stragglers at half speed or less", format!("{recall:.3}"), recall >= 0.95);
-    let quantile = |q: f64| {
-        let index = (periods_until_detected.len() as f64 * q) as usize;
+    let quantile = |share: f64| {
+        let index = (periods_until_detected.len() as f64 * share) as usize;
         periods_until_detected.get(index).copied().unwrap_or(0)
     };
     report.figure(
@@ -250,11 +254,11 @@
         detected += outcome.detected.iter().filter(|detected| **detected).count();
     }
     report.bound("stragglers detected in 50 uniformly slow gangs of 128", detected, detected == 0);
-    report_rates(report);
+    measure_report_rates(report);
 }
 
-/// Measures how many progress reports a second 1,000 gangs of ten workers each record, by the number of threads.
-fn report_rates(report: &mut Report) {
+/// Measures how many progress reports 1,000 gangs of ten workers each record per second, by the number of threads.
+fn measure_report_rates(report: &mut Report) {
     const GANGS: u32 = 1000;
     const WORKERS_PER_GANG: u32 = 10;
     const REPORTS_PER_WORKER: u32 = 40;
--- a/crates/lab/src/scale/drain.rs
+++ b/crates/lab/src/scale/drain.rs
@@ -40,7 +40,7 @@
     Requirements { memory_bytes: MAX_EXPERIMENT_BYTES, processes: 3, sockets: 2 * PROXIES as u64 + 16 }
 }
 
-/// The duration of each drain that proxies acknowledged, by the way on which the manager reads the list.
+/// The duration of each drain that proxies acknowledged, by how the manager reads the list.
 struct DrainTimes {
     direct: Vec<Duration>,
     relayed: Vec<Duration>,
@@ -51,7 +51,7 @@
     let (fleet, drains) = (TargetFleet::for_run(run.small), if run.small { DRAINS_SMALL } else { DRAINS });
     let drain_times = run.runtime.block_on(time_drains(&run.launcher, &fleet, drains))?;
     println!("\n{drains} drains at {PROXIES} proxies, grace {} ms", GRACE.as_millis());
-    for (way, mut times) in [("directly", drain_times.direct), ("through a relay", drain_times.relayed)] {
+    for (path, mut times) in [("directly", drain_times.direct), ("through a relay", drain_times.relayed)] {
         times.sort();
         let to_ms = |time: Option<&Duration>| time.map_or(f64::NAN, |time| time.as_secs_f64() * 1000.0);
         let (median_ms, max_ms) = (to_ms(times.get(times.len() / 2)), to_ms(times.last()));
@@ -62,14 +62,18 @@
             ("the grace that is left at the worst drain", margin_ms),
         ];
         for (figure, value) in readings {
-            report.figure(&format!("{figure}, {way}"), format!("{value:.1} ms"));
-            run.recorder.add_reading(Subject { role: "manager", figure, unit: "ms" }, way, value);
+            report.figure(&format!("{figure}, {path}"), format!("{value:.1} ms"));
+            run.recorder.add_reading(Subject { role: "manager", figure, unit: "ms" }, path, value);
         }
-        report.bound(&format!("drains that proxies acknowledged, {way}"), times.len(), times.len() == drains);
+        report.bound(
+            &format!("drains that proxies acknowledged, {path}"),
+            times.len(),
+            times.len() == drains,
+        );
         let within_grace = times.iter().filter(|time| **time <= GRACE).count();
         run.absolute_bound(
             report,
-            &format!("drains in force within the grace, {way}"),
+            &format!("drains in force within the grace, {path}"),
             &format!("{within_grace} of {drains}"),
             within_grace == drains,
         );
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -82,9 +82,9 @@
         (slope_below > 0.0).then(|| self.slope_between(middle, last) / slope_below)
     }
 
-    /// The mean at the largest size, relative to the mean expected there. Expected is the line through the means at the
-    /// smallest and the middle size, but at least the larger of the two. `None` if there are fewer than three sizes or
-    /// the expected mean is not positive.
+    /// The mean at the largest size, relative to the mean expected there. The expected mean is extrapolated from the
+    /// means at the smallest and the middle size, and is at least the larger of these two. `None` if there are fewer
+    /// than three sizes or the expected mean is not positive.
     pub fn ratio_to_expected(&self) -> Option<f64> {
         let (middle, last) = self.middle_and_last()?;
         let extrapolated = self.means[0] + self.slope_between(0, middle) * (self.sizes[last] - self.sizes[0]);
--- a/crates/lab/src/scale/judge.rs
+++ b/crates/lab/src/scale/judge.rs
@@ -9,7 +9,7 @@
 /// middle one. It leaves room for other load on the machine, which disturbs processor time, and for a change just
 /// inside or outside a window, which shifts the bytes per second.
 const MAX_RATIO_TO_EXPECTED: f64 = 2.0;
-/// A figure that grows by less than this share of its largest mean over all sizes does not depend on the size.
+/// A figure that grows by at most this share of its largest mean over all sizes counts as independent of the size.
 const NEGLIGIBLE_GROWTH: f64 = 0.1;
 const MEMORY_UNIT: &str = "B";
 
--- a/crates/lab/src/scale/measured_process.rs
+++ b/crates/lab/src/scale/measured_process.rs
@@ -98,6 +98,7 @@
         Usage::of_process(self.child.id())
     }
 
+    /// The path of its log file.
     pub fn log_path(&self) -> PathBuf {
         self.log.clone()
     }
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -318,7 +318,7 @@
             };
             for arrival in group.iter().filter(includes_change) {
                 let first = &mut first_arrivals[arrival.subscriber];
-                *first = Some(first.map_or(arrival.at, |first| first.min(arrival.at)));
+                *first = Some(first.map_or(arrival.arrived_at, |first| first.min(arrival.arrived_at)));
             }
             for arrived_at in first_arrivals.into_iter().flatten() {
                 let delay = arrived_at.saturating_duration_since(change.made_at);
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -18,13 +18,17 @@
 /// The number of peers of a manager and the rates of changes and reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
+    /// The workers in the manager's list.
     pub workers: usize,
+    /// The zones that workers, proxies and collectors are spread over.
     pub zones: usize,
+    /// The services that the workers are spread over.
     pub services: usize,
     /// Changed list entries per second.
     pub changes_per_second: f64,
     pub proxies: usize,
     pub operations: usize,
+    /// Reports per second, of all collectors.
     pub reports_per_second: f64,
 }
 
@@ -68,6 +72,7 @@
 pub struct Figure {
     pub name: &'static str,
     pub unit: &'static str,
+    /// Reads the figure from a cost.
     pub value: fn(&Cost) -> f64,
 }
 
--- a/crates/lab/src/scale/simulated/discovery.rs
+++ b/crates/lab/src/scale/simulated/discovery.rs
@@ -27,26 +27,33 @@
 /// The workers that a simulated discovery service lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
+    /// The number of workers.
     pub workers: usize,
+    /// The number of zones.
     pub zones: usize,
+    /// The number of services.
     pub services: usize,
     /// The address that the list states for every worker.
     pub address: SocketAddr,
 }
 
 impl Fleet {
+    /// The name of a zone.
     pub fn zone_name(number: usize) -> String {
         format!("z{number:02}")
     }
 
+    /// The name of a service.
     pub fn service_name(number: usize) -> String {
         format!("svc-{number:04}")
     }
 
+    /// The instance id of a worker.
     pub fn worker_name(number: usize) -> String {
         format!("s-{number:06}")
     }
 
+    /// The number of the zone that a worker is in.
     pub fn zone_of(&self, worker: usize) -> usize {
         worker % self.zones
     }
@@ -89,8 +96,11 @@
 /// The fields of a worker's entry that change.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Change {
+    /// The number of the worker.
     pub worker: usize,
+    /// Whether it is draining, or ready.
     pub draining: bool,
+    /// Its start time; 0 for all but timed changes.
     pub started_at_ms: u64,
 }
 
--- a/crates/lab/src/scale/simulated/subscribers.rs
+++ b/crates/lab/src/scale/simulated/subscribers.rs
@@ -17,9 +17,12 @@
 /// The arrival of an entry with a start time at a subscriber. Only timed changes carry a start time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
+    /// The number of the subscriber.
     pub subscriber: usize,
+    /// The start time in the entry.
     pub started_at_ms: u64,
-    pub at: Instant,
+    /// The time of the arrival.
+    pub arrived_at: Instant,
 }
 
 #[derive(Default)]
@@ -119,7 +122,7 @@
         let mut watch = Watch::open(self.sources[source], &format!("{index}{}", self.query)).await?;
         loop {
             let line = watch.next().await?;
-            let at = Instant::now();
+            let arrived_at = Instant::now();
             self.shared.traffic.add_received(watch.take_received());
             self.generation = Some(line.generation);
             if !std::mem::replace(listed, true) {
@@ -127,10 +130,10 @@
                 if source == 0 {
                     self.shared.listed_at_first.fetch_add(1, Ordering::Relaxed);
                 }
-                *lock(&self.shared.last_listed) = Some(at);
+                *lock(&self.shared.last_listed) = Some(arrived_at);
             }
             let timed = line.instances.iter().filter(|entry| entry.started_at_ms > 0);
-            let arrival = |started_at_ms| Arrival { subscriber: self.number, started_at_ms, at };
+            let arrival = |started_at_ms| Arrival { subscriber: self.number, started_at_ms, arrived_at };
             let arrivals = timed.map(|entry| arrival(entry.started_at_ms));
             lock(&self.shared.arrivals).extend(arrivals);
         }
--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -17,6 +17,7 @@
     pub sizes: &'static [usize],
     /// The sizes of a run with `--small`.
     pub small: &'static [usize],
+    /// The role and its load at a size.
     pub play: Play,
 }
 
--- a/crates/lab/src/scale/target_fleet.rs
+++ b/crates/lab/src/scale/target_fleet.rs
@@ -16,8 +16,11 @@
 /// The sizes of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetFleet {
+    /// The workers in the list.
     pub workers: usize,
+    /// The zones that the workers are spread over.
     pub zones: usize,
+    /// The services that the workers are spread over.
     pub services: usize,
     /// The managers that subscribe to one relay.
     pub subscribers: usize,
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -22,10 +22,10 @@
 /// Runs `count` schedules for `seconds`, every other one side-effecting, then checks the executor's and the managers'
 /// logs.
 pub fn run(report: &mut Report, count: usize, seconds: u64) {
-    let schedule = |n: usize| {
-        let effect = if n.is_multiple_of(2) { "idempotent" } else { "side-effecting" };
+    let schedule = |number: usize| {
+        let effect = if number.is_multiple_of(2) { "idempotent" } else { "side-effecting" };
         format!(
-            "<schedule><name>s-{n}</name><cron>{CRON}</cron><jitter>{JITTER_MS}</jitter><worker>WORKER</worker><path>/run</path>\
+            "<schedule><name>s-{number}</name><cron>{CRON}</cron><jitter>{JITTER_MS}</jitter><worker>WORKER</worker><path>/run</path>\
              <effect>{effect}</effect><deadline>30000</deadline><backoff>100</backoff><lease>4000</lease></schedule>"
         )
     };
@@ -59,7 +59,9 @@
         *executions_by_occurrence.entry((execution.schedule.clone(), execution.due)).or_default() += 1;
     });
     let is_side_effecting = |name: &str| {
-        name.strip_prefix("s-").and_then(|n| n.parse::<usize>().ok()).is_some_and(|n| n % 2 == 1)
+        name.strip_prefix("s-")
+            .and_then(|number| number.parse::<usize>().ok())
+            .is_some_and(|number| number % 2 == 1)
     };
     let executed_twice = executions_by_occurrence
         .iter()
@@ -96,7 +98,8 @@
         (due_times.iter().min().copied().unwrap_or(0), due_times.iter().max().copied().unwrap_or(0));
     // The minutes that had ended by then; each schedule needs a claim or a skip for each of them.
     let complete_minutes: Vec<i64> = (first..last).step_by(PERIOD_MS as usize).collect();
-    let expected = (0..count).flat_map(|n| complete_minutes.iter().map(move |due| (format!("s-{n}"), *due)));
+    let expected =
+        (0..count).flat_map(|number| complete_minutes.iter().map(move |due| (format!("s-{number}"), *due)));
     let missed = expected.filter(|occurrence| !decided.contains_key(occurrence)).count();
     let mut lateness_ms = Histogram::<u64>::new(3).expect("three significant digits are valid");
     // Occurrences by the tenth of the jitter into which their run times fall.
