--- a/crates/lab/src/scale/drain.rs
+++ b/crates/lab/src/scale/drain.rs
@@ -96,7 +96,7 @@
         operations: 2,
         reports_per_second: 0.0,
     };
-    let fleet = target.to_fleet();
+    let fleet = target.listed_fleet();
     let discovery = Discovery::start(fleet.clone()).await?;
     let relay = Relay::start(launcher, discovery.address).await?;
     let direct_element = discovery_element(&[], &[SERVICE]);
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -82,7 +82,7 @@
     fleet: &TargetFleet,
     durations: Durations,
 ) -> Result<Cost, ScaleError> {
-    let discovery = Discovery::start(fleet.to_fleet()).await?;
+    let discovery = Discovery::start(fleet.listed_fleet()).await?;
     let mut relay = Relay::start(launcher, discovery.address).await?;
     relay.wait_until_synchronized(fleet).await?;
     let queries = (0..fleet.subscribers).map(|number| fleet.query(&[number]));
@@ -209,7 +209,7 @@
     fleet: &TargetFleet,
     durations: Durations,
 ) -> Result<Takeover, ScaleError> {
-    let discovery = Discovery::start(fleet.to_fleet()).await?;
+    let discovery = Discovery::start(fleet.listed_fleet()).await?;
     let mut relay = Relay::start(launcher, discovery.address).await?;
     let mut neighbour = Relay::start(launcher, discovery.address).await?;
     let queries = |first: usize| {
@@ -227,7 +227,8 @@
     neighbour.process.wait_for("the list at the neighbour's subscribers", others_listed).await?;
     // The timed changes are part of the ordinary ones.
     let _churn = discovery.churn(fleet.changes_per_second - TIMED_PER_SECOND);
-    let changes = TimedChanges { discovery: &discovery, fleet: fleet.to_fleet(), last: Default::default() };
+    let changes =
+        TimedChanges { discovery: &discovery, fleet: fleet.listed_fleet(), last: Default::default() };
     let bytes = || ByteCounts {
         // Both relays read the same from the source.
         received: discovery.traffic().sent() / 2,
--- a/crates/lab/src/scale/scoped.rs
+++ b/crates/lab/src/scale/scoped.rs
@@ -31,7 +31,7 @@
 pub fn run(run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
     let fleet = TargetFleet::for_run(run.small);
     let (unscoped, scoped) = run.runtime.block_on(measure_both(&run.launcher, &fleet, run.durations))?;
-    let scope = fleet.to_fleet().workers_of(SERVICE).count();
+    let scope = fleet.listed_fleet().workers_of(SERVICE).count();
     let unscoped_at = format!("no scope, {} workers", fleet.unscoped_workers);
     let scoped_at = format!("scope of {scope} of {} workers through a relay", fleet.workers);
     println!("\na manager with and without a scope, {} changed entries per second", fleet.changes_per_second);
@@ -101,8 +101,8 @@
         operations: 2,
         reports_per_second: 0.0,
     };
-    let small = Discovery::start(Fleet { workers: fleet.unscoped_workers, ..fleet.to_fleet() }).await?;
-    let large = Discovery::start(fleet.to_fleet()).await?;
+    let small = Discovery::start(Fleet { workers: fleet.unscoped_workers, ..fleet.listed_fleet() }).await?;
+    let large = Discovery::start(fleet.listed_fleet()).await?;
     let relay = Relay::start(launcher, large.address).await?;
     let forwarder = Forwarder::start(relay.address).await?;
     let mut unscoped = Manager::start(launcher, &scenario, small.address, None).await?;
@@ -110,7 +110,7 @@
     let mut scoped = Manager::start(launcher, &scenario, large.address, Some(&operator)).await?;
     let list_sent = || small.traffic().sent() > small.list_bytes() as u64;
     unscoped.process.wait_for("the manager to read the list", list_sent).await?;
-    let min_part_bytes = fleet.to_fleet().workers_of(SERVICE).count() as u64 * MIN_ENTRY_BYTES;
+    let min_part_bytes = fleet.listed_fleet().workers_of(SERVICE).count() as u64 * MIN_ENTRY_BYTES;
     let part_sent = || forwarder.bytes_from_target() > min_part_bytes;
     scoped.process.wait_for("the manager to read its part of the list", part_sent).await?;
     let (_small_churn, _large_churn) =
--- a/crates/lab/src/scale/target_fleet.rs
+++ b/crates/lab/src/scale/target_fleet.rs
@@ -64,7 +64,7 @@
     }
 
     /// The workers that discovery lists. They share an address that nothing serves, since they are not probed.
-    pub fn to_fleet(&self) -> Fleet {
+    pub fn listed_fleet(&self) -> Fleet {
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         Fleet { workers: self.workers, zones: self.zones, services: self.services, address }
     }
