--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,17 +1,19 @@
-//! The capacity page: what each role keeps and carries at the size of the operators' letter, computed from the slopes in
-//! `docs/capacity/measured.json` and from assumptions that are named. `docs/CAPACITY.md` holds the tables.
+//! The capacity model: the state and the load of each role at the fleet size that the operators require.
+//!
+//! The figures are computed from the slopes in `docs/capacity/measured.json` and from named assumptions. The resulting
+//! tables are written to `docs/CAPACITY.md`.
 
 pub mod assumptions;
 pub mod checks;
 pub mod figure;
 pub mod gaps;
-pub mod letter;
 pub mod markdown;
 pub mod page;
 pub mod paths;
 pub mod point;
 pub mod quantity;
 pub mod requests;
+pub mod requirements;
 pub mod roles;
 pub mod row;
 pub mod sensitivity;
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
 use juniperrail_client::{Client, Endpoint};
-use juniperrail_standins::{entry, list, Discovery, Limits, Rules, SshKeys};
+use juniperrail_standins::{instance_json, list_json, Discovery, RuleChecker, RuleLimits, SshKeys};
 
 /// The XML namespace of the manager's configuration.
 pub const MANAGER_NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
@@ -45,7 +45,7 @@
         let discovery = Discovery::start();
         let (host_key, user_key) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
         let cluster = Cluster { size, folder, discovery, host_key, user_key };
-        cluster.discovery.tell(&cluster.list());
+        cluster.discovery.publish(&cluster.list());
         cluster
     }
 
@@ -56,8 +56,8 @@
 
     fn list(&self) -> String {
         let zone = |number: usize| ["a", "b", "c"][number % 3];
-        let ready = |number| entry(&self.worker_name(number), zone(number), "127.0.0.1:9", "ready");
-        list(1, true, &(0..self.size.workers).map(ready).collect::<Vec<_>>())
+        let ready = |number| instance_json(&self.worker_name(number), zone(number), "127.0.0.1:9", "ready");
+        list_json(1, true, &(0..self.size.workers).map(ready).collect::<Vec<_>>())
     }
 
     /// Starts a manager in a process of its own and reads its addresses. With `core`, it runs on that processor alone.
@@ -81,7 +81,7 @@
             r#"<config xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><northbound xmlns="{MANAGER_NAMESPACE}"><netconf>
             <sessions>160</sessions><ssh><listen>127.0.0.1:0</listen><host-key>host</host-key></ssh></netconf>
             <user><name>ann</name><role>admin</role><ssh-key>{}</ssh-key></user></northbound></config>"#,
-            self.user_key.line
+            self.user_key.public_key
         );
         let (config_path, operator_path) =
             (self.folder.join(format!("{name}.json")), self.folder.join(format!("{name}.xml")));
@@ -106,8 +106,8 @@
 
     /// The manager's NETCONF endpoint, with the credentials of the user in its operator's file.
     pub fn endpoint(&self, manager: &ManagerProcess) -> Endpoint {
-        Endpoint::ssh(manager.ssh.to_string(), "ann", &self.user_key.private)
-            .with_host_key(&self.host_key.public)
+        Endpoint::ssh(manager.ssh.to_string(), "ann", &self.user_key.private_key_path)
+            .with_host_key(&self.host_key.public_key_path)
     }
 
     /// Opens a NETCONF session with the manager.
@@ -116,15 +116,15 @@
     }
 
     /// A protocol checker that has every worker in its list.
-    pub fn rules(&self) -> Rules {
-        let mut rules = Rules::new(Limits {
-            drain_grace: 3300.0,
-            messages_most: usize::MAX,
-            messages_over: 10_000.0,
-            lines_waiting_most: 20_000.0,
-            message_overhead: 4.0,
+    pub fn rules(&self) -> RuleChecker {
+        let mut rules = RuleChecker::new(RuleLimits {
+            drain_grace_ms: 3300.0,
+            max_messages: usize::MAX,
+            message_window_ms: 10_000.0,
+            max_waiting_lines: 20_000.0,
+            message_overhead_lines: 4.0,
         });
-        (0..self.size.workers).for_each(|number| rules.knows(&self.worker_name(number)));
+        (0..self.size.workers).for_each(|number| rules.add_known_worker(&self.worker_name(number)));
         rules
     }
 }
