--- a/crates/model/src/edit_node.rs
+++ b/crates/model/src/edit_node.rs
@@ -1,5 +1,5 @@
-//! What somebody wrote, read against the schema but not yet put anywhere: typed nodes, each with what is to be
-//! done with it if that was said.
+//! Nodes of an edit: data that is parsed and checked against the schema but not yet applied to a data tree. Each node
+//! may have an edit operation of its own.
 
 use crate::data::{Content, Data};
 use crate::error::{ErrorKind, ModelError};
@@ -7,7 +7,7 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
-/// What is to be done with a node, RFC 6241 section 7.2.
+/// The values of the `operation` attribute of RFC 6241 section 7.2.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EditOperation {
     Merge,
@@ -17,42 +17,47 @@
     Remove,
 }
 
+/// A node of an edit with all below it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EditNode {
     pub node: NodeId,
-    /// A list entry's keys, in the schema's order.
+    /// The keys of a list entry, in the order of the schema.
     pub keys: Vec<Value>,
-    /// A leaf's value; one that is only to be deleted may have none.
+    /// The value of a leaf or of a leaf-list entry. A leaf that is to be deleted may have none.
     pub value: Option<Value>,
+    /// The operation given for this node itself; `None` if it inherits that of its parent.
     pub operation: Option<EditOperation>,
-    /// The line that it was read from; 0 where there is none.
+    /// The line in the parsed text, or 0 if there is none.
     pub line: u32,
     pub children: Vec<EditNode>,
 }
 
 impl EditNode {
+    /// The step of a path that leads to this node.
     pub fn step(&self) -> Step {
         Step::with_keys(self.node, &self.keys)
     }
 
-    pub fn error(&self, schema: &Schema, at: &Path, rule: ErrorKind, what: &str) -> ModelError {
+    /// An error about this node. `message` follows the name of the node.
+    pub fn error(&self, schema: &Schema, parent: &Path, kind: ErrorKind, message: &str) -> ModelError {
         let name = &schema.node(self.node).name;
-        ModelError::new(rule, at.child(self.step()).format(schema), name, format!("{name} {what}"))
+        ModelError::new(kind, parent.child(self.step()).format(schema), name, format!("{name} {message}"))
             .at_line(self.line)
     }
 
-    /// A draft for one value or for the whole part at a path, with what stands below it.
+    /// Builds the edit nodes from the root to a path, the last of which has the operation, the value and the children
+    /// given. If the path leads to a leaf-list entry and no value is given, the value is that in the path.
     pub fn at_path(
         schema: &Schema,
         path: &Path,
-        op: Option<EditOperation>,
+        operation: Option<EditOperation>,
         value: Option<Value>,
-        below: Vec<EditNode>,
+        children: Vec<EditNode>,
     ) -> Vec<EditNode> {
-        let Some((last, before)) = path.0.split_last() else { return below };
-        let node = |step: &Step, op, value, below: Vec<EditNode>| {
+        let Some((last, ancestors)) = path.0.split_last() else { return children };
+        let edit_node = |step: &Step, operation, value, children: Vec<EditNode>| {
             let keys = schema.node(step.node).keys().iter().zip(&step.keys);
-            let key = |(id, key): (&NodeId, &Value)| EditNode {
+            let key_leaf = |(id, key): (&NodeId, &Value)| EditNode {
                 node: *id,
                 keys: vec![],
                 value: Some(key.clone()),
@@ -60,26 +65,31 @@
                 line: 0,
                 children: vec![],
             };
-            let told = |id: &NodeId| below.iter().any(|draft: &EditNode| draft.node == *id);
-            let mut all: Vec<EditNode> = keys.filter(|(id, _)| !told(id)).map(key).collect();
-            all.extend(below);
-            let list = matches!(schema.node(step.node).kind, NodeKind::List { .. });
-            let keys = if list { step.keys.clone() } else { vec![] };
-            EditNode { node: step.node, keys, value, operation: op, line: 0, children: all }
+            let is_given = |id: &NodeId| children.iter().any(|child: &EditNode| child.node == *id);
+            let mut all_children: Vec<EditNode> =
+                keys.filter(|(id, _)| !is_given(id)).map(key_leaf).collect();
+            all_children.extend(children);
+            let is_list = matches!(schema.node(step.node).kind, NodeKind::List { .. });
+            let keys = if is_list { step.keys.clone() } else { vec![] };
+            EditNode { node: step.node, keys, value, operation, line: 0, children: all_children }
         };
-        let leaf = node(last, op, value.or_else(|| last_value(schema, last)), below);
-        before.iter().rev().fold(vec![leaf], |below, step| vec![node(step, None, None, below)])
+        let target = edit_node(last, operation, value.or_else(|| leaf_list_value(schema, last)), children);
+        ancestors
+            .iter()
+            .rev()
+            .fold(vec![target], |children, step| vec![edit_node(step, None, None, children)])
     }
 }
 
-fn last_value(schema: &Schema, step: &Step) -> Option<Value> {
+/// The value in the path step of a leaf-list entry.
+fn leaf_list_value(schema: &Schema, step: &Step) -> Option<Value> {
     matches!(schema.node(step.node).kind, NodeKind::LeafList { .. })
         .then(|| step.keys.first().cloned())
         .flatten()
 }
 
 impl Data {
-    /// Data as drafts, in its order.
+    /// Converts the data to edit nodes without operations, in the same order.
     pub fn to_edit_nodes(&self) -> Vec<EditNode> {
         let leaf = |node, value: &Value| EditNode {
             node,
@@ -89,64 +99,76 @@
             line: 0,
             children: vec![],
         };
-        let inner = |node, keys: &[Value], below: &Data| EditNode {
+        let interior = |node, keys: &[Value], data: &Data| EditNode {
             node,
             keys: keys.to_vec(),
             value: None,
             operation: None,
             line: 0,
-            children: below.to_edit_nodes(),
+            children: data.to_edit_nodes(),
         };
-        let mut drafts = Vec::new();
+        let mut edit_nodes = Vec::new();
         for (id, content) in self.iter() {
             match content {
-                Content::Container(data) => drafts.push(inner(id, &[], data)),
-                Content::List(entries) => drafts.extend(entries.iter().map(|(keys, of)| inner(id, keys, of))),
-                Content::Leaf(value) => drafts.push(leaf(id, value)),
-                Content::LeafList(values) => drafts.extend(values.iter().map(|value| leaf(id, value))),
+                Content::Container(data) => edit_nodes.push(interior(id, &[], data)),
+                Content::List(entries) => {
+                    edit_nodes.extend(entries.iter().map(|(keys, entry)| interior(id, keys, entry)))
+                }
+                Content::Leaf(value) => edit_nodes.push(leaf(id, value)),
+                Content::LeafList(values) => edit_nodes.extend(values.iter().map(|value| leaf(id, value))),
             }
         }
-        drafts
+        edit_nodes
     }
 
-    /// Drafts without operations as data. Nothing may be said twice.
-    pub fn from_edit_nodes(schema: &Schema, drafts: &[EditNode]) -> Result<Data, ModelError> {
-        gather(schema, drafts, &Path::default())
+    /// Builds data from edit nodes without operations. A node that is given more than once is an error.
+    pub fn from_edit_nodes(schema: &Schema, edit_nodes: &[EditNode]) -> Result<Data, ModelError> {
+        from_edit_nodes_below(schema, edit_nodes, &Path::default())
     }
 }
 
-fn gather(schema: &Schema, drafts: &[EditNode], at: &Path) -> Result<Data, ModelError> {
+fn from_edit_nodes_below(
+    schema: &Schema,
+    edit_nodes: &[EditNode],
+    parent: &Path,
+) -> Result<Data, ModelError> {
     let mut data = Data::default();
-    for draft in drafts {
-        let refused = |rule, what: &str| Err(draft.error(schema, at, rule, what));
-        if draft.operation.is_some() {
-            return refused(ErrorKind::UnknownAttribute, "has an operation, which has no place here");
+    for edit_node in edit_nodes {
+        let rejected = |kind, message: &str| Err(edit_node.error(schema, parent, kind, message));
+        if edit_node.operation.is_some() {
+            return rejected(ErrorKind::UnknownAttribute, "has an operation, which is not allowed here");
         }
-        match &schema.node(draft.node).kind {
+        match &schema.node(edit_node.node).kind {
             NodeKind::Container { .. } => {
-                if data.get(draft.node).is_some() {
-                    return refused(ErrorKind::Duplicate, "stands here twice");
+                if data.get(edit_node.node).is_some() {
+                    return rejected(ErrorKind::Duplicate, "is given more than once");
                 }
-                let inner = gather(schema, &draft.children, &at.child(draft.step()))?;
-                data.set(draft.node, Content::Container(inner));
+                let inner =
+                    from_edit_nodes_below(schema, &edit_node.children, &parent.child(edit_node.step()))?;
+                data.set(edit_node.node, Content::Container(inner));
             }
             NodeKind::List { .. } => {
-                let entry = gather(schema, &draft.children, &at.child(draft.step()))?;
-                if data.list(draft.node).insert(draft.keys.clone(), entry).is_some() {
-                    return refused(ErrorKind::Duplicate, "stands here twice with these keys");
+                let entry =
+                    from_edit_nodes_below(schema, &edit_node.children, &parent.child(edit_node.step()))?;
+                if data.list(edit_node.node).insert(edit_node.keys.clone(), entry).is_some() {
+                    return rejected(ErrorKind::Duplicate, "is given more than once with these keys");
                 }
             }
             NodeKind::Leaf { .. } => {
-                let Some(value) = &draft.value else { return refused(ErrorKind::BadValue, "has no value") };
-                if data.get(draft.node).is_some() {
-                    return refused(ErrorKind::Duplicate, "stands here twice");
+                let Some(value) = &edit_node.value else {
+                    return rejected(ErrorKind::BadValue, "has no value");
+                };
+                if data.get(edit_node.node).is_some() {
+                    return rejected(ErrorKind::Duplicate, "is given more than once");
                 }
-                data.set(draft.node, Content::Leaf(value.clone()));
+                data.set(edit_node.node, Content::Leaf(value.clone()));
             }
             NodeKind::LeafList { .. } => {
-                let Some(value) = &draft.value else { return refused(ErrorKind::BadValue, "has no value") };
-                if !data.leaf_list(draft.node).insert(value.clone()) {
-                    return refused(ErrorKind::Duplicate, "stands here twice with this value");
+                let Some(value) = &edit_node.value else {
+                    return rejected(ErrorKind::BadValue, "has no value");
+                };
+                if !data.leaf_list(edit_node.node).insert(value.clone()) {
+                    return rejected(ErrorKind::Duplicate, "is given more than once with this value");
                 }
             }
         }
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -1,50 +1,52 @@
-//! Why something does not fit the model, as a value: which rule, where, and what to do.
+//! Violations of the data model: the kind of error and where it occurred.
 
 use std::fmt;
 
-/// The rule that is broken. The fronts word it as their protocols do.
+/// The kind of violation. Each front end maps it to the errors of its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// Not well-formed, or beyond a bound on size or depth.
+    /// Not well-formed, or beyond a limit on size or depth.
     Malformed,
     UnknownElement,
     UnknownNamespace,
     UnknownAttribute,
     BadAttribute,
-    /// A value that its type does not take.
+    /// A value that is not valid for its type.
     BadValue,
     MissingElement,
-    /// A key or leaf given twice.
+    /// A node that may exist only once, given more than once.
     Duplicate,
-    /// State can be read only.
+    /// A state node where only configuration is allowed.
     NotConfiguration,
     DataExists,
     DataMissing,
 }
 
-/// What does not fit, where, and the rule.
+/// A violation of the data model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelError {
     pub kind: ErrorKind,
-    /// The line of the text it was read from, from 1 on; 0 where there is none.
+    /// The line in the parsed text, starting at 1, or 0 if there is none.
     pub line: u32,
-    /// The path of the node concerned, or what is known of it.
+    /// The path of the node at fault, or as much of it as is known.
     pub path: String,
-    /// The element or attribute concerned.
+    /// The name of the element or attribute at fault.
     pub name: String,
     pub message: String,
 }
 
 impl ModelError {
+    /// An error that belongs to no line.
     pub fn new(
-        rule: ErrorKind,
+        kind: ErrorKind,
         path: impl Into<String>,
         name: impl Into<String>,
-        what: impl Into<String>,
+        message: impl Into<String>,
     ) -> Self {
-        ModelError { kind: rule, line: 0, path: path.into(), name: name.into(), message: what.into() }
+        ModelError { kind, line: 0, path: path.into(), name: name.into(), message: message.into() }
     }
 
+    /// Sets the line at which the error occurred.
     pub fn at_line(self, line: u32) -> Self {
         ModelError { line, ..self }
     }
--- a/crates/model/src/json.rs
+++ b/crates/model/src/json.rs
@@ -1,4 +1,5 @@
-//! JSON, RFC 7951: names with their module at the top and where it changes, wide figures as strings.
+//! The JSON encoding of RFC 7951. Member names have the module name at the top level and where the module changes, and
+//! 64-bit integers and decimals are strings.
 
 use serde_json::{Map, Value as Json};
 
@@ -10,7 +11,7 @@
 use crate::value::{Type, Value};
 use crate::xml::Element;
 
-/// Data as one JSON object.
+/// Writes data as a JSON object.
 pub fn write(schema: &Schema, data: &Data) -> Json {
     let mut object = Map::new();
     for (id, content) in data.iter() {
@@ -30,33 +31,33 @@
     Json::Object(object)
 }
 
-/// One value, RFC 7951 section 6.
+/// Writes one value (RFC 7951 section 6). `kind` is that of its leaf or leaf-list.
 pub fn write_value(value: &Value, kind: &NodeKind) -> Json {
-    let wide = matches!(
+    let is_64_bit = matches!(
         kind,
         NodeKind::Leaf { ty: Type::Integer { is_64_bit: true, .. }, .. }
             | NodeKind::LeafList { ty: Type::Integer { is_64_bit: true, .. } }
     );
     match value {
-        Value::Integer(number) if wide => number.to_string().into(),
+        Value::Integer(number) if is_64_bit => number.to_string().into(),
         Value::Integer(number) => i64::try_from(*number).map_or(Json::Null, Json::from),
         Value::Decimal(..) => value.to_string().into(),
-        Value::Boolean(yes) => (*yes).into(),
+        Value::Boolean(boolean) => (*boolean).into(),
         Value::Text(text) => text.clone().into(),
         Value::Empty => Json::Array(vec![Json::Null]),
     }
 }
 
-/// Elements as they came from a server, state among them, as one JSON object. What the modules don't know is left
-/// out: other namespaces are not ours to word.
+/// Converts the elements of a server's reply, which may include state, to a JSON object. Elements that are not in the
+/// schema are omitted: how those of other namespaces are encoded is not known here.
 pub fn from_elements(schema: &Schema, elements: &[Element]) -> Json {
-    from_xml_below(schema, None, elements)
+    from_elements_below(schema, None, elements)
 }
 
-fn from_xml_below(schema: &Schema, parent: Option<NodeId>, elements: &[Element]) -> Json {
+fn from_elements_below(schema: &Schema, parent: Option<NodeId>, elements: &[Element]) -> Json {
     let mut object = Map::new();
     for element in elements {
-        let module = schema.modules.iter().position(|of| of.namespace == *element.ns);
+        let module = schema.modules.iter().position(|module| module.namespace == *element.ns);
         let Some(id) = module.and_then(|module| schema.child(parent, &element.name, Some(module))) else {
             continue;
         };
@@ -69,13 +70,13 @@
             |ty: &Type| ty.parse(&element.text).map_or(Json::Null, |value| write_value(&value, &node.kind));
         let json = match &node.kind {
             NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => value(ty),
-            _ => from_xml_below(schema, Some(id), &element.children),
+            _ => from_elements_below(schema, Some(id), &element.children),
         };
         match &node.kind {
             NodeKind::List { .. } | NodeKind::LeafList { .. } => {
                 match object.entry(name).or_insert(Json::Array(vec![])) {
                     Json::Array(entries) => entries.push(json),
-                    _ => unreachable!("the schema says that a list stands here"),
+                    _ => unreachable!("the schema node is a list or a leaf-list"),
                 }
             }
             _ => _ = object.insert(name, json),
@@ -84,62 +85,68 @@
     Json::Object(object)
 }
 
-/// A JSON object as drafts of configuration, below a place (`None`: the top).
+/// Parses a JSON object with the configuration below a node (`None`: the root).
 pub fn to_edit_nodes(
     schema: &Schema,
     parent: Option<NodeId>,
     json: &Json,
 ) -> Result<Vec<EditNode>, ModelError> {
-    drafts_below(schema, parent, &Path::default(), json)
+    to_edit_nodes_below(schema, parent, &Path::default(), json)
 }
 
-fn drafts_below(
+fn to_edit_nodes_below(
     schema: &Schema,
     parent: Option<NodeId>,
-    at: &Path,
+    parent_path: &Path,
     json: &Json,
 ) -> Result<Vec<EditNode>, ModelError> {
-    let place = || at.format(schema);
+    let parent_text = || parent_path.format(schema);
     let object = json.as_object();
     let object = object
-        .ok_or_else(|| ModelError::new(ErrorKind::BadValue, place(), "", "an object should stand here"))?;
-    let mut drafts = Vec::new();
+        .ok_or_else(|| ModelError::new(ErrorKind::BadValue, parent_text(), "", "expected an object"))?;
+    let mut edit_nodes = Vec::new();
     for (name, json) in object {
-        let (module, bare) = match name.split_once(':') {
-            Some((module, bare)) => {
+        let (module, local_name) = match name.split_once(':') {
+            Some((module, local_name)) => {
                 let unknown = || {
                     ModelError::new(
                         ErrorKind::UnknownNamespace,
-                        place(),
+                        parent_text(),
                         name,
-                        format!("no module {module:?}"),
+                        format!("unknown module {module:?}"),
                     )
                 };
-                (Some(schema.module_index(module).ok_or_else(unknown)?), bare)
+                (Some(schema.module_index(module).ok_or_else(unknown)?), local_name)
             }
             None => (parent.map(|parent| schema.node(parent).module), name.as_str()),
         };
         let unknown = || {
-            ModelError::new(ErrorKind::UnknownElement, place(), name, format!("{name:?} has no place here"))
+            ModelError::new(
+                ErrorKind::UnknownElement,
+                parent_text(),
+                name,
+                format!("unexpected member {name:?}"),
+            )
         };
-        // RFC 7951 section 4: at the top a name without its module says nothing.
-        let id = module.and_then(|module| schema.child(parent, bare, Some(module))).ok_or_else(unknown)?;
+        // RFC 7951 section 4: a name at the top level must have the name of its module.
+        let id =
+            module.and_then(|module| schema.child(parent, local_name, Some(module))).ok_or_else(unknown)?;
         let node = schema.node(id);
         if !node.config {
-            let what = format!("{name} is state, which can be read only");
-            return Err(ModelError::new(ErrorKind::NotConfiguration, place(), name, what));
+            let message = format!("{name} is state data, which is read-only");
+            return Err(ModelError::new(ErrorKind::NotConfiguration, parent_text(), name, message));
         }
         let array = || {
-            let what = format!("{name} should be an array");
-            json.as_array().ok_or_else(|| ModelError::new(ErrorKind::BadValue, place(), name, what))
+            let message = format!("{name} must be an array");
+            json.as_array().ok_or_else(|| ModelError::new(ErrorKind::BadValue, parent_text(), name, message))
         };
         let leaf = |ty: &Type, json: &Json| {
-            let value = parse_value(ty, json).map_err(|why| {
+            let value = parse_value(ty, json).map_err(|message| {
                 ModelError::new(
                     ErrorKind::BadValue,
-                    at.child(Step::without_keys(id)).format(schema),
+                    parent_path.child(Step::without_keys(id)).format(schema),
                     name,
-                    why,
+                    message,
                 )
             })?;
             Ok(EditNode {
@@ -152,67 +159,73 @@
             })
         };
         match &node.kind {
-            NodeKind::Leaf { ty, .. } => drafts.push(leaf(ty, json)?),
+            NodeKind::Leaf { ty, .. } => edit_nodes.push(leaf(ty, json)?),
             NodeKind::LeafList { ty } => {
                 for json in array()? {
-                    drafts.push(leaf(ty, json)?);
+                    edit_nodes.push(leaf(ty, json)?);
                 }
             }
             NodeKind::Container { .. } => {
-                let below = drafts_below(schema, Some(id), &at.child(Step::without_keys(id)), json)?;
-                drafts.push(EditNode {
+                let children =
+                    to_edit_nodes_below(schema, Some(id), &parent_path.child(Step::without_keys(id)), json)?;
+                edit_nodes.push(EditNode {
                     node: id,
                     keys: vec![],
                     value: None,
                     operation: None,
                     line: 0,
-                    children: below,
+                    children,
                 });
             }
             NodeKind::List { keys } => {
                 for json in array()? {
-                    let below = drafts_below(schema, Some(id), &at.child(Step::without_keys(id)), json)?;
-                    let mut values = Vec::new();
+                    let children = to_edit_nodes_below(
+                        schema,
+                        Some(id),
+                        &parent_path.child(Step::without_keys(id)),
+                        json,
+                    )?;
+                    let mut key_values = Vec::new();
                     for key in keys {
-                        let found = below.iter().find(|draft| draft.node == *key);
+                        let key_leaf = children.iter().find(|child| child.node == *key);
                         let key = &schema.node(*key).name;
                         let missing = || {
-                            let at = at.child(Step::without_keys(id)).format(schema);
+                            let path = parent_path.child(Step::without_keys(id)).format(schema);
                             ModelError::new(
                                 ErrorKind::MissingElement,
-                                at,
+                                path,
                                 key,
                                 format!("the key {key} is missing"),
                             )
                         };
-                        values.push(found.and_then(|draft| draft.value.clone()).ok_or_else(missing)?);
+                        key_values.push(key_leaf.and_then(|leaf| leaf.value.clone()).ok_or_else(missing)?);
                     }
-                    drafts.push(EditNode {
+                    edit_nodes.push(EditNode {
                         node: id,
-                        keys: values,
+                        keys: key_values,
                         value: None,
                         operation: None,
                         line: 0,
-                        children: below,
+                        children,
                     });
                 }
             }
         }
     }
-    Ok(drafts)
+    Ok(edit_nodes)
 }
 
-/// One value of a type.
+/// Parses one value of a type. The error says why it is not valid.
 pub fn parse_value(ty: &Type, json: &Json) -> Result<Value, String> {
     match (ty, json) {
-        (Type::Empty, Json::Array(one)) if one[..] == [Json::Null] => Ok(Value::Empty),
-        (Type::Boolean, Json::Bool(yes)) => Ok(Value::Boolean(*yes)),
+        (Type::Empty, Json::Array(items)) if items[..] == [Json::Null] => Ok(Value::Empty),
+        (Type::Boolean, Json::Bool(boolean)) => Ok(Value::Boolean(*boolean)),
         (Type::Integer { is_64_bit: false, .. }, Json::Number(number)) => ty.parse(&number.to_string()),
         (Type::Integer { is_64_bit: true, .. } | Type::Decimal { .. }, Json::String(text)) => ty.parse(text),
         (Type::Text { .. } | Type::Enumeration(_), Json::String(text)) => ty.parse(text),
         (Type::Integer { is_64_bit: true, .. } | Type::Decimal { .. }, Json::Number(_)) => {
-            Err(format!("{json} should be a string"))
+            Err(format!("{json} must be a string"))
         }
-        _ => Err(format!("{} is not of this type", crate::value::quoted(&json.to_string()))),
+        _ => Err(format!("{} is not a value of this type", crate::value::quoted(&json.to_string()))),
     }
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,7 @@
-//! The operators' model: YANG modules (RFC 7950) as schema nodes, and data under them as one typed tree that
-//! files, NETCONF and gNMI all go through. XML (RFC 7950 section 7 of each statement) and JSON (RFC 7951) are
-//! read into [`EditNode`]s, checked node by node, and written from [`Data`]. No decision is taken here.
+//! The operators' data model: YANG modules (RFC 7950) as schema nodes, and data trees that conform to them. The
+//! operator's file, NETCONF and any further front end (such as gNMI) use the same typed tree. XML (the encoding rules
+//! in RFC 7950 section 7) and JSON (RFC 7951) are parsed into [`EditNode`]s, each of which is checked against the
+//! schema, and are written from [`Data`]. This crate takes no decisions about the configuration.
 
 mod data;
 mod diff;
@@ -22,15 +23,15 @@
 pub use schema::{Module, Node, NodeId, NodeKind, Schema};
 pub use value::{Type, Value};
 
-/// The modules that come with the manager, each after those that it imports.
+/// The names and texts of the built-in YANG modules. Each module comes after those that it imports.
 pub const MODULES: [(&str, &str); 3] = [
     ("juniperrail-types", include_str!("../../../yang/juniperrail-types.yang")),
     ("juniperrail-manager", include_str!("../../../yang/juniperrail-manager.yang")),
     ("juniperrail-state", include_str!("../../../yang/juniperrail-state.yang")),
 ];
 
-/// The schema of the modules that come with the manager.
+/// Parses the schema of the built-in modules.
 pub fn schema() -> Schema {
-    // They are part of the program, and a test reads them.
-    Schema::parse(&MODULES).expect("the modules that come with the program are sound")
+    // The modules are compiled into the program, and a test parses them.
+    Schema::parse(&MODULES).expect("the built-in YANG modules are valid")
 }
--- a/crates/model/src/path.rs
+++ b/crates/model/src/path.rs
@@ -1,44 +1,51 @@
-//! Paths to nodes, as RFC 7950 section 9.13 spells instance-identifiers: `/jrm:workers/worker[name='s-1']`.
+//! Paths to nodes of a data tree in the syntax of the instance-identifier type (RFC 7950 section 9.13):
+//! `/jrm:workers/worker[name='s-1']`.
 
 use crate::error::{ErrorKind, ModelError};
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
+/// One node of a path.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Step {
     pub node: NodeId,
-    /// The keys of a list's entry, or the value of a leaf-list's; empty means all of them.
+    /// The keys of a list entry, or the value of a leaf-list entry. If empty, the step selects all entries.
     pub keys: Vec<Value>,
 }
 
 impl Step {
+    /// A step to a container or leaf, or to all entries of a list or leaf-list.
     pub fn without_keys(node: NodeId) -> Step {
         Step { node, keys: Vec::new() }
     }
 
+    /// A step to the entry of a list with these keys, or to that of a leaf-list with this value.
     pub fn with_keys(node: NodeId, keys: &[Value]) -> Step {
         Step { node, keys: keys.to_vec() }
     }
 }
 
-/// A place in data, from the top.
+/// The steps from the root to a node of a data tree. Without steps it is the path of the root.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Path(pub Vec<Step>);
 
 impl Path {
+    /// The path extended by a step.
     pub fn child(&self, step: Step) -> Path {
         let mut steps = self.0.clone();
         steps.push(step);
         Path(steps)
     }
 
-    /// Whether the other lies at this place or below it; a list without keys covers all its entries.
+    /// Whether the other path is this one or lies below it. A step without keys covers all entries.
     pub fn covers(&self, other: &Path) -> bool {
-        let fits = |(a, b): (&Step, &Step)| a.node == b.node && (a.keys.is_empty() || a.keys == b.keys);
-        self.0.len() <= other.0.len() && self.0.iter().zip(&other.0).all(fits)
+        let matches = |(own, other): (&Step, &Step)| {
+            own.node == other.node && (own.keys.is_empty() || own.keys == other.keys)
+        };
+        self.0.len() <= other.0.len() && self.0.iter().zip(&other.0).all(matches)
     }
 
-    /// With the module's prefix wherever the module changes.
+    /// The text of the path. A node has its module's prefix at the top level and where the module changes.
     pub fn format(&self, schema: &Schema) -> String {
         let mut text = String::new();
         for step in &self.0 {
@@ -49,8 +56,8 @@
                 text.push(':');
             }
             text.push_str(&node.name);
-            for (place, key) in step.keys.iter().enumerate() {
-                let name = node.keys().get(place).map_or(".", |id| &schema.node(*id).name);
+            for (index, key) in step.keys.iter().enumerate() {
+                let name = node.keys().get(index).map_or(".", |id| &schema.node(*id).name);
                 let quote = if key.to_string().contains('\'') { '"' } else { '\'' };
                 text.push_str(&format!("[{name}={quote}{key}{quote}]"));
             }
@@ -61,68 +68,75 @@
         text
     }
 
-    /// Reads such a path. A prefix or a module's name may stand before each name, and must before the first
-    /// only where names clash. A list may stand without keys.
+    /// Parses the text of a path. Each node name may be preceded by the prefix or the name of its module, which is needed
+    /// only where several modules have a node of that name: without it the first of them is taken. A list may be given
+    /// without keys.
     pub fn parse(schema: &Schema, text: &str) -> Result<Path, ModelError> {
-        let bad = |what: String| ModelError::new(ErrorKind::Malformed, text, "path", what);
-        let mut rest = text.strip_prefix('/').ok_or_else(|| bad("a path starts with /".into()))?;
-        let (mut path, mut at) = (Path::default(), None);
+        let malformed = |message: String| ModelError::new(ErrorKind::Malformed, text, "path", message);
+        let mut rest = text.strip_prefix('/').ok_or_else(|| malformed("a path must start with /".into()))?;
+        let (mut path, mut parent) = (Path::default(), None);
         while !rest.is_empty() {
             let end = rest.find(['/', '[']).unwrap_or(rest.len());
             let (module, name) = match rest[..end].split_once(':') {
                 Some((module, name)) => {
-                    let fits = |known: &crate::Module| known.prefix == module || known.name == module;
-                    let known = schema.modules.iter().position(fits);
-                    (Some(known.ok_or_else(|| bad(format!("no module is called {module:?}")))?), name)
+                    let matches = |known: &crate::Module| known.prefix == module || known.name == module;
+                    let index = schema.modules.iter().position(matches);
+                    (Some(index.ok_or_else(|| malformed(format!("unknown module {module:?}")))?), name)
                 }
                 None => (None, &rest[..end]),
             };
-            let id = schema.child(at, name, module).ok_or_else(|| bad(format!("there is no {name:?}")))?;
+            let id = schema
+                .child(parent, name, module)
+                .ok_or_else(|| malformed(format!("there is no {name:?}")))?;
             rest = &rest[end..];
-            let mut told: Vec<(&str, &str)> = Vec::new();
+            let mut predicates: Vec<(&str, &str)> = Vec::new();
             while let Some(predicate) = rest.strip_prefix('[') {
-                let open = || bad("a key reads [name='value']".into());
-                let (name, value) = predicate.split_once('=').ok_or_else(open)?;
-                let quote = value.chars().next().filter(|c| matches!(c, '\'' | '"')).ok_or_else(open)?;
-                let end = value[1..].find(quote).ok_or_else(open)?;
-                told.push((name.trim(), &value[1..=end]));
-                rest = value[end + 2..].strip_prefix(']').ok_or_else(open)?;
+                let bad_predicate = || malformed("a predicate must have the form [name='value']".into());
+                let (name, value) = predicate.split_once('=').ok_or_else(bad_predicate)?;
+                let quote =
+                    value.chars().next().filter(|c| matches!(c, '\'' | '"')).ok_or_else(bad_predicate)?;
+                let end = value[1..].find(quote).ok_or_else(bad_predicate)?;
+                predicates.push((name.trim(), &value[1..=end]));
+                rest = value[end + 2..].strip_prefix(']').ok_or_else(bad_predicate)?;
             }
-            path.0.push(Step { node: id, keys: keys(schema, id, &told).map_err(bad)? });
-            at = Some(id);
+            path.0.push(Step { node: id, keys: parse_keys(schema, id, &predicates).map_err(malformed)? });
+            parent = Some(id);
             match rest.strip_prefix('/') {
-                Some(more) if !more.is_empty() => rest = more,
-                Some(_) => return Err(bad("a path does not end with /".into())),
+                Some(remainder) if !remainder.is_empty() => rest = remainder,
+                Some(_) => return Err(malformed("a path must not end with /".into())),
                 None if rest.is_empty() => {}
-                None => return Err(bad(format!("{rest:?} is not understood"))),
+                None => return Err(malformed(format!("unexpected {rest:?}"))),
             }
         }
         Ok(path)
     }
 }
 
-fn keys(schema: &Schema, id: NodeId, told: &[(&str, &str)]) -> Result<Vec<Value>, String> {
+/// Parses the names and values of the predicates of a node as its keys, in the order of the schema.
+fn parse_keys(schema: &Schema, id: NodeId, predicates: &[(&str, &str)]) -> Result<Vec<Value>, String> {
     let node = schema.node(id);
-    if told.is_empty() {
+    if predicates.is_empty() {
         return Ok(Vec::new());
     }
-    let read = |id: NodeId, text: &str| match &schema.node(id).kind {
+    let parse = |id: NodeId, text: &str| match &schema.node(id).kind {
         NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => ty.parse(text),
         _ => Err(format!("{} has no value", schema.node(id).name)),
     };
-    if let (NodeKind::LeafList { .. }, [(".", value)]) = (&node.kind, told) {
-        return Ok(vec![read(id, value)?]);
+    if let (NodeKind::LeafList { .. }, [(".", value)]) = (&node.kind, predicates) {
+        return Ok(vec![parse(id, value)?]);
     }
-    if node.keys().len() != told.len() {
+    if node.keys().len() != predicates.len() {
         let names: Vec<&str> = node.keys().iter().map(|id| schema.node(*id).name.as_str()).collect();
         return Err(format!("{} has the keys {names:?}", node.name));
     }
     let key = |id: &NodeId| {
         let name = &schema.node(*id).name;
-        let bare = |told: &str| told.rsplit(':').next() == Some(name);
-        let (_, value) =
-            told.iter().find(|(told, _)| bare(told)).ok_or(format!("the key {name} is missing"))?;
-        read(*id, value)
+        let is_key = |predicate_name: &str| predicate_name.rsplit(':').next() == Some(name);
+        let (_, value) = predicates
+            .iter()
+            .find(|(predicate_name, _)| is_key(predicate_name))
+            .ok_or(format!("the key {name} is missing"))?;
+        parse(*id, value)
     };
     node.keys().iter().map(key).collect()
 }
@@ -132,7 +146,7 @@
     use super::*;
 
     #[test]
-    fn paths_are_read_and_spelled_alike() {
+    fn formatting_a_parsed_path_returns_its_text() {
         let schema = crate::schema();
         for text in [
             "/jrm:workers/worker[name='s-1']/weight",
@@ -142,23 +156,26 @@
         ] {
             assert_eq!(Path::parse(&schema, text).unwrap().format(&schema), text);
         }
-        let long = Path::parse(&schema, "/juniperrail-manager:workers/jrm:worker[jrm:name=\"s-1\"]").unwrap();
-        assert_eq!(long.format(&schema), "/jrm:workers/worker[name='s-1']");
-        assert!(Path::parse(&schema, "/workers/worker").unwrap().covers(&long));
-        assert!(!long.covers(&Path::parse(&schema, "/workers/worker[name='s-2']/weight").unwrap()));
-        for (text, why) in [
-            ("workers", "starts with /"),
+        let with_module_name =
+            Path::parse(&schema, "/juniperrail-manager:workers/jrm:worker[jrm:name=\"s-1\"]").unwrap();
+        assert_eq!(with_module_name.format(&schema), "/jrm:workers/worker[name='s-1']");
+        assert!(Path::parse(&schema, "/workers/worker").unwrap().covers(&with_module_name));
+        assert!(
+            !with_module_name.covers(&Path::parse(&schema, "/workers/worker[name='s-2']/weight").unwrap())
+        );
+        for (text, expected) in [
+            ("workers", "must start with /"),
             ("/nothing", "there is no \"nothing\""),
-            ("/x:workers", "no module is called \"x\""),
-            ("/workers/", "does not end with /"),
-            ("/workers/worker[name=s-1]", "a key reads"),
-            ("/workers/worker[name='s-1'", "a key reads"),
+            ("/x:workers", "unknown module \"x\""),
+            ("/workers/", "must not end with /"),
+            ("/workers/worker[name=s-1]", "a predicate must have the form"),
+            ("/workers/worker[name='s-1'", "a predicate must have the form"),
             ("/workers/worker[cell='1']", "the key name is missing"),
             ("/workers/worker[name='a,b']", "does not match"),
             ("/workers[name='a']", "has the keys []"),
         ] {
-            let fault = Path::parse(&schema, text).unwrap_err();
-            assert!(fault.message.contains(why), "{text}: {fault}");
+            let error = Path::parse(&schema, text).unwrap_err();
+            assert!(error.message.contains(expected), "{text}: {error}");
         }
     }
 }
--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -1,14 +1,15 @@
-//! Typed leaves: built-in types with their restrictions, RFC 7950 section 9, and values in canonical form.
+//! Types of leaves and their values: the built-in types with their restrictions (RFC 7950 section 9), and values in
+//! canonical form.
 
 use std::fmt;
 
 use regex::Regex;
 
-/// A leaf's value. Its order is that of list keys.
+/// The value of a leaf. List entries are sorted by the order of their key values.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Value {
     Integer(i128),
-    /// So many units of the last fraction digit, and how many digits there are.
+    /// The value in units of the last fraction digit, and the number of fraction digits.
     Decimal(i64, u8),
     Boolean(bool),
     Text(String),
@@ -16,25 +17,28 @@
 }
 
 impl Value {
-    /// A decimal of the given digits, the nearest; `None` where it does not fit.
-    pub fn decimal(figure: f64, digits: u8) -> Option<Value> {
-        let units = (figure * 10f64.powi(digits.into())).round();
+    /// The decimal with this many fraction digits that is nearest to the number; `None` if it is out of range.
+    pub fn decimal(number: f64, digits: u8) -> Option<Value> {
+        let units = (number * 10f64.powi(digits.into())).round();
         (units.is_finite() && units.abs() < 9e18).then_some(Value::Decimal(units as i64, digits))
     }
 
+    /// A value of a string or enumeration type.
     pub fn text(text: impl Into<String>) -> Value {
         Value::Text(text.into())
     }
 
+    /// The value of an integer or decimal.
     pub fn as_f64(&self) -> Option<f64> {
         match self {
             Value::Integer(number) => Some(*number as f64),
-            // By its text, as that gives the nearest binary figure.
+            // Parsing the text gives the nearest floating-point number.
             Value::Decimal(..) => self.to_string().parse().ok(),
             _ => None,
         }
     }
 
+    /// The value of an integer that is not negative.
     pub fn as_u64(&self) -> Option<u64> {
         match self {
             Value::Integer(number) => u64::try_from(*number).ok(),
@@ -42,6 +46,7 @@
         }
     }
 
+    /// The value of a string or enumeration.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             Value::Text(text) => Some(text),
@@ -55,51 +60,53 @@
         match self {
             Value::Integer(number) => write!(f, "{number}"),
             Value::Decimal(units, digits) => {
-                let one = 10u64.pow((*digits).into());
-                let (whole, part) = (units.unsigned_abs() / one, units.unsigned_abs() % one);
-                let part = format!("{part:0digits$}", digits = usize::from(*digits));
-                let part = part.trim_end_matches('0');
+                let units_per_one = 10u64.pow((*digits).into());
+                let integer = units.unsigned_abs() / units_per_one;
+                let fraction = units.unsigned_abs() % units_per_one;
+                let fraction = format!("{fraction:0digits$}", digits = usize::from(*digits));
+                let fraction = fraction.trim_end_matches('0');
                 let sign = if *units < 0 { "-" } else { "" };
-                write!(f, "{sign}{whole}.{}", if part.is_empty() { "0" } else { part })
+                write!(f, "{sign}{integer}.{}", if fraction.is_empty() { "0" } else { fraction })
             }
-            Value::Boolean(yes) => write!(f, "{yes}"),
+            Value::Boolean(boolean) => write!(f, "{boolean}"),
             Value::Text(text) => f.write_str(text),
             Value::Empty => Ok(()),
         }
     }
 }
 
-/// Bounds, each pair inclusive.
+/// Allowed ranges as pairs of the lower and the upper bound, both inclusive.
 pub type Ranges<N> = Vec<(N, N)>;
 
-/// What a leaf may hold.
+/// The type of a leaf or leaf-list.
 #[derive(Clone, Debug)]
 pub enum Type {
-    /// Of 8 to 64 bits; those of 64 are strings in JSON.
+    /// An integer of 8 to 64 bits. Those of 64 bits are strings in JSON (RFC 7951 section 6.1).
     Integer {
         is_64_bit: bool,
         ranges: Ranges<i128>,
     },
-    /// Bounds are in units of the last digit.
+    /// The number of fraction digits, and the ranges in units of the last of them.
     Decimal {
         digits: u8,
         ranges: Ranges<i128>,
     },
+    /// The `string` type: its lengths in characters, and patterns that a value must all match.
     Text {
         lengths: Ranges<i128>,
         patterns: Vec<Regex>,
     },
     Boolean,
+    /// The names of the values.
     Enumeration(Vec<String>),
     Empty,
 }
 
 impl Type {
+    /// The built-in type of this name without restrictions; `None` if it is unknown or not supported.
     pub fn builtin(name: &str) -> Option<Type> {
-        let integer = |is_64_bit: bool, least: i128, most: i128| Type::Integer {
-            is_64_bit,
-            ranges: vec![(least, most)],
-        };
+        let integer =
+            |is_64_bit: bool, min: i128, max: i128| Type::Integer { is_64_bit, ranges: vec![(min, max)] };
         Some(match name {
             "int8" => integer(false, i8::MIN.into(), i8::MAX.into()),
             "int16" => integer(false, i16::MIN.into(), i16::MAX.into()),
@@ -120,30 +127,31 @@
         })
     }
 
-    /// Reads a value's text. The error says what may stand there.
+    /// Parses the text of a value. The error says what is allowed.
     pub fn parse(&self, text: &str) -> Result<Value, String> {
         match self {
             Type::Integer { ranges, .. } => {
                 let number: i128 =
-                    text.trim().parse().map_err(|_| format!("{} is no whole number", quoted(text)))?;
-                within(number, ranges).map_err(|most| format!("{number} is not within {most}"))?;
+                    text.trim().parse().map_err(|_| format!("{} is not an integer", quoted(text)))?;
+                within(number, ranges).map_err(|allowed| format!("{number} is not within {allowed}"))?;
                 Ok(Value::Integer(number))
             }
             Type::Decimal { digits, ranges } => {
-                let units = decimal(text.trim(), *digits).ok_or_else(|| {
-                    format!("{} is no figure of at most {digits} fraction digits", quoted(text))
+                let units = parse_decimal(text.trim(), *digits).ok_or_else(|| {
+                    format!("{} is not a decimal number with at most {digits} fraction digits", quoted(text))
                 })?;
-                let plain = |units: i128| Value::Decimal(units as i64, *digits).to_string();
-                let spelled = |(least, most): &(i128, i128)| format!("{}..{}", plain(*least), plain(*most));
+                let decimal_text = |units: i128| Value::Decimal(units as i64, *digits).to_string();
+                let range_text =
+                    |(min, max): &(i128, i128)| format!("{}..{}", decimal_text(*min), decimal_text(*max));
                 within(units, ranges).map_err(|_| {
-                    let ranges: Vec<String> = ranges.iter().map(spelled).collect();
-                    format!("{} is not within {}", plain(units), ranges.join(" | "))
+                    let ranges: Vec<String> = ranges.iter().map(range_text).collect();
+                    format!("{} is not within {}", decimal_text(units), ranges.join(" | "))
                 })?;
                 Ok(Value::Decimal(units as i64, *digits))
             }
             Type::Text { lengths, patterns } => {
                 within(text.chars().count() as i128, lengths)
-                    .map_err(|most| format!("{} is not {most} characters long", quoted(text)))?;
+                    .map_err(|allowed| format!("{} is not {allowed} characters long", quoted(text)))?;
                 if let Some(pattern) = patterns.iter().find(|pattern| !pattern.is_match(text)) {
                     let pattern = pattern.as_str();
                     let pattern = pattern.strip_prefix("^(?:").and_then(|p| p.strip_suffix(")$"));
@@ -158,47 +166,59 @@
             },
             Type::Enumeration(names) => match names.iter().find(|name| *name == text.trim()) {
                 Some(name) => Ok(Value::Text(name.clone())),
-                None => Err(format!("{} is none of {}", quoted(text), names.join(", "))),
+                None => Err(format!("{} is not one of {}", quoted(text), names.join(", "))),
             },
             Type::Empty if text.is_empty() => Ok(Value::Empty),
-            Type::Empty => Err("it takes no value".into()),
+            Type::Empty => Err("the type empty takes no value".into()),
         }
     }
 }
 
-/// What a peer sent, short enough for a line of the log.
+const QUOTED_MAX_CHARS: usize = 60;
+
+/// Quotes text received from a peer for an error message, truncated so that the message stays on a short line.
 pub(crate) fn quoted(text: &str) -> String {
-    if text.chars().count() <= 60 {
+    if text.chars().count() <= QUOTED_MAX_CHARS {
         return format!("{text:?}");
     }
-    format!("{:?} and more", text.chars().take(60).collect::<String>())
+    format!("{:?} (truncated)", text.chars().take(QUOTED_MAX_CHARS).collect::<String>())
 }
 
+/// Checks that a number is in one of the ranges. The error is the text of the ranges.
 fn within(number: i128, ranges: &Ranges<i128>) -> Result<(), String> {
-    if ranges.iter().any(|(least, most)| (*least..=*most).contains(&number)) {
+    if ranges.iter().any(|(min, max)| (*min..=*max).contains(&number)) {
         return Ok(());
     }
-    let spelled = |(least, most): &(i128, i128)| match least == most {
-        true => least.to_string(),
-        false => format!("{least}..{most}"),
+    let range_text = |(min, max): &(i128, i128)| match min == max {
+        true => min.to_string(),
+        false => format!("{min}..{max}"),
     };
-    Err(ranges.iter().map(spelled).collect::<Vec<_>>().join(" | "))
+    Err(ranges.iter().map(range_text).collect::<Vec<_>>().join(" | "))
 }
 
-/// A decimal's text in units of its last digit.
-pub(crate) fn decimal(text: &str, digits: u8) -> Option<i128> {
-    let (sign, plain) = match text.strip_prefix('-') {
-        Some(plain) => (-1, plain),
+/// The most digits on either side of the decimal point. An i64 has fewer, and with up to 18 fraction digits the number
+/// still fits in an i128.
+const MAX_PART_DIGITS: usize = 20;
+
+/// Parses the text of a decimal into units of its last fraction digit.
+pub(crate) fn parse_decimal(text: &str, digits: u8) -> Option<i128> {
+    let (sign, unsigned) = match text.strip_prefix('-') {
+        Some(unsigned) => (-1, unsigned),
         None => (1, text.strip_prefix('+').unwrap_or(text)),
     };
-    let (whole, part) = plain.split_once('.').unwrap_or((plain, ""));
-    let sound = |text: &str| text.len() <= 20 && text.bytes().all(|byte| byte.is_ascii_digit());
-    let part = if part.len() > digits.into() { part.trim_end_matches('0') } else { part };
-    if whole.is_empty() || plain.ends_with('.') || !sound(whole) || !sound(part) || part.len() > digits.into()
+    let (integer, fraction) = unsigned.split_once('.').unwrap_or((unsigned, ""));
+    let is_digits =
+        |text: &str| text.len() <= MAX_PART_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
+    let fraction = if fraction.len() > digits.into() { fraction.trim_end_matches('0') } else { fraction };
+    if integer.is_empty()
+        || unsigned.ends_with('.')
+        || !is_digits(integer)
+        || !is_digits(fraction)
+        || fraction.len() > digits.into()
     {
         return None;
     }
-    let units: i128 = format!("{whole}{part:0<digits$}", digits = usize::from(digits)).parse().ok()?;
+    let units: i128 = format!("{integer}{fraction:0<digits$}", digits = usize::from(digits)).parse().ok()?;
     i64::try_from(sign * units).ok().map(i128::from)
 }
 
@@ -207,7 +227,7 @@
     use super::*;
 
     #[test]
-    fn decimals_keep_every_digit_and_nothing_else() {
+    fn decimals_are_parsed_exactly_and_formatted_canonically() {
         let weight = Type::Decimal { digits: 4, ranges: vec![(0, 10_000_000)] };
         for (text, canonical) in
             [("1", "1.0"), ("0.25", "0.25"), ("1.50000", "1.5"), (" 7.1 ", "7.1"), ("+3", "3.0")]
@@ -227,15 +247,16 @@
     }
 
     #[test]
-    fn what_a_type_does_not_take_is_said_with_what_it_takes() {
-        let fault = |of: &Type, text: &str| of.parse(text).unwrap_err();
-        let word = Type::Text { lengths: vec![(1, 3)], patterns: vec![Regex::new("^(?:[a-z]+)$").unwrap()] };
-        assert_eq!(fault(&word, "long"), "\"long\" is not 1..3 characters long");
-        assert_eq!(fault(&word, "a\n"), "\"a\\n\" does not match [a-z]+");
-        let small = Type::Integer { is_64_bit: false, ranges: vec![(1, 3), (7, 7)] };
-        assert_eq!(fault(&small, "5"), "5 is not within 1..3 | 7");
-        assert_eq!(fault(&Type::Boolean, "yes"), "\"yes\" is neither true nor false");
-        assert_eq!(fault(&Type::Enumeration(vec!["a".into(), "b".into()]), "c"), "\"c\" is none of a, b");
-        assert!(fault(&small, &"9".repeat(1000)).len() < 120);
+    fn the_error_for_an_invalid_value_names_what_is_allowed() {
+        let error = |of: &Type, text: &str| of.parse(text).unwrap_err();
+        let short_word =
+            Type::Text { lengths: vec![(1, 3)], patterns: vec![Regex::new("^(?:[a-z]+)$").unwrap()] };
+        assert_eq!(error(&short_word, "long"), "\"long\" is not 1..3 characters long");
+        assert_eq!(error(&short_word, "a\n"), "\"a\\n\" does not match [a-z]+");
+        let digit = Type::Integer { is_64_bit: false, ranges: vec![(1, 3), (7, 7)] };
+        assert_eq!(error(&digit, "5"), "5 is not within 1..3 | 7");
+        assert_eq!(error(&Type::Boolean, "yes"), "\"yes\" is neither true nor false");
+        assert_eq!(error(&Type::Enumeration(vec!["a".into(), "b".into()]), "c"), "\"c\" is not one of a, b");
+        assert!(error(&digit, &"9".repeat(1000)).len() < 120);
     }
 }
--- a/crates/model/src/xml.rs
+++ b/crates/model/src/xml.rs
@@ -1,4 +1,5 @@
-//! XML: a small tree of elements, read within bounds and without document types, and the model's data in it.
+//! XML: a tree of elements, parsed within limits and without document type declarations, and the XML encoding of data
+//! (RFC 7950).
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -17,75 +18,87 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::quoted;
 
-/// NETCONF's own namespace, RFC 6241, of the `operation` attribute among others.
+/// The NETCONF base namespace (RFC 6241), which also contains the `operation` attribute.
 pub const NETCONF_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:base:1.0";
 
-/// The namespace of `xml:lang`, always bound to that prefix.
+/// The namespace of `xml:lang`, to which the prefix `xml` is always bound.
 pub const XML_NAMESPACE: &str = "http://www.w3.org/XML/1998/namespace";
 
-/// Elements nested deeper are refused: the modules need eight, and what nests ten thousand deep is an attack.
+/// The deepest nesting of elements that is accepted. The built-in modules need eight levels; a document that is nested
+/// ten thousand levels deep is an attack.
 pub const MAX_DEPTH: usize = 64;
-/// An element has no more attributes and namespaces of its own.
+/// The most attributes and namespace declarations that are accepted on one element.
 const MAX_ATTRIBUTES: usize = 64;
 
+/// An attribute that is not a namespace declaration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attr {
+    /// The namespace, empty for an attribute without a prefix.
     pub ns: Arc<str>,
     pub name: String,
     pub value: String,
 }
 
-/// An element with its text, if it has no elements below it. Comments and instructions are passed over.
+/// An element with its child elements or its text. Comments and processing instructions are skipped.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Element {
     pub ns: Arc<str>,
     pub name: String,
     pub attrs: Vec<Attr>,
-    /// Namespaces that it binds to prefixes, which the values below it may use.
+    /// The prefixes and namespaces that this element declares, which values below it may use. The prefix of a default
+    /// namespace is empty.
     pub prefixes: Vec<(String, String)>,
     pub text: String,
     pub children: Vec<Element>,
+    /// The line of the start tag, or 0 if the element was not parsed.
     pub line: u32,
 }
 
 impl Element {
+    /// An empty element.
     pub fn new(ns: &str, name: &str) -> Element {
         Element { ns: ns.into(), name: name.into(), ..Element::default() }
     }
 
+    /// An element that contains text.
     pub fn with_text(ns: &str, name: &str, text: impl Into<String>) -> Element {
         Element { text: text.into(), ..Element::new(ns, name) }
     }
 
+    /// Adds a child element.
     pub fn with_child(mut self, child: Element) -> Element {
         self.children.push(child);
         self
     }
 
+    /// Adds child elements.
     pub fn with_children(mut self, children: impl IntoIterator<Item = Element>) -> Element {
         self.children.extend(children);
         self
     }
 
+    /// Whether the element has this namespace and name.
     pub fn is(&self, ns: &str, name: &str) -> bool {
         &*self.ns == ns && self.name == name
     }
 
+    /// The first child element with this namespace and name.
     pub fn child(&self, ns: &str, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.is(ns, name))
     }
 
+    /// The value of an attribute.
     pub fn attr(&self, ns: &str, name: &str) -> Option<&str> {
         self.attrs.iter().find(|attr| &*attr.ns == ns && attr.name == name).map(|attr| &*attr.value)
     }
 
-    /// The element's text without white space around it.
+    /// The text without leading and trailing white space.
     pub fn trimmed_text(&self) -> &str {
         self.text.trim()
     }
 }
 
-/// Why text is no XML: the line and the reason.
+/// A document that is not well-formed XML or exceeds a limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct XmlError {
     pub line: u32,
@@ -93,127 +106,133 @@
 }
 
 impl XmlError {
+    /// Converts the error to one of the data model.
     pub fn to_model_error(&self) -> ModelError {
         ModelError::new(ErrorKind::Malformed, "", "", self.message.clone()).at_line(self.line)
     }
 }
 
-/// Reads one element with all below it. Its size is bounded by whoever has the text.
+/// Parses a document and returns its root element. The caller limits the size of the text.
 pub fn parse(text: &[u8]) -> Result<Element, XmlError> {
     let text = std::str::from_utf8(text).map_err(|cause| {
         let line = 1 + text[..cause.valid_up_to()].iter().filter(|byte| **byte == b'\n').count() as u32;
-        XmlError { line, message: "the text is no UTF-8".into() }
+        XmlError { line, message: "the text is not UTF-8".into() }
     })?;
     let mut reader = NsReader::from_str(text);
     reader.config_mut().check_comments = true;
-    // Positions only grow, so each line end is counted once.
-    let (mut seen, mut line) = (0, 1);
-    let mut open: Vec<Element> = Vec::new();
-    let mut spaces: HashMap<String, Arc<str>> = HashMap::new();
+    // The reader's position only increases, so each line end is counted once.
+    let (mut counted_to, mut line) = (0, 1);
+    let mut open_elements: Vec<Element> = Vec::new();
+    let mut namespaces: HashMap<String, Arc<str>> = HashMap::new();
     loop {
         let start = (reader.buffer_position() as usize).min(text.len());
-        line += text.as_bytes()[seen..start].iter().filter(|byte| **byte == b'\n').count() as u32;
-        seen = start;
-        let bad = |what: String| XmlError { line, message: what };
-        let event = reader.read_event().map_err(|cause| bad(cause.to_string()))?;
+        line += text.as_bytes()[counted_to..start].iter().filter(|byte| **byte == b'\n').count() as u32;
+        counted_to = start;
+        let malformed = |message: String| XmlError { line, message };
+        let event = reader.read_event().map_err(|cause| malformed(cause.to_string()))?;
         match event {
             Event::Start(tag) => {
-                if open.len() >= MAX_DEPTH {
-                    return Err(bad(format!("elements are nested more than {MAX_DEPTH} deep")));
+                if open_elements.len() >= MAX_DEPTH {
+                    return Err(malformed(format!("elements are nested more than {MAX_DEPTH} levels deep")));
                 }
-                open.push(element(&reader, &tag, line, &mut spaces).map_err(bad)?);
+                open_elements.push(parse_tag(&reader, &tag, line, &mut namespaces).map_err(malformed)?);
             }
             Event::Empty(tag) => {
-                let element = element(&reader, &tag, line, &mut spaces).map_err(bad)?;
-                match open.last_mut() {
+                let element = parse_tag(&reader, &tag, line, &mut namespaces).map_err(malformed)?;
+                match open_elements.last_mut() {
                     Some(parent) => parent.children.push(element),
-                    None => return rest(&mut reader, line).map(|()| element),
+                    None => return check_end(&mut reader, line).map(|()| element),
                 }
             }
             Event::End(_) => {
-                let element = open.pop().ok_or_else(|| bad("an end without a start".into()))?;
+                let element =
+                    open_elements.pop().ok_or_else(|| malformed("an end tag without a start tag".into()))?;
                 if !element.children.is_empty() && !element.text.trim().is_empty() {
-                    return Err(bad(format!("{} has text beside elements", element.name)));
+                    return Err(malformed(format!("{} contains both text and elements", element.name)));
                 }
-                match open.last_mut() {
+                match open_elements.last_mut() {
                     Some(parent) => parent.children.push(element),
-                    None => return rest(&mut reader, line).map(|()| element),
+                    None => return check_end(&mut reader, line).map(|()| element),
                 }
             }
             Event::Text(piece) => {
                 let piece = piece.xml10_content();
-                match open.last_mut() {
-                    Some(parent) => parent.text.push_str(checked(&piece).map_err(bad)?),
+                match open_elements.last_mut() {
+                    Some(parent) => parent.text.push_str(check_characters(&piece).map_err(malformed)?),
                     None if piece.trim_matches(['\u{feff}', ' ', '\t', '\r', '\n']).is_empty() => {}
-                    None => return Err(bad("text outside of any element".into())),
+                    None => return Err(malformed("text outside the root element".into())),
                 }
             }
             Event::CData(piece) => {
                 let piece = piece.xml10_content();
-                let parent = open.last_mut().ok_or_else(|| bad("text outside of any element".into()))?;
-                parent.text.push_str(checked(&piece).map_err(bad)?);
+                let parent = open_elements
+                    .last_mut()
+                    .ok_or_else(|| malformed("text outside the root element".into()))?;
+                parent.text.push_str(check_characters(&piece).map_err(malformed)?);
             }
             Event::GeneralRef(name) => {
-                let parent = open.last_mut().ok_or_else(|| bad("text outside of any element".into()))?;
+                let parent = open_elements
+                    .last_mut()
+                    .ok_or_else(|| malformed("text outside the root element".into()))?;
                 let c = match name.resolve_char_ref() {
                     Ok(Some(c)) => c,
-                    Ok(None) => {
-                        predefined(&name.xml10_content()).ok_or_else(|| bad("an unknown entity".into()))?
-                    }
-                    Err(cause) => return Err(bad(cause.to_string())),
+                    Ok(None) => predefined_entity(&name.xml10_content())
+                        .ok_or_else(|| malformed("unknown entity".into()))?,
+                    Err(cause) => return Err(malformed(cause.to_string())),
                 };
-                parent.text.push_str(checked(c.encode_utf8(&mut [0; 4])).map_err(bad)?);
+                parent.text.push_str(check_characters(c.encode_utf8(&mut [0; 4])).map_err(malformed)?);
             }
-            // Guards against entities that grow without end, and against files read by a message.
-            Event::DocType(_) => return Err(bad("a document type has no place here".into())),
-            Event::Decl(declared) if open.is_empty() => {
-                let utf8 = |name: &str| name.eq_ignore_ascii_case("utf-8");
-                match declared.encoding() {
-                    Some(Ok(name)) if !utf8(&name) => {
-                        return Err(bad(format!("the encoding {name:?} is not UTF-8")))
+            // Entities declared in a document type could expand without bound or include files.
+            Event::DocType(_) => return Err(malformed("document type declarations are not allowed".into())),
+            Event::Decl(declaration) if open_elements.is_empty() => {
+                let is_utf8 = |name: &str| name.eq_ignore_ascii_case("utf-8");
+                match declaration.encoding() {
+                    Some(Ok(name)) if !is_utf8(&name) => {
+                        return Err(malformed(format!("the encoding {name:?} is not UTF-8")))
                     }
                     _ => {}
                 }
             }
-            Event::Decl(_) => return Err(bad("a declaration within an element".into())),
+            Event::Decl(_) => return Err(malformed("an XML declaration within an element".into())),
             Event::Comment(_) | Event::PI(_) => {}
             Event::Eof => {
-                let what = match open.last() {
-                    Some(element) => format!("it ends within {}", element.name),
-                    None => "there is no element".into(),
+                let message = match open_elements.last() {
+                    Some(element) => format!("the text ends within the element {}", element.name),
+                    None => "the text contains no element".into(),
                 };
-                return Err(bad(what));
+                return Err(malformed(message));
             }
         }
     }
 }
 
-/// Nothing but comments and white space follows the one element.
-fn rest(reader: &mut NsReader<&[u8]>, line: u32) -> Result<(), XmlError> {
+/// Checks that only comments, processing instructions and white space follow the root element.
+fn check_end(reader: &mut NsReader<&[u8]>, line: u32) -> Result<(), XmlError> {
     loop {
-        let what = match reader.read_event() {
+        let message = match reader.read_event() {
             Ok(Event::Eof) => return Ok(()),
             Ok(Event::Comment(_) | Event::PI(_)) => continue,
             Ok(Event::Text(text)) if text.xml10_content().trim().is_empty() => continue,
-            Ok(_) => "something follows the element".to_string(),
+            Ok(_) => "unexpected content after the root element".to_string(),
             Err(cause) => cause.to_string(),
         };
-        return Err(XmlError { line, message: what });
+        return Err(XmlError { line, message });
     }
 }
 
-/// The characters of XML 1.0 section 2.2: no other can be written back.
-fn checked(text: &str) -> Result<&str, String> {
+/// Rejects characters that XML 1.0 section 2.2 does not allow, since they could not be written again.
+fn check_characters(text: &str) -> Result<&str, String> {
     match text
         .chars()
         .find(|c| *c < ' ' && !matches!(c, '\t' | '\n' | '\r') || matches!(c, '\u{fffe}' | '\u{ffff}'))
     {
-        Some(c) => Err(format!("the character {c:?} has no place in XML")),
+        Some(c) => Err(format!("the character {c:?} is not allowed in XML")),
         None => Ok(text),
     }
 }
 
-fn predefined(name: &str) -> Option<char> {
+/// The character of a predefined entity (XML 1.0 section 4.6).
+fn predefined_entity(name: &str) -> Option<char> {
     Some(match name {
         "lt" => '<',
         "gt" => '>',
@@ -224,78 +243,81 @@
     })
 }
 
-fn element(
+/// Converts a start tag to an element without content.
+fn parse_tag(
     reader: &NsReader<&[u8]>,
     tag: &BytesStart<'_>,
     line: u32,
-    spaces: &mut HashMap<String, Arc<str>>,
+    namespaces: &mut HashMap<String, Arc<str>>,
 ) -> Result<Element, String> {
-    let mut interned =
-        |name: &str| -> Arc<str> { spaces.entry(name.to_string()).or_insert_with(|| name.into()).clone() };
-    let mut space = |resolved: ResolveResult<'_>| match resolved {
-        ResolveResult::Bound(ns) => Ok(interned(ns.as_ref())),
-        ResolveResult::Unbound => Ok(interned("")),
-        ResolveResult::Unknown(prefix) => Err(format!("the prefix {prefix:?} is bound to no namespace")),
+    let mut intern = |name: &str| -> Arc<str> {
+        namespaces.entry(name.to_string()).or_insert_with(|| name.into()).clone()
+    };
+    let mut namespace = |resolved: ResolveResult<'_>| match resolved {
+        ResolveResult::Bound(ns) => Ok(intern(ns.as_ref())),
+        ResolveResult::Unbound => Ok(intern("")),
+        ResolveResult::Unknown(prefix) => Err(format!("the prefix {prefix:?} is not bound to a namespace")),
     };
     let (resolved, name) = reader.resolver().resolve_element(tag.name());
-    let mut element = Element { ns: space(resolved)?, line, ..Element::new("", name.as_ref()) };
-    for (place, attr) in tag.attributes().enumerate() {
-        if place >= MAX_ATTRIBUTES {
+    let mut element = Element { ns: namespace(resolved)?, line, ..Element::new("", name.as_ref()) };
+    for (index, attr) in tag.attributes().enumerate() {
+        if index >= MAX_ATTRIBUTES {
             return Err(format!("{} has more than {MAX_ATTRIBUTES} attributes", element.name));
         }
         let attr: Attribute<'_> = attr.map_err(|cause| cause.to_string())?;
         let value = attr.normalized_value(XmlVersion::Implicit1_0).map_err(|cause| cause.to_string())?;
-        let value = checked(&value)?.to_string();
+        let value = check_characters(&value)?.to_string();
         match attr.key.as_namespace_binding() {
             Some(PrefixDeclaration::Named(prefix)) => element.prefixes.push((prefix.to_string(), value)),
             Some(PrefixDeclaration::Default) => element.prefixes.push((String::new(), value)),
             None => {
                 let (resolved, name) = reader.resolver().resolve_attribute(attr.key);
-                element.attrs.push(Attr { ns: space(resolved)?, name: name.as_ref().to_string(), value });
+                element.attrs.push(Attr { ns: namespace(resolved)?, name: name.as_ref().to_string(), value });
             }
         }
     }
     Ok(element)
 }
 
-/// Writes an element, its namespaces as defaults wherever they change. `indent`: one line an element.
+/// Writes an element. Where the namespace changes, it is declared as the default namespace. With `indent` each tag
+/// is on an indented line of its own, but for elements that contain text, which take one line.
 pub fn write(element: &Element, indent: bool) -> String {
     let mut text = String::new();
-    put(&mut text, element, "", indent.then_some(0));
-    // It may wait long for a peer that reads slowly; growing left it up to twice as large.
+    write_element(&mut text, element, "", indent.then_some(0));
+    // The text may be queued for long if the peer reads slowly, and growth may have doubled its capacity.
     text.shrink_to_fit();
     text
 }
 
-fn put(text: &mut String, element: &Element, around: &str, depth: Option<usize>) {
-    let pad = |text: &mut String, depth: Option<usize>| {
+fn write_element(text: &mut String, element: &Element, parent_namespace: &str, depth: Option<usize>) {
+    let indent = |text: &mut String, depth: Option<usize>| {
         depth.into_iter().for_each(|depth| text.extend(std::iter::repeat_n("  ", depth)));
     };
-    let line = |text: &mut String| _ = depth.is_some().then(|| text.push('\n'));
-    pad(text, depth);
+    let end_line = |text: &mut String| _ = depth.is_some().then(|| text.push('\n'));
+    indent(text, depth);
     _ = write!(text, "<{}", element.name);
-    if &*element.ns != around {
+    if &*element.ns != parent_namespace {
         _ = write!(text, " xmlns=\"{}\"", escape(&*element.ns));
     }
     for (prefix, ns) in element.prefixes.iter().filter(|(prefix, _)| !prefix.is_empty()) {
         _ = write!(text, " xmlns:{prefix}=\"{}\"", escape(ns.as_str()));
     }
-    for (place, attr) in element.attrs.iter().enumerate() {
+    for (index, attr) in element.attrs.iter().enumerate() {
         if &*attr.ns == XML_NAMESPACE {
-            // No other prefix may be bound to it.
-            _ = write!(text, " xml:{}=\"{}\"", attr.name, attribute(&attr.value));
+            // No other prefix may be bound to this namespace.
+            _ = write!(text, " xml:{}=\"{}\"", attr.name, escape_attribute(&attr.value));
         } else if attr.ns.is_empty() {
-            _ = write!(text, " {}=\"{}\"", attr.name, attribute(&attr.value));
+            _ = write!(text, " {}=\"{}\"", attr.name, escape_attribute(&attr.value));
         } else {
-            let (name, ns, value) = (&attr.name, escape(&*attr.ns), attribute(&attr.value));
-            _ = write!(text, " xmlns:a{place}=\"{ns}\" a{place}:{name}=\"{value}\"");
+            let (name, ns, value) = (&attr.name, escape(&*attr.ns), escape_attribute(&attr.value));
+            _ = write!(text, " xmlns:a{index}=\"{ns}\" a{index}:{name}=\"{value}\"");
         }
     }
     if element.children.is_empty() && element.text.is_empty() {
         text.push_str("/>");
     } else if element.children.is_empty() {
-        // A carriage return that is written plain is read as a line end.
-        // The greater-than sign is escaped too: `]]>` would end a message in NETCONF's older framing.
+        // A carriage return that is not escaped would be parsed as a line end.
+        // The greater-than sign is escaped as well, since `]]>]]>` ends a message in the framing of NETCONF 1.0.
         _ = write!(
             text,
             ">{}</{}>",
@@ -304,37 +326,38 @@
         );
     } else {
         text.push('>');
-        line(text);
+        end_line(text);
         for child in &element.children {
-            put(text, child, &element.ns, depth.map(|depth| depth + 1));
+            write_element(text, child, &element.ns, depth.map(|depth| depth + 1));
         }
-        pad(text, depth);
+        indent(text, depth);
         _ = write!(text, "</{}>", element.name);
     }
-    line(text);
+    end_line(text);
 }
 
-fn attribute(value: &str) -> String {
+/// Escapes the value of an attribute. Line ends and tabs would otherwise be normalized to spaces when it is parsed.
+fn escape_attribute(value: &str) -> String {
     escape(value).replace('\n', "&#10;").replace('\r', "&#13;").replace('\t', "&#9;")
 }
 
-/// Data as elements.
+/// Writes data as elements.
 pub fn to_elements(schema: &Schema, data: &Data) -> Vec<Element> {
     let mut elements = Vec::new();
     for (id, content) in data.iter() {
         let node = schema.node(id);
         let ns = &*schema.modules[node.module].namespace;
         let entry = |data: &Data| {
-            let mut below = self::to_elements(schema, data);
-            // RFC 7950 section 7.8.5: the keys come first, in their order.
-            let rank = |element: &Element| {
+            let mut children = self::to_elements(schema, data);
+            // RFC 7950 section 7.8.5: the keys come first, in the order of the `key` statement.
+            let key_position = |element: &Element| {
                 node.keys()
                     .iter()
                     .position(|key| schema.node(*key).name == element.name)
                     .unwrap_or(usize::MAX)
             };
-            below.sort_by_key(rank);
-            Element::new(ns, &node.name).with_children(below)
+            children.sort_by_key(key_position);
+            Element::new(ns, &node.name).with_children(children)
         };
         match content {
             Content::Container(data) => {
@@ -351,161 +374,178 @@
     elements
 }
 
-/// Elements as drafts. Only configuration may stand there; `operation` attributes only where they are `allowed`.
+/// Checks elements against the schema and converts them to edit nodes. Only configuration is accepted, and `operation`
+/// attributes only if they are allowed.
 pub fn to_edit_nodes(
     schema: &Schema,
     elements: &[Element],
-    allowed: bool,
+    operations_allowed: bool,
 ) -> Result<Vec<EditNode>, ModelError> {
-    drafts_below(schema, None, &Path::default(), elements, allowed)
+    to_edit_nodes_below(schema, None, &Path::default(), elements, operations_allowed)
 }
 
-fn drafts_below(
+fn to_edit_nodes_below(
     schema: &Schema,
     parent: Option<NodeId>,
-    at: &Path,
+    parent_path: &Path,
     elements: &[Element],
-    allowed: bool,
+    operations_allowed: bool,
 ) -> Result<Vec<EditNode>, ModelError> {
-    elements.iter().map(|element| draft(schema, parent, at, element, allowed)).collect()
+    elements
+        .iter()
+        .map(|element| to_edit_node(schema, parent, parent_path, element, operations_allowed))
+        .collect()
 }
 
-fn draft(
+fn to_edit_node(
     schema: &Schema,
     parent: Option<NodeId>,
-    at: &Path,
+    parent_path: &Path,
     element: &Element,
-    allowed: bool,
+    operations_allowed: bool,
 ) -> Result<EditNode, ModelError> {
-    let place = at.format(schema);
-    let refused =
-        |rule, what: String| Err(ModelError::new(rule, &*place, &element.name, what).at_line(element.line));
+    let parent_text = parent_path.format(schema);
+    let rejected = |kind, message: String| {
+        Err(ModelError::new(kind, &*parent_text, &element.name, message).at_line(element.line))
+    };
     let name = quoted(&element.name);
     let Some(module) = schema.modules.iter().position(|module| module.namespace == *element.ns) else {
-        return refused(
+        return rejected(
             ErrorKind::UnknownNamespace,
             format!("{name} is in the unknown namespace {}", quoted(&element.ns)),
         );
     };
     let Some(id) = schema.child(parent, &element.name, Some(module)) else {
-        return refused(ErrorKind::UnknownElement, format!("{name} has no place here"));
+        return rejected(ErrorKind::UnknownElement, format!("unexpected element {name}"));
     };
     let node = schema.node(id);
     if !node.config {
-        return refused(ErrorKind::NotConfiguration, format!("{name} is state, which can be read only"));
+        return rejected(ErrorKind::NotConfiguration, format!("{name} is state data, which is read-only"));
     }
-    let mut op = None;
+    let mut operation = None;
     for attr in &element.attrs {
-        if &*attr.ns != NETCONF_NAMESPACE || attr.name != "operation" || !allowed {
-            let what = format!("the attribute {} has no place here", quoted(&attr.name));
-            return Err(
-                ModelError::new(ErrorKind::UnknownAttribute, &*place, &attr.name, what).at_line(element.line)
-            );
+        if &*attr.ns != NETCONF_NAMESPACE || attr.name != "operation" || !operations_allowed {
+            let message = format!("unexpected attribute {}", quoted(&attr.name));
+            return Err(ModelError::new(ErrorKind::UnknownAttribute, &*parent_text, &attr.name, message)
+                .at_line(element.line));
         }
-        op = Some(match attr.value.as_str() {
+        operation = Some(match attr.value.as_str() {
             "merge" => EditOperation::Merge,
             "replace" => EditOperation::Replace,
             "create" => EditOperation::Create,
             "delete" => EditOperation::Delete,
             "remove" => EditOperation::Remove,
             other => {
-                let what = format!("{} is no operation", quoted(other));
-                return Err(ModelError::new(ErrorKind::BadAttribute, &*place, "operation", what)
+                let message = format!("{} is not an edit operation", quoted(other));
+                return Err(ModelError::new(ErrorKind::BadAttribute, &*parent_text, "operation", message)
                     .at_line(element.line));
             }
         });
     }
-    let leaves = matches!(op, Some(EditOperation::Delete | EditOperation::Remove));
-    let mut draft =
-        EditNode { node: id, keys: vec![], value: None, operation: op, line: element.line, children: vec![] };
+    let removes = matches!(operation, Some(EditOperation::Delete | EditOperation::Remove));
+    let mut edit_node =
+        EditNode { node: id, keys: vec![], value: None, operation, line: element.line, children: vec![] };
     match &node.kind {
         NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => {
             if let Some(child) = element.children.first() {
-                return refused(
+                return rejected(
                     ErrorKind::UnknownElement,
-                    format!("{} has no place in {name}", quoted(&child.name)),
+                    format!("unexpected element {} in the leaf {name}", quoted(&child.name)),
                 );
             }
-            let empties = leaves && element.text.is_empty() && matches!(node.kind, NodeKind::Leaf { .. });
-            draft.value = match ty.parse(&element.text) {
+            // A leaf that is to be deleted may be given without its value.
+            let needs_no_value =
+                removes && element.text.is_empty() && matches!(node.kind, NodeKind::Leaf { .. });
+            edit_node.value = match ty.parse(&element.text) {
                 Ok(value) => Some(value),
-                Err(_) if empties => None,
-                Err(why) => {
-                    let place = at.child(Step::without_keys(id)).format(schema);
-                    return Err(
-                        ModelError::new(ErrorKind::BadValue, place, &element.name, why).at_line(element.line)
-                    );
+                Err(_) if needs_no_value => None,
+                Err(message) => {
+                    let path = parent_path.child(Step::without_keys(id)).format(schema);
+                    return Err(ModelError::new(ErrorKind::BadValue, path, &element.name, message)
+                        .at_line(element.line));
                 }
             };
         }
         NodeKind::Container { .. } | NodeKind::List { .. } => {
             if !element.text.trim().is_empty() {
-                return refused(ErrorKind::BadValue, format!("{name} holds elements and no text"));
+                return rejected(ErrorKind::BadValue, format!("{name} must contain elements, not text"));
             }
             let mut step = Step::without_keys(id);
             for key in node.keys() {
                 let key = schema.node(*key);
-                let Some(found) =
+                let Some(key_element) =
                     element.children.iter().find(|child| child.name == key.name && child.ns == element.ns)
                 else {
-                    let what = format!("the key {} is missing", key.name);
-                    let place = at.child(step).format(schema);
-                    return Err(ModelError::new(ErrorKind::MissingElement, place, &key.name, what)
+                    let message = format!("the key {} is missing", key.name);
+                    let path = parent_path.child(step).format(schema);
+                    return Err(ModelError::new(ErrorKind::MissingElement, path, &key.name, message)
                         .at_line(element.line));
                 };
                 if let NodeKind::Leaf { ty, .. } = &key.kind {
-                    let value = ty.parse(&found.text).map_err(|why| {
+                    let value = ty.parse(&key_element.text).map_err(|message| {
                         ModelError::new(
                             ErrorKind::BadValue,
-                            at.child(step.clone()).format(schema),
+                            parent_path.child(step.clone()).format(schema),
                             &key.name,
-                            why,
+                            message,
                         )
-                        .at_line(found.line)
+                        .at_line(key_element.line)
                     })?;
-                    draft.keys.push(value);
+                    edit_node.keys.push(value);
                 }
             }
-            step.keys = draft.keys.clone();
-            draft.children = drafts_below(schema, Some(id), &at.child(step), &element.children, allowed)?;
-            let is_key = |below: &&EditNode| node.keys().contains(&below.node);
-            if let Some(key) = draft.children.iter().filter(is_key).find(|below| below.operation.is_some()) {
-                let here = at.child(draft.step());
+            step.keys = edit_node.keys.clone();
+            edit_node.children = to_edit_nodes_below(
+                schema,
+                Some(id),
+                &parent_path.child(step),
+                &element.children,
+                operations_allowed,
+            )?;
+            let is_key = |child: &&EditNode| node.keys().contains(&child.node);
+            if let Some(key) =
+                edit_node.children.iter().filter(is_key).find(|child| child.operation.is_some())
+            {
+                let path = parent_path.child(edit_node.step());
                 return Err(key.error(
                     schema,
-                    &here,
+                    &path,
                     ErrorKind::BadAttribute,
-                    "is a key and has no operation of its own",
+                    "is a key, which must not have an operation",
                 ));
             }
-            if draft.children.iter().filter(is_key).count() > node.keys().len() {
-                return Err(draft.error(schema, at, ErrorKind::Duplicate, "names a key twice"));
+            if edit_node.children.iter().filter(is_key).count() > node.keys().len() {
+                return Err(edit_node.error(
+                    schema,
+                    parent_path,
+                    ErrorKind::Duplicate,
+                    "has a key more than once",
+                ));
             }
         }
     }
-    Ok(draft)
+    Ok(edit_node)
 }
 
-/// A file of configuration: the element `config`, or any of ours, with data below it.
+/// Parses the text of a configuration file, whose root element is `config`. Checks that it is complete.
 pub fn parse_config(schema: &Schema, text: &[u8]) -> Result<Data, ModelError> {
-    let root = parse(text).map_err(|malformed| malformed.to_model_error())?;
+    let root = parse(text).map_err(|error| error.to_model_error())?;
     if !root.is(NETCONF_NAMESPACE, "config") {
-        let what =
-            format!("the file holds <{}> and should hold <config xmlns=\"{NETCONF_NAMESPACE}\">", root.name);
-        return Err(ModelError::new(ErrorKind::UnknownElement, "", &root.name, what).at_line(root.line));
+        let message = format!("expected <config xmlns=\"{NETCONF_NAMESPACE}\">, found <{}>", root.name);
+        return Err(ModelError::new(ErrorKind::UnknownElement, "", &root.name, message).at_line(root.line));
     }
     if let Some(attr) = root.attrs.first() {
-        let what = format!("the attribute {} has no place here", quoted(&attr.name));
-        return Err(ModelError::new(ErrorKind::UnknownAttribute, "", &attr.name, what).at_line(root.line));
+        let message = format!("unexpected attribute {}", quoted(&attr.name));
+        return Err(ModelError::new(ErrorKind::UnknownAttribute, "", &attr.name, message).at_line(root.line));
     }
-    let drafts = to_edit_nodes(schema, &root.children, false)?;
-    let mut data = Data::from_edit_nodes(schema, &drafts)?;
+    let edit_nodes = to_edit_nodes(schema, &root.children, false)?;
+    let mut data = Data::from_edit_nodes(schema, &edit_nodes)?;
     data.check_mandatory(schema)?;
     data.prune_empty(schema);
     Ok(data)
 }
 
-/// Such a file's text.
+/// Writes the text of a configuration file.
 pub fn write_config(schema: &Schema, data: &Data) -> String {
     let root = Element::new(NETCONF_NAMESPACE, "config").with_children(to_elements(schema, data));
     format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{}", write(&root, true))
--- a/crates/model/src/yang.rs
+++ b/crates/model/src/yang.rs
@@ -1,67 +1,73 @@
-//! YANG's statements, RFC 7950 section 6: a keyword, an argument, and statements below it. Nothing of their
-//! meaning is known here.
+//! The syntax of YANG (RFC 7950 section 6): statements with a keyword, an argument and substatements. Their meaning is
+//! left to the schema.
 
+/// A YANG statement.
 #[derive(Debug, PartialEq)]
 pub struct Statement {
     pub keyword: String,
     pub argument: String,
     pub line: u32,
-    pub below: Vec<Statement>,
+    pub substatements: Vec<Statement>,
 }
 
 impl Statement {
+    /// The substatements with this keyword.
     pub fn all<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
-        self.below.iter().filter(move |statement| statement.keyword == keyword)
+        self.substatements.iter().filter(move |statement| statement.keyword == keyword)
     }
 
+    /// The first substatement with this keyword.
     pub fn get(&self, keyword: &str) -> Option<&Statement> {
-        self.below.iter().find(|statement| statement.keyword == keyword)
+        self.substatements.iter().find(|statement| statement.keyword == keyword)
     }
 
-    pub fn text(&self, keyword: &str) -> Option<&str> {
+    /// The argument of the first substatement with this keyword.
+    pub fn argument_of(&self, keyword: &str) -> Option<&str> {
         self.get(keyword).map(|statement| statement.argument.as_str())
     }
 }
 
-/// No module of ours is nested so deep.
-const DEEPEST: usize = 64;
+/// Bounds the recursion of the parser. The built-in modules are nested less deeply.
+const MAX_DEPTH: usize = 64;
 
 #[derive(Debug, PartialEq)]
 enum Token {
-    /// Quoted strings are no keywords, and only they are joined by `+`.
+    /// A string, and whether it is quoted. A quoted string is not a keyword, and only quoted strings can be concatenated
+    /// with `+`.
     Word(String, bool),
     Open,
     Close,
     End,
 }
 
-struct Reader<'a> {
+struct Parser<'a> {
     text: &'a str,
-    at: usize,
+    /// The byte offset of the next token.
+    offset: usize,
     line: u32,
 }
 
-/// Reads the one statement that a module's text is.
-pub fn read(text: &str) -> Result<Statement, String> {
-    let mut reader = Reader { text, at: 0, line: 1 };
-    let statement = reader.statement(0)?.ok_or("the text holds no statement")?;
-    match reader.token()? {
+/// Parses the text of a module, which is a single statement.
+pub fn parse(text: &str) -> Result<Statement, String> {
+    let mut parser = Parser { text, offset: 0, line: 1 };
+    let statement = parser.statement(0)?.ok_or("the text contains no statement")?;
+    match parser.token()? {
         None => Ok(statement),
-        Some(_) => Err(format!("line {}: something follows the module", reader.line)),
+        Some(_) => Err(format!("line {}: unexpected text after the module", parser.line)),
     }
 }
 
-impl Reader<'_> {
+impl Parser<'_> {
     fn statement(&mut self, depth: usize) -> Result<Option<Statement>, String> {
         let keyword = match self.token()? {
             None => return Ok(None),
             Some(Token::Close) if depth > 0 => return Ok(None),
             Some(Token::Word(keyword, false)) => keyword,
-            Some(other) => return Err(format!("line {}: a keyword should stand here: {other:?}", self.line)),
+            Some(other) => return Err(format!("line {}: expected a keyword, found {other:?}", self.line)),
         };
-        let (line, mut argument, mut below) = (self.line, String::new(), Vec::new());
-        if depth > DEEPEST {
-            return Err(format!("line {line}: statements are nested too deep"));
+        let (line, mut argument, mut substatements) = (self.line, String::new(), Vec::new());
+        if depth > MAX_DEPTH {
+            return Err(format!("line {line}: statements are nested too deeply"));
         }
         let mut next = self.token()?;
         if let Some(Token::Word(first, quoted)) = next {
@@ -69,8 +75,8 @@
             next = self.token()?;
             while quoted && next == Some(Token::Word("+".into(), false)) {
                 match self.token()? {
-                    Some(Token::Word(more, true)) => argument.push_str(&more),
-                    _ => return Err(format!("line {}: a quoted string should follow the +", self.line)),
+                    Some(Token::Word(continuation, true)) => argument.push_str(&continuation),
+                    _ => return Err(format!("line {}: expected a quoted string after +", self.line)),
                 }
                 next = self.token()?;
             }
@@ -78,86 +84,92 @@
         match next {
             Some(Token::End) => {}
             Some(Token::Open) => loop {
-                let before = self.at;
+                let start = self.offset;
                 match self.statement(depth + 1)? {
-                    Some(statement) => below.push(statement),
-                    None if self.text[before..self.at].ends_with('}') => break,
+                    Some(statement) => substatements.push(statement),
+                    None if self.text[start..self.offset].ends_with('}') => break,
                     None => return Err(format!("line {line}: {keyword} {argument:?} is not closed")),
                 }
             },
-            _ => return Err(format!("line {line}: {keyword} {argument:?} has no end")),
+            _ => return Err(format!("line {line}: expected ; or {{ after {keyword} {argument:?}")),
         }
-        Ok(Some(Statement { keyword, argument, line, below }))
+        Ok(Some(Statement { keyword, argument, line, substatements }))
     }
 
+    /// Moves past this many bytes and counts the lines in them.
     fn skip(&mut self, bytes: usize) {
-        self.line += self.text[self.at..self.at + bytes].matches('\n').count() as u32;
-        self.at += bytes;
+        self.line += self.text[self.offset..self.offset + bytes].matches('\n').count() as u32;
+        self.offset += bytes;
     }
 
     fn token(&mut self) -> Result<Option<Token>, String> {
         loop {
-            let rest = &self.text[self.at..];
-            let blank = rest.len() - rest.trim_start().len();
-            if blank > 0 {
-                self.skip(blank);
+            let rest = &self.text[self.offset..];
+            let whitespace = rest.len() - rest.trim_start().len();
+            if whitespace > 0 {
+                self.skip(whitespace);
             } else if rest.starts_with("//") {
                 self.skip(rest.find('\n').unwrap_or(rest.len()));
             } else if let Some(comment) = rest.strip_prefix("/*") {
-                let end = comment.find("*/").ok_or_else(|| format!("line {}: an open comment", self.line))?;
+                let end = comment
+                    .find("*/")
+                    .ok_or_else(|| format!("line {}: a comment is not closed", self.line))?;
                 self.skip(end + 4);
             } else {
                 break;
             }
         }
-        let rest = &self.text[self.at..];
-        let single = |token| Ok(Some(token));
+        let rest = &self.text[self.offset..];
+        let some = |token| Ok(Some(token));
         match rest.chars().next() {
             None => Ok(None),
-            Some(mark @ ('{' | '}' | ';')) => {
+            Some(delimiter @ ('{' | '}' | ';')) => {
                 self.skip(1);
-                single(match mark {
+                some(match delimiter {
                     '{' => Token::Open,
                     '}' => Token::Close,
                     _ => Token::End,
                 })
             }
             Some('\'') => {
-                let end = rest[1..].find('\'').ok_or_else(|| format!("line {}: an open quote", self.line))?;
+                let end = rest[1..]
+                    .find('\'')
+                    .ok_or_else(|| format!("line {}: a quoted string is not closed", self.line))?;
                 let word = rest[1..1 + end].to_string();
                 self.skip(end + 2);
-                single(Token::Word(word, true))
+                some(Token::Word(word, true))
             }
-            Some('"') => self.double().map(|word| Some(Token::Word(word, true))),
+            Some('"') => self.double_quoted().map(|word| Some(Token::Word(word, true))),
             Some(_) => {
                 let ends = |c: char| c.is_whitespace() || matches!(c, '{' | '}' | ';' | '"' | '\'');
                 let word = rest[..rest.find(ends).unwrap_or(rest.len())].to_string();
                 self.skip(word.len());
-                single(Token::Word(word, false))
+                some(Token::Word(word, false))
             }
         }
     }
 
-    /// A string in double quotes: escapes, and lines without their indentation (section 6.1.3).
-    fn double(&mut self) -> Result<String, String> {
-        let (line, start) = (self.line, self.at);
+    /// Parses a double-quoted string: resolves escapes and removes the indentation of continuation lines (RFC 7950 section
+    /// 6.1.3).
+    fn double_quoted(&mut self) -> Result<String, String> {
+        let (line, start) = (self.line, self.offset);
         let before = &self.text[..start];
         let column = start - before.rfind('\n').map_or(0, |end| end + 1) + 1;
         let (mut word, mut escaped) = (String::new(), false);
-        for (place, c) in self.text[start + 1..].char_indices() {
+        for (index, c) in self.text[start + 1..].char_indices() {
             match c {
                 c if escaped => {
                     word.push(match c {
                         'n' => '\n',
                         't' => '\t',
                         '"' | '\\' => c,
-                        other => return Err(format!("line {line}: the escape \\{other} is not known")),
+                        other => return Err(format!("line {line}: unknown escape \\{other}")),
                     });
                     escaped = false;
                 }
                 '\\' => escaped = true,
                 '"' => {
-                    self.skip(place + 2);
+                    self.skip(index + 2);
                     let mut lines = word.split('\n');
                     let mut joined = lines.next().unwrap_or_default().trim_end_matches(' ').to_string();
                     if !word.contains('\n') {
@@ -173,7 +185,7 @@
                 c => word.push(c),
             }
         }
-        Err(format!("line {line}: an open quote"))
+        Err(format!("line {line}: a quoted string is not closed"))
     }
 }
 
@@ -182,32 +194,32 @@
     use super::*;
 
     #[test]
-    fn statements_are_read_with_quotes_comments_and_joined_strings() {
+    fn quotes_comments_and_concatenated_strings_are_parsed() {
         let text = "module a { // one\n  pattern \"x\\\\.\\\"y\" + 'z\\'; /* two\n */ leaf b { type string; }\n  description\n    \"one\n     two\"; }";
-        let module = read(text).unwrap();
+        let module = parse(text).unwrap();
         assert_eq!((module.keyword.as_str(), module.argument.as_str()), ("module", "a"));
-        assert_eq!(module.text("pattern"), Some("x\\.\"yz\\"));
-        assert_eq!(module.get("leaf").unwrap().text("type"), Some("string"));
+        assert_eq!(module.argument_of("pattern"), Some("x\\.\"yz\\"));
+        assert_eq!(module.get("leaf").unwrap().argument_of("type"), Some("string"));
         assert_eq!(module.get("leaf").unwrap().line, 3);
-        assert_eq!(module.text("description"), Some("one\ntwo"));
+        assert_eq!(module.argument_of("description"), Some("one\ntwo"));
     }
 
     #[test]
-    fn what_is_no_module_is_said_with_its_line() {
-        for (text, why) in [
+    fn syntax_errors_name_their_line() {
+        for (text, expected) in [
             ("", "no statement"),
             ("module a {\n leaf b;", "line 1: module \"a\" is not closed"),
-            ("module a {\n leaf b }", "has no end"),
-            ("module a;\n}", "line 2: something follows"),
-            ("module \"a", "line 1: an open quote"),
-            ("module a { /* }", "an open comment"),
-            ("module a { d \"\\q\"; }", "the escape \\q"),
-            ("module a { d \"b\" + c; }", "should follow the +"),
-            ("\"module\" a;", "a keyword should stand here"),
+            ("module a {\n leaf b }", "expected ; or { after leaf \"b\""),
+            ("module a;\n}", "line 2: unexpected text after the module"),
+            ("module \"a", "line 1: a quoted string is not closed"),
+            ("module a { /* }", "a comment is not closed"),
+            ("module a { d \"\\q\"; }", "unknown escape \\q"),
+            ("module a { d \"b\" + c; }", "expected a quoted string after +"),
+            ("\"module\" a;", "expected a keyword"),
         ] {
-            let fault = read(text).unwrap_err();
-            assert!(fault.contains(why), "{text:?}: {fault}");
+            let error = parse(text).unwrap_err();
+            assert!(error.contains(expected), "{text:?}: {error}");
         }
-        assert!(read(&"a {".repeat(10_000)).unwrap_err().contains("too deep"));
+        assert!(parse(&"a {".repeat(10_000)).unwrap_err().contains("too deeply"));
     }
 }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -1,4 +1,5 @@
-//! Stories of the model: what is read from XML and JSON, what is refused and how, and the file's schema.
+//! Tests of the data model: parsing and writing XML and JSON, the errors for invalid input, differences, subtrees and the
+//! generated XML Schema.
 
 use juniperrail_model::{diff, json, schema, xml, xsd, Data, ErrorKind, Path, Value, View};
 
@@ -24,41 +25,51 @@
 }
 
 #[test]
-fn a_file_is_read_whole_and_written_so_that_it_reads_alike() {
+fn data_survives_a_round_trip_through_xml_json_and_edit_nodes() {
     let (schema, data) = (schema(), file(FILE));
-    let top = View::new(&schema, &data);
-    let workers = top.container("workers").entries("worker");
-    let word = |place: usize, name: &str| workers[place].leaf(name).map(Value::to_string);
-    assert_eq!(word(0, "wanted").as_deref(), Some("draining"));
-    assert_eq!((word(1, "wanted").as_deref(), word(1, "weight").as_deref()), (Some("follow"), Some("0.5")));
-    assert_eq!(word(0, "weight"), None, "without a default nothing is said");
-    assert_eq!(top.container("figures").number("drain-grace"), Some(2500.0));
-    let user = &top.container("northbound").entries("user")[0];
+    let root = View::new(&schema, &data);
+    let workers = root.container("workers").entries("worker");
+    let leaf_text = |index: usize, name: &str| workers[index].leaf(name).map(Value::to_string);
+    assert_eq!(leaf_text(0, "wanted").as_deref(), Some("draining"));
+    assert_eq!(
+        (leaf_text(1, "wanted").as_deref(), leaf_text(1, "weight").as_deref()),
+        (Some("follow"), Some("0.5"))
+    );
+    assert_eq!(leaf_text(0, "weight"), None, "an absent leaf without a default has no value");
+    assert_eq!(root.container("figures").number("drain-grace"), Some(2500.0));
+    let user = &root.container("northbound").entries("user")[0];
     assert_eq!(user.leaf_list("ssh-key"), [&Value::text("ssh-ed25519 AAAA<A> ann")]);
     let written = xml::write_config(&schema, &data);
     assert_eq!(file(&written), data, "{written}");
-    let text = json::write(&schema, &data);
-    assert_eq!(text["juniperrail-manager:figures"]["drain-grace"], "2500.0");
-    let drafts = json::to_edit_nodes(&schema, None, &text).unwrap();
-    assert_eq!(Data::from_edit_nodes(&schema, &drafts).unwrap(), data);
+    let json = json::write(&schema, &data);
+    assert_eq!(json["juniperrail-manager:figures"]["drain-grace"], "2500.0");
+    let edit_nodes = json::to_edit_nodes(&schema, None, &json).unwrap();
+    assert_eq!(Data::from_edit_nodes(&schema, &edit_nodes).unwrap(), data);
     assert_eq!(
         json::from_elements(&schema, &xml::to_elements(&schema, &data)),
-        text,
-        "as a client words what it got"
+        json,
+        "the JSON that a client makes of the elements of a reply"
     );
     assert_eq!(Data::from_edit_nodes(&schema, &data.to_edit_nodes()).unwrap(), data);
 }
 
 #[test]
-fn the_empty_file_that_comes_with_the_program_says_nothing() {
+fn the_delivered_operator_file_is_empty() {
     assert!(file(include_str!("../../../deploy/juniperrail.xml")).is_empty());
 }
 
 #[test]
-fn a_fault_names_line_path_and_rule() {
+fn an_error_has_the_line_the_path_and_the_kind() {
     let schema = schema();
-    for (old, new, rule, line, path, why) in [
-        ("0.50", "x", ErrorKind::BadValue, 6, "/jrm:workers/worker[name='s-2']/weight", "\"x\" is no figure"),
+    for (old, new, kind, line, path, expected) in [
+        (
+            "0.50",
+            "x",
+            ErrorKind::BadValue,
+            6,
+            "/jrm:workers/worker[name='s-2']/weight",
+            "\"x\" is not a decimal number",
+        ),
         (
             "0.50",
             "1000.5",
@@ -67,14 +78,21 @@
             "/jrm:workers/worker[name='s-2']/weight",
             "not within 0.0..1000.0",
         ),
-        ("0.50", "NaN", ErrorKind::BadValue, 6, "/jrm:workers/worker[name='s-2']/weight", "no figure"),
+        (
+            "0.50",
+            "NaN",
+            ErrorKind::BadValue,
+            6,
+            "/jrm:workers/worker[name='s-2']/weight",
+            "not a decimal number",
+        ),
         (
             "<wanted>",
             "<wanted a='1'>",
             ErrorKind::UnknownAttribute,
             4,
             "/jrm:workers/worker[name='s-1']",
-            "the attribute",
+            "unexpected attribute \"a\"",
         ),
         (
             "draining",
@@ -82,7 +100,7 @@
             ErrorKind::BadValue,
             4,
             "/jrm:workers/worker[name='s-1']/wanted",
-            "none of follow",
+            "not one of follow",
         ),
         (
             "<name>s-1</name>",
@@ -92,7 +110,7 @@
             "/jrm:workers/worker",
             "the key name is missing",
         ),
-        ("s-2<", "s-1<", ErrorKind::Duplicate, 6, "/jrm:workers/worker[name='s-1']", "twice"),
+        ("s-2<", "s-1<", ErrorKind::Duplicate, 6, "/jrm:workers/worker[name='s-1']", "more than once"),
         (
             "<listen>127.0.0.1:830</listen>",
             "",
@@ -123,7 +141,7 @@
             ErrorKind::UnknownElement,
             13,
             "/jrm:northbound/netconf",
-            "\"quick\" has no place",
+            "unexpected element \"quick\"",
         ),
         (
             "</config>",
@@ -131,108 +149,112 @@
             ErrorKind::NotConfiguration,
             16,
             "/",
-            "read only",
+            "read-only",
         ),
         ("<config ", "<other ", ErrorKind::Malformed, 16, "", ""),
-        ("</workers>", "words</workers>", ErrorKind::Malformed, 7, "", "text beside elements"),
+        ("</workers>", "words</workers>", ErrorKind::Malformed, 7, "", "both text and elements"),
     ] {
         let text = FILE.replace(old, new);
         assert_ne!(text, FILE, "{old}");
-        let fault = xml::parse_config(&schema, text.as_bytes()).unwrap_err();
-        assert_eq!((fault.kind, fault.line), (rule, line), "{fault}");
-        assert!(fault.path == path && fault.message.contains(why), "{fault}");
+        let error = xml::parse_config(&schema, text.as_bytes()).unwrap_err();
+        assert_eq!((error.kind, error.line), (kind, line), "{error}");
+        assert!(error.path == path && error.message.contains(expected), "{error}");
     }
 }
 
 #[test]
-fn what_is_no_xml_or_an_attack_is_refused_within_bounds() {
-    let deep = "<a>".repeat(10_000);
-    let wide = format!("<a {}/>", (0..100).map(|n| format!("b{n}='' ")).collect::<String>());
-    let bomb = "<!DOCTYPE a [<!ENTITY b \"bbbb\"><!ENTITY c \"&b;&b;&b;\">]><a>&c;</a>";
-    let outside = "<!DOCTYPE a [<!ENTITY b SYSTEM \"file:///etc/hostname\">]><a>&b;</a>";
-    for (text, why) in [
-        ("", "there is no element"),
-        ("words", "text outside"),
+fn malformed_xml_and_documents_beyond_the_limits_are_rejected() {
+    let deeply_nested = "<a>".repeat(10_000);
+    let many_attributes = format!("<a {}/>", (0..100).map(|n| format!("b{n}='' ")).collect::<String>());
+    let entity_expansion = "<!DOCTYPE a [<!ENTITY b \"bbbb\"><!ENTITY c \"&b;&b;&b;\">]><a>&c;</a>";
+    let external_entity = "<!DOCTYPE a [<!ENTITY b SYSTEM \"file:///etc/hostname\">]><a>&b;</a>";
+    for (text, expected) in [
+        ("", "contains no element"),
+        ("words", "text outside the root element"),
         ("<a><b></a></b>", "expected"),
-        ("<a>", "it ends within a"),
-        ("<a/><b/>", "something follows"),
-        ("<a>&b;</a>", "an unknown entity"),
+        ("<a>", "the text ends within the element a"),
+        ("<a/><b/>", "content after the root element"),
+        ("<a>&b;</a>", "unknown entity"),
         ("<a>&#0;</a>", ""),
-        ("<a>\u{1}</a>", "has no place in XML"),
-        ("<a:b/>", "bound to no namespace"),
+        ("<a>\u{1}</a>", "is not allowed in XML"),
+        ("<a:b/>", "not bound to a namespace"),
         ("<a b='1' b='2'/>", "duplicate"),
         ("<a b=1/>", ""),
         ("<a><?xml version='1.0'?></a>", "declaration"),
         ("<?xml version='1.0' encoding='latin1'?><a/>", "not UTF-8"),
-        (&deep, "more than 64 deep"),
-        (&wide, "more than 64 attributes"),
-        (bomb, "a document type has no place here"),
-        (outside, "a document type has no place here"),
+        (&deeply_nested, "more than 64 levels deep"),
+        (&many_attributes, "more than 64 attributes"),
+        (entity_expansion, "document type declarations are not allowed"),
+        (external_entity, "document type declarations are not allowed"),
     ] {
-        let malformed = xml::parse(text.as_bytes()).unwrap_err();
-        assert!(malformed.message.contains(why), "{text:.40}: {malformed:?}");
+        let error = xml::parse(text.as_bytes()).unwrap_err();
+        assert!(error.message.contains(expected), "{text:.40}: {error:?}");
     }
     assert_eq!(xml::parse(b"<a>\n\xff</a>").unwrap_err().line, 2);
-    let odd = "<a>\n &lt;&#x41;<![CDATA[<&]]>&gt;\r\n</a>";
-    assert_eq!(xml::parse(odd.as_bytes()).unwrap().trimmed_text(), "<A<&>");
+    let escaped = "<a>\n &lt;&#x41;<![CDATA[<&]]>&gt;\r\n</a>";
+    assert_eq!(xml::parse(escaped.as_bytes()).unwrap().trimmed_text(), "<A<&>");
 }
 
+/// Mutates a valid file at random. The parser must return an error or data that can be written and parsed again.
 #[test]
-fn no_byte_changed_anywhere_makes_the_reader_panic_or_lie() {
-    let (schema, sound) = (schema(), file(FILE));
+fn mutated_files_are_rejected_or_parsed_consistently() {
+    let (schema, original) = (schema(), file(FILE));
     let seed = 0x17_2026;
     println!("seed {seed:#x}");
     let mut rng = fastrand::Rng::with_seed(seed);
-    let (mut refused, mut taken) = (0, 0);
+    let (mut rejected, mut accepted) = (0, 0);
     for _ in 0..4_000 {
         let mut bytes = FILE.as_bytes().to_vec();
         for _ in 0..rng.usize(1..4) {
-            let place = rng.usize(..bytes.len());
+            let index = rng.usize(..bytes.len());
             match rng.u8(..4) {
-                0 => _ = bytes.remove(place),
-                1 => bytes.insert(place, rng.u8(..)),
-                2 => bytes.truncate(place.max(1)),
-                _ => bytes[place] = b"<>&;'\"/! \0\xff0a"[rng.usize(..13)],
+                0 => _ = bytes.remove(index),
+                1 => bytes.insert(index, rng.u8(..)),
+                2 => bytes.truncate(index.max(1)),
+                _ => bytes[index] = b"<>&;'\"/! \0\xff0a"[rng.usize(..13)],
             }
         }
         match xml::parse_config(&schema, &bytes) {
-            Err(fault) => {
-                assert!(!fault.message.is_empty() && fault.to_string().len() < 600, "{fault}");
-                refused += 1;
+            Err(error) => {
+                assert!(!error.message.is_empty() && error.to_string().len() < 600, "{error}");
+                rejected += 1;
             }
-            // What is still taken is data of the model: it can be written and read again.
+            // Accepted data conforms to the model, so it can be written and parsed again.
             Ok(data) => {
                 assert_eq!(file(&xml::write_config(&schema, &data)), data);
-                taken += 1;
+                accepted += 1;
             }
         }
     }
-    assert!(refused > 2_000 && taken > 100 && !sound.is_empty(), "{refused} refused, {taken} taken");
+    assert!(
+        rejected > 2_000 && accepted > 100 && !original.is_empty(),
+        "{rejected} rejected, {accepted} accepted"
+    );
 }
 
 #[test]
-fn json_that_does_not_fit_is_refused_with_its_place() {
+fn json_that_violates_the_model_is_rejected_with_its_kind() {
     let schema = schema();
     let worker = |body: &str| format!(r#"{{"juniperrail-manager:workers":{{"worker":[{body}]}}}}"#);
-    for (text, rule, why) in [
-        ("[]".to_string(), ErrorKind::BadValue, "an object"),
-        (r#"{"workers":{}}"#.into(), ErrorKind::UnknownElement, "has no place"),
-        (r#"{"other:workers":{}}"#.into(), ErrorKind::UnknownNamespace, "no module"),
-        (r#"{"juniperrail-state:state":{}}"#.into(), ErrorKind::NotConfiguration, "read only"),
+    for (text, kind, expected) in [
+        ("[]".to_string(), ErrorKind::BadValue, "expected an object"),
+        (r#"{"workers":{}}"#.into(), ErrorKind::UnknownElement, "unexpected member \"workers\""),
+        (r#"{"other:workers":{}}"#.into(), ErrorKind::UnknownNamespace, "unknown module \"other\""),
+        (r#"{"juniperrail-state:state":{}}"#.into(), ErrorKind::NotConfiguration, "read-only"),
         (worker("{}"), ErrorKind::MissingElement, "the key name"),
-        (worker(r#"{"name":"s","weight":1}"#), ErrorKind::BadValue, "should be a string"),
-        (worker(r#"{"name":"s","weight":"1e3"}"#), ErrorKind::BadValue, "no figure"),
-        (worker(r#"{"name":5}"#), ErrorKind::BadValue, "not of this type"),
-        (worker("5"), ErrorKind::BadValue, "an object"),
-        (r#"{"juniperrail-manager:workers":{"worker":{}}}"#.into(), ErrorKind::BadValue, "an array"),
+        (worker(r#"{"name":"s","weight":1}"#), ErrorKind::BadValue, "must be a string"),
+        (worker(r#"{"name":"s","weight":"1e3"}"#), ErrorKind::BadValue, "not a decimal number"),
+        (worker(r#"{"name":5}"#), ErrorKind::BadValue, "not a value of this type"),
+        (worker("5"), ErrorKind::BadValue, "expected an object"),
+        (r#"{"juniperrail-manager:workers":{"worker":{}}}"#.into(), ErrorKind::BadValue, "must be an array"),
     ] {
-        let fault = json::to_edit_nodes(&schema, None, &serde_json::from_str(&text).unwrap()).unwrap_err();
-        assert!(fault.kind == rule && fault.message.contains(why), "{text}: {fault:?}");
+        let error = json::to_edit_nodes(&schema, None, &serde_json::from_str(&text).unwrap()).unwrap_err();
+        assert!(error.kind == kind && error.message.contains(expected), "{text}: {error:?}");
     }
 }
 
 #[test]
-fn differences_are_told_leaf_by_leaf() {
+fn differences_are_listed_leaf_by_leaf() {
     let schema = schema();
     let old = file(FILE);
     let changed = FILE.replace("0.50", "0.75").replace("<wanted>draining</wanted>", "");
@@ -241,50 +263,50 @@
     let changed = changed.replace("<listen>127.0.0.1:830</listen><host-key>host</host-key>", 
         "<listen>127.0.0.1:6513</listen><certificate>c</certificate><key>k</key><client-authorities>a</client-authorities>");
     let new = file(&changed);
-    let told: Vec<String> = diff(&schema, &old, &new)
+    let lines: Vec<String> = diff(&schema, &old, &new)
         .iter()
-        .map(|d| {
+        .map(|difference| {
             format!(
                 "{} {:?} {:?}",
-                d.path.format(&schema),
-                d.old.is_some(),
-                d.new.as_ref().map(Value::to_string)
+                difference.path.format(&schema),
+                difference.old.is_some(),
+                difference.new.as_ref().map(Value::to_string)
             )
         })
         .collect();
-    let told: Vec<&str> = told.iter().map(String::as_str).collect();
-    assert!(told.contains(&"/jrm:workers/worker[name='s-1']/wanted true None"), "{told:#?}");
-    assert!(told.contains(&"/jrm:workers/worker[name='s-2']/weight true Some(\"0.75\")"), "{told:#?}");
-    assert!(told.contains(&"/jrm:workers/worker[name='s-3'] false Some(\"\")"), "{told:#?}");
-    assert!(told.contains(&"/jrm:northbound/netconf/ssh true None"), "{told:#?}");
-    assert!(told.contains(&"/jrm:northbound/netconf/tls false Some(\"\")"), "{told:#?}");
+    let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
+    assert!(lines.contains(&"/jrm:workers/worker[name='s-1']/wanted true None"), "{lines:#?}");
+    assert!(lines.contains(&"/jrm:workers/worker[name='s-2']/weight true Some(\"0.75\")"), "{lines:#?}");
+    assert!(lines.contains(&"/jrm:workers/worker[name='s-3'] false Some(\"\")"), "{lines:#?}");
+    assert!(lines.contains(&"/jrm:northbound/netconf/ssh true None"), "{lines:#?}");
+    assert!(lines.contains(&"/jrm:northbound/netconf/tls false Some(\"\")"), "{lines:#?}");
     assert_eq!(
-        told.iter().filter(|told| told.contains("ssh-key")).count(),
+        lines.iter().filter(|line| line.contains("ssh-key")).count(),
         2,
-        "one gone, one come: {told:#?}"
+        "one removed, one added: {lines:#?}"
     );
     assert!(diff(&schema, &old, &old).is_empty());
 }
 
 #[test]
-fn a_path_cuts_out_what_lies_there_with_its_keys() {
+fn a_subtree_contains_the_data_at_its_path_and_the_keys() {
     let (schema, data) = (schema(), file(FILE));
-    let cut =
+    let subtree =
         |path: &str| xml::write_config(&schema, &data.subtree(&schema, &Path::parse(&schema, path).unwrap()));
-    let weight = cut("/workers/worker[name='s-2']/weight");
+    let weight = subtree("/workers/worker[name='s-2']/weight");
     assert!(
         weight.contains("<name>s-2</name>") && weight.contains("0.5") && !weight.contains("s-1"),
         "{weight}"
     );
-    let all = cut("/workers/worker/wanted");
-    assert!(all.contains("s-1") && !all.contains("s-2"), "only where it is: {all}");
-    assert!(cut("/workers/worker[name='s-9']")
+    let all = subtree("/workers/worker/wanted");
+    assert!(all.contains("s-1") && !all.contains("s-2"), "only the entry that has the leaf: {all}");
+    assert!(subtree("/workers/worker[name='s-9']")
         .contains("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"/>"));
     assert_eq!(data.subtree(&schema, &Path::default()), data);
 }
 
 #[test]
-fn the_xml_schema_takes_what_the_program_takes() {
+fn the_xml_schema_accepts_and_rejects_the_same_files_as_the_program() {
     let schema = schema();
     let documents = xsd::documents(&schema);
     assert_eq!(
@@ -298,10 +320,10 @@
     }
     let root = uppsala::parse(&documents[0].1).unwrap();
     let validator = uppsala::XsdValidator::from_schema_with_base_path(&root, Some(&folder)).unwrap();
-    let faults = |text: &str| validator.validate(&uppsala::parse(text).unwrap());
+    let errors = |text: &str| validator.validate(&uppsala::parse(text).unwrap());
     let written = xml::write_config(&schema, &file(FILE));
-    assert!(faults(&written).is_empty(), "{:?}", faults(&written));
-    assert!(faults(FILE).is_empty(), "{:?}", faults(FILE));
+    assert!(errors(&written).is_empty(), "{:?}", errors(&written));
+    assert!(errors(FILE).is_empty(), "{:?}", errors(FILE));
     for (old, new) in [
         ("0.50", "x"),
         ("0.50", "1000.5"),
@@ -314,7 +336,7 @@
     ] {
         let text = FILE.replace(old, new);
         assert!(xml::parse_config(&schema, text.as_bytes()).is_err(), "{new}");
-        assert!(!faults(&text).is_empty(), "the schema takes {new:?} for {old:?}");
+        assert!(!errors(&text).is_empty(), "the XML Schema accepts {new:?} in place of {old:?}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
