--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -1,5 +1,5 @@
-//! Schema nodes, parsed from the text of YANG modules. Statements that the built-in modules do not use (choice, augment,
-//! groupings, must, when) are rejected by name, so that no statement is silently ignored.
+//! Schema nodes, parsed from the text of YANG modules. Statements that the built-in modules do not use (choice,
+//! augment, groupings, must, when) are rejected by name, so that no statement is silently ignored.
 
 use std::collections::HashMap;
 
@@ -97,8 +97,8 @@
 }
 
 impl Schema {
-    /// Parses modules from their names and texts. Each module must come after those that it imports. The error names the
-    /// module, the line and the statement.
+    /// Parses modules from their names and texts. Each module must come after those that it imports. The error names
+    /// the module, the line and the statement.
     pub fn parse(modules: &[(&str, &str)]) -> Result<Schema, String> {
         let empty = Schema { modules: vec![], nodes: vec![], roots: vec![], notifications: vec![] };
         let mut builder = SchemaBuilder { schema: empty, typedefs: HashMap::new(), prefixes: Vec::new() };
@@ -133,8 +133,8 @@
         parent.map_or(&self.roots, |parent| &self.node(parent).children)
     }
 
-    /// The child of a node, or the top-level node for `None`, with this name. Names may clash between modules: without a
-    /// module, the first node of the name is returned.
+    /// The child of a node, or the top-level node for `None`, with this name. Names may clash between modules: without
+    /// a module, the first node of the name is returned.
     pub fn child(&self, parent: Option<NodeId>, name: &str, module: Option<usize>) -> Option<NodeId> {
         let matches = |id: &&NodeId| {
             let node = self.node(**id);
@@ -344,8 +344,8 @@
         }
         Type::Text { lengths, mut patterns } => {
             for pattern in restrictions.all("pattern") {
-                // YANG patterns are XSD regular expressions, which are implicitly anchored. The built-in modules use only
-                // syntax that has the same meaning in both dialects.
+                // YANG patterns are XSD regular expressions, which are implicitly anchored. The built-in modules use
+                // only syntax that has the same meaning in both dialects.
                 let pattern = Regex::new(&format!("^(?:{})$", pattern.argument));
                 patterns.push(pattern.map_err(|error| error.to_string())?);
             }
--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -196,8 +196,8 @@
     Err(ranges.iter().map(range_text).collect::<Vec<_>>().join(" | "))
 }
 
-/// The most digits on either side of the decimal point. An i64 has fewer, and with up to 18 fraction digits the number
-/// still fits in an i128.
+/// The most digits on either side of the decimal point. An i64 has at most 19, and with up to 18 fraction digits the
+/// number still fits in an i128.
 const MAX_PART_DIGITS: usize = 20;
 
 /// Parses the text of a decimal into units of its last fraction digit.
--- a/crates/model/src/xsd.rs
+++ b/crates/model/src/xsd.rs
@@ -81,8 +81,8 @@
         NodeKind::Container { .. } | NodeKind::List { .. } => {
             _ = writeln!(text, "{indent}<xs:element name=\"{}\"{occurs}>", node.name);
             text.push_str(&documentation);
-            // Nodes other than keys may be in any order. Where some may occur more than once, XSD 1.0 can express this only
-            // as a repeated choice, which does not limit how often each occurs; the program checks that itself.
+            // Nodes other than keys may be in any order. Where some may occur more than once, XSD 1.0 can express this
+            // only as a repeated choice, which does not limit how often each occurs; the program checks that itself.
             let occurs_repeatedly = |id: &&NodeId| {
                 matches!(schema.node(**id).kind, NodeKind::List { .. } | NodeKind::LeafList { .. })
             };
--- a/crates/model/src/yang.rs
+++ b/crates/model/src/yang.rs
@@ -32,8 +32,8 @@
 
 #[derive(Debug, PartialEq)]
 enum Token {
-    /// A string, and whether it is quoted. A quoted string is not a keyword, and only quoted strings can be concatenated
-    /// with `+`.
+    /// A string, and whether it is quoted. A quoted string is not a keyword, and only quoted strings can be
+    /// concatenated with `+`.
     Word(String, bool),
     Open,
     Close,
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Parses a double-quoted string: resolves escapes and removes the indentation of continuation lines (RFC 7950 section
-    /// 6.1.3).
+    /// Parses a double-quoted string: resolves escapes and removes the indentation of continuation lines (RFC 7950
+    /// section 6.1.3).
     fn double_quoted(&mut self) -> Result<String, String> {
         let (line, start) = (self.line, self.offset);
         let before = &self.text[..start];
--- a/examples/common.rs
+++ b/examples/common.rs
@@ -1,4 +1,5 @@
-//! A town for three managers that decide in common; `examples/common/README.md` tells how to try it.
+//! A simulated environment for a cluster of three managers: discovery, a worker that runs scheduled operations, and
+//! collectors in three zones. `examples/common/README.md` describes how to try it.
 
 use std::fs;
 use std::io::{BufRead, Write};
@@ -9,46 +10,48 @@
 
 use juniperrail_standins::{entry, list, Discovery};
 
+/// The ids and the zones of the workers.
 const WORKERS: [(&str, &str); 6] =
     [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b"), ("s-5", "c"), ("s-6", "c")];
-const PERIOD: Duration = Duration::from_secs(2);
+/// How often each collector reports to each manager.
+const REPORT_PERIOD: Duration = Duration::from_secs(2);
 
 fn main() -> std::io::Result<()> {
     let folder = std::env::temp_dir().join("juniperrail-common");
     let discovery = Discovery::start_at("127.0.0.1:8501")?;
     discovery.tell(&list(1, true, &WORKERS.map(|(id, zone)| entry(id, zone, "127.0.0.1:9", "ready"))));
     let worker = std::net::TcpListener::bind("127.0.0.1:7011")?;
-    thread::spawn(move || worker.incoming().flatten().for_each(|asked| _ = run(asked)));
+    thread::spawn(move || worker.incoming().flatten().for_each(|request| _ = answer_run(request)));
     for id in 1..=3 {
-        let own = folder.join(format!("n{id}"));
-        fs::create_dir_all(&own)?;
-        fs::write(own.join("config.json"), config(id))?;
-        fs::write(own.join("operator.xml"), operator(id))?;
+        let manager_folder = folder.join(format!("n{id}"));
+        fs::create_dir_all(&manager_folder)?;
+        fs::write(manager_folder.join("config.json"), config(id))?;
+        fs::write(manager_folder.join("operator.xml"), operator_file(id))?;
         println!(
             "PROXY_CONFIG={0}/config.json target/release/juniperrail --operator-file {0}/operator.xml",
-            own.display()
+            manager_folder.display()
         );
     }
-    let lost: Arc<Mutex<Vec<String>>> = Arc::default();
+    let lost_zones: Arc<Mutex<Vec<String>>> = Arc::default();
     for id in 1..=3 {
         for zone in ["a", "b", "c"] {
-            let lost = lost.clone();
+            let lost_zones = lost_zones.clone();
             thread::spawn(move || loop {
-                _ = collect(id, zone, &lost);
-                sleep(PERIOD);
+                _ = report_outcomes(id, zone, &lost_zones);
+                sleep(REPORT_PERIOD);
             });
         }
     }
     for line in std::io::stdin().lock().lines() {
         let line = line?;
-        *lost.lock().expect("no collector panics") = match line.trim().strip_prefix("lose ") {
+        *lost_zones.lock().expect("no collector panics") = match line.trim().strip_prefix("lose ") {
             Some(zones) => zones.split(' ').map(str::to_string).collect(),
             None => Vec::new(),
         };
     }
-    // Without a terminal it goes on until it is ended.
+    // At the end of the input the program keeps running until it is stopped.
     loop {
-        sleep(PERIOD);
+        sleep(REPORT_PERIOD);
     }
 }
 
@@ -62,9 +65,12 @@
     )
 }
 
-fn operator(id: u16) -> String {
-    let member =
-        |of: u16| format!("<member-of><number>{of}</number><address>127.0.0.1:510{of}</address></member-of>");
+fn operator_file(id: u16) -> String {
+    let member = |member_id: u16| {
+        format!(
+            "<member-of><number>{member_id}</number><address>127.0.0.1:510{member_id}</address></member-of>"
+        )
+    };
     let members: String = (1..=3).map(member).collect();
     format!(
         "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\n\
@@ -75,32 +81,34 @@
     )
 }
 
-/// A worker that does at once what it is asked to, and says so. One that means it keeps the highest number of each
-/// schedule and refuses lower ones.
-fn run(asked: TcpStream) -> std::io::Result<()> {
-    let mut told = Vec::new();
-    for line in std::io::BufReader::new(asked.try_clone()?).lines() {
+/// Answers a request to run an operation with success at once and prints its headers. A real worker keeps the highest
+/// fencing token of each schedule and rejects requests with a lower one.
+fn answer_run(request: TcpStream) -> std::io::Result<()> {
+    let mut headers = Vec::new();
+    for line in std::io::BufReader::new(request.try_clone()?).lines() {
         let line = line?;
         if line.is_empty() {
             break;
         }
-        told.extend(line.strip_prefix("juniperrail-").map(str::to_string));
+        headers.extend(line.strip_prefix("juniperrail-").map(str::to_string));
     }
-    println!("runs: {}", told.join(", "));
-    write!(&asked, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+    println!("runs: {}", headers.join(", "));
+    write!(&request, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 }
 
-/// What the proxies of a zone meet at the workers, to one manager.
-fn collect(id: u16, zone: &str, lost: &Mutex<Vec<String>>) -> std::io::Result<()> {
+/// Reports the outcomes of the tries of a zone's proxies to one manager, as the collector of the zone. Tries at workers
+/// in a lost zone fail.
+fn report_outcomes(id: u16, zone: &str, lost_zones: &Mutex<Vec<String>>) -> std::io::Result<()> {
     let mut manager = TcpStream::connect(("127.0.0.1", 5010 + id))?;
     write!(manager, "agent locality={zone}\r\n")?;
     loop {
-        sleep(PERIOD);
-        let lost = lost.lock().expect("no collector panics").clone();
-        for (worker, of) in WORKERS {
-            let bad = if lost.iter().any(|lost| lost == of) { 40 } else { 0 };
-            let met = format!("locality={zone} endpoint={worker} total=40 errors={bad} rtt=40 interval=2000");
-            write!(manager, "outcomes {met} metrics=inflight:2,util:0.40\r\n")?;
+        sleep(REPORT_PERIOD);
+        let lost_zones = lost_zones.lock().expect("no collector panics").clone();
+        for (worker, worker_zone) in WORKERS {
+            let errors = if lost_zones.iter().any(|lost| lost == worker_zone) { 40 } else { 0 };
+            let outcomes =
+                format!("locality={zone} endpoint={worker} total=40 errors={errors} rtt=40 interval=2000");
+            write!(manager, "outcomes {outcomes} metrics=inflight:2,util:0.40\r\n")?;
         }
     }
 }
--- a/examples/relays.rs
+++ b/examples/relays.rs
@@ -1,6 +1,6 @@
-//! A source of the worker list for two relays and two managers, each of the scope of one zone, with one proxy at each
-//! manager that prints what it is ordered. `examples/relays/README.md` tells how to try it. Everything stays on the
-//! loopback.
+//! A source of the worker list for two relays and two managers whose scope is one zone each, and one proxy at each
+//! manager that prints the orders that it receives. `examples/relays/README.md` describes how to try it. All connections
+//! are on the loopback interface.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Result, Write};
@@ -12,12 +12,12 @@
 
 const SOURCE: &str = "127.0.0.1:8502";
 const RELAYS: [&str; 2] = ["127.0.0.1:8511", "127.0.0.1:8512"];
-/// Each manager's zone, which is its scope, and where it listens.
+/// The zone of each manager, which is its scope, and the address at which it listens.
 const MANAGERS: [(&str, &str); 2] = [("a", "127.0.0.1:5021"), ("b", "127.0.0.1:5022")];
-/// Nothing listens here: the workers of this example are only listed.
+/// Nothing listens at this address: the workers of this example exist only in the list.
 const WORKER_ADDRESS: &str = "127.0.0.1:9";
 const FOLDER: &str = "juniperrail-relays";
-const DIAL_AGAIN: Duration = Duration::from_millis(500);
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 const REPORT_PERIOD: Duration = Duration::from_secs(2);
 
 struct Worker {
@@ -30,40 +30,41 @@
     let source = Discovery::start_at(SOURCE)?;
     let mut workers = [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b"), ("s-5", "c"), ("s-6", "c")]
         .map(|(id, zone)| Worker { id, zone: zone.to_string(), lifecycle: "ready" });
-    source.tell(&list(1, true, &workers.each_ref().map(listed)));
+    source.tell(&list(1, true, &workers.each_ref().map(list_entry)));
     for relay in RELAYS {
         println!("target/release/juniperrail relay --listen {relay} --source {SOURCE}");
     }
     for (zone, address) in MANAGERS {
         write_files(zone, address)?;
-        thread::spawn(move || dial_manager(zone, address));
+        thread::spawn(move || keep_connected(zone, address));
     }
-    follow_words(&source, &mut workers)?;
-    // Without a terminal it goes on until it is ended.
+    run_commands(&source, &mut workers)?;
+    // At the end of the input the program keeps running until it is stopped.
     loop {
         sleep(REPORT_PERIOD);
     }
 }
 
-fn listed(worker: &Worker) -> String {
+/// The entry of a worker in the list.
+fn list_entry(worker: &Worker) -> String {
     entry(worker.id, &worker.zone, WORKER_ADDRESS, worker.lifecycle)
 }
 
-/// The configuration and the operator's file of the manager of a zone, and the command that starts it.
+/// Writes the configuration and the operator's file of the manager of a zone, and prints the command that starts it.
 fn write_files(zone: &str, address: &str) -> Result<()> {
-    let own = std::env::temp_dir().join(FOLDER).join(zone);
-    fs::create_dir_all(&own)?;
-    fs::write(own.join("config.json"), config(zone, address))?;
-    fs::write(own.join("operator.xml"), operator(zone))?;
+    let folder = std::env::temp_dir().join(FOLDER).join(zone);
+    fs::create_dir_all(&folder)?;
+    fs::write(folder.join("config.json"), config(zone, address))?;
+    fs::write(folder.join("operator.xml"), operator_file(zone))?;
     println!(
         "PROXY_CONFIG={0}/config.json target/release/juniperrail --operator-file {0}/operator.xml",
-        own.display()
+        folder.display()
     );
     Ok(())
 }
 
-/// With these names each manager prefers another relay. The zone is also the last digit of the seed, since managers of
-/// one seed would wait equally long before they dial again.
+/// The configuration of the manager of a zone. With these names each manager prefers a different relay. The zone is also
+/// the last digit of the seed, since managers with equal seeds would wait equally long before they reconnect.
 fn config(zone: &str, address: &str) -> String {
     format!(
         r#"{{"name":"zone-{zone}","listen":"{address}","discovery":"{SOURCE}","seed":"8c1f30d27a5be96{zone}",
@@ -74,7 +75,7 @@
     )
 }
 
-fn operator(zone: &str) -> String {
+fn operator_file(zone: &str) -> String {
     let relays = RELAYS.map(|relay| format!("<relay>{relay}</relay>")).concat();
     format!(
         "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\n\
@@ -83,25 +84,25 @@
     )
 }
 
-/// Follows what is typed until the input ends; each change is told as the next version of the list.
-fn follow_words(source: &Discovery, workers: &mut [Worker]) -> Result<()> {
+/// Runs the commands typed on the standard input until it ends. Each change is published as the next version of the list.
+fn run_commands(source: &Discovery, workers: &mut [Worker]) -> Result<()> {
     let mut version = 1;
     for line in std::io::stdin().lock().lines() {
         let line = line?;
         let words: Vec<&str> = line.split_whitespace().collect();
-        let Some(worker) = change(&words, workers) else {
+        let Some(worker) = apply_command(&words, workers) else {
             println!("type one of: drain s-1, ready s-1, move s-1 b (workers s-1 to s-6, zones a to c)");
             continue;
         };
         version += 1;
         println!("source: list {version}: {} is in zone {} and {}", worker.id, worker.zone, worker.lifecycle);
-        source.tell(&list(version, false, &[listed(worker)]));
+        source.tell(&list(version, false, &[list_entry(worker)]));
     }
     Ok(())
 }
 
-/// Makes the change that the words ask for; nothing if they name no change or no worker.
-fn change<'a>(words: &[&str], workers: &'a mut [Worker]) -> Option<&'a Worker> {
+/// Applies a command to its worker. Returns the worker, or nothing if the command or the worker is unknown.
+fn apply_command<'a>(words: &[&str], workers: &'a mut [Worker]) -> Option<&'a Worker> {
     let worker = workers.iter_mut().find(|worker| words.get(1) == Some(&worker.id))?;
     match words {
         ["drain", _] => worker.lifecycle = "draining",
@@ -112,22 +113,22 @@
     Some(worker)
 }
 
-/// Dials the manager of a zone for as long as the program runs, as proxies do.
-fn dial_manager(zone: &str, address: &str) {
+/// Keeps a proxy connected to the manager of a zone for as long as the program runs.
+fn keep_connected(zone: &str, address: &str) {
     loop {
-        if let Ok(Err(why)) = TcpStream::connect(address).map(|manager| join(zone, manager)) {
-            println!("proxy of {zone}: {why}, dialling again");
+        if let Ok(Err(error)) = TcpStream::connect(address).map(|manager| run_proxy(zone, manager)) {
+            println!("proxy of {zone}: {error}, reconnecting");
         }
-        sleep(DIAL_AGAIN);
+        sleep(RECONNECT_DELAY);
     }
 }
 
-/// A proxy: it prints each order, answers its mark, and reports what came to it.
-fn join(zone: &str, mut manager: TcpStream) -> Result<()> {
+/// A proxy: joins the manager, prints each order, acknowledges its mark, and reports its demand.
+fn run_proxy(zone: &str, mut manager: TcpStream) -> Result<()> {
     println!("proxy of {zone}: joins");
     write!(manager, "hello node=0 locality={zone} w=60 cold=1\r\n")?;
     let reports = manager.try_clone()?;
-    thread::spawn(move || report(reports));
+    thread::spawn(move || report_demand(reports));
     for order in BufReader::new(manager.try_clone()?).lines() {
         let order = order?;
         println!("proxy of {zone}: {order}");
@@ -138,8 +139,8 @@
     Ok(())
 }
 
-/// Reports the demand that came to a proxy until its connection ends.
-fn report(mut manager: TcpStream) -> Result<()> {
+/// Reports the demand at a proxy until its connection ends.
+fn report_demand(mut manager: TcpStream) -> Result<()> {
     loop {
         sleep(REPORT_PERIOD);
         write!(manager, "demand node=0 route=lookup total=100 errors=0 interval=2000\r\n")?;
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,5 +1,5 @@
-//! A toy town for a manager to serve: discovery, three workers, a collector, and one proxy that prints what it
-//! is ordered. `examples/README.md` tells how to try it. Everything stays on the loopback.
+//! A simulated environment for one manager: discovery, three workers, a collector, and one proxy that prints the orders
+//! that it receives. `examples/README.md` describes how to try it. All connections are on the loopback interface.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -10,9 +10,12 @@
 
 const MANAGER: &str = "127.0.0.1:5000";
 const DISCOVERY: &str = "127.0.0.1:8500";
+/// The ids and the addresses of the workers.
 const WORKERS: [(&str, &str); 3] =
     [("s-one", "127.0.0.1:7001"), ("s-two", "127.0.0.1:7002"), ("s-three", "127.0.0.1:7003")];
-const PERIOD: Duration = Duration::from_secs(2);
+const REPORT_PERIOD: Duration = Duration::from_secs(2);
+const LIFECYCLE_PERIOD: Duration = Duration::from_secs(12);
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
 fn main() -> std::io::Result<()> {
     let discovery = Discovery::start_at(DISCOVERY)?;
@@ -20,51 +23,52 @@
         Worker::start(address, "inflight=1,queue=0,util=0.20")?;
     }
     println!("discovery on {DISCOVERY}, waiting for a manager on {MANAGER}");
-    thread::spawn(move || lists(&discovery));
-    thread::spawn(|| dialled("collector", collect));
-    dialled("proxy", proxy)
+    thread::spawn(move || publish_lists(&discovery));
+    thread::spawn(|| keep_connected("collector", run_collector));
+    keep_connected("proxy", run_proxy)
 }
 
-/// The whole list, then s-two drains and comes back, over and over.
-fn lists(discovery: &Discovery) {
+/// Publishes the complete list, then alternately that s-two drains and that it is ready.
+fn publish_lists(discovery: &Discovery) {
     discovery.tell(&list(2, true, &WORKERS.map(|(name, address)| entry(name, "a", address, "ready"))));
     for (version, lifecycle) in (3..).zip(["draining", "ready"].into_iter().cycle()) {
-        sleep(6 * PERIOD);
+        sleep(LIFECYCLE_PERIOD);
         println!("discovery: s-two is {lifecycle}");
         discovery.tell(&list(version, false, &[entry("s-two", "a", WORKERS[1].1, lifecycle)]));
     }
 }
 
-/// Dials the manager for as long as the program runs, as proxies and collectors do.
-fn dialled(who: &str, talk: fn(TcpStream) -> std::io::Result<()>) -> std::io::Result<()> {
+/// Connects to the manager again and again for as long as the program runs. `run` serves one connection.
+fn keep_connected(name: &str, run: fn(TcpStream) -> std::io::Result<()>) -> std::io::Result<()> {
     loop {
-        if let Err(why) = TcpStream::connect(MANAGER).and_then(talk) {
-            println!("{who}: {why}, dialling again");
+        if let Err(error) = TcpStream::connect(MANAGER).and_then(run) {
+            println!("{name}: {error}, reconnecting");
         }
-        sleep(PERIOD / 4);
+        sleep(RECONNECT_DELAY);
     }
 }
 
-/// What the proxies of zone a met at the workers: s-three is slow.
-fn collect(mut manager: TcpStream) -> std::io::Result<()> {
+/// The collector of zone a: reports the outcomes of the proxies' tries, in which s-three is slow.
+fn run_collector(mut manager: TcpStream) -> std::io::Result<()> {
     write!(manager, "agent locality=a\r\n")?;
     loop {
-        sleep(PERIOD);
-        for (name, mean) in [("s-one", 40), ("s-two", 45), ("s-three", 160)] {
-            let met = format!("locality=a endpoint={name} total=40 errors=0 rtt={mean} interval=2000");
-            write!(manager, "outcomes {met} metrics=inflight:2,util:0.40\r\n")?;
+        sleep(REPORT_PERIOD);
+        for (worker, round_trip_ms) in [("s-one", 40), ("s-two", 45), ("s-three", 160)] {
+            let outcomes =
+                format!("locality=a endpoint={worker} total=40 errors=0 rtt={round_trip_ms} interval=2000");
+            write!(manager, "outcomes {outcomes} metrics=inflight:2,util:0.40\r\n")?;
         }
     }
 }
 
-/// A proxy: it prints each order, answers its mark, and reports what came to it.
-fn proxy(mut manager: TcpStream) -> std::io::Result<()> {
+/// A proxy: joins the manager, prints each order, acknowledges its mark, and reports its demand.
+fn run_proxy(mut manager: TcpStream) -> std::io::Result<()> {
     println!("proxy: joins {MANAGER}");
     write!(manager, "hello node=0 locality=a w=60 cold=1\r\n")?;
     let mut reports = manager.try_clone()?;
     thread::spawn(move || -> std::io::Result<()> {
         loop {
-            sleep(PERIOD);
+            sleep(REPORT_PERIOD);
             write!(reports, "demand node=0 route=lookup total=100 errors=0 interval=2000\r\n")?;
             write!(reports, "demand node=0 route=order total=20 errors=0 interval=2000\r\n")?;
         }
