--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -2,10 +2,10 @@
 
 use super::error::ScaleError;
 use super::guard::Need;
-use super::letter::{Letter, WHOLE};
+use super::measured_process::Host;
 use super::relay::{self, ordinary_cost};
-use super::role::Host;
 use super::scenario::{play, Cost, Pace, Scenario};
+use super::target_fleet::{Letter, WHOLE};
 
 /// One size that grows.
 pub struct Growth {
@@ -120,7 +120,7 @@
         name: "relay-subscribers",
         against: "subscribers",
         sizes: &[50, 100, 200, 400],
-        small: &[20, 40, 80, 160],
+        small: &[80, 160, 320, 640],
         play: Play::Relay(|subscribers| Letter { workers: RELAY_WORKERS, subscribers, ..RELAY }),
     },
 ];
--- a/examples/relays.rs
+++ b/examples/relays.rs
@@ -8,7 +8,7 @@
 use std::thread::{self, sleep};
 use std::time::Duration;
 
-use juniperrail_standins::{entry, list, Discovery};
+use juniperrail_standins::{instance_json, list_json, Discovery};
 
 const SOURCE: &str = "127.0.0.1:8502";
 const RELAYS: [&str; 2] = ["127.0.0.1:8511", "127.0.0.1:8512"];
@@ -30,7 +30,7 @@
     let source = Discovery::start_at(SOURCE)?;
     let mut workers = [("s-1", "a"), ("s-2", "a"), ("s-3", "b"), ("s-4", "b"), ("s-5", "c"), ("s-6", "c")]
         .map(|(id, zone)| Worker { id, zone: zone.to_string(), lifecycle: "ready" });
-    source.tell(&list(1, true, &workers.each_ref().map(list_entry)));
+    source.publish(&list_json(1, true, &workers.each_ref().map(list_entry)));
     for relay in RELAYS {
         println!("target/release/juniperrail relay --listen {relay} --source {SOURCE}");
     }
@@ -47,7 +47,7 @@
 
 /// The entry of a worker in the list.
 fn list_entry(worker: &Worker) -> String {
-    entry(worker.id, &worker.zone, WORKER_ADDRESS, worker.lifecycle)
+    instance_json(worker.id, &worker.zone, WORKER_ADDRESS, worker.lifecycle)
 }
 
 /// Writes the configuration and the operator's file of the manager of a zone, and prints the command that starts it.
@@ -96,7 +96,7 @@
         };
         version += 1;
         println!("source: list {version}: {} is in zone {} and {}", worker.id, worker.zone, worker.lifecycle);
-        source.tell(&list(version, false, &[list_entry(worker)]));
+        source.publish(&list_json(version, false, &[list_entry(worker)]));
     }
     Ok(())
 }
