--- a/crates/model/src/edit_node.rs
+++ b/crates/model/src/edit_node.rs
@@ -10,10 +10,15 @@
 /// The values of the `operation` attribute of RFC 6241 section 7.2.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EditOperation {
+    /// Merges the node into the data.
     Merge,
+    /// Replaces the existing node.
     Replace,
+    /// Creates the node; an error if it exists.
     Create,
+    /// Deletes the node; an error if it does not exist.
     Delete,
+    /// Deletes the node if it exists.
     Remove,
 }
 
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -10,6 +10,7 @@
     UnknownElement,
     UnknownNamespace,
     UnknownAttribute,
+    /// An attribute with a value that is not valid, or on a node that must not have it.
     BadAttribute,
     /// A value that is not valid for its type.
     BadValue,
@@ -18,7 +19,9 @@
     Duplicate,
     /// A state node where only configuration is allowed.
     NotConfiguration,
+    /// A node to be created exists already.
     DataExists,
+    /// A node to be edited or deleted does not exist.
     DataMissing,
 }
 
--- a/crates/model/src/path.rs
+++ b/crates/model/src/path.rs
@@ -68,9 +68,9 @@
         text
     }
 
-    /// Parses the text of a path. Each node name may be preceded by the prefix or the name of its module. This is needed
-    /// only where several modules have a node of that name: without it, the first of them is taken. A list may be given
-    /// without keys.
+    /// Parses the text of a path. Each node name may be preceded by the prefix or the name of its module. This is
+    /// needed only where several modules have a node of that name: without it, the first of them is taken. A list may
+    /// be given without keys.
     pub fn parse(schema: &Schema, text: &str) -> Result<Path, ModelError> {
         let malformed = |message: String| ModelError::new(ErrorKind::Malformed, text, "path", message);
         let mut rest = text.strip_prefix('/').ok_or_else(|| malformed("a path must start with /".into()))?;
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -18,6 +18,7 @@
     pub name: String,
     pub namespace: String,
     pub prefix: String,
+    /// The date of the first `revision` statement, by convention that of the latest revision.
     pub revision: String,
     pub description: String,
     /// The unchanged text of the module.
@@ -32,17 +33,17 @@
         presence: bool,
     },
     List {
+        /// The key leaves, in the order of the `key` statement.
         keys: Vec<NodeId>,
     },
     Leaf {
         ty: Type,
         default: Option<Value>,
+        /// Whether the leaf must exist wherever its parent exists.
         mandatory: bool,
     },
     /// Ordered by value, each of which occurs once.
-    LeafList {
-        ty: Type,
-    },
+    LeafList { ty: Type },
 }
 
 /// A schema node.
@@ -51,6 +52,7 @@
     pub name: String,
     /// The index of its module in [`Schema::modules`].
     pub module: usize,
+    /// `None` for a top-level node, a notification or a parameter of an operation.
     pub parent: Option<NodeId>,
     pub kind: NodeKind,
     /// Whether the node is configuration; otherwise it is state, which is read-only.
--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -12,7 +12,9 @@
     /// The value in units of the last fraction digit, and the number of fraction digits.
     Decimal(i64, u8),
     Boolean(bool),
+    /// The value of a string or enumeration type.
     Text(String),
+    /// The value of the type `empty`.
     Empty,
 }
 
--- a/crates/model/src/yang.rs
+++ b/crates/model/src/yang.rs
@@ -35,9 +35,9 @@
     /// A string, and whether it is quoted. A quoted string is not a keyword, and only quoted strings can be
     /// concatenated with `+`.
     Word(String, bool),
-    Open,
-    Close,
-    End,
+    OpenBrace,
+    CloseBrace,
+    Semicolon,
 }
 
 struct Parser<'a> {
@@ -58,10 +58,12 @@
 }
 
 impl Parser<'_> {
+    /// Parses the next statement with its substatements. Returns `None` at the end of the text or, with a depth above
+    /// 0, after the closing brace of the parent.
     fn statement(&mut self, depth: usize) -> Result<Option<Statement>, String> {
         let keyword = match self.token()? {
             None => return Ok(None),
-            Some(Token::Close) if depth > 0 => return Ok(None),
+            Some(Token::CloseBrace) if depth > 0 => return Ok(None),
             Some(Token::Word(keyword, false)) => keyword,
             Some(other) => return Err(format!("line {}: expected a keyword, found {other:?}", self.line)),
         };
@@ -82,8 +84,8 @@
             }
         }
         match next {
-            Some(Token::End) => {}
-            Some(Token::Open) => loop {
+            Some(Token::Semicolon) => {}
+            Some(Token::OpenBrace) => loop {
                 let start = self.offset;
                 match self.statement(depth + 1)? {
                     Some(statement) => substatements.push(statement),
@@ -102,6 +104,7 @@
         self.offset += bytes;
     }
 
+    /// Reads the next token, skipping white space and comments. Returns `None` at the end of the text.
     fn token(&mut self) -> Result<Option<Token>, String> {
         loop {
             let rest = &self.text[self.offset..];
@@ -126,9 +129,9 @@
             Some(delimiter @ ('{' | '}' | ';')) => {
                 self.skip(1);
                 some(match delimiter {
-                    '{' => Token::Open,
-                    '}' => Token::Close,
-                    _ => Token::End,
+                    '{' => Token::OpenBrace,
+                    '}' => Token::CloseBrace,
+                    _ => Token::Semicolon,
                 })
             }
             Some('\'') => {
@@ -141,8 +144,8 @@
             }
             Some('"') => self.double_quoted().map(|word| Some(Token::Word(word, true))),
             Some(_) => {
-                let ends = |c: char| c.is_whitespace() || matches!(c, '{' | '}' | ';' | '"' | '\'');
-                let word = rest[..rest.find(ends).unwrap_or(rest.len())].to_string();
+                let ends_word = |c: char| c.is_whitespace() || matches!(c, '{' | '}' | ';' | '"' | '\'');
+                let word = rest[..rest.find(ends_word).unwrap_or(rest.len())].to_string();
                 self.skip(word.len());
                 some(Token::Word(word, false))
             }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -1,5 +1,5 @@
-//! Tests of the data model: parsing and writing XML and JSON, the errors for invalid input, differences, subtrees and the
-//! generated XML Schema.
+//! Tests of the data model: parsing and writing XML and JSON, the errors for invalid input, differences, subtrees and
+//! the generated XML Schema.
 
 use juniperrail_model::{diff, json, schema, xml, xsd, Data, ErrorKind, Path, Value, View};
 
--- a/examples/relays.rs
+++ b/examples/relays.rs
@@ -1,6 +1,6 @@
 //! A source of the worker list for two relays and two managers whose scope is one zone each, and one proxy at each
-//! manager that prints the orders that it receives. `examples/relays/README.md` describes how to try it. All connections
-//! are on the loopback interface.
+//! manager that prints the orders that it receives. `examples/relays/README.md` describes how to try it. All
+//! connections are on the loopback interface.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Result, Write};
@@ -63,8 +63,8 @@
     Ok(())
 }
 
-/// The configuration of the manager of a zone. With these names each manager prefers a different relay. The zone is also
-/// the last digit of the seed, since managers with equal seeds would wait equally long before they reconnect.
+/// The configuration of the manager of a zone. With these names each manager prefers a different relay. The zone is
+/// also the last digit of the seed, since managers with equal seeds would wait equally long before they reconnect.
 fn config(zone: &str, address: &str) -> String {
     format!(
         r#"{{"name":"zone-{zone}","listen":"{address}","discovery":"{SOURCE}","seed":"8c1f30d27a5be96{zone}",
@@ -84,7 +84,8 @@
     )
 }
 
-/// Runs the commands typed on the standard input until it ends. Each change is published as the next version of the list.
+/// Runs the commands typed on the standard input until it ends. Each change is published as the next version of the
+/// list.
 fn run_commands(source: &Discovery, workers: &mut [Worker]) -> Result<()> {
     let mut version = 1;
     for line in std::io::stdin().lock().lines() {
