--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -168,7 +168,7 @@
             },
             Type::Enumeration(names) => match names.iter().find(|name| *name == text.trim()) {
                 Some(name) => Ok(Value::Text(name.clone())),
-                None => Err(format!("{} is not one of {}", quoted(text), names.join(", "))),
+                None => Err(format!("{} is none of {}", quoted(text), names.join(", "))),
             },
             Type::Empty if text.is_empty() => Ok(Value::Empty),
             Type::Empty => Err("the type empty takes no value".into()),
@@ -258,7 +258,7 @@
         let digit = Type::Integer { is_64_bit: false, ranges: vec![(1, 3), (7, 7)] };
         assert_eq!(error(&digit, "5"), "5 is not within 1..3 | 7");
         assert_eq!(error(&Type::Boolean, "yes"), "\"yes\" is neither true nor false");
-        assert_eq!(error(&Type::Enumeration(vec!["a".into(), "b".into()]), "c"), "\"c\" is not one of a, b");
+        assert_eq!(error(&Type::Enumeration(vec!["a".into(), "b".into()]), "c"), "\"c\" is none of a, b");
         assert!(error(&digit, &"9".repeat(1000)).len() < 120);
     }
 }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -100,7 +100,7 @@
             ErrorKind::BadValue,
             4,
             "/jrm:workers/worker[name='s-1']/wanted",
-            "not one of follow",
+            "\"asleep\" is none of follow",
         ),
         (
             "<name>s-1</name>",
