--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -335,14 +335,16 @@
             is_64_bit,
             ranges: narrow(ranges, restrictions.argument_of("range"), |text| text.parse().ok())?,
         },
-        Type::Decimal { digits, mut ranges } => {
-            let digits = match restrictions.argument_of("fraction-digits") {
-                Some(text) => text.parse().ok().filter(|digits| (1..=18).contains(digits)),
-                None => Some(digits),
+        Type::Decimal { fraction_digits, mut ranges } => {
+            let fraction_digits = match restrictions.argument_of("fraction-digits") {
+                Some(text) => text.parse().ok().filter(|fraction_digits| (1..=18).contains(fraction_digits)),
+                None => Some(fraction_digits),
             };
-            let digits = digits.ok_or("fraction-digits must be within 1..18")?;
-            ranges = narrow(ranges, restrictions.argument_of("range"), |text| parse_decimal(text, digits))?;
-            Type::Decimal { digits, ranges }
+            let fraction_digits = fraction_digits.ok_or("fraction-digits must be within 1..18")?;
+            ranges = narrow(ranges, restrictions.argument_of("range"), |text| {
+                parse_decimal(text, fraction_digits)
+            })?;
+            Type::Decimal { fraction_digits, ranges }
         }
         Type::Text { lengths, mut patterns } => {
             for pattern in restrictions.all("pattern") {
--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -20,9 +20,9 @@
 
 impl Value {
     /// The decimal with this many fraction digits that is nearest to the number; `None` if it is out of range.
-    pub fn decimal(number: f64, digits: u8) -> Option<Value> {
-        let units = (number * 10f64.powi(digits.into())).round();
-        (units.is_finite() && units.abs() < 9e18).then_some(Value::Decimal(units as i64, digits))
+    pub fn decimal(number: f64, fraction_digits: u8) -> Option<Value> {
+        let units = (number * 10f64.powi(fraction_digits.into())).round();
+        (units.is_finite() && units.abs() < 9e18).then_some(Value::Decimal(units as i64, fraction_digits))
     }
 
     /// A value of a string or enumeration type.
@@ -61,11 +61,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Value::Integer(number) => write!(f, "{number}"),
-            Value::Decimal(units, digits) => {
-                let units_per_one = 10u64.pow((*digits).into());
+            Value::Decimal(units, fraction_digits) => {
+                let units_per_one = 10u64.pow((*fraction_digits).into());
                 let integer = units.unsigned_abs() / units_per_one;
                 let fraction = units.unsigned_abs() % units_per_one;
-                let fraction = format!("{fraction:0digits$}", digits = usize::from(*digits));
+                let fraction = format!("{fraction:0width$}", width = usize::from(*fraction_digits));
                 let fraction = fraction.trim_end_matches('0');
                 let sign = if *units < 0 { "-" } else { "" };
                 write!(f, "{sign}{integer}.{}", if fraction.is_empty() { "0" } else { fraction })
@@ -90,7 +90,7 @@
     },
     /// The number of fraction digits, and the ranges in units of the last of them.
     Decimal {
-        digits: u8,
+        fraction_digits: u8,
         ranges: Ranges<i128>,
     },
     /// The `string` type: its lengths in characters, and patterns that a value must all match.
@@ -118,9 +118,10 @@
             "uint16" => integer(false, 0, u16::MAX.into()),
             "uint32" => integer(false, 0, u32::MAX.into()),
             "uint64" => integer(true, 0, u64::MAX.into()),
-            "decimal64" => {
-                Type::Decimal { digits: 0, ranges: vec![(i128::from(i64::MIN), i128::from(i64::MAX))] }
-            }
+            "decimal64" => Type::Decimal {
+                fraction_digits: 0,
+                ranges: vec![(i128::from(i64::MIN), i128::from(i64::MAX))],
+            },
             "string" => Type::Text { lengths: vec![(0, i128::from(u64::MAX))], patterns: Vec::new() },
             "boolean" => Type::Boolean,
             "enumeration" => Type::Enumeration(Vec::new()),
@@ -138,18 +139,21 @@
                 within(number, ranges).map_err(|allowed| format!("{number} is not within {allowed}"))?;
                 Ok(Value::Integer(number))
             }
-            Type::Decimal { digits, ranges } => {
-                let units = parse_decimal(text.trim(), *digits).ok_or_else(|| {
-                    format!("{} is not a decimal number with at most {digits} fraction digits", quoted(text))
+            Type::Decimal { fraction_digits, ranges } => {
+                let units = parse_decimal(text.trim(), *fraction_digits).ok_or_else(|| {
+                    format!(
+                        "{} is not a decimal number with at most {fraction_digits} fraction digits",
+                        quoted(text)
+                    )
                 })?;
-                let decimal_text = |units: i128| Value::Decimal(units as i64, *digits).to_string();
+                let decimal_text = |units: i128| Value::Decimal(units as i64, *fraction_digits).to_string();
                 let range_text =
                     |(min, max): &(i128, i128)| format!("{}..{}", decimal_text(*min), decimal_text(*max));
                 within(units, ranges).map_err(|_| {
                     let ranges: Vec<String> = ranges.iter().map(range_text).collect();
                     format!("{} is not within {}", decimal_text(units), ranges.join(" | "))
                 })?;
-                Ok(Value::Decimal(units as i64, *digits))
+                Ok(Value::Decimal(units as i64, *fraction_digits))
             }
             Type::Text { lengths, patterns } => {
                 within(text.chars().count() as i128, lengths)
@@ -203,7 +207,7 @@
 const MAX_PART_DIGITS: usize = 20;
 
 /// Parses the text of a decimal into units of its last fraction digit.
-pub(crate) fn parse_decimal(text: &str, digits: u8) -> Option<i128> {
+pub(crate) fn parse_decimal(text: &str, fraction_digits: u8) -> Option<i128> {
     let (sign, unsigned) = match text.strip_prefix('-') {
         Some(unsigned) => (-1, unsigned),
         None => (1, text.strip_prefix('+').unwrap_or(text)),
@@ -211,16 +215,18 @@
     let (integer, fraction) = unsigned.split_once('.').unwrap_or((unsigned, ""));
     let is_digits =
         |text: &str| text.len() <= MAX_PART_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
-    let fraction = if fraction.len() > digits.into() { fraction.trim_end_matches('0') } else { fraction };
+    let fraction =
+        if fraction.len() > fraction_digits.into() { fraction.trim_end_matches('0') } else { fraction };
     if integer.is_empty()
         || unsigned.ends_with('.')
         || !is_digits(integer)
         || !is_digits(fraction)
-        || fraction.len() > digits.into()
+        || fraction.len() > fraction_digits.into()
     {
         return None;
     }
-    let units: i128 = format!("{integer}{fraction:0<digits$}", digits = usize::from(digits)).parse().ok()?;
+    let units: i128 =
+        format!("{integer}{fraction:0<width$}", width = usize::from(fraction_digits)).parse().ok()?;
     i64::try_from(sign * units).ok().map(i128::from)
 }
 
@@ -230,7 +236,7 @@
 
     #[test]
     fn decimals_are_parsed_exactly_and_formatted_canonically() {
-        let weight = Type::Decimal { digits: 4, ranges: vec![(0, 10_000_000)] };
+        let weight = Type::Decimal { fraction_digits: 4, ranges: vec![(0, 10_000_000)] };
         for (text, canonical) in
             [("1", "1.0"), ("0.25", "0.25"), ("1.50000", "1.5"), (" 7.1 ", "7.1"), ("+3", "3.0")]
         {
--- a/crates/model/src/xsd.rs
+++ b/crates/model/src/xsd.rs
@@ -143,9 +143,10 @@
             facets.extend(bounds(ranges, &|bound| bound.to_string()));
             "xs:integer"
         }
-        Type::Decimal { digits, ranges } => {
-            facets.extend(bounds(ranges, &|bound| Value::Decimal(bound as i64, *digits).to_string()));
-            facets.push(("fractionDigits", digits.to_string()));
+        Type::Decimal { fraction_digits, ranges } => {
+            facets
+                .extend(bounds(ranges, &|bound| Value::Decimal(bound as i64, *fraction_digits).to_string()));
+            facets.push(("fractionDigits", fraction_digits.to_string()));
             "xs:decimal"
         }
         Type::Text { lengths, patterns } => {
