--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -20,7 +20,7 @@
 use std::collections::VecDeque;
 
 use juniperrail_framing::{encode, Decoder, Framing};
-use juniperrail_model::xml::{self, Attr, Element, NETCONF_NAMESPACE};
+use juniperrail_model::xml::{self, Attribute, Element, NETCONF_NAMESPACE};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 pub use endpoint::Endpoint;
@@ -220,9 +220,13 @@
 
     /// Executes one operation and returns the reply. Fails with [`ErrorKind::RpcErrors`] if the reply has errors.
     pub async fn rpc(&mut self, operation: Element) -> Result<Element, ClientError> {
-        let (ns, name, value) = ("".into(), "message-id".to_string(), self.next_message_id.to_string());
+        let (namespace, name, value) =
+            ("".into(), "message-id".to_string(), self.next_message_id.to_string());
         self.next_message_id += 1;
-        let rpc = Element { attrs: vec![Attr { ns, name, value }], ..element("rpc").with_child(operation) };
+        let rpc = Element {
+            attributes: vec![Attribute { namespace, name, value }],
+            ..element("rpc").with_child(operation)
+        };
         self.send(&xml::write(&rpc, false)).await?;
         self.read_reply().await
     }
@@ -358,8 +362,8 @@
 
     /// Subscribes to notifications; `filter` as in [`Client::get`].
     pub async fn subscribe(&mut self, filter: Option<&str>) -> Result<(), ClientError> {
-        let filter =
-            Client::filter_element(filter)?.map(|filter| Element { ns: NOTIFICATION.into(), ..filter });
+        let filter = Client::filter_element(filter)?
+            .map(|filter| Element { namespace: NOTIFICATION.into(), ..filter });
         self.rpc(Element::new(NOTIFICATION, "create-subscription").with_children(filter)).await.map(drop)
     }
 
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -299,7 +299,7 @@
     let Some((step, rest)) = path.0.split_first() else { return elements.to_vec() };
     let node = schema.node(step.node);
     let is_node = |element: &&Element| {
-        element.name == node.name && *element.ns == *schema.modules[node.module].namespace
+        element.name == node.name && *element.namespace == *schema.modules[node.module].namespace
     };
     let key_names: Vec<&str> = node.keys().iter().map(|key| schema.node(*key).name.as_str()).collect();
     let is_key = |child: &&Element| key_names.contains(&child.name.as_str());
--- a/crates/model/src/json.rs
+++ b/crates/model/src/json.rs
@@ -57,7 +57,7 @@
 fn from_elements_below(schema: &Schema, parent: Option<NodeId>, elements: &[Element]) -> Json {
     let mut object = Map::new();
     for element in elements {
-        let module = schema.modules.iter().position(|module| module.namespace == *element.ns);
+        let module = schema.modules.iter().position(|module| module.namespace == *element.namespace);
         let Some(id) = module.and_then(|module| schema.child(parent, &element.name, Some(module))) else {
             continue;
         };
--- a/crates/model/src/xml.rs
+++ b/crates/model/src/xml.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use quick_xml::escape::{escape, partial_escape};
-use quick_xml::events::attributes::Attribute;
+use quick_xml::events::attributes::Attribute as ParsedAttribute;
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::name::{PrefixDeclaration, ResolveResult};
 use quick_xml::{NsReader, XmlVersion};
@@ -32,9 +32,9 @@
 
 /// An attribute that is not a namespace declaration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Attr {
+pub struct Attribute {
     /// The namespace, empty for an attribute without a prefix.
-    pub ns: Arc<str>,
+    pub namespace: Arc<str>,
     pub name: String,
     pub value: String,
 }
@@ -42,9 +42,9 @@
 /// An element with its child elements or its text. Comments and processing instructions are skipped.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Element {
-    pub ns: Arc<str>,
+    pub namespace: Arc<str>,
     pub name: String,
-    pub attrs: Vec<Attr>,
+    pub attributes: Vec<Attribute>,
     /// The prefixes and namespaces that this element declares, which values below it may use. The prefix of a default
     /// namespace is empty.
     pub prefixes: Vec<(String, String)>,
@@ -56,13 +56,13 @@
 
 impl Element {
     /// An empty element.
-    pub fn new(ns: &str, name: &str) -> Element {
-        Element { ns: ns.into(), name: name.into(), ..Element::default() }
+    pub fn new(namespace: &str, name: &str) -> Element {
+        Element { namespace: namespace.into(), name: name.into(), ..Element::default() }
     }
 
     /// An element that contains text.
-    pub fn with_text(ns: &str, name: &str, text: impl Into<String>) -> Element {
-        Element { text: text.into(), ..Element::new(ns, name) }
+    pub fn with_text(namespace: &str, name: &str, text: impl Into<String>) -> Element {
+        Element { text: text.into(), ..Element::new(namespace, name) }
     }
 
     /// Adds a child element.
@@ -78,18 +78,21 @@
     }
 
     /// Whether the element has this namespace and name.
-    pub fn is(&self, ns: &str, name: &str) -> bool {
-        &*self.ns == ns && self.name == name
+    pub fn is(&self, namespace: &str, name: &str) -> bool {
+        &*self.namespace == namespace && self.name == name
     }
 
     /// The first child element with this namespace and name.
-    pub fn child(&self, ns: &str, name: &str) -> Option<&Element> {
-        self.children.iter().find(|child| child.is(ns, name))
+    pub fn child(&self, namespace: &str, name: &str) -> Option<&Element> {
+        self.children.iter().find(|child| child.is(namespace, name))
     }
 
     /// The value of an attribute.
-    pub fn attr(&self, ns: &str, name: &str) -> Option<&str> {
-        self.attrs.iter().find(|attr| &*attr.ns == ns && attr.name == name).map(|attr| &*attr.value)
+    pub fn attribute(&self, namespace: &str, name: &str) -> Option<&str> {
+        self.attributes
+            .iter()
+            .find(|attribute| &*attribute.namespace == namespace && attribute.name == name)
+            .map(|attribute| &*attribute.value)
     }
 
     /// The text without leading and trailing white space.
@@ -253,26 +256,30 @@
     let mut intern = |name: &str| -> Arc<str> {
         namespaces.entry(name.to_string()).or_insert_with(|| name.into()).clone()
     };
-    let mut namespace = |resolved: ResolveResult<'_>| match resolved {
-        ResolveResult::Bound(ns) => Ok(intern(ns.as_ref())),
+    let mut namespace_of = |resolved: ResolveResult<'_>| match resolved {
+        ResolveResult::Bound(namespace) => Ok(intern(namespace.as_ref())),
         ResolveResult::Unbound => Ok(intern("")),
         ResolveResult::Unknown(prefix) => Err(format!("the prefix {prefix:?} is not bound to a namespace")),
     };
     let (resolved, name) = reader.resolver().resolve_element(tag.name());
-    let mut element = Element { ns: namespace(resolved)?, line, ..Element::new("", name.as_ref()) };
-    for (index, attr) in tag.attributes().enumerate() {
+    let mut element = Element { namespace: namespace_of(resolved)?, line, ..Element::new("", name.as_ref()) };
+    for (index, attribute) in tag.attributes().enumerate() {
         if index >= MAX_ATTRIBUTES {
             return Err(format!("{} has more than {MAX_ATTRIBUTES} attributes", element.name));
         }
-        let attr: Attribute<'_> = attr.map_err(|cause| cause.to_string())?;
-        let value = attr.normalized_value(XmlVersion::Implicit1_0).map_err(|cause| cause.to_string())?;
+        let attribute: ParsedAttribute<'_> = attribute.map_err(|cause| cause.to_string())?;
+        let value = attribute.normalized_value(XmlVersion::Implicit1_0).map_err(|cause| cause.to_string())?;
         let value = check_characters(&value)?.to_string();
-        match attr.key.as_namespace_binding() {
+        match attribute.key.as_namespace_binding() {
             Some(PrefixDeclaration::Named(prefix)) => element.prefixes.push((prefix.to_string(), value)),
             Some(PrefixDeclaration::Default) => element.prefixes.push((String::new(), value)),
             None => {
-                let (resolved, name) = reader.resolver().resolve_attribute(attr.key);
-                element.attrs.push(Attr { ns: namespace(resolved)?, name: name.as_ref().to_string(), value });
+                let (resolved, name) = reader.resolver().resolve_attribute(attribute.key);
+                element.attributes.push(Attribute {
+                    namespace: namespace_of(resolved)?,
+                    name: name.as_ref().to_string(),
+                    value,
+                });
             }
         }
     }
@@ -296,21 +303,22 @@
     let end_line = |text: &mut String| _ = depth.is_some().then(|| text.push('\n'));
     indent(text, depth);
     _ = write!(text, "<{}", element.name);
-    if &*element.ns != parent_namespace {
-        _ = write!(text, " xmlns=\"{}\"", escape(&*element.ns));
+    if &*element.namespace != parent_namespace {
+        _ = write!(text, " xmlns=\"{}\"", escape(&*element.namespace));
     }
-    for (prefix, ns) in element.prefixes.iter().filter(|(prefix, _)| !prefix.is_empty()) {
-        _ = write!(text, " xmlns:{prefix}=\"{}\"", escape(ns.as_str()));
+    for (prefix, namespace) in element.prefixes.iter().filter(|(prefix, _)| !prefix.is_empty()) {
+        _ = write!(text, " xmlns:{prefix}=\"{}\"", escape(namespace.as_str()));
     }
-    for (index, attr) in element.attrs.iter().enumerate() {
-        if &*attr.ns == XML_NAMESPACE {
+    for (index, attribute) in element.attributes.iter().enumerate() {
+        if &*attribute.namespace == XML_NAMESPACE {
             // No other prefix may be bound to this namespace.
-            _ = write!(text, " xml:{}=\"{}\"", attr.name, escape_attribute(&attr.value));
-        } else if attr.ns.is_empty() {
-            _ = write!(text, " {}=\"{}\"", attr.name, escape_attribute(&attr.value));
+            _ = write!(text, " xml:{}=\"{}\"", attribute.name, escape_attribute(&attribute.value));
+        } else if attribute.namespace.is_empty() {
+            _ = write!(text, " {}=\"{}\"", attribute.name, escape_attribute(&attribute.value));
         } else {
-            let (name, ns, value) = (&attr.name, escape(&*attr.ns), escape_attribute(&attr.value));
-            _ = write!(text, " xmlns:a{index}=\"{ns}\" a{index}:{name}=\"{value}\"");
+            let (name, namespace, value) =
+                (&attribute.name, escape(&*attribute.namespace), escape_attribute(&attribute.value));
+            _ = write!(text, " xmlns:a{index}=\"{namespace}\" a{index}:{name}=\"{value}\"");
         }
     }
     if element.children.is_empty() && element.text.is_empty() {
@@ -328,7 +336,7 @@
         text.push('>');
         end_line(text);
         for child in &element.children {
-            write_element(text, child, &element.ns, depth.map(|depth| depth + 1));
+            write_element(text, child, &element.namespace, depth.map(|depth| depth + 1));
         }
         indent(text, depth);
         _ = write!(text, "</{}>", element.name);
@@ -346,7 +354,7 @@
     let mut elements = Vec::new();
     for (id, content) in data.iter() {
         let node = schema.node(id);
-        let ns = &*schema.modules[node.module].namespace;
+        let namespace = &*schema.modules[node.module].namespace;
         let entry = |data: &Data| {
             let mut children = self::to_elements(schema, data);
             // RFC 7950 section 7.8.5: the keys come first, in the order of the `key` statement.
@@ -357,17 +365,19 @@
                     .unwrap_or(usize::MAX)
             };
             children.sort_by_key(key_position);
-            Element::new(ns, &node.name).with_children(children)
+            Element::new(namespace, &node.name).with_children(children)
         };
         match content {
-            Content::Container(data) => {
-                elements.push(Element::new(ns, &node.name).with_children(self::to_elements(schema, data)))
-            }
+            Content::Container(data) => elements
+                .push(Element::new(namespace, &node.name).with_children(self::to_elements(schema, data))),
             Content::List(entries) => elements.extend(entries.values().map(entry)),
-            Content::Leaf(value) => elements.push(Element::with_text(ns, &node.name, value.to_string())),
+            Content::Leaf(value) => {
+                elements.push(Element::with_text(namespace, &node.name, value.to_string()))
+            }
             Content::LeafList(values) => {
-                elements
-                    .extend(values.iter().map(|value| Element::with_text(ns, &node.name, value.to_string())));
+                elements.extend(
+                    values.iter().map(|value| Element::with_text(namespace, &node.name, value.to_string())),
+                );
             }
         }
     }
@@ -409,10 +419,10 @@
         Err(ModelError::new(kind, &*parent_text, &element.name, message).at_line(element.line))
     };
     let name = quoted(&element.name);
-    let Some(module) = schema.modules.iter().position(|module| module.namespace == *element.ns) else {
+    let Some(module) = schema.modules.iter().position(|module| module.namespace == *element.namespace) else {
         return rejected(
             ErrorKind::UnknownNamespace,
-            format!("{name} is in the unknown namespace {}", quoted(&element.ns)),
+            format!("{name} is in the unknown namespace {}", quoted(&element.namespace)),
         );
     };
     let Some(id) = schema.child(parent, &element.name, Some(module)) else {
@@ -423,13 +433,19 @@
         return rejected(ErrorKind::NotConfiguration, format!("{name} is state data, which is read-only"));
     }
     let mut operation = None;
-    for attr in &element.attrs {
-        if &*attr.ns != NETCONF_NAMESPACE || attr.name != "operation" || !operations_allowed {
-            let message = format!("unexpected attribute {}", quoted(&attr.name));
-            return Err(ModelError::new(ErrorKind::UnknownAttribute, &*parent_text, &attr.name, message)
-                .at_line(element.line));
+    for attribute in &element.attributes {
+        if &*attribute.namespace != NETCONF_NAMESPACE || attribute.name != "operation" || !operations_allowed
+        {
+            let message = format!("unexpected attribute {}", quoted(&attribute.name));
+            return Err(ModelError::new(
+                ErrorKind::UnknownAttribute,
+                &*parent_text,
+                &attribute.name,
+                message,
+            )
+            .at_line(element.line));
         }
-        operation = Some(match attr.value.as_str() {
+        operation = Some(match attribute.value.as_str() {
             "merge" => EditOperation::Merge,
             "replace" => EditOperation::Replace,
             "create" => EditOperation::Create,
@@ -473,8 +489,10 @@
             let mut step = Step::without_keys(id);
             for key in node.keys() {
                 let key = schema.node(*key);
-                let Some(key_element) =
-                    element.children.iter().find(|child| child.name == key.name && child.ns == element.ns)
+                let Some(key_element) = element
+                    .children
+                    .iter()
+                    .find(|child| child.name == key.name && child.namespace == element.namespace)
                 else {
                     let message = format!("the key {} is missing", key.name);
                     let path = parent_path.child(step).format(schema);
@@ -534,9 +552,11 @@
         let message = format!("expected <config xmlns=\"{NETCONF_NAMESPACE}\">, found <{}>", root.name);
         return Err(ModelError::new(ErrorKind::UnknownElement, "", &root.name, message).at_line(root.line));
     }
-    if let Some(attr) = root.attrs.first() {
-        let message = format!("unexpected attribute {}", quoted(&attr.name));
-        return Err(ModelError::new(ErrorKind::UnknownAttribute, "", &attr.name, message).at_line(root.line));
+    if let Some(attribute) = root.attributes.first() {
+        let message = format!("unexpected attribute {}", quoted(&attribute.name));
+        return Err(
+            ModelError::new(ErrorKind::UnknownAttribute, "", &attribute.name, message).at_line(root.line)
+        );
     }
     let edit_nodes = to_edit_nodes(schema, &root.children, false)?;
     let mut data = Data::from_edit_nodes(schema, &edit_nodes)?;
--- a/crates/model/src/xsd.rs
+++ b/crates/model/src/xsd.rs
@@ -22,11 +22,12 @@
     for (index, module) in
         schema.modules.iter().enumerate().filter(|(index, _)| !configuration_roots(*index).is_empty())
     {
-        let (name, ns, prefix) = (format!("{}.xsd", module.name), escape(&*module.namespace), &module.prefix);
-        _ = writeln!(imports, "  <xs:import namespace=\"{ns}\" schemaLocation=\"{name}\"/>");
-        _ = write!(prefixes, " xmlns:{prefix}=\"{ns}\"");
+        let (name, namespace, prefix) =
+            (format!("{}.xsd", module.name), escape(&*module.namespace), &module.prefix);
+        _ = writeln!(imports, "  <xs:import namespace=\"{namespace}\" schemaLocation=\"{name}\"/>");
+        _ = write!(prefixes, " xmlns:{prefix}=\"{namespace}\"");
         let mut text = format!(
-            "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<xs:schema {schema_attributes} targetNamespace=\"{ns}\">\n"
+            "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<xs:schema {schema_attributes} targetNamespace=\"{namespace}\">\n"
         );
         for id in configuration_roots(index) {
             _ = writeln!(
@@ -121,8 +122,8 @@
         return;
     }
     let (indent, prefix) = ("  ".repeat(depth), "of");
-    let ns = escape(&*schema.modules[node.module].namespace);
-    _ = writeln!(text, "{indent}<xs:unique name=\"{}-{}\" xmlns:{prefix}=\"{ns}\">", node.name, depth);
+    let namespace = escape(&*schema.modules[node.module].namespace);
+    _ = writeln!(text, "{indent}<xs:unique name=\"{}-{}\" xmlns:{prefix}=\"{namespace}\">", node.name, depth);
     _ = writeln!(text, "{indent}  <xs:selector xpath=\"{prefix}:{}\"/>", node.name);
     for key in node.keys() {
         _ = writeln!(text, "{indent}  <xs:field xpath=\"{prefix}:{}\"/>", schema.node(*key).name);
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -2,7 +2,7 @@
 //! `rpc-error`s.
 
 use juniperrail_intent::{DatastoreError, Refusal, Session};
-use juniperrail_model::xml::{Attr, Element, NETCONF_NAMESPACE, XML_NAMESPACE};
+use juniperrail_model::xml::{Attribute, Element, NETCONF_NAMESPACE, XML_NAMESPACE};
 use juniperrail_model::{ErrorKind, ModelError};
 
 /// The `error-type` of an error: the layer at which it occurred.
@@ -65,8 +65,8 @@
                 .children
                 .push(Element { prefixes: used_prefixes.cloned().collect(), ..leaf("error-path", path) });
         }
-        let language = Attr { ns: XML_NAMESPACE.into(), name: "lang".into(), value: "en".into() };
-        error.children.push(Element { attrs: vec![language], ..leaf("error-message", &self.message) });
+        let language = Attribute { namespace: XML_NAMESPACE.into(), name: "lang".into(), value: "en".into() };
+        error.children.push(Element { attributes: vec![language], ..leaf("error-message", &self.message) });
         if !self.info.is_empty() {
             let info = self.info.iter().map(|(name, value)| leaf(name, value));
             error.children.push(Element::new(NETCONF_NAMESPACE, "error-info").with_children(info));
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -22,8 +22,8 @@
 /// Whether a filter node matches an element by name, namespace (an empty one matches any) and attributes.
 fn node_matches(filter: &Element, element: &Element) -> bool {
     filter.name == element.name
-        && (filter.ns.is_empty() || filter.ns == element.ns)
-        && filter.attrs.iter().all(|attr| element.attrs.contains(attr))
+        && (filter.namespace.is_empty() || filter.namespace == element.namespace)
+        && filter.attributes.iter().all(|attr| element.attributes.contains(attr))
 }
 
 /// The part of one element that a filter node selects.
@@ -91,7 +91,7 @@
     for child in &original.children {
         let is_child = |part: &Element| {
             part.name == child.name
-                && part.ns == child.ns
+                && part.namespace == child.namespace
                 && part.line == child.line
                 && is_part_of(part, child)
         };
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -47,7 +47,7 @@
 
     /// The key names of a list entry; empty for other elements.
     fn keys(&self, element: &Element) -> Vec<String> {
-        self.keys.get(&(element.ns.to_string(), element.name.clone())).cloned().unwrap_or_default()
+        self.keys.get(&(element.namespace.to_string(), element.name.clone())).cloned().unwrap_or_default()
     }
 
     /// The parts of the elements that the filter selects, or all of them without a filter.
@@ -114,9 +114,9 @@
 /// The datastore that a parameter such as `<target>` names.
 fn datastore_parameter(operation: &Element, name: &str) -> Result<Datastore, Vec<RpcError>> {
     let parameter =
-        operation.child(&operation.ns, name).ok_or_else(|| missing_element(name, &operation.name))?;
+        operation.child(&operation.namespace, name).ok_or_else(|| missing_element(name, &operation.name))?;
     let [datastore] = &parameter.children[..] else { return Err(missing_element("a datastore", name)) };
-    match (&*datastore.ns == NETCONF_NAMESPACE, datastore.name.as_str()) {
+    match (&*datastore.namespace == NETCONF_NAMESPACE, datastore.name.as_str()) {
         (true, "running") => Ok(Datastore::Running),
         (true, "candidate") => Ok(Datastore::Candidate),
         (true, "startup") => Ok(Datastore::Startup),
@@ -134,7 +134,7 @@
     default: T,
     values: &[(&str, T)],
 ) -> Result<T, Vec<RpcError>> {
-    let Some(parameter) = operation.child(&operation.ns, name) else { return Ok(default) };
+    let Some(parameter) = operation.child(&operation.namespace, name) else { return Ok(default) };
     let found = values.iter().find(|(word, _)| *word == parameter.trimmed_text()).map(|(_, value)| *value);
     found.ok_or_else(|| {
         invalid_value(name, format!("{:.60?} is not a valid {name}", parameter.trimmed_text()))
@@ -143,7 +143,7 @@
 
 /// The value of an unsigned integer parameter.
 fn number_parameter(operation: &Element, name: &str) -> Result<Option<u64>, Vec<RpcError>> {
-    let Some(parameter) = operation.child(&operation.ns, name) else { return Ok(None) };
+    let Some(parameter) = operation.child(&operation.namespace, name) else { return Ok(None) };
     let number = parameter.trimmed_text().parse();
     number.map(Some).map_err(|_| {
         invalid_value(name, format!("{:.60?} is not an unsigned integer", parameter.trimmed_text()))
@@ -152,7 +152,7 @@
 
 /// The text of a parameter.
 fn text_parameter<'a>(operation: &'a Element, name: &str) -> Option<&'a str> {
-    operation.child(&operation.ns, name).map(Element::trimmed_text)
+    operation.child(&operation.namespace, name).map(Element::trimmed_text)
 }
 
 /// Rejects an operation with a parameter that is not among `names`. Parameters may also be in the namespace of
@@ -160,7 +160,7 @@
 fn check_parameters(operation: &Element, names: &[&str]) -> Result<(), Vec<RpcError>> {
     let is_unknown = |child: &&Element| {
         let is_named = names.contains(&child.name.as_str());
-        !(is_named && (child.ns == operation.ns || &*child.ns == WITH_DEFAULTS))
+        !(is_named && (child.namespace == operation.namespace || &*child.namespace == WITH_DEFAULTS))
     };
     operation.children.iter().find(is_unknown).map_or(Ok(()), |child| Err(unknown_element(child)))
 }
@@ -178,7 +178,7 @@
                 return (self.write_reply(reply, Err(vec![error])), SessionAction::Continue);
             }
         };
-        let mut reply = Element { attrs: rpc.attrs.clone(), ..reply };
+        let mut reply = Element { attributes: rpc.attributes.clone(), ..reply };
         reply.prefixes = rpc.prefixes.iter().filter(|(prefix, _)| !prefix.is_empty()).cloned().collect();
         let (body, action) = match self.dispatch(&rpc).await {
             Ok((body, action)) => (Ok(body), action),
@@ -208,7 +208,7 @@
                 format!("expected <rpc>, got <{:.60}>", rpc.name),
             ));
         }
-        if rpc.attr("", "message-id").is_none() {
+        if rpc.attribute("", "message-id").is_none() {
             let error = RpcError::new(ErrorType::Rpc, "missing-attribute", "the rpc has no message-id");
             return Err(vec![error.with_info("bad-attribute", "message-id").with_info("bad-element", "rpc")]);
         }
@@ -220,7 +220,7 @@
             ));
         };
         let name = operation.name.as_str();
-        if let Some(attr) = operation.attrs.first() {
+        if let Some(attr) = operation.attributes.first() {
             let error = RpcError::new(
                 ErrorType::Protocol,
                 "unknown-attribute",
@@ -237,8 +237,8 @@
             .schema()
             .modules
             .iter()
-            .any(|module| module.namespace == *operation.ns);
-        match (&*operation.ns, name) {
+            .any(|module| module.namespace == *operation.namespace);
+        match (&*operation.namespace, name) {
             (NETCONF_NAMESPACE, "get") => self.get(operation).await,
             (NETCONF_NAMESPACE, "get-config") => self.get_config(operation).await,
             (NETCONF_NAMESPACE, "edit-config") => self.edit_config(operation).await,
@@ -263,7 +263,7 @@
             (NOTIFICATION, "create-subscription") => self.create_subscription(operation),
             (_, "rollback") if is_own_namespace => self.rollback(operation).await,
             _ => {
-                let message = format!("there is no operation <{name:.60}> in {:.120?}", operation.ns);
+                let message = format!("there is no operation <{name:.60}> in {:.120?}", operation.namespace);
                 let error = RpcError::new(ErrorType::Protocol, "operation-not-supported", message);
                 Err(vec![error.with_info("bad-element", name)])
             }
@@ -285,8 +285,8 @@
 
     /// The filter parameter. Filters other than subtree filters are rejected.
     fn filter<'a>(&self, operation: &'a Element, name: &str) -> Result<Option<&'a Element>, Vec<RpcError>> {
-        let Some(filter) = operation.child(&operation.ns, name) else { return Ok(None) };
-        match filter.attr("", "type").or(filter.attr(NETCONF_NAMESPACE, "type")) {
+        let Some(filter) = operation.child(&operation.namespace, name) else { return Ok(None) };
+        match filter.attribute("", "type").or(filter.attribute(NETCONF_NAMESPACE, "type")) {
             None | Some("subtree") => Ok(Some(filter)),
             Some(other) => {
                 let error = RpcError::new(
@@ -303,7 +303,7 @@
     fn with_defaults(&self, operation: &Element) -> Result<bool, Vec<RpcError>> {
         let mode = operation
             .child(WITH_DEFAULTS, "with-defaults")
-            .or(operation.child(&operation.ns, "with-defaults"));
+            .or(operation.child(&operation.namespace, "with-defaults"));
         match mode.map(Element::trimmed_text) {
             None | Some("explicit") => Ok(false),
             Some("report-all") => Ok(true),
@@ -329,7 +329,7 @@
         let datastore_manager = &self.context.datastore_manager;
         let can_select = |ns: &str| {
             filter.is_none_or(|filter| {
-                filter.children.iter().any(|child| child.ns.is_empty() || &*child.ns == ns)
+                filter.children.iter().any(|child| child.namespace.is_empty() || &*child.namespace == ns)
             })
         };
         let mut all = Vec::new();
@@ -542,7 +542,7 @@
     /// The `source` parameter: a datastore or an inline configuration.
     fn source(&self, operation: &Element) -> Result<Source, Vec<RpcError>> {
         let source = operation
-            .child(&operation.ns, "source")
+            .child(&operation.namespace, "source")
             .ok_or_else(|| missing_element("source", &operation.name))?;
         let Some(config) = source.child(NETCONF_NAMESPACE, "config") else {
             return datastore_parameter(operation, "source").map(Source::Store);
