--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -20,13 +20,13 @@
   </northbound>
 </config>"#;
 
-fn file(text: &str) -> Data {
+fn parse_file(text: &str) -> Data {
     xml::parse_config(&schema(), text.as_bytes()).unwrap()
 }
 
 #[test]
 fn data_survives_a_round_trip_through_xml_json_and_edit_nodes() {
-    let (schema, data) = (schema(), file(FILE));
+    let (schema, data) = (schema(), parse_file(FILE));
     let root = View::new(&schema, &data);
     let workers = root.container("workers").entries("worker");
     let leaf_text = |index: usize, name: &str| workers[index].leaf(name).map(Value::to_string);
@@ -40,7 +40,7 @@
     let user = &root.container("northbound").entries("user")[0];
     assert_eq!(user.leaf_list("ssh-key"), [&Value::text("ssh-ed25519 AAAA<A> ann")]);
     let written = xml::write_config(&schema, &data);
-    assert_eq!(file(&written), data, "{written}");
+    assert_eq!(parse_file(&written), data, "{written}");
     let json = json::write(&schema, &data);
     assert_eq!(json["juniperrail-manager:figures"]["drain-grace"], "2500.0");
     let edit_nodes = json::to_edit_nodes(&schema, None, &json).unwrap();
@@ -48,14 +48,14 @@
     assert_eq!(
         json::from_elements(&schema, &xml::to_elements(&schema, &data)),
         json,
-        "the JSON that a client makes of the elements of a reply"
+        "a client must convert the elements of a reply to the same JSON"
     );
     assert_eq!(Data::from_edit_nodes(&schema, &data.to_edit_nodes()).unwrap(), data);
 }
 
 #[test]
-fn the_delivered_operator_file_is_empty() {
-    assert!(file(include_str!("../../../deploy/juniperrail.xml")).is_empty());
+fn the_operator_file_in_deploy_contains_no_configuration() {
+    assert!(parse_file(include_str!("../../../deploy/juniperrail.xml")).is_empty());
 }
 
 #[test]
@@ -197,8 +197,8 @@
 
 /// Mutates a valid file at random. The parser must return an error or data that can be written and parsed again.
 #[test]
-fn mutated_files_are_rejected_or_parsed_consistently() {
-    let (schema, original) = (schema(), file(FILE));
+fn mutated_files_are_rejected_or_survive_a_round_trip() {
+    let (schema, original) = (schema(), parse_file(FILE));
     let seed = 0x17_2026;
     println!("seed {seed:#x}");
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -221,7 +221,7 @@
             }
             // Accepted data conforms to the model, so it can be written and parsed again.
             Ok(data) => {
-                assert_eq!(file(&xml::write_config(&schema, &data)), data);
+                assert_eq!(parse_file(&xml::write_config(&schema, &data)), data);
                 accepted += 1;
             }
         }
@@ -256,13 +256,13 @@
 #[test]
 fn differences_are_listed_leaf_by_leaf() {
     let schema = schema();
-    let old = file(FILE);
+    let old = parse_file(FILE);
     let changed = FILE.replace("0.50", "0.75").replace("<wanted>draining</wanted>", "");
     let changed = changed.replace("<worker><weight>", "<worker><name>s-3</name></worker><worker><weight>");
     let changed = changed.replace("AAAA", "BBBB").replace("<ssh>", "<tls>").replace("</ssh>", "</tls>");
-    let changed = changed.replace("<listen>127.0.0.1:830</listen><host-key>host</host-key>", 
+    let changed = changed.replace("<listen>127.0.0.1:830</listen><host-key>host</host-key>",
         "<listen>127.0.0.1:6513</listen><certificate>c</certificate><key>k</key><client-authorities>a</client-authorities>");
-    let new = file(&changed);
+    let new = parse_file(&changed);
     let lines: Vec<String> = diff(&schema, &old, &new)
         .iter()
         .map(|difference| {
@@ -283,14 +283,14 @@
     assert_eq!(
         lines.iter().filter(|line| line.contains("ssh-key")).count(),
         2,
-        "one removed, one added: {lines:#?}"
+        "one key is removed and one added: {lines:#?}"
     );
     assert!(diff(&schema, &old, &old).is_empty());
 }
 
 #[test]
 fn a_subtree_contains_the_data_at_its_path_and_the_keys() {
-    let (schema, data) = (schema(), file(FILE));
+    let (schema, data) = (schema(), parse_file(FILE));
     let subtree =
         |path: &str| xml::write_config(&schema, &data.subtree(&schema, &Path::parse(&schema, path).unwrap()));
     let weight = subtree("/workers/worker[name='s-2']/weight");
@@ -299,7 +299,10 @@
         "{weight}"
     );
     let all = subtree("/workers/worker/wanted");
-    assert!(all.contains("s-1") && !all.contains("s-2"), "only the entry that has the leaf: {all}");
+    assert!(
+        all.contains("s-1") && !all.contains("s-2"),
+        "only the entry that has the leaf is included: {all}"
+    );
     assert!(subtree("/workers/worker[name='s-9']")
         .contains("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"/>"));
     assert_eq!(data.subtree(&schema, &Path::default()), data);
@@ -321,7 +324,7 @@
     let root = uppsala::parse(&documents[0].1).unwrap();
     let validator = uppsala::XsdValidator::from_schema_with_base_path(&root, Some(&folder)).unwrap();
     let errors = |text: &str| validator.validate(&uppsala::parse(text).unwrap());
-    let written = xml::write_config(&schema, &file(FILE));
+    let written = xml::write_config(&schema, &parse_file(FILE));
     assert!(errors(&written).is_empty(), "{:?}", errors(&written));
     assert!(errors(FILE).is_empty(), "{:?}", errors(FILE));
     for (old, new) in [
