--- a/crates/model/src/data.rs
+++ b/crates/model/src/data.rs
@@ -102,7 +102,7 @@
         });
     }
 
-    /// Checks that no mandatory leaf is missing below a node that exists. Returns the first that is missing.
+    /// Checks that no mandatory leaf is missing below a node that exists. The error names the first that is missing.
     pub fn check_mandatory(&self, schema: &Schema) -> Result<(), ModelError> {
         self.check_mandatory_below(schema, None, &Path::default())
     }
@@ -143,7 +143,8 @@
         Ok(())
     }
 
-    /// Returns the data with all default values filled in (RFC 6243 `report-all`).
+    /// Returns the data with all default values filled in (RFC 6243 `report-all`). Absent presence containers and
+    /// absent state containers are not created.
     pub fn with_defaults(&self, schema: &Schema) -> Data {
         self.with_defaults_below(schema, None)
     }
@@ -177,12 +178,13 @@
         data
     }
 
-    /// Returns the top-level nodes for which `keep` returns true, with all below them.
+    /// Returns the top-level nodes for which `keep` returns true, with their descendants.
     pub fn filter_roots(&self, keep: impl Fn(NodeId) -> bool) -> Data {
         Data(self.0.iter().filter(|(id, _)| keep(**id)).map(|(id, content)| (*id, content.clone())).collect())
     }
 
-    /// Returns the subtree at a path, with its ancestors up to the root. It is empty if there is no node at the path.
+    /// Returns the subtree at a path, with its ancestors up to the root and the keys of the list entries on the way. It
+    /// is empty if there is no node at the path.
     pub fn subtree(&self, schema: &Schema, path: &Path) -> Data {
         fn select(schema: &Schema, steps: &[Step], data: &Data) -> Data {
             let Some((step, rest)) = steps.split_first() else { return data.clone() };
@@ -247,7 +249,7 @@
 
     fn id(&self, name: &str) -> NodeId {
         let id = self.schema.child(self.node, name, None);
-        // A test reads every name that the program uses.
+        // Cannot panic in operation: callers pass constant names, and tests read each of them.
         id.unwrap_or_else(|| panic!("the schema has no node {name} here"))
     }
 
--- a/crates/model/src/diff.rs
+++ b/crates/model/src/diff.rs
@@ -7,7 +7,7 @@
 use crate::schema::{NodeId, NodeKind, Schema};
 use crate::value::Value;
 
-/// A node that is only in one of the trees, or a leaf with another value. The value of a list entry, of a presence
+/// A node that exists in only one of the trees, or a leaf whose value differs. The value of a list entry, of a presence
 /// container and of a leaf-list entry is `Value::Empty`; `None` means that the node is absent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
@@ -16,7 +16,7 @@
     pub new: Option<Value>,
 }
 
-/// Returns the differences in the order of the tree.
+/// Returns the differences in the order of the data trees.
 pub fn diff(schema: &Schema, old: &Data, new: &Data) -> Vec<Difference> {
     let mut differences = Vec::new();
     diff_below(schema, &Path::default(), old, new, &mut differences);
--- a/crates/model/src/edit_node.rs
+++ b/crates/model/src/edit_node.rs
@@ -22,7 +22,7 @@
     Remove,
 }
 
-/// A node of an edit with all below it.
+/// A node of an edit with its descendants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EditNode {
     pub node: NodeId,
@@ -50,8 +50,10 @@
             .at_line(self.line)
     }
 
-    /// Builds the edit nodes from the root to a path, the last of which has the operation, the value and the children
-    /// given. If the path leads to a leaf-list entry and no value is given, the value is that in the path.
+    /// Builds the chain of edit nodes from the root to the node at a path, which gets the given operation, value and
+    /// children. List entries get their key leaves unless these are among the children. If the path leads to a
+    /// leaf-list entry and no value is given, the value is that in the path. For the path of the root, returns the
+    /// children.
     pub fn at_path(
         schema: &Schema,
         path: &Path,
@@ -126,7 +128,7 @@
         edit_nodes
     }
 
-    /// Builds data from edit nodes without operations. A node that is given more than once is an error.
+    /// Builds data from edit nodes. A node that has an operation or is given more than once is an error.
     pub fn from_edit_nodes(schema: &Schema, edit_nodes: &[EditNode]) -> Result<Data, ModelError> {
         from_edit_nodes_below(schema, edit_nodes, &Path::default())
     }
--- a/crates/model/src/error.rs
+++ b/crates/model/src/error.rs
@@ -5,21 +5,21 @@
 /// The kind of violation. Each front end maps it to the errors of its protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// Not well-formed, or beyond a limit on size or depth.
+    /// XML that is not well-formed or exceeds a limit, or a path that cannot be parsed.
     Malformed,
     UnknownElement,
     UnknownNamespace,
     UnknownAttribute,
-    /// An attribute with a value that is not valid, or on a node that must not have it.
+    /// An attribute whose value is not valid, or which its node must not have.
     BadAttribute,
-    /// A value that is not valid for its type.
+    /// A value that is missing or not valid for its type, or content of a form that its node does not allow.
     BadValue,
     MissingElement,
-    /// A node that may exist only once, given more than once.
+    /// A node that may exist only once is given more than once.
     Duplicate,
-    /// A state node where only configuration is allowed.
+    /// A state node is given where only configuration is allowed.
     NotConfiguration,
-    /// A node to be created exists already.
+    /// A node to be created already exists.
     DataExists,
     /// A node to be edited or deleted does not exist.
     DataMissing,
@@ -39,7 +39,7 @@
 }
 
 impl ModelError {
-    /// An error that belongs to no line.
+    /// Creates an error that is not about a particular line.
     pub fn new(
         kind: ErrorKind,
         path: impl Into<String>,
--- a/crates/model/src/json.rs
+++ b/crates/model/src/json.rs
@@ -1,5 +1,5 @@
-//! The JSON encoding of RFC 7951. Member names have the module name at the top level and where the module changes, and
-//! 64-bit integers and decimals are strings.
+//! The JSON encoding of RFC 7951. Member names are qualified with the module name at the top level and where the module
+//! changes, and 64-bit integers and decimals are strings.
 
 use serde_json::{Map, Value as Json};
 
@@ -31,7 +31,7 @@
     Json::Object(object)
 }
 
-/// Writes one value (RFC 7951 section 6). `kind` is that of its leaf or leaf-list.
+/// Writes one value (RFC 7951 section 6). `kind` is the kind of its leaf or leaf-list.
 pub fn write_value(value: &Value, kind: &NodeKind) -> Json {
     let is_64_bit = matches!(
         kind,
@@ -49,7 +49,7 @@
 }
 
 /// Converts the elements of a server's reply, which may include state, to a JSON object. Elements that are not in the
-/// schema are omitted: how those of other namespaces are encoded is not known here.
+/// schema are omitted, since their types, and so their encoding, are unknown.
 pub fn from_elements(schema: &Schema, elements: &[Element]) -> Json {
     from_elements_below(schema, None, elements)
 }
@@ -85,7 +85,8 @@
     Json::Object(object)
 }
 
-/// Parses a JSON object with the configuration below a node (`None`: the root).
+/// Checks a JSON object with the configuration below a node (`None`: the root) against the schema and converts it to
+/// edit nodes.
 pub fn to_edit_nodes(
     schema: &Schema,
     parent: Option<NodeId>,
@@ -215,7 +216,7 @@
     Ok(edit_nodes)
 }
 
-/// Parses one value of a type. The error says why it is not valid.
+/// Parses the value of a leaf or of a leaf-list entry. The error says why it is not valid.
 pub fn parse_value(ty: &Type, json: &Json) -> Result<Value, String> {
     match (ty, json) {
         (Type::Empty, Json::Array(items)) if items[..] == [Json::Null] => Ok(Value::Empty),
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' data model: YANG modules (RFC 7950) as schema nodes, and data trees that conform to them. The
 //! operator's file, NETCONF and any further front end (such as gNMI) use the same typed tree. XML (the encoding rules
 //! in RFC 7950 section 7) and JSON (RFC 7951) are parsed into [`EditNode`]s, each of which is checked against the
-//! schema, and are written from [`Data`]. This crate takes no decisions about the configuration.
+//! schema, and are written from [`Data`]. Other crates interpret the configuration.
 
 mod data;
 mod diff;
--- a/crates/model/src/path.rs
+++ b/crates/model/src/path.rs
@@ -45,7 +45,7 @@
         self.0.len() <= other.0.len() && self.0.iter().zip(&other.0).all(matches)
     }
 
-    /// The text of the path. A node has its module's prefix at the top level and where the module changes.
+    /// The text of the path. A node name has its module's prefix at the top level and where the module changes.
     pub fn format(&self, schema: &Schema) -> String {
         let mut text = String::new();
         for step in &self.0 {
@@ -70,7 +70,7 @@
 
     /// Parses the text of a path. Each node name may be preceded by the prefix or the name of its module. This is
     /// needed only where several modules have a node of that name: without it, the first of them is taken. A list may
-    /// be given without keys.
+    /// be given without keys; the step then selects all its entries.
     pub fn parse(schema: &Schema, text: &str) -> Result<Path, ModelError> {
         let malformed = |message: String| ModelError::new(ErrorKind::Malformed, text, "path", message);
         let mut rest = text.strip_prefix('/').ok_or_else(|| malformed("a path must start with /".into()))?;
@@ -146,7 +146,7 @@
     use super::*;
 
     #[test]
-    fn formatting_a_parsed_path_returns_its_text() {
+    fn paths_are_parsed_formatted_and_matched_and_invalid_ones_are_rejected() {
         let schema = crate::schema();
         for text in [
             "/jrm:workers/worker[name='s-1']/weight",
--- a/crates/model/src/schema.rs
+++ b/crates/model/src/schema.rs
@@ -42,7 +42,7 @@
         /// Whether the leaf must exist wherever its parent exists.
         mandatory: bool,
     },
-    /// Ordered by value, each of which occurs once.
+    /// Its values are unique and ordered.
     LeafList { ty: Type },
 }
 
@@ -52,7 +52,7 @@
     pub name: String,
     /// The index of its module in [`Schema::modules`].
     pub module: usize,
-    /// `None` for a top-level node, a notification or a parameter of an operation.
+    /// `None` for a top-level node, a notification or an input parameter of an RPC.
     pub parent: Option<NodeId>,
     pub kind: NodeKind,
     /// Whether the node is configuration; otherwise it is state, which is read-only.
@@ -87,7 +87,7 @@
 /// Statements that are only documentation.
 const DOCUMENTATION: [&str; 6] = ["description", "reference", "units", "status", "organization", "contact"];
 
-/// Derived types by the index of their module and their name.
+/// Derived types by the index of the module that defines them and by name.
 type Typedefs = HashMap<(usize, String), Type>;
 
 /// Builds a schema from the statements of its modules.
@@ -115,7 +115,7 @@
         &self.nodes[id.0 as usize]
     }
 
-    /// The ids of all nodes, including those of notifications and of the input of operations.
+    /// The ids of all nodes, including those of notifications and of the input of RPCs.
     pub fn node_ids(&self) -> impl Iterator<Item = NodeId> {
         (0..self.nodes.len() as u32).map(NodeId)
     }
@@ -160,6 +160,7 @@
 }
 
 impl SchemaBuilder {
+    /// Parses a module and adds its types and nodes.
     fn add_module(&mut self, text: &str) -> Result<(), String> {
         let module = yang::parse(text)?;
         if module.keyword != "module" {
@@ -206,7 +207,7 @@
                     let node = self.add_node(statement, module_index, None, false)?;
                     self.schema.notifications.push(node);
                 }
-                // The front ends parse the parameters of operations. Here only their definitions are checked.
+                // The front ends parse the parameters of RPCs. Here only their definitions are checked.
                 "rpc" => {
                     check_substatements(statement, &["input"])?;
                     for input in statement.all("input") {
@@ -222,7 +223,7 @@
         Ok(())
     }
 
-    /// Adds a node with all below it.
+    /// Adds a node and its descendants.
     fn add_node(
         &mut self,
         statement: &Statement,
@@ -308,7 +309,7 @@
     }
 }
 
-/// Checks that a statement has no substatements but documentation and those given.
+/// Checks that a statement has no substatements other than those with the given keywords and documentation.
 fn check_substatements(statement: &Statement, keywords: &[&str]) -> Result<(), String> {
     let is_unsupported =
         |s: &&Statement| !keywords.contains(&&*s.keyword) && !DOCUMENTATION.contains(&&*s.keyword);
@@ -402,20 +403,20 @@
         let worker = schema.find(&["workers", "worker"]).unwrap();
         assert_eq!(schema.node(schema.node(worker).keys()[0]).name, "name");
         let weight = schema.find(&["workers", "worker", "weight"]).unwrap();
-        let NodeKind::Leaf { ty, .. } = &schema.node(weight).kind else { panic!("a leaf") };
+        let NodeKind::Leaf { ty, .. } = &schema.node(weight).kind else { panic!("expected a leaf") };
         assert_eq!(ty.parse("0.5").unwrap(), Value::Decimal(5000, 4));
         assert!(ty.parse("1000.1").unwrap_err().contains("not within 0.0..1000.0"));
         let grace = schema.find(&["figures", "drain-grace"]).unwrap();
-        let NodeKind::Leaf { ty, .. } = &schema.node(grace).kind else { panic!("a leaf") };
+        let NodeKind::Leaf { ty, .. } = &schema.node(grace).kind else { panic!("expected a leaf") };
         assert!(
             ty.parse("0").unwrap_err().contains("within 1.0..3600000.0"),
-            "the leaf narrows the range of its derived type"
+            "the leaf must narrow the range of its derived type"
         );
         let state = schema.find(&["state", "proxies", "proxy", "operation", "level"]).unwrap();
         assert!(!schema.node(state).config && schema.node(worker).config);
         assert_eq!(schema.notifications.len(), 1);
         for id in schema.node_ids() {
-            assert!(!schema.node(id).description.is_empty(), "{} has a description", schema.node(id).name);
+            assert!(!schema.node(id).description.is_empty(), "{} has no description", schema.node(id).name);
         }
     }
 
--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -19,9 +19,11 @@
 }
 
 impl Value {
-    /// The decimal with this many fraction digits that is nearest to the number; `None` if it is out of range.
+    /// The decimal with this many fraction digits that is nearest to `number`; `None` if `number` is NaN or out of
+    /// range.
     pub fn decimal(number: f64, fraction_digits: u8) -> Option<Value> {
         let units = (number * 10f64.powi(fraction_digits.into())).round();
+        // 9e18 is just below i64::MAX (about 9.22e18).
         (units.is_finite() && units.abs() < 9e18).then_some(Value::Decimal(units as i64, fraction_digits))
     }
 
@@ -30,17 +32,17 @@
         Value::Text(text.into())
     }
 
-    /// The value of an integer or decimal.
+    /// The floating-point number nearest to an integer or decimal; `None` for other values.
     pub fn as_f64(&self) -> Option<f64> {
         match self {
             Value::Integer(number) => Some(*number as f64),
-            // Parsing the text gives the nearest floating-point number.
+            // Dividing the units by a power of ten could round twice; parsing the text rounds once.
             Value::Decimal(..) => self.to_string().parse().ok(),
             _ => None,
         }
     }
 
-    /// The value of an integer that is not negative.
+    /// The value of an integer within the range of `u64`; `None` for other values.
     pub fn as_u64(&self) -> Option<u64> {
         match self {
             Value::Integer(number) => u64::try_from(*number).ok(),
@@ -48,7 +50,7 @@
         }
     }
 
-    /// The value of a string or enumeration.
+    /// The text of a string or enumeration value; `None` for other values.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             Value::Text(text) => Some(text),
@@ -83,23 +85,23 @@
 /// The type of a leaf or leaf-list.
 #[derive(Clone, Debug)]
 pub enum Type {
-    /// An integer of 8 to 64 bits. Those of 64 bits are strings in JSON (RFC 7951 section 6.1).
+    /// An integer of 8 to 64 bits. 64-bit integers are strings in JSON (RFC 7951 section 6.1).
     Integer {
         is_64_bit: bool,
         ranges: Ranges<i128>,
     },
-    /// The number of fraction digits, and the ranges in units of the last of them.
+    /// The `decimal64` type: its number of fraction digits, and its ranges in units of the last fraction digit.
     Decimal {
         fraction_digits: u8,
         ranges: Ranges<i128>,
     },
-    /// The `string` type: its lengths in characters, and patterns that a value must all match.
+    /// The `string` type: the allowed lengths in characters, and the patterns, all of which a value must match.
     Text {
         lengths: Ranges<i128>,
         patterns: Vec<Regex>,
     },
     Boolean,
-    /// The names of the values.
+    /// The `enumeration` type with the names of its values.
     Enumeration(Vec<String>),
     Empty,
 }
@@ -136,7 +138,8 @@
             Type::Integer { ranges, .. } => {
                 let number: i128 =
                     text.trim().parse().map_err(|_| format!("{} is not an integer", quoted(text)))?;
-                within(number, ranges).map_err(|allowed| format!("{number} is not within {allowed}"))?;
+                check_within(number, ranges)
+                    .map_err(|allowed| format!("{number} is not within {allowed}"))?;
                 Ok(Value::Integer(number))
             }
             Type::Decimal { fraction_digits, ranges } => {
@@ -149,14 +152,14 @@
                 let decimal_text = |units: i128| Value::Decimal(units as i64, *fraction_digits).to_string();
                 let range_text =
                     |(min, max): &(i128, i128)| format!("{}..{}", decimal_text(*min), decimal_text(*max));
-                within(units, ranges).map_err(|_| {
+                check_within(units, ranges).map_err(|_| {
                     let ranges: Vec<String> = ranges.iter().map(range_text).collect();
                     format!("{} is not within {}", decimal_text(units), ranges.join(" | "))
                 })?;
                 Ok(Value::Decimal(units as i64, *fraction_digits))
             }
             Type::Text { lengths, patterns } => {
-                within(text.chars().count() as i128, lengths)
+                check_within(text.chars().count() as i128, lengths)
                     .map_err(|allowed| format!("{} is not {allowed} characters long", quoted(text)))?;
                 if let Some(pattern) = patterns.iter().find(|pattern| !pattern.is_match(text)) {
                     let pattern = pattern.as_str();
@@ -182,7 +185,8 @@
 
 const QUOTED_MAX_CHARS: usize = 60;
 
-/// Quotes text received from a peer for an error message, truncated so that the message stays on a short line.
+/// Quotes input text, such as that of a peer, for an error message. Control characters are escaped and long text is
+/// truncated, so that the message stays on one short line.
 pub(crate) fn quoted(text: &str) -> String {
     if text.chars().count() <= QUOTED_MAX_CHARS {
         return format!("{text:?}");
@@ -190,8 +194,8 @@
     format!("{:?} (truncated)", text.chars().take(QUOTED_MAX_CHARS).collect::<String>())
 }
 
-/// Checks that a number is in one of the ranges. The error is the text of the ranges.
-fn within(number: i128, ranges: &Ranges<i128>) -> Result<(), String> {
+/// Checks that a number is in one of the ranges. The error lists the ranges.
+fn check_within(number: i128, ranges: &Ranges<i128>) -> Result<(), String> {
     if ranges.iter().any(|(min, max)| (*min..=*max).contains(&number)) {
         return Ok(());
     }
@@ -206,21 +210,22 @@
 /// number still fits in an i128.
 const MAX_PART_DIGITS: usize = 20;
 
-/// Parses the text of a decimal into units of its last fraction digit.
+/// Parses the text of a decimal into units of its last fraction digit. Returns `None` if the text is not a decimal
+/// number, needs more fraction digits, or is out of the range of `i64`.
 pub(crate) fn parse_decimal(text: &str, fraction_digits: u8) -> Option<i128> {
     let (sign, unsigned) = match text.strip_prefix('-') {
         Some(unsigned) => (-1, unsigned),
         None => (1, text.strip_prefix('+').unwrap_or(text)),
     };
     let (integer, fraction) = unsigned.split_once('.').unwrap_or((unsigned, ""));
-    let is_digits =
+    let is_digit_run =
         |text: &str| text.len() <= MAX_PART_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
     let fraction =
         if fraction.len() > fraction_digits.into() { fraction.trim_end_matches('0') } else { fraction };
     if integer.is_empty()
         || unsigned.ends_with('.')
-        || !is_digits(integer)
-        || !is_digits(fraction)
+        || !is_digit_run(integer)
+        || !is_digit_run(fraction)
         || fraction.len() > fraction_digits.into()
     {
         return None;
@@ -256,7 +261,7 @@
 
     #[test]
     fn the_error_for_an_invalid_value_names_what_is_allowed() {
-        let error = |of: &Type, text: &str| of.parse(text).unwrap_err();
+        let error = |ty: &Type, text: &str| ty.parse(text).unwrap_err();
         let short_word =
             Type::Text { lengths: vec![(1, 3)], patterns: vec![Regex::new("^(?:[a-z]+)$").unwrap()] };
         assert_eq!(error(&short_word, "long"), "\"long\" is not 1..3 characters long");
--- a/crates/model/src/xml.rs
+++ b/crates/model/src/xml.rs
@@ -123,7 +123,7 @@
     })?;
     let mut reader = NsReader::from_str(text);
     reader.config_mut().check_comments = true;
-    // The reader's position only increases, so each line end is counted once.
+    // The reader's position only increases, so each line end is counted once, up to the byte `counted_to`.
     let (mut counted_to, mut line) = (0, 1);
     let mut open_elements: Vec<Element> = Vec::new();
     let mut namespaces: HashMap<String, Arc<str>> = HashMap::new();
@@ -223,7 +223,7 @@
     }
 }
 
-/// Rejects characters that XML 1.0 section 2.2 does not allow, since they could not be written again.
+/// Rejects characters that XML 1.0 section 2.2 does not allow, since they could not be written back.
 fn check_characters(text: &str) -> Result<&str, String> {
     match text
         .chars()
@@ -246,7 +246,8 @@
     })
 }
 
-/// Converts a start tag to an element without content.
+/// Converts a start tag to an element without content. `namespaces` interns the names of namespaces, so that elements
+/// share them.
 fn parse_tag(
     reader: &NsReader<&[u8]>,
     tag: &BytesStart<'_>,
@@ -286,12 +287,12 @@
     Ok(element)
 }
 
-/// Writes an element. Where the namespace changes, it is declared as the default namespace. With `indent` each tag
-/// is on an indented line of its own, but for elements that contain text, which take one line.
+/// Writes an element. Where the namespace changes, it is declared as the default namespace. With `indent`, each tag is
+/// on an indented line of its own, except that an element with text takes a single line.
 pub fn write(element: &Element, indent: bool) -> String {
     let mut text = String::new();
     write_element(&mut text, element, "", indent.then_some(0));
-    // The text may be queued for long if the peer reads slowly, and growth may have doubled its capacity.
+    // The text may stay queued for a long time if the peer reads slowly, and growth may have doubled its capacity.
     text.shrink_to_fit();
     text
 }
@@ -385,7 +386,7 @@
 }
 
 /// Checks elements against the schema and converts them to edit nodes. Only configuration is accepted, and `operation`
-/// attributes only if they are allowed.
+/// attributes only if `operations_allowed` is true.
 pub fn to_edit_nodes(
     schema: &Schema,
     elements: &[Element],
@@ -545,7 +546,8 @@
     Ok(edit_node)
 }
 
-/// Parses the text of a configuration file, whose root element is `config`. Checks that it is complete.
+/// Parses the text of an operator's file, whose root element is `config`. Only configuration is accepted, and no
+/// mandatory leaf may be missing below a node that exists. Empty containers that carry no information are removed.
 pub fn parse_config(schema: &Schema, text: &[u8]) -> Result<Data, ModelError> {
     let root = parse(text).map_err(|error| error.to_model_error())?;
     if !root.is(NETCONF_NAMESPACE, "config") {
@@ -565,7 +567,7 @@
     Ok(data)
 }
 
-/// Writes the text of a configuration file.
+/// Writes the text of an operator's file.
 pub fn write_config(schema: &Schema, data: &Data) -> String {
     let root = Element::new(NETCONF_NAMESPACE, "config").with_children(to_elements(schema, data));
     format!("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n{}", write(&root, true))
--- a/crates/model/src/xsd.rs
+++ b/crates/model/src/xsd.rs
@@ -50,7 +50,7 @@
     documents
 }
 
-/// Writes the element declaration of a node with all below it.
+/// Writes the element declaration of a node and its descendants.
 fn write_element(schema: &Schema, id: NodeId, depth: usize, is_root: bool, text: &mut String) {
     let node = schema.node(id);
     let indent = "  ".repeat(depth);
@@ -83,7 +83,7 @@
             _ = writeln!(text, "{indent}<xs:element name=\"{}\"{occurs}>", node.name);
             text.push_str(&documentation);
             // Nodes other than keys may be in any order. Where some may occur more than once, XSD 1.0 can express this
-            // only as a repeated choice, which does not limit how often each occurs; the program checks that itself.
+            // only as a repeated choice, which does not limit how often each occurs; the program's parser checks that.
             let occurs_repeatedly = |id: &&NodeId| {
                 matches!(schema.node(**id).kind, NodeKind::List { .. } | NodeKind::LeafList { .. })
             };
@@ -108,7 +108,7 @@
     schema.node(id).parent.is_some_and(|parent| schema.node(parent).keys().contains(&id))
 }
 
-/// The annotation with the description of a node, on one line.
+/// The annotation with the description of a node, which is joined into one line.
 fn annotation(node: &Node, indent: &str) -> String {
     let words: Vec<&str> = node.description.split_whitespace().collect();
     let description = escape(words.join(" "));
@@ -135,6 +135,8 @@
 fn write_simple_type(ty: &Type, depth: usize, text: &mut String) {
     let indent = "  ".repeat(depth);
     let mut facets = Vec::new();
+    // XSD facets cannot express several ranges, so only the outermost bounds are written. The program's parser checks
+    // the ranges themselves.
     let bounds = |ranges: &Ranges<i128>, bound_text: &dyn Fn(i128) -> String| {
         let (min, max) = (ranges[0].0, ranges[ranges.len() - 1].1);
         [("minInclusive", bound_text(min)), ("maxInclusive", bound_text(max))]
--- a/crates/model/src/yang.rs
+++ b/crates/model/src/yang.rs
@@ -1,5 +1,5 @@
-//! The syntax of YANG (RFC 7950 section 6): statements with a keyword, an argument and substatements. Their meaning is
-//! left to the schema.
+//! The syntax of YANG (RFC 7950 section 6): statements with a keyword, an argument and substatements. The module
+//! `schema` interprets them.
 
 /// A YANG statement.
 #[derive(Debug, PartialEq)]
@@ -42,8 +42,9 @@
 
 struct Parser<'a> {
     text: &'a str,
-    /// The byte offset of the next token.
+    /// The byte offset up to which the text is consumed.
     offset: usize,
+    /// The line at `offset`, starting at 1.
     line: u32,
 }
 
