--- a/examples/common.rs
+++ b/examples/common.rs
@@ -46,6 +46,7 @@
             });
         }
     }
+    // A line `lose ZONE ...` sets the lost zones, and any other line clears them.
     for line in std::io::stdin().lock().lines() {
         let line = line?;
         *lost_zones.lock().expect("no collector panics") = match line.trim().strip_prefix("lose ") {
@@ -85,8 +86,8 @@
     )
 }
 
-/// Answers a request to run an operation with success at once and prints its headers. A real worker keeps the highest
-/// fencing token of each schedule and rejects requests with a lower one.
+/// Prints the `juniperrail-` headers of a request to run an operation, and answers it with success. A real worker
+/// keeps the highest fencing token of each schedule and rejects requests with a lower one.
 fn answer_run(request: TcpStream) -> std::io::Result<()> {
     let mut headers = Vec::new();
     for line in std::io::BufReader::new(request.try_clone()?).lines() {
@@ -96,7 +97,7 @@
         }
         headers.extend(line.strip_prefix("juniperrail-").map(str::to_string));
     }
-    println!("runs: {}", headers.join(", "));
+    println!("run requested: {}", headers.join(", "));
     write!(&request, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 }
 
--- a/examples/relays.rs
+++ b/examples/relays.rs
@@ -1,4 +1,4 @@
-//! A source of the worker list for two relays and two managers whose scope is one zone each, and one proxy at each
+//! A source of the worker list for two relays and two managers, each with one zone as its scope, and one proxy for each
 //! manager that prints the orders that it receives. `examples/relays/README.md` describes how to try it. All
 //! connections are on the loopback interface.
 
@@ -18,6 +18,7 @@
 const WORKER_ADDRESS: &str = "127.0.0.1:9";
 const FOLDER: &str = "juniperrail-relays";
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// How often each proxy reports its demand.
 const REPORT_PERIOD: Duration = Duration::from_secs(2);
 
 struct Worker {
@@ -84,8 +85,7 @@
     )
 }
 
-/// Runs the commands typed on the standard input until it ends. Each change is published as the next version of the
-/// list.
+/// Runs the commands on the standard input until its end. Publishes each change as the next version of the list.
 fn run_commands(source: &Discovery, workers: &mut [Worker]) -> Result<()> {
     let mut version = 1;
     for line in std::io::stdin().lock().lines() {
@@ -102,7 +102,8 @@
     Ok(())
 }
 
-/// Applies a command to its worker. Returns the worker, or nothing if the command or the worker is unknown.
+/// Applies a command to the worker that it names. Returns the worker, or `None` if the command or the worker is
+/// unknown.
 fn apply_command<'a>(words: &[&str], workers: &'a mut [Worker]) -> Option<&'a Worker> {
     let worker = workers.iter_mut().find(|worker| words.get(1) == Some(&worker.id))?;
     match words {
@@ -126,7 +127,7 @@
 
 /// A proxy: joins the manager, prints each order, acknowledges its mark, and reports its demand.
 fn run_proxy(zone: &str, mut manager: TcpStream) -> Result<()> {
-    println!("proxy of {zone}: joins");
+    println!("proxy of {zone}: joining");
     write!(manager, "hello node=0 locality={zone} w=60 cold=1\r\n")?;
     let reports = manager.try_clone()?;
     thread::spawn(move || report_demand(reports));
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -13,7 +13,9 @@
 /// The ids and the addresses of the workers.
 const WORKERS: [(&str, &str); 3] =
     [("s-one", "127.0.0.1:7001"), ("s-two", "127.0.0.1:7002"), ("s-three", "127.0.0.1:7003")];
+/// How often the collector reports outcomes and the proxy reports demand.
 const REPORT_PERIOD: Duration = Duration::from_secs(2);
+/// How often s-two starts to drain or becomes ready again.
 const LIFECYCLE_PERIOD: Duration = Duration::from_secs(12);
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
@@ -28,7 +30,7 @@
     keep_connected("proxy", run_proxy)
 }
 
-/// Publishes the complete list, then alternately that s-two drains and that it is ready.
+/// Publishes the complete list, then alternately that s-two is draining and that it is ready.
 fn publish_lists(discovery: &Discovery) {
     discovery.publish(&list_json(
         2,
@@ -56,7 +58,7 @@
     }
 }
 
-/// The collector of zone a: reports the outcomes of the proxies' tries, in which s-three is slow.
+/// The collector of zone a: reports the outcomes of the proxies' tries. s-three answers more slowly than the others.
 fn run_collector(mut manager: TcpStream) -> std::io::Result<()> {
     write!(manager, "agent locality=a\r\n")?;
     loop {
@@ -71,7 +73,7 @@
 
 /// A proxy: joins the manager, prints each order, acknowledges its mark, and reports its demand.
 fn run_proxy(mut manager: TcpStream) -> std::io::Result<()> {
-    println!("proxy: joins {MANAGER}");
+    println!("proxy: joining {MANAGER}");
     write!(manager, "hello node=0 locality=a w=60 cold=1\r\n")?;
     let mut reports = manager.try_clone()?;
     thread::spawn(move || -> std::io::Result<()> {
