--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -63,7 +63,7 @@
     /// Workers whose entry changed, that are new, or that are gone.
     pub changed: usize,
     /// Entries that were rejected with an [`EntryError`](crate::EntryError).
-    pub unreadable: usize,
+    pub rejected: usize,
 }
 
 /// The list of workers at the latest version of the source.
@@ -94,7 +94,7 @@
     tombstone_count: usize,
     staged: Vec<Staged>,
     /// Rejected entries of the line that is being staged.
-    unreadable_count: usize,
+    rejected_count: usize,
 }
 
 impl WorkerList {
--- a/crates/distribution/src/worker_list/apply.rs
+++ b/crates/distribution/src/worker_list/apply.rs
@@ -68,7 +68,7 @@
                 Ok(())
             }
             Err(error) => {
-                self.unreadable_count += 1;
+                self.rejected_count += 1;
                 Err(error)
             }
         }
@@ -100,7 +100,7 @@
     /// Discards the staged entries of a line that is broken.
     pub fn discard_staged(&mut self) {
         self.staged = Vec::new();
-        self.unreadable_count = 0;
+        self.rejected_count = 0;
     }
 
     /// Applies the staged entries as one line of the source: the full list (`reset`) or changes. After an error they
@@ -162,7 +162,7 @@
     /// Applies the staged entries and logs their changes under this version.
     fn apply_staged(&mut self, version: u64, reset: bool) -> Applied {
         let staged = std::mem::take(&mut self.staged);
-        let unreadable = std::mem::take(&mut self.unreadable_count);
+        let rejected = std::mem::take(&mut self.rejected_count);
         self.records.reserve_exact(staged.len().saturating_sub(self.records.len()));
         let mut listed = SlotSet::new(self.records.len());
         let mut changed = 0;
@@ -177,12 +177,12 @@
             listed.insert(slot);
         }
         // A rejected entry may be that of a worker in the list, which would then wrongly count as gone.
-        if reset && unreadable == 0 {
+        if reset && rejected == 0 {
             changed += self.mark_unlisted_gone(&listed, version);
         }
         self.evict_tombstones();
         self.compact();
-        Applied { changed, unreadable }
+        Applied { changed, rejected }
     }
 
     /// Stores a changed entry. Returns the slot of its worker.
--- a/crates/distribution/tests/worker_list.rs
+++ b/crates/distribution/tests/worker_list.rs
@@ -56,7 +56,7 @@
 fn a_full_list_leaves_unchanged_workers_at_their_version_and_makes_missing_ones_gone() {
     let mut list = list_of(&["s-1", "s-2", "s-3"]);
     let full_list = [entry("s-1", "a", "ready"), entry("s-3", "a", "draining")];
-    assert_eq!(apply(&mut list, 2, true, &full_list), Applied { changed: 2, unreadable: 0 });
+    assert_eq!(apply(&mut list, 2, true, &full_list), Applied { changed: 2, rejected: 0 });
     let changes = [entry("s-3", "a", "draining"), entry("s-2", "a", "gone")];
     assert_eq!(lines_from(&list, "a", Some(1)), line(2, false, &changes));
     assert_eq!((list.worker_count(), list.tombstone_count()), (2, 1));
@@ -94,7 +94,7 @@
     let too_long = entry(&"s".repeat(70_000), "a", "ready");
     assert_eq!(list.stage(too_long.as_bytes()), Err(EntryError::TooLong));
     // The rejected entries may be those of workers in the list, so no missing worker is gone.
-    assert_eq!(apply(&mut list, 2, true, &[]), Applied { changed: 0, unreadable: 5 });
+    assert_eq!(apply(&mut list, 2, true, &[]), Applied { changed: 0, rejected: 5 });
     let invalid_zone = r#"{"instanceId":"s-1","zone":7,"lifecycle":"draining"}"#.to_string();
     apply(&mut list, 3, false, std::slice::from_ref(&invalid_zone));
     assert_eq!(lines_from(&list, "a", Some(2)), line(3, false, &[invalid_zone]));
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -55,7 +55,7 @@
     /// connecting to the source.
     pub heartbeat_interval: Duration,
     /// A source that has not ended a line for this long is considered lost.
-    pub source_silence_timeout: Duration,
+    pub source_timeout: Duration,
     /// A source whose lists have been older than the current one for this long is considered to have restarted its
     /// versions.
     pub source_behind_timeout: Duration,
@@ -71,7 +71,7 @@
     fn default() -> Self {
         Timing {
             heartbeat_interval: Duration::from_secs(2),
-            source_silence_timeout: Duration::from_secs(4),
+            source_timeout: Duration::from_secs(4),
             source_behind_timeout: Duration::from_secs(6),
             request_head_timeout: Duration::from_secs(5),
             stalled_write_timeout: Duration::from_secs(60),
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -64,13 +64,13 @@
     pub async fn expire_sync(&self) {
         let mut status = self.status.subscribe();
         loop {
-            let silent_at = self.confirmed_at.get() + self.options.timing.source_silence_timeout;
+            let silent_at = self.confirmed_at.get() + self.options.timing.source_timeout;
             if Instant::now() < silent_at {
                 tokio::time::sleep_until(silent_at).await;
                 continue;
             }
             if self.status.send_if_modified(|status| std::mem::take(&mut status.in_sync)) {
-                let silence = self.options.timing.source_silence_timeout.as_millis();
+                let silence = self.options.timing.source_timeout.as_millis();
                 tracing::warn!("the source has been silent for {silence} ms: all watches end");
             }
             // Cannot fail, because `self` owns the sender.
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -127,7 +127,7 @@
         let connected = timeout(timing.heartbeat_interval, TcpStream::connect(address)).await;
         let socket = connected.map_err(|_| WatchEnd::ConnectTimeout)?.map_err(WatchEnd::ConnectFailed)?;
         let answered =
-            timeout(timing.source_silence_timeout, request_watch(socket, address.to_string(), index)).await;
+            timeout(timing.source_timeout, request_watch(socket, address.to_string(), index)).await;
         let response = answered.map_err(|_| WatchEnd::Silent)?.map_err(WatchEnd::Http)?;
         if response.status() != StatusCode::OK {
             return Err(WatchEnd::Status(response.status()));
@@ -140,7 +140,7 @@
     /// Reads a watch until the source ends it.
     async fn read(&mut self, mut body: Incoming) -> Result<(), WatchEnd> {
         let mut reader = ListReader::new(self.shared.options.limits.line);
-        let mut deadline = Instant::now() + self.timing().source_silence_timeout;
+        let mut deadline = Instant::now() + self.timing().source_timeout;
         loop {
             // Ends a watch that stays silent, or that sends bytes without ever ending an entry.
             let frame = timeout_at(deadline, body.frame()).await.map_err(|_| WatchEnd::Silent)?;
@@ -150,7 +150,7 @@
             let data = frame.map_err(WatchEnd::Http)?.into_data().unwrap_or_default();
             let mut bytes = &data[..];
             while let Some(event) = reader.next(&mut bytes).map_err(WatchEnd::InvalidLine)? {
-                deadline = Instant::now() + self.timing().source_silence_timeout;
+                deadline = Instant::now() + self.timing().source_timeout;
                 self.process(event)?;
             }
             // A long list arrives in many frames; subscribers are served between them.
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -30,7 +30,7 @@
     /// for the duration of a test.
     pub fn start(source: SocketAddr, configure: impl FnOnce(&mut Options)) -> RunningRelay {
         let mut options = Options::new("127.0.0.1:0".parse().unwrap(), source);
-        options.timing.source_silence_timeout = WAIT_TIMEOUT;
+        options.timing.source_timeout = WAIT_TIMEOUT;
         configure(&mut options);
         let (stop, stopped) = oneshot::channel();
         let (address_sender, address) = std::sync::mpsc::channel();
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -73,7 +73,7 @@
 fn a_relay_that_has_lost_its_source_sends_nothing_and_then_no_list_without_the_missed_drain() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.source_silence_timeout = Duration::from_secs(2);
+        options.timing.source_timeout = Duration::from_secs(2);
     });
     assert_eq!(relay.request("?stream=1").status, 503, "before the first list");
     let (_, watch) = source.accept();
@@ -112,7 +112,7 @@
 fn heartbeats_of_a_source_that_is_behind_do_not_keep_the_relay_in_sync() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.source_silence_timeout = Duration::from_secs(2);
+        options.timing.source_timeout = Duration::from_secs(2);
         options.timing.source_behind_timeout = WAIT_TIMEOUT;
     });
     let (_, watch) = source.accept();
@@ -133,7 +133,7 @@
 fn a_snapshot_interrupted_by_the_loss_of_the_source_does_not_look_complete() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
-        options.timing.source_silence_timeout = Duration::from_secs(2);
+        options.timing.source_timeout = Duration::from_secs(2);
     });
     let (_, watch) = source.accept();
     let workers: Vec<String> = (0..20_000).map(|id| worker(&format!("s-{id}"), "a", "ready")).collect();
