--- a/crates/distribution/src/change_log.rs
+++ b/crates/distribution/src/change_log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-/// The log is compacted once it exceeds twice its length after the last compaction by this many changes.
+/// The log is compacted once it exceeds twice its length after the last compaction by more than this many changes.
 const COMPACTION_SLACK: usize = 1024;
 
 /// The position of a change: its version, and its number within that version.
@@ -34,8 +34,8 @@
     }
 }
 
-/// Changes in ascending order. A change is current only while it is the latest of its worker. Changes that no longer
-/// are current are removed by compaction, so the number of workers bounds the log.
+/// Changes in ascending order. Only the latest change of each worker is needed. Compaction removes the others, so the
+/// number of workers bounds the length of the log.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
     changes: VecDeque<LoggedChange>,
@@ -58,12 +58,12 @@
         self.changes.range(start..).copied()
     }
 
-    /// Removes the changes that are not current, unless the log has grown little since the last compaction.
-    pub fn compact(&mut self, is_current: impl Fn(&LoggedChange) -> bool) {
+    /// Removes the changes that are not needed, unless the log has grown little since the last compaction.
+    pub fn compact(&mut self, is_needed: impl Fn(&LoggedChange) -> bool) {
         if self.changes.len() <= 2 * self.len_after_compaction + COMPACTION_SLACK {
             return;
         }
-        self.changes.retain(is_current);
+        self.changes.retain(is_needed);
         self.changes.shrink_to(self.changes.len() + COMPACTION_SLACK);
         self.len_after_compaction = self.changes.len();
     }
--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -29,7 +29,7 @@
 }
 
 impl Default for CursorLimits {
-    /// 64 KiB, and 65,536 workers.
+    /// 64 KiB, and 65,536 workers or changes.
     fn default() -> Self {
         CursorLimits { chunk_bytes: 64 << 10, scanned_records: 65_536 }
     }
@@ -40,8 +40,8 @@
 pub enum Step {
     /// The output is to be sent now. It may end within a line, which the next call continues.
     Send,
-    /// More records are to be examined. The call is to be repeated with the same output, after other subscribers had
-    /// their turn.
+    /// More records are to be examined. The call is to be repeated with the same output, after other subscribers were
+    /// served.
     Scanning,
     /// The subscriber has received everything. The call is to be repeated once the list has changed.
     UpToDate,
@@ -56,7 +56,7 @@
     Ahead,
     /// A snapshot that has not begun yet.
     SnapshotDue,
-    /// A snapshot, which is written up to this slot.
+    /// A snapshot, which is written up to this slot. `is_first` until an entry is written.
     Snapshot { next_slot: u32, is_first: bool },
     /// Differences.
     Following,
@@ -81,7 +81,7 @@
     others_sent_through: ChangePosition,
 }
 
-/// The content of a line of differences.
+/// The content of a line of differences: the slots of the changed workers, and the bytes of their entries.
 #[derive(Default)]
 struct Batch {
     slots: Vec<u32>,
@@ -89,7 +89,7 @@
 }
 
 impl Cursor {
-    /// A watch of a scope, from the subscriber's current version if it has one.
+    /// A cursor for a new watch of this scope. `index` is the subscriber's current version, if it has one.
     pub fn new(scope: Scope, index: Option<u64>, list: &WorkerList, limits: CursorLimits) -> Cursor {
         let version = list.version().unwrap_or_default();
         let progress = match index {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Whether a snapshot has not begun or not ended yet.
+    /// Whether a snapshot is due or incomplete.
     pub fn is_in_snapshot(&self) -> bool {
         matches!(self.progress, Progress::SnapshotDue | Progress::Snapshot { .. })
     }
@@ -181,8 +181,8 @@
         Step::Send
     }
 
-    /// From here on the subscriber's version is the snapshot's. Changes made while the snapshot is written are sent
-    /// again after it.
+    /// Begins a snapshot, whose version becomes the subscriber's. Changes made while the snapshot is written are sent
+    /// after it, even if it already includes them.
     fn begin_snapshot(&mut self, list: &WorkerList, out: &mut Vec<u8>) {
         self.sent_through = list.head();
         (self.departures_sent_through, self.others_sent_through) = (self.sent_through, self.sent_through);
@@ -278,7 +278,7 @@
     ///
     /// A worker that moves out of a scope is not gone and must not be reported as gone. The entry shows the subscriber
     /// where the worker is now. The subscriber also receives the later changes: that the worker leaves its new
-    /// location, or that it comes back.
+    /// location, or that it returns.
     fn is_relevant(&self, record: &Record) -> bool {
         let was_in_scope = |former: &FormerLocation| self.filter.contains(former.location);
         self.filter.contains(record.location) || record.former_locations().iter().any(was_in_scope)
@@ -302,7 +302,7 @@
     }
 }
 
-/// What follows the entries of a line.
+/// The end of a line, after its entries.
 const LINE_END: &[u8] = b"]}\n";
 
 fn write_line_start(out: &mut Vec<u8>, version: u64, reset: bool) {
--- a/crates/distribution/src/entry.rs
+++ b/crates/distribution/src/entry.rs
@@ -21,7 +21,7 @@
 /// Why an entry is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryError {
-    /// It is not an object with the id of a worker.
+    /// It is not an object with a valid worker id, for this reason.
     NoWorkerId(String),
     /// It is longer than 65,535 bytes.
     TooLong,
@@ -59,7 +59,7 @@
 /// The parsed fields of an entry.
 pub(crate) struct ParsedEntry<'a> {
     pub id: IdSpan,
-    /// `None` if it cannot be parsed.
+    /// `None` if it is absent or cannot be parsed. The same holds for the service.
     pub zone: Option<Cow<'a, str>>,
     pub service: Option<Cow<'a, str>>,
     pub lifecycle: Lifecycle,
@@ -97,11 +97,11 @@
 /// because subscribers receive the entry unchanged.
 pub(crate) fn parse_entry(entry: &[u8]) -> Result<ParsedEntry<'_>, EntryError> {
     let fields = parse_fields(entry).map_err(|cause| EntryError::NoWorkerId(cause.to_string()))?;
-    let id = range_of(entry, fields.instance_id);
-    if parse_string(&entry[id.clone()]).is_none_or(|id| id.is_empty()) {
+    let id_range = range_of(entry, fields.instance_id);
+    if parse_string(&entry[id_range.clone()]).is_none_or(|id| id.is_empty()) {
         return Err(EntryError::NoWorkerId("instanceId is not a non-empty string".into()));
     }
-    let (Ok(start), Ok(end)) = (u16::try_from(id.start), u16::try_from(id.end)) else {
+    let (Ok(start), Ok(end)) = (u16::try_from(id_range.start), u16::try_from(id_range.end)) else {
         return Err(EntryError::TooLong);
     };
     let lifecycle = match string_field(entry, fields.lifecycle).as_deref() {
@@ -113,8 +113,8 @@
     Ok(ParsedEntry { id: IdSpan { start, end }, zone, service, lifecycle })
 }
 
-/// The entry with the lifecycle `gone` and otherwise unchanged. If it has no readable lifecycle, only the worker's id
-/// is kept of it.
+/// The entry with the lifecycle `gone` and otherwise unchanged. If it has no lifecycle that can be replaced, the result
+/// has only the worker's id, an empty zone and the lifecycle.
 pub(crate) fn with_lifecycle_gone(entry: &[u8]) -> Vec<u8> {
     const GONE: &[u8] = b"\"gone\"";
     let Ok(fields) = parse_fields(entry) else { return entry.to_vec() };
@@ -140,11 +140,11 @@
     start..(start + value.get().len()).min(entry.len())
 }
 
-/// The text of a JSON string. It is copied only if it has escapes.
+/// The text of a JSON string in its quotes. It is copied only if it has escapes.
 fn parse_string(quoted: &[u8]) -> Option<Cow<'_, str>> {
-    let within = quoted.strip_prefix(b"\"")?.strip_suffix(b"\"")?;
-    if within.contains(&b'\\') {
+    let content = quoted.strip_prefix(b"\"")?.strip_suffix(b"\"")?;
+    if content.contains(&b'\\') {
         return serde_json::from_slice(quoted).ok().map(Cow::Owned);
     }
-    std::str::from_utf8(within).ok().map(Cow::Borrowed)
+    std::str::from_utf8(content).ok().map(Cow::Borrowed)
 }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,5 +1,5 @@
-//! The distribution of the list of workers: which part of it a subscriber needs, which versions the subscriber has
-//! seen, and which relay it watches for the next ones. Nothing here reads a socket, a file or a clock.
+//! The distribution of the worker list: which part of it a subscriber needs, which versions the subscriber has seen,
+//! and from which relay it receives the next ones. Nothing here reads a socket, a file or a clock.
 
 mod change_log;
 mod cursor;
--- a/crates/distribution/src/list_reader.rs
+++ b/crates/distribution/src/list_reader.rs
@@ -55,7 +55,7 @@
     pub entry_count: usize,
 }
 
-/// Why a line is not a list. None of its entries counts, and the rest of its bytes must not be read.
+/// Why a line is not a list. None of its entries counts, and the bytes after the error must not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListError {
     /// The entry with this beginning exceeds [`ListLimits::entry_bytes`].
@@ -94,7 +94,7 @@
     generation: u64,
     #[serde(default)]
     reset: bool,
-    /// Always empty, because the elements are extracted before.
+    /// Empty in a valid line, because the elements of the array are extracted before.
     #[serde(default)]
     instances: Vec<IgnoredAny>,
 }
@@ -124,7 +124,7 @@
 }
 
 impl Nesting {
-    /// Processes the next byte. True if it closes a string, an array or an object.
+    /// Processes the next byte. Returns whether it closes a string, an array or an object.
     fn advance(&mut self, byte: u8) -> bool {
         if self.in_string {
             return self.advance_in_string(byte);
@@ -166,15 +166,15 @@
     nesting: Nesting,
     /// The line so far, without its entries.
     envelope: Vec<u8>,
-    /// Where in the envelope the last string directly in the outermost object began.
+    /// The start, within the envelope, of the last string directly in the outermost object.
     last_string_start: usize,
     /// Whether the last token was the colon after the key [`INSTANCES`] of the outermost object.
     instances_expected: bool,
     /// The current entry so far.
     entry: Vec<u8>,
-    /// The entry was returned and is to be cleared.
+    /// The entry was returned and has to be cleared before the next one.
     entry_returned: bool,
-    /// Entries read of the current line.
+    /// The number of entries read from the current line so far.
     entry_count: usize,
 }
 
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Consumes bytes from the front of `bytes` up to the next event; `None` if all are consumed without one.
+    /// Consumes bytes from the front of `bytes` up to the next event. Returns `None` if all are consumed without one.
     pub fn next(&mut self, bytes: &mut &[u8]) -> Result<Option<ListEvent<'_>>, ListError> {
         if std::mem::take(&mut self.entry_returned) {
             self.entry.clear();
@@ -298,7 +298,7 @@
         self.nesting = Nesting::default();
     }
 
-    /// Consumes the bytes that belong to the entry. True once the entry is complete.
+    /// Consumes the bytes that belong to the entry. Returns whether the entry is complete.
     fn read_entry(&mut self, bytes: &mut &[u8]) -> Result<bool, ListError> {
         let is_scalar = !matches!(self.entry.first().unwrap_or(&bytes[0]), b'{' | b'[' | b'"');
         let mut length = 0;
@@ -315,8 +315,8 @@
                 break;
             }
         }
-        let (own, rest) = bytes.split_at(length);
-        self.entry.extend_from_slice(&own[..own.len().min(self.limits.entry_bytes + 1)]);
+        let (entry_part, rest) = bytes.split_at(length);
+        self.entry.extend_from_slice(&entry_part[..entry_part.len().min(self.limits.entry_bytes + 1)]);
         *bytes = rest;
         if self.entry.len() > self.limits.entry_bytes {
             return Err(ListError::EntryTooLong(excerpt(&self.entry)));
@@ -327,7 +327,7 @@
         Ok(complete)
     }
 
-    /// Validates an entry once it is complete.
+    /// Validates a complete entry.
     fn finish_entry(&mut self) -> Result<(), ListError> {
         self.position = Position::BetweenEntries(Expected::CommaOrEnd);
         // The array of entries and the outermost object are open.
--- a/crates/distribution/src/locations.rs
+++ b/crates/distribution/src/locations.rs
@@ -1,4 +1,4 @@
-//! The locations of workers, with each name of a zone or service stored once, and the locations that a scope contains.
+//! The locations of workers, with each zone or service name stored once, and the filter for those in a scope.
 
 use std::collections::BTreeSet;
 use std::hash::BuildHasher;
@@ -7,10 +7,10 @@
 
 use crate::scope::{Location, Scope};
 
-/// Zones, and likewise services, that one list may have, the unnamed one included.
+/// Maximum number of distinct zone names in one list, and of service names, each including the empty name.
 const MAX_NAMES: usize = u16::MAX as usize;
 
-/// The id of the zone without a name, and of no service.
+/// The id of the empty name, which stands for an unknown zone and for no service.
 const UNNAMED: u16 = 0;
 
 /// The ids of the zone and the service of a location.
@@ -88,7 +88,7 @@
 /// pair of zone and service. In a large fleet there are almost as many pairs as workers.
 #[derive(Debug)]
 struct NameFilter {
-    /// `None` contains every name.
+    /// `None` if the scope does not restrict this dimension.
     wanted: Option<BTreeSet<String>>,
     /// One bit for each evaluated name, by its id.
     contained: Vec<u64>,
--- a/crates/distribution/src/relay_choice.rs
+++ b/crates/distribution/src/relay_choice.rs
@@ -1,4 +1,4 @@
-//! Which relay a subscriber watches, which relay is next when that one fails, and how long to wait before the next.
+//! Which relay a subscriber watches, which one is next when that relay fails, and how long to wait before trying it.
 //!
 //! Every subscriber has an order of preference of its own, by rendezvous hashing of its name with each relay's
 //! address: subscribers spread evenly over the relays, and when a relay fails only its own subscribers move, again
@@ -11,12 +11,12 @@
 
 /// The wait before the second relay of a round, and after every relay that was only behind.
 const MIN_WAIT_IN_ROUND: Duration = Duration::from_millis(50);
-/// Limit on the wait between two relays of a round. While every relay is down, it determines the rate at which a whole
-/// fleet dials.
+/// Maximum wait between two relays of a round, before jitter. While every relay is down, it determines the rate at
+/// which a whole fleet dials.
 const MAX_WAIT_IN_ROUND: Duration = Duration::from_secs(1);
 /// The wait after the first unsuccessful round; it doubles with each further one.
 const MIN_WAIT_BETWEEN_ROUNDS: Duration = Duration::from_secs(1);
-/// Limit on the wait between two rounds.
+/// Maximum wait between two rounds, before jitter.
 const MAX_WAIT_BETWEEN_ROUNDS: Duration = Duration::from_secs(8);
 
 /// Why a watch of a relay failed.
@@ -57,7 +57,7 @@
     current: usize,
     /// Relays that failed in this round.
     failed_count: usize,
-    /// How many of these were behind.
+    /// The number of these that were behind.
     behind_count: usize,
     /// Consecutive exhausted rounds.
     failed_rounds: u32,
@@ -67,7 +67,7 @@
     /// The order of preference of the subscriber with this name; `None` if there are no relays.
     pub fn new(subscriber: &str, relays: impl IntoIterator<Item = SocketAddr>) -> Option<RelayChoice> {
         let mut order: Vec<SocketAddr> = relays.into_iter().collect();
-        // Also by address: with equal scores, the result must not depend on the order in which the relays are given.
+        // Equal scores are ordered by address, so that the result does not depend on the order of the arguments.
         order.sort_by_cached_key(|relay| std::cmp::Reverse((score(subscriber, *relay), *relay)));
         order.dedup();
         (!order.is_empty()).then_some(RelayChoice {
@@ -104,7 +104,7 @@
 
     fn wait_in_round(&self, failure: RelayFailure) -> Duration {
         match failure {
-            // The relay works, and to compare versions with the next one costs little.
+            // The relay works, and comparing versions with the next one costs little.
             RelayFailure::Behind => MIN_WAIT_IN_ROUND,
             RelayFailure::Broken => {
                 backoff(MIN_WAIT_IN_ROUND, self.failed_count as u32 - 1, MAX_WAIT_IN_ROUND)
--- a/crates/distribution/src/scope.rs
+++ b/crates/distribution/src/scope.rs
@@ -5,7 +5,7 @@
 
 use percent_encoding::{percent_decode_str, utf8_percent_encode, AsciiSet, NON_ALPHANUMERIC};
 
-/// Names that one query parameter may have.
+/// Maximum number of names in one query parameter.
 const MAX_NAMES_PER_PARAMETER: usize = 65_536;
 
 /// The characters that are percent-encoded in a query: all but the unreserved ones of RFC 3986.
@@ -18,7 +18,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location<'a> {
     pub zone: &'a str,
-    /// The service that it belongs to. Without one, as from a source that has no services, a worker may serve any.
+    /// The service that the worker belongs to. A worker without one may serve any service, as from a
+    /// source that has no services.
     pub service: Option<&'a str>,
 }
 
@@ -84,7 +85,7 @@
         in_zone && (self.services.is_empty() || location.service.is_none_or(in_services))
     }
 
-    /// The query parameters that request this scope, each with a leading `&`; empty for an unrestricted scope.
+    /// The query parameters that request this scope, each with a leading `&`. Empty for an unrestricted scope.
     pub fn to_query(&self) -> String {
         let mut query = String::new();
         for (parameter, names) in [(ZONES, &self.zones), (SERVICES, &self.services)] {
@@ -98,7 +99,7 @@
         query
     }
 
-    /// Parses the parameters of [`Scope::to_query`] in a full query string; other parameters are ignored.
+    /// Parses the scope in a query string, in the form of [`Scope::to_query`]. Other parameters are ignored.
     pub fn from_query(query: &str) -> Result<Scope, ScopeError> {
         let mut scope = Scope::default();
         for parameter in query.split('&') {
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -24,7 +24,7 @@
 /// Limits on what a [`WorkerList`] stores besides the workers in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerListLimits {
-    /// Workers that are gone.
+    /// Workers that are gone and still remembered.
     pub tombstones: usize,
 }
 
@@ -38,7 +38,7 @@
 /// Why a line of the source was not applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyError {
-    /// It has changes, and there is no list to which they could be applied.
+    /// It contains changes, and there is no list yet to which they could be applied.
     NoFullList,
     /// Its version is lower than the current one.
     Behind { version: u64, current: u64 },
@@ -73,7 +73,7 @@
     version: Option<u64>,
     /// The versions that the list has had, in ascending order, including the current one.
     versions: VecDeque<u64>,
-    /// How often the source has restarted its versions.
+    /// The number of times that the source has restarted its versions.
     epoch: u64,
     /// The position of the latest change.
     head: ChangePosition,
@@ -89,7 +89,7 @@
     departures: ChangeLog,
     /// All other changes.
     others: ChangeLog,
-    /// Removals, the oldest of which is evicted first.
+    /// Removals, whose tombstones are evicted in this order.
     tombstones: ChangeLog,
     tombstone_count: usize,
     staged: Vec<Staged>,
@@ -125,8 +125,8 @@
 
     /// Whether a subscriber with this version can receive differences.
     ///
-    /// It cannot from a version that the list skipped on the way from one version to the next: a worker may have been
-    /// elsewhere for just that time, and a subscriber that has seen it there would never learn that it left.
+    /// It cannot resume from a version that this list skipped: a worker may have been in another location at just that
+    /// version, and a subscriber that saw it there would never learn that it has left.
     pub fn can_resume(&self, version: u64) -> bool {
         ChangePosition::end_of(version) >= self.floor && self.versions.binary_search(&version).is_ok()
     }
--- a/crates/distribution/src/worker_list/apply.rs
+++ b/crates/distribution/src/worker_list/apply.rs
@@ -9,10 +9,11 @@
 use crate::locations::LocationId;
 use crate::scope::Location;
 
-/// Versions of the list that are remembered. A subscriber that resumes from any other version receives a snapshot.
+/// Maximum number of versions that the list remembers. A subscriber that resumes from any other version receives a
+/// snapshot.
 const MAX_VERSIONS: usize = 65_536;
 
-/// Former locations that are remembered of one worker. Discarding one raises the floor.
+/// Maximum number of former locations that are remembered for one worker. Discarding the oldest one raises the floor.
 const MAX_FORMER_LOCATIONS: usize = 16;
 
 /// An entry of a line that has not ended yet.
@@ -23,6 +24,7 @@
     Changed(StagedEntry),
 }
 
+/// An entry that is new or differs from the current one of its worker.
 #[derive(Debug)]
 pub(super) struct StagedEntry {
     entry: Box<[u8]>,
@@ -97,14 +99,14 @@
         Ok(Staged::Changed(StagedEntry { entry: entry.into(), slot, location, id, lifecycle }))
     }
 
-    /// Discards the staged entries of a line that is broken.
+    /// Discards the staged entries of a line that is truncated or invalid.
     pub fn discard_staged(&mut self) {
         self.staged = Vec::new();
         self.rejected_count = 0;
     }
 
-    /// Applies the staged entries as one line of the source: the full list (`reset`) or changes. After an error they
-    /// are discarded.
+    /// Applies the staged entries as one line of the source: the full list (`reset`) or changes. On an error they are
+    /// discarded.
     pub fn apply(&mut self, version: u64, reset: bool) -> Result<Applied, ApplyError> {
         let error = match self.version {
             None if !reset => Some(ApplyError::NoFullList),
@@ -185,12 +187,12 @@
         Applied { changed, rejected }
     }
 
-    /// Stores a changed entry. Returns the slot of its worker.
+    /// Stores a new or changed entry. Returns the slot of its worker.
     fn apply_entry(&mut self, staged: StagedEntry, version: u64) -> u32 {
         let StagedEntry { entry, slot, location, id, lifecycle } = staged;
         let slot = slot.or_else(|| self.find_slot(&id.id_in(&entry)));
         let previous = slot.and_then(|slot| self.records[slot as usize].take());
-        // Without a readable zone the worker stays where it was.
+        // An entry without a readable zone leaves the worker at its previous location.
         let location =
             location.or(previous.as_ref().map(|previous| previous.location)).unwrap_or(LocationId::UNKNOWN);
         let was_tombstone = previous.as_ref().is_some_and(|previous| previous.lifecycle == Lifecycle::Gone);
@@ -285,7 +287,7 @@
     }
 }
 
-/// Drops all but the last of several entries of one worker that has a slot.
+/// Drops all but the last entry of each worker that already has a slot.
 fn latest_per_worker(mut staged: Vec<Staged>, slots: usize) -> Vec<Staged> {
     let mut seen = SlotSet::new(slots);
     let mut is_last = |staged: &Staged| match staged {
--- a/crates/distribution/src/worker_list/history.rs
+++ b/crates/distribution/src/worker_list/history.rs
@@ -1,4 +1,4 @@
-//! Removes the history that the limits do not allow, or that no subscriber needs.
+//! Removes the history that exceeds the limits or that no subscriber needs.
 
 use super::record::Record;
 use super::{hash_of, WorkerList};
@@ -6,7 +6,7 @@
 use crate::entry::Lifecycle;
 
 impl WorkerList {
-    /// Discards all history: a subscriber with a lower version than this one needs a snapshot.
+    /// Discards all history. Afterwards a subscriber with a lower version than this one needs a snapshot.
     pub(super) fn clear_history(&mut self, version: u64) {
         for slot in 0..self.records.len() as u32 {
             let Some(record) = self.records[slot as usize].as_mut() else { continue };
@@ -28,7 +28,7 @@
     pub(super) fn evict_tombstones(&mut self) {
         while self.tombstone_count > self.limits.tombstones {
             let Some(oldest) = self.tombstones.pop_oldest() else { return };
-            if self.is_current(&oldest) {
+            if self.is_latest(&oldest) {
                 self.floor = self.floor.max(oldest.position());
                 self.tombstone_count -= 1;
                 self.remove_slot(oldest.slot);
@@ -56,7 +56,7 @@
     }
 
     /// Whether a change is the latest of its worker.
-    fn is_current(&self, change: &LoggedChange) -> bool {
+    fn is_latest(&self, change: &LoggedChange) -> bool {
         is_latest(&self.records, change)
     }
 }
--- a/crates/distribution/src/worker_list/record.rs
+++ b/crates/distribution/src/worker_list/record.rs
@@ -12,16 +12,16 @@
     pub left_at: ChangePosition,
 }
 
-/// In the order in which they were left. Boxed twice, so that for the many workers without any it takes one pointer.
+/// The former locations of a worker, in the order in which it left them. The vector is boxed so that a worker without
+/// any, as nearly all are, takes only one pointer.
 #[allow(clippy::box_collection)]
 pub(super) type FormerLocations = Option<Box<Vec<FormerLocation>>>;
 
-/// One worker.
+/// A worker in the list, or a tombstone.
 #[derive(Debug)]
 pub(crate) struct Record {
-    /// The entry as received.
+    /// The entry as received. The lifecycle is replaced by `gone` if a full list did not include the worker.
     pub entry: Box<[u8]>,
-    /// `None` for nearly all workers.
     pub(super) former: FormerLocations,
     /// The version of the latest change.
     pub(super) version: u64,
@@ -42,7 +42,7 @@
         self.former.as_deref().map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Whether its latest change may take the worker away from a scope: a drain, its removal or a move.
+    /// Whether its latest change may take the worker away from a scope: a drain, a removal or a move.
     pub(super) fn is_departure(&self) -> bool {
         self.lifecycle != Lifecycle::Active || self.former.is_some()
     }
--- a/crates/distribution/tests/cursor.rs
+++ b/crates/distribution/tests/cursor.rs
@@ -99,16 +99,16 @@
 struct Relay {
     list: WorkerList,
     /// The latest entry received of every worker.
-    mirror: View,
-    /// Workers that have ever moved. Their changes are sent with the departures, since each of them may be one from
-    /// some scope.
+    received: View,
+    /// Workers that have ever moved. All their changes may be sent with the departures, because each may be a departure
+    /// from some scope.
     moved: BTreeSet<String>,
 }
 
 impl Relay {
     fn new(source: &Source) -> Relay {
         let mut relay =
-            Relay { list: WorkerList::new(LIST_LIMITS), mirror: View::new(), moved: BTreeSet::new() };
+            Relay { list: WorkerList::new(LIST_LIMITS), received: View::new(), moved: BTreeSet::new() };
         relay.receive_full_list(source);
         relay
     }
@@ -119,9 +119,9 @@
         }
     }
 
-    fn mirror(&mut self, workers: &[Worker]) {
+    fn record_received(&mut self, workers: &[Worker]) {
         for worker in workers {
-            let previous = self.mirror.insert(worker.instance_id.clone(), worker.clone());
+            let previous = self.received.insert(worker.instance_id.clone(), worker.clone());
             let location = |worker: &Worker| (worker.zone.clone(), worker.service.clone());
             if previous.is_some_and(|previous| location(&previous) != location(worker)) {
                 self.moved.insert(worker.instance_id.clone());
@@ -138,10 +138,10 @@
             self.list.restart(source.version);
         }
         let listed: BTreeSet<&String> = all.iter().map(|worker| &worker.instance_id).collect();
-        for (_, missing) in self.mirror.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+        for (_, missing) in self.received.iter_mut().filter(|(id, _)| !listed.contains(id)) {
             missing.lifecycle = "gone".into();
         }
-        self.mirror(&all);
+        self.record_received(&all);
     }
 
     fn receive_changes(&mut self, source: &Source) {
@@ -152,10 +152,10 @@
         let changes = source.since(current);
         self.stage(&changes);
         self.list.apply(source.version, false).unwrap();
-        self.mirror(&changes);
+        self.record_received(&changes);
     }
 
-    /// The first part of the changes, under the current version as from a relay that has more to send.
+    /// Receives a first part of the changes, under the current version as from a relay that has more to send.
     fn receive_part(&mut self, source: &Source) {
         let current = self.list.version().unwrap();
         if source.version <= current {
@@ -165,10 +165,10 @@
         changes.truncate(changes.len() / 2);
         self.stage(&changes);
         self.list.apply(current, false).unwrap();
-        self.mirror(&changes);
+        self.record_received(&changes);
     }
 
-    /// A line that breaks off before its end.
+    /// Receives a line that is truncated before its end.
     fn receive_truncated(&mut self, source: &Source) {
         self.stage(&source.since(0));
         self.list.discard_staged();
@@ -219,8 +219,8 @@
         (self.is_behind, self.was_behind) = (false, false);
     }
 
-    /// Resumes from the current version, except in the one case that the cursor does not cover: then the full list is
-    /// requested.
+    /// Resumes from the current version, except in the one case that the cursor does not cover, in which the full list
+    /// is requested.
     fn change_relay(&mut self, relay: usize, relays: &[Relay]) {
         if relay != self.relay && !self.is_complete {
             self.current_version = None;
@@ -233,7 +233,7 @@
         let step = self.cursor.next(&relays[self.relay].list, &mut self.unsent);
         assert!(
             self.unsent.len() - bytes_before <= LIMITS.chunk_bytes + 64,
-            "a call exceeded the size of a chunk"
+            "a call exceeded the maximum size of a chunk"
         );
         if step == Step::Send {
             let bytes = std::mem::take(&mut self.unsent);
@@ -290,14 +290,14 @@
             }
         }
         if has_others && !end.reset && !self.was_behind {
-            self.check_departures(&relay.mirror);
+            self.check_departures(&relay.received);
         }
     }
 
     /// Checks that no departure is pending, which holds once a line with another change was received.
-    fn check_departures(&self, mirror: &View) {
-        for id in mirror.keys().chain(self.view.keys()).collect::<BTreeSet<_>>() {
-            let worker = mirror.get(id).filter(|worker| !worker.is_gone() && worker.is_in(&self.scope));
+    fn check_departures(&self, received: &View) {
+        for id in received.keys().chain(self.view.keys()).collect::<BTreeSet<_>>() {
+            let worker = received.get(id).filter(|worker| !worker.is_gone() && worker.is_in(&self.scope));
             let Some(seen) = self.view.get(id) else { continue };
             match worker {
                 None => panic!("{id} left the scope and is still in the view"),
@@ -335,7 +335,7 @@
     ReceivePart(usize),
     /// A relay receives the full list.
     ReceiveFullList(usize),
-    /// A relay receives a line that breaks off.
+    /// A relay receives a line that is truncated.
     ReceiveTruncated(usize),
     /// The source restarts its versions.
     Restart,
--- a/crates/distribution/tests/list_reader.rs
+++ b/crates/distribution/tests/list_reader.rs
@@ -1,4 +1,4 @@
-//! The incremental parser of lists gives the same as serde_json gives for the full line, however the bytes are split,
+//! The incremental parser of lists gives the same result as serde_json for the full line, however the bytes are split,
 //! and an error for every invalid line.
 
 use juniperrail_distribution::{ListEnd, ListError, ListEvent, ListLimits, ListReader};
@@ -160,16 +160,16 @@
     let (mut rest, mut lengths) = (bytes, lengths.iter().cycle());
     while !rest.is_empty() {
         let length = lengths.next().map_or(rest.len(), |length| *length.min(&rest.len()));
-        let (piece, after) = rest.split_at(length);
+        let (piece, remaining) = rest.split_at(length);
         pieces.push(piece);
-        rest = after;
+        rest = remaining;
     }
     pieces
 }
 
 proptest! {
     #[test]
-    fn split_input_gives_the_same_as_serde_json_for_the_full_line(
+    fn split_input_gives_the_same_result_as_serde_json_for_the_full_line(
         lines in prop::collection::vec(prop_oneof![4 => line(), 1 => Just(String::new())], 1..4),
         lengths in prop::collection::vec(1..40_usize, 1..8),
     ) {
@@ -182,7 +182,7 @@
     }
 
     #[test]
-    fn a_line_with_one_byte_replaced_gives_the_same_as_serde_json(
+    fn a_line_with_one_byte_replaced_gives_the_same_result_as_serde_json(
         line in line(),
         at in any::<prop::sample::Index>(),
         byte in prop::sample::select(b"{}[],:\"\\ 0at".to_vec()),
--- a/crates/distribution/tests/relay_choice.rs
+++ b/crates/distribution/tests/relay_choice.rs
@@ -57,11 +57,15 @@
     let mut moved = Vec::new();
     for (mut choice, without) in choices(&relays).into_iter().zip(choices(&remaining)) {
         if choice.current() != failed {
-            assert_eq!(choice.current(), without.current(), "the manager of another relay does not move");
+            assert_eq!(choice.current(), without.current(), "the manager of another relay moved");
             continue;
         }
         choice.record_failure(RelayFailure::Broken, &mut rng);
-        assert_eq!(choice.current(), without.current(), "the next relay is the first of the remaining ones");
+        assert_eq!(
+            choice.current(),
+            without.current(),
+            "the next relay is not the first of the remaining ones"
+        );
         moved.push(choice.current());
     }
     let counts = count_by_relay(moved.iter().copied());
@@ -91,7 +95,7 @@
     choice.record_failure(RelayFailure::Broken, &mut rng);
     let second = choice.current();
     choice.record_success();
-    assert_eq!(choice.current(), second, "the choice does not return to the preferred relay");
+    assert_eq!(choice.current(), second, "the choice returned to the preferred relay");
     for _ in 1..RELAYS {
         let retry = choice.record_failure(RelayFailure::Broken, &mut rng);
         assert!(retry.wait < Duration::from_millis(1501), "within the round: {retry:?}");
@@ -107,7 +111,7 @@
             choice.record_failure(RelayFailure::Broken, &mut fastrand::Rng::with_seed(seed)).wait
         })
         .collect();
-    assert!(first_waits.len() > 60, "managers whose relays fail together retry at different times");
+    assert!(first_waits.len() > 60, "managers whose relays fail together do not retry at different times");
     assert!(first_waits.iter().all(|wait| (25..=75).contains(&wait.as_millis())), "{first_waits:?}");
 
     let mut choice = RelayChoice::new("n0", relays()).unwrap();
@@ -126,7 +130,7 @@
     }
     choice.record_success();
     let again = choice.record_failure(RelayFailure::Broken, &mut rng).wait;
-    assert!(again <= Duration::from_millis(75), "the wait after a success is short again: {again:?}");
+    assert!(again <= Duration::from_millis(75), "the wait after a success is not short again: {again:?}");
 }
 
 #[test]
@@ -153,7 +157,7 @@
     assert_eq!(*last, Round::AllBehind);
     assert!(
         before.iter().all(|round| *round == Round::InProgress),
-        "not before the last of them: {before:?}"
+        "a round ended before its last relay: {before:?}"
     );
     // A success ends the round, so a relay that was behind before it does not count.
     choice.record_failure(RelayFailure::Behind, &mut fastrand::Rng::with_seed(1));
--- a/crates/distribution/tests/worker_list.rs
+++ b/crates/distribution/tests/worker_list.rs
@@ -22,7 +22,7 @@
     list
 }
 
-/// All lines that a new subscriber of this zone receives.
+/// All lines that a new subscriber of this zone receives, from `index` on if it is given.
 fn lines_from(list: &WorkerList, zone: &str, index: Option<u64>) -> String {
     let scope = Scope::new([zone.to_string()], []);
     let mut cursor = Cursor::new(scope, index, list, CursorLimits::default());
@@ -66,8 +66,8 @@
 #[test]
 fn of_several_entries_of_a_worker_in_one_line_the_last_counts() {
     let mut list = list_of(&["s-1"]);
-    let back = [entry("s-1", "a", "draining"), entry("s-1", "a", "ready")];
-    assert_eq!(apply(&mut list, 2, false, &back).changed, 0);
+    let reverted = [entry("s-1", "a", "draining"), entry("s-1", "a", "ready")];
+    assert_eq!(apply(&mut list, 2, false, &reverted).changed, 0);
     let new = [entry("s-2", "a", "gone"), entry("s-2", "a", "ready"), entry("s-2", "a", "draining")];
     apply(&mut list, 3, false, &new);
     let both = [entry("s-1", "a", "ready"), entry("s-2", "a", "draining")];
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_id_with_escapes_is_the_same_id() {
+fn an_id_with_escapes_equals_the_id_without_them() {
     let mut list = list_of(&["s-1"]);
     apply(&mut list, 2, false, &[entry(r"s-\u0031", "a", "draining")]);
     assert_eq!(list.worker_count(), 1);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_line_with_the_current_version_is_a_part_that_is_sent_again_to_a_subscriber_that_resumes_from_it() {
+fn changes_under_the_current_version_are_sent_again_to_a_subscriber_that_resumes_from_it() {
     let mut list = list_of(&["s-1", "s-2"]);
     let scope = Scope::default();
     let mut follower = Cursor::new(scope.clone(), Some(1), &list, CursorLimits::default());
@@ -161,7 +161,7 @@
         apply(&mut list, version, false, &all(lifecycle));
         max_bytes = max_bytes.max(list.heap_bytes());
     }
-    // There are 150,000 changes of 16 bytes each, of which hardly more than the workers themselves may be stored.
+    // There are 150,000 changes of 16 bytes each, of which hardly more than one for each worker may be stored.
     let worker_bytes = 500 * (entry("s-100", "a", "draining").len() + 100);
     assert!(max_bytes < worker_bytes + 400_000, "{max_bytes} bytes");
     let differences = lines_from(&list, "a", Some(297));
