--- a/crates/relay/src/log_limit.rs
+++ b/crates/relay/src/log_limit.rs
@@ -1,4 +1,4 @@
-//! Rate limit on log lines about events that peers cause: at most one line of each kind in an interval.
+//! Rate limit on log lines about events that peers cause: at most one line of each kind in every interval.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 }
 
 impl LogLimit {
-    /// Whether to log this event: `Some` with the number of events since the last logged one, or `None`.
+    /// `None` if this event must not be logged; otherwise the number of events suppressed since the last logged one.
     pub fn admit(&self) -> Option<usize> {
         let now = Instant::now();
         if self.suppressed_until.get().is_some_and(|until| now < until) {
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -26,18 +26,19 @@
 /// The limits of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Subscribers at a time; lower if the process may not open as many sockets.
+    /// Maximum number of simultaneous subscribers. [`Relay::bind`](crate::Relay::bind) lowers it if the process may not
+    /// open as many sockets.
     pub subscribers: usize,
-    /// On the list, besides its workers.
+    /// Limits on what the list stores besides its workers.
     pub list: WorkerListLimits,
-    /// On a line of the source.
+    /// Limits on a line of the source.
     pub line: ListLimits,
-    /// On a single write to a subscriber.
+    /// Limits on one chunk that is written to a subscriber.
     pub cursor: CursorLimits,
 }
 
 impl Default for Limits {
-    /// 1,024 subscribers, and the default limits of the list.
+    /// 1,024 subscribers, and the default of each other limit.
     fn default() -> Self {
         Limits {
             subscribers: 1_024,
@@ -52,9 +53,10 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// A subscriber to which nothing else was sent for this long receives a heartbeat. This is also the time-out for
-    /// connecting to the source.
+    /// connecting to the source, and the maximum wait, before jitter, until it is dialled again.
     pub heartbeat_interval: Duration,
-    /// A source that has not ended a line for this long is considered lost.
+    /// A source that has not confirmed the list for this long is considered lost: the relay ends all watches. This is
+    /// also the time-out for the head of the source's response, and for each further entry or line.
     pub source_timeout: Duration,
     /// A source whose lists have been older than the current one for this long is considered to have restarted its
     /// versions.
@@ -66,8 +68,8 @@
 }
 
 impl Default for Timing {
-    /// By the protocol, heartbeats are 2 s apart, a source is lost after two of them, and every change reaches all
-    /// relays within 6 s.
+    /// By the protocol, heartbeats are 2 s apart, a source is lost after the time of two of them, and every change
+    /// reaches all relays within 6 s.
     fn default() -> Self {
         Timing {
             heartbeat_interval: Duration::from_secs(2),
--- a/crates/relay/src/requests.rs
+++ b/crates/relay/src/requests.rs
@@ -1,4 +1,4 @@
-//! Parses requests and composes the responses.
+//! Parses the requests of subscribers and composes the responses.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Responds to a request. A refusal is a response as well.
+/// Responds to a request. A refused request is answered too.
 pub(crate) async fn respond(
     shared: Rc<Shared>,
     request: Request<Incoming>,
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -25,16 +25,17 @@
 const SPARE_CONNECTIONS: usize = 64;
 /// File descriptors besides the accepted connections: the listener, the source, standard streams, the runtime's own.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Connections that are not accepted yet.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
-/// The kernel's buffer for one subscriber that does not read. Linux doubles it for its own bookkeeping.
+/// The kernel's send buffer of one connection, which fills if the subscriber does not read. Linux doubles the size for
+/// its own bookkeeping.
 const SEND_BUFFER_BYTES: u32 = 128 << 10;
-/// The buffer for the request of one subscriber, and for its response.
+/// Maximum size of the buffer for the request on one connection, and of that for the response.
 const CONNECTION_BUFFER_BYTES: usize = 128 << 10;
 /// The wait after a failed accept, for instance because of too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A relay that listens. It serves on the thread that awaits [`Relay::serve`].
+/// A relay that listens for subscribers. It serves them on the thread that awaits [`Relay::serve`].
 pub struct Relay {
     options: Options,
     listener: TcpListener,
@@ -42,7 +43,7 @@
 }
 
 impl Relay {
-    /// Begins to listen. No connection is accepted and the source is not dialled yet.
+    /// Begins to listen. Connections are accepted, and the source is dialled, only in [`Relay::serve`].
     pub async fn bind(mut options: Options) -> io::Result<Relay> {
         let listener = listen(options.listen)?;
         let address = listener.local_addr()?;
@@ -107,8 +108,8 @@
             Ok((_, peer)) => {
                 if let Some(suppressed) = refusal_log.admit() {
                     tracing::warn!(
-                        "{max_connections} connections are open: the limit is reached, and that of {peer} \
-                         is closed ({suppressed} more since the last such line)"
+                        "{max_connections} connections are open: the limit is reached, and the connection from \
+                         {peer} is closed ({suppressed} more since the last such line)"
                     );
                 }
             }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -24,7 +24,7 @@
     pub options: Options,
     pub list: RefCell<WorkerList>,
     pub status: watch::Sender<Status>,
-    /// When the source last showed that the list is current.
+    /// When the source last confirmed that the list is current.
     confirmed_at: Cell<Instant>,
     subscriber_count: Cell<usize>,
     pub refusal_log: LogLimit,
@@ -46,7 +46,7 @@
         self.status.borrow().in_sync
     }
 
-    /// Records that the source has ended a line and that the list is current.
+    /// Records that the source has confirmed the list, by a list that was applied or by a heartbeat.
     pub fn confirm(&self) {
         self.confirmed_at.set(Instant::now());
         let set_in_sync = |status: &mut Status| !std::mem::replace(&mut status.in_sync, true);
@@ -55,23 +55,24 @@
         }
     }
 
-    /// Notifies subscribers that the list has changed, or only its version.
+    /// Notifies subscribers that the list, or only its version, may have changed.
     pub fn notify_subscribers(&self) {
         self.status.send_modify(|status| status.revision += 1);
     }
 
-    /// Marks the list as out of sync whenever the source has been silent for too long. Never returns.
+    /// Marks the list as out of sync whenever the source has not confirmed it in time: the source sends nothing, or is
+    /// behind. Never returns.
     pub async fn expire_sync(&self) {
         let mut status = self.status.subscribe();
         loop {
-            let silent_at = self.confirmed_at.get() + self.options.timing.source_timeout;
-            if Instant::now() < silent_at {
-                tokio::time::sleep_until(silent_at).await;
+            let expires_at = self.confirmed_at.get() + self.options.timing.source_timeout;
+            if Instant::now() < expires_at {
+                tokio::time::sleep_until(expires_at).await;
                 continue;
             }
             if self.status.send_if_modified(|status| std::mem::take(&mut status.in_sync)) {
-                let silence = self.options.timing.source_timeout.as_millis();
-                tracing::warn!("the source has been silent for {silence} ms: all watches end");
+                let timeout_ms = self.options.timing.source_timeout.as_millis();
+                tracing::warn!("the source has not confirmed the list for {timeout_ms} ms: all watches end");
             }
             // Cannot fail, because `self` owns the sender.
             _ = status.wait_for(|status| status.in_sync).await;
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -30,11 +30,12 @@
     ConnectTimeout,
     Http(hyper::Error),
     Status(StatusCode),
-    Silent,
-    Ended,
+    /// No response head, complete entry or complete line within the time-out.
+    Timeout,
+    EndedBySource,
     InvalidLine(ListError),
     ListRejected(ApplyError),
-    /// Its lists stay older than the current one.
+    /// The lists of the source stay older than the current one.
     Behind,
 }
 
@@ -45,12 +46,15 @@
             WatchEnd::ConnectTimeout => write!(f, "the connection timed out (while dialling)"),
             WatchEnd::Http(cause) => write!(f, "connection error: {cause}"),
             WatchEnd::Status(status) => write!(f, "the source answered {status}"),
-            WatchEnd::Silent => write!(f, "the watch is silent"),
-            WatchEnd::Ended => write!(f, "the watch ended"),
+            WatchEnd::Timeout => write!(f, "the source completed no response head, entry or line in time"),
+            WatchEnd::EndedBySource => write!(f, "the source ended the watch"),
             WatchEnd::InvalidLine(cause) => cause.fmt(f),
             WatchEnd::ListRejected(cause) => cause.fmt(f),
             WatchEnd::Behind => {
-                write!(f, "its lists stay older than the current one; the full list is requested")
+                write!(
+                    f,
+                    "the lists of the source stay older than the current one; the full list is requested"
+                )
             }
         }
     }
@@ -87,6 +91,7 @@
             self.shared.list.borrow_mut().discard_staged();
             failures = if self.current_version() == version_before { failures.saturating_add(1) } else { 0 };
             let wait = self.retry_wait(failures);
+            // Logs ever less often while no watch brings a new version.
             if (failures + 1).is_power_of_two() {
                 tracing::warn!("the watch broke: {end}; dialled again in {} ms", wait.as_millis());
             }
@@ -116,7 +121,7 @@
             Err(end) => end,
             Ok(body) => match self.read(body).await {
                 Err(end) => end,
-                Ok(()) => WatchEnd::Ended,
+                Ok(()) => WatchEnd::EndedBySource,
             },
         }
     }
@@ -128,7 +133,7 @@
         let socket = connected.map_err(|_| WatchEnd::ConnectTimeout)?.map_err(WatchEnd::ConnectFailed)?;
         let answered =
             timeout(timing.source_timeout, request_watch(socket, address.to_string(), index)).await;
-        let response = answered.map_err(|_| WatchEnd::Silent)?.map_err(WatchEnd::Http)?;
+        let response = answered.map_err(|_| WatchEnd::Timeout)?.map_err(WatchEnd::Http)?;
         if response.status() != StatusCode::OK {
             return Err(WatchEnd::Status(response.status()));
         }
@@ -142,8 +147,8 @@
         let mut reader = ListReader::new(self.shared.options.limits.line);
         let mut deadline = Instant::now() + self.timing().source_timeout;
         loop {
-            // Ends a watch that stays silent, or that sends bytes without ever ending an entry.
-            let frame = timeout_at(deadline, body.frame()).await.map_err(|_| WatchEnd::Silent)?;
+            // Ends a watch that sends nothing, or that sends bytes without ever completing an entry or a line.
+            let frame = timeout_at(deadline, body.frame()).await.map_err(|_| WatchEnd::Timeout)?;
             let Some(frame) = frame else {
                 return reader.finish().map_err(WatchEnd::InvalidLine);
             };
@@ -177,7 +182,7 @@
             ListEvent::Heartbeat => {}
             ListEvent::End(end) => self.apply(end)?,
         }
-        // If the source restarted its versions, its lists would otherwise be skipped forever.
+        // Without this, the lists of a source that restarted its versions would be skipped forever.
         let behind_timeout = self.timing().source_behind_timeout;
         if self.behind_since.take_if(|since| since.elapsed() >= behind_timeout).is_some() {
             self.accepts_any_version = true;
@@ -188,9 +193,7 @@
 
     fn log_rejected_entry(&self, error: &EntryError) {
         if let Some(suppressed) = self.rejected_entry_log.admit() {
-            tracing::warn!(
-                "an entry cannot be read and is skipped ({suppressed} more since the last such line): {error}"
-            );
+            tracing::warn!("an entry is rejected ({suppressed} more since the last such line): {error}");
         }
     }
 
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -13,7 +13,7 @@
 
 use crate::shared::{Admission, Shared, Status};
 
-/// The error of a body that ends within a line.
+/// The error that ends an incomplete body.
 #[derive(Debug)]
 pub(crate) struct Interrupted;
 
@@ -30,11 +30,11 @@
 pub(crate) enum ListRequest {
     /// The current part of the list, once.
     Once,
-    /// The changes, from the subscriber's current version if it has one.
+    /// The list followed by its changes, or only the changes since the subscriber's current version if it has one.
     Watch { index: Option<u64> },
 }
 
-/// One subscriber that is being served.
+/// The response to one subscriber while it is being sent.
 struct Subscription {
     admission: Admission,
     status: watch::Receiver<Status>,
@@ -105,7 +105,7 @@
         timeout_at(self.heartbeat_at, self.status.changed()).await.is_ok()
     }
 
-    /// Postpones the next heartbeat.
+    /// Converts the output to a chunk, and postpones the next heartbeat.
     fn finish_chunk(&mut self, out: Vec<u8>) -> Bytes {
         self.heartbeat_at = next_heartbeat(self.admission.shared());
         out.into()
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a relay for each test, between a source that the test controls and raw subscribers.
+//! Runs a relay for each test, between a source that the test controls and subscribers that show each line as received.
 #![allow(dead_code)]
 
 use std::net::{SocketAddr, TcpListener};
@@ -54,7 +54,7 @@
         ListSubscriber::request(self.address, &format!("/v1/servers{query}"))
     }
 
-    /// Repeats the request until the relay serves it. It may not have read yet what the source has sent.
+    /// Repeats the request until the relay serves it. The relay may not have read yet what the source has sent.
     pub fn request_until_served(&self, query: &str) -> ListSubscriber {
         let started = Instant::now();
         loop {
@@ -81,7 +81,7 @@
     }
 }
 
-/// A source of the list that sends what the test tells it to.
+/// A source of the list that sends what the test gives it.
 pub struct Source(TcpListener);
 
 impl Source {
@@ -100,7 +100,7 @@
     }
 }
 
-/// One watch of the relay, at the side of its source.
+/// The source's side of one watch of the relay.
 #[derive(Clone)]
 pub struct SourceWatch(Arc<Mutex<Peer>>);
 
@@ -171,7 +171,7 @@
     ParsedList { version, reset, entries: entries.iter().map(|entry| entry.to_string()).collect() }
 }
 
-/// The next snapshot or list with workers. Lists with only a version are skipped.
+/// The next snapshot or list with entries. Lists with only a version are skipped.
 pub fn next_with_workers(subscriber: &mut ListSubscriber) -> ParsedList {
     loop {
         let list = parse(&subscriber.next_list().expect("the watch is still open"));
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -27,7 +27,7 @@
     watch.send(&truncated_line);
     let (request_line, watch) = source.accept();
     assert!(request_line.contains("index=7 "), "{request_line}");
-    // The same, but the connection ends instead of the line.
+    // The same, but the connection ends within the entry, not the line.
     watch.send_raw(&truncated_line);
     drop(watch);
     let (request_line, watch) = source.accept();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_relay_that_has_lost_its_source_sends_nothing_and_then_no_list_without_the_missed_drain() {
+fn a_relay_that_lost_its_source_sends_no_list_until_it_has_the_drain_that_it_missed() {
     let source = Source::new();
     let relay = RunningRelay::start(source.address(), |options| {
         options.timing.source_timeout = Duration::from_secs(2);
@@ -87,8 +87,8 @@
     // The source is silent with its connection open. Meanwhile the worker begins to drain.
     drop(alive);
     let (remaining, ending) = subscriber.read_to_end();
-    assert_eq!(ending, BodyEnd::Complete, "between two lines");
-    assert_eq!(remaining.trim(), "", "only heartbeats");
+    assert_eq!(ending, BodyEnd::Complete, "the watch did not end between two lines");
+    assert_eq!(remaining.trim(), "", "something other than heartbeats was sent");
     let (refusal, _) = relay.request("?stream=1&zones=a&index=7").read_to_end();
     assert_eq!(refusal, "this relay is not in step with its source\n");
     assert_eq!(relay.request("").status, 503);
@@ -173,7 +173,11 @@
     assert_eq!(request_line, "GET /v1/servers?stream=1 HTTP/1.1");
     watch.send(&list_json(6, true, &[worker("s-2", "a", "draining")]));
     let (remaining, ending) = subscriber.read_to_end();
-    assert_eq!((remaining.trim(), ending), ("", BodyEnd::Complete), "the watch ends without an old list");
+    assert_eq!(
+        (remaining.trim(), ending),
+        ("", BodyEnd::Complete),
+        "the watch did not end without an old list"
+    );
     let mut ahead = relay.request_until_served("?stream=1&zones=a&index=1000");
     assert_eq!(parse(&ahead.next_list().unwrap()), expected(6, false, &[]));
     let mut new_subscriber = relay.request("?stream=1&zones=a");
@@ -200,7 +204,7 @@
     assert_eq!(ending, BodyEnd::Truncated);
     assert!(
         remaining.len() < full_list.len() && full_list.starts_with(&remaining),
-        "not a part of one line without its end"
+        "the body is not a truncated part of the full list"
     );
 }
 
@@ -318,7 +322,7 @@
 }
 
 #[test]
-fn a_subscriber_that_reads_nothing_is_disconnected_if_the_kernel_buffers_the_rest() {
+fn a_subscriber_that_reads_nothing_is_disconnected_even_if_the_kernel_buffers_the_rest() {
     check_stalled_subscriber_is_disconnected(400);
 }
 
--- a/crates/relay/tests/scopes.rs
+++ b/crates/relay/tests/scopes.rs
@@ -8,7 +8,7 @@
 use juniperrail_standins::{list_json, BodyEnd};
 
 #[test]
-fn a_scoped_watch_receives_its_part_and_the_changes_of_it_at_once() {
+fn a_scoped_watch_receives_its_part_of_the_list_and_then_its_changes_without_delay() {
     let source = Source::new();
     // The changes must not have to wait for a heartbeat, so none is sent during the test.
     let relay =
@@ -78,7 +78,7 @@
     watch.send(&list_json(8, false, &[worker("s-1", "b", "ready")]));
     assert_eq!(next_with_workers(&mut in_a), expected(8, false, &["s-1 b ready"]));
     assert_eq!(next_with_workers(&mut in_b), expected(8, false, &["s-1 b ready"]));
-    // Its later changes are sent as well, so a subscriber that still has the worker learns of its end.
+    // Its later changes are sent as well, so a subscriber that still has the worker receives its drain and removal.
     watch.send(&list_json(9, false, &[worker("s-1", "b", "draining")]));
     assert_eq!(next_with_workers(&mut in_a), expected(9, false, &["s-1 b draining"]));
     assert_eq!(next_with_workers(&mut in_b), expected(9, false, &["s-1 b draining"]));
@@ -112,7 +112,7 @@
     watch.send(&list_json(9, false, &[worker("s-1", "a", "gone")]));
     watch.send(&list_json(10, false, &[worker("s-2", "a", "gone")]));
     while next_with_workers(&mut first).version < 10 {}
-    // The tombstone of s-1 is evicted: differences cannot tell a subscriber below version 9 that the worker is gone.
+    // The tombstone of s-1 is evicted, so differences for a subscriber below version 9 would lack its removal.
     let mut from_9 = relay.request("?stream=1&zones=a&index=9");
     assert_eq!(parse(&from_9.next_list().unwrap()), expected(10, false, &["s-2 a gone"]));
     for below in [8, 7, 3, 0] {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_relay_may_follow_a_relay() {
+fn a_relay_may_follow_another_relay() {
     let source = Source::new();
     let first = RunningRelay::start(source.address(), |_| {});
     let (_, watch) = source.accept();
