--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -36,7 +36,7 @@
         schedules,
         heartbeat_ms: 100,
         election_timeout_ms: 1000,
-        retained_entries: 20_000,
+        max_log_entries: 20_000,
         ..ClusterConfig::default()
     };
     let mut cluster = TestCluster::start(config);
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -36,7 +36,7 @@
     /// Election timeout in milliseconds.
     pub election_timeout_ms: u32,
     /// Log entries retained before the log is compacted.
-    pub retained_entries: u32,
+    pub max_log_entries: u32,
     /// Whether the managers agree on zone failover.
     pub failover: bool,
 }
@@ -55,7 +55,7 @@
             schedules: schedules.concat(),
             heartbeat_ms: 50,
             election_timeout_ms: 400,
-            retained_entries: 20,
+            max_log_entries: 20,
             failover: false,
         }
     }
@@ -202,7 +202,7 @@
         };
         let member_list: String = members.iter().map(member).collect();
         let schedules = self.config.schedules.replace("WORKER", &self.executor.address.to_string());
-        let ClusterConfig { heartbeat_ms, election_timeout_ms, retained_entries, .. } = self.config;
+        let ClusterConfig { heartbeat_ms, election_timeout_ms, max_log_entries, .. } = self.config;
         let failover = match self.config.failover {
             true => format!("<failover><plan-lease>{PLAN_LEASE_MS}</plan-lease></failover>"),
             false => String::new(),
@@ -210,7 +210,7 @@
         format!(
             "{root}<fleet xmlns=\"{NAMESPACE}\"><name>cluster</name><member>{}</member><listen>{}</listen>\
              <store>council</store><generation>{generation}</generation><heartbeat>{heartbeat_ms}</heartbeat>\
-             <election>{election_timeout_ms}</election><entries>{retained_entries}</entries><probe-period>200</probe-period><probe-answer>80</probe-answer>\
+             <election>{election_timeout_ms}</election><entries>{max_log_entries}</entries><probe-period>200</probe-period><probe-answer>80</probe-answer>\
              {member_list}{failover}{schedules}</fleet></config>",
             id.0, self.listen_addresses[&id]
         )
@@ -394,7 +394,7 @@
     /// Partitions the leader and this many followers from the others. Returns this minority, the leader first, and the
     /// leader's term. Where another manager was elected just before, as happens on a busy machine, this is repeated;
     /// panics after ten attempts.
-    pub fn cut_off_leader_with(&self, followers: usize) -> (Vec<u16>, u64) {
+    pub fn partition_leader_with(&self, followers: usize) -> (Vec<u16>, u64) {
         for _ in 0..10 {
             let (leader, term) = self.wait_for_common_leader_after(0);
             let others = (1..=self.config.managers).filter(|id| *id != leader).take(followers);
@@ -411,7 +411,7 @@
 
     /// Waits until one of these managers has refused a message that `leader` sent as the leader of `term`. Panics after
     /// [`WAIT_TIMEOUT`].
-    pub fn wait_for_refusal(&self, by: &[u16], leader: u16, term: u64) {
+    pub fn wait_for_rejection(&self, by: &[u16], leader: u16, term: u64) {
         let refusal = format!("member {leader} still acts as the leader of term {term}: rejected");
         let started = Instant::now();
         while !by.iter().any(|id| self.managers[&MemberId(*id)].count_log_lines(&refusal) > 0) {
--- a/crates/trials/src/executor.rs
+++ b/crates/trials/src/executor.rs
@@ -83,7 +83,7 @@
     }
 
     /// The number of requests rejected for a stale fencing token.
-    pub fn rejected(&self) -> u64 {
+    pub fn rejected_count(&self) -> u64 {
         self.shared.0.lock().expect("no worker panics").rejected
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Waits until each of these schedules was executed `more` further times. Panics after [`WAIT_TIMEOUT`].
-    pub fn wait_for_more(&self, schedules: &[&str], more: usize) {
+    pub fn wait_for_more_executions(&self, schedules: &[&str], more: usize) {
         let count = |executions: &[Execution], schedule: &str| {
             executions.iter().filter(|execution| execution.schedule == schedule).count()
         };
--- a/crates/trials/src/invariants.rs
+++ b/crates/trials/src/invariants.rs
@@ -46,7 +46,7 @@
             terms: traffic.leaders.len(),
             entries: traffic.entries.len(),
             executions: executions.len(),
-            rejected: cluster.executor.rejected(),
+            rejected: cluster.executor.rejected_count(),
         }
     }
 }
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -150,7 +150,7 @@
 /// Most rounds of a workload, after which a fault that is not yet injected is given up.
 ///
 /// One round is not enough for every point. A manager removes an old file of its store once it has compacted its log,
-/// which it does when the log holds more than `retained_entries`, 20. The two schedules append five entries a second
+/// which it does when the log holds more than `max_log_entries`, 20. The two schedules append five entries a second
 /// and a round waits for four executions of each, so that the first compaction begins just as the first round ends.
 /// The second round goes well beyond it. The third is for managers that were restarted meanwhile: they run on without
 /// the fault.
@@ -174,7 +174,7 @@
 
 /// Executions of schedules, a planned restart of the leader, and further executions.
 fn run_schedules(cluster: &mut TestCluster) {
-    let wait_for_more = |cluster: &mut TestCluster, more: usize| {
+    let wait_for_more_executions = |cluster: &mut TestCluster, more: usize| {
         let count = |cluster: &TestCluster, schedule: &str| {
             cluster.executor.executions().iter().filter(|execution| execution.schedule == schedule).count()
         };
@@ -184,13 +184,13 @@
         };
         wait_until(cluster, &format!("{more} more executions of each schedule"), enough);
     };
-    wait_for_more(cluster, 2);
+    wait_for_more_executions(cluster, 2);
     if let Some(leader) = cluster.leader() {
         let manager = cluster.manager(leader);
         manager.terminate();
         manager.start();
     }
-    wait_for_more(cluster, 2);
+    wait_for_more_executions(cluster, 2);
 }
 
 /// A zone fails, a manager is partitioned until the lease of its failover plan expires, and the zone recovers.
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -15,7 +15,7 @@
 fn start_with_leader(config: ClusterConfig) -> TestCluster {
     let cluster = TestCluster::start(config);
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster
 }
 
@@ -67,11 +67,11 @@
         let leader = cluster.wait_for_leader();
         cluster.manager(leader).kill();
         cluster.wait_for_leader_except(&[leader]);
-        cluster.executor.wait_for_more(&SCHEDULES, 2);
+        cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
         cluster.manager(leader).start();
     }
     cluster.drain("s-3");
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     let report = cluster.assert_invariants(&["grade"]);
     assert!(report.terms >= 3 && report.entries > 0 && report.executions >= 10, "{report:?}");
 }
@@ -79,17 +79,17 @@
 #[test]
 fn a_partitioned_leader_steps_down_and_its_late_messages_are_rejected() {
     let cluster = start_with_leader(ClusterConfig::default());
-    let (minority, term) = cluster.cut_off_leader_with(0);
+    let (minority, term) = cluster.partition_leader_with(0);
     let leader = minority[0];
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     cluster.wait_for_leader_except(&[leader]);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     let stepped_down = format!("this manager stepped down in term {term}:");
     cluster.managers[&MemberId(leader)].wait_for_log(&stepped_down, 1);
     cluster.heal_links();
-    cluster.wait_for_refusal(&others, leader, term);
+    cluster.wait_for_rejection(&others, leader, term);
     cluster.wait_for_common_leader_after(term);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -99,10 +99,10 @@
     let leader = cluster.wait_for_leader();
     cluster.managers[&MemberId(leader)].suspend();
     cluster.wait_for_leader_except(&[leader]);
-    cluster.executor.wait_for_more(&SCHEDULES, 3);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
     cluster.managers[&MemberId(leader)].resume();
     cluster.managers[&MemberId(leader)].wait_for_log("stepped down in term", 1);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -113,14 +113,14 @@
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     // The leader receives nothing from one of them, which still receives from the leader.
     cluster.set_link(others[0], leader, LinkState::HalfOpen);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.heal_links();
     // The leader reaches one of them, that one reaches the other, and the other and the leader do not reach each other.
     cluster.set_link(leader, others[1], LinkState::Silent);
     cluster.set_link(others[1], leader, LinkState::Silent);
-    cluster.executor.wait_for_more(&SCHEDULES, 3);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
     cluster.heal_links();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -131,13 +131,13 @@
     cluster.manager(2).kill();
     copy_dir(&cluster.store_dir(2), &old_store);
     cluster.manager(2).start();
-    cluster.executor.wait_for_more(&SCHEDULES, 3);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
     (1..=3).for_each(|id| cluster.manager(id).kill());
     copy_dir(&old_store, &cluster.store_dir(2));
     (1..=3).for_each(|id| cluster.manager(id).start());
     cluster.manager(2).wait_for_log("the store is lost or outdated", 1);
     cluster.manager(2).wait_for_log("the store has caught up", 1);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -164,7 +164,7 @@
     cluster.manager(3).start();
     cluster.manager(3).wait_for_log("the store is lost or outdated", 1);
     cluster.manager(3).wait_for_log("the store has caught up", 1);
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     // A kill within a segment rotation leaves a segment that the manifest does not name. It holds no records, so the
     // torn record is in the newest segment that the manifest names.
     cluster.manager(1).kill();
@@ -179,7 +179,7 @@
     fs::write(&path, [&bytes[..], &[7; 9][..]].concat()).unwrap();
     cluster.manager(1).start();
     cluster.manager(1).wait_for_log("bytes were not completely written and are ignored", 1);
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     // A flipped bit in the manifest, whatever the segments hold by now: the store is not used, and the manager serves
     // its proxies alone.
     cluster.manager(1).kill();
@@ -190,7 +190,7 @@
     cluster.manager(1).start();
     cluster.manager(1).wait_for_log("this manager plans without the others", 1);
     cluster.manager(1).wait_for_address();
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -204,7 +204,7 @@
         assert!(cluster.manager(leader).count_log_lines("transfers its leadership") > 0);
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
-        cluster.executor.wait_for_more(&SCHEDULES, 2);
+        cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     }
     cluster.assert_invariants(&["grade"]);
 }
@@ -216,7 +216,7 @@
     let slow = (1..=3).find(|id| *id != leader).unwrap();
     cluster.set_link(leader, slow, LinkState::Delayed(2000));
     cluster.set_link(slow, leader, LinkState::Delayed(2000));
-    cluster.executor.wait_for_more(&SCHEDULES, 3);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
     // Connections from outside the fleet, which send bytes that cannot be decoded.
     let link = &cluster.links[&(MemberId(slow), MemberId(leader))];
     for _ in 0..40 {
@@ -224,7 +224,7 @@
             _ = std::io::Write::write_all(&mut socket, &[0xff; 4096]);
         }
     }
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -236,7 +236,7 @@
     (1..=3).for_each(|id| cluster.write_config_files(MemberId(id), 0, &first));
     (1..=3).for_each(|id| cluster.manager(id).start());
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     let later = member_ids(&[2, 3, 4]);
     (2..=4).for_each(|id| cluster.write_config_files(MemberId(id), 1, &later));
     cluster.manager(4).start();
@@ -245,7 +245,7 @@
         cluster.manager(id).terminate();
         cluster.manager(id).start();
         cluster.wait_for_leader();
-        cluster.executor.wait_for_more(&SCHEDULES, 1);
+        cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     }
     let removals = |cluster: &TestCluster| {
         cluster
@@ -261,7 +261,7 @@
         assert!(started.elapsed() < WAIT_TIMEOUT);
         std::thread::sleep(Duration::from_millis(20));
     }
-    cluster.executor.wait_for_more(&SCHEDULES, 3);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -275,9 +275,9 @@
     cluster.wait_for_leader();
     cluster.manager(1).wait_for_log("the store fails", 1);
     cluster.wait_for_leader_except(&[1]);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.manager(1).wait_for_log("the store works again", 1);
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     cluster.assert_invariants(&["grade"]);
 }
 
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -20,7 +20,7 @@
         manager.start();
     }
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     cluster
 }
 
@@ -44,7 +44,7 @@
     let leader = cluster.wait_for_leader();
     for ms in [3_600_000.0, -3_600_000.0, 40_000.0] {
         set_clock_offset(&cluster, leader, ms);
-        cluster.executor.wait_for_more(&SCHEDULES, 3);
+        cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
         assert!(
             max_lead_ms(&cluster) < 1500.0,
             "with {ms} ms at the leader: {} ms early",
@@ -57,7 +57,7 @@
 #[test]
 fn setting_all_clocks_back_an_hour_repeats_no_execution() {
     let cluster = start_with_clock_offsets(ClusterConfig::default());
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     let before = cluster.executor.executions();
     (1..=3).for_each(|id| set_clock_offset(&cluster, id, -3_600_000.0));
     std::thread::sleep(Duration::from_millis(3000));
@@ -70,7 +70,7 @@
         .filter(|execution| execution.due < *dues.iter().max().unwrap());
     assert_eq!(repeated.count(), 0, "due times that were already decided were executed again");
     (1..=3).for_each(|id| set_clock_offset(&cluster, id, 0.0));
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -78,7 +78,7 @@
 fn occurrences_due_during_an_election_are_executed_after_it() {
     let mut cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     for _ in 0..3 {
         let leader = cluster.wait_for_leader();
         cluster.manager(leader).kill();
@@ -86,7 +86,7 @@
         std::thread::sleep(Duration::from_millis(600));
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
-        cluster.executor.wait_for_more(&SCHEDULES, 1);
+        cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     }
     cluster.assert_invariants(&["grade"]);
 }
@@ -95,9 +95,9 @@
 fn an_owner_is_partitioned_until_its_lease_has_expired() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     cluster.executor.set_response_mode(ResponseMode::Delayed(2500));
-    cluster.executor.wait_for_more(&["grade"], 1);
+    cluster.executor.wait_for_more_executions(&["grade"], 1);
     // The owner of the running execution cannot report its result before its lease expires.
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
@@ -105,7 +105,7 @@
     std::thread::sleep(Duration::from_millis(2500));
     cluster.executor.set_response_mode(ResponseMode::Normal);
     cluster.heal_links();
-    cluster.executor.wait_for_more(&SCHEDULES, 3);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -113,11 +113,11 @@
 fn only_idempotent_executions_are_repeated_after_a_missing_response() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     cluster.executor.set_response_mode(ResponseMode::NoResponse);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.executor.set_response_mode(ResponseMode::Normal);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     let unknown: usize = cluster
         .managers
         .values()
@@ -142,11 +142,11 @@
 fn an_unavailable_worker_did_not_receive_the_request_and_is_retried() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     cluster.executor.set_response_mode(ResponseMode::Unavailable);
     std::thread::sleep(Duration::from_millis(1500));
     cluster.executor.set_response_mode(ResponseMode::Normal);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
 
@@ -157,19 +157,19 @@
     let cluster =
         TestCluster::start(ClusterConfig { managers: 5, proxies_per_manager: 1, ..ClusterConfig::default() });
     cluster.wait_for_leader();
-    cluster.executor.wait_for_more(&SCHEDULES, 1);
-    let (minority, term) = cluster.cut_off_leader_with(1);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
+    let (minority, term) = cluster.partition_leader_with(1);
     let majority: Vec<u16> = (1..=5).filter(|id| !minority.contains(id)).collect();
     let old_leader = minority[0];
     cluster.wait_for_leader_except(&minority);
-    cluster.executor.wait_for_more(&SCHEDULES, 3);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
     // While it is partitioned it cannot learn of a later term: it steps down by itself.
     let stepped_down = format!("this manager stepped down in term {term}:");
     cluster.managers[&MemberId(old_leader)].wait_for_log(&stepped_down, 1);
     cluster.heal_links();
     // The messages that it sent as the leader during the partition are delivered now.
-    cluster.wait_for_refusal(&majority, old_leader, term);
+    cluster.wait_for_rejection(&majority, old_leader, term);
     cluster.wait_for_common_leader_after(term);
-    cluster.executor.wait_for_more(&SCHEDULES, 2);
+    cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.assert_invariants(&["grade"]);
 }
