--- a/crates/standins/src/credentials.rs
+++ b/crates/standins/src/credentials.rs
@@ -9,7 +9,7 @@
 use russh::keys::ssh_key::{LineEnding, PrivateKey};
 use time::{Duration, OffsetDateTime};
 
-/// An Ed25519 key pair for SSH in two files. The same seed gives the same keys.
+/// An Ed25519 key pair for SSH in two files. The same seed always gives the same keys.
 pub struct SshKeys {
     /// The file of the private key, in OpenSSH format.
     pub private_key_path: PathBuf,
@@ -60,17 +60,17 @@
         CertificateAuthority { issuer: Issuer::new(params, key), certificate_path, folder: folder.into() }
     }
 
-    /// Issues a certificate for a DNS name and writes it with its private key to two files. `validity_days`: the start
-    /// and the end of its validity, in days from now. Returns the paths of the certificate and of the key, and the
-    /// certificate's SHA-256 fingerprint in hexadecimal.
+    /// Issues a certificate for a DNS name and writes it to the file `name.crt` and its private key to `name.key`.
+    /// `validity_days`: the start and the end of its validity, in days from now. Returns the paths of both files and
+    /// the certificate's SHA-256 fingerprint in hexadecimal.
     pub fn issue(&self, name: &str, validity_days: (i64, i64)) -> (PathBuf, PathBuf, String) {
         let key = KeyPair::generate().expect("a key can be generated");
         let mut params = CertificateParams::new(vec![name.to_string()]).expect("a valid DNS name");
         params.distinguished_name.push(DnType::CommonName, name);
         let now = OffsetDateTime::now_utc();
-        let (first_day, last_day) = validity_days;
-        params.not_before = now + Duration::days(first_day);
-        params.not_after = now + Duration::days(last_day);
+        let (start_days, end_days) = validity_days;
+        params.not_before = now + Duration::days(start_days);
+        params.not_after = now + Duration::days(end_days);
         let certificate = params.signed_by(&key, &self.issuer).expect("the certificate can be signed");
         let certificate_path = self.folder.join(format!("{name}.crt"));
         let key_path = self.folder.join(format!("{name}.key"));
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery, which serves the list of workers to watches.
+//! A stand-in for discovery, which serves the worker list to watches.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,7 +26,7 @@
 struct Published {
     /// All lines published so far, oldest first.
     lines: Vec<String>,
-    /// The connections of the watches.
+    /// The connections of the open watches.
     watches: Vec<TcpStream>,
 }
 
@@ -47,7 +47,7 @@
         Discovery::start_at("127.0.0.1:0").expect("a free port")
     }
 
-    /// Starts it on this address.
+    /// Starts it on this address and port.
     pub fn start_at(listen: &str) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
@@ -72,8 +72,8 @@
         published.watches.retain_mut(|watch| watch.write_all(chunk.as_bytes()).is_ok());
     }
 
-    /// Accepts one watch on a listener of the caller and sends a response head with this status. Returns the request
-    /// line, and the connection for the caller to write chunks to.
+    /// Accepts one watch on a listener of the caller and responds with a head of this status. Returns the request line,
+    /// and the connection, to which the caller writes the chunks.
     pub fn accept_watch(listener: &TcpListener, status: &str) -> (String, Peer) {
         let mut peer = Peer::new(listener.accept().expect("a client connects").0);
         let request_line = peer.next_line().expect("a request line");
@@ -88,7 +88,7 @@
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
 
-/// Reads the request of a watch, whatever it asks for, and responds with all lines published so far.
+/// Reads the request of a watch, ignores its path and query, and responds with all lines published so far.
 fn start_watch(mut socket: TcpStream, published: &Mutex<Published>) {
     let Ok(reader) = socket.try_clone() else { return };
     let mut head = BufReader::new(reader).lines();
--- a/crates/standins/src/list_subscriber.rs
+++ b/crates/standins/src/list_subscriber.rs
@@ -12,10 +12,10 @@
 
 /// The receive buffer of a connection with a small buffer, in bytes.
 const SMALL_RECEIVE_BUFFER_BYTES: usize = 4096;
-/// Most bytes that such a connection is read by at a time.
-const SMALL_READ_BYTES: usize = 64;
-/// Most bytes that any other connection is read by at a time.
-const READ_BYTES: usize = 64 << 10;
+/// The capacity of the read buffer of such a connection, in bytes.
+const SMALL_READ_BUFFER_BYTES: usize = 64;
+/// The capacity of the read buffer of any other connection, in bytes.
+const READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// How the body of a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,16 +26,16 @@
     Truncated,
 }
 
-/// A request for the list, and its response, which is read step by step.
+/// A request for the worker list, and its response, which is read step by step.
 pub struct ListSubscriber {
     socket: BufReader<TcpStream>,
-    /// Bytes that were read from the connection one by one and are not parsed yet.
+    /// Bytes that were read from the connection one by one and have not been parsed yet.
     unparsed: Cursor<Vec<u8>>,
     /// The status code of the response.
     pub status: u16,
-    /// The content length of a response that has one, until the body is read.
+    /// The content length of a response that has one; `None` once the body has been read.
     content_length: Option<usize>,
-    /// The decoded body as far as it is read, without the lines that were returned.
+    /// The part of the decoded body that was read and not yet returned.
     body: Vec<u8>,
     body_end: Option<BodyEnd>,
 }
@@ -44,7 +44,7 @@
     /// Requests a path with its query and reads the head of the response.
     pub fn request(address: SocketAddr, path: &str) -> ListSubscriber {
         let socket = TcpStream::connect(address).expect("the server accepts connections");
-        ListSubscriber::request_on(socket, path, READ_BYTES)
+        ListSubscriber::request_on(socket, path, READ_BUFFER_BYTES)
     }
 
     /// Like [`ListSubscriber::request`] over a connection with a small receive buffer, which the server soon fills when
@@ -55,15 +55,15 @@
         // Set before connecting, since the window that the server may fill depends on it.
         socket.set_recv_buffer_size(SMALL_RECEIVE_BUFFER_BYTES).expect("the socket is open");
         socket.connect(&address.into()).expect("the server accepts connections");
-        ListSubscriber::request_on(socket.into(), path, SMALL_READ_BYTES)
+        ListSubscriber::request_on(socket.into(), path, SMALL_READ_BUFFER_BYTES)
     }
 
-    fn request_on(mut socket: TcpStream, path: &str, read_bytes: usize) -> ListSubscriber {
+    fn request_on(mut socket: TcpStream, path: &str, read_buffer_bytes: usize) -> ListSubscriber {
         socket.set_read_timeout(Some(READ_TIMEOUT)).expect("the socket is open");
         let request = format!("GET {path} HTTP/1.1\r\nHost: relay\r\n\r\n");
         socket.write_all(request.as_bytes()).expect("the connection accepts the request");
         let mut subscriber = ListSubscriber {
-            socket: BufReader::with_capacity(read_bytes, socket),
+            socket: BufReader::with_capacity(read_buffer_bytes, socket),
             unparsed: Cursor::default(),
             status: 0,
             content_length: None,
@@ -94,7 +94,8 @@
         line.trim_end().to_string()
     }
 
-    /// Reads one more byte without parsing it; false once the connection has ended.
+    /// Reads one more byte without parsing it. False if the connection has ended or no byte arrives within the read
+    /// timeout.
     pub fn read_one_byte(&mut self) -> bool {
         let mut byte = [0];
         let is_read = self.socket.read(&mut byte).is_ok_and(|read| read == 1);
@@ -102,7 +103,7 @@
         is_read
     }
 
-    /// Reads bytes without parsing them until none is received for this long, and returns their number.
+    /// Reads bytes without parsing them until none arrives for this long, and returns their number.
     pub fn read_until_silent(&mut self, silence: Duration) -> usize {
         self.socket.get_ref().set_read_timeout(Some(silence)).expect("the socket is open");
         let before = self.unparsed.get_ref().len();
@@ -111,8 +112,8 @@
         self.unparsed.get_ref().len() - before
     }
 
-    /// The next line that contains a list; heartbeats are skipped. `None` once the body has ended, possibly within a
-    /// line.
+    /// The next line that contains a list; heartbeats are skipped. `None` once the body has ended, which may be in the
+    /// middle of a line.
     pub fn next_list(&mut self) -> Option<String> {
         loop {
             let line = self.next_line()?;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Reads the rest of the body. Returns what was not returned before, and how the body ended.
+    /// Reads the rest of the body. Returns the part that was not returned before, and how the body ended.
     pub fn read_to_end(&mut self) -> (String, BodyEnd) {
         loop {
             if let Some(body_end) = self.body_end {
@@ -164,7 +165,7 @@
         };
     }
 
-    /// Reads one chunk: false for the last one, `None` if the connection ended before.
+    /// Reads one chunk. False for the last one, `None` if the connection ended before the end of the chunk.
     fn read_chunk(&mut self) -> Option<bool> {
         let mut size = String::new();
         self.reader().read_line(&mut size).ok()?;
@@ -174,14 +175,14 @@
         Some(size > 0)
     }
 
-    /// Appends this many bytes to the body; `None` if the connection ended before.
+    /// Reads this many bytes and appends them to the body. `None` if the connection ended before the last of them.
     fn read_exactly(&mut self, size: usize) -> Option<()> {
         let mut reader = (&mut self.unparsed).chain(&mut self.socket).take(size as u64);
         let read = reader.read_to_end(&mut self.body).ok()?;
         (read == size).then_some(())
     }
 
-    /// The bytes that are not parsed yet, then those of the connection.
+    /// Reads the bytes that have not been parsed yet, then those of the connection.
     fn reader(&mut self) -> impl BufRead + '_ {
         (&mut self.unparsed).chain(&mut self.socket)
     }
--- a/crates/standins/src/peer.rs
+++ b/crates/standins/src/peer.rs
@@ -1,4 +1,4 @@
-//! A client connection that is written and read line by line.
+//! TCP connections that the caller writes and reads line by line, as the client or as the server.
 
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -50,22 +50,22 @@
         Peer::new(socket.into())
     }
 
-    /// Sends text as it is.
+    /// Sends text without appending a line break.
     pub fn send_raw(&mut self, text: &str) {
         self.try_send_raw(text).expect("the connection accepts writes");
     }
 
-    /// Sends text as it is; fails once the other side has closed the connection.
+    /// Like [`Peer::send_raw`], but returns an error once the other side has closed the connection.
     pub fn try_send_raw(&mut self, text: &str) -> std::io::Result<()> {
         self.0.get_mut().write_all(text.as_bytes())
     }
 
-    /// Closes the sending direction. What is received can still be read.
+    /// Closes the sending direction. Data can still be received.
     pub fn shutdown_write(&mut self) {
         self.0.get_ref().shutdown(Shutdown::Write).expect("the socket is open");
     }
 
-    /// Reads until the connection ends, possibly within a line.
+    /// Reads until the connection ends, which may be in the middle of a line.
     pub fn read_to_end(&mut self) -> String {
         let mut rest = Vec::new();
         match self.0.read_to_end(&mut rest) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Sends a line.
+    /// Sends a line, to which it appends the line break.
     pub fn send_line(&mut self, line: &str) {
         self.send_raw(&format!("{line}\r\n"));
     }
@@ -86,7 +86,7 @@
         self.send_raw(&format!("{:x}\r\n{text}\r\n", text.len()));
     }
 
-    /// The next line, or `None` once the connection has ended.
+    /// The next line without its line break, or `None` once the connection has ended.
     pub fn next_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.0.read_line(&mut line) {
@@ -116,12 +116,12 @@
     }
 }
 
-/// A proxy of zone a that acknowledges every mark at once, independently of when the test reads its lines: a manager
-/// rightly gives up a proxy whose acknowledgements are overdue for long.
+/// A proxy of zone a that acknowledges every mark at once, whether or not the test reads its lines: a manager treats a
+/// proxy whose acknowledgements are long overdue as gone.
 pub struct AnsweringProxy(Receiver<String>);
 
 impl AnsweringProxy {
-    /// Connects to a manager and sends its hello line.
+    /// Connects to a manager and sends the proxy's hello line.
     pub fn connect(manager: SocketAddr, number: u16) -> AnsweringProxy {
         let mut peer = Peer::connect_as_proxy(manager, number);
         let (sender, receiver) = mpsc::channel();
@@ -129,7 +129,7 @@
             let mut line = String::new();
             // No read timeout: the thread ends with the connection.
             if peer.0.get_ref().set_read_timeout(None).is_err()
-                || !peer.0.read_line(&mut line).is_ok_and(|n| n > 0)
+                || !peer.0.read_line(&mut line).is_ok_and(|read| read > 0)
             {
                 return;
             }
@@ -161,7 +161,7 @@
     }
 }
 
-/// The address on which a started manager serves proxies, as it logs it.
+/// Reads the log of a manager until it contains the address on which the manager serves proxies.
 pub fn address_from_log(log: &mut impl BufRead) -> SocketAddr {
     let mut lines = log.lines().map(Result::unwrap);
     let address = lines.find_map(|line| Some(line.split_once("serves on ")?.1.parse().unwrap()));
--- a/crates/standins/src/proxies.rs
+++ b/crates/standins/src/proxies.rs
@@ -13,7 +13,7 @@
 /// The workers to which a proxy may route requests, with their weights.
 pub type WorkerWeights = BTreeMap<String, f64>;
 
-/// What the proxies received.
+/// The checker of the messages that the proxies received, and their number.
 struct Received {
     checker: RuleChecker,
     message_count: u64,
@@ -23,7 +23,7 @@
 struct Shared {
     received: Mutex<Received>,
     changed: Condvar,
-    /// Whether the proxies are stalled: they neither read nor acknowledge.
+    /// Whether the proxies are stalled and neither read nor acknowledge.
     stalled: Mutex<bool>,
     resumed: Condvar,
     started: Instant,
@@ -44,10 +44,10 @@
 /// Time between two attempts to connect to a manager.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Time from the start after which a proxy that cannot connect ends, as the manager is gone for good.
+/// Time since the proxies were started after which one that cannot connect gives up, as the manager is gone for good.
 const RECONNECT_LIMIT: Duration = Duration::from_secs(600);
 
-/// Stack size of the thread of a proxy, which needs little, in bytes.
+/// Stack size of the thread of a proxy, in bytes. A proxy needs little.
 const STACK_BYTES: usize = 128 << 10;
 
 impl Proxies {
@@ -85,7 +85,7 @@
         self.shared.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Calls a function with the checker.
+    /// Calls a function with the checker, while no proxy records a message.
     pub fn with_rules<R>(&self, access: impl FnOnce(&mut RuleChecker) -> R) -> R {
         access(&mut self.shared.received.lock().expect("no proxy panics").checker)
     }
@@ -96,13 +96,12 @@
         self.shared.resumed.notify_all();
     }
 
-    /// Waits until a condition on the workers that the proxies may route to is satisfied. Panics after
-    /// [`WAIT_TIMEOUT`].
+    /// Waits until a condition on the checker is satisfied; `what` describes it. Panics after `WAIT_TIMEOUT`.
     pub fn wait_until(&self, what: &str, mut condition: impl FnMut(&RuleChecker) -> bool) {
         let mut received = self.shared.received.lock().expect("no proxy panics");
         let start = Instant::now();
         while !condition(&received.checker) {
-            assert!(start.elapsed() < WAIT_TIMEOUT, "still waiting for: {what}");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
             received = self.shared.changed.wait_timeout(received, POLL_INTERVAL).expect("no proxy panics").0;
         }
     }
--- a/crates/standins/src/rules.rs
+++ b/crates/standins/src/rules.rs
@@ -1,20 +1,21 @@
-//! Checks the messages that proxies receive against the rules for them, independently of the manager's code. The caller
-//! reports each message and acknowledgement, and each removal of a worker by discovery or an operator, with its time.
+//! Checks the messages that proxies receive against the rules of the proxy protocol, independently of the manager's
+//! code. The caller reports each message, each acknowledgement, and each removal of a worker by discovery or an
+//! operator. Times are those of the caller's clock.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The limits that follow from the manager's settings.
 #[derive(Clone, Debug)]
 pub struct RuleLimits {
-    /// Time within which a removed worker must be out of every table, in milliseconds.
+    /// Time within which every proxy must stop routing to a removed worker, in milliseconds.
     pub drain_grace_ms: f64,
-    /// Most messages to one proxy within `message_window_ms`.
+    /// Maximum number of messages to one proxy within `message_window_ms`.
     pub max_messages: usize,
     /// The window over which messages are counted, in milliseconds.
     pub message_window_ms: f64,
-    /// Most lines of messages that are not acknowledged yet, over all proxies.
+    /// Maximum cost of all messages that have not been acknowledged yet, over all proxies, in lines.
     pub max_waiting_lines: f64,
-    /// What a message costs besides its lines, in lines.
+    /// Cost of a message in addition to its lines, in lines.
     pub message_overhead_lines: f64,
 }
 
@@ -27,9 +28,9 @@
     Drain { proxy: u16, worker: String, late: f64 },
     /// A proxy received too many messages within the window.
     Messages { proxy: u16, count: usize },
-    /// Too many lines were waiting for acknowledgements.
+    /// The messages that had not been acknowledged yet cost too many lines in total.
     Channel { lines: f64 },
-    /// A message named an unknown worker, or gave a worker an invalid weight.
+    /// A message contained an unknown worker or an invalid weight.
     Unknown { proxy: u16, worker: String },
 }
 
@@ -38,13 +39,13 @@
 struct ProxyState {
     /// The weight of each worker in the table of each class of operations.
     tables: BTreeMap<String, BTreeMap<String, f64>>,
-    /// Workers taken out of all tables.
+    /// Workers that the proxy must not route to, whatever its tables contain.
     excluded: BTreeSet<String>,
-    /// When the messages within the window were received.
+    /// When the messages within the window were received, in milliseconds.
     message_times: VecDeque<f64>,
-    /// Whether it could ever route to a worker.
+    /// Whether it has ever been able to route to a worker.
     had_workers: bool,
-    /// Whether it could and no longer can.
+    /// Whether it was able to route to a worker and no longer is.
     lost_all_workers: bool,
 }
 
@@ -54,11 +55,11 @@
     }
 }
 
-/// Derives the state of each proxy from its messages and collects violated rules.
+/// Derives the state of each proxy from its messages and collects the violations.
 pub struct RuleChecker {
     limits: RuleLimits,
     proxies: BTreeMap<u16, ProxyState>,
-    /// Workers that must be out of every table after the drain grace, and when their removal began.
+    /// Removed workers, which no proxy may route to after the drain grace, and when their removal began.
     removed_since: BTreeMap<String, f64>,
     known_workers: BTreeSet<String>,
     /// The cost in lines of each message that awaits an acknowledgement, by proxy and mark.
@@ -74,34 +75,34 @@
         RuleChecker { limits, proxies, removed_since, known_workers, waiting_lines, violations: Vec::new() }
     }
 
-    /// Allows messages to name a worker.
+    /// Adds a worker that messages may contain.
     pub fn add_known_worker(&mut self, worker: &str) {
         self.known_workers.insert(worker.to_string());
     }
 
-    /// From the drain grace after `now_ms` on, no proxy may route to this worker.
+    /// Starts the removal of a worker: once the drain grace has passed since `now_ms`, no proxy may route to it.
     pub fn start_removal(&mut self, worker: &str, now_ms: f64) {
         self.removed_since.entry(worker.to_string()).or_insert(now_ms);
     }
 
-    /// Proxies may route to this worker again.
+    /// Cancels the removal of a worker: proxies may route to it again.
     pub fn cancel_removal(&mut self, worker: &str) {
         self.removed_since.remove(worker);
     }
 
-    /// A proxy connected, without any tables.
+    /// Records that a proxy connected. It has no tables yet.
     pub fn proxy_connected(&mut self, proxy: u16) {
         self.proxies.insert(proxy, ProxyState::default());
         self.waiting_lines.retain(|(waiting_proxy, _), _| *waiting_proxy != proxy);
     }
 
-    /// The connection of a proxy ended.
+    /// Records that the connection of a proxy ended.
     pub fn proxy_disconnected(&mut self, proxy: u16) {
         self.proxies.remove(&proxy);
         self.waiting_lines.retain(|(waiting_proxy, _), _| *waiting_proxy != proxy);
     }
 
-    /// A proxy received a complete message of the line protocol, which consists of one or several lines.
+    /// Records that a proxy received a complete message. `parts`: the `push` lines that it consists of.
     pub fn record_message(&mut self, proxy: u16, parts: &[String], now_ms: f64) {
         let known_workers = &self.known_workers;
         let Some(state) = self.proxies.get_mut(&proxy) else { return };
@@ -166,12 +167,14 @@
         self.check_removals(now_ms);
     }
 
-    /// A proxy acknowledged a mark: the message that carries it, and all before it, have left the channel.
+    /// Records that a proxy acknowledged a mark: the message with the mark has left the channel, so that its cost no
+    /// longer counts.
     pub fn record_acknowledgement(&mut self, proxy: u16, mark: &str) {
         self.waiting_lines.remove(&(proxy, mark.to_string()));
     }
 
-    /// Records a violation for each proxy that may still route to a worker whose drain grace is over.
+    /// Records a violation for each proxy that may still route to a worker whose drain grace is over. Each pair of a
+    /// proxy and a worker is recorded once.
     pub fn check_removals(&mut self, now_ms: f64) {
         for (worker, removed_at_ms) in &self.removed_since {
             let late = now_ms - removed_at_ms - self.limits.drain_grace_ms;
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -11,7 +11,7 @@
 }
 
 impl Worker {
-    /// Starts it on this address. `load`: the body of its responses.
+    /// Starts it on this address and port. `load`: the load report, which is the body of its responses.
     pub fn start(listen: &str, load: &'static str) -> std::io::Result<Worker> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
