--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -21,13 +21,13 @@
 /// Size and settings of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Managers that can be started.
+    /// Number of managers that can be started.
     pub managers: u16,
-    /// Further managers that every operator file lists and that never run.
+    /// Number of further managers, which every operator file lists and which never run.
     pub absent_managers: u16,
-    /// Whether the operator files configure a fleet; without one each manager decides alone.
+    /// Whether the operator files configure a fleet. Without a fleet each manager plans by itself.
     pub fleet: bool,
-    /// Proxies connected to each manager.
+    /// Number of proxies connected to each manager.
     pub proxies_per_manager: u16,
     /// Schedules as XML for the operator file, with `WORKER` in place of the executor's address.
     pub schedules: String,
@@ -35,9 +35,9 @@
     pub heartbeat_ms: u32,
     /// Election timeout in milliseconds.
     pub election_timeout_ms: u32,
-    /// Log entries retained before the log is compacted.
+    /// Number of log entries above which the log is compacted.
     pub max_log_entries: u32,
-    /// Whether the managers agree on zone failover.
+    /// Whether the operator files configure zone failover, on which the managers then agree.
     pub failover: bool,
 }
 
@@ -70,11 +70,11 @@
     )
 }
 
-/// A cluster of manager processes, which are killed when it is dropped.
+/// A cluster of manager processes, which are killed when the cluster is dropped.
 pub struct TestCluster {
-    /// What it was created with.
+    /// The configuration it was created with.
     pub config: ClusterConfig,
-    /// Its temporary directory, which stays after a panic, so that the logs can be read.
+    /// Its temporary directory. It is not removed after a panic, so that the logs can be read.
     pub folder: PathBuf,
     /// The stand-in for discovery, which lists the workers.
     pub discovery: Discovery,
@@ -90,13 +90,13 @@
     pub proxies: Vec<Proxies>,
     /// The zone failures that collectors report.
     pub zone_faults: Arc<ZoneFaults>,
-    /// The address each manager accepts the others on.
+    /// The address on which each manager accepts connections from the others.
     listen_addresses: BTreeMap<MemberId, SocketAddr>,
     /// The version of the worker list last published.
     list_version: u64,
 }
 
-/// The stand-ins' settings with a third zone, and with shorter report intervals and delays, so that tests are short.
+/// The stand-ins' settings with a third zone, and with a shorter report interval and delay, so that tests are short.
 fn manager_settings() -> String {
     let settings = SETTINGS.replace(r#""zones":["a","b"]"#, r#""zones":["a","b","c"]"#);
     let settings = settings.replace(r#""period-ms":2000"#, r#""period-ms":300"#);
@@ -109,11 +109,11 @@
 /// The XML namespace of a fleet's configuration.
 const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
 
-/// Proxies of a cluster are numbered from 0 and below this.
+/// The numbers of a cluster's proxies start at 0 and are lower than this.
 const MAX_PROXIES: u16 = 100;
 
-/// The address a manager accepts the others on. Each cluster has its own loopback address, so that the port cannot be
-/// taken by another process that binds a free port on 127.0.0.1.
+/// The address on which a manager accepts connections from the others. Each cluster has its own loopback address, so
+/// that the port cannot be taken by another process that binds a free port on 127.0.0.1.
 fn listen_address(cluster: usize, id: MemberId) -> SocketAddr {
     let process = std::process::id();
     let octets = [127, 1 + (process / 250 % 250) as u8, 1 + (process % 250) as u8, 1 + (cluster % 250) as u8];
@@ -224,14 +224,14 @@
         cluster
     }
 
-    /// Connects proxies to every manager and waits until each has a routing table.
+    /// Connects proxies to every manager and waits until each proxy has a table with workers.
     pub fn start_proxies(&mut self) {
         if self.config.proxies_per_manager == 0 {
             return;
         }
         for (position, manager) in self.managers.values().enumerate() {
             let mut checker = RuleChecker::new(RuleLimits {
-                // The manager's grace period and an allowance for a busy machine.
+                // The manager's drain grace and an allowance for a busy machine.
                 drain_grace_ms: 3000.0 + 12_000.0,
                 max_messages: usize::MAX,
                 message_window_ms: 10_000.0,
@@ -249,21 +249,21 @@
             ));
         }
         self.proxies.iter().for_each(|proxies| {
-            let with_table = |rules: &RuleChecker| {
+            let proxies_with_table = |rules: &RuleChecker| {
                 (0..MAX_PROXIES).filter(|proxy| !rules.routable_workers(*proxy).is_empty()).count()
             };
-            proxies.wait_until("every proxy has a table", |rules| {
-                with_table(rules) >= usize::from(proxies.count())
+            proxies.wait_until("every proxy to have a table", |rules| {
+                proxies_with_table(rules) >= usize::from(proxies.count())
             });
         });
     }
 
-    /// Connects collectors of every zone to every manager. Needed again after a restart.
+    /// Connects a collector of each zone to every manager. Restarting a manager ends the connections of its collectors.
     pub fn start_collectors(&self) {
         self.managers.keys().for_each(|id| self.start_collectors_at(*id));
     }
 
-    /// Connects collectors of every zone to one manager.
+    /// Connects a collector of each zone to one manager.
     pub fn start_collectors_at(&self, id: MemberId) {
         let address = self.managers[&id].wait_for_address();
         ZONES.iter().for_each(|zone| self.zone_faults.start_collector(zone, address));
@@ -277,8 +277,8 @@
         })
     }
 
-    /// Waits until all proxies of these managers may route to each of these workers (`routed`) or none may. Panics after
-    /// [`WAIT_TIMEOUT`].
+    /// Waits until all proxies of these managers may route to each of these workers, or without `routed` until none may
+    /// route to any. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_routing(&self, ids: &[u16], workers: &[&str], routed: bool) {
         let started = Instant::now();
         let expected = if routed { usize::from(self.config.proxies_per_manager) } else { 0 };
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Violations of the proxy protocol's rules, as the checkers in the proxies found them.
+    /// The violations of the proxy protocol's rules that the checkers of the proxies found.
     pub fn rule_violations(&self) -> Vec<String> {
         let violations = |proxies: &Proxies| {
             let now = proxies.now_ms();
@@ -308,7 +308,8 @@
         self.proxies.iter().flat_map(violations).collect()
     }
 
-    /// Marks a worker as draining in discovery; from now on the checkers expect every proxy to stop routing to it.
+    /// Marks a worker as draining in discovery. The checkers expect every proxy to stop routing to it within their
+    /// drain grace.
     pub fn drain(&mut self, worker: &str) {
         self.list_version += 1;
         for proxies in &self.proxies {
@@ -347,8 +348,8 @@
         self.links.values().for_each(|link| link.set(LinkState::Open));
     }
 
-    /// The leader and its term as a manager last logged them. `None` where it knows no leader: it stepped down, or it
-    /// was restarted and has not learned of one yet.
+    /// The leader and its term as a manager last logged them. `None` where it knows no leader: it stepped down, its
+    /// store fails, or it was restarted and has not learned of a leader yet.
     pub fn known_leader(&self, id: MemberId) -> Option<(u16, u64)> {
         let lines = self.managers[&id].log_lines();
         let changes_known_leader = |line: &&String| {
@@ -365,7 +366,7 @@
         Some((leader, term.trim().parse().ok()?))
     }
 
-    /// The running manager that leads in the highest term, by its own log.
+    /// The running manager that leads in the highest term, according to the managers' own logs.
     pub fn leader(&self) -> Option<u16> {
         let running = self.managers.iter().filter(|(_, manager)| manager.pid().is_some());
         let leading = running
@@ -375,7 +376,7 @@
     }
 
     /// Waits until all managers, the leader included, know the same leader in the same term, and that term is later
-    /// than `term`. Returns both. Panics after [`WAIT_TIMEOUT`].
+    /// than `term`. Returns the leader and its term. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_common_leader_after(&self, term: u64) -> (u16, u64) {
         let started = Instant::now();
         loop {
@@ -392,8 +393,8 @@
     }
 
     /// Partitions the leader and this many followers from the others. Returns this minority, the leader first, and the
-    /// leader's term. Where another manager was elected just before, as happens on a busy machine, this is repeated;
-    /// panics after ten attempts.
+    /// leader's term. Heals the links and tries again where another manager was elected just before, as happens on a
+    /// busy machine. Panics after ten attempts.
     pub fn partition_leader_with(&self, followers: usize) -> (Vec<u16>, u64) {
         for _ in 0..10 {
             let (leader, term) = self.wait_for_common_leader_after(0);
@@ -409,23 +410,23 @@
         panic!("in ten attempts no leader still led when it was partitioned");
     }
 
-    /// Waits until one of these managers has refused a message that `leader` sent as the leader of `term`. Panics after
-    /// [`WAIT_TIMEOUT`].
+    /// Waits until one of the managers `by` has rejected a message that `leader` sent as the leader of `term`. Panics
+    /// after [`WAIT_TIMEOUT`].
     pub fn wait_for_rejection(&self, by: &[u16], leader: u16, term: u64) {
-        let refusal = format!("member {leader} still acts as the leader of term {term}: rejected");
+        let rejection = format!("member {leader} still acts as the leader of term {term}: rejected");
         let started = Instant::now();
-        while !by.iter().any(|id| self.managers[&MemberId(*id)].count_log_lines(&refusal) > 0) {
-            assert!(started.elapsed() < WAIT_TIMEOUT, "none of {by:?} logged {refusal:?}");
+        while !by.iter().any(|id| self.managers[&MemberId(*id)].count_log_lines(&rejection) > 0) {
+            assert!(started.elapsed() < WAIT_TIMEOUT, "none of {by:?} logged {rejection:?}");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Waits until a manager leads. Panics after [`WAIT_TIMEOUT`].
+    /// Waits until a manager leads, and returns it. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_leader(&self) -> u16 {
         self.wait_for_leader_except(&[])
     }
 
-    /// Waits until a manager other than these leads. Panics after [`WAIT_TIMEOUT`].
+    /// Waits until a manager other than these leads, and returns it. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_leader_except(&self, excluded: &[u16]) -> u16 {
         let started = Instant::now();
         loop {
@@ -443,7 +444,7 @@
     }
 }
 
-/// Replaces the directory `to` by a copy of `from`, which holds only plain files.
+/// Replaces the directory `to` by a copy of the directory `from`, which has no subdirectories.
 pub fn copy_dir(from: &Path, to: &Path) {
     _ = fs::remove_dir_all(to);
     fs::create_dir_all(to).expect("the directory can be created");
--- a/crates/trials/src/executor.rs
+++ b/crates/trials/src/executor.rs
@@ -31,7 +31,7 @@
     NoResponse,
     /// It executes the request and responds after this many milliseconds.
     Delayed(u64),
-    /// It closes connections without reading from them.
+    /// It closes connections without reading the requests.
     Unavailable,
 }
 
@@ -44,9 +44,9 @@
     response_mode: ResponseMode,
 }
 
-/// The worker that runs schedules; it responds normally at first.
+/// The worker that runs schedules. Initially it responds normally.
 pub struct Executor {
-    /// The address it accepts requests on.
+    /// The address on which it accepts requests.
     pub address: SocketAddr,
     shared: Arc<(Mutex<Shared>, Condvar)>,
 }
@@ -115,7 +115,7 @@
     }
 }
 
-/// Reads one request, executes it unless its token is stale, and responds.
+/// Reads one request, executes it unless its fencing token is stale, and responds.
 fn respond(socket: TcpStream, shared: &(Mutex<Shared>, Condvar)) -> std::io::Result<()> {
     let response_mode = shared.0.lock().expect("no worker panics").response_mode;
     if response_mode == ResponseMode::Unavailable {
--- a/crates/trials/src/invariants.rs
+++ b/crates/trials/src/invariants.rs
@@ -5,7 +5,7 @@
 use crate::cluster::TestCluster;
 use crate::executor::Execution;
 
-/// Log lines of each manager that are printed where an invariant is violated.
+/// Number of log lines, the last ones, that are printed of each manager where an invariant is violated.
 const LOG_LINES_SHOWN: usize = 80;
 
 /// The violations found, and how much was checked.
@@ -13,13 +13,13 @@
 pub struct InvariantReport {
     /// A description of each violation.
     pub violations: Vec<String>,
-    /// Terms in which a leader sent messages.
+    /// Number of terms in which a leader sent messages.
     pub terms: usize,
-    /// Distinct log entries sent.
+    /// Number of distinct log entries that leaders sent.
     pub entries: usize,
-    /// Executions of schedules.
+    /// Number of executions of schedules.
     pub executions: usize,
-    /// Requests rejected for a stale fencing token.
+    /// Number of requests that the worker rejected for a stale fencing token.
     pub rejected: u64,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl TestCluster {
-    /// Checks this cluster, and panics after printing the ends of the logs where an invariant is violated.
+    /// Checks this cluster. Where an invariant is violated, prints the ends of the logs and panics.
     pub fn assert_invariants(&self, side_effecting: &[&str]) -> InvariantReport {
         let report = InvariantReport::check(self, side_effecting);
         if !report.violations.is_empty() {
@@ -72,11 +72,11 @@
     let mut counts: BTreeMap<(&str, i64), usize> = BTreeMap::new();
     let mut last_tokens: BTreeMap<&str, u64> = BTreeMap::new();
     for execution in executions {
-        let times = counts.entry((&execution.schedule, execution.due)).or_default();
-        *times += 1;
-        if *times > 1 && side_effecting.contains(&execution.schedule.as_str()) {
+        let count = counts.entry((&execution.schedule, execution.due)).or_default();
+        *count += 1;
+        if *count > 1 && side_effecting.contains(&execution.schedule.as_str()) {
             violations
-                .push(format!("{} due at {} was executed {times} times", execution.schedule, execution.due));
+                .push(format!("{} due at {} was executed {count} times", execution.schedule, execution.due));
         }
         let previous = last_tokens.entry(&execution.schedule).or_default();
         if execution.fencing_token < *previous {
@@ -92,7 +92,7 @@
     Some(line.split_once(part)?.1)
 }
 
-/// All managers that logged a claim with the same fencing token logged the same claim.
+/// All log lines about a claim with the same fencing token state the same claim.
 fn check_claims(logs: &[Vec<String>]) -> Vec<String> {
     let mut known: BTreeMap<u64, &str> = BTreeMap::new();
     let mut violations = Vec::new();
@@ -115,7 +115,7 @@
 }
 
 /// Each due time of a schedule, from the first to the last that was logged, was claimed or logged as skipped, and each
-/// execution was of such a due time. The schedules of the tests are due each second.
+/// execution was for a due time that was logged. The schedules of the tests are due every second.
 fn check_due_times(logs: &[Vec<String>], executions: &[Execution]) -> Vec<String> {
     let mut logged_dues: BTreeMap<&str, BTreeSet<i64>> = BTreeMap::new();
     for line in logs.iter().flatten() {
@@ -125,12 +125,12 @@
                 due.into_iter().for_each(|due| _ = logged_dues.entry(schedule).or_default().insert(due));
             }
         }
-        // "3 of warm up to 1796000003000 are skipped: Missed"
+        // For example "3 of warm up to 1796000003000 are skipped: Missed".
         if let Some(event) = text_after(line, "fleet: ").filter(|event| event.contains(" are skipped: ")) {
             let words: Vec<&str> = event.split(' ').collect();
             if let [count, "of", schedule, "up", "to", last, ..] = words[..] {
                 if let (Ok(count), Ok(last)) = (count.parse::<i64>(), last.parse::<i64>()) {
-                    let skipped = (0..count).map(|back| last - back * 1000);
+                    let skipped = (0..count).map(|seconds_before| last - seconds_before * 1000);
                     logged_dues.entry(schedule).or_default().extend(skipped);
                 }
             }
--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -1,4 +1,4 @@
-//! A fault-injecting TCP forwarder from one manager to another, which also records what leaders send.
+//! A TCP forwarder from one manager to another that injects faults and records what leaders send.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
@@ -18,9 +18,9 @@
     /// Connections stay open and nothing is forwarded, as when a machine is partitioned; bytes sent meanwhile are
     /// forwarded afterwards.
     Silent,
-    /// Connections are closed, new ones at once, as when the process at the far end is dead.
+    /// Open connections and new ones are closed, as when the receiving process is dead.
     Reset,
-    /// Connections are accepted and never read from.
+    /// Connections are accepted but not read from.
     HalfOpen,
     /// Each chunk that is read is delayed by this many milliseconds, and with it all later bytes.
     Delayed(u64),
@@ -33,7 +33,7 @@
     pub leaders: BTreeMap<Term, Vec<MemberId>>,
     /// The log entries that leaders sent, by index and term.
     pub entries: BTreeMap<(Index, Term), Payload>,
-    /// Entries sent with the same index and term and different content.
+    /// A description of each entry that was sent with the same index and term as another but with different content.
     pub conflicts: Vec<String>,
 }
 
@@ -171,7 +171,8 @@
     }
 }
 
-/// Records what a leader sends, and entries that differ from those sent before with the same index and term.
+/// Records what a leader sends, and as conflicts the entries that differ from one sent before with the same index and
+/// term.
 fn record_message(from: MemberId, message: PeerMessage, traffic: &mut Traffic) {
     let (term, entries) = match message {
         PeerMessage::Consensus(Message::AppendEntries { term, entries, .. }) => (term, entries),
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -12,7 +12,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 
-/// Longest wait for any condition before a test fails; generous, as the machine may be busy.
+/// Longest wait for a condition before a test fails; generous, as the machine may be busy.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Path of the manager binary built with the feature `points`.
@@ -20,7 +20,7 @@
 
 impl ManagerBinary {
     /// Builds the binary, once per test process. It has its own target directory, since Cargo's feature unification
-    /// would otherwise enable the fault points in the binary that is shipped too.
+    /// would otherwise enable the fault points in the released binary as well.
     pub fn with_fault_points() -> &'static ManagerBinary {
         static BUILT: OnceLock<ManagerBinary> = OnceLock::new();
         BUILT.get_or_init(|| {
@@ -30,7 +30,7 @@
             let mut build = Command::new(cargo);
             build.current_dir(&root).args(["build", "--locked", "--quiet", "-p", "juniperrail-manager"]);
             build.args(["--features", "points", "--target-dir"]).arg(&target);
-            // Same profile as the caller, so that measurements are of optimised code where the caller is.
+            // The caller's profile, so that a caller with optimisations measures an optimised manager.
             let profile = if cfg!(debug_assertions) { "debug" } else { "release" };
             build.args((profile == "release").then_some("--release"));
             let build_status = build.status().expect("cargo can be started");
@@ -45,13 +45,13 @@
     }
 }
 
-/// Log lines read so far.
+/// The log lines read so far.
 #[derive(Default)]
 struct Log {
     lines: Vec<String>,
 }
 
-/// A manager that can be started, signalled and restarted, with the log of all its runs.
+/// A manager process that can be started, signalled and restarted, with the log of all its runs.
 pub struct ManagerProcess {
     name: String,
     folder: PathBuf,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Waits until the latest run logs the address it serves proxies on. Panics where it never does.
+    /// Waits until the latest run logs the address on which it serves proxies. Panics after [`WAIT_TIMEOUT`].
     pub fn wait_for_address(&self) -> SocketAddr {
         self.wait_for_log("serves on ", self.start_count);
         let lines = self.log_lines();
@@ -146,7 +146,7 @@
         last.and_then(|at| at.parse().ok()).expect("the log line contains an address")
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the process, if one was started.
     fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
             // The process may have exited already, as many tests intend.
@@ -193,12 +193,12 @@
         }
     }
 
-    /// Whether the process runs; false also where it exited by itself.
+    /// Whether the process runs. Also detects that it exited by itself.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// The process id; `None` before the first start and once the exit was waited for.
+    /// The process id. `None` before the first start and after [`ManagerProcess::wait_for_exit`].
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -20,20 +20,20 @@
     pub point: Point,
     /// The fault injected there.
     pub fault: Fault,
-    /// The passing at which it is injected, counted in each process from 1.
+    /// The passing of the point at which it is injected, counted in each process from 1.
     pub passing: u64,
-    /// Whether it is injected at every manager, or only at the first that reaches that passing.
+    /// Whether it is injected in every manager, or only in the first that reaches that passing.
     pub at_all_managers: bool,
 }
 
-/// The outcome of one run.
+/// The outcome of one run of a sweep.
 #[derive(Clone, Debug)]
 pub struct CaseOutcome {
-    /// The run.
+    /// The fault and where it was to be injected.
     pub case: FaultCase,
     /// Whether the fault was injected.
     pub reached: bool,
-    /// Violated invariants, and the panic where the run did not finish.
+    /// A description of each violated invariant, and the panic message where the run did not finish.
     pub violations: Vec<String>,
 }
 
@@ -42,7 +42,7 @@
 pub struct SweepReport {
     /// The outcome of each run, in the order in which they ended.
     pub outcomes: Vec<CaseOutcome>,
-    /// Points of the cases at which no run injected a fault.
+    /// Points at which none of the cases injected its fault.
     pub unreached: Vec<Point>,
 }
 
@@ -89,8 +89,8 @@
     maxima
 }
 
-/// The runs of a sweep: each fault that may happen at each point, at its first passing. `exhaustive`: also at a middle
-/// and a late passing, and at all managers at once.
+/// The cases of a sweep: each fault that may occur at each point, at its first passing. `exhaustive`: also at a middle
+/// and a late passing, and at the first passing in all managers.
 pub fn fault_cases(counts: &BTreeMap<Point, u64>, exhaustive: bool) -> Vec<FaultCase> {
     let mut cases = Vec::new();
     for description in POINTS {
@@ -124,10 +124,10 @@
     }
 }
 
-/// The schedules of [`ClusterConfig::default`].
+/// The names of the schedules of [`ClusterConfig::default`].
 const SCHEDULES: [&str; 2] = ["warm", "grade"];
 
-/// Waits for a condition. Managers that die meanwhile are restarted without the fault, as a supervisor would.
+/// Waits for a condition. Restarts managers that exit meanwhile, without the fault, as a supervisor would.
 fn wait_until(cluster: &mut TestCluster, what: &str, condition: impl Fn(&TestCluster) -> bool) {
     let started = std::time::Instant::now();
     while !condition(cluster) {
@@ -147,16 +147,16 @@
     }
 }
 
-/// Most rounds of a workload, after which a fault that is not yet injected is given up.
+/// Maximum number of rounds of a workload. A case whose fault is not injected by then counts as not reached.
 ///
 /// One round is not enough for every point. A manager removes an old file of its store once it has compacted its log,
 /// which it does when the log holds more than `max_log_entries`, 20. The two schedules append five entries a second
 /// and a round waits for four executions of each, so that the first compaction begins just as the first round ends.
-/// The second round goes well beyond it. The third is for managers that were restarted meanwhile: they run on without
-/// the fault.
+/// The second round lasts until well after it. The third allows for managers that were restarted meanwhile, which
+/// continue without the fault.
 const MAX_ROUNDS: usize = 3;
 
-/// Runs rounds of a workload until it is `done`, [`MAX_ROUNDS`] at most.
+/// Runs rounds of a workload until `done` is true at the end of one, or [`MAX_ROUNDS`] of them.
 fn run_workload(cluster: &mut TestCluster, workload: Workload, done: impl Fn(&TestCluster) -> bool) {
     if workload == Workload::Zones {
         cluster.start_collectors();
@@ -172,7 +172,7 @@
     }
 }
 
-/// Executions of schedules, a planned restart of the leader, and further executions.
+/// One round: executions of schedules, a planned restart of the leader, and further executions.
 fn run_schedules(cluster: &mut TestCluster) {
     let wait_for_more_executions = |cluster: &mut TestCluster, more: usize| {
         let count = |cluster: &TestCluster, schedule: &str| {
@@ -193,7 +193,7 @@
     wait_for_more_executions(cluster, 2);
 }
 
-/// A zone fails, a manager is partitioned until the lease of its failover plan expires, and the zone recovers.
+/// One round: a zone fails, a manager is partitioned until the lease of its failover plan expires, and both recover.
 fn run_zones(cluster: &mut TestCluster) {
     let last_plan = |cluster: &TestCluster, id: MemberId| {
         let lines = cluster.managers[&id].log_lines();
@@ -212,7 +212,7 @@
     let starts_before = cluster.managers[&isolated].start_count;
     let expiries_before = cluster.managers[&isolated].count_log_lines("expired: all zones at full weight");
     cluster.set_links_across(&[isolated.0], LinkState::Silent);
-    // Or it exited meanwhile: restarted in the partition, it has no plan.
+    // Where it exited meanwhile, it was restarted in the partition and has no plan whose lease could expire.
     let lease_expired = |cluster: &TestCluster| {
         let manager = &cluster.managers[&isolated];
         manager.count_log_lines("expired: all zones at full weight") > expiries_before
@@ -226,7 +226,7 @@
     });
 }
 
-/// Runs one case in a cluster of its own.
+/// Runs one case in a new cluster and checks the invariants.
 fn run_case(case: FaultCase) -> CaseOutcome {
     let workload = workload(case.point);
     let mut cluster = TestCluster::new(cluster_config(workload));
--- a/crates/trials/src/zone_faults.rs
+++ b/crates/trials/src/zone_faults.rs
@@ -1,4 +1,4 @@
-//! Simulated zone failures, and collectors that report the resulting error counts to managers.
+//! Simulated zone failures, and stand-ins for collectors, which report the resulting error counts to managers.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -15,26 +15,28 @@
     lost: Vec<String>,
     /// Zones partitioned from all zones outside this list.
     cut_off: Vec<String>,
-    /// Time between the end of an interval and the delivery of its report.
+    /// Time between the end of an interval and the sending of its report.
     report_delay: Duration,
 }
 
 /// Interval between two reports of a collector.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The zone failures that are currently simulated, shared with the collectors that report their effects. None at first.
+/// The zone failures that are currently simulated, shared with the collectors that report their effects. Initially
+/// there are none.
 #[derive(Default)]
 pub struct ZoneFaults(Mutex<Conditions>);
 
 impl ZoneFaults {
-    /// Makes every request to these zones fail, and to no others.
+    /// Makes every request to these zones fail. Replaces the zones of earlier calls.
     pub fn set_lost(&self, zones: &[&str]) {
         self.with_conditions(|conditions| {
             conditions.lost = zones.iter().map(|zone| zone.to_string()).collect()
         });
     }
 
-    /// Partitions these zones from all others: requests across the boundary fail, in both directions.
+    /// Partitions these zones from all others: requests across the boundary fail, in both directions. Replaces the zones
+    /// of earlier calls.
     pub fn set_cut_off(&self, zones: &[&str]) {
         self.with_conditions(|conditions| {
             conditions.cut_off = zones.iter().map(|zone| zone.to_string()).collect()
@@ -50,8 +52,8 @@
         access(&mut self.0.lock().expect("no collector panics"))
     }
 
-    /// Starts a thread that reports to a manager what the proxies of a zone observe at each worker. It ends with the
-    /// connection.
+    /// Starts a thread that reports to a manager the outcomes that the proxies of a zone observe at each worker. The
+    /// thread ends with the connection.
     pub fn start_collector(self: &Arc<Self>, zone: &'static str, manager: SocketAddr) {
         let faults = self.clone();
         thread::spawn(move || {
@@ -65,8 +67,8 @@
                     faults.with_conditions(|conditions| conditions.clone());
                 let mut report = String::new();
                 for (worker, worker_zone) in WORKERS {
-                    let separated =
-                        cut_off.iter().any(|cut| cut == zone) != cut_off.iter().any(|cut| cut == worker_zone);
+                    let separated = cut_off.iter().any(|cut_off| cut_off == zone)
+                        != cut_off.iter().any(|cut_off| cut_off == worker_zone);
                     let errors =
                         if lost.iter().any(|lost| lost == worker_zone) || separated { 30 } else { 0 };
                     report += &format!(
