--- a/crates/trials/src/zone_faults.rs
+++ b/crates/trials/src/zone_faults.rs
@@ -35,8 +35,8 @@
         });
     }
 
-    /// Partitions these zones from all others: requests across the boundary fail, in both directions. Replaces the zones
-    /// of earlier calls.
+    /// Partitions these zones from all others: requests across the boundary fail, in both directions. Replaces the
+    /// zones of earlier calls.
     pub fn set_cut_off(&self, zones: &[&str]) {
         self.with_conditions(|conditions| {
             conditions.cut_off = zones.iter().map(|zone| zone.to_string()).collect()
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -8,10 +8,10 @@
 use juniperrail_faults::Point;
 use juniperrail_trials::*;
 
-/// The schedules of [`ClusterConfig::default`].
+/// The names of the schedules of [`ClusterConfig::default`].
 const SCHEDULES: [&str; 2] = ["warm", "grade"];
 
-/// Starts a cluster and waits until a leader has had each schedule executed twice.
+/// Starts a cluster and waits until there is a leader and each schedule was executed twice more.
 fn start_with_leader(config: ClusterConfig) -> TestCluster {
     let cluster = TestCluster::start(config);
     cluster.wait_for_leader();
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn without_a_fleet_there_are_no_further_threads_sockets_or_files_and_kills_break_no_rule() {
+fn managers_without_a_fleet_use_no_extra_threads_sockets_or_files_and_kills_violate_no_invariant() {
     let mut cluster = TestCluster::start(ClusterConfig { fleet: false, ..ClusterConfig::default() });
     let proxies = usize::from(cluster.config.proxies_per_manager);
     for id in 1..=3 {
         let pid = cluster.manager(id).pid().unwrap();
         assert_eq!(thread_count(pid), 1);
-        // The listener, discovery, the proxies, and the socket pair by which signals wake the event loop, of which one
-        // end is open twice.
+        // The listener, discovery, the proxies, and the socket pair by which signals wake the event loop, one end of
+        // which is open twice.
         let descriptors = open_descriptors(pid);
         let sockets = descriptors.iter().filter(|target| target.starts_with("socket:")).count();
         assert!(sockets <= 5 + proxies, "{descriptors:?}");
@@ -111,11 +111,11 @@
     let cluster = start_with_leader(ClusterConfig::default());
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
-    // The leader receives nothing from one of them, which still receives from the leader.
+    // The leader receives nothing from one follower, which still receives from the leader.
     cluster.set_link(others[0], leader, LinkState::HalfOpen);
     cluster.executor.wait_for_more_executions(&SCHEDULES, 2);
     cluster.heal_links();
-    // The leader reaches one of them, that one reaches the other, and the other and the leader do not reach each other.
+    // The leader and the other follower do not reach each other. The first follower reaches both.
     cluster.set_link(leader, others[1], LinkState::Silent);
     cluster.set_link(others[1], leader, LinkState::Silent);
     cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
@@ -149,7 +149,7 @@
     segments.max().expect("a segment")
 }
 
-/// The newest segment that a store's manifest names, by the manifest's last field before its checksum.
+/// The newest segment that a store's manifest names, in its last field before the checksum.
 fn newest_named_segment(store: &Path) -> PathBuf {
     let manifest = fs::read(store.join("MANIFEST")).unwrap();
     let number = u64::from_le_bytes(manifest[30..38].try_into().unwrap());
@@ -180,8 +180,8 @@
     cluster.manager(1).start();
     cluster.manager(1).wait_for_log("bytes were not completely written and are ignored", 1);
     cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
-    // A flipped bit in the manifest, whatever the segments hold by now: the store is not used, and the manager serves
-    // its proxies alone.
+    // A bit of the manifest is flipped. Whatever the segments contain by now, the store is not used, and the manager
+    // serves its proxies without the others.
     cluster.manager(1).kill();
     let path = cluster.store_dir(1).join("MANIFEST");
     let mut bytes = fs::read(&path).unwrap();
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_rolling_restart_hands_the_office_over() {
+fn a_rolling_restart_transfers_leadership() {
     let mut cluster = start_with_leader(ClusterConfig::default());
     for _ in 0..2 {
         let leader = cluster.wait_for_leader();
@@ -210,14 +210,14 @@
 }
 
 #[test]
-fn schedules_continue_with_a_slow_peer_and_undecodable_connections() {
+fn schedules_continue_despite_a_slow_peer_and_connections_that_send_undecodable_bytes() {
     let cluster = start_with_leader(ClusterConfig::default());
     let leader = cluster.wait_for_leader();
     let slow = (1..=3).find(|id| *id != leader).unwrap();
     cluster.set_link(leader, slow, LinkState::Delayed(2000));
     cluster.set_link(slow, leader, LinkState::Delayed(2000));
     cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
-    // Connections from outside the fleet, which send bytes that cannot be decoded.
+    // Clients from outside the fleet connect and send bytes that cannot be decoded.
     let link = &cluster.links[&(MemberId(slow), MemberId(leader))];
     for _ in 0..40 {
         if let Ok(mut socket) = std::net::TcpStream::connect(link.address) {
@@ -240,7 +240,7 @@
     let later = member_ids(&[2, 3, 4]);
     (2..=4).for_each(|id| cluster.write_config_files(MemberId(id), 1, &later));
     cluster.manager(4).start();
-    // A planned restart of each with its new file; the next leader changes the membership.
+    // A planned restart of each remaining member with its new file. The next leader changes the membership.
     for id in [2, 3] {
         cluster.manager(id).terminate();
         cluster.manager(id).start();
@@ -254,7 +254,7 @@
             .map(|manager| manager.count_log_lines("the members change: Remove(MemberId(1))"))
             .sum::<usize>()
     };
-    // A leader with the old file would go on leading, so it is stopped, as an operator would do.
+    // Member 1 still has the old file and could continue to lead, so it is stopped, as an operator would do.
     cluster.manager(1).terminate();
     let started = std::time::Instant::now();
     while removals(&cluster) == 0 {
@@ -266,9 +266,9 @@
 }
 
 #[test]
-fn a_member_steps_down_while_its_store_fails_and_recovers() {
+fn a_member_whose_store_fails_steps_down_and_later_recovers() {
     let mut cluster = TestCluster::new(ClusterConfig::default());
-    // Thirty syncs in a row fail, some time after the start.
+    // After eleven syncs that succeed, thirty in a row fail.
     let failures: Vec<String> = (12..42).map(|passing| format!("12:{passing}:error")).collect();
     cluster.manager(1).next_start_env.insert("JUNIPERRAIL_POINTS".into(), failures.join(","));
     (1..=3).for_each(|id| cluster.manager(id).start());
@@ -282,8 +282,8 @@
 }
 
 #[test]
-fn without_a_majority_of_the_configured_members_nothing_is_agreed() {
-    // 350 members are configured and seven run: without a majority nothing is agreed, and each decides alone.
+fn without_a_majority_of_the_configured_members_no_leader_is_elected() {
+    // Of 350 configured members seven run. They agree on nothing, and each plans by itself.
     let cluster = TestCluster::start(ClusterConfig {
         managers: 7,
         absent_managers: 343,
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Side-effecting schedules are executed at most once for each due time, and no due time is missed, while clocks jump,
-//! elections and partitions occur, and workers do not respond.
+//! While clocks jump, elections and partitions occur, and workers do not respond, side-effecting schedules are executed
+//! at most once for each due time, and no due time is missed.
 
 use std::fs;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use juniperrail_consensus::MemberId;
 use juniperrail_trials::*;
 
-/// The schedules of [`ClusterConfig::default`].
+/// The names of the schedules of [`ClusterConfig::default`].
 const SCHEDULES: [&str; 2] = ["warm", "grade"];
 
 /// A cluster in which each process reads the offset of its clock from a file of its own.
@@ -24,14 +24,14 @@
     cluster
 }
 
-/// Sets the offset of a manager's clock. The file is replaced at once, so that the manager never reads half of it.
+/// Sets the offset of a manager's clock. The file is replaced atomically, so that the manager never reads half of it.
 fn set_clock_offset(cluster: &TestCluster, id: u16, ms: f64) {
     let new = cluster.folder.join("clock-new");
     fs::write(&new, ms.to_string()).unwrap();
     fs::rename(new, cluster.folder.join(format!("clock-{id}"))).unwrap();
 }
 
-/// How far ahead of the machine's clock the latest executions were due.
+/// The longest time in milliseconds by which one of the latest four executions was received before its due time.
 fn max_lead_ms(cluster: &TestCluster) -> f64 {
     let executions = cluster.executor.executions();
     let leads = executions.iter().rev().take(4).map(|execution| execution.due as f64 - execution.received_at);
@@ -82,7 +82,8 @@
     for _ in 0..3 {
         let leader = cluster.wait_for_leader();
         cluster.manager(leader).kill();
-        // Longer than a second in all: an execution became due while there was no leader.
+        // The three waits add up to more than the second between two due times, so that an execution is likely to
+        // become due while there is no leader.
         std::thread::sleep(Duration::from_millis(600));
         cluster.wait_for_leader_except(&[leader]);
         cluster.manager(leader).start();
@@ -92,13 +93,13 @@
 }
 
 #[test]
-fn an_owner_is_partitioned_until_its_lease_has_expired() {
+fn a_partition_of_a_follower_beyond_the_claim_lease_repeats_no_side_effecting_execution() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
     cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
     cluster.executor.set_response_mode(ResponseMode::Delayed(2500));
     cluster.executor.wait_for_more_executions(&["grade"], 1);
-    // The owner of the running execution cannot report its result before its lease expires.
+    // If this follower owns the claim of a running execution, it cannot report the outcome before the lease expires.
     let leader = cluster.wait_for_leader();
     let others: Vec<u16> = (1..=3).filter(|id| *id != leader).collect();
     cluster.set_links_across(&[others[0]], LinkState::Silent);
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn an_unavailable_worker_did_not_receive_the_request_and_is_retried() {
+fn requests_that_an_unavailable_worker_did_not_receive_are_retried() {
     let cluster = TestCluster::start(ClusterConfig::default());
     cluster.wait_for_leader();
     cluster.executor.wait_for_more_executions(&SCHEDULES, 1);
@@ -150,10 +151,10 @@
     cluster.assert_invariants(&["grade"]);
 }
 
-/// All three managers of the majority are needed for a quorum, so that a stall of one of them for an election timeout
-/// costs the successor its leadership: which manager leads after the heal is not determined.
+/// All three managers of the majority are needed for a quorum, so a stall of one of them for an election timeout makes
+/// the new leader step down. Which manager leads after the partition heals is therefore not determined.
 #[test]
-fn a_partition_heals_after_the_lease_has_expired() {
+fn after_a_partition_that_outlasts_the_lease_messages_of_the_old_leader_are_rejected() {
     let cluster =
         TestCluster::start(ClusterConfig { managers: 5, proxies_per_manager: 1, ..ClusterConfig::default() });
     cluster.wait_for_leader();
@@ -163,7 +164,7 @@
     let old_leader = minority[0];
     cluster.wait_for_leader_except(&minority);
     cluster.executor.wait_for_more_executions(&SCHEDULES, 3);
-    // While it is partitioned it cannot learn of a later term: it steps down by itself.
+    // In the partition it cannot learn of a later term, so it steps down by itself.
     let stepped_down = format!("this manager stepped down in term {term}:");
     cluster.managers[&MemberId(old_leader)].wait_for_log(&stepped_down, 1);
     cluster.heal_links();
--- a/crates/trials/tests/sweep.rs
+++ b/crates/trials/tests/sweep.rs
@@ -1,10 +1,10 @@
-//! The sweep over all fault points: every fault that may happen at a point, at its first passing, in the first manager
-//! that reaches it; managers that die are restarted. The exhaustive form is `juniperrail-lab -- trials`.
+//! The sweep over all fault points: every fault that may occur at a point, at its first passing, in the first manager
+//! that reaches it. Managers that exit are restarted. The exhaustive form is `juniperrail-lab -- trials`.
 
 use juniperrail_faults::{Point, POINTS};
 use juniperrail_trials::{count_point_passings, fault_cases, run_sweep};
 
-/// Cases run at a time. Each is a cluster of three processes that mostly wait.
+/// Number of cases that run at a time. Each is a cluster of three processes, which mostly wait.
 const PARALLELISM: usize = 6;
 
 #[test]
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -22,7 +22,7 @@
     cluster
 }
 
-/// The failover plans that a manager logged, as it words them.
+/// The failover plans that a manager logged, as texts.
 fn logged_plans(cluster: &TestCluster, id: u16) -> Vec<String> {
     let lines = cluster.managers[&MemberId(id)].log_lines();
     lines.iter().filter_map(|line| Some(line.split_once("fleet: plan ")?.1.to_string())).collect()
@@ -65,7 +65,7 @@
     cluster.wait_for_leader_except(&[leader]);
     let until = Instant::now() + Duration::from_millis(PLAN_LEASE_MS);
     while Instant::now() < until {
-        // Trial steps of the recovery may occur; the zone must not be fully restored.
+        // Trial steps may occur, which restore the zone in part. The zone must not be restored fully.
         let restorations: usize = rest
             .iter()
             .map(|id| cluster.managers[&MemberId(*id)].count_log_lines("all zones at full weight"))
@@ -88,7 +88,7 @@
     let isolated = ALL_MANAGERS.into_iter().find(|id| *id != leader).unwrap();
     cluster.set_links_across(&[isolated], LinkState::Silent);
     cluster.managers[&MemberId(isolated)].wait_for_log("expired: all zones at full weight", 1);
-    // It decides alone again, as without a fleet; the others continue to agree.
+    // It plans by itself again, as without a fleet. The others keep to the agreed plan.
     cluster.wait_for_routing(&[isolated], &ZONE_B_WORKERS, true);
     assert_eq!(cluster.managers[&MemberId(leader)].count_log_lines("expired: all zones at full weight"), 0);
     cluster.heal_links();
@@ -143,18 +143,18 @@
     }
     let leader = cluster.wait_for_leader();
     let removals = logged_plans(&cluster, leader).iter().filter(|plan| plan.contains("b 0.00")).count();
-    // Each relapse doubles the wait of one second before the next trial step: in about 13 s the zone can be taken out at
-    // most five times.
+    // Each relapse doubles the wait of one second before the next trial step: in about 13 s the zone can be taken out
+    // at most five times.
     assert!(removals <= 5, "taken out {removals} times in four flaps: {:?}", logged_plans(&cluster, leader));
     cluster.assert_invariants(&[]);
 }
 
 #[test]
-fn a_partitioned_zone_contains_the_leader() {
+fn a_partitioned_zone_that_contains_the_leader_is_taken_out_and_restored() {
     let cluster = start_with_leader();
     let leader = cluster.wait_for_leader();
     let rest: Vec<u16> = ALL_MANAGERS.into_iter().filter(|id| *id != leader).collect();
-    // Zone b and the manager in it are partitioned from all others.
+    // Zone b and the leader, which is in it, are partitioned from all others.
     cluster.zone_faults.set_cut_off(&["b"]);
     cluster.set_links_across(&[leader], LinkState::Silent);
     cluster.wait_for_leader_except(&[leader]);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_rolling_restart_during_a_failover() {
+fn a_lost_zone_is_restored_after_a_rolling_restart() {
     let mut cluster = start_with_leader();
     cluster.zone_faults.set_lost(&["b"]);
     cluster.wait_for_routing(&ALL_MANAGERS, &ZONE_B_WORKERS, false);
