--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -252,7 +252,7 @@
             let proxies_with_table = |rules: &RuleChecker| {
                 (0..MAX_PROXIES).filter(|proxy| !rules.routable_workers(*proxy).is_empty()).count()
             };
-            proxies.wait_until("every proxy to have a table", |rules| {
+            proxies.wait_until("every proxy has a table", |rules| {
                 proxies_with_table(rules) >= usize::from(proxies.count())
             });
         });
