--- a/crates/lab/src/capacity_command.rs
+++ b/crates/lab/src/capacity_command.rs
@@ -12,14 +12,15 @@
 
 /// The capacity page, relative to the root of the repository.
 const PAGE_PATH: &str = "docs/CAPACITY.md";
-/// The measurements, relative to the root of the repository.
+/// The file of the measurements, relative to the root of the repository.
 const MEASUREMENTS_PATH: &str = "docs/capacity/measured.json";
 
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Prints and checks the tables. With `write`, it writes them into the page before the checks.
+/// Prints the computed tables and checks the page. With `write`, the tables are written into the page before the
+/// checks.
 pub fn run(report: &mut Report, write: bool) {
     if let Err(error) = print_and_check(report, write) {
         report.bound("the page and the measurements are accessible", error, false);
--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -1,5 +1,6 @@
-//! Random valid and invalid changes at two managers. Each change is either accepted and applied completely in the tables of
-//! all proxies, or rejected with a reason and applied nowhere. The rule checker runs throughout.
+//! Random valid and invalid configuration changes at two managers. Each change must either be accepted and applied
+//! completely in the tables of all proxies, or be rejected with a reason and applied nowhere. The checker of the
+//! protocol rules runs throughout.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -14,16 +15,19 @@
 /// Proxies of each manager.
 const PROXIES: u16 = 12;
 const WORKERS: usize = 9;
-/// Time within which the proxies hold a change.
+/// Time within which all proxies must hold an accepted change.
 const HELD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The configuration of a worker: an index into [`WANTED_STATES`], and the weight in hundredths.
+/// The configuration of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct WorkerConfig {
+    /// Index into [`WANTED_STATES`].
     wanted: usize,
+    /// In hundredths.
     weight: Option<u32>,
 }
 
+/// The values of a worker's `wanted` leaf. Only the first two let proxies select the worker.
 const WANTED_STATES: [&str; 4] = ["follow", "ready", "draining", "out"];
 
 /// The configuration by worker number. A worker without an entry has the defaults.
@@ -42,11 +46,11 @@
     xml: String,
     /// The configuration of the workers once the change is applied.
     configs_after: WorkerConfigs,
-    /// Whether the change is invalid whatever the current configuration.
-    invalid: bool,
+    /// Whether the change is invalid regardless of the current configuration.
+    always_invalid: bool,
 }
 
-fn random_change(rng: &mut fastrand::Rng, town: &Cluster, configs: &WorkerConfigs) -> RandomChange {
+fn random_change(rng: &mut fastrand::Rng, cluster: &Cluster, configs: &WorkerConfigs) -> RandomChange {
     let worker_xml = |name: &str, body: &str| format!("<worker><name>{name}</name>{body}</worker>");
     if rng.u8(..4) == 0 {
         let invalid_changes = [
@@ -62,29 +66,30 @@
              <worker n:operation='delete'><name>s-77</name></worker></workers>",
         ];
         let xml = invalid_changes[rng.usize(..invalid_changes.len())].replace("MANAGER", MANAGER_NAMESPACE);
-        return RandomChange { xml, configs_after: configs.clone(), invalid: true };
+        return RandomChange { xml, configs_after: configs.clone(), always_invalid: true };
     }
     let mut configs_after = configs.clone();
     let mut xml = format!("<workers xmlns=\"{MANAGER_NAMESPACE}\">");
-    // Occasionally changes all workers at once, which can leave none of them ready.
+    // Occasionally changes all workers at once, which may leave none of them ready and is then invalid.
     let changed_count = if rng.u8(..12) == 0 { WORKERS } else { rng.usize(1..4) };
-    let removes = rng.bool();
-    let mut order: Vec<usize> = (0..WORKERS).collect();
-    rng.shuffle(&mut order);
-    for number in order.into_iter().take(changed_count) {
+    let removes_workers = rng.bool();
+    let mut shuffled_workers: Vec<usize> = (0..WORKERS).collect();
+    rng.shuffle(&mut shuffled_workers);
+    for number in shuffled_workers.into_iter().take(changed_count) {
         let config = configs_after.entry(number).or_default();
-        config.wanted = if removes { rng.usize(2..4) } else { rng.usize(..2) };
-        let weight = (!removes && rng.bool()).then(|| if rng.u8(..8) == 0 { 0 } else { rng.u32(20..200) });
+        config.wanted = if removes_workers { rng.usize(2..4) } else { rng.usize(..2) };
+        let weight =
+            (!removes_workers && rng.bool()).then(|| if rng.u8(..8) == 0 { 0 } else { rng.u32(20..200) });
         config.weight = weight.or(config.weight);
         let weight = weight
             .map_or(String::new(), |weight| format!("<weight>{:.2}</weight>", f64::from(weight) / 100.0));
         let body = format!("<wanted>{}</wanted>{weight}", WANTED_STATES[config.wanted]);
-        xml += &worker_xml(&town.worker_name(number), &body);
+        xml += &worker_xml(&cluster.worker_name(number), &body);
     }
-    RandomChange { xml: xml + "</workers>", configs_after, invalid: false }
+    RandomChange { xml: xml + "</workers>", configs_after, always_invalid: false }
 }
 
-/// Edits and commits; discards the edit if either fails.
+/// Edits the candidate and commits it; discards the edit if either fails.
 async fn apply_change(client: &mut Client, xml: &str) -> Result<(), ClientError> {
     let result = match client.edit(xml).await {
         Ok(()) => client.commit(&Commit::default()).await,
@@ -96,21 +101,22 @@
     result
 }
 
-/// The text of the child of this name; empty if there is none.
+/// The text of the first child of this name; empty if there is none.
 fn child_text<'a>(element: &'a Element, name: &str) -> &'a str {
     element.children.iter().find(|child| child.name == name).map_or("", |leaf| leaf.text.as_str())
 }
 
-/// The entries of the list of this name.
-fn list_entries<'a>(state: &'a Element, list: &str) -> impl Iterator<Item = &'a Element> {
-    let container = state.children.iter().find(|child| child.name == list);
+/// The entries of the list in the container of this name.
+fn list_entries<'a>(state: &'a Element, container_name: &str) -> impl Iterator<Item = &'a Element> {
+    let container = state.children.iter().find(|child| child.name == container_name);
     container.into_iter().flat_map(|container| &container.children)
 }
 
-/// A reading of the state of a manager.
+/// The state that a manager reports over NETCONF.
 struct StateReading {
+    /// The numbers of the workers that are ready.
     ready: BTreeSet<usize>,
-    /// The number of the newest change; empty if there is none.
+    /// The number of the newest change, as text; empty if there is none.
     newest_change: String,
     /// Whether all proxies hold the newest change.
     held: bool,
@@ -134,12 +140,12 @@
 pub fn run(report: &mut Report, count: u32, seed: u64) {
     println!("seed {seed}");
     let size = ClusterSize { workers: WORKERS, proxies: 2 * PROXIES, managers: 2, report_period_ms: 160 };
-    let town = Cluster::new("changes", size);
-    let managers = [town.start_manager("n0", None), town.start_manager("n1", None)];
+    let cluster = Cluster::new("changes", size);
+    let managers = [cluster.start_manager("n0", None), cluster.start_manager("n1", None)];
     let zones = ["a", "b", "c"];
     let proxies = [0, PROXIES].map(|first| {
         let manager = &managers[usize::from(first / PROXIES)];
-        Proxies::start(manager.address, first, PROXIES, &zones, town.rules())
+        Proxies::start(manager.address, first, PROXIES, &zones, cluster.rules())
     });
     let proxy_numbers = |manager: usize| (manager as u16 * PROXIES)..((manager as u16 + 1) * PROXIES);
     for (manager, proxies) in proxies.iter().enumerate() {
@@ -147,86 +153,88 @@
             proxy_numbers(manager).all(|proxy| rules.routable_workers(proxy).len() == WORKERS)
         });
     }
-    let (mut accepted, mut rejected, mut late) = (0, 0, 0);
-    // Verdicts that differ between the managers, rejections without a reason, readings and tables that hold a part of a
-    // change, and verdicts that contradict the validity of the change.
-    let (mut differing, mut without_reason, mut mixed, mut wrong) = (0, 0, 0, 0);
+    let (mut accepted, mut rejected, mut timeouts) = (0, 0, 0);
+    // Changes accepted by one manager and rejected by the other, rejections without a reason, states and tables that
+    // show a part of a change or an outdated configuration, and verdicts that contradict the validity of the change.
+    let (mut differing_verdicts, mut rejections_without_reason, mut inconsistent, mut wrong_verdicts) =
+        (0, 0, 0, 0);
     let mut rng = fastrand::Rng::with_seed(seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let started = Instant::now();
     runtime.block_on(async {
-        let mut clients = [town.connect(&managers[0]).await, town.connect(&managers[1]).await];
-        let mut readers = [town.connect(&managers[0]).await, town.connect(&managers[1]).await];
+        let mut clients = [cluster.connect(&managers[0]).await, cluster.connect(&managers[1]).await];
+        let mut readers = [cluster.connect(&managers[0]).await, cluster.connect(&managers[1]).await];
         let mut configs = WorkerConfigs::new();
-        // The workers that must not be used, and since when by the clock of the proxies of each manager.
-        let mut leaving: BTreeMap<usize, [f64; 2]> = BTreeMap::new();
+        // The workers that proxies must stop using, each with the time of its removal in milliseconds, by the clock of
+        // the proxies of each manager.
+        let mut removal_times: BTreeMap<usize, [f64; 2]> = BTreeMap::new();
         for _ in 0..count {
-            let change = random_change(&mut rng, &town, &configs);
+            let change = random_change(&mut rng, &cluster, &configs);
             let before = ready_workers(&configs);
             let after = ready_workers(&change.configs_after);
             let removed = before.difference(&after).copied().collect::<Vec<usize>>();
             let [first, second] = &mut clients;
-            // The change is sent to both managers at once, and the state is read meanwhile: no reading may show a part of
-            // the change.
+            // The change is sent to both managers at once. The state, which is read concurrently, must not show a part
+            // of the change.
             let concurrent_readings = async {
-                let mut partial = 0;
+                let mut partial_states = 0;
                 for reader in &mut readers {
                     let ready = read_state(reader).await.ready;
-                    partial += u32::from(ready != before && ready != after);
+                    partial_states += u32::from(ready != before && ready != after);
                 }
-                partial
+                partial_states
             };
             let sent_at = proxies.each_ref().map(Proxies::now_ms);
             // The proxies may use a returning worker before the client receives the reply to the commit.
             let returning: Vec<usize> = after.difference(&before).copied().collect();
             for proxies in &proxies {
                 proxies.with_rules(|rules| {
-                    returning.iter().for_each(|worker| rules.cancel_removal(&town.worker_name(*worker)))
+                    returning.iter().for_each(|worker| rules.cancel_removal(&cluster.worker_name(*worker)))
                 });
             }
-            let (result, other_result, partial) = tokio::join!(
+            let (result, other_result, partial_states) = tokio::join!(
                 apply_change(first, &change.xml),
                 apply_change(second, &change.xml),
                 concurrent_readings
             );
-            mixed += partial;
-            differing += u32::from(result.is_ok() != other_result.is_ok());
+            inconsistent += partial_states;
+            differing_verdicts += u32::from(result.is_ok() != other_result.is_ok());
             match &result {
                 Ok(()) => {
                     accepted += 1;
-                    wrong += u32::from(change.invalid || after.is_empty());
+                    wrong_verdicts += u32::from(change.always_invalid || after.is_empty());
                 }
                 Err(error) => {
                     rejected += 1;
                     let reasons = error.rpc_errors();
-                    without_reason += u32::from(
+                    rejections_without_reason += u32::from(
                         reasons.is_empty() || reasons.iter().any(|reason| reason.message.is_empty()),
                     );
                     // A valid change that leaves at least one worker ready must not be rejected.
-                    wrong += u32::from(!change.invalid && !after.is_empty());
+                    wrong_verdicts += u32::from(!change.always_invalid && !after.is_empty());
                 }
             }
             if result.is_ok() {
-                removed.iter().for_each(|worker| _ = leaving.insert(*worker, sent_at));
-                returning.iter().for_each(|worker| _ = leaving.remove(worker));
+                removed.iter().for_each(|worker| _ = removal_times.insert(*worker, sent_at));
+                returning.iter().for_each(|worker| _ = removal_times.remove(worker));
                 configs = change.configs_after;
             }
             for (manager, proxies) in proxies.iter().enumerate() {
-                let mark_leaving = |rules: &mut RuleChecker| {
-                    leaving.iter().for_each(|(worker, since)| {
-                        rules.start_removal(&town.worker_name(*worker), since[manager])
+                let start_removals = |rules: &mut RuleChecker| {
+                    removal_times.iter().for_each(|(worker, since)| {
+                        rules.start_removal(&cluster.worker_name(*worker), since[manager])
                     });
                 };
-                proxies.with_rules(mark_leaving);
+                proxies.with_rules(start_removals);
             }
             let expected = ready_workers(&configs);
             for (manager, reader) in readers.iter_mut().enumerate() {
                 let start = Instant::now();
                 loop {
                     let reading = read_state(reader).await;
-                    mixed += u32::from(reading.ready != expected);
+                    inconsistent += u32::from(reading.ready != expected);
                     if reading.held || reading.newest_change.is_empty() || start.elapsed() > HELD_TIMEOUT {
-                        late += u32::from(!reading.held && !reading.newest_change.is_empty());
+                        timeouts += u32::from(!reading.held && !reading.newest_change.is_empty());
                         break;
                     }
                     tokio::time::sleep(Duration::from_millis(5)).await;
@@ -235,7 +243,7 @@
                     let table = proxies[manager].with_rules(|rules| rules.routable_workers(proxy));
                     table.keys().filter_map(|name| name[2..].parse().ok()).collect::<BTreeSet<usize>>()
                 };
-                mixed +=
+                inconsistent +=
                     proxy_numbers(manager).filter(|proxy| table_workers(*proxy) != expected).count() as u32;
             }
         }
@@ -243,20 +251,21 @@
     report.figure("changes at each of two managers, 12 proxies each", count);
     report.figure("taken / refused", format!("{accepted} / {rejected}"));
     report.figure("seconds", format!("{:.1}", started.elapsed().as_secs_f64()));
-    report.bound("verdicts that differ between the managers", differing, differing == 0);
-    report.bound("refusals without a reason", without_reason, without_reason == 0);
-    report.bound("taken though wrong, or refused though sound", wrong, wrong == 0);
-    report.bound("readings or proxies with a mixture", mixed, mixed == 0);
-    report.bound("changes not held in time", late, late == 0);
-    let broken: Vec<_> =
+    report.bound("verdicts that differ between the managers", differing_verdicts, differing_verdicts == 0);
+    report.bound("refusals without a reason", rejections_without_reason, rejections_without_reason == 0);
+    report.bound("taken though wrong, or refused though sound", wrong_verdicts, wrong_verdicts == 0);
+    report.bound("readings or proxies with a mixture", inconsistent, inconsistent == 0);
+    report.bound("changes not held in time", timeouts, timeouts == 0);
+    let violations: Vec<_> =
         proxies.iter().flat_map(|proxies| proxies.with_rules(|rules| rules.violations.clone())).collect();
-    let first_broken =
-        broken.first().map_or("none".to_string(), |first| format!("{first:?} and {} more", broken.len() - 1));
-    report.bound("rules broken", first_broken, broken.is_empty());
-    let fifth = count / 5;
+    let first_violation = violations
+        .first()
+        .map_or("none".to_string(), |first| format!("{first:?} and {} more", violations.len() - 1));
+    report.bound("rules broken", first_violation, violations.is_empty());
+    let min_count = count / 5;
     report.bound(
         "taken and refused, a fifth each at least",
         format!("{accepted} {rejected}"),
-        accepted.min(rejected) >= fifth,
+        accepted.min(rejected) >= min_count,
     );
 }
--- a/crates/lab/src/child.rs
+++ b/crates/lab/src/child.rs
@@ -1,4 +1,5 @@
-//! A manager in a separate process that records the lateness of its turns and reports it on request over standard input.
+//! A manager in a separate process that records the lateness of its turns and reports it on request over standard
+//! input.
 
 use std::collections::HashMap;
 use std::fs;
@@ -18,7 +19,7 @@
 /// Histogram of the lateness of turns, in microseconds.
 type Lateness = Arc<Mutex<Histogram<u64>>>;
 
-/// Records the lateness in the manager's tracing events on its turns.
+/// A tracing layer that records the lateness from the events that the manager emits at each turn.
 struct TurnRecorder(Lateness);
 
 /// The value of the `late` field of an event, in milliseconds.
@@ -42,8 +43,8 @@
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let mut late_field = LateField(None);
         event.record(&mut late_field);
-        if let (Some(late), Ok(mut histogram)) = (late_field.0, self.0.lock()) {
-            histogram.saturating_record((late * 1000.0) as u64);
+        if let (Some(late_ms), Ok(mut histogram)) = (late_field.0, self.0.lock()) {
+            histogram.saturating_record((late_ms * 1000.0) as u64);
         }
     }
 }
@@ -52,12 +53,12 @@
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are valid")
 }
 
-/// Runs the manager until standard input ends. The first line of output has the address of the manager and that of its
-/// NETCONF server over SSH.
+/// Runs the manager until standard input ends. The first line of output has the address of the manager, and the address
+/// of its NETCONF server over SSH if it has one.
 ///
 /// Each line on standard input is a command, which also resets the current histogram of the lateness of turns: `drop`
-/// discards it, `keep NAME` adds it to the histogram of that name, and `tell NAME` prints the count, the median, the 99th
-/// percentile and the maximum of the histogram of that name.
+/// discards it, `keep NAME` adds it to the saved histogram of that name, and `tell NAME` prints the count, and in
+/// microseconds the median, the 99th percentile and the maximum, of the saved histogram of that name.
 pub fn serve(config: &Path, operator_file: &Path) -> ExitCode {
     let lateness: Lateness = Arc::new(Mutex::new(new_histogram()));
     tracing_subscriber::registry().with(TurnRecorder(lateness.clone())).init();
@@ -79,15 +80,15 @@
     let (ssh_address, _) = manager.netconf_addresses();
     println!("{} {}", manager.address(), ssh_address.map(|address| address.to_string()).unwrap_or_default());
     thread::spawn(move || {
-        let mut named: HashMap<String, Histogram<u64>> = HashMap::new();
+        let mut saved: HashMap<String, Histogram<u64>> = HashMap::new();
         for line in io::stdin().lock().lines().map_while(Result::ok) {
             let Ok(mut current) = lateness.lock() else { break };
             match line.split_once(' ') {
                 Some(("keep", name)) => {
-                    _ = named.entry(name.into()).or_insert_with(new_histogram).add(&*current);
+                    _ = saved.entry(name.into()).or_insert_with(new_histogram).add(&*current);
                 }
                 Some(("tell", name)) => {
-                    let histogram = named.entry(name.into()).or_insert_with(new_histogram);
+                    let histogram = saved.entry(name.into()).or_insert_with(new_histogram);
                     let quantile = |share| histogram.value_at_quantile(share);
                     println!("{} {} {} {}", histogram.len(), quantile(0.5), quantile(0.99), histogram.max());
                     _ = io::stdout().flush();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,6 +1,8 @@
-//! Measurements of a juniperrail manager, each with its bounds. An experiment prints a table of figures and bounds, and
-//! `N passed, N failed` alone on the last line. Managers run in separate processes, all other roles are stand-ins, and all
-//! traffic stays on the loopback interface.
+//! The experiments of the lab, one per subcommand. Each prints figures and bounds, one per line, and `N passed, N
+//! failed` alone on the last line.
+//!
+//! Managers and relays under test run in processes of their own, and the roles around them are stand-ins. All traffic
+//! stays on the loopback interface.
 
 mod capacity_command;
 mod changes;
@@ -21,7 +23,7 @@
 use juniperrail_lab::scale;
 
 #[derive(Parser)]
-#[command(about = "Measures juniperrail managers against stand-ins of the other roles")]
+#[command(about = "Measures juniperrail managers and relays against stand-ins of the other roles")]
 struct CommandLine {
     #[command(subcommand)]
     experiment: Experiment,
@@ -29,17 +31,17 @@
 
 #[derive(Subcommand)]
 enum Experiment {
-    /// Measure the time from a commit until all proxies hold it, the lateness of turns under a flood of sessions, and the
-    /// memory of sessions.
+    /// Measure the time from a NETCONF commit until all proxies hold it, the lateness of planner turns under a flood of
+    /// sessions, and the memory that sessions take.
     Netconf {
         /// Number of timed commits.
         #[arg(long, default_value_t = 100)]
         commits: u32,
-        /// Rounds of turns, each without and with the flood.
+        /// Number of rounds, each of which measures the turns once without and once with the flood.
         #[arg(long, default_value_t = 16)]
         rounds: u32,
     },
-    /// Apply random valid and invalid configuration changes at two managers, and check the rules throughout.
+    /// Apply random valid and invalid configuration changes at two managers, and check the protocol rules throughout.
     Changes {
         /// Number of changes.
         #[arg(long, default_value_t = 1000)]
@@ -57,20 +59,25 @@
         #[arg(long)]
         short: bool,
     },
-    /// Measure commits by group size and disk synchronization, and the time without a leader after the leader fails.
+    /// Measure the commit rate of consensus groups of several sizes with and without file syncs, and the time without a
+    /// leader after the leader fails.
     Council {
+        /// Number of leader failures of each kind.
         #[arg(long, default_value_t = 5)]
         rounds: usize,
     },
-    /// Measure the detection of stragglers in random gangs, and the sums per second by number of threads.
+    /// Measure the detection of stragglers in random gangs, and the progress reports per second by number of threads.
     Gangs {
+        /// Number of random gangs.
         #[arg(long, default_value_t = 140)]
         seeds: u64,
     },
-    /// Run many schedules on five replicas that repeatedly lose their leader.
+    /// Run many schedules on five managers whose leader is killed repeatedly.
     Schedule {
+        /// Number of schedules, each due once a minute.
         #[arg(long, default_value_t = 10_000)]
         count: usize,
+        /// Duration of the run, in seconds.
         #[arg(long, default_value_t = 130)]
         seconds: u64,
     },
@@ -82,7 +89,7 @@
         #[arg(long)]
         write: bool,
     },
-    /// Measure processor time, memory and traffic of real processes among simulated peers, as each size grows.
+    /// Measure processor time, memory and traffic of real processes with simulated peers, as the load grows.
     Scale(scale::Options),
     /// Run one manager for the other experiments.
     #[command(hide = true)]
--- a/crates/lab/src/measured.rs
+++ b/crates/lab/src/measured.rs
@@ -37,19 +37,23 @@
     pub against: String,
     /// The unit of the figure, for example `B`, `B/s`, `cores` or `ms`.
     pub unit: String,
+    /// The value of the line at size 0.
     pub fixed: f64,
+    /// The increase of the line per unit of the size.
     pub each: f64,
-    /// The share of the variance that the line explains.
+    /// The coefficient of determination: the share of the variance that the line explains.
     pub r_squared: f64,
     /// The largest distance of a sample from the line, as a share of the largest sample.
     pub worst_residual: f64,
-    /// Whether the line may be used beyond the measured sizes; false if the residuals show a bend.
+    /// Whether the line may be used beyond the measured sizes; false if the samples show a bend.
     pub straight: bool,
-    /// The measured sizes; `means` has the mean of the repetitions at each of them.
+    /// The measured sizes.
     pub sizes: Vec<f64>,
+    /// The mean of the repetitions at each of the sizes.
     pub means: Vec<f64>,
     /// The number of repetitions at each size.
     pub plays: usize,
+    /// The identifier of the run.
     pub run: String,
 }
 
@@ -58,9 +62,10 @@
 pub struct Reading {
     pub role: String,
     pub figure: String,
-    /// A short description of the conditions.
+    /// A short description of the conditions, which may start with the size.
     pub at: String,
     pub unit: String,
     pub value: f64,
+    /// The identifier of the run.
     pub run: String,
 }
--- a/crates/lab/src/netconf.rs
+++ b/crates/lab/src/netconf.rs
@@ -1,5 +1,5 @@
-//! The load of NETCONF on a manager: the time from a commit until the last proxy holds it, the lateness of turns with and
-//! without a flood of sessions, and the memory that sessions take.
+//! The load of NETCONF on a manager: the time from a commit until the last proxy holds it, the lateness of turns with
+//! and without a flood of sessions, and the memory that sessions take.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -17,9 +17,9 @@
 
 const PROXIES: u16 = 150;
 const SESSIONS: usize = 64;
-/// Threads of the flood, which share the sessions evenly.
+/// Threads that run the sessions of the flood, an equal part each.
 const FLOOD_THREADS: usize = 4;
-/// Measured part of a round of turns, once without and once with the flood.
+/// Length of a measurement window of turns; each round has one without and one with the flood.
 const ROUND_DURATION: Duration = Duration::from_secs(3);
 /// Time that a client waits for the notification that all proxies hold a commit.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(30);
@@ -36,8 +36,9 @@
     tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
 }
 
-fn join_proxies(town: &Cluster, manager: &ManagerProcess) -> Proxies {
-    let proxies = Proxies::start(manager.address, 0, PROXIES, &["a", "b", "c"], town.rules());
+/// Starts the proxies and waits until each has a table of at least 10 workers, as many as a zone has.
+fn join_proxies(cluster: &Cluster, manager: &ManagerProcess) -> Proxies {
+    let proxies = Proxies::start(manager.address, 0, PROXIES, &["a", "b", "c"], cluster.rules());
     proxies.wait_until("every proxy has a table", |rules| {
         (0..PROXIES).all(|proxy| rules.routable_workers(proxy).len() >= 10)
     });
@@ -48,27 +49,28 @@
     format!("<workers xmlns=\"{MANAGER_NAMESPACE}\"><worker><name>{name}</name>{body}</worker></workers>")
 }
 
-/// Measures the time from a commit to the notification that all proxies hold it, as seen by a client.
+/// Measures the time from the start of an edit, through its commit, to the notification that all proxies hold the
+/// change, as seen by a client.
 fn commit_times(report: &mut Report, size: ClusterSize, commits: u32) {
-    let town = Cluster::new("held", size);
-    let manager = town.start_manager("n0", None);
-    let proxies = join_proxies(&town, &manager);
+    let cluster = Cluster::new("held", size);
+    let manager = cluster.start_manager("n0", None);
+    let proxies = join_proxies(&cluster, &manager);
     let mut rng = fastrand::Rng::with_seed(17);
     let new_histogram =
         || Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).expect("the bounds are valid");
-    let (mut drains, mut weights) = (new_histogram(), new_histogram());
+    let (mut drain_times, mut weight_times) = (new_histogram(), new_histogram());
     let mut unconfirmed = 0;
     runtime().block_on(async {
-        let mut client = town.connect(&manager).await;
-        let mut watcher = town.connect(&manager).await;
+        let mut client = cluster.connect(&manager).await;
+        let mut watcher = cluster.connect(&manager).await;
         let filter = "<change-held xmlns=\"tag:juniperrail.example,2026:yang:state\"/>";
         watcher.subscribe(Some(filter)).await.expect("a subscription");
         for number in 0..commits {
-            let name = town.worker_name(rng.usize(..size.workers));
-            let reverted = worker_edit(&name, "<wanted>follow</wanted>");
+            let name = cluster.worker_name(rng.usize(..size.workers));
+            let revert = worker_edit(&name, "<wanted>follow</wanted>");
             let (body, times): (String, _) = match number % 2 {
-                0 => ("<wanted>draining</wanted>".into(), &mut drains),
-                _ => (format!("<weight>{:.2}</weight>", 0.5 + rng.f64()), &mut weights),
+                0 => ("<wanted>draining</wanted>".into(), &mut drain_times),
+                _ => (format!("<weight>{:.2}</weight>", 0.5 + rng.f64()), &mut weight_times),
             };
             let started = Instant::now();
             client.edit(&worker_edit(&name, &body)).await.expect("the edit is valid");
@@ -79,13 +81,13 @@
                 _ => unconfirmed += 1,
             }
             if number % 2 == 0 {
-                client.edit(&reverted).await.expect("the edit is valid");
+                client.edit(&revert).await.expect("the edit is valid");
                 client.commit(&Commit::default()).await.expect("the commit is valid");
                 _ = tokio::time::timeout(NOTIFICATION_TIMEOUT, watcher.next_notification()).await;
             }
         }
     });
-    for (name, times) in [("drains", &drains), ("weights", &weights)] {
+    for (name, times) in [("drains", &drain_times), ("weights", &weight_times)] {
         let quantile_ms = |share| times.value_at_quantile(share) as f64 / 1000.0;
         report.figure(
             &format!("{name}: commit to held by {PROXIES} proxies, p50 ms"),
@@ -97,12 +99,12 @@
         );
     }
     report.bound("commits that not all proxies held", unconfirmed, unconfirmed == 0);
-    let broken = proxies.with_rules(|rules| rules.violations.len());
-    report.bound("rules broken meanwhile", broken, broken == 0);
+    let violations = proxies.with_rules(|rules| rules.violations.len());
+    report.bound("rules broken meanwhile", violations, violations == 0);
 }
 
-/// Sessions that request the complete state and configuration and send invalid edits and invalid bytes, until they are
-/// stopped.
+/// Sessions that request the complete state and configuration, send invalid edits and incomplete messages, and
+/// reconnect at random, until they are stopped.
 struct Flood {
     stop: Arc<AtomicBool>,
     operations: Arc<AtomicU64>,
@@ -110,10 +112,10 @@
 }
 
 impl Flood {
-    fn start(town: &Cluster, manager: &ManagerProcess) -> Flood {
+    fn start(cluster: &Cluster, manager: &ManagerProcess) -> Flood {
         let (stop, operations) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
-        let endpoint = town.endpoint(manager);
-        let thread = |number: usize| {
+        let endpoint = cluster.endpoint(manager);
+        let spawn_thread = |number: usize| {
             let (stop, operations, endpoint) = (stop.clone(), operations.clone(), endpoint.clone());
             thread::spawn(move || {
                 let flood = async {
@@ -135,6 +137,8 @@
                                     _ => client.send_raw(b"\n#1073741824\n").await,
                                 };
                                 operations.fetch_add(1, Ordering::Relaxed);
+                                // Reconnects if the session has failed, and otherwise at random after a quarter of
+                                // the operations.
                                 if result.is_err_and(|error| error.rpc_errors().is_empty())
                                     || rng.u8(..4) == 3
                                 {
@@ -155,7 +159,7 @@
                 runtime().block_on(flood);
             })
         };
-        let threads = (0..FLOOD_THREADS).map(thread).collect();
+        let threads = (0..FLOOD_THREADS).map(spawn_thread).collect();
         Flood { stop, operations, threads }
     }
 
@@ -167,7 +171,7 @@
     }
 }
 
-/// Starts a collector that sends the sums of a busy zone.
+/// Starts a collector that sends the sums of a busy zone in every report period, until it is stopped.
 fn start_collector(manager: SocketAddr, workers: usize, stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
     thread::spawn(move || {
         let Ok(mut socket) = TcpStream::connect(manager) else { return };
@@ -184,19 +188,19 @@
     })
 }
 
-/// Measures the lateness of turns without and with the flood, in alternating rounds. The manager has a single processor for
-/// all of its threads.
+/// Measures the lateness of turns without and with the flood, in alternating windows. All threads of the manager are
+/// pinned to one processor.
 fn turn_lateness(report: &mut Report, size: ClusterSize, rounds: u32) {
-    let town = Cluster::new("turns", size);
-    let mut manager = town.start_manager("n0", Some(0));
-    let _proxies = join_proxies(&town, &manager);
+    let cluster = Cluster::new("turns", size);
+    let mut manager = cluster.start_manager("n0", Some(0));
+    let _proxies = join_proxies(&cluster, &manager);
     let stop = Arc::new(AtomicBool::new(false));
     let collector = start_collector(manager.address, size.workers, stop.clone());
     let mut operations = 0;
-    // Short alternating rounds, so that other load on the machine affects both alike.
+    // The windows are short and alternate, so that other load on the machine affects both alike.
     for _ in 0..rounds {
         for name in ["quiet", "flood"] {
-            let flood = (name == "flood").then(|| Flood::start(&town, &manager));
+            let flood = (name == "flood").then(|| Flood::start(&cluster, &manager));
             thread::sleep(Duration::from_secs(1));
             manager.discard_lateness();
             thread::sleep(ROUND_DURATION);
@@ -220,9 +224,9 @@
 
 /// Measures the resident memory of a manager without sessions, with idle sessions, and under two floods in succession.
 fn session_memory(report: &mut Report, size: ClusterSize) {
-    let town = Cluster::new("memory", size);
-    let manager = town.start_manager("n0", None);
-    let _proxies = join_proxies(&town, &manager);
+    let cluster = Cluster::new("memory", size);
+    let manager = cluster.start_manager("n0", None);
+    let _proxies = join_proxies(&cluster, &manager);
     let resident_mib = || manager.resident_kib() as f64 / 1024.0;
     let before = resident_mib();
     report.figure("resident with 150 proxies, no session, MiB", format!("{before:.1}"));
@@ -230,7 +234,7 @@
     let sessions = runtime.block_on(async {
         let mut sessions = Vec::new();
         for _ in 0..SESSIONS {
-            sessions.push(town.connect(&manager).await);
+            sessions.push(cluster.connect(&manager).await);
         }
         sessions
     });
@@ -240,7 +244,7 @@
     drop(runtime);
     // Gives the manager time to notice that the sessions have ended.
     thread::sleep(Duration::from_secs(1));
-    let flood = Flood::start(&town, &manager);
+    let flood = Flood::start(&cluster, &manager);
     let mut first_peak = 0.0f64;
     for _ in 0..50 {
         thread::sleep(Duration::from_millis(100));
@@ -251,7 +255,7 @@
         &format!("with {SESSIONS} busy sessions, most MiB ({operations} operations)"),
         format!("{first_peak:.1}"),
     );
-    let flood = Flood::start(&town, &manager);
+    let flood = Flood::start(&cluster, &manager);
     let mut second_peak = 0.0f64;
     for _ in 0..50 {
         thread::sleep(Duration::from_millis(100));
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,5 @@
-//! The printed report of an experiment: figures, judged bounds, and their counts.
+//! The printed report of an experiment: figures, bounds with their verdicts, and the numbers of passed and failed
+//! bounds.
 
 use std::process::ExitCode;
 
@@ -10,12 +11,12 @@
 }
 
 impl Report {
-    /// Prints a figure that is not judged.
+    /// Prints a figure that has no bound.
     pub fn figure(&self, name: &str, value: impl std::fmt::Display) {
         println!("{name:<58} {value}");
     }
 
-    /// Prints a bound with the measured value, and counts whether it holds.
+    /// Prints the name of a bound, the measured value and the verdict, and counts the verdict.
     pub fn bound(&mut self, name: &str, value: impl std::fmt::Display, holds: bool) {
         let verdict = if holds { "passed" } else { "FAILED" };
         println!("{name:<58} {value}  {verdict}");
--- a/crates/lab/src/turns.rs
+++ b/crates/lab/src/turns.rs
@@ -7,16 +7,17 @@
 
 use crate::report::Report;
 
-/// Maximum ratio of the median cost of a turn, divided by the number of workers and proxies, to that of the first size.
+/// Maximum ratio of the cost of a turn at a larger size to the cost at the first size. The cost is the median duration
+/// of a turn divided by the number of workers and proxies.
 const MAX_COST_RATIO: f64 = 5.0;
 
-/// Numbers of workers and proxies.
+/// The measured sizes, as numbers of workers and proxies.
 const SIZES: [(u32, u16); 3] = [(200, 450), (200, 2400), (1100, 2400)];
 
-/// Turns of one run.
+/// Number of turns of one run.
 const TURNS: u32 = 400;
-/// The turn at which half of the workers drain and new ones take their place.
-const RELEASE_TURN: u32 = 200;
+/// The turn at which half of the workers start to drain and as many new ones become ready.
+const REPLACEMENT_TURN: u32 = 200;
 
 fn settings(proxies: u16) -> Settings {
     let operation = Operation {
@@ -54,20 +55,21 @@
     WorkerEntry { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 }
 }
 
-/// Runs the planner from its start, with reports and acknowledged marks in each turn and a release of half of the workers
-/// midway. Returns the durations of the turns in milliseconds, sorted.
+/// Runs a new planner, with sums and acknowledged marks at each turn and a replacement of half of the workers midway.
+/// Returns the durations of the turns in milliseconds, sorted.
 fn turn_durations(workers: u32, proxies: u16, seed: u64) -> Vec<f64> {
     let (mut rng, mut now) = (fastrand::Rng::with_seed(seed), 1000.0);
     let mut planner = Planner::new(now, seed, settings(proxies));
-    let all = |phase| (0..workers).map(|worker| worker_entry(worker, phase, None)).collect();
-    let mut events = vec![Event::List { kind: ListKind::Remembered, version: 1, workers: all(Phase::Ready) }];
+    let all_workers = |phase| (0..workers).map(|worker| worker_entry(worker, phase, None)).collect();
+    let mut events =
+        vec![Event::List { kind: ListKind::Remembered, version: 1, workers: all_workers(Phase::Ready) }];
     for proxy in 0..proxies {
         let (zone, inv_per_second) = (ZoneId(proxy % 3), rng.f64());
         events.push(Event::Joined { proxy: ProxyId(proxy), fresh: true, inv_per_second, zone });
     }
     let (mut durations, mut marks) = (Vec::new(), Vec::new());
     for turn in 0..TURNS {
-        if turn == RELEASE_TURN {
+        if turn == REPLACEMENT_TURN {
             let leaving = (0..workers / 2).map(|worker| worker_entry(worker, Phase::Draining, None));
             let joining =
                 (workers..workers + workers / 2).map(|worker| worker_entry(worker, Phase::Ready, Some(now)));
@@ -96,7 +98,8 @@
                 load: Load::default(),
             });
         }
-        // The channel keeps up: marks are acknowledged about a second after they are sent.
+        // The channel keeps up: every 20 turns, which is once a second, each proxy acknowledges the newest mark but
+        // one.
         if let Some(mark) = marks.get(marks.len().saturating_sub(2)) {
             let acknowledgement =
                 |proxy| Event::MarkAcknowledged { mark: *mark, took: 500.0, proxy: ProxyId(proxy) };
