--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -38,9 +38,9 @@
         gaps::ranked(&self.rows)
     }
 
-    /// The names of the slopes that the page needs and that no run has measured.
-    pub fn unmeasured_slopes(&self) -> Vec<&str> {
-        unmeasured_slopes(&self.rows)
+    /// The names of the slopes and readings that the page needs and that no run has measured.
+    pub fn missing_measurements(&self) -> Vec<&str> {
+        missing_measurements(&self.rows)
     }
 }
 
@@ -59,7 +59,7 @@
     blocks.push(block("requests", rows_table(&request_rows.iter().collect::<Vec<_>>())));
     blocks.push(block("worst-minutes", worst_cases(role_rows)));
     blocks.push(block("runs", runs(measured)));
-    blocks.push(block("not-measured", unmeasured_slopes_text(rows)));
+    blocks.push(block("not-measured", missing_measurements_text(rows)));
     blocks.push(block("missing", gaps_text(rows)));
     blocks
 }
@@ -243,25 +243,25 @@
     table(&["run", "commit", "when", "command", "machine"], &lines)
 }
 
-fn unmeasured_slopes(rows: &[Row]) -> Vec<&str> {
-    let unmeasured = rows.iter().flat_map(|row| match &row.figure.basis {
-        Basis::NotMeasured(slopes) => slopes.as_slice(),
+fn missing_measurements(rows: &[Row]) -> Vec<&str> {
+    let missing = rows.iter().flat_map(|row| match &row.figure.basis {
+        Basis::NotMeasured(names) => names.as_slice(),
         _ => &[],
     });
     let mut distinct: Vec<&str> = Vec::new();
-    for slope in unmeasured {
-        if !distinct.contains(&slope.as_str()) {
-            distinct.push(slope);
+    for name in missing {
+        if !distinct.contains(&name.as_str()) {
+            distinct.push(name);
         }
     }
     distinct
 }
 
-fn unmeasured_slopes_text(rows: &[Row]) -> String {
-    let unmeasured = unmeasured_slopes(rows);
-    match unmeasured.is_empty() {
+fn missing_measurements_text(rows: &[Row]) -> String {
+    let missing = missing_measurements(rows);
+    match missing.is_empty() {
         true => paragraph("Every slope that the page wants was measured."),
-        false => paragraph(&format!("Wanted and not measured: {}.", unmeasured.join("; "))),
+        false => paragraph(&format!("Wanted and not measured: {}.", missing.join("; "))),
     }
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! The experiments of the lab, one per subcommand. Each prints figures and bounds, one per line, and `N passed, N
-//! failed` alone on the last line.
+//! The experiments of the lab, one per subcommand. Each prints figures and bounds, one per line. The last line is
+//! `N passed, N failed` alone.
 //!
 //! Managers and relays under test run in processes of their own, and the roles around them are stand-ins. All traffic
 //! stays on the loopback interface.
