--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -116,7 +116,7 @@
 }
 
 /// All open gaps, in the order in which to close them. A gap is closed once the mechanism of its row is a file, except
-/// that a gap of [`Stage::NotDemonstrated`] is always open.
+/// that those of [`Stage::NotDemonstrated`] stay listed, since a run has to demonstrate them.
 pub fn ranked(rows: &[Row]) -> Vec<RankedGap<'_>> {
     let row_of = |gap: &Gap| rows.iter().find(|row| row.role == gap.role && row.name == gap.row);
     let is_open = |ranked: &RankedGap<'_>| {
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -97,7 +97,7 @@
     (!parts.is_empty()).then(|| parts.join("; "))
 }
 
-/// The table of the numbers of rows of each role that meet and miss their limits, and of the names of those that miss.
+/// A table of how many rows of each role meet and miss their limits, with the names of those that miss.
 fn verdicts(rows: &[Row]) -> String {
     let names_with = |role: Role, verdict| {
         let judged = rows.iter().filter(|row| row.role == role && row.verdict() == verdict);
--- a/crates/lab/src/capacity/requests.rs
+++ b/crates/lab/src/capacity/requests.rs
@@ -24,8 +24,8 @@
     let max_lines = Figure::computed(added_latency / stall_per_line, Unit::Count);
     let complete_table_stall = Figure::computed(workers * stall_per_line, Unit::Seconds);
     let stalled_share = Figure::computed_at_most(lines_per_second * stall_per_line, Unit::Share);
-    // A proxy may stall for at most the share of the time that is the share of requests that may exceed the added
-    // latency.
+    // Requests are delayed while their proxy is stalled, so the share of the time that it is stalled must not be larger
+    // than the share of the requests that may exceed the added latency.
     let max_stalled_share = Limit::required(1.0 - requirements::ADDED_LATENCY_SHARE, Unit::Share);
     vec![
         row(Scenario::SteadyState, "lines of one order that stop a proxy for 1.8 ms", max_lines, None),
--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -70,7 +70,7 @@
     }
     let mut configs_after = configs.clone();
     let mut xml = format!("<workers xmlns=\"{MANAGER_NAMESPACE}\">");
-    // Occasionally changes all workers at once, which may leave none of them ready and is then invalid.
+    // Occasionally changes all workers at once, which may leave none of them ready and must then be rejected.
     let changed_count = if rng.u8(..12) == 0 { WORKERS } else { rng.usize(1..4) };
     let removes_workers = rng.bool();
     let mut shuffled_workers: Vec<usize> = (0..WORKERS).collect();
@@ -156,7 +156,7 @@
     let (mut accepted, mut rejected, mut timeouts) = (0, 0, 0);
     // Changes accepted by one manager and rejected by the other, rejections without a reason, states and tables that
     // show a part of a change or an outdated configuration, and verdicts that contradict the validity of the change.
-    let (mut differing_verdicts, mut rejections_without_reason, mut inconsistent, mut wrong_verdicts) =
+    let (mut differing_verdicts, mut rejections_without_reason, mut inconsistent_states, mut wrong_verdicts) =
         (0, 0, 0, 0);
     let mut rng = fastrand::Rng::with_seed(seed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -197,7 +197,7 @@
                 apply_change(second, &change.xml),
                 concurrent_readings
             );
-            inconsistent += partial_states;
+            inconsistent_states += partial_states;
             differing_verdicts += u32::from(result.is_ok() != other_result.is_ok());
             match &result {
                 Ok(()) => {
@@ -232,7 +232,7 @@
                 let start = Instant::now();
                 loop {
                     let reading = read_state(reader).await;
-                    inconsistent += u32::from(reading.ready != expected);
+                    inconsistent_states += u32::from(reading.ready != expected);
                     if reading.held || reading.newest_change.is_empty() || start.elapsed() > HELD_TIMEOUT {
                         timeouts += u32::from(!reading.held && !reading.newest_change.is_empty());
                         break;
@@ -243,7 +243,7 @@
                     let table = proxies[manager].with_rules(|rules| rules.routable_workers(proxy));
                     table.keys().filter_map(|name| name[2..].parse().ok()).collect::<BTreeSet<usize>>()
                 };
-                inconsistent +=
+                inconsistent_states +=
                     proxy_numbers(manager).filter(|proxy| table_workers(*proxy) != expected).count() as u32;
             }
         }
@@ -254,7 +254,7 @@
     report.bound("verdicts that differ between the managers", differing_verdicts, differing_verdicts == 0);
     report.bound("refusals without a reason", rejections_without_reason, rejections_without_reason == 0);
     report.bound("taken though wrong, or refused though sound", wrong_verdicts, wrong_verdicts == 0);
-    report.bound("readings or proxies with a mixture", inconsistent, inconsistent == 0);
+    report.bound("readings or proxies with a mixture", inconsistent_states, inconsistent_states == 0);
     report.bound("changes not held in time", timeouts, timeouts == 0);
     let violations: Vec<_> =
         proxies.iter().flat_map(|proxies| proxies.with_rules(|rules| rules.violations.clone())).collect();
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,7 +1,7 @@
-//! The capacity page holds the computed tables and names only files and runs that exist.
+//! The capacity page has the computed tables and names only files and runs that exist.
 //!
-//! Guards against a page that no longer matches the measurements or the code, and against figures that are extrapolated,
-//! interpolated or judged without saying so.
+//! Guards against a page that no longer matches the measurements or the code, against figures that are extrapolated or
+//! interpolated but not marked as such, and against an upper bound that is judged as if it were the figure.
 
 use std::path::{Path, PathBuf};
 
@@ -19,24 +19,28 @@
 const MEMORY: Series =
     Series { role: "manager", figure: "peak memory", against: "workers listed", unit: Unit::Bytes };
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 fn measured() -> Measurements {
-    let text = std::fs::read_to_string(root().join("docs/capacity/measured.json")).unwrap();
+    let text = std::fs::read_to_string(repository_root().join("docs/capacity/measured.json")).unwrap();
     serde_json::from_str(&text).unwrap()
 }
 
 fn page_text() -> String {
-    std::fs::read_to_string(root().join("docs/CAPACITY.md")).unwrap()
+    std::fs::read_to_string(repository_root().join("docs/CAPACITY.md")).unwrap()
 }
 
 fn faults(text: &str, measured: &Measurements) -> Vec<String> {
     let page = Page::new(measured);
-    checks::all(&root(), text, &page, measured).into_iter().flat_map(|check| check.faults).collect()
+    checks::all(&repository_root(), text, &page, measured)
+        .into_iter()
+        .flat_map(|check| check.faults)
+        .collect()
 }
 
+/// A slope of [`MEMORY`]: 9 MB and 1,000 bytes for each worker.
 fn slope(straight: bool) -> Slope {
     Slope {
         role: "manager".into(),
@@ -64,6 +68,7 @@
     Reading { role, figure, at: at.into(), unit, value, run }
 }
 
+/// Two readings of [`MEMORY`], and one against another size.
 fn with_readings() -> Measurements {
     let readings = vec![
         reading("1,000 workers listed, one change a second", 1e7),
@@ -118,14 +123,14 @@
 fn each_mechanism_file_exists() {
     for row in Page::new(&measured()).rows {
         if let Mechanism::File(path) = row.mechanism {
-            assert!(root().join(path).is_file(), "{path}");
+            assert!(repository_root().join(path).is_file(), "{path}");
         }
     }
 }
 
 #[test]
 fn missing_mechanism_file_is_detected() {
-    let wrong_root = root().join("docs");
+    let wrong_root = repository_root().join("docs");
     let (text, measured) = (page_text(), measured());
     let checks = checks::all(&wrong_root, &text, &Page::new(&measured), &measured);
     let faults: Vec<String> = checks.into_iter().flat_map(|check| check.faults).collect();
@@ -146,8 +151,8 @@
 #[test]
 fn reading_of_an_unrecorded_run_is_detected() {
     let mut measured = measured();
-    measured.readings[0].run = "nobody's".into();
-    assert!(faults(&page_text(), &measured).iter().any(|fault| fault.contains("nobody's")));
+    measured.readings[0].run = "unrecorded run".into();
+    assert!(faults(&page_text(), &measured).iter().any(|fault| fault.contains("unrecorded run")));
 }
 
 #[test]
@@ -158,8 +163,8 @@
     let beyond = MEMORY.at(&with_slope(true), 20_001.0);
     assert!(matches!(beyond.basis, Basis::Extrapolated(_)));
     assert!(beyond.cell().contains("extrapolated"));
-    let bent = MEMORY.at(&with_slope(false), 10_001.0);
-    assert!(matches!(bent.basis, Basis::Extrapolated(_)));
+    let beyond_bent = MEMORY.at(&with_slope(false), 10_001.0);
+    assert!(matches!(beyond_bent.basis, Basis::Extrapolated(_)));
     let size_at_limit = MEMORY.size_at_limit(&with_slope(true), 2.4e7);
     assert_eq!(size_at_limit.quantity, Some(Quantity::new(15_000.0, Unit::Count)));
     let below = MEMORY.at(&with_slope(true), 45.0);
@@ -176,9 +181,9 @@
 fn bending_slope_is_interpolated_between_its_means() {
     let mut measured = with_slope(false);
     measured.slopes[0].means = vec![1e7, 3e7];
-    let at_a_size = MEMORY.at(&measured, 10_000.0);
-    assert_eq!(at_a_size.quantity, Some(Quantity::new(3e7, Unit::Bytes)));
-    assert_eq!(at_a_size.basis, Basis::Measured);
+    let at_measured_size = MEMORY.at(&measured, 10_000.0);
+    assert_eq!(at_measured_size.quantity, Some(Quantity::new(3e7, Unit::Bytes)));
+    assert_eq!(at_measured_size.basis, Basis::Measured);
     let between = MEMORY.at(&measured, 5500.0);
     assert_eq!(between.quantity, Some(Quantity::new(2e7, Unit::Bytes)));
     assert_eq!(between.basis, Basis::Interpolated);
@@ -194,8 +199,10 @@
     measured.readings = vec![reading("50,000 workers listed", 1.1 * line_at_50_000)];
     assert!(!MEMORY.at(&measured, 200_000.0).cell().contains("a reading"));
     measured.readings = vec![reading("50,000 workers listed", 2.0 * line_at_50_000)];
-    let far = MEMORY.at(&measured, 200_000.0);
-    assert!(far.cell().contains("20 times the largest size of the line, and at 50,000 a reading is 2 times"));
+    let contradicted = MEMORY.at(&measured, 200_000.0);
+    assert!(contradicted
+        .cell()
+        .contains("20 times the largest size of the line, and at 50,000 a reading is 2 times"));
     assert_eq!(MEMORY.at(&measured, 20_000.0).basis, Basis::Measured);
 }
 
@@ -243,23 +250,23 @@
     let measured = MEMORY.at(&with_slope(true), 2000.0);
     let computed = Figure::computed(1.0, Unit::Bytes);
     assert_eq!(measured.clone().plus(computed.clone()).basis, Basis::Computed);
-    let far = MEMORY.at(&with_slope(true), 1e6);
-    assert!(matches!(computed.plus(far).basis, Basis::Extrapolated(_)));
+    let extrapolated = MEMORY.at(&with_slope(true), 1e6);
+    assert!(matches!(computed.plus(extrapolated).basis, Basis::Extrapolated(_)));
     let at_most = MEMORY.at(&with_slope(true), 45.0);
     assert_eq!(measured.plus(at_most).bound, Bound::AtMost);
 }
 
 #[test]
 fn growth_excludes_the_value_at_size_0() {
-    let each = MEMORY.growth_per_unit(&with_slope(true));
-    assert_eq!(each.quantity, Some(Quantity::new(1000.0, Unit::Bytes)));
+    let per_worker = MEMORY.growth_per_unit(&with_slope(true));
+    assert_eq!(per_worker.quantity, Some(Quantity::new(1000.0, Unit::Bytes)));
     let growth = MEMORY.growth(&with_slope(true), 12.0);
     assert_eq!(growth.quantity, Some(Quantity::new(12_000.0, Unit::Bytes)));
     assert_eq!(MEMORY.growth_per_unit(&with_readings()).quantity, None);
     let sum = MEMORY.at(&with_slope(true), 1000.0).plus(growth);
     assert_eq!(sum.quantity, Some(Quantity::new(10_012_000.0, Unit::Bytes)));
-    let unknown = MEMORY.at(&with_slope(true), 1000.0).plus(MEMORY.growth_per_unit(&with_readings()));
-    assert_eq!(unknown.basis, Basis::NotMeasured(vec![MEMORY.slope_name()]));
+    let not_measured = MEMORY.at(&with_slope(true), 1000.0).plus(MEMORY.growth_per_unit(&with_readings()));
+    assert_eq!(not_measured.basis, Basis::NotMeasured(vec![MEMORY.slope_name()]));
 }
 
 #[test]
@@ -304,8 +311,8 @@
 fn blocks_are_replaced_exactly_once_and_other_text_is_unchanged() {
     let blocks = [Block { name: "one", text: "new\n".into() }];
     let page = "before\n<!-- capacity: one -->\nold\n<!-- end -->\nafter\n";
-    let written = "before\n<!-- capacity: one -->\nnew\n<!-- end -->\nafter\n";
-    assert_eq!(rewrite(page, &blocks), Ok(written.to_string()));
+    let rewritten = "before\n<!-- capacity: one -->\nnew\n<!-- end -->\nafter\n";
+    assert_eq!(rewrite(page, &blocks), Ok(rewritten.to_string()));
     assert_eq!(rewrite("", &blocks), Err(PageError::NotExactlyOnce("one")));
     assert_eq!(rewrite(&format!("{page}{page}"), &blocks), Err(PageError::NotExactlyOnce("one")));
     let other = "<!-- capacity: other -->\n<!-- end -->\n";
@@ -327,7 +334,7 @@
         (0.0, Unit::Count, "0"),
         (100.0, Unit::Count, "100"),
     ];
-    for (value, unit, written) in cases {
-        assert_eq!(Quantity::new(value, unit).to_string(), written);
+    for (value, unit, expected) in cases {
+        assert_eq!(Quantity::new(value, unit).to_string(), expected);
     }
 }
