--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster of an experiment: a stand-in of discovery, managers in processes of their own, and NETCONF access to
+//! The cluster of an experiment: a stand-in for discovery, managers in processes of their own, and NETCONF access to
 //! them.
 
 use std::fs;
@@ -13,24 +13,24 @@
 /// The XML namespace of the manager's configuration.
 pub const MANAGER_NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
 
-/// The sizes and the report period that the managers' settings state.
+/// The sizes of a cluster and the report period in its managers' settings.
 #[derive(Clone, Copy)]
 pub struct ClusterSize {
-    /// The workers that discovery lists.
+    /// The number of workers that discovery lists.
     pub workers: usize,
-    /// The proxies that the managers expect together.
+    /// The number of proxies that all managers together expect.
     pub proxies: u16,
-    /// The managers that share the proxies.
+    /// The number of managers that share the proxies.
     pub managers: u16,
-    /// The period of the reports in milliseconds; managers gather changes for half of it.
+    /// The period of the reports in milliseconds; managers batch changes for half of it.
     pub report_period_ms: u32,
 }
 
-/// Discovery, the configuration folder and the keys that the managers of one experiment share. Dropping it removes the
-/// folder.
+/// The discovery stand-in, the folder of files and the SSH keys that the managers of one experiment share. Dropping it
+/// removes the folder.
 pub struct Cluster {
     pub size: ClusterSize,
-    /// The folder of the keys and the managers' files.
+    /// The folder with the keys and the managers' configuration files.
     pub folder: PathBuf,
     pub discovery: Discovery,
     host_key: SshKeys,
@@ -98,7 +98,9 @@
         let mut stdout = BufReader::new(stdout);
         let mut line = String::new();
         stdout.read_line(&mut line).expect("the manager prints its addresses");
-        let mut addresses = line.split_whitespace().map(|address| address.parse().expect("an address"));
+        let mut addresses = line
+            .split_whitespace()
+            .map(|address| address.parse().expect("the manager prints socket addresses"));
         let address = addresses.next().expect("the address of the line protocol");
         let ssh = addresses.next().expect("the address of NETCONF over SSH");
         ManagerProcess { child, stdin, stdout, address, ssh }
@@ -115,7 +117,7 @@
         Client::connect(&self.endpoint(manager)).await.expect("the manager accepts its configured user")
     }
 
-    /// A protocol checker that has every worker in its list.
+    /// A protocol checker that knows every worker of the list.
     pub fn rules(&self) -> RuleChecker {
         let mut rules = RuleChecker::new(RuleLimits {
             drain_grace_ms: 3300.0,
@@ -135,7 +137,8 @@
     }
 }
 
-/// Starts a process while this thread is pinned to one processor, since a child inherits the affinity of its parent.
+/// Starts a process, with `core` while this thread is pinned to that processor: a child inherits the affinity of the
+/// thread that starts it.
 fn start_pinned<R>(core: Option<usize>, start: impl FnOnce() -> R) -> R {
     use rustix::thread::{sched_getaffinity, sched_setaffinity, CpuSet};
     let Some(core) = core else { return start() };
@@ -153,13 +156,13 @@
     child: Child,
     stdin: ChildStdin,
     stdout: BufReader<ChildStdout>,
-    /// Where it serves the line protocol of proxies and collectors.
+    /// The address at which it serves the line protocol of proxies and collectors.
     pub address: SocketAddr,
-    /// Where it serves NETCONF over SSH.
+    /// The address at which it serves NETCONF over SSH.
     pub ssh: SocketAddr,
 }
 
-/// How late a manager's turns were, in microseconds.
+/// The lateness of a manager's turns, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnLateness {
     /// The number of turns.
@@ -189,7 +192,8 @@
         self.send_command(&format!("tell {name}"));
         let mut line = String::new();
         self.stdout.read_line(&mut line).expect("the manager answers");
-        let mut figures = line.split_whitespace().map(|figure| figure.parse().expect("a figure"));
+        let mut figures =
+            line.split_whitespace().map(|figure| figure.parse().expect("the manager prints whole numbers"));
         let mut next = || figures.next().expect("four figures");
         TurnLateness { count: next(), p50_us: next(), p99_us: next(), max_us: next() }
     }
--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -1,5 +1,5 @@
-//! The cost of consensus and the time without a leader: the commit rate with and without file syncs, and clusters of
-//! real processes whose leader is killed, suspended, partitioned or terminated.
+//! The cost of consensus and the time without a leader: the commit rate with and without file syncs, and a cluster of
+//! real processes whose leader is repeatedly killed, suspended, partitioned or terminated.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
 struct GroupMember<D> {
     node: RaftNode,
     store: Store<D>,
-    /// Records committed to the store so far.
+    /// The number of records committed to the store so far.
     durable_records: u64,
 }
 
@@ -66,7 +66,7 @@
         group
     }
 
-    /// The leader that holds a lease.
+    /// The leader, once it holds a lease.
     fn leader(&self) -> Option<MemberId> {
         let leads = |member: &GroupMember<D>| {
             member.node.lease(self.now_ms).is_some() && member.node.role() == Role::Leader
@@ -74,7 +74,7 @@
         self.members.iter().find(|(_, member)| leads(member)).map(|(id, _)| *id)
     }
 
-    /// Writes records and delivers messages until no member has any left.
+    /// Stores records and delivers messages until no member has any left.
     fn run_until_idle(&mut self) {
         loop {
             // The sender, the receiver and the message.
@@ -151,16 +151,16 @@
 /// Prints the commit rate and the round time, and returns the rate.
 fn report_commits(
     report: &Report,
-    what: &str,
+    name: &str,
     (commits_per_second, round_times_us): (f64, Histogram<u64>),
 ) -> f64 {
     let p99_ms = round_times_us.value_at_quantile(0.99) as f64 / 1000.0;
-    report.figure(what, format!("{commits_per_second:.0} commits/s, p99 of a round {p99_ms:.2} ms"));
+    report.figure(name, format!("{commits_per_second:.0} commits/s, p99 of a round {p99_ms:.2} ms"));
     commits_per_second
 }
 
-/// Injects a fault at the leader and returns the milliseconds until another member logs that it leads; the fault is
-/// reverted afterwards.
+/// Injects a fault at the leader and returns the milliseconds until another member logs that it leads. Reverts the
+/// fault afterwards.
 fn time_without_leader_ms(
     cluster: &mut TestCluster,
     fault: impl Fn(&mut TestCluster, u16),
@@ -258,15 +258,15 @@
     for (fault, times_ms) in &mut times_by_fault {
         times_ms.sort_by(f64::total_cmp);
         let (median, max) = (times_ms[times_ms.len() / 2], times_ms[times_ms.len() - 1]);
-        let shown = format!("median {median:.0} ms, maximum {max:.0} ms of {}", times_ms.len());
+        let times = format!("median {median:.0} ms, maximum {max:.0} ms of {}", times_ms.len());
         match *fault {
-            // A terminated leader hands over, so the others do not wait for an election timeout.
+            // A terminated leader transfers its leadership, so the others do not wait for an election timeout.
             "ended by SIGTERM" => {
-                report.bound(&format!("time without a leader, {fault}"), shown, median < election_timeout_ms)
+                report.bound(&format!("time without a leader, {fault}"), times, median < election_timeout_ms)
             }
             _ => report.bound(
                 &format!("time without a leader, {fault}"),
-                shown,
+                times,
                 median < 4.0 * election_timeout_ms,
             ),
         }
--- a/crates/lab/src/gangs.rs
+++ b/crates/lab/src/gangs.rs
@@ -1,5 +1,5 @@
-//! Straggler detection on randomly drawn gangs: which workers are detected, how soon, and the run time saved. Also the
-//! rate at which many gangs record progress reports, by the number of threads.
+//! Straggler detection in randomly drawn gangs: which workers are detected, how soon, and the run time that mitigation
+//! saves. Also the rate at which many gangs record progress reports, by the number of threads.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -14,7 +14,8 @@
 const REPORT_PERIOD_MS: f64 = 1000.0;
 /// The share of the total work that second attempts may add.
 const EXTRA_WORK_RATIO: f64 = 0.05;
-/// The published fixed threshold: a part is slow if its progress is 20% of the part below the mean of all.
+/// The published fixed threshold: a part is slow if its progress is more than 20% of a part below the mean of all
+/// parts.
 const FIXED_THRESHOLD: f64 = 0.2;
 
 /// One randomly drawn gang: the true speed of each worker, the size of its part, and whether it is a straggler.
@@ -71,17 +72,17 @@
 /// The outcome of one simulated run.
 #[derive(Default)]
 struct Outcome {
-    /// The time until every part was complete.
+    /// The time until every part was complete, or until the simulation gave up.
     time_ms: f64,
-    /// The work of second attempts, as a ratio of the total work.
+    /// The work of second attempts, as a share of the total work.
     extra_work: f64,
     /// Whether each worker was detected as a straggler.
     detected: Vec<bool>,
-    /// The report periods until each worker was detected.
+    /// The number of report periods until the detector detected each worker; 0 if it did not.
     periods_until_detected: Vec<u32>,
 }
 
-/// Simulates a run until every part is complete.
+/// Simulates a run until every part is complete, for at most 2,000 seconds.
 fn simulate(drawn: &DrawnGang, policy: Policy, seed: u64) -> Outcome {
     let mut rng = fastrand::Rng::with_seed(seed);
     let count = drawn.speeds.len();
@@ -169,8 +170,8 @@
     outcome
 }
 
-/// Compares the policies on one gang per seed, checks that none is detected in gangs whose workers are all slow, and
-/// measures the rate of reports.
+/// Compares the policies on one gang per seed, checks that no worker is detected in gangs whose workers are all slow,
+/// and measures the rate of reports.
 pub fn run(report: &mut Report, seeds: u64) {
     let (mut true_positives, mut false_positives, mut false_negatives) = (0u32, 0u32, 0u32);
     let mut periods_until_detected: Vec<u32> = Vec::new();
@@ -193,7 +194,7 @@
             let sum = sums.entry(name).or_default();
             (sum.0, sum.1) = (sum.0 + outcome.time_ms / unmitigated_ms, sum.1 + outcome.extra_work);
             for index in 0..count {
-                // In small gangs with fewer than five workers of a kind, detection is not reliable.
+                // This includes small gangs with fewer than five workers of a kind, where detection is not reliable.
                 match (policy, outcome.detected[index], drawn.stragglers[index]) {
                     (Policy::Detector, true, true) => {
                         true_positives += 1;
@@ -235,12 +236,12 @@
     );
     report.figure("precision of the threshold 20% below the mean", fixed_precision);
     for (name, (time, extra_work)) in &sums {
-        let shown = format!(
+        let costs = format!(
             "{:.3} of the time without mitigation, {:.3} extra work",
             time / seeds as f64,
             extra_work / seeds as f64
         );
-        report.figure(&format!("run time with {name}"), shown);
+        report.figure(&format!("run time with {name}"), costs);
     }
     report.bound(
         "maximum extra work",
--- a/crates/lab/src/schedule.rs
+++ b/crates/lab/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Many schedules at five replicas whose leader is killed repeatedly: no side-effecting occurrence takes effect twice,
-//! none is missed without a log line, and how late they run.
+//! Many schedules at five replicas whose leader is killed repeatedly. Checks that no side-effecting occurrence takes
+//! effect twice and that none is missed without a log line, and measures how late occurrences run.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,9 +14,9 @@
 const CRON: &str = "* * * * *";
 const PERIOD_MS: i64 = 60_000;
 const JITTER_MS: f64 = 58_000.0;
-/// The time between two kills of a leader; it is restarted once another one leads.
+/// The time between two kills of a leader. A killed leader is restarted once another replica leads.
 const KILL_INTERVAL: Duration = Duration::from_secs(10);
-/// A claimed occurrence completes within this time after the last kill.
+/// The wait after the last kill, long enough for every claimed occurrence to complete.
 const COMPLETION_WAIT: Duration = Duration::from_secs(6);
 
 /// Runs `count` schedules for `seconds`, every other one side-effecting, then checks the executor's and the managers'
@@ -69,7 +69,7 @@
         .count();
     // Occurrences that any manager logged as claimed or skipped.
     let mut decided: BTreeMap<(String, i64), ()> = BTreeMap::new();
-    let (mut unanswered, mut skip_lines) = (0, 0);
+    let (mut unanswered_lines, mut skip_lines) = (0, 0);
     for manager in cluster.managers.values() {
         for line in manager.log_lines() {
             let Some((_, event)) = line.split_once("fleet: ") else { continue };
@@ -79,7 +79,7 @@
                     .and_then(|(name, rest)| Some((name.to_string(), rest.split(' ').next()?.parse().ok()?)));
                 occurrence.into_iter().for_each(|occurrence| _ = decided.insert(occurrence, ()));
             }
-            // As "3 of s-7 up to 1796000003000 are skipped: Missed"
+            // For example: "3 of s-7 up to 1796000003000 are skipped: Missed".
             if let [count, "of", name, "up", "to", last_due, "are", "skipped:", ..] =
                 event.split(' ').collect::<Vec<_>>()[..]
             {
@@ -90,19 +90,20 @@
                     _ = decided.insert((name.to_string(), last_due - periods_before * PERIOD_MS), ());
                 });
             }
-            unanswered += usize::from(event.contains("committed outcome Unanswered"));
+            unanswered_lines += usize::from(event.contains("committed outcome Unanswered"));
         }
     }
     let due_times: Vec<i64> = decided.keys().map(|(_, due)| *due).collect();
     let (first, last) =
         (due_times.iter().min().copied().unwrap_or(0), due_times.iter().max().copied().unwrap_or(0));
-    // The minutes that had ended by then; each schedule needs a claim or a skip for each of them.
+    // The due times of all minutes but the last, which may be incomplete. Each schedule needs a claim or a skip in each
+    // of these minutes.
     let complete_minutes: Vec<i64> = (first..last).step_by(PERIOD_MS as usize).collect();
     let expected =
         (0..count).flat_map(|number| complete_minutes.iter().map(move |due| (format!("s-{number}"), *due)));
     let missed = expected.filter(|occurrence| !decided.contains_key(occurrence)).count();
     let mut lateness_ms = Histogram::<u64>::new(3).expect("three significant digits are valid");
-    // Occurrences by the tenth of the jitter into which their run times fall.
+    // The number of occurrences by the tenth of the jitter into which their run times fall.
     let mut jitter_tenths = [0usize; 10];
     let mut first_received: BTreeMap<(&str, i64), f64> = BTreeMap::new();
     for execution in &executions {
@@ -111,14 +112,14 @@
         *first = first.min(execution.received_at);
     }
     for ((name, due), received_at) in first_received {
-        // The same pseudo-random jitter as at every manager.
+        // Computes the same pseudo-random jitter as every manager.
         let timing = Timing::parse(name, CRON, "UTC").map(|timing| timing.with_jitter(JITTER_MS));
         let Some(scheduled) = timing.ok().and_then(|timing| timing.after(due as f64 - 1.0).next()) else {
             continue;
         };
         let late_ms = (received_at - scheduled.run_at).max(0.0) as u64;
         lateness_ms.record(late_ms).expect("a resizing histogram takes every value");
-        // An incomplete minute lacks the late tenths.
+        // An incomplete minute lacks its late tenths.
         if !complete_minutes.contains(&due) {
             continue;
         }
@@ -130,7 +131,7 @@
         format!("{}, {}", executions_by_occurrence.len(), executions.len()),
     );
     report.figure("log lines about skipped occurrences, of all managers", skip_lines);
-    report.figure("log lines about tries without an answer, of all managers", unanswered);
+    report.figure("log lines about tries without an answer, of all managers", unanswered_lines);
     report.figure(
         "lateness at p50 and p99",
         format!("{} ms, {} ms", lateness_ms.value_at_quantile(0.5), lateness_ms.value_at_quantile(0.99)),
--- a/crates/lab/src/trials.rs
+++ b/crates/lab/src/trials.rs
@@ -1,5 +1,5 @@
-//! The exhaustive fault sweep: every fault at every fault point, injected at its first, a middle and a late passing, at
-//! one manager and at all managers, in clusters of three real processes.
+//! The fault sweep in clusters of three real processes. It injects every fault of every fault point at one manager, at
+//! the first, a middle and a late passing through the point, and at all managers, at the first passing.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,8 +9,8 @@
 
 use crate::report::Report;
 
-/// Runs the sweep with `parallelism` clusters at a time. Unless it is exhaustive, faults are injected only at first
-/// passings.
+/// Runs the sweep with `parallelism` clusters at a time. Unless it is exhaustive, each fault is injected only at the
+/// first passing through its point and at one manager.
 pub fn run(report: &mut Report, parallelism: usize, exhaustive: bool) {
     let started = Instant::now();
     let passings = count_point_passings();
@@ -23,9 +23,9 @@
         let outcomes = by_point.get(&description.point.0).map(Vec::as_slice).unwrap_or_default();
         let reached = outcomes.iter().filter(|outcome| outcome.reached).count();
         let broken = outcomes.iter().filter(|outcome| !outcome.violations.is_empty()).count();
-        let passed = passings.get(&description.point).copied().unwrap_or_default();
+        let passing_count = passings.get(&description.point).copied().unwrap_or_default();
         println!(
-            "{:<5} {:<66} {passed:>6} {:>6} {reached:>7} {broken:>6}",
+            "{:<5} {:<66} {passing_count:>6} {:>6} {reached:>7} {broken:>6}",
             description.point.0,
             description.name,
             outcomes.len()
