--- a/crates/lab/src/scale/agreement.rs
+++ b/crates/lab/src/scale/agreement.rs
@@ -1,5 +1,5 @@
-//! The cost of consensus as the number of members grows: links and bytes between the managers, and the processor time
-//! and memory of each.
+//! The cost of consensus as the number of members grows: the links and bytes between the managers, and the processor
+//! time and memory of the manager that uses the most.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 const AGAINST: &str = "members that agree";
 /// An upper limit on the memory of a member.
 const MAX_MEMBER_BYTES: u64 = 128 << 20;
-/// The limit on links between two members, one in each direction.
+/// The limit on links between two members: one in each direction.
 const MAX_LINKS_PER_PAIR: f64 = 2.0;
 
 const SCENARIO: Scenario = Scenario {
@@ -34,7 +34,7 @@
     reports_per_second: 0.0,
 };
 
-/// The numbers of members in a small or a full run.
+/// The group sizes of a small or a full run.
 pub fn sizes(small: bool) -> &'static [usize] {
     if small {
         &[1, 2, 3, 4]
@@ -56,7 +56,7 @@
 
 /// The resources that a group uses.
 struct GroupCost {
-    /// The links between all members.
+    /// The number of open links between all members, at the end of the window.
     links: f64,
     /// The bytes per second between all members.
     bytes_per_second: f64,
@@ -93,8 +93,8 @@
     Ok(())
 }
 
-/// Records the links and judges them per pair: every two members are linked, so their number grows with the square of
-/// the members.
+/// Records the number of links and judges it per pair of members. All pairs are linked, so the number grows with the
+/// square of the group size.
 fn judge_links(run: &mut ScaleRun, report: &mut Report, samples: &[Sample]) {
     let Some(fit) = Fit::from_samples(samples) else { return };
     let subject = Subject { role: "agreement", figure: "links", unit: "links" };
@@ -106,7 +106,8 @@
     report.bound("links per pair of members", format!("{max:.2}"), max <= MAX_LINKS_PER_PAIR);
 }
 
-/// Addresses with free ports for the links between the members. Another process may take a port before its member does.
+/// Addresses with free ports for the links between the members. Another process may take a port before its member binds
+/// it.
 async fn free_addresses(count: usize) -> Result<Vec<SocketAddr>, ScaleError> {
     let mut listeners = Vec::new();
     for _ in 0..count {
@@ -117,7 +118,7 @@
     addresses.collect()
 }
 
-/// Starts a group of managers with a forwarder on each link and measures it.
+/// Starts a group of managers with a forwarder in each direction between two of them, and measures the group.
 async fn measure_group(
     launcher: &Launcher,
     members: usize,
@@ -144,7 +145,7 @@
             member_addresses.push(forwarder.address);
             forwarders.push(forwarder);
         }
-        let operator = operator_file(own, *listen, &member_addresses);
+        let operator = fleet_element(own, *listen, &member_addresses);
         managers.push(Manager::start(launcher, &SCENARIO, discovery.address, Some(&operator)).await?);
     }
     // Every manager logs which member leads, and the leader logs that it leads itself.
@@ -169,8 +170,9 @@
     })
 }
 
-/// The group's part of a member's operator's file. `addresses` has the address of each member, as this one dials it.
-fn operator_file(own: usize, listen: SocketAddr, addresses: &[SocketAddr]) -> String {
+/// The element of a member's operator's file that configures the group. `addresses` has the address at which this
+/// member dials each member, and its own.
+fn fleet_element(own: usize, listen: SocketAddr, addresses: &[SocketAddr]) -> String {
     let member = |(other, address): (usize, &SocketAddr)| {
         format!("<member-of><number>{}</number><address>{address}</address></member-of>", other + 1)
     };
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -26,7 +26,7 @@
     pub worst_residual: f64,
     /// The largest distance of a size's mean from the line, as a share of the largest mean.
     pub mean_deviation: f64,
-    /// The p-value of the test for lack of fit: the probability of means at least so far from the line if the true
+    /// The p-value of the test for lack of fit: the probability of means at least this far from the line if the true
     /// relation is linear.
     pub lack_of_fit_p_value: f64,
     /// The sizes in ascending order.
@@ -61,8 +61,8 @@
             intercept,
             slope,
             r_squared: r_squared(&values, &residuals),
-            worst_residual: share(largest(&residuals), largest(&values)),
-            mean_deviation: share(largest(&mean_residuals), largest(&means)),
+            worst_residual: share(max_abs(&residuals), max_abs(&values)),
+            mean_deviation: share(max_abs(&mean_residuals), max_abs(&means)),
             lack_of_fit_p_value: lack_of_fit_p_value(&groups, &means, &residuals),
             sizes: groups.iter().map(|group| group.size).collect(),
             means,
@@ -117,11 +117,11 @@
 }
 
 /// The largest absolute value.
-fn largest(values: &[f64]) -> f64 {
+fn max_abs(values: &[f64]) -> f64 {
     values.iter().map(|value| value.abs()).fold(0.0, f64::max)
 }
 
-/// The ratio of the two; 0 if the total is 0.
+/// The part as a share of the total; 0 if the total is 0.
 fn share(part: f64, total: f64) -> f64 {
     if total == 0.0 {
         return 0.0;
@@ -145,18 +145,19 @@
 /// The p-value of the F test for lack of fit: the deviation of the means from the line against the variation between
 /// plays of the same size.
 fn lack_of_fit_p_value(groups: &[Group], means: &[f64], residuals: &[f64]) -> f64 {
-    let fit_degrees = groups.len() as f64 - 2.0;
-    let error_degrees = residuals.len() as f64 - groups.len() as f64;
-    if fit_degrees <= 0.0 || error_degrees <= 0.0 {
+    let lack_of_fit_degrees = groups.len() as f64 - 2.0;
+    let pure_error_degrees = residuals.len() as f64 - groups.len() as f64;
+    if lack_of_fit_degrees <= 0.0 || pure_error_degrees <= 0.0 {
         return 1.0;
     }
     let deviations =
         groups.iter().zip(means).flat_map(|(group, mean)| group.values.iter().map(move |value| value - mean));
-    let error_squares = sum_of_squares(&deviations.collect::<Vec<_>>());
-    let fit_squares = (sum_of_squares(residuals) - error_squares).max(0.0);
-    if error_squares == 0.0 {
-        return if fit_squares == 0.0 { 1.0 } else { 0.0 };
+    let pure_error_squares = sum_of_squares(&deviations.collect::<Vec<_>>());
+    let lack_of_fit_squares = (sum_of_squares(residuals) - pure_error_squares).max(0.0);
+    if pure_error_squares == 0.0 {
+        return if lack_of_fit_squares == 0.0 { 1.0 } else { 0.0 };
     }
-    let f_ratio = (fit_squares / fit_degrees) / (error_squares / error_degrees);
-    FisherSnedecor::new(fit_degrees, error_degrees).map_or(1.0, |distribution| distribution.sf(f_ratio))
+    let f_statistic = (lack_of_fit_squares / lack_of_fit_degrees) / (pure_error_squares / pure_error_degrees);
+    FisherSnedecor::new(lack_of_fit_degrees, pure_error_degrees)
+        .map_or(1.0, |distribution| distribution.sf(f_statistic))
 }
--- a/crates/lab/src/scale/guard.rs
+++ b/crates/lab/src/scale/guard.rs
@@ -1,5 +1,5 @@
-//! Resource limits of a scale run: a run that needs more than its share of the machine is rejected, and one that
-//! exceeds it is stopped.
+//! Resource limits of a scale run: a run that needs more than its share of the machine is rejected, and one that uses
+//! more is stopped.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -79,8 +79,8 @@
     Ok(kib * 1024 / 2)
 }
 
-/// Rejects a run that needs too much, and raises the soft limit on file descriptors if the run needs that and the hard
-/// limit allows it.
+/// Rejects a run that needs more than the limits. Raises the soft limit on file descriptors if the run needs that and
+/// the hard limit allows it.
 pub fn check_requirements(required: Requirements) -> Result<(), ScaleError> {
     let limit = memory_limit()?;
     if required.memory_bytes > limit {
@@ -107,8 +107,8 @@
     Ok(())
 }
 
-/// Watches a run until it is dropped. If the run exceeds a limit or its timeout, all processes that it started are
-/// killed and this one exits.
+/// Checks a run against its limits and its timeout until the watchdog is dropped. If the run exceeds one, all processes
+/// that it started are killed and this one exits.
 pub struct Watchdog {
     _alive: Arc<()>,
 }
--- a/crates/lab/src/scale/judge.rs
+++ b/crates/lab/src/scale/judge.rs
@@ -16,7 +16,7 @@
 /// How a figure grows, in the form that its bound limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Growth {
-    /// Negligible growth.
+    /// Negligible growth, or a decrease.
     None,
     /// The slope above the middle size, relative to the slope below it.
     SlopeRatio(f64),
@@ -25,7 +25,8 @@
 }
 
 impl Growth {
-    /// Judges a fitted figure by its unit: memory by its slopes, any other figure by its value at the largest size.
+    /// The growth of a fitted figure. Memory is compared by its slopes, any other figure by its value at the largest
+    /// size.
     pub fn from_fit(fit: &Fit, unit: &str) -> Growth {
         let Some((first, last)) = fit.means.first().zip(fit.means.last()) else { return Growth::None };
         let largest = fit.means.iter().copied().fold(0.0, f64::max);
@@ -42,7 +43,7 @@
         fit.slope_ratio().map_or(Growth::SlopeRatio(f64::INFINITY), Growth::SlopeRatio)
     }
 
-    /// Whether the growth keeps its limit.
+    /// Whether the growth is within its limit.
     pub fn is_within_limit(self) -> bool {
         match self {
             Growth::None => true,
--- a/crates/lab/src/scale/manager.rs
+++ b/crates/lab/src/scale/manager.rs
@@ -11,7 +11,7 @@
 use super::scenario::Scenario;
 use super::simulated::Fleet;
 
-/// The socket limit of a manager besides its proxies' connections.
+/// The part of a manager's socket limit that is not for its proxies' connections.
 const OTHER_SOCKETS: usize = 1024;
 /// The XML namespace of the manager's configuration.
 const NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
@@ -25,8 +25,8 @@
 }
 
 impl Manager {
-    /// Starts a manager and waits until it answers a probe. `operator` is the content of its operator's file, if it has
-    /// one.
+    /// Starts a manager and waits until it answers a probe. `operator` has the elements of its operator's file, if it
+    /// has one.
     pub async fn start(
         launcher: &Launcher,
         scenario: &Scenario,
--- a/crates/lab/src/scale/measured_process.rs
+++ b/crates/lab/src/scale/measured_process.rs
@@ -17,7 +17,7 @@
 /// The longest wait for any condition, long enough for a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The parts of the log lines that end with the address served.
+/// Texts that identify the log lines that end with the address served.
 const MANAGER_ADDRESS_LOG: &str = " serves on ";
 const RELAY_ADDRESS_LOG: &str = "relays the list of ";
 
@@ -26,7 +26,7 @@
 pub struct Program(PathBuf);
 
 impl Program {
-    /// Finds it beside this executable or in the folder above, where it is for a test.
+    /// Finds the program in the folder of this executable or, when a test runs, in the one above.
     pub fn find() -> Result<Program, ScaleError> {
         let executable = std::env::current_exe().map_err(ScaleError::io("this executable"))?;
         let folders = executable.ancestors().skip(1).take(2);
@@ -45,14 +45,14 @@
 }
 
 impl Launcher {
-    /// Creates the folder of the run. Processes that are started are added to `children`.
+    /// Creates the folder of the run. Each process that the launcher starts is added to `children`.
     pub fn new(program: Program, children: ChildProcesses) -> Result<Launcher, ScaleError> {
         let folder = std::env::temp_dir().join(format!("juniperrail-scale-{}", std::process::id()));
         fs::create_dir_all(&folder).map_err(ScaleError::io(folder.display().to_string()))?;
         Ok(Launcher { program, folder, children, folder_count: Default::default() })
     }
 
-    /// Creates a folder for one process.
+    /// Creates a folder for one process, named after its role.
     pub fn create_folder(&self, role: &str) -> Result<PathBuf, ScaleError> {
         self.folder_count.set(self.folder_count.get() + 1);
         let folder = self.folder.join(format!("{role}-{}", self.folder_count.get()));
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -49,25 +49,25 @@
 /// The options of a scale run.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Runs only these slopes and experiments.
+    /// Run only these slopes and experiments.
     #[arg(long, value_delimiter = ',', value_name = "NAME")]
     pub only: Vec<String>,
-    /// The length of each measurement window, in seconds.
+    /// Length of each measurement window, in seconds.
     #[arg(long, default_value_t = 10.0)]
     pub seconds: f64,
-    /// The number of plays (measurements) of each size.
+    /// Number of plays (measurements) of each size.
     #[arg(long, default_value_t = 3)]
     pub plays: usize,
-    /// Uses few and small sizes, for CI.
+    /// Use the sizes of a short run, as in CI, and judge no absolute values.
     #[arg(long)]
     pub small: bool,
-    /// Writes the raw samples to this file, as JSON lines.
+    /// Write the raw samples to this file, as JSON lines.
     #[arg(long, value_name = "FILE")]
     pub samples: Option<PathBuf>,
-    /// Merges the results into this measurements file.
+    /// Merge the results into this measurements file.
     #[arg(long, value_name = "FILE")]
     pub out: Option<PathBuf>,
-    /// Describes what else runs on the machine, for the record of the run.
+    /// Description of other load on the machine, for the record of the run.
     #[arg(long, default_value = "nothing else named")]
     pub beside: String,
 }
@@ -118,9 +118,9 @@
             Experiment::Slope(slope) => slope.sizes(options.small).len() * options.plays,
             Experiment::Agreement => agreement::sizes(options.small).len() * options.plays,
             Experiment::Scoped => 1,
-            // Several windows on an ordinary day and one with the neighbour's subscribers.
+            // Several windows on an ordinary day, and one after the neighbour has died.
             Experiment::Relay => 2 + TargetFleet::for_run(options.small).relay_windows as usize,
-            // The drains wait for their grace, so they take longer than one play.
+            // Each drain waits for its grace, so the experiment takes longer than one play.
             Experiment::Drain => 2,
         }
     }
@@ -178,9 +178,9 @@
         recorder: Recorder::new(&options.beside),
     };
     let _watchdog = Watchdog::start(children, timeout)?;
-    let about = run.recorder.run();
-    println!("run {} of commit {}, on {}", about.id, about.commit, about.machine);
-    // Results from before a failure are written too.
+    let details = run.recorder.run();
+    println!("run {} of commit {}, on {}", details.id, details.commit, details.machine);
+    // The results of experiments that finished before a failure are written too.
     let result = experiments.into_iter().try_for_each(|experiment| experiment.run(&mut run, report));
     print_not_measured();
     if let Some(path) = &options.samples {
@@ -201,7 +201,7 @@
     /// Measures each size of a slope experiment and fits each figure.
     fn measure_slope(&mut self, report: &mut Report, slope: &SlopeExperiment) -> Result<(), ScaleError> {
         let mut costs: Vec<(usize, Cost)> = Vec::new();
-        // Each round plays every size once, so that other load on the machine affects all sizes alike.
+        // Each round measures every size once, so that other load on the machine affects all sizes alike.
         for _ in 0..self.plays {
             for size in slope.sizes(self.small) {
                 let cost = self.runtime.block_on(slope.measure(&self.launcher, *size, self.durations))?;
@@ -233,7 +233,8 @@
         report.bound(&format!("{}: growth", subject.figure), growth, growth.is_within_limit());
     }
 
-    /// Judges a bound on an absolute value. A small run only prints the value, since it judges ratios alone.
+    /// Judges a bound on an absolute value. A small run prints the value without a verdict, since it judges only bounds
+    /// that do not depend on the speed of the machine.
     fn absolute_bound(&self, report: &mut Report, name: &str, value: &str, holds: bool) {
         if self.small {
             report.figure(name, value);
@@ -273,12 +274,12 @@
 
 fn print_not_measured() {
     println!("\nnot measured:");
-    for what in NOT_MEASURED {
-        println!("  {what}");
+    for item in NOT_MEASURED {
+        println!("  {item}");
     }
 }
 
-/// What a scale run does not measure, printed at its end.
+/// What a scale run does not measure; printed at its end.
 const NOT_MEASURED: [&str; 8] = [
     "probes of workers: the settings of these scenarios disable them",
     "proxies that report their demand (`demand`)",
--- a/crates/lab/src/scale/record.rs
+++ b/crates/lab/src/scale/record.rs
@@ -42,7 +42,7 @@
 }
 
 impl Recorder {
-    /// Starts the record of a run now. `beside` names what else runs on the machine.
+    /// Starts the record of a run at the current time. `beside` describes other load on the machine.
     pub fn new(beside: &str) -> Recorder {
         let now = OffsetDateTime::now_utc();
         let at = now.replace_nanosecond(0).unwrap_or(now).format(&Rfc3339).unwrap_or_default();
@@ -151,8 +151,8 @@
     move |cause| ScaleError::Json { path, cause }
 }
 
-/// Merges two measurements. Newer slopes and readings replace older ones of the same key, and older runs that no slope
-/// or reading refers to any more are removed.
+/// Merges two sets of measurements. Newer slopes and readings replace older ones of the same key, and older runs that
+/// no slope or reading refers to any more are removed.
 pub fn merge(older: Measurements, newer: Measurements) -> Measurements {
     let mut merged = newer;
     let slope_key = |slope: &Slope| (slope.role.clone(), slope.figure.clone(), slope.against.clone());
--- a/crates/lab/src/scale/scoped.rs
+++ b/crates/lab/src/scale/scoped.rs
@@ -1,5 +1,5 @@
-//! Compares a manager without a scope, which reads a complete list directly, with a scoped one, which reads the part of
-//! one service from the list of the full fleet through a relay.
+//! Compares a manager without a scope, which reads a complete list directly, with a scoped one, which reads only the
+//! workers of one service from the list of a larger fleet, through a relay.
 
 use super::error::ScaleError;
 use super::guard::Requirements;
@@ -27,13 +27,13 @@
     Requirements { memory_bytes: MAX_EXPERIMENT_BYTES, processes: 3, sockets: 16 }
 }
 
-/// Measures both managers, records their figures, and judges the scoped one by the limits and by the other one.
+/// Measures both managers, records their figures, and judges the scoped one against the limits and the unscoped one.
 pub fn run(run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
     let fleet = TargetFleet::for_run(run.small);
     let (unscoped, scoped) = run.runtime.block_on(measure_both(&run.launcher, &fleet, run.durations))?;
-    let scope = fleet.listed_fleet().workers_of(SERVICE).count();
+    let scope_size = fleet.listed_fleet().workers_of(SERVICE).count();
     let unscoped_at = format!("no scope, {} workers", fleet.unscoped_workers);
-    let scoped_at = format!("scope of {scope} of {} workers through a relay", fleet.workers);
+    let scoped_at = format!("scope of {scope_size} of {} workers through a relay", fleet.workers);
     println!("\na manager with and without a scope, {} changed entries per second", fleet.changes_per_second);
     for (at, cost) in [(&unscoped_at, &unscoped), (&scoped_at, &scoped)] {
         for figure in FIGURES {
@@ -78,7 +78,8 @@
     Ok(())
 }
 
-/// The element of the operator's file that makes a manager read the part of these services through these relays.
+/// The element of the operator's file that makes a manager read only the workers of these services, through these
+/// relays if there are any.
 pub fn discovery_element(relays: &[std::net::SocketAddr], services: &[usize]) -> String {
     let relays: String = relays.iter().map(|relay| format!("<relay>{relay}</relay>")).collect();
     let service = |service: &usize| format!("<service>{}</service>", Fleet::service_name(*service));
@@ -101,21 +102,25 @@
         operations: 2,
         reports_per_second: 0.0,
     };
-    let small = Discovery::start(Fleet { workers: fleet.unscoped_workers, ..fleet.listed_fleet() }).await?;
-    let large = Discovery::start(fleet.listed_fleet()).await?;
-    let relay = Relay::start(launcher, large.address).await?;
+    let unscoped_discovery =
+        Discovery::start(Fleet { workers: fleet.unscoped_workers, ..fleet.listed_fleet() }).await?;
+    let full_discovery = Discovery::start(fleet.listed_fleet()).await?;
+    let relay = Relay::start(launcher, full_discovery.address).await?;
     let forwarder = Forwarder::start(relay.address).await?;
-    let mut unscoped = Manager::start(launcher, &scenario, small.address, None).await?;
+    let mut unscoped = Manager::start(launcher, &scenario, unscoped_discovery.address, None).await?;
     let operator = discovery_element(&[forwarder.address], &[SERVICE]);
-    let mut scoped = Manager::start(launcher, &scenario, large.address, Some(&operator)).await?;
-    let list_sent = || small.traffic().sent() > small.list_bytes() as u64;
+    let mut scoped = Manager::start(launcher, &scenario, full_discovery.address, Some(&operator)).await?;
+    let list_sent = || unscoped_discovery.traffic().sent() > unscoped_discovery.list_bytes() as u64;
     unscoped.process.wait_for("the manager to read the list", list_sent).await?;
     let min_part_bytes = fleet.listed_fleet().workers_of(SERVICE).count() as u64 * MIN_ENTRY_BYTES;
     let part_sent = || forwarder.bytes_from_target() > min_part_bytes;
     scoped.process.wait_for("the manager to read its part of the list", part_sent).await?;
-    let (_small_churn, _large_churn) =
-        (small.churn(fleet.changes_per_second), large.churn(fleet.changes_per_second));
-    let unscoped_bytes = || ByteCounts { received: small.traffic().sent(), sent: small.traffic().received() };
+    let (_unscoped_churn, _full_churn) =
+        (unscoped_discovery.churn(fleet.changes_per_second), full_discovery.churn(fleet.changes_per_second));
+    let unscoped_bytes = || ByteCounts {
+        received: unscoped_discovery.traffic().sent(),
+        sent: unscoped_discovery.traffic().received(),
+    };
     let scoped_bytes =
         || ByteCounts { received: forwarder.bytes_from_target(), sent: forwarder.bytes_to_target() };
     let (unscoped_cost, scoped_cost) = tokio::join!(
--- a/crates/lab/src/scale/target_fleet.rs
+++ b/crates/lab/src/scale/target_fleet.rs
@@ -1,4 +1,4 @@
-//! The size of fleet that the operators require, and the limits on the resources of one of its managers.
+//! The sizes of the fleet that the operators require, and the limits on the resources of one of its managers.
 
 use std::net::SocketAddr;
 
@@ -16,19 +16,19 @@
 /// The sizes of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TargetFleet {
-    /// The workers in the list.
+    /// The number of workers in the list.
     pub workers: usize,
-    /// The zones that the workers are spread over.
+    /// The number of zones that the workers are spread over.
     pub zones: usize,
-    /// The services that the workers are spread over.
+    /// The number of services that the workers are spread over.
     pub services: usize,
-    /// The managers that subscribe to one relay.
+    /// The number of managers that subscribe to one relay.
     pub subscribers: usize,
-    /// The workers in the list of a manager without a scope, which a scoped manager is compared with.
+    /// The number of workers in the list of the manager without a scope that the scoped one is compared with.
     pub unscoped_workers: usize,
     /// The changed list entries per second on an ordinary day.
     pub changes_per_second: f64,
-    /// The length of a relay's measurement on an ordinary day in windows, long enough for its timed changes.
+    /// The number of windows over which a relay is measured on an ordinary day, long enough for its timed changes.
     pub relay_windows: u32,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The workers that discovery lists. They share an address that nothing serves, since they are not probed.
+    /// The fleet that discovery lists. Its workers are not probed, so they share an address on which nothing listens.
     pub fn listed_fleet(&self) -> Fleet {
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         Fleet { workers: self.workers, zones: self.zones, services: self.services, address }
--- a/crates/lab/tests/fit.rs
+++ b/crates/lab/tests/fit.rs
@@ -3,7 +3,7 @@
 use juniperrail_lab::scale::fit::{Fit, Sample};
 use juniperrail_lab::scale::judge::Growth;
 
-/// Three samples of each size that differ by 1% of the value.
+/// Three samples of each size, at 99%, 100% and 101% of the value.
 fn samples(sizes: &[f64], value: impl Fn(f64) -> f64) -> Vec<Sample> {
     let sample = |size: f64, noise: f64| Sample { size, value: value(size) * noise };
     sizes.iter().flat_map(|size| [0.99, 1.0, 1.01].map(|noise| sample(*size, noise))).collect()
@@ -56,7 +56,7 @@
     assert!(Fit::from_samples(&[]).is_none());
 }
 
-/// The growth of an exact figure with this unit.
+/// The growth of a figure with this unit, without noise in its samples.
 fn growth_of(unit: &str, value: impl Fn(f64) -> f64) -> Growth {
     let exact: Vec<Sample> = SIZES.iter().map(|size| Sample { size: *size, value: value(*size) }).collect();
     Growth::from_fit(&Fit::from_samples(&exact).unwrap(), unit)
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run with `--small` and the program in the same build profile as this test. Its bounds are ratios within
-//! the run.
+//! The scale run with `--small`, of the program in the same build profile as this test. Its bounds are ratios and
+//! counts within the run, so they do not depend on the speed of the machine.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
