--- a/crates/lab/src/scale/drain.rs
+++ b/crates/lab/src/scale/drain.rs
@@ -1,6 +1,6 @@
-//! The margin by which drains are in force within the grace: the time from the change at the source until the last
-//! proxy has acknowledged the order that takes the worker out of use, for a manager that reads the list directly and
-//! one that reads it through a relay.
+//! How long drains take to be in force, and how much of the grace is left then: the time from the change at the source
+//! until the last proxy has acknowledged the order that takes the worker out of use, for a manager that reads the list
+//! directly and one that reads it through a relay.
 
 use std::time::{Duration, Instant};
 
@@ -21,16 +21,16 @@
 
 /// The service in the scope of both managers, whose workers drain.
 const SERVICE: usize = 7;
-/// The proxies of each manager.
+/// The number of proxies of each manager.
 const PROXIES: usize = 50;
-/// The drains of a full run.
+/// The number of drains in a full run.
 const DRAINS: usize = 10;
-/// The drains of a run with `--small`.
+/// The number of drains in a run with `--small`.
 const DRAINS_SMALL: usize = 3;
 /// The time between the end of a drain and the start of the next one.
 const PAUSE: Duration = Duration::from_secs(1);
 const GRACE: Duration = Duration::from_millis(DRAIN_GRACE_MS as u64);
-/// The wait for late acknowledgements after the grace.
+/// The additional wait after the grace, for late acknowledgements.
 const WAIT_AFTER_GRACE: Duration = Duration::from_millis(500);
 /// An upper limit on the memory of the experiment.
 const MAX_EXPERIMENT_BYTES: u64 = 1 << 30;
@@ -40,7 +40,7 @@
     Requirements { memory_bytes: MAX_EXPERIMENT_BYTES, processes: 3, sockets: 2 * PROXIES as u64 + 16 }
 }
 
-/// The duration of each drain that proxies acknowledged, by how the manager reads the list.
+/// The time that each acknowledged drain took, by how the manager reads the list.
 struct DrainTimes {
     direct: Vec<Duration>,
     relayed: Vec<Duration>,
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// Drains one worker after the other, at a manager that reads the list directly and one that reads it through a relay.
+/// Drains one worker after the other, and times each drain at both managers.
 async fn time_drains(
     launcher: &Launcher,
     target: &TargetFleet,
@@ -113,7 +113,8 @@
         let name = Fleet::worker_name(worker);
         [&direct_proxies, &relayed_proxies].iter().for_each(|proxies| proxies.expect_drain(&name));
         let drained_at = discovery.change(Change { worker, draining: true, started_at_ms: 0 });
-        // A drain that takes longer than the grace is recorded as such, or not at all, and fails a bound either way.
+        // A drain that takes longer than the grace is recorded with its time, or not at all if no proxy acknowledges it
+        // during this wait. In a full run it fails a bound either way.
         sleep(GRACE + WAIT_AFTER_GRACE).await;
         times.direct.extend(drain_time(&direct_proxies, drained_at));
         times.relayed.extend(drain_time(&relayed_proxies, drained_at));
@@ -123,7 +124,8 @@
     Ok(times)
 }
 
-/// The time until the last proxy acknowledged the drain. `None` if no proxy was ordered to take the worker out of use.
+/// The time until the last acknowledgement of the drain. `None` if no proxy acknowledged an order that takes the worker
+/// out of use.
 fn drain_time(proxies: &Proxies, drained_at: Instant) -> Option<Duration> {
     let (_, last_acknowledged) = proxies.drain_acknowledgements();
     last_acknowledged.map(|last| last.saturating_duration_since(drained_at))
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -1,5 +1,6 @@
-//! Relays: the resources that a relay uses with all subscribers of a site, the time until a change reaches the last of
-//! them, and both again when another relay, its neighbour, dies and its subscribers move to this one.
+//! The resources that a relay uses with all subscribers of a site, and the time until a change reaches the last of
+//! them. Both are measured again after a second relay, its neighbour, is killed and the neighbour's subscribers move to
+//! the first relay.
 
 use std::time::{Duration, Instant};
 
@@ -17,17 +18,18 @@
 use crate::report::Report;
 
 /// The limit on the time until a change is in force everywhere.
-const MAX_TIME_TO_IN_FORCE: Duration = Duration::from_secs(11);
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(11);
 /// The desired time until a change is in force everywhere, below the limit.
-const TARGET_TIME_TO_IN_FORCE: Duration = Duration::from_secs(1);
+const TARGET_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 /// The timed changes per second on an ordinary day; they are part of that day's changes.
 const TIMED_PER_SECOND: f64 = 1.0;
-/// The timed changes per second while the neighbour dies, enough that some fall into the time in which its subscribers
-/// have no relay.
+/// The timed changes per second after the neighbour is killed, enough that some fall into the time in which its
+/// subscribers have no relay.
 const TIMED_PER_SECOND_AT_FAILURE: f64 = 5.0;
-/// Timed changes are of workers of this service, which every subscriber has in its scope besides a service of its own.
+/// The service whose workers the timed changes are made to. Every subscriber has it in its scope, besides a service of
+/// its own.
 const COMMON_SERVICE: usize = 0;
-/// The time between attempts to read the list from a relay that has not synchronized yet.
+/// The wait between attempts to read the list from a relay that has not synchronized yet.
 const SYNC_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// An upper limit on the memory of a relay.
 const MAX_RELAY_BYTES: u64 = 512 << 20;
@@ -39,7 +41,7 @@
 }
 
 impl Relay {
-    /// Starts a relay that reads the list from this source.
+    /// Starts a relay that reads the list from this source, and waits until it logs its address.
     pub async fn start(launcher: &Launcher, source: std::net::SocketAddr) -> Result<Relay, ScaleError> {
         let folder = launcher.create_folder("relay")?;
         let source = source.to_string();
@@ -49,8 +51,8 @@
         Ok(Relay { process, address })
     }
 
-    /// Waits until the relay serves the list; it rejects all requests before it has synchronized with its source. The
-    /// scope of one service keeps the answer small.
+    /// Waits until the relay serves the list. It rejects all requests until it has synchronized with its source. A
+    /// scope of one service keeps the response small.
     async fn wait_until_synchronized(&self, fleet: &TargetFleet) -> Result<(), ScaleError> {
         let started = Instant::now();
         let query = fleet.query(&[COMMON_SERVICE]);
@@ -76,7 +78,7 @@
     }
 }
 
-/// Measures a relay with these sizes and changes on an ordinary day.
+/// Measures a relay of this fleet on an ordinary day.
 pub async fn measure_relay(
     launcher: &Launcher,
     fleet: &TargetFleet,
@@ -87,15 +89,16 @@
     relay.wait_until_synchronized(fleet).await?;
     let queries = (0..fleet.subscribers).map(|number| fleet.query(&[number]));
     let subscribers = Subscribers::start(&[relay.address], queries);
-    let all_listed = || subscribers.listed() == fleet.subscribers;
-    relay.process.wait_for("the list at all subscribers", all_listed).await?;
+    let all_have_list = || subscribers.listed() == fleet.subscribers;
+    relay.process.wait_for("the list at all subscribers", all_have_list).await?;
     let _churn = discovery.churn(fleet.changes_per_second);
     let bytes =
         || ByteCounts { received: discovery.traffic().sent(), sent: subscribers.traffic().received() };
     measure_cost(&relay.process, durations, bytes).await
 }
 
-/// A change whose propagation is timed. The worker's entry carries its number as the start time.
+/// A change whose propagation is timed. The changed entry has the number of the change as its start time, by which
+/// subscribers recognize it.
 #[derive(Clone, Copy)]
 struct TimedChange {
     number: usize,
@@ -104,15 +107,15 @@
 
 /// The propagation delays of timed changes.
 struct Delays {
-    /// The delays to each subscriber, in microseconds.
-    each_us: Histogram<u64>,
-    /// The delays to the last subscriber, in microseconds.
-    last_us: Histogram<u64>,
-    /// Changes that did not reach every subscriber.
+    /// The delay of each change to each subscriber, in microseconds.
+    per_subscriber_us: Histogram<u64>,
+    /// The delay of each change to the last subscriber, in microseconds.
+    last_subscriber_us: Histogram<u64>,
+    /// The number of changes that did not reach every subscriber.
     lost: usize,
 }
 
-/// Measures a relay on an ordinary day and while its neighbour dies, and judges the delays.
+/// Measures a relay on an ordinary day and after its neighbour is killed, and judges the delays.
 pub fn run(run: &mut ScaleRun, report: &mut Report) -> Result<(), ScaleError> {
     let fleet = TargetFleet::for_run(run.small);
     let outcome = run.runtime.block_on(measure_takeover(&run.launcher, &fleet, run.durations))?;
@@ -136,7 +139,7 @@
         report,
         name,
         &format!("{takeover_seconds:.3} s (limit 11, target 1)"),
-        outcome.takeover <= MAX_TIME_TO_IN_FORCE,
+        outcome.takeover <= MAX_PROPAGATION_TIME,
     );
     Ok(())
 }
@@ -154,11 +157,12 @@
     }
 }
 
-/// Prints and records the delays and judges the slowest one.
+/// Prints and records the delays, and judges the longest one and the changes that were lost.
 fn report_delays(run: &mut ScaleRun, report: &mut Report, at: &str, delays: &Delays) {
     let quantile_ms =
         |histogram: &Histogram<u64>, quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-    let kinds = [("a subscriber", &delays.each_us), ("the last subscriber", &delays.last_us)];
+    let kinds =
+        [("a subscriber", &delays.per_subscriber_us), ("the last subscriber", &delays.last_subscriber_us)];
     for (receiver, histogram) in kinds {
         for (name, quantile) in [("p50", 0.5), ("p99", 0.99)] {
             let figure = format!("a change until {receiver} has it, {name}");
@@ -167,18 +171,18 @@
             run.recorder.add_reading(Subject { role: "relay", figure: &figure, unit: "ms" }, at, value);
         }
     }
-    let max = Duration::from_micros(delays.last_us.max());
-    let shown = format!(
+    let max = Duration::from_micros(delays.last_subscriber_us.max());
+    let value = format!(
         "{:.3} s (limit {}, target {})",
         max.as_secs_f64(),
-        MAX_TIME_TO_IN_FORCE.as_secs(),
-        TARGET_TIME_TO_IN_FORCE.as_secs()
+        MAX_PROPAGATION_TIME.as_secs(),
+        TARGET_PROPAGATION_TIME.as_secs()
     );
     run.absolute_bound(
         report,
-        &format!("{at}: maximum delay of {} changes to the last subscriber", delays.last_us.len()),
-        &shown,
-        !delays.last_us.is_empty() && max <= MAX_TIME_TO_IN_FORCE,
+        &format!("{at}: maximum delay of {} changes to the last subscriber", delays.last_subscriber_us.len()),
+        &value,
+        !delays.last_subscriber_us.is_empty() && max <= MAX_PROPAGATION_TIME,
     );
     report.bound(
         &format!("{at}: changes that did not reach every subscriber"),
@@ -197,9 +201,10 @@
 struct Takeover {
     ordinary: Phase,
     failure: Phase,
-    /// The subscribers that the neighbour had. A subscriber that it served too late at the start uses the other relay.
+    /// The number of subscribers that the neighbour served when it was killed. Those that it served too late at the
+    /// start had already moved to the measured relay.
     moved_subscribers: usize,
-    /// The time from the neighbour's death until the last of its subscribers was served.
+    /// The time from the kill until the last of the neighbour's subscribers was served by the measured relay.
     takeover: Duration,
 }
 
@@ -219,52 +224,59 @@
     };
     relay.wait_until_synchronized(fleet).await?;
     neighbour.wait_until_synchronized(fleet).await?;
-    let own = Subscribers::start(&[relay.address], queries(0));
-    let others = Subscribers::start(&[neighbour.address, relay.address], queries(fleet.subscribers));
-    let own_listed = || own.listed() == fleet.subscribers;
-    relay.process.wait_for("the list at all subscribers", own_listed).await?;
-    let others_listed = || others.listed() == fleet.subscribers;
-    neighbour.process.wait_for("the list at the neighbour's subscribers", others_listed).await?;
-    // The timed changes are part of the ordinary ones.
+    let own_subscribers = Subscribers::start(&[relay.address], queries(0));
+    let neighbour_subscribers =
+        Subscribers::start(&[neighbour.address, relay.address], queries(fleet.subscribers));
+    let own_subscribers_have_list = || own_subscribers.listed() == fleet.subscribers;
+    relay.process.wait_for("the list at all subscribers", own_subscribers_have_list).await?;
+    let neighbour_subscribers_have_list = || neighbour_subscribers.listed() == fleet.subscribers;
+    neighbour
+        .process
+        .wait_for("the list at the neighbour's subscribers", neighbour_subscribers_have_list)
+        .await?;
+    // The timed changes are part of the ordinary day's changes.
     let _churn = discovery.churn(fleet.changes_per_second - TIMED_PER_SECOND);
     let changes =
-        TimedChanges { discovery: &discovery, fleet: fleet.listed_fleet(), last: Default::default() };
+        TimedChanges { discovery: &discovery, fleet: fleet.listed_fleet(), last_number: Default::default() };
     let bytes = || ByteCounts {
-        // Both relays read the same from the source.
+        // While both relays run, each reads half of what the source sends.
         received: discovery.traffic().sent() / 2,
-        sent: own.traffic().received() + others.traffic().received(),
+        sent: own_subscribers.traffic().received() + neighbour_subscribers.traffic().received(),
     };
-    let own_bytes = || ByteCounts { sent: own.traffic().received(), ..bytes() };
+    let own_bytes = || ByteCounts { sent: own_subscribers.traffic().received(), ..bytes() };
     let ordinary_durations = Durations { window: durations.window * fleet.relay_windows, ..durations };
-    let (ordinary_cost, timed) = tokio::join!(
+    let (ordinary_cost, timed_changes) = tokio::join!(
         measure_cost(&relay.process, ordinary_durations, own_bytes),
         changes.make(TIMED_PER_SECOND, ordinary_durations)
     );
     sleep(Duration::from_secs(1)).await;
-    let arrivals = [own.take_arrivals(), others.take_arrivals()];
-    let ordinary = Phase { cost: ordinary_cost?, delays: delays(&timed, &arrivals, fleet, &changes) };
-    let (killed_at, moved_subscribers) = (Instant::now(), others.listed_at_first());
+    let arrivals = [own_subscribers.take_arrivals(), neighbour_subscribers.take_arrivals()];
+    let ordinary = Phase { cost: ordinary_cost?, delays: delays(&timed_changes, &arrivals, fleet, &changes) };
+    let (killed_at, moved_subscribers) = (Instant::now(), neighbour_subscribers.listed_at_first());
     neighbour.process.kill();
     let failure_durations = Durations { settle: Duration::ZERO, ..durations };
-    let (failure_cost, timed) = tokio::join!(
+    let (failure_cost, timed_changes) = tokio::join!(
         measure_cost(&relay.process, failure_durations, bytes),
         changes.make(TIMED_PER_SECOND_AT_FAILURE, failure_durations)
     );
-    let all_moved = || others.listed_at_first() == 0 && others.listed() == fleet.subscribers;
+    let all_moved = || {
+        neighbour_subscribers.listed_at_first() == 0 && neighbour_subscribers.listed() == fleet.subscribers
+    };
     relay.process.wait_for("the neighbour's subscribers", all_moved).await?;
     sleep(Duration::from_secs(1)).await;
-    let arrivals = [own.take_arrivals(), others.take_arrivals()];
-    let failure = Phase { cost: failure_cost?, delays: delays(&timed, &arrivals, fleet, &changes) };
-    let takeover = others.last_listed().unwrap_or(killed_at).saturating_duration_since(killed_at);
+    let arrivals = [own_subscribers.take_arrivals(), neighbour_subscribers.take_arrivals()];
+    let failure = Phase { cost: failure_cost?, delays: delays(&timed_changes, &arrivals, fleet, &changes) };
+    let takeover =
+        neighbour_subscribers.last_listed().unwrap_or(killed_at).saturating_duration_since(killed_at);
     Ok(Takeover { ordinary, failure, moved_subscribers, takeover })
 }
 
-/// Makes timed changes, each of the next worker of the common service.
+/// Makes timed changes, each to the next worker of the common service in turn.
 struct TimedChanges<'a> {
     discovery: &'a Discovery,
     fleet: Fleet,
     /// The number of the last change.
-    last: std::cell::Cell<usize>,
+    last_number: std::cell::Cell<usize>,
 }
 
 impl TimedChanges<'_> {
@@ -277,19 +289,19 @@
     async fn make(&self, per_second: f64, durations: Durations) -> Vec<TimedChange> {
         let end = tokio::time::Instant::now() + durations.settle + durations.window;
         let mut ticks = interval(Duration::from_secs_f64(1.0 / per_second));
-        let mut timed = Vec::new();
+        let mut timed_changes = Vec::new();
         while tokio::time::Instant::now() < end {
             tokio::select! {
-                _ = ticks.tick() => timed.push(self.make_one()),
+                _ = ticks.tick() => timed_changes.push(self.make_one()),
                 () = sleep_until(end) => break,
             }
         }
-        timed
+        timed_changes
     }
 
     fn make_one(&self) -> TimedChange {
-        let number = self.last.get() + 1;
-        self.last.set(number);
+        let number = self.last_number.get() + 1;
+        self.last_number.set(number);
         let worker =
             self.fleet.workers_of(COMMON_SERVICE).nth(number % self.worker_count()).unwrap_or_default();
         let change = Change { worker, draining: false, started_at_ms: number as u64 };
@@ -297,18 +309,18 @@
     }
 }
 
-/// The delays of the changes. A later change of the same worker replaces an earlier one in the entry, so its arrival
-/// counts for both. `arrivals` has those of each group of subscribers.
+/// The delays of the timed changes. A later change of the same worker overwrites an earlier one in the entry, so its
+/// arrival counts for both. `arrivals` has the arrivals at each group of subscribers.
 fn delays(
-    timed: &[TimedChange],
+    timed_changes: &[TimedChange],
     arrivals: &[Vec<Arrival>],
     fleet: &TargetFleet,
     changes: &TimedChanges,
 ) -> Delays {
     let histogram = || Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are valid");
-    let mut delays = Delays { each_us: histogram(), last_us: histogram(), lost: 0 };
+    let mut delays = Delays { per_subscriber_us: histogram(), last_subscriber_us: histogram(), lost: 0 };
     let workers = changes.worker_count();
-    for change in timed {
+    for change in timed_changes {
         let mut last = Duration::ZERO;
         let mut count = 0;
         for group in arrivals {
@@ -323,13 +335,13 @@
             }
             for arrived_at in first_arrivals.into_iter().flatten() {
                 let delay = arrived_at.saturating_duration_since(change.made_at);
-                delays.each_us.saturating_record(delay.as_micros() as u64);
+                delays.per_subscriber_us.saturating_record(delay.as_micros() as u64);
                 last = last.max(delay);
                 count += 1;
             }
         }
         if count == arrivals.len() * fleet.subscribers {
-            delays.last_us.saturating_record(last.as_micros() as u64);
+            delays.last_subscriber_us.saturating_record(last.as_micros() as u64);
         } else {
             delays.lost += 1;
         }
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -15,18 +15,20 @@
 /// An upper limit on the memory of a list entry, in this process and in a manager together.
 const MAX_ENTRY_BYTES: u64 = 4 << 10;
 
-/// The number of peers of a manager and the rates of changes and reports.
+/// The numbers of a manager's peers and the rates of changes and reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
-    /// The workers in the manager's list.
+    /// The number of workers in the manager's list.
     pub workers: usize,
-    /// The zones that workers, proxies and collectors are spread over.
+    /// The number of zones that workers, proxies and collectors are spread over.
     pub zones: usize,
-    /// The services that the workers are spread over.
+    /// The number of services that the workers are spread over.
     pub services: usize,
     /// Changed list entries per second.
     pub changes_per_second: f64,
+    /// The number of proxies that join the manager.
     pub proxies: usize,
+    /// The number of operations in the manager's settings.
     pub operations: usize,
     /// Reports per second, of all collectors.
     pub reports_per_second: f64,
@@ -46,7 +48,7 @@
 /// The durations of a measurement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Durations {
-    /// The wait between the end of the setup and the start of the window.
+    /// The wait between the setup and the window.
     pub settle: Duration,
     /// The window over which the usage is measured.
     pub window: Duration,
--- a/crates/lab/src/scale/simulated/collectors.rs
+++ b/crates/lab/src/scale/simulated/collectors.rs
@@ -1,4 +1,4 @@
-//! Simulated collectors: one per zone, each sends its share of the reports.
+//! Simulated collectors: one per zone, each of which sends an equal share of the reports.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -71,7 +71,7 @@
         let zone = Fleet::zone_name(self.zone);
         self.write(&mut socket, &format!("agent locality={zone}\r\n")).await?;
         let mut ticks = interval(WRITE_INTERVAL);
-        // The reports that are due, as a fraction, and the number of the next one, which selects its worker.
+        // The amount of reports due, with a fraction, and the number of the next report, which selects its worker.
         let (mut due, mut number) = (0.0, self.zone);
         loop {
             ticks.tick().await;
--- a/crates/lab/src/scale/simulated/discovery.rs
+++ b/crates/lab/src/scale/simulated/discovery.rs
@@ -17,11 +17,11 @@
 
 /// The generation of the list before any change.
 const FIRST_GENERATION: u64 = 1;
-/// The interval of empty lines while nothing changes.
+/// The interval of the empty lines that a watch gets while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// The size of the chunks in which a line is written, in bytes.
 const CHUNK_SIZE: usize = 64 << 10;
-/// The limit on the head of a request, in bytes; a longer one is rejected.
+/// The limit on the head of a request, in bytes. A longer one ends the connection.
 const MAX_REQUEST_SIZE: usize = 64 << 10;
 
 /// The workers that a simulated discovery service lists.
@@ -98,7 +98,7 @@
 pub struct Change {
     /// The number of the worker.
     pub worker: usize,
-    /// Whether it is draining, or ready.
+    /// Whether it is draining; otherwise it is ready.
     pub draining: bool,
     /// Its start time; 0 for all but timed changes.
     pub started_at_ms: u64,
@@ -275,14 +275,14 @@
     }
 }
 
-/// Reads one request and writes the list, or a watch until the connection ends.
+/// Reads one request and answers it with the list, or with a watch until the connection ends.
 async fn serve(mut socket: TcpStream, shared: &Shared) -> std::io::Result<()> {
     socket.set_nodelay(true)?;
     let request = read_request(&mut socket, &shared.traffic).await?;
     let mut response = ResponseWriter { socket, traffic: &shared.traffic };
     let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n";
     if !request.watch {
-        // The first generation of the list, without the changes since.
+        // A request without a watch gets the first generation of the list, without the changes since.
         let length = shared.snapshot.len();
         response.write(format!("{head}Content-Length: {length}\r\n\r\n").as_bytes()).await?;
         return response.write(&shared.snapshot).await;
--- a/crates/lab/src/scale/simulated/forwarder.rs
+++ b/crates/lab/src/scale/simulated/forwarder.rs
@@ -13,7 +13,7 @@
 
 #[derive(Default)]
 struct Shared {
-    /// The connections that are open.
+    /// The number of connections that are open.
     links: AtomicUsize,
     /// The bytes sent to the target and received from it.
     traffic: Traffic,
--- a/crates/lab/src/scale/simulated/proxies.rs
+++ b/crates/lab/src/scale/simulated/proxies.rs
@@ -17,12 +17,12 @@
 const BATCH_SIZE: usize = 64;
 const BATCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The acknowledgements of orders that take a worker out of use.
+/// The proxies' acknowledgements of orders that take a worker out of use.
 #[derive(Default)]
 struct Drain {
-    /// The worker whose drain is expected.
+    /// The worker whose drain is expected, if any.
     worker: Option<String>,
-    /// The number of proxies that acknowledged the order.
+    /// The number of acknowledgements.
     acknowledged: usize,
     /// The time of the last acknowledgement.
     last_acknowledged: Option<Instant>,
@@ -30,8 +30,9 @@
 
 #[derive(Default)]
 struct Shared {
+    /// The number of joins, including repeated ones.
     joins: AtomicUsize,
-    /// The proxies that have received an order since they last joined.
+    /// The number of proxies that have received an order since they last joined.
     ordered: AtomicUsize,
     drain: Mutex<Drain>,
     traffic: Traffic,
@@ -82,8 +83,7 @@
         *self.shared.drain() = Drain { worker: Some(worker.into()), ..Drain::default() };
     }
 
-    /// The number of proxies that acknowledged an order that takes the expected worker out of use, and the time of the
-    /// last acknowledgement.
+    /// The number of acknowledgements of orders that take the expected worker out of use, and the time of the last one.
     pub fn drain_acknowledgements(&self) -> (usize, Option<Instant>) {
         let drain = self.shared.drain();
         (drain.acknowledged, drain.last_acknowledged)
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Joins the manager and reads orders until the connection ends. Sets `has_order` on the first complete order.
+    /// Joins the manager and acknowledges orders until the connection ends. Sets `has_order` on the first complete
+    /// order.
     async fn run_stream(&self, has_order: &mut bool) -> std::io::Result<()> {
         let socket = TcpStream::connect(self.manager).await?;
         socket.set_nodelay(true)?;
@@ -165,9 +166,11 @@
 struct Order<'a> {
     /// Whether another part of the order follows.
     more: bool,
+    /// The mark to acknowledge, if the order has one.
     mark: Option<&'a str>,
+    /// The lines of the table that the order sets, separated by commas.
     lines: &'a str,
-    /// The workers that must not be used, separated by commas.
+    /// The excluded workers, separated by commas.
     out: &'a str,
 }
 
@@ -186,7 +189,7 @@
         order
     }
 
-    /// Whether the order excludes the worker or removes its line, which is one with a weight of 0.
+    /// Whether the order excludes the worker or removes its line by a weight of 0.
     fn takes_out_of_use(&self, worker: &str) -> bool {
         let removes_worker = |line: &str| {
             line.split_once(':').is_some_and(|(name, weight)| name == worker && weight.parse() == Ok(0.0))
--- a/crates/lab/src/scale/simulated/subscribers.rs
+++ b/crates/lab/src/scale/simulated/subscribers.rs
@@ -28,11 +28,11 @@
 #[derive(Default)]
 struct Shared {
     arrivals: Mutex<Vec<Arrival>>,
-    /// The subscribers that have received a list on an open watch.
+    /// The number of subscribers that have received a list on an open watch.
     listed: AtomicUsize,
-    /// Those of them that watch the first of their sources.
+    /// The number of those that watch the first of their sources.
     listed_at_first: AtomicUsize,
-    /// The time of the latest first line on a new watch, of all subscribers.
+    /// The latest time at which a subscriber received the first line of a watch.
     last_listed: Mutex<Option<Instant>>,
     traffic: Traffic,
 }
@@ -49,7 +49,7 @@
 }
 
 impl Subscribers {
-    /// Starts a subscriber for each query. Each tries the sources in turn.
+    /// Starts a subscriber for each query. Each watches the first source, and the next one in turn when a watch ends.
     pub fn start(sources: &[SocketAddr], queries: impl IntoIterator<Item = String>) -> Subscribers {
         let shared = Arc::<Shared>::default();
         let mut tasks = JoinSet::new();
@@ -61,7 +61,7 @@
         Subscribers { shared, _tasks: tasks }
     }
 
-    /// The bytes of the response bodies.
+    /// The bytes of the response bodies, of all subscribers.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
@@ -76,7 +76,7 @@
         self.shared.listed_at_first.load(Ordering::Relaxed)
     }
 
-    /// The time of the latest first line on a new watch, of all subscribers.
+    /// The latest time at which a subscriber received the first line of a watch.
     pub fn last_listed(&self) -> Option<Instant> {
         *lock(&self.shared.last_listed)
     }
@@ -100,23 +100,23 @@
     async fn run(mut self) {
         for attempt in 0.. {
             let source = attempt % self.sources.len();
-            let mut listed = false;
-            let Err(WatchEnded) = self.follow(source, &mut listed).await;
-            if listed {
+            let mut has_list = false;
+            let Err(WatchEnded) = self.watch_source(source, &mut has_list).await;
+            if has_list {
                 self.shared.listed.fetch_sub(1, Ordering::Relaxed);
             }
-            if listed && source == 0 {
+            if has_list && source == 0 {
                 self.shared.listed_at_first.fetch_sub(1, Ordering::Relaxed);
             }
             sleep(MEAN_RECONNECT_DELAY.mul_f64(0.5 + fastrand::f64())).await;
         }
     }
 
-    /// Watches one source until the watch ends. Sets `listed` on the first line.
-    async fn follow(
+    /// Watches one source until the watch ends. Sets `has_list` on the first line.
+    async fn watch_source(
         &mut self,
         source: usize,
-        listed: &mut bool,
+        has_list: &mut bool,
     ) -> Result<std::convert::Infallible, WatchEnded> {
         let index = self.generation.map(|generation| format!("&index={generation}")).unwrap_or_default();
         let mut watch = Watch::open(self.sources[source], &format!("{index}{}", self.query)).await?;
@@ -125,7 +125,7 @@
             let arrived_at = Instant::now();
             self.shared.traffic.add_received(watch.take_received());
             self.generation = Some(line.generation);
-            if !std::mem::replace(listed, true) {
+            if !std::mem::replace(has_list, true) {
                 self.shared.listed.fetch_add(1, Ordering::Relaxed);
                 if source == 0 {
                     self.shared.listed_at_first.fetch_add(1, Ordering::Relaxed);
--- a/crates/lab/src/scale/simulated/watch.rs
+++ b/crates/lab/src/scale/simulated/watch.rs
@@ -1,4 +1,4 @@
-//! A watch of the worker list, as a manager has one open.
+//! A watch of the worker list, as a manager opens one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -44,12 +44,12 @@
     connection: JoinHandle<()>,
 }
 
-/// A watch could not be opened or has ended. The cause is not kept, since a subscriber reconnects in every case.
+/// A watch could not be opened or has ended. It carries no cause, since a subscriber reconnects in every case.
 #[derive(Debug)]
 pub struct WatchEnded;
 
 impl Watch {
-    /// Opens a watch. `parameters` are added to the query after `stream=1`, as `&index=41`.
+    /// Opens a watch. `parameters` are appended to the query `stream=1`, for example `&index=41`.
     pub async fn open(source: SocketAddr, parameters: &str) -> Result<Watch, WatchEnded> {
         let socket = TcpStream::connect(source).await.map_err(|_| WatchEnded)?;
         let (mut sender, connection) =
--- a/crates/lab/src/scale/simulated/workers.rs
+++ b/crates/lab/src/scale/simulated/workers.rs
@@ -8,7 +8,7 @@
 
 use crate::scale::error::ScaleError;
 
-/// The load that every worker reports.
+/// The load that every worker reports in its answer to a probe.
 const LOAD: &str = "inflight=2,queue=0,util=0.40";
 
 /// Answers probes until it is dropped.
