--- a/crates/lab/src/scale/drain.rs
+++ b/crates/lab/src/scale/drain.rs
@@ -105,8 +105,8 @@
     let mut relayed = Manager::start(launcher, &scenario, discovery.address, Some(&relayed_element)).await?;
     let direct_proxies = Proxies::join(direct.address, PROXIES, target.zones);
     let relayed_proxies = Proxies::join(relayed.address, PROXIES, target.zones);
-    direct.process.wait_for("orders to all proxies", || direct_proxies.ordered() == PROXIES).await?;
-    relayed.process.wait_for("orders to all proxies", || relayed_proxies.ordered() == PROXIES).await?;
+    direct.process.wait_for("orders to all proxies", || direct_proxies.with_order() == PROXIES).await?;
+    relayed.process.wait_for("orders to all proxies", || relayed_proxies.with_order() == PROXIES).await?;
     sleep(GRACE).await;
     let mut times = DrainTimes { direct: Vec::new(), relayed: Vec::new() };
     for worker in fleet.workers_of(SERVICE).take(drains) {
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -89,7 +89,7 @@
     relay.wait_until_synchronized(fleet).await?;
     let queries = (0..fleet.subscribers).map(|number| fleet.query(&[number]));
     let subscribers = Subscribers::start(&[relay.address], queries);
-    let all_have_list = || subscribers.listed() == fleet.subscribers;
+    let all_have_list = || subscribers.with_list() == fleet.subscribers;
     relay.process.wait_for("the list at all subscribers", all_have_list).await?;
     let _churn = discovery.churn(fleet.changes_per_second);
     let bytes =
@@ -227,9 +227,9 @@
     let own_subscribers = Subscribers::start(&[relay.address], queries(0));
     let neighbour_subscribers =
         Subscribers::start(&[neighbour.address, relay.address], queries(fleet.subscribers));
-    let own_subscribers_have_list = || own_subscribers.listed() == fleet.subscribers;
+    let own_subscribers_have_list = || own_subscribers.with_list() == fleet.subscribers;
     relay.process.wait_for("the list at all subscribers", own_subscribers_have_list).await?;
-    let neighbour_subscribers_have_list = || neighbour_subscribers.listed() == fleet.subscribers;
+    let neighbour_subscribers_have_list = || neighbour_subscribers.with_list() == fleet.subscribers;
     neighbour
         .process
         .wait_for("the list at the neighbour's subscribers", neighbour_subscribers_have_list)
@@ -252,7 +252,8 @@
     sleep(Duration::from_secs(1)).await;
     let arrivals = [own_subscribers.take_arrivals(), neighbour_subscribers.take_arrivals()];
     let ordinary = Phase { cost: ordinary_cost?, delays: delays(&timed_changes, &arrivals, fleet, &changes) };
-    let (killed_at, moved_subscribers) = (Instant::now(), neighbour_subscribers.listed_at_first());
+    let (killed_at, moved_subscribers) =
+        (Instant::now(), neighbour_subscribers.with_list_from_first_source());
     neighbour.process.kill();
     let failure_durations = Durations { settle: Duration::ZERO, ..durations };
     let (failure_cost, timed_changes) = tokio::join!(
@@ -260,14 +261,15 @@
         changes.make(TIMED_PER_SECOND_AT_FAILURE, failure_durations)
     );
     let all_moved = || {
-        neighbour_subscribers.listed_at_first() == 0 && neighbour_subscribers.listed() == fleet.subscribers
+        neighbour_subscribers.with_list_from_first_source() == 0
+            && neighbour_subscribers.with_list() == fleet.subscribers
     };
     relay.process.wait_for("the neighbour's subscribers", all_moved).await?;
     sleep(Duration::from_secs(1)).await;
     let arrivals = [own_subscribers.take_arrivals(), neighbour_subscribers.take_arrivals()];
     let failure = Phase { cost: failure_cost?, delays: delays(&timed_changes, &arrivals, fleet, &changes) };
     let takeover =
-        neighbour_subscribers.last_listed().unwrap_or(killed_at).saturating_duration_since(killed_at);
+        neighbour_subscribers.last_first_line().unwrap_or(killed_at).saturating_duration_since(killed_at);
     Ok(Takeover { ordinary, failure, moved_subscribers, takeover })
 }
 
--- a/crates/lab/src/scale/scenario.rs
+++ b/crates/lab/src/scale/scenario.rs
@@ -132,7 +132,7 @@
     let list_sent = || discovery.traffic().sent() > discovery.list_bytes() as u64;
     manager.process.wait_for("the manager to read the list", list_sent).await?;
     let proxies = Proxies::join(manager.address, scenario.proxies, scenario.zones);
-    manager.process.wait_for("orders to all proxies", || proxies.ordered() >= scenario.proxies).await?;
+    manager.process.wait_for("orders to all proxies", || proxies.with_order() >= scenario.proxies).await?;
     let collectors = Collectors::start(manager.address, &fleet, scenario.reports_per_second);
     let _churn = discovery.churn(scenario.changes_per_second);
     let peers = [discovery.traffic(), proxies.traffic(), collectors.traffic()];
--- a/crates/lab/src/scale/simulated/proxies.rs
+++ b/crates/lab/src/scale/simulated/proxies.rs
@@ -33,7 +33,7 @@
     /// The number of joins, including repeated ones.
     joins: AtomicUsize,
     /// The number of proxies that have received an order since they last joined.
-    ordered: AtomicUsize,
+    with_order: AtomicUsize,
     drain: Mutex<Drain>,
     traffic: Traffic,
 }
@@ -69,8 +69,8 @@
     }
 
     /// The number of proxies that have received an order since they last joined.
-    pub fn ordered(&self) -> usize {
-        self.shared.ordered.load(Ordering::Relaxed)
+    pub fn with_order(&self) -> usize {
+        self.shared.with_order.load(Ordering::Relaxed)
     }
 
     /// The number of joins, including repeated ones.
@@ -105,7 +105,7 @@
             let mut has_order = false;
             _ = self.run_stream(&mut has_order).await;
             if has_order {
-                self.shared.ordered.fetch_sub(1, Ordering::Relaxed);
+                self.shared.with_order.fetch_sub(1, Ordering::Relaxed);
             }
             sleep(RECONNECT_DELAY).await;
         }
@@ -140,7 +140,7 @@
                 continue;
             }
             if !std::mem::replace(has_order, true) {
-                self.shared.ordered.fetch_add(1, Ordering::Relaxed);
+                self.shared.with_order.fetch_add(1, Ordering::Relaxed);
             }
             if let Some(mark) = order.mark {
                 let acknowledgement = format!("ack node={} nonce={mark} latency=1.0\r\n", self.number);
--- a/crates/lab/src/scale/simulated/subscribers.rs
+++ b/crates/lab/src/scale/simulated/subscribers.rs
@@ -29,11 +29,11 @@
 struct Shared {
     arrivals: Mutex<Vec<Arrival>>,
     /// The number of subscribers that have received a list on an open watch.
-    listed: AtomicUsize,
+    with_list: AtomicUsize,
     /// The number of those that watch the first of their sources.
-    listed_at_first: AtomicUsize,
+    with_list_from_first_source: AtomicUsize,
     /// The latest time at which a subscriber received the first line of a watch.
-    last_listed: Mutex<Option<Instant>>,
+    last_first_line: Mutex<Option<Instant>>,
     traffic: Traffic,
 }
 
@@ -67,18 +67,18 @@
     }
 
     /// The number of subscribers that have received a list on an open watch.
-    pub fn listed(&self) -> usize {
-        self.shared.listed.load(Ordering::Relaxed)
+    pub fn with_list(&self) -> usize {
+        self.shared.with_list.load(Ordering::Relaxed)
     }
 
     /// The number of those that watch the first of their sources.
-    pub fn listed_at_first(&self) -> usize {
-        self.shared.listed_at_first.load(Ordering::Relaxed)
+    pub fn with_list_from_first_source(&self) -> usize {
+        self.shared.with_list_from_first_source.load(Ordering::Relaxed)
     }
 
     /// The latest time at which a subscriber received the first line of a watch.
-    pub fn last_listed(&self) -> Option<Instant> {
-        *lock(&self.shared.last_listed)
+    pub fn last_first_line(&self) -> Option<Instant> {
+        *lock(&self.shared.last_first_line)
     }
 
     /// The arrivals of timed changes since the last call.
@@ -103,10 +103,10 @@
             let mut has_list = false;
             let Err(WatchEnded) = self.watch_source(source, &mut has_list).await;
             if has_list {
-                self.shared.listed.fetch_sub(1, Ordering::Relaxed);
+                self.shared.with_list.fetch_sub(1, Ordering::Relaxed);
             }
             if has_list && source == 0 {
-                self.shared.listed_at_first.fetch_sub(1, Ordering::Relaxed);
+                self.shared.with_list_from_first_source.fetch_sub(1, Ordering::Relaxed);
             }
             sleep(MEAN_RECONNECT_DELAY.mul_f64(0.5 + fastrand::f64())).await;
         }
@@ -126,11 +126,11 @@
             self.shared.traffic.add_received(watch.take_received());
             self.generation = Some(line.generation);
             if !std::mem::replace(has_list, true) {
-                self.shared.listed.fetch_add(1, Ordering::Relaxed);
+                self.shared.with_list.fetch_add(1, Ordering::Relaxed);
                 if source == 0 {
-                    self.shared.listed_at_first.fetch_add(1, Ordering::Relaxed);
+                    self.shared.with_list_from_first_source.fetch_add(1, Ordering::Relaxed);
                 }
-                *lock(&self.shared.last_listed) = Some(arrived_at);
+                *lock(&self.shared.last_first_line) = Some(arrived_at);
             }
             let timed = line.instances.iter().filter(|entry| entry.started_at_ms > 0);
             let arrival = |started_at_ms| Arrival { subscriber: self.number, started_at_ms, arrived_at };
