--- a/src/admission.rs
+++ b/src/admission.rs
@@ -5,13 +5,13 @@
 use crate::{Planner, Proxy, Sample, Table};
 use juniperrail_interface::*;
 
-/// Target of the mean answer time while demand is being rejected, relative to the latency objective.
+/// Target of the mean latency while demand is being rejected, relative to the latency objective.
 const SHEDDING_LATENCY_RATIO: f64 = 0.4;
-/// Target of the mean answer time while all demand is admitted, relative to the latency objective.
+/// Target of the mean latency while all demand is admitted, relative to the latency objective.
 const FULL_ADMISSION_LATENCY_RATIO: f64 = 0.47;
 /// Mean utilization of the workers that admission aims at.
 const TARGET_UTILIZATION: f64 = 0.85;
-/// Utilization below which failed and late tries are not taken for overload.
+/// Utilization below which failed and slow tries are not attributed to overload.
 const IDLE_UTILIZATION: f64 = 0.7;
 /// Least capacity estimate, and so the deepest cut of the admission ratio in one step.
 const MIN_CAPACITY_RATIO: f64 = 0.4;
@@ -19,59 +19,60 @@
 const MAX_CAPACITY_RATIO: f64 = 1.5;
 /// Capacity estimate below which admission is cut.
 const CUT_CAPACITY_RATIO: f64 = 0.85;
-/// Capacity estimate from which admission is raised, and the factor of a careful raise.
+/// Capacity estimate from which admission is raised, and the factor of a small raise.
 const RAISE_CAPACITY_RATIO: f64 = 1.1;
 /// Capacity estimate below which the fleet counts as near overload.
 const NEAR_OVERLOAD_RATIO: f64 = 0.95;
 /// Capacity estimate below which the fleet counts as near overload where proxies avoid workers that failed them.
 const NEAR_OVERLOAD_AVOIDING_RATIO: f64 = 1.1;
-/// Admission ratio below which a single cut does not go, unless it multiplies the ratio by [`CUT_CAPACITY_RATIO`] or
-/// more.
+/// Lowest admission ratio that a single cut may reach. If [`CUT_CAPACITY_RATIO`] times the current ratio is lower, that
+/// is the limit instead.
 const CUT_FLOOR_RATIO: f64 = 0.25;
-/// For how many report delays after a cut samples are ignored, where no report has utilization.
+/// Number of report delays after a cut during which samples are ignored if no report has utilization.
 const IGNORED_DELAYS_AFTER_CUT: f64 = 1.75;
 /// Least admission ratio.
 const MIN_ADMISSION_RATIO: f64 = 0.12;
-/// Ratio of the last overloaded admission ratio up to which admission may return in large steps.
+/// Ratio of the admission ratio at the last overload. Up to it, admission may rise in large steps.
 const QUICK_RAISE_RATIO: f64 = 0.8;
 /// Admission level that stands for no limit, in invocations a second.
 const UNLIMITED_PER_SECOND: f64 = 1e6;
 
 impl Planner {
-    /// Estimates the fleet's capacity relative to the load that it now gets, by samples received after `since`.
+    /// Estimates the fleet's capacity relative to its current load, from samples received after `since`.
     ///
-    /// The estimate goes by the median worker, since a single worker in trouble is no overload. Utilization below
-    /// `idle_below` rules overload out. Returns `None` if too few workers report tries.
+    /// Latency and failures are those of the median worker, since a single failing worker is no overload; utilization
+    /// is the mean. Utilization below `idle_below` rules overload out. Returns `None` if too few workers report tries.
     fn capacity_ratio(&self, since: Ms, idle_below: f64) -> Option<f64> {
         let samples = self.workers.values().map(|worker| self.sum_samples(worker, since));
         let samples: Vec<Sample> = samples.filter(|sample| sample.tries > 0.0).collect();
         (samples.len() as f64 >= MIN_EVIDENCE_COUNT).then_some(())?;
         let objectives = self.settings.operations.iter().map(|op| op.latency_objective);
-        let mean_time = |sample: &Sample| sample.success_time / (sample.tries - sample.failed_tries).max(1.0);
-        let answer_time = median(samples.iter().map(mean_time).collect());
+        let mean_latency =
+            |sample: &Sample| sample.success_time / (sample.tries - sample.failed_tries).max(1.0);
+        let median_latency = median(samples.iter().map(mean_latency).collect());
         let failed_ratio = median(samples.iter().map(|sample| sample.failed_tries / sample.tries).collect());
         let shedding = self.admission_ratio < 1.0;
         let target = if shedding { SHEDDING_LATENCY_RATIO } else { FULL_ADMISSION_LATENCY_RATIO };
-        let by_latency = (target * objectives.fold(f64::INFINITY, f64::min) / answer_time.max(1.0)).sqrt();
+        let by_latency = (target * objectives.fold(f64::INFINITY, f64::min) / median_latency.max(1.0)).sqrt();
         let utilization = mean(samples.iter().filter_map(|sample| sample.utilization));
         let by_utilization = (TARGET_UTILIZATION / utilization.unwrap_or(0.0).max(0.1)).powi(2);
         let tries: f64 = samples.iter().map(|sample| sample.tries).sum();
-        // Failed and late tries on idle cores are no overload: answers get lost on the way, or clients leave early.
-        // Idle cores raise admission by a tenth at a time, in a partitioned fleet by the largest step.
+        // Failed and slow tries at low utilization are no overload: responses are lost on the network, or clients cancel.
+        // Low utilization lets admission rise by a tenth at a time, in a partitioned fleet by the largest step.
         let idle_raise = [RAISE_CAPACITY_RATIO, MAX_CAPACITY_RATIO][self.partition_count.min(1)];
         let by_idleness = utilization.filter(|ratio| *ratio < idle_below).map_or(0.0, |_| idle_raise);
         let by_failures = MAX_CAPACITY_RATIO * (1.0 - failed_ratio).powi(2);
         let estimate = by_latency.min(by_failures).max(by_idleness);
-        let evidence = tries / (tries + MIN_EVIDENCE_COUNT * MIN_EVIDENCE_COUNT);
-        Some(estimate.min(by_utilization).clamp(MIN_CAPACITY_RATIO, MAX_CAPACITY_RATIO).powf(evidence))
+        let confidence = tries / (tries + MIN_EVIDENCE_COUNT * MIN_EVIDENCE_COUNT);
+        Some(estimate.min(by_utilization).clamp(MIN_CAPACITY_RATIO, MAX_CAPACITY_RATIO).powf(confidence))
     }
 
     /// Lowers the admission ratio when the fleet is overloaded and raises it again as capacity returns.
     pub(crate) fn adjust_admission(&mut self) {
         let now = self.now;
         let report_delay = self.settings.report_period + self.settings.max_transit;
-        // Utilization is reported late: whether cold workers are kept out goes by failed and late tries even where
-        // cores seem idle.
+        // Utilization is reported with a delay, so low utilization does not rule out that the fleet is near overload:
+        // failed and slow tries keep cold workers out even then.
         let Some(capacity) = self.capacity_ratio(now - report_delay, 0.0) else { return };
         let avoiding = self.settings.proxies_avoid_outliers;
         self.near_overload =
@@ -81,23 +82,23 @@
             .values()
             .flat_map(|worker| &worker.samples)
             .all(|sample| sample.utilization.is_none());
-        // Where no report has utilization, a second cut would go by tries that began before the first one: after a cut
-        // only later reports count.
+        // Without any reported utilization, a second cut would be based on tries that began before the first one, so
+        // after a cut only later reports count.
         let after_cut = no_utilization && self.admission_ratio < 1.0 && !self.admission_rising;
         let ignored_time = if after_cut { IGNORED_DELAYS_AFTER_CUT * report_delay } else { report_delay };
         let since = (self.admission_changed_at + ignored_time).max(now - report_delay);
         let Some(recent_capacity) = self.capacity_ratio(since, IDLE_UTILIZATION) else { return };
         let cut_floor =
             CUT_FLOOR_RATIO.min(self.admission_ratio * CUT_CAPACITY_RATIO).max(MIN_ADMISSION_RATIO);
-        // Raises are large up to the neighbourhood of the last overload, and small beyond.
-        let careful_raise = self.admission_ratio * RAISE_CAPACITY_RATIO;
-        let raise_limit = careful_raise.max(QUICK_RAISE_RATIO * self.overloaded_ratio);
-        let change = if no_utilization {
+        // Raises are large up to `QUICK_RAISE_RATIO` of the ratio at the last overload, and small beyond.
+        let small_raise = self.admission_ratio * RAISE_CAPACITY_RATIO;
+        let raise_limit = small_raise.max(QUICK_RAISE_RATIO * self.overloaded_ratio);
+        let factor = if no_utilization {
             recent_capacity.max(recent_capacity * recent_capacity)
         } else {
             recent_capacity
         };
-        let next = (self.admission_ratio * change).min(raise_limit).clamp(cut_floor, 1.0);
+        let next = (self.admission_ratio * factor).min(raise_limit).clamp(cut_floor, 1.0);
         let needs_cut = recent_capacity < CUT_CAPACITY_RATIO;
         let allows_raise = recent_capacity >= RAISE_CAPACITY_RATIO;
         if next != self.admission_ratio && (needs_cut || allows_raise) {
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Invocations a second of an operation at a proxy: the mean of its reports, or without any an even share of
-    /// the rate that it joined with.
+    /// Invocations a second of an operation at a proxy: the mean of its reports or, if there are none, an even
+    /// share of the rate that it joined with.
     pub(crate) fn demand(&self, proxy: &Proxy, op: usize) -> f64 {
         let rates = proxy.demand.get(&OpId(op as u8)).into_iter().flatten();
         mean(rates.copied()).unwrap_or(proxy.inv_per_second / self.settings.operations.len() as f64)
--- a/src/events.rs
+++ b/src/events.rs
@@ -53,8 +53,8 @@
                 self.proxies.insert(*proxy, joined);
             }
             Event::Left { proxy } => {
-                // The proxy's bindings end: updates that only this proxy still had to acknowledge become idle, so they
-                // are to be sent again. Its next bind carries all values.
+                // The proxy's bindings end, and its acknowledgements are no longer awaited. An update that no proxy is
+                // left to acknowledge becomes idle and is sent again. The proxy's next bind carries all values.
                 self.proxies.remove(proxy);
                 self.tables.iter_mut().for_each(|table| _ = table.bound_proxies.remove(proxy));
             }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Applies one entry of the worker list. `is_change`: the entry is from a change of the list, not a whole list.
+    /// Applies one entry of the worker list. `is_change`: the entry is from a change of the list, not from a full list.
     fn apply_listed(&mut self, mut listed: WorkerEntry, is_change: bool) {
         // A worker that is listed without a weight gets the mean weight of the known workers.
         let known_weights = self.workers.values().map(|worker| worker.listed.weight);
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// `workers` warm workers, listed from the start, and `proxies` that have joined and answered.
+    /// `workers` warm workers, listed from the start, and `proxies` that have joined and acknowledged.
     pub fn running(settings: Settings, workers: u32, proxies: u16) -> Self {
         let mut host = Host::new(settings);
         let ready = (0..workers).map(|worker| entry(worker, Phase::Ready)).collect();
@@ -174,8 +174,8 @@
     /// The first `proxies` proxies acknowledge the last mark, 100 ms later.
     pub fn acknowledge(&mut self, proxies: u16) -> Vec<Order> {
         let Some(&mark) = self.marks.last() else { return Vec::new() };
-        let answer = |proxy| Event::MarkAcknowledged { mark, took: 100.0, proxy: ProxyId(proxy) };
-        self.advance(100.0, &(0..proxies).map(answer).collect::<Vec<_>>())
+        let acknowledgement = |proxy| Event::MarkAcknowledged { mark, took: 100.0, proxy: ProxyId(proxy) };
+        self.advance(100.0, &(0..proxies).map(acknowledgement).collect::<Vec<_>>())
     }
 
     /// Runs for some seconds with the same events in each, while all proxies acknowledge each mark.
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Tests of the planner: each guards against a failure named by its title.
+//! Tests of the planner. The name of each test states the behaviour that it guards.
 
 mod host;
 
@@ -82,13 +82,13 @@
 
 #[test]
 fn last_usable_line_waits_for_replacement_within_drain_grace() {
-    for answered in [true, false] {
+    for acknowledged in [true, false] {
         let mut host = Host::running(settings(), 1, 2);
         let swap = list_change(vec![entry(0, Phase::Draining), entry(1, Phase::Ready)]);
         host.advance(600.0, &[swap]);
         assert_eq!(host.weight(1), 1.0);
         assert!(!host.is_excluded(0), "the replacement is not acknowledged yet");
-        if answered {
+        if acknowledged {
             host.acknowledge(2);
             assert!(host.is_excluded(0));
         } else {
@@ -151,9 +151,9 @@
     assert_eq!(host.bindings.len(), bound_count, "without acknowledgements there is no more room");
     for _ in 0..8 {
         let mark = *host.marks.last().unwrap();
-        let answer = |proxy: &ProxyId| Event::MarkAcknowledged { mark, took: 1.0, proxy: *proxy };
-        let answers: Vec<Event> = host.bindings.keys().map(answer).collect();
-        host.advance(100.0, &answers);
+        let acknowledgement = |proxy: &ProxyId| Event::MarkAcknowledged { mark, took: 1.0, proxy: *proxy };
+        let acknowledgements: Vec<Event> = host.bindings.keys().map(acknowledgement).collect();
+        host.advance(100.0, &acknowledgements);
     }
     assert_eq!(host.bindings.len(), 8);
 }
@@ -294,8 +294,8 @@
     host.run_seconds(8, 2, &overloaded);
     let (level, retry) = *host.admissions.last().unwrap();
     assert!(level < 0.8 && level > 0.0 && retry == Retry::Never);
-    let calm: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 100.0)).collect();
-    host.run_seconds(60, 2, &calm);
+    let healthy: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 100.0)).collect();
+    host.run_seconds(60, 2, &healthy);
     assert_eq!(*host.admissions.last().unwrap(), (1.0, Retry::IfNotExecuted));
 }
 
@@ -426,12 +426,12 @@
     let mut host = Host::running(Settings { proxies_avoid_outliers: true, ..settings() }, 8, 2);
     let overloaded: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 5.0, 800.0)).collect();
     host.run_seconds(3, 2, &overloaded);
-    let restart = host.now;
-    host.advance(100.0, &[list_change(vec![restarted_entry(8, restart)])]);
+    let restarted_at = host.now;
+    host.advance(100.0, &[list_change(vec![restarted_entry(8, restarted_at)])]);
     host.run_seconds(2, 2, &overloaded);
     assert_eq!(host.weight(8), 0.0);
-    let calm: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 100.0)).collect();
-    host.run_seconds(6, 2, &calm);
+    let healthy: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 100.0)).collect();
+    host.run_seconds(6, 2, &healthy);
     assert!(host.weight(8) > 0.0);
 }
 
@@ -440,24 +440,25 @@
     // In a long rolling release a third of the fleet is cold: without these workers the others would stay
     // overloaded.
     let mut host = Host::running(settings(), 8, 2);
-    let reports =
-        |each: Ms| (0..8).map(|worker| worker_report(worker, 10.0, 0.0, each)).collect::<Vec<Event>>();
+    let reports = |mean_latency: Ms| {
+        (0..8).map(|worker| worker_report(worker, 10.0, 0.0, mean_latency)).collect::<Vec<Event>>()
+    };
     host.run_seconds(3, 2, &reports(800.0));
-    let restart = host.now;
-    host.advance(100.0, &[list_change(vec![restarted_entry(8, restart)])]);
+    let restarted_at = host.now;
+    host.advance(100.0, &[list_change(vec![restarted_entry(8, restarted_at)])]);
     host.run_seconds(2, 2, &reports(800.0));
-    let overloaded = host.weight(8);
-    let mut calm = Host::running(settings(), 8, 2);
-    let restart = calm.now;
-    calm.advance(100.0, &[list_change(vec![restarted_entry(8, restart)])]);
-    calm.run_seconds(2, 2, &reports(100.0));
-    assert_eq!(overloaded, calm.weight(8) / 2.0);
+    let weight_near_overload = host.weight(8);
+    let mut healthy_host = Host::running(settings(), 8, 2);
+    let restarted_at = healthy_host.now;
+    healthy_host.advance(100.0, &[list_change(vec![restarted_entry(8, restarted_at)])]);
+    healthy_host.run_seconds(2, 2, &reports(100.0));
+    assert_eq!(weight_near_overload, healthy_host.weight(8) / 2.0);
 }
 
 #[test]
 fn second_cut_waits_for_reports_after_first() {
-    // Late reports still show the overload that the first cut has ended: a second cut by them rejected half of the
-    // load of a fleet that was no longer overloaded.
+    // Late reports still show the overload that the first cut has ended: a second cut based on them rejected half of
+    // the load of a fleet that was no longer overloaded.
     let mut host = Host::running(settings(), 8, 2);
     let reports: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 500.0)).collect();
     let mut cuts = Vec::new();
@@ -475,30 +476,30 @@
 
 #[test]
 fn admission_recovers_faster_at_lower_latency() {
-    let rise = |each: Ms| {
+    let rise = |recovery_latency: Ms| {
         let mut host = Host::running(settings(), 8, 2);
-        let reports = |failing: f64, each: Ms| {
-            (0..8).map(|worker| worker_report(worker, 10.0, failing, each)).collect::<Vec<Event>>()
+        let reports = |failed: f64, mean_latency: Ms| {
+            (0..8).map(|worker| worker_report(worker, 10.0, failed, mean_latency)).collect::<Vec<Event>>()
         };
         host.run_seconds(4, 2, &reports(5.0, 800.0));
         let low = host.levels[&(FIRST_TABLE, OpId(0))];
-        host.run_seconds(3, 2, &reports(0.0, each));
+        host.run_seconds(3, 2, &reports(0.0, recovery_latency));
         host.levels[&(FIRST_TABLE, OpId(0))] / low
     };
-    let (calm, calmer) = (rise(160.0), rise(100.0));
-    assert!(calmer > 1.25 * calm, "{calm} {calmer}");
+    let (rise_at_160_ms, rise_at_100_ms) = (rise(160.0), rise(100.0));
+    assert!(rise_at_100_ms > 1.25 * rise_at_160_ms, "{rise_at_160_ms} {rise_at_100_ms}");
 }
 
 #[test]
 fn admission_rises_in_small_steps_near_last_overload() {
     let mut host = Host::running(settings(), 8, 2);
     let overloaded: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 5.0, 800.0)).collect();
-    let calm: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 50.0)).collect();
+    let healthy: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 50.0)).collect();
     host.run_seconds(4, 2, &overloaded);
     let low = host.admissions.last().unwrap().0;
     assert!(low <= 0.5);
     host.admissions.clear();
-    host.run_seconds(30, 2, &calm);
+    host.run_seconds(30, 2, &healthy);
     let levels: Vec<f64> = host.admissions.iter().step_by(2).map(|admission| admission.0).collect();
     let raise_ratio = |pair: &[f64]| pair[1] / pair[0];
     assert!(
@@ -514,8 +515,12 @@
 fn proxies_prefer_their_zone_when_crossing_is_expensive() {
     let mut host = Host::running(Settings { cross_zone_cost: 0.08, ..settings() }, 6, 2);
     host.run_seconds(2, 2, &[]);
-    let (near, far) = (host.weights[&(FIRST_TABLE, WorkerId(0))], host.weights[&(FIRST_TABLE, WorkerId(1))]);
-    assert!(near > 4.0 * far && far > 0.0, "proxies of zone 0: {near} {far}");
+    let (same_zone_weight, other_zone_weight) =
+        (host.weights[&(FIRST_TABLE, WorkerId(0))], host.weights[&(FIRST_TABLE, WorkerId(1))]);
+    assert!(
+        same_zone_weight > 4.0 * other_zone_weight && other_zone_weight > 0.0,
+        "proxies of zone 0: {same_zone_weight} {other_zone_weight}"
+    );
     assert!(host.weights[&(TableId(1), WorkerId(1))] > 4.0 * host.weights[&(TableId(1), WorkerId(0))]);
     let gone = [0, 2, 4].map(|worker| entry(worker, Phase::Gone));
     host.advance(600.0, &[list_change(gone.to_vec())]);
@@ -528,15 +533,15 @@
 
 #[test]
 fn outlier_avoidance_keeps_cold_worker_out_at_high_utilization() {
-    for (avoid, entered) in [(false, true), (true, false)] {
-        let mut host = Host::running(Settings { proxies_avoid_outliers: avoid, ..settings() }, 8, 2);
+    for (proxies_avoid_outliers, gets_weight) in [(false, true), (true, false)] {
+        let mut host = Host::running(Settings { proxies_avoid_outliers, ..settings() }, 8, 2);
         let reports: Vec<Event> =
             (0..8).map(|worker| worker_report_with_utilization(worker, 10.0, 0.0, 100.0, 0.84)).collect();
         host.run_seconds(3, 2, &reports);
-        let restart = host.now;
-        host.advance(100.0, &[list_change(vec![restarted_entry(8, restart)])]);
+        let restarted_at = host.now;
+        host.advance(100.0, &[list_change(vec![restarted_entry(8, restarted_at)])]);
         host.run_seconds(2, 2, &reports);
-        assert_eq!(host.weight(8) > 0.0, entered);
+        assert_eq!(host.weight(8) > 0.0, gets_weight);
     }
 }
 
@@ -550,12 +555,13 @@
 
 #[test]
 fn failures_at_low_utilization_are_no_overload() {
-    for (busy, shed) in [(0.4, false), (0.95, true)] {
+    for (utilization, is_cut) in [(0.4, false), (0.95, true)] {
         let mut host = Host::running(settings(), 8, 2);
-        let reports: Vec<Event> =
-            (0..8).map(|worker| worker_report_with_utilization(worker, 10.0, 4.0, 800.0, busy)).collect();
+        let reports: Vec<Event> = (0..8)
+            .map(|worker| worker_report_with_utilization(worker, 10.0, 4.0, 800.0, utilization))
+            .collect();
         host.run_seconds(6, 2, &reports);
-        assert_eq!(host.admissions.iter().any(|admission| admission.0 < 0.9), shed);
+        assert_eq!(host.admissions.iter().any(|admission| admission.0 < 0.9), is_cut);
     }
 }
 
@@ -566,12 +572,18 @@
     assert_eq!(host.bindings.len(), 60);
     let bound_tables: std::collections::BTreeSet<TableId> =
         host.bindings.values().flatten().copied().collect();
-    let width = |table: &TableId| host.weights.keys().filter(|(line_table, _)| line_table == table).count();
+    let table_line_count =
+        |table: &TableId| host.weights.keys().filter(|(line_table, _)| line_table == table).count();
     assert!(
-        bound_tables.len() >= 3 && bound_tables.iter().all(|table| (16..30).contains(&width(table))),
+        bound_tables.len() >= 3
+            && bound_tables.iter().all(|table| (16..30).contains(&table_line_count(table))),
         "{bound_tables:?}"
     );
-    assert_eq!(bound_tables.iter().map(width).sum::<usize>(), 60, "each worker is in one partition");
+    assert_eq!(
+        bound_tables.iter().map(table_line_count).sum::<usize>(),
+        60,
+        "each worker is in one partition"
+    );
     let proxy_count = |table: &TableId| host.bindings.values().filter(|bound| bound.contains(table)).count();
     assert!(bound_tables.iter().all(|table| (15..26).contains(&proxy_count(table))));
 }
@@ -590,12 +602,13 @@
     let mut host = Host::running(timed_settings.clone(), 96, 60);
     host.run_seconds(4, 60, &[]);
     for (proxy, bound) in &host.bindings {
-        let width = host.weights.keys().filter(|(line_table, _)| bound.contains(line_table)).count();
-        let bind_all_ms =
-            proxies * (width as f64 + timed_settings.message_overhead) * 1000.0 / timed_settings.channel_rate;
+        let bound_line_count =
+            host.weights.keys().filter(|(line_table, _)| bound.contains(line_table)).count();
+        let bind_all_ms = proxies * (bound_line_count as f64 + timed_settings.message_overhead) * 1000.0
+            / timed_settings.channel_rate;
         assert!(
-            width > 0 && bind_all_ms <= timed_settings.drain_grace / 2.0,
-            "{proxy:?}: {width} lines, {bind_all_ms} ms"
+            bound_line_count > 0 && bind_all_ms <= timed_settings.drain_grace / 2.0,
+            "{proxy:?}: {bound_line_count} lines, {bind_all_ms} ms"
         );
     }
 }
@@ -631,8 +644,9 @@
         // Some proxies acknowledge, so that there is room for one or two exclusions at a time.
         let mark = *host.marks.last().unwrap();
         let acknowledging = (0..12).map(|proxy| ProxyId((step * 12 + proxy) % 20));
-        let answers = acknowledging.map(|proxy| Event::MarkAcknowledged { mark, took: 100.0, proxy });
-        messages += usize::from(has_exclusion(&host.advance(100.0, &answers.collect::<Vec<_>>())));
+        let acknowledgements =
+            acknowledging.map(|proxy| Event::MarkAcknowledged { mark, took: 100.0, proxy });
+        messages += usize::from(has_exclusion(&host.advance(100.0, &acknowledgements.collect::<Vec<_>>())));
     }
     assert!((2..6).contains(&messages), "{messages} messages in 8 s");
     host.run_seconds(4, 20, &[]);
@@ -657,8 +671,8 @@
             }));
         }
     }
-    let last_new_line = sent_lines.iter().rposition(|(enters, worker)| *enters && *worker >= 16);
-    let first_removal = sent_lines.iter().position(|(enters, _)| !enters);
+    let last_new_line = sent_lines.iter().rposition(|(has_weight, worker)| *has_weight && *worker >= 16);
+    let first_removal = sent_lines.iter().position(|(has_weight, _)| !has_weight);
     assert!(last_new_line.unwrap() < first_removal.unwrap(), "{sent_lines:?}");
 }
 
@@ -693,8 +707,8 @@
 #[test]
 fn reports_of_tries_before_first_cut_cause_no_second_cut() {
     let mut host = Host::running(settings(), 8, 2);
-    let reports = |failing: f64, mean_latency: Ms| {
-        (0..8).map(|worker| worker_report(worker, 20.0, failing, mean_latency)).collect::<Vec<_>>()
+    let reports = |failed: f64, mean_latency: Ms| {
+        (0..8).map(|worker| worker_report(worker, 20.0, failed, mean_latency)).collect::<Vec<_>>()
     };
     let cut_count = |orders: &[Order]| {
         let matches_text = |o: &Order| matches!(o, Order::Log { text, .. } if text.starts_with("admitting "));
@@ -714,12 +728,16 @@
     for _ in 0..10 {
         host.advance(100.0, &reports(0.0, 100.0));
         host.acknowledge(2);
-        assert!(host.levels.values().all(|now| *now >= level - 1e-9), "{:?} after {level}", host.levels);
+        assert!(
+            host.levels.values().all(|current| *current >= level - 1e-9),
+            "{:?} after {level}",
+            host.levels
+        );
     }
 }
 
 #[test]
-fn lines_of_unread_tables_do_not_delay_others() {
+fn lines_of_tables_without_bound_proxies_do_not_delay_others() {
     let mut host = Host::running(settings(), 60, 60);
     host.run_seconds(4, 60, &[]);
     let sent = host.marks.len();
@@ -727,7 +745,10 @@
         host.advance(100.0, &[weight_change(step, 2.0)]);
         host.acknowledge(60);
     }
-    assert!(host.marks.len() > sent + 3, "changes of the unread whole-fleet table blocked all others");
+    assert!(
+        host.marks.len() > sent + 3,
+        "changes of the whole-fleet table, to which no proxy is bound, blocked all others"
+    );
 }
 
 #[test]
@@ -736,8 +757,8 @@
     let reports: Vec<Event> =
         (0..8).map(|worker| worker_report_with_utilization(worker, 10.0, 6.0, 900.0, 0.5)).collect();
     host.run_seconds(3, 2, &reports);
-    let restart = host.now;
-    host.advance(100.0, &[list_change(vec![restarted_entry(8, restart)])]);
+    let restarted_at = host.now;
+    host.advance(100.0, &[list_change(vec![restarted_entry(8, restarted_at)])]);
     host.run_seconds(2, 2, &reports);
     assert_eq!(host.weight(8), 0.0);
 }
@@ -746,8 +767,9 @@
 fn proxy_with_high_demand_gets_whole_fleet() {
     let mut host = Host::new(settings());
     host.turn(&[list(ListKind::Remembered, (0..60).map(|worker| entry(worker, Phase::Ready)).collect())]);
-    let heavy = Event::Joined { proxy: ProxyId(0), fresh: true, inv_per_second: 900.0, zone: ZoneId(0) };
-    host.advance(10.0, &(1..60).map(joined).chain([heavy]).collect::<Vec<_>>());
+    let joined_with_high_demand =
+        Event::Joined { proxy: ProxyId(0), fresh: true, inv_per_second: 900.0, zone: ZoneId(0) };
+    host.advance(10.0, &(1..60).map(joined).chain([joined_with_high_demand]).collect::<Vec<_>>());
     host.run_seconds(8, 60, &[]);
     assert_eq!(host.bindings.len(), 60);
     assert_eq!(host.bindings[&ProxyId(0)], vec![FIRST_TABLE]);
@@ -845,7 +867,7 @@
     let booted = host.now - 2_000.0;
     host.advance(600.0, &[list_change(vec![restarted_entry(1, booted)])]);
     host.acknowledge(2);
-    assert!(host.weight(1) < 0.5, "cold by the initial warm-up of 16 s");
+    assert!(host.weight(1) < 0.5, "cold under the initial warm-up of 16 s");
     let orders = host.advance(
         600.0,
         &[Event::SettingsChanged(RuntimeSettings { warm_up: 1_000.0, ..runtime_settings(&settings()) })],
@@ -853,7 +875,7 @@
     assert_eq!(
         (line_count(&orders), host.weight(1)),
         (1, 1.0),
-        "warm by the shorter warm-up, and no other line is sent"
+        "warm under the shorter warm-up, and no other line is sent"
     );
     host.acknowledge(2);
     // With a shorter drain grace, an exclusion waits less for the replacement lines.
@@ -879,8 +901,8 @@
     host.advance(600.0, &[list_change(vec![entry(1, Phase::Draining)])]);
     assert_eq!(host.planner.synced_proxy_count(&workers), 0, "the exclusion is sent and not acknowledged");
     let mark = *host.marks.last().unwrap();
-    let answer = |proxy| Event::MarkAcknowledged { mark, took: 1.0, proxy: ProxyId(proxy) };
-    host.advance(50.0, &[answer(0), answer(2)]);
+    let acknowledgement = |proxy| Event::MarkAcknowledged { mark, took: 1.0, proxy: ProxyId(proxy) };
+    host.advance(50.0, &[acknowledgement(0), acknowledgement(2)]);
     host.advance(600.0, &[]);
     assert!(host.planner.synced_proxy_count(&workers) < 3, "one proxy has not acknowledged");
     host.acknowledge(3);
--- a/tests/update_ordering.rs
+++ b/tests/update_ordering.rs
@@ -40,7 +40,7 @@
         host.advance(1000.0, &[list_change(all)]);
         assert!(
             (0..WORKERS).all(|worker| host.weight(worker) == CHANGED_WEIGHT),
-            "a line of each is unanswered"
+            "a line of each is unacknowledged"
         );
         for (drained, returned) in RESTARTS {
             let mut changes = vec![changed(drained, Phase::Draining)];
