--- a/src/admission.rs
+++ b/src/admission.rs
@@ -57,8 +57,8 @@
         let utilization = mean(samples.iter().filter_map(|sample| sample.utilization));
         let by_utilization = (TARGET_UTILIZATION / utilization.unwrap_or(0.0).max(0.1)).powi(2);
         let tries: f64 = samples.iter().map(|sample| sample.tries).sum();
-        // Failed and slow tries at low utilization are no overload: responses are lost on the network, or clients cancel.
-        // Low utilization lets admission rise by a tenth at a time, in a partitioned fleet by the largest step.
+        // Failed and slow tries at low utilization are no overload: responses are lost on the network, or clients
+        // cancel. Low utilization lets admission rise by a tenth at a time, in a partitioned fleet by the largest step.
         let idle_raise = [RAISE_CAPACITY_RATIO, MAX_CAPACITY_RATIO][self.partition_count.min(1)];
         let by_idleness = utilization.filter(|ratio| *ratio < idle_below).map_or(0.0, |_| idle_raise);
         let by_failures = MAX_CAPACITY_RATIO * (1.0 - failed_ratio).powi(2);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -69,7 +69,7 @@
     samples: VecDeque<Sample>,
     /// `None` while the fleet is not partitioned.
     partition: Option<usize>,
-    /// Another manager may have excluded the worker at a proxy, and the proxy then has to be told to readmit it.
+    /// Another manager may have excluded the worker at a proxy, and the proxy then has to be sent a readmission.
     possibly_excluded: bool,
 }
 
