--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Failure detector: SWIM's direct and indirect probes, suspicion and incarnation numbers, with Lifeguard's local
 //! health, so that a slow member suspects itself before it suspects others.
 //!
-//! Departures from the papers: an indirect answer is told apart from a direct one ([`Reach::Indirect`]), since a link
+//! Departures from the papers: an indirect ack is distinguished from a direct one ([`Reach::Indirect`]), since a link
 //! that is cut in one direction is not a dead process and operators need to know which it is; and a member that leaves
 //! announces it.
 
@@ -33,9 +33,9 @@
     Unreachable,
 }
 
-/// A gossip update about a member. Of two updates the one with the higher incarnation holds; with the same incarnation
-/// the one with the worse health. Updates and messages are encoded by position, so fields and variants keep their
-/// order.
+/// A gossip update about a member. Of two updates the one with the higher incarnation takes precedence; with the same
+/// incarnation, the one with the worse health. Updates and messages are encoded by position, so fields and variants
+/// keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
     pub member: MemberId,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Sets the members to watch. What is known of those watched before is kept.
+    /// Sets the members to watch. The state of members that were watched before is retained.
     pub fn set_members(&mut self, now: Ms, members: impl Iterator<Item = MemberId>) {
         let members: Vec<MemberId> = members.filter(|id| *id != self.id).collect();
         self.peers.retain(|id, _| members.contains(id));
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Takes the messages that have to be sent since the last call.
+    /// Takes the messages queued for sending since the last call.
     pub fn take_messages(&mut self) -> Vec<(MemberId, SwimMessage)> {
         std::mem::take(&mut self.messages)
     }
@@ -249,7 +249,7 @@
         self.local_health
     }
 
-    /// The wall clocks of the members that were reached within the last two rounds, and this member's own one.
+    /// The wall clocks of the members that were reached within the last two rounds, and this member's own wall clock.
     pub fn clocks(&self, now: Ms, own_clock: Ms) -> Vec<Ms> {
         let recent_clock = |peer: &Peer| {
             let (offset, measured_at) = peer.clock_offset?;
@@ -298,7 +298,7 @@
         (longest - (longest - shortest) * ratio).max(shortest)
     }
 
-    /// Does what is due by now: timeouts of probes and suspicions, and the next probe.
+    /// Handles expired probes and suspicions, and starts the next probe when it is due.
     pub fn tick(&mut self, now: Ms) {
         self.relayed_probes.extract_if(.., |relayed| now >= relayed.deadline).for_each(|relayed| {
             self.messages
@@ -326,7 +326,8 @@
             self.send_ping_requests(probe);
         }
         if now >= self.next_probe_at {
-            // This member itself was suspended or starved, so the probe says nothing about its target.
+            // If the tick is late by more than a period, this member itself was suspended or starved, and the probe's
+            // result says nothing about its target.
             let late = now - self.next_probe_at > self.config.probe_period_ms;
             self.finish_probe(now, late);
             self.next_probe_at = now + self.config.probe_period_ms * f64::from(self.local_health + 1);
@@ -396,7 +397,7 @@
     }
 
     /// The updates to piggyback on a message: this member's own state, then those sent least often. An update that
-    /// doubts the receiver itself precedes the others, so that the receiver can refute it.
+    /// reports the receiver itself as not alive precedes the others, so that the receiver can refute it.
     fn updates_for(&mut self, receiver: MemberId) -> Vec<GossipUpdate> {
         let max_times_gossiped = 3 * (self.peers.len() + 2).ilog2().max(1);
         let own_update = GossipUpdate {
@@ -405,12 +406,12 @@
             incarnation: self.incarnation,
             reported_by: self.id,
         };
-        let doubts_receiver = |id: &MemberId, peer: &Peer| *id == receiver && peer.health != Health::Alive;
+        let is_refutable = |id: &MemberId, peer: &Peer| *id == receiver && peer.health != Health::Alive;
         let mut candidates: Vec<(u32, MemberId)> = self
             .peers
             .iter()
-            .filter(|(id, peer)| doubts_receiver(id, peer) || peer.times_gossiped < max_times_gossiped)
-            .map(|(id, peer)| (if doubts_receiver(id, peer) { 0 } else { 1 + peer.times_gossiped }, *id))
+            .filter(|(id, peer)| is_refutable(id, peer) || peer.times_gossiped < max_times_gossiped)
+            .map(|(id, peer)| (if is_refutable(id, peer) { 0 } else { 1 + peer.times_gossiped }, *id))
             .collect();
         candidates.sort();
         candidates.truncate(self.config.max_updates_per_message.saturating_sub(1));
@@ -512,7 +513,8 @@
         let Some(probe) = self.probe.filter(|probe| probe.sequence == sequence) else { return };
         let Some(peer) = self.peers.get_mut(&probe.target) else { return };
         if sender == probe.target {
-            // The way back took at most one probe period, so the offset is exact to within that.
+            // The ack arrived before the next probe was sent, so the offset is exact to within the time between the two
+            // probes.
             peer.direct_ack_at = Some(now);
             peer.clock_offset = Some((target_clock - now, now));
             self.local_health = self.local_health.saturating_sub(1);
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Index(pub u64);
 
-/// The number of a member's start, counted in its store: each restart has a higher one.
+/// Identifies one start of a member. The number is stored durably and increases with each restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Run(pub u64);
 
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -26,8 +26,8 @@
         term: Term,
         last_index: Index,
         is_leader: bool,
-        /// A random number that identifies the answering member's store: it tells a new store of the same member from
-        /// the old one.
+        /// A random number that identifies the answering member's store: it distinguishes a new store of the same
+        /// member from the old one.
         store_id: u64,
         /// The store ids of the members that bootstrapped the group; `None` if the answering member's own store is
         /// empty.
--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -353,7 +353,8 @@
         }
     }
 
-    /// Does what is due by now: handshakes, heartbeats, elections.
+    /// Sends the handshake requests and heartbeats that are due, and starts an election when the election timeout has
+    /// passed.
     pub fn tick(&mut self, now: Ms) {
         if self.recovery != RecoveryState::Ready {
             self.continue_handshake(now);
--- a/crates/consensus/src/record.rs
+++ b/crates/consensus/src/record.rs
@@ -11,7 +11,7 @@
 /// A durable record. Records are encoded by position, so variants and fields keep their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The random id of this store, which tells it from another store of the same member.
+    /// The random id of this store, which distinguishes it from another store of the same member.
     StoreId(u64),
     /// The number of this start, written before the member sends anything.
     Run(Run),
--- a/crates/consensus/tests/failure_detector.rs
+++ b/crates/consensus/tests/failure_detector.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_link_cut_in_one_or_both_directions_is_told_apart_from_a_death() {
+fn a_link_cut_in_one_or_both_directions_is_distinguished_from_a_death() {
     for both_ways in [false, true] {
         let mut group = Group::new(5, 4);
         group.run(1_000.0);
