--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -216,9 +216,9 @@
                 tracing::warn!("confirmed commit was not confirmed in time; rolled back as version {number}");
                 self.notify(Notification::ConfirmedCommit { how: "timeout" });
             }
-            Err(why) => {
-                tracing::error!("cannot roll back the confirmed commit yet: {why}");
-                inner.datastores.postpone_rollback(self.now(), why.to_string());
+            Err(error) => {
+                tracing::error!("cannot roll back the confirmed commit yet: {error}");
+                inner.datastores.postpone_rollback(self.now(), error.to_string());
             }
         }
     }
@@ -394,14 +394,14 @@
     pub async fn edit(
         &self,
         caller: &Caller,
-        drafts: &[EditNode],
+        edit_nodes: &[EditNode],
         default_operation: DefaultOperation,
         error_option: ErrorOption,
         test_option: TestOption,
     ) -> Result<Vec<ModelError>, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let (data, faults) =
-            inner.datastores.edit_candidate(caller.session, drafts, default_operation, error_option)?;
+            inner.datastores.edit_candidate(caller.session, edit_nodes, default_operation, error_option)?;
         self.check_write_access(&inner, caller, inner.datastores.get(Datastore::Candidate), &data)?;
         if test_option != TestOption::Set {
             inner.datastores.validate(&data)?;
@@ -438,8 +438,8 @@
                 }
                 readable
             }
-            Source::Inline(drafts) => {
-                let mut data = Data::from_edit_nodes(&self.0.schema, &drafts)
+            Source::Inline(edit_nodes) => {
+                let mut data = Data::from_edit_nodes(&self.0.schema, &edit_nodes)
                     .map_err(|fault| DatastoreError::Faults(vec![fault]))?;
                 data.prune_empty(&self.0.schema);
                 data
@@ -480,8 +480,8 @@
                 .file
                 .as_ref()
                 .ok_or(DatastoreError::Unsupported("there is no operator's file to store startup in"))?;
-            file.write(&self.0.schema, &data).map_err(|why| {
-                tracing::error!("{} cannot be written: {why}", file.path().display());
+            file.write(&self.0.schema, &data).map_err(|error| {
+                tracing::error!("{} cannot be written: {error}", file.path().display());
                 DatastoreError::Unsupported(
                     "the operator's file cannot be written; see the log for the cause",
                 )
--- a/crates/northbound/src/file.rs
+++ b/crates/northbound/src/file.rs
@@ -34,10 +34,10 @@
     /// invalid content, the line, the path of the node and what is wrong there.
     pub fn read(&self, schema: &Schema) -> Result<Option<Data>, String> {
         let path = self.path.display();
-        let read_error = |why: io::Error| format!("{path} cannot be read: {why}");
+        let read_error = |error: io::Error| format!("{path} cannot be read: {error}");
         match fs::metadata(&self.path) {
-            Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(why) => return Err(read_error(why)),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+            Err(error) => return Err(read_error(error)),
             Ok(metadata) if metadata.len() > MAX_FILE_BYTES => {
                 return Err(format!(
                     "{path} is too large: {} of at most {MAX_FILE_BYTES} bytes",
@@ -47,26 +47,26 @@
             Ok(_) => {}
         }
         let text = fs::read(&self.path).map_err(read_error)?;
-        xml::parse_config(schema, &text).map(Some).map_err(|fault| format!("{path}: {fault}"))
+        xml::parse_config(schema, &text).map(Some).map_err(|error| format!("{path}: {error}"))
     }
 
     /// Replaces the file atomically: a concurrent reader, or one after a crash at any step, finds either the old or
     /// the new content.
     pub fn write(&self, schema: &Schema, data: &Data) -> io::Result<()> {
-        let folder = match self.path.parent() {
-            Some(folder) if !folder.as_os_str().is_empty() => folder,
+        let directory = match self.path.parent() {
+            Some(directory) if !directory.as_os_str().is_empty() => directory,
             _ => Path::new("."),
         };
         let mut name = self.path.file_name().unwrap_or_default().to_os_string();
         name.push(".new");
-        let temporary = folder.join(name);
+        let temporary = directory.join(name);
         let mut file = File::create(&temporary)?;
         let result = file
             .write_all(xml::write_config(schema, data).as_bytes())
             .and_then(|()| file.sync_all())
             .and_then(|()| fs::rename(&temporary, &self.path))
             // Without syncing the directory, the rename may be lost in a power failure.
-            .and_then(|()| File::open(folder)?.sync_all());
+            .and_then(|()| File::open(directory)?.sync_all());
         if result.is_err() {
             _ = fs::remove_file(&temporary);
         }
@@ -81,9 +81,9 @@
     #[test]
     fn the_file_is_replaced_atomically_or_left_unchanged() {
         let schema = juniperrail_model::schema();
-        let folder = std::env::temp_dir().join(format!("juniperrail-file-{}", std::process::id()));
-        fs::create_dir_all(&folder).unwrap();
-        let file = OperatorFile::new(folder.join("operator.xml"));
+        let directory = std::env::temp_dir().join(format!("juniperrail-file-{}", std::process::id()));
+        fs::create_dir_all(&directory).unwrap();
+        let file = OperatorFile::new(directory.join("operator.xml"));
         assert_eq!(file.read(&schema), Ok(None));
         let text = "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
                     <workers xmlns=\"tag:juniperrail.example,2026:yang:manager\"><worker><name>s-1</name>\
@@ -94,18 +94,18 @@
         assert_eq!(file.read(&schema), Ok(Some(Data::default())));
         file.write(&schema, &data).unwrap();
         assert_eq!(file.read(&schema), Ok(Some(data.clone())));
-        assert_eq!(fs::read_dir(&folder).unwrap().count(), 1, "no temporary file is left");
-        assert_eq!(file.resolve("host.key"), folder.join("host.key"));
+        assert_eq!(fs::read_dir(&directory).unwrap().count(), 1, "no temporary file is left");
+        assert_eq!(file.resolve("host.key"), directory.join("host.key"));
         // The temporary file cannot be created: the old file stays unchanged.
-        fs::create_dir(folder.join("operator.xml.new")).unwrap();
+        fs::create_dir(directory.join("operator.xml.new")).unwrap();
         assert!(file.write(&schema, &Data::default()).is_err());
         assert_eq!(file.read(&schema), Ok(Some(data)));
         fs::write(file.path(), text.replace("<wanted>out", "<wanted>half")).unwrap();
-        let why = file.read(&schema).unwrap_err();
+        let error = file.read(&schema).unwrap_err();
         assert!(
-            why.contains("operator.xml: line 1: /jrm:workers/worker[name='s-1']/wanted: \"half\" is none"),
-            "{why}"
+            error.contains("operator.xml: line 1: /jrm:workers/worker[name='s-1']/wanted: \"half\" is none"),
+            "{error}"
         );
-        fs::remove_dir_all(&folder).unwrap();
+        fs::remove_dir_all(&directory).unwrap();
     }
 }
--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn records_of_an_earlier_build() {
+fn records_of_an_earlier_build_are_read_and_written_unchanged() {
     let stored: Vec<(&str, &str)> = STORED.lines().filter_map(|line| line.split_once(' ')).collect();
     let records = records();
     assert_eq!(stored.len(), records.len());
