--- a/crates/failover/src/health.rs
+++ b/crates/failover/src/health.rs
@@ -1,5 +1,5 @@
-//! Assesses a zone from the evidence of all managers: tells a lost zone from one that is cut off, overloaded, slow or
-//! merely not reporting.
+//! Assesses a zone from the evidence of all managers: distinguishes a lost zone from one that is cut off, overloaded,
+//! slow or merely not reporting.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,14 +11,15 @@
 
 /// With fewer tries, no conclusion is drawn from their results.
 pub const MIN_TRIES: f64 = 8.0;
-/// Most tries fail if the confidence interval of their failure ratio lies above this, and do not if it lies below;
-/// otherwise it is undecided whether they do.
+/// Most tries count as failing if the confidence interval of their failure ratio lies above this, and as succeeding if
+/// it lies below. If the interval contains this ratio, the evidence is inconclusive.
 const FAILING_RATIO: f64 = 0.5;
 /// From this utilization on, slow and failing responses are attributed to a lack of capacity.
 const FULL_UTILIZATION: f64 = 0.9;
 /// A zone is slow if its mean response time exceeds the median of the other zones by this factor.
 const SLOW_FACTOR: f64 = 2.0;
-/// An overloaded zone has at least this failure ratio, unless it is slow.
+/// A fully utilized zone that is not slow counts as overloaded if the lower confidence bound of its failure ratio is
+/// above this.
 const MIN_OVERLOAD_FAILURE_RATIO: f64 = 0.05;
 
 /// The state of a zone. The names of the variants appear in log lines.
@@ -33,7 +34,7 @@
     Overloaded,
     /// Its own proxies are served, but proxies of other zones are not.
     CutOff,
-    /// No tries succeed there.
+    /// Most tries sent to it fail, or it has no ready worker.
     Lost,
 }
 
@@ -111,7 +112,8 @@
         third_zones.any(|(_, stats)| is_failing(stats) == Some(false))
     }
 
-    /// Results of tries at `zone` by proxies of other zones, as far as those zones' evidence counts.
+    /// Results of tries at `zone` by proxies of other zones, without those of zones whose own proxies may be at fault
+    /// (see [`FleetView::reaches_others`]).
     fn stats_from_others(&self, zone: &Zone) -> ZonePairStats {
         let mut total = ZonePairStats::default();
         for ((proxy_zone, worker_zone), stats) in &self.pair_stats {
@@ -123,7 +125,7 @@
     }
 }
 
-/// Whether most tries fail; `None` if that is undecided.
+/// Whether most tries fail; `None` if the evidence is inconclusive.
 fn is_failing(stats: &ZonePairStats) -> Option<bool> {
     if stats.tries < MIN_TRIES {
         return None;
@@ -153,14 +155,14 @@
     let mut all_stats = stats_from_others;
     all_stats.add(&own_stats);
     let utilization = view.utilization.get(zone).copied();
-    let means = view.zones().into_iter().filter(|other| other != zone).filter_map(|other| {
+    let mean_times = view.zones().into_iter().filter(|other| other != zone).filter_map(|other| {
         let mut stats = view.stats_from_others(&other);
         stats.add(&view.stats(&other, &other));
         stats.mean_success_time()
     });
-    let mut means: Vec<Ms> = means.collect();
-    means.sort_by(f64::total_cmp);
-    let median = means.get(means.len().saturating_sub(1) / 2).copied();
+    let mut mean_times: Vec<Ms> = mean_times.collect();
+    mean_times.sort_by(f64::total_cmp);
+    let median = mean_times.get(mean_times.len().saturating_sub(1) / 2).copied();
     let is_slow =
         all_stats.mean_success_time().zip(median).is_some_and(|(mean, median)| mean > SLOW_FACTOR * median);
     let has_failures = all_stats.failure_ratio_bounds().0 > MIN_OVERLOAD_FAILURE_RATIO;
--- a/crates/schedule/src/claim_tracker.rs
+++ b/crates/schedule/src/claim_tracker.rs
@@ -1,5 +1,5 @@
-//! What the owner of a claim does: it has the start of a side-effecting action agreed first, runs the action, and
-//! proposes the outcome until the outcome is agreed.
+//! What the owner of a claim does: it has the start of a side-effecting action committed first, runs the action, and
+//! proposes the outcome until the outcome is committed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -54,7 +54,7 @@
         ClaimTracker { me, run, claims: BTreeMap::new() }
     }
 
-    /// Number of tracked claims, including those whose outcome is not agreed yet.
+    /// Number of tracked claims, including those whose outcome is not committed yet.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
@@ -64,7 +64,7 @@
     }
 
     /// Compares the tracked claims with the ledger and returns what to do now. `now` is the monotonic clock, `time_of_day`
-    /// is Unix time, and a proposal that is not agreed within `retry_after` is proposed again.
+    /// is Unix time, and a proposal that is not committed within `retry_after` is proposed again.
     pub fn next_tasks(
         &mut self,
         ledger: &Ledger,
@@ -119,7 +119,8 @@
             };
             match tracked.progress {
                 ClaimProgress::Starting(_) if claim.started_by == Some(self.run) => {
-                    // Guards against a start that was agreed late: the lease may have expired and the outcome been recorded.
+                    // Guards against a start that was committed late: the lease may have expired and the outcome been
+                    // recorded.
                     let remaining = tracked.learned_at + action.claim_lease / 2.0 - now;
                     if remaining <= 0.0 {
                         // Nothing was sent. If the claim expired and the outcome was recorded as unknown, the record
--- a/crates/schedule/src/decide.rs
+++ b/crates/schedule/src/decide.rs
@@ -44,7 +44,7 @@
 pub struct LeaderState {
     /// When this leader first saw each claim, by its own monotonic clock.
     first_seen: BTreeMap<Index, Ms>,
-    /// Proposals that are not agreed yet, with the time of the proposal; the number tells kinds of commands apart.
+    /// Proposals that are not committed yet, with the time of the proposal. The number distinguishes kinds of commands.
     proposed: BTreeMap<(Occurrence, u8), Ms>,
     /// Schedules that need no check yet, as long as their record does not change.
     idle: BTreeMap<String, Idle>,
@@ -95,9 +95,9 @@
     }
 }
 
-/// Returns the commands to propose now. `now` is the leader's monotonic clock, `time_of_day` the agreed Unix time,
-/// `retry_after` the time after which a proposal that was not agreed is repeated, and `alive` the members that may be
-/// given claims.
+/// Returns the commands to propose now. `now` is the leader's monotonic clock, `time_of_day` the median of the
+/// members' wall clocks (Unix milliseconds), `retry_after` the time after which a proposal that was not committed is
+/// repeated, and `alive` the members that may be given claims.
 pub fn propose_commands(
     schedules: &BTreeMap<String, Schedule>,
     ledger: &Ledger,
@@ -115,7 +115,7 @@
     leader_state.first_seen.retain(|fence, _| fences.contains(fence));
     leader_state.proposed.retain(|_, proposed_at| now < *proposed_at + retry_after);
     // Proposes a command unless it was proposed recently. Returns whether the pass has room for more. A command that
-    // does not fit into this pass must not count as proposed, or it would be held back until `retry_after`.
+    // does not fit into this pass must not count as proposed, or it would be delayed until `retry_after`.
     let mut propose = |leader_state: &mut LeaderState, command: Command| {
         if leader_state.may_propose(now, &command, retry_after) {
             commands.push(command);
--- a/crates/schedule/src/ledger.rs
+++ b/crates/schedule/src/ledger.rs
@@ -95,7 +95,8 @@
     pub action: Action,
     pub tries: u32,
     pub claim: Option<Claim>,
-    /// When the last try ended, in the agreed time of day (Unix milliseconds).
+    /// When the last try ended, in Unix milliseconds: by the wall clock of the claim's owner or, if the claim expired,
+    /// by the median of the members' wall clocks.
     pub last_try_ended: Ms,
 }
 
@@ -260,9 +261,9 @@
         let occurrence_outcome = match outcome {
             TryOutcome::Succeeded => Some(OccurrenceOutcome::Succeeded),
             TryOutcome::Failed => Some(OccurrenceOutcome::Failed),
-            // The action may have taken effect and must not be started again, so its outcome stays unknown. If the
-            // occurrence has been claimed again, this outcome has the earlier claim's token and is ignored: the later
-            // claim's owner reports the outcome.
+            // The action may have taken effect and must not be started again, so its outcome stays unknown. Once the
+            // occurrence has been claimed again, a `FinishTry` with the earlier claim's fencing token is ignored: the
+            // owner of the later claim reports the outcome.
             TryOutcome::Overtaken | TryOutcome::Unanswered if !open.action.idempotent => {
                 Some(OccurrenceOutcome::Unknown)
             }
--- a/crates/schedule/tests/many.rs
+++ b/crates/schedule/tests/many.rs
@@ -1,6 +1,7 @@
 //! More schedules due at once than one pass may propose commands for.
 //!
-//! Guards against commands that did not fit into a pass being taken for proposed, which would hold them back.
+//! Guards against recording commands beyond the limit of a pass as proposed: they would then be delayed until proposals
+//! are repeated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
