--- a/crates/intent/src/access.rs
+++ b/crates/intent/src/access.rs
@@ -268,7 +268,7 @@
     }
 
     #[test]
-    fn the_matching_rule_with_the_lowest_number_precedes_the_role() {
+    fn the_matching_rule_with_the_lowest_number_takes_precedence_over_the_role() {
         let rule = |number: u32, user: &str, path: &str, access: &str, action: &str| {
             let user = if user.is_empty() { String::new() } else { format!("<user>{user}</user>") };
             let access = if access.is_empty() { String::new() } else { format!("<access>{access}</access>") };
@@ -280,11 +280,11 @@
         assert!(denied_write(&rules, "eve", "<weight>2", "<weight>3").is_some());
         assert!(
             denied_write(&rules, "bob", "<weight>1", "<weight>3").is_some(),
-            "a rule for all users precedes the roles"
+            "a rule for all users takes precedence over the roles"
         );
         assert!(
             denied_write(&rules, "ann", "<weight>1", "<weight>3").is_some(),
-            "a rule for all users precedes also the role of an admin"
+            "a rule for all users also takes precedence over the admin role"
         );
         let hidden = rule(10, "", worker, "read", "deny");
         assert!(
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -411,7 +411,7 @@
     }
 
     #[test]
-    fn an_operators_departure_holds_until_the_operator_reverts_it() {
+    fn a_departure_set_by_the_operator_holds_until_the_operator_reverts_it() {
         let mut worker = OneWorker(Composer::default());
         worker.discover(Ready, 1.0);
         for intent in [desired(DesiredState::Draining, None), desired(DesiredState::Follow, Some(0.0))] {
--- a/crates/intent/src/datastores.rs
+++ b/crates/intent/src/datastores.rs
@@ -263,13 +263,13 @@
     pub fn edit_candidate(
         &self,
         session: Session,
-        drafts: &[EditNode],
+        edit_nodes: &[EditNode],
         default: DefaultOperation,
         errors: ErrorOption,
     ) -> Result<(Data, Vec<ModelError>), DatastoreError> {
         self.check_not_locked(Datastore::Candidate, session)?;
         let (edited, faults) =
-            edit_config(&self.schema, self.get(Datastore::Candidate), drafts, default, errors);
+            edit_config(&self.schema, self.get(Datastore::Candidate), edit_nodes, default, errors);
         match errors {
             ErrorOption::RollbackOnError if !faults.is_empty() => Err(DatastoreError::Faults(faults)),
             _ => Ok((edited, faults)),
@@ -472,7 +472,7 @@
         Datastores::new(Arc::new(schema()), 0.0, Data::default()).unwrap()
     }
 
-    fn drafts(weight: u32) -> Vec<EditNode> {
+    fn edit_nodes(weight: u32) -> Vec<EditNode> {
         let text = format!(
             "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\"><worker><name>s-1</name>\
              <weight>{weight}</weight></worker></workers>"
@@ -485,7 +485,7 @@
         fn set(&mut self, session: Session, weight: u32) -> Result<(), DatastoreError> {
             let (data, _) = self.edit_candidate(
                 session,
-                &drafts(weight),
+                &edit_nodes(weight),
                 DefaultOperation::Merge,
                 ErrorOption::RollbackOnError,
             )?;
--- a/crates/intent/src/edit.rs
+++ b/crates/intent/src/edit.rs
@@ -1,4 +1,4 @@
-//! The edit-config operation (RFC 6241 section 7.2) on drafts, independent of the protocol that they came by.
+//! The edit-config operation (RFC 6241 section 7.2) on edit nodes, independent of the protocol that they came by.
 
 use juniperrail_model::{
     Content, Data, EditNode, EditOperation, ErrorKind, ModelError, NodeKind, Path, Schema,
@@ -43,7 +43,7 @@
 pub fn edit_config(
     schema: &Schema,
     data: &Data,
-    drafts: &[EditNode],
+    edit_nodes: &[EditNode],
     default: DefaultOperation,
     errors: ErrorOption,
 ) -> (Data, Vec<ModelError>) {
@@ -60,7 +60,7 @@
     } else {
         operation
     };
-    editor.apply_all(&mut edited, drafts, &Path::default(), operation);
+    editor.apply_all(&mut edited, edit_nodes, &Path::default(), operation);
     edited.prune_empty(schema);
     if errors == ErrorOption::RollbackOnError && !editor.faults.is_empty() {
         return (data.clone(), editor.faults);
@@ -72,12 +72,12 @@
     fn apply_all(
         &mut self,
         data: &mut Data,
-        drafts: &[EditNode],
+        edit_nodes: &[EditNode],
         parent: &Path,
         inherited: EffectiveOperation,
     ) {
-        for draft in drafts {
-            if let Err(fault) = self.apply_one(data, draft, parent, inherited) {
+        for edit_node in edit_nodes {
+            if let Err(fault) = self.apply_one(data, edit_node, parent, inherited) {
                 self.faults.push(fault);
                 if self.errors == ErrorOption::RollbackOnError {
                     return;
@@ -89,15 +89,15 @@
     fn apply_one(
         &mut self,
         data: &mut Data,
-        draft: &EditNode,
+        edit_node: &EditNode,
         parent: &Path,
         inherited: EffectiveOperation,
     ) -> Result<(), ModelError> {
-        let operation = draft.operation.map_or(inherited, EffectiveOperation::Op);
-        let exists = contains(data, draft);
+        let operation = edit_node.operation.map_or(inherited, EffectiveOperation::Op);
+        let exists = contains(data, edit_node);
         match operation {
             EffectiveOperation::Op(EditOperation::Delete) if !exists => {
-                return Err(draft.error(
+                return Err(edit_node.error(
                     self.schema,
                     parent,
                     ErrorKind::DataMissing,
@@ -105,40 +105,40 @@
                 ));
             }
             EffectiveOperation::Op(EditOperation::Delete | EditOperation::Remove) => {
-                remove_node(data, draft);
+                remove_node(data, edit_node);
                 return Ok(());
             }
-            EffectiveOperation::Op(EditOperation::Create) if exists && draft.operation.is_some() => {
-                return Err(draft.error(self.schema, parent, ErrorKind::DataExists, "exists already"));
+            EffectiveOperation::Op(EditOperation::Create) if exists && edit_node.operation.is_some() => {
+                return Err(edit_node.error(self.schema, parent, ErrorKind::DataExists, "exists already"));
             }
             _ => {}
         }
-        let path = parent.child(draft.step());
-        let inner = match &self.schema.node(draft.node).kind {
+        let path = parent.child(edit_node.step());
+        let inner = match &self.schema.node(edit_node.node).kind {
             NodeKind::Leaf { .. } => {
                 // The list entry sets its keys; without an operation nothing is changed.
-                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &draft.value) {
-                    data.set(draft.node, Content::Leaf(value.clone()));
+                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &edit_node.value) {
+                    data.set(edit_node.node, Content::Leaf(value.clone()));
                 }
                 return Ok(());
             }
             NodeKind::LeafList { .. } => {
-                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &draft.value) {
-                    if draft.operation == Some(EditOperation::Replace) {
-                        remove_node(data, draft);
+                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &edit_node.value) {
+                    if edit_node.operation == Some(EditOperation::Replace) {
+                        remove_node(data, edit_node);
                     }
-                    data.leaf_list(draft.node).insert(value.clone());
+                    data.leaf_list(edit_node.node).insert(value.clone());
                 }
                 return Ok(());
             }
             _ if operation == EffectiveOperation::None && !exists => {
-                return self.apply_below_absent(data, draft, parent);
+                return self.apply_below_absent(data, edit_node, parent);
             }
-            NodeKind::Container { .. } => data.container(draft.node),
-            NodeKind::List { .. } => data.list_entry(self.schema, draft.node, &draft.keys),
+            NodeKind::Container { .. } => data.container(edit_node.node),
+            NodeKind::List { .. } => data.list_entry(self.schema, edit_node.node, &edit_node.keys),
         };
-        if draft.operation == Some(EditOperation::Replace)
-            || operation == EffectiveOperation::Op(EditOperation::Replace) && draft.operation.is_none()
+        if edit_node.operation == Some(EditOperation::Replace)
+            || operation == EffectiveOperation::Op(EditOperation::Replace) && edit_node.operation.is_none()
         {
             *inner = Data::default();
         }
@@ -149,25 +149,25 @@
             } else {
                 operation
             };
-        self.apply_all(inner, &draft.children, &path, below);
+        self.apply_all(inner, &edit_node.children, &path, below);
         Ok(())
     }
 
-    /// Applies the drafts below a node that has no operation and does not exist. Only a non-presence container may be
+    /// Applies the edits below a node that has no operation and does not exist. Only a non-presence container may be
     /// absent, and only if a descendant names an operation.
     fn apply_below_absent(
         &mut self,
         data: &mut Data,
-        draft: &EditNode,
+        edit_node: &EditNode,
         parent: &Path,
     ) -> Result<(), ModelError> {
-        if !draft.children.iter().any(names_operation) {
-            return Err(draft.error(self.schema, parent, ErrorKind::DataMissing, "does not exist"));
+        if !edit_node.children.iter().any(names_operation) {
+            return Err(edit_node.error(self.schema, parent, ErrorKind::DataMissing, "does not exist"));
         }
         let non_presence =
-            matches!(self.schema.node(draft.node).kind, NodeKind::Container { presence: false });
+            matches!(self.schema.node(edit_node.node).kind, NodeKind::Container { presence: false });
         if !non_presence {
-            return Err(draft.error(
+            return Err(edit_node.error(
                 self.schema,
                 parent,
                 ErrorKind::DataMissing,
@@ -176,45 +176,52 @@
         }
         // A non-presence container exists implicitly.
         let mut inner = Data::default();
-        self.apply_all(&mut inner, &draft.children, &parent.child(draft.step()), EffectiveOperation::None);
+        self.apply_all(
+            &mut inner,
+            &edit_node.children,
+            &parent.child(edit_node.step()),
+            EffectiveOperation::None,
+        );
         if !inner.is_empty() {
-            *data.container(draft.node) = inner;
+            *data.container(edit_node.node) = inner;
         }
         Ok(())
     }
 }
 
-/// Whether the draft or a descendant names an operation.
-fn names_operation(draft: &EditNode) -> bool {
-    draft.operation.is_some() || draft.children.iter().any(names_operation)
+/// Whether the edit node or a descendant names an operation.
+fn names_operation(edit_node: &EditNode) -> bool {
+    edit_node.operation.is_some() || edit_node.children.iter().any(names_operation)
 }
 
-fn contains(data: &Data, draft: &EditNode) -> bool {
-    match data.get(draft.node) {
-        Some(Content::List(entries)) => entries.contains_key(&draft.keys),
-        Some(Content::LeafList(values)) => draft.value.as_ref().is_some_and(|value| values.contains(value)),
+fn contains(data: &Data, edit_node: &EditNode) -> bool {
+    match data.get(edit_node.node) {
+        Some(Content::List(entries)) => entries.contains_key(&edit_node.keys),
+        Some(Content::LeafList(values)) => {
+            edit_node.value.as_ref().is_some_and(|value| values.contains(value))
+        }
         Some(_) => true,
         None => false,
     }
 }
 
-/// Removes the node of the draft, and its list or leaf-list if that becomes empty.
-fn remove_node(data: &mut Data, draft: &EditNode) {
-    let is_empty = match data.get(draft.node) {
+/// Removes the node that the edit node names, and its list or leaf-list if that becomes empty.
+fn remove_node(data: &mut Data, edit_node: &EditNode) {
+    let is_empty = match data.get(edit_node.node) {
         Some(Content::List(_)) => {
-            let entries = data.list(draft.node);
-            entries.remove(&draft.keys);
+            let entries = data.list(edit_node.node);
+            entries.remove(&edit_node.keys);
             entries.is_empty()
         }
         Some(Content::LeafList(_)) => {
-            let values = data.leaf_list(draft.node);
-            draft.value.iter().for_each(|value| _ = values.remove(value));
+            let values = data.leaf_list(edit_node.node);
+            edit_node.value.iter().for_each(|value| _ = values.remove(value));
             values.is_empty()
         }
         _ => true,
     };
     if is_empty {
-        data.remove(draft.node);
+        data.remove(edit_node.node);
     }
 }
 
@@ -226,13 +233,13 @@
     const START_TAG: &str = "<workers xmlns=\"tag:juniperrail.example,2026:yang:manager\" \
                              xmlns:n=\"urn:ietf:params:xml:ns:netconf:base:1.0\">";
 
-    fn drafts(body: &str) -> Vec<EditNode> {
+    fn edit_nodes(body: &str) -> Vec<EditNode> {
         let text = format!("{START_TAG}{body}</workers>");
         xml::to_edit_nodes(&schema(), &[xml::parse(text.as_bytes()).unwrap()], true).unwrap()
     }
 
     fn data(body: &str) -> Data {
-        Data::from_edit_nodes(&schema(), &drafts(body)).unwrap()
+        Data::from_edit_nodes(&schema(), &edit_nodes(body)).unwrap()
     }
 
     const TWO_WORKERS: &str = "<worker><name>a</name><weight>1</weight></worker>\
@@ -242,7 +249,7 @@
     fn edited(body: &str, default: DefaultOperation) -> Result<Data, ModelError> {
         let before = data(TWO_WORKERS);
         let (after, mut faults) =
-            edit_config(&schema(), &before, &drafts(body), default, ErrorOption::RollbackOnError);
+            edit_config(&schema(), &before, &edit_nodes(body), default, ErrorOption::RollbackOnError);
         if let Some(fault) = faults.pop() {
             assert_eq!(
                 (after, faults.len()),
@@ -312,7 +319,7 @@
         let (after, faults) = edit_config(
             &schema(),
             &data(TWO_WORKERS),
-            &drafts(body),
+            &edit_nodes(body),
             DefaultOperation::Merge,
             ErrorOption::ContinueOnError,
         );
--- a/crates/intent/src/progress.rs
+++ b/crates/intent/src/progress.rs
@@ -24,7 +24,7 @@
     /// The number of the version of the running datastore that it created.
     pub number: u64,
     pub author: String,
-    /// When the planner accepted it, as a step of its commit.
+    /// When the planner accepted it, which is a step of the commit.
     pub committed_at: Ms,
     /// The workers that it affects.
     pub workers: BTreeSet<String>,
@@ -69,9 +69,9 @@
         self.changes.iter().filter(|change| change.stage == Stage::Distributing)
     }
 
-    /// Records how many of the joined proxies have applied a change. Returns true if the change becomes applied by
-    /// that. It stays applied, because later updates may replace its weights. Without joined proxies no change becomes
-    /// applied.
+    /// Records how many of the joined proxies have applied a change. Returns true if this call makes the change
+    /// applied, which requires at least one joined proxy. An applied change stays so: later updates may replace its
+    /// weights, and the counts would then no longer describe it.
     pub fn update(&mut self, now: Ms, number: u64, applied_proxies: usize, joined_proxies: usize) -> bool {
         let Some(change) = self.changes.iter_mut().find(|change| change.number == number) else {
             return false;
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -141,14 +141,19 @@
     }
 }
 
-fn drafts(schema: &Schema, worker: &str, op: Option<EditOperation>, weight: Option<u32>) -> Vec<EditNode> {
-    let below = weight.map(|weight| {
+fn edit_nodes(
+    schema: &Schema,
+    worker: &str,
+    op: Option<EditOperation>,
+    weight: Option<u32>,
+) -> Vec<EditNode> {
+    let weight_node = weight.map(|weight| {
         let path = Path::parse(schema, "/workers/worker/weight").unwrap();
         let value = Some(Value::Decimal(i64::from(weight) * 10_000, 4));
         EditNode { node: path.0[2].node, keys: vec![], value, operation: None, line: 0, children: vec![] }
     });
     let path = Path::parse(schema, &format!("/workers/worker[name='{worker}']")).unwrap();
-    EditNode::at_path(schema, &path, op, None, below.into_iter().collect())
+    EditNode::at_path(schema, &path, op, None, weight_node.into_iter().collect())
 }
 
 fn workers_of(schema: &Schema, stores: &Datastores, datastore: Datastore) -> Workers {
@@ -175,10 +180,10 @@
             let (succeeded, expected) = match step {
                 Step::Edit(session, worker, op, weight, default) => {
                     let worker = WORKERS[worker];
-                    let drafts = drafts(&schema, worker, op, weight);
+                    let edit_nodes = edit_nodes(&schema, worker, op, weight);
                     let edited = stores.edit_candidate(
                         Session(session),
-                        &drafts,
+                        &edit_nodes,
                         default,
                         ErrorOption::RollbackOnError,
                     );
@@ -257,8 +262,8 @@
                         .and_then(|data| stores.put(Session(session), Datastore::Candidate, data))
                         .is_ok();
                     // The datastores keep the last 32 versions.
-                    let kept = number >= 1 && model.versions.len() as u64 - number < 32;
-                    let is_allowed = kept && model.is_free(Datastore::Candidate, session);
+                    let is_retained = number >= 1 && model.versions.len() as u64 - number < 32;
+                    let is_allowed = is_retained && model.is_free(Datastore::Candidate, session);
                     if is_allowed {
                         model.candidate = Some(model.versions[number as usize - 1].clone());
                     }
@@ -318,7 +323,7 @@
 }
 
 #[test]
-fn composition_never_brings_back_a_gone_worker_nor_undoes_an_operators_departure() {
+fn composition_never_brings_back_a_gone_worker_nor_undoes_a_departure_set_by_the_operator() {
     let phase = prop_oneof![Just(Phase::Ready), Just(Phase::Draining), Just(Phase::Gone)];
     let desired_state = prop_oneof![
         Just(DesiredState::Follow),
@@ -371,7 +376,7 @@
                 "{:?}",
                 update
             );
-            // A worker departs only if a source says so.
+            // A worker that discovery reports as ready departs only if the operator sets that.
             prop_assert!(
                 discovered != Some(Phase::Ready) || departs || phase == Phase::Ready,
                 "{:?}",
@@ -390,7 +395,7 @@
 }
 
 #[test]
-fn a_rejected_edit_changes_nothing_and_names_a_rule() {
+fn a_rejected_edit_changes_nothing_and_reports_existing_or_missing_data() {
     let schema = Arc::new(schema());
     let mut stores = Datastores::new(schema.clone(), 0.0, Data::default()).unwrap();
     let mut rng = fastrand::Rng::with_seed(17);
@@ -407,7 +412,7 @@
         let edit: Vec<EditNode> = (0..rng.usize(1..4))
             .flat_map(|_| {
                 let weight = rng.bool().then(|| rng.u32(0..4));
-                drafts(&schema, WORKERS[rng.usize(..3)], ops[rng.usize(..6)], weight)
+                edit_nodes(&schema, WORKERS[rng.usize(..3)], ops[rng.usize(..6)], weight)
             })
             .collect();
         let before = stores.get(Datastore::Candidate).clone();
