--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -16,11 +16,11 @@
         // The requester may be gone, so errors of sending are ignored.
         match request {
             PlannerRequest::State(reply) => _ = reply.send(Arc::new(self.operational_state())),
-            PlannerRequest::Validate { intent, verdict } => _ = verdict.send(self.verdict(&intent)),
-            PlannerRequest::Apply { number, by, intent, verdict } => {
+            PlannerRequest::Validate { intent, reply } => _ = reply.send(self.verdict(&intent)),
+            PlannerRequest::Apply { number, by, intent, reply } => {
                 let _change = tracing::info_span!("change", number, by).entered();
-                let result = self.verdict(&intent);
-                match &result {
+                let verdict = self.verdict(&intent);
+                match &verdict {
                     Ok(()) => {
                         let workers: BTreeSet<String> =
                             self.intent.changed_workers(&intent).map(str::to_string).collect();
@@ -33,7 +33,7 @@
                         tracing::info!("a change by {by} is refused: {reason}");
                     }
                 }
-                _ = verdict.send(result);
+                _ = reply.send(verdict);
             }
         }
     }
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -310,9 +310,9 @@
         };
         let workers = desired_states.iter().map(worker_intent).collect();
         let intent = Box::new(Intent { workers, drain_grace: Some(2500.0), ..Intent::default() });
-        let (verdict, mut reply) = oneshot::channel();
-        self.decider.answer_request(PlannerRequest::Apply { number, by: "ann".into(), intent, verdict });
-        reply.try_recv().expect("answered at once")
+        let (reply, mut verdict) = oneshot::channel();
+        self.decider.answer_request(PlannerRequest::Apply { number, by: "ann".into(), intent, reply });
+        verdict.try_recv().expect("answered at once")
     }
 
     /// Runs five turns. After each of the first four, acknowledges all marks received. Returns the messages received.
--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -234,7 +234,7 @@
         let number = proposal.number;
         let by = proposal.author.clone();
         let intent = Box::new(proposal.intent.clone());
-        let request = PlannerRequest::Apply { number, by: by.clone(), intent, verdict: reply };
+        let request = PlannerRequest::Apply { number, by: by.clone(), intent, reply };
         self.request_verdict(request, verdict).await?;
         let before = inner.datastores.get(Datastore::Running).clone();
         let outcome = inner.datastores.apply(self.now(), proposal);
@@ -533,7 +533,7 @@
         inner.datastores.validate(&data)?;
         let (reply, verdict) = oneshot::channel();
         let intent = Box::new(juniperrail_intent::Intent::from_data(&self.0.schema, &data));
-        self.request_verdict(PlannerRequest::Validate { intent, verdict: reply }, verdict).await
+        self.request_verdict(PlannerRequest::Validate { intent, reply }, verdict).await
     }
 
     /// Makes the whole candidate the running configuration, or returns why it is refused.
--- a/crates/northbound/src/planner_request.rs
+++ b/crates/northbound/src/planner_request.rs
@@ -19,9 +19,9 @@
 /// A request to the planner task.
 pub enum PlannerRequest {
     /// Checks an intent against the current state of the workers and applies it at once if it is accepted.
-    Apply { number: u64, by: String, intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
+    Apply { number: u64, by: String, intent: Box<Intent>, reply: oneshot::Sender<Verdict> },
     /// Checks an intent without applying it.
-    Validate { intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
+    Validate { intent: Box<Intent>, reply: oneshot::Sender<Verdict> },
     /// Requests the operational state.
     State(oneshot::Sender<Arc<OperationalState>>),
 }
--- a/crates/northbound/tests/datastore_manager.rs
+++ b/crates/northbound/tests/datastore_manager.rs
@@ -41,11 +41,11 @@
     });
     let planner = tokio::spawn(async move {
         while let Some(request) = requests.recv().await {
-            if let PlannerRequest::Apply { number, verdict, .. } = request {
+            if let PlannerRequest::Apply { number, reply, .. } = request {
                 // All proxies have applied the change before the commit learns that it was accepted.
                 notice_sender.send(Notice::Applied { number, after: 1.0 }).await.unwrap();
                 tokio::task::yield_now().await;
-                verdict.send(Ok(())).unwrap();
+                reply.send(Ok(())).unwrap();
             }
         }
     });
@@ -86,7 +86,7 @@
     let refusing = tokio::spawn(async move {
         let refusal = juniperrail_intent::Refusal::NoSecondMessage { max_messages: 1.0 };
         match requests.recv().await {
-            Some(PlannerRequest::Apply { verdict, .. }) => verdict.send(Err(vec![refusal])).unwrap(),
+            Some(PlannerRequest::Apply { reply, .. }) => reply.send(Err(vec![refusal])).unwrap(),
             _ => panic!("expected an apply request"),
         }
         // The next request is dropped without an answer, and then the receiver is closed.
