--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -4,11 +4,11 @@
 //! | file | bytes |
 //! | --- | --- |
 //! | `MANIFEST` | `JRMF`, format (2), generation (8), snapshot (8, 0: none), first and newest segment (8 each), checksum (4) |
-//! | `seg-N` | header: `JRSG`, format (2), N (8), first sequence (8), checksum (4); then frames |
-//! | `snap-N` | header: `JRSN`, format (2), N (8), sequence of the first record after the snapshot (8), checksum (4); then frames, the last one empty with the record count as its sequence |
+//! | `seg-N` | header: `JRSG`, format (2), N (8), first sequence number (8), checksum (4); then frames |
+//! | `snap-N` | header: `JRSN`, format (2), N (8), sequence number of the first record after the snapshot (8), checksum (4); then frames, the last one empty with the record count as its sequence number |
 //!
-//! A frame: payload length (4), sequence (8), the last sequence that was known to be durable when the frame was written
-//! (8), checksum (4) over these fields, the file's number and the payload; then the payload.
+//! A frame: payload length (4), sequence number (8), the last sequence number that was known to be durable when the
+//! frame was written (8), checksum (4) over these fields, the file's number and the payload; then the payload.
 
 /// The format version that is written. Files of a newer version are rejected.
 pub const FORMAT_VERSION: u16 = 1;
@@ -149,7 +149,7 @@
     with_checksum(bytes)
 }
 
-/// The file number and the sequence in a header.
+/// The file number and the sequence number in a header.
 pub fn decode_header(kind: FileKind, bytes: &[u8]) -> Result<(u64, Seq), FormatError> {
     check(bytes, kind.magic(), HEADER_BYTES)?;
     Ok((u64_at(bytes, 6), Seq(u64_at(bytes, 14))))
@@ -175,7 +175,7 @@
     bytes
 }
 
-/// A frame in the file with this number. `durable` is the last sequence that is known to be durable.
+/// A frame in the file with this number. `durable` is the last sequence number that is known to be durable.
 pub fn encode_frame(number: u64, seq: Seq, durable: Seq, payload: &[u8]) -> Vec<u8> {
     encode_frame_with_length(payload.len() as u32, number, seq, durable, payload)
 }
@@ -189,7 +189,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
     pub seq: Seq,
-    /// The last sequence that was known to be durable when the frame was written.
+    /// The last sequence number that was known to be durable when the frame was written.
     pub durable: Seq,
     /// `None` in the frame that ends a snapshot.
     pub payload: Option<&'a [u8]>,
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,6 +1,7 @@
-//! Recovery: reads the longest valid prefix of records and distinguishes a torn tail, which was not completely written
-//! and is ignored, from damage. An invalid frame is a torn tail only if nothing shows that its record was durable. It
-//! is damage if a valid frame after it says that its sequence was durable, or if a later segment starts after it.
+//! Recovery: reads the longest valid prefix of records. The bytes after it are either a torn tail, which was not
+//! completely written and is ignored, or damage. An invalid frame is a torn tail only if nothing shows that its record
+//! was durable. It is damage if a valid frame after it states that the record's sequence number was durable, or if the
+//! next segment starts with a later record.
 
 use std::fmt;
 use std::io;
@@ -28,7 +29,7 @@
 pub struct Recovered {
     /// The records of the newest snapshot.
     pub snapshot: Vec<Vec<u8>>,
-    /// The records that were appended after the snapshot, each with its sequence.
+    /// The records that were appended after the snapshot, each with its sequence number.
     pub records: Vec<(Seq, Vec<u8>)>,
     /// The length of the torn tail, which is ignored.
     pub torn_bytes: u64,
@@ -41,7 +42,7 @@
 pub enum RecoveryError {
     Io(io::Error),
     Damage(Damage),
-    Newer { file: String, format: u16 },
+    NewerFormat { file: String, format: u16 },
 }
 
 impl From<io::Error> for RecoveryError {
@@ -54,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendPosition {
     pub manifest: Manifest,
-    /// The sequence of the next record.
+    /// The sequence number of the next record.
     pub next: Seq,
 }
 
@@ -66,9 +67,9 @@
     }))
 }
 
-fn invalid<T>(file: &str, error: FormatError) -> Result<T, RecoveryError> {
+fn format_error<T>(file: &str, error: FormatError) -> Result<T, RecoveryError> {
     match error {
-        FormatError::NewerVersion(format) => Err(RecoveryError::Newer { file: file.into(), format }),
+        FormatError::NewerVersion(format) => Err(RecoveryError::NewerFormat { file: file.into(), format }),
         FormatError::Truncated => damage(file, 0, "the header is truncated"),
         FormatError::WrongMagic => damage(file, 0, "wrong magic number"),
         FormatError::ChecksumMismatch => damage(file, 0, "header checksum mismatch"),
@@ -91,7 +92,7 @@
     }
     let manifest = match Manifest::decode(&disk.read(MANIFEST)?) {
         Ok(manifest) => manifest,
-        Err(error) => return invalid(MANIFEST, error),
+        Err(error) => return format_error(MANIFEST, error),
     };
     let mut recovered = Recovered::default();
     let mut next = Seq(1);
@@ -110,7 +111,7 @@
             Ok((stored_number, _)) => {
                 return damage(&name, 0, format!("this is segment {stored_number} under another name"))
             }
-            Err(error) => return invalid(&name, error),
+            Err(error) => return format_error(&name, error),
         };
         if number == manifest.first_segment && first != next {
             return damage(
@@ -122,7 +123,7 @@
         // This segment ends where the next one starts: any later records in it were never reported as durable.
         let end = match number == manifest.newest_segment {
             true => None,
-            false => Some(first_sequence(disk, number + 1)?),
+            false => Some(first_sequence_number(disk, number + 1)?),
         };
         next = read_segment(&name, number, &bytes, first, end, &mut recovered)?;
     }
@@ -144,13 +145,13 @@
     Ok(Some((AppendPosition { manifest, next }, recovered)))
 }
 
-/// The first sequence of a segment that the manifest names.
-fn first_sequence(disk: &dyn Disk, number: u64) -> Result<Seq, RecoveryError> {
+/// The first sequence number of a segment that the manifest names.
+fn first_sequence_number(disk: &dyn Disk, number: u64) -> Result<Seq, RecoveryError> {
     let name = FileKind::Segment.file_name(number);
     match disk.read(&name) {
         Ok(bytes) => match decode_header(FileKind::Segment, &bytes) {
             Ok((_, first)) => Ok(first),
-            Err(error) => invalid(&name, error),
+            Err(error) => format_error(&name, error),
         },
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
             damage(&name, 0, "the file is missing, but the manifest names it")
@@ -159,8 +160,8 @@
     }
 }
 
-/// Reads the records of a segment and returns the sequence of the next record. `end` is the first sequence of the next
-/// segment, `None` for the newest segment.
+/// Reads the records of a segment and returns the sequence number of the next record. `end` is the first sequence
+/// number of the next segment, `None` for the newest segment.
 fn read_segment(
     name: &str,
     number: u64,
@@ -179,7 +180,7 @@
                 recovered.records.push((seq, payload.to_vec()));
                 (offset, next) = (offset + length, Seq(next.0 + 1));
             }
-            // A durability marker: it holds the last durable sequence and is not a record.
+            // A durability marker: it holds the last durable sequence number and is not a record.
             Some(Frame { seq: Seq(0), payload: Some([]), length, .. }) => offset += length,
             Some(frame) => {
                 return damage(
@@ -208,8 +209,8 @@
     Ok(next)
 }
 
-/// The records of a snapshot and the sequence of the first record after it. An incomplete snapshot is damage, since it
-/// is synced before the manifest names it.
+/// The records of a snapshot and the sequence number of the first record after it. An incomplete snapshot is damage,
+/// since it is synced before the manifest names it.
 fn read_snapshot(disk: &dyn Disk, number: u64) -> Result<(Seq, Vec<Vec<u8>>), RecoveryError> {
     let name = FileKind::Snapshot.file_name(number);
     let bytes = match disk.read(&name) {
@@ -224,7 +225,7 @@
         Ok((stored_number, _)) => {
             return damage(&name, 0, format!("this is snapshot {stored_number} under another name"))
         }
-        Err(error) => return invalid(&name, error),
+        Err(error) => return format_error(&name, error),
     };
     let (mut offset, mut records) = (HEADER_BYTES, Vec::new());
     loop {
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -62,7 +62,7 @@
         match error {
             RecoveryError::Io(error) => OpenError::Io(error),
             RecoveryError::Damage(damage) => OpenError::Damage(damage),
-            RecoveryError::Newer { file, format } => OpenError::NewerFormat { file, format },
+            RecoveryError::NewerFormat { file, format } => OpenError::NewerFormat { file, format },
         }
     }
 }
@@ -108,9 +108,9 @@
     segment_bytes: u64,
     /// Bytes in all files.
     total_bytes: u64,
-    /// The sequence of the next record.
+    /// The sequence number of the next record.
     next: Seq,
-    /// The last durable sequence.
+    /// The last durable sequence number.
     durable: Seq,
     /// The records after `durable`. They are framed when they are written, as a frame depends on its segment.
     pending: Vec<Vec<u8>>,
@@ -238,7 +238,7 @@
         Ok(seq)
     }
 
-    /// The last durable sequence.
+    /// The last durable sequence number.
     pub fn durable(&self) -> Seq {
         self.durable
     }
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -12,7 +12,7 @@
 const LIMITS: Limits =
     Limits { max_segment_bytes: 400, max_total_bytes: 1 << 20, max_pending_bytes: 64 << 10 };
 const SNAPSHOT: [&[u8]; 2] = [b"snapshot, first record", b"snapshot, second record"];
-/// The sequence of the first record after the snapshot.
+/// The sequence number of the first record after the snapshot.
 const FIRST_RECORD: u64 = 4;
 const RECORDS: [&[u8]; 3] = [b"a record after the snapshot", b"", &[0, 255, 7]];
 
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -10,30 +10,30 @@
 const LIMITS: Limits =
     Limits { max_segment_bytes: 400, max_total_bytes: 1 << 20, max_pending_bytes: 64 << 10 };
 
-/// A record that contains its own sequence.
+/// A record that contains its own sequence number.
 fn record(seq: u64, size: usize) -> Vec<u8> {
     let mut bytes = seq.to_le_bytes().to_vec();
     bytes.resize(8 + size, seq as u8);
     bytes
 }
 
-fn sequence_of(record: &[u8]) -> u64 {
+fn sequence_number_of(record: &[u8]) -> u64 {
     u64::from_le_bytes(record[..8].try_into().unwrap())
 }
 
 /// Asserts that the recovered records are the first ones, in order, and returns their count.
 fn recovered_count(recovered: &juniperrail_store::Recovered) -> u64 {
-    let snapshot = recovered.snapshot.iter().map(|record| sequence_of(record));
+    let snapshot = recovered.snapshot.iter().map(|record| sequence_number_of(record));
     let records = recovered.records.iter().map(|(seq, record)| {
-        assert_eq!(seq.0, sequence_of(record), "a record has the sequence of another one");
-        sequence_of(record)
+        assert_eq!(seq.0, sequence_number_of(record), "a record has the sequence number of another one");
+        sequence_number_of(record)
     });
-    let sequences: Vec<u64> = snapshot.chain(records).collect();
+    let sequence_numbers: Vec<u64> = snapshot.chain(records).collect();
     assert!(
-        sequences.iter().copied().eq(1..=sequences.len() as u64),
-        "the recovered records are not the first ones that were appended: {sequences:?}"
+        sequence_numbers.iter().copied().eq(1..=sequence_numbers.len() as u64),
+        "the recovered records are not the first ones that were appended: {sequence_numbers:?}"
     );
-    sequences.len() as u64
+    sequence_numbers.len() as u64
 }
 
 /// Runs one random history and asserts that no durable record is lost and that no record is invented.
@@ -149,8 +149,8 @@
 }
 
 /// Opens a store on these files and returns the number of recovered records, or `None` if it is rejected.
-fn open_files(image: &BTreeMap<String, Vec<u8>>) -> Option<u64> {
-    match Store::open(Arc::new(SimDisk::from_files(image)), LIMITS) {
+fn open_files(files: &BTreeMap<String, Vec<u8>>) -> Option<u64> {
+    match Store::open(Arc::new(SimDisk::from_files(files)), LIMITS) {
         Ok(opened) => Some(recovered_count(&opened.recovered)),
         Err(OpenError::Damage(_) | OpenError::NewerFormat { .. }) => None,
         Err(other) => panic!("{other}"),
@@ -159,16 +159,16 @@
 
 #[test]
 fn truncation_and_corruption_at_every_byte_are_rejected_or_lose_no_record_known_to_be_durable() {
-    let (image, record_count) = store_files();
-    assert_eq!(open_files(&image), Some(record_count));
-    let newest_segment = image.keys().rfind(|name| name.starts_with("seg-")).unwrap().clone();
+    let (files, record_count) = store_files();
+    assert_eq!(open_files(&files), Some(record_count));
+    let newest_segment = files.keys().rfind(|name| name.starts_with("seg-")).unwrap().clone();
     let (mut truncated, mut rejected, mut torn) = (0, 0, 0);
-    for (name, bytes) in &image {
+    for (name, bytes) in &files {
         for length in 0..bytes.len() {
-            let mut image = image.clone();
-            image.insert(name.clone(), bytes[..length].to_vec());
+            let mut files = files.clone();
+            files.insert(name.clone(), bytes[..length].to_vec());
             truncated += 1;
-            match open_files(&image) {
+            match open_files(&files) {
                 None => rejected += 1,
                 Some(found) => {
                     // An older file may only lose its last durability marker, which is not a record.
@@ -183,14 +183,14 @@
         }
     }
     let mut corrupted = 0;
-    for (name, bytes) in &image {
+    for (name, bytes) in &files {
         for offset in 0..bytes.len() {
             for bit in [0x01, 0x80] {
-                let mut image = image.clone();
-                image.get_mut(name).unwrap()[offset] ^= bit;
+                let mut files = files.clone();
+                files.get_mut(name).unwrap()[offset] ^= bit;
                 corrupted += 1;
                 // Only corruption of the last durability marker, which is not a record, goes unnoticed.
-                if let Some(found) = open_files(&image) {
+                if let Some(found) = open_files(&files) {
                     assert_eq!(
                         found, record_count,
                         "{name} corrupted at {offset}: records were silently lost"
@@ -205,28 +205,28 @@
 
 #[test]
 fn missing_duplicated_or_renamed_segments_and_a_newer_format_are_rejected() {
-    let (image, _) = store_files();
-    let segments: Vec<String> = image.keys().filter(|name| name.starts_with("seg-")).cloned().collect();
+    let (files, _) = store_files();
+    let segments: Vec<String> = files.keys().filter(|name| name.starts_with("seg-")).cloned().collect();
     // The error of opening a store on these files; empty if the store opens.
     let open_error =
-        |image: &BTreeMap<String, Vec<u8>>| match Store::open(Arc::new(SimDisk::from_files(image)), LIMITS) {
+        |files: &BTreeMap<String, Vec<u8>>| match Store::open(Arc::new(SimDisk::from_files(files)), LIMITS) {
             Ok(_) => String::new(),
             Err(error) => error.to_string(),
         };
     assert!(segments.len() >= 3);
-    for name in image.keys() {
-        let mut missing = image.clone();
+    for name in files.keys() {
+        let mut missing = files.clone();
         missing.remove(name);
         assert!(open_error(&missing).contains("missing"), "{name}: {}", open_error(&missing));
     }
-    let mut renamed = image.clone();
+    let mut renamed = files.clone();
     let last_segment = renamed.remove(&segments[segments.len() - 1]).unwrap();
     renamed.insert(segments[0].clone(), last_segment.clone());
     assert!(open_error(&renamed).contains("under another name"), "{}", open_error(&renamed));
-    let mut duplicated = image.clone();
+    let mut duplicated = files.clone();
     duplicated.insert("seg-0000000000000099".into(), last_segment);
     assert!(open_error(&duplicated).contains("duplicated or renamed"), "{}", open_error(&duplicated));
-    let mut newer = image.clone();
+    let mut newer = files.clone();
     let manifest = newer.get_mut("MANIFEST").unwrap();
     // The low byte of the format version. The checksum is made to match, so that only the version is wrong.
     manifest[4] = 2;
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_full_disk_rejects_commits_loses_nothing_and_accepts_them_again_once_it_has_space() {
+fn a_full_disk_fails_commits_without_loss_and_the_size_limit_rejects_appends() {
     let disk = Arc::new(SimDisk::new(3));
     let mut store = Store::open(disk.clone(), LIMITS).unwrap().store;
     (1..=5).for_each(|seq| _ = store.append(&record(seq, 20)).unwrap());
