--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -386,8 +386,8 @@
     }
 }
 
-/// Enters the runtime before the stream is dropped: an SSH channel spawns a task when it is dropped, and to spawn a
-/// task outside of a runtime panics.
+/// Enters the runtime before the stream is dropped: an SSH channel spawns a task when it is dropped, and
+/// spawning a task outside of a runtime panics.
 impl Drop for Client {
     fn drop(&mut self) {
         let _runtime = self.runtime.enter();
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -12,8 +12,8 @@
 
 /// Long enough for every awaited event, even on a busy machine.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than any test, so that neither an election starts nor the time limit of the handshake, which is derived from
-/// this, is reached.
+/// Longer than any test, so that no election starts and no handshake times out. The time limit of a handshake is derived
+/// from this.
 const ELECTION_TIMEOUT_MS: f64 = 60_000.0;
 
 /// The handshake, the first message on a link, as managers encode it.
@@ -119,7 +119,8 @@
 fn a_connection_of_an_earlier_run_is_closed_and_replaces_nothing() {
     let running = start_member("earlier");
     let mut new = connect_as_member_2(running.address, 6);
-    // The member must read the handshake of `new` first, which was sent first. It closes a connection that it rejects.
+    // The member usually reads the handshake of `new` first, which was sent first, and rejects and closes `old`. If it
+    // reads that of `old` first, `new` replaces `old`, which is then closed too.
     let mut old = connect_as_member_2(running.address, 5);
     if !is_closed(&mut old) {
         panic!("a connection of an earlier run was accepted");
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Converts a violation of the data model.
+/// Converts a fault that the data model reports, such as an unknown element.
 pub fn from_model_fault(fault: &ModelError) -> RpcError {
     let message = match fault.line {
         // The fault is not about one line of the message.
@@ -112,9 +112,9 @@
     error.with_info("bad-attribute", &*fault.name).with_info("bad-element", element)
 }
 
-/// The namespace, which is the last quoted part of the fault's text.
-fn quoted_namespace(what: &str) -> String {
-    what.rsplit('"').nth(1).unwrap_or_default().to_string()
+/// The namespace, which is the last quoted part of the fault's message.
+fn quoted_namespace(message: &str) -> String {
+    message.rsplit('"').nth(1).unwrap_or_default().to_string()
 }
 
 fn from_refusal(refusal: &Refusal) -> RpcError {
--- a/crates/netconf/src/notification.rs
+++ b/crates/netconf/src/notification.rs
@@ -9,7 +9,7 @@
 
 use crate::capabilities::{BASE_NOTIFICATIONS, NOTIFICATION};
 
-/// Maximum number of edits that one `netconf-config-change` lists; further edits are left out.
+/// Maximum number of edits that one `netconf-config-change` lists; further edits are omitted.
 const MAX_EDITS: usize = 256;
 
 /// The event element of a notification.
