--- a/crates/manager/src/connection_error.rs
+++ b/crates/manager/src/connection_error.rs
@@ -10,7 +10,7 @@
 pub enum Stage {
     /// Nothing was sent.
     Connecting,
-    /// The peer may have acted on the request, but no response had begun.
+    /// A message was being sent, or had been sent and no response had begun. The peer may have acted on it.
     Sent,
     /// A response, or a stream, was being read.
     Reading,
@@ -23,22 +23,22 @@
     pub stage: Stage,
     /// The time allowed for this stage ran out.
     pub timed_out: bool,
-    /// What happened.
+    /// The text of the cause.
     pub message: String,
 }
 
 impl ConnectionError {
-    /// An error while reading that is no time-out.
+    /// An error while reading that is not a time-out.
     pub fn reading(message: impl Into<String>) -> Self {
         ConnectionError { stage: Stage::Reading, timed_out: false, message: message.into() }
     }
 
-    /// Converts the errors of a tower service at this stage, time-outs included.
+    /// Returns a function that converts the errors of a tower service at this stage, time-outs included.
     pub fn service(stage: Stage) -> impl Fn(Box<dyn Error + Send + Sync>) -> ConnectionError + Clone {
         move |cause| ConnectionError { stage, timed_out: cause.is::<Elapsed>(), message: cause.to_string() }
     }
 
-    /// Converts I/O errors at this stage.
+    /// Returns a function that converts I/O errors at this stage.
     pub fn io(stage: Stage) -> impl Fn(std::io::Error) -> ConnectionError {
         move |cause| ConnectionError { stage, timed_out: false, message: cause.to_string() }
     }
@@ -48,7 +48,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let stage = match self.stage {
             Stage::Connecting => "while dialling",
-            Stage::Sent => "once sent",
+            Stage::Sent => "while sending or awaiting a response",
             Stage::Reading => "while reading",
         };
         write!(f, "{} ({stage})", self.message)
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -75,7 +75,8 @@
         check_change(&context, &self.registry.composed(None, names), new_workers, intent)
     }
 
-    /// Applies an intent from this turn on: one that was accepted, or the one in the operator's file at the start.
+    /// Applies an intent from this turn on. The caller has checked it, or has read it from the operator's file at the
+    /// start.
     pub(super) fn apply_intent(&mut self, intent: Intent) {
         let runtime = intent.runtime_settings(&self.settings, &self.operation_names);
         if runtime != self.intent.runtime_settings(&self.settings, &self.operation_names) {
@@ -83,8 +84,8 @@
         }
         if let Some(event) = self.registry.apply_intent(&intent, &mut self.names) {
             if let Event::List { workers, .. } = &event {
-                // A worker that was out for so long that it was forgotten may still be excluded at proxies under its
-                // earlier id. Without this record the worker would stay excluded when it comes back.
+                // A worker that was excluded and then forgotten may still be excluded at proxies under its earlier id.
+                // Without this record the worker would stay excluded when it comes back.
                 workers.iter().for_each(|entry| self.order_writer.mark_maybe_excluded(entry.worker));
             }
             self.apply_list(event);
@@ -92,7 +93,7 @@
         self.intent = intent;
     }
 
-    /// From this turn on applies the plan that the managers agreed on, unless the plan leaves an operation without
+    /// Applies the plan that the managers agreed on from this turn on, unless the plan leaves an operation without
     /// workers.
     pub(super) fn apply_plan(&mut self, ratios: &ZoneWeightRatios) {
         let zone_id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -25,9 +25,10 @@
         let now = self.clock.now();
         let events = std::mem::take(&mut self.events);
         let _turn = tracing::debug_span!("turn", events = events.len()).entered();
-        self.log_summary.joined +=
+        self.log_summary.joined_proxies +=
             events.iter().filter(|event| matches!(event, Event::Joined { .. })).count();
-        self.log_summary.left += events.iter().filter(|event| matches!(event, Event::Left { .. })).count();
+        self.log_summary.left_proxies +=
+            events.iter().filter(|event| matches!(event, Event::Left { .. })).count();
         if now >= self.log_summary.logged_at + self.settings.report_period {
             self.log_summary.log(now, self.connections.joined().count());
             self.limit_warnings(now).iter().for_each(|warning| tracing::warn!("{warning}"));
--- a/crates/manager/src/http.rs
+++ b/crates/manager/src/http.rs
@@ -21,7 +21,7 @@
 /// A service that performs GET requests.
 pub type Exchange = BoxCloneSyncService<Call, Response<Incoming>, ConnectionError>;
 
-/// Returns a service that answers once the head of the response is there; the caller reads the body.
+/// Returns a service that answers once the head of the response has arrived; the caller reads the body.
 pub fn exchange(connect_timeout: Duration, response_timeout: Duration) -> Exchange {
     let connect = ServiceBuilder::new()
         .map_err(ConnectionError::service(Stage::Connecting))
--- a/crates/manager/src/inbound.rs
+++ b/crates/manager/src/inbound.rs
@@ -10,7 +10,8 @@
 use crate::probes::ProbeResult;
 use crate::protocol::Report;
 
-/// Numbers connections in the order in which they were accepted.
+/// The number of an accepted connection, in the order of acceptance. The connection of a joined proxy is called its
+/// stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
@@ -22,8 +23,7 @@
     Joined { stream: StreamId, hello: Hello, outbox: Outbox },
     /// A connection of any kind has ended, with the error if it did not end normally.
     Ended(StreamId, Option<String>),
-    /// A report, or why a message was skipped; with the stream and the proxy that sent it, or `None` if a collector
-    /// sent it.
+    /// A report, or why a message was skipped. The sender is a proxy and its stream, or `None` for a collector.
     Reported(Option<(StreamId, ProxyId)>, Result<Report, String>),
     /// The result of a probe.
     Probed(WorkerId, ProbeResult),
@@ -46,7 +46,7 @@
         (Outbox { messages, _open }, queued, dropped)
     }
 
-    /// Queues a message. False if the queue is full.
+    /// Queues a message. Returns false only if the queue is full. If the connection has ended, the message is dropped.
     pub fn try_send(&self, message: Bytes) -> bool {
         !matches!(self.messages.try_send(message), Err(mpsc::error::TrySendError::Full(_)))
     }
--- a/crates/manager/src/limiter.rs
+++ b/crates/manager/src/limiter.rs
@@ -96,7 +96,7 @@
         evicted
     }
 
-    /// Removes a connection. False if it is not there because it was evicted.
+    /// Removes a connection. Returns false if it was already evicted.
     pub fn release(&self, id: StreamId) -> bool {
         let mut admitted = self.admitted.borrow_mut();
         let position = admitted.iter().position(|(admitted_id, _)| *admitted_id == id);
--- a/crates/manager/src/log_summary.rs
+++ b/crates/manager/src/log_summary.rs
@@ -17,9 +17,9 @@
 #[derive(Default)]
 pub struct LogSummary {
     /// Proxies reported to the planner as joined.
-    pub joined: usize,
+    pub joined_proxies: usize,
     /// Proxies reported to the planner as left.
-    pub left: usize,
+    pub left_proxies: usize,
     pub broken_connections: EventCount,
     pub silent_proxies: EventCount,
     /// Proxies that had been silent and sent a message again.
@@ -37,11 +37,11 @@
     /// are joined now.
     pub fn log(&mut self, now: Ms, joined_count: usize) {
         let summary = std::mem::replace(self, LogSummary { logged_at: now, ..LogSummary::default() });
-        if summary.joined + summary.left > 0 {
+        if summary.joined_proxies + summary.left_proxies > 0 {
             tracing::info!(
                 "{} proxies joined, {} left, {joined_count} currently joined",
-                summary.joined,
-                summary.left
+                summary.joined_proxies,
+                summary.left_proxies
             );
         }
         let EventCount(broken, last) = summary.broken_connections;
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -28,7 +28,7 @@
 
 /// What a joined proxy was sent over its current stream.
 struct Proxy {
-    /// The proxy may exclude workers with this id or a higher one although it was not told so over this stream. The id
+    /// The proxy may exclude workers with this id or a higher one although this was not sent over this stream. The id
     /// is 0 if the proxy holds orders of an earlier connection, possibly to another manager, or of a planner that was
     /// restarted. If a worker that the proxy excludes was forgotten, the id is at most the next one to be listed.
     uncertain_from: WorkerId,
@@ -118,7 +118,7 @@
     }
 
     /// Forgets a worker that no order refers to any more. If the worker is listed again under its name, it has a new
-    /// id, but the proxies that were told to exclude it still do. At those proxies only ids listed from now on become
+    /// id, but the proxies to which its exclusion was sent still exclude it. At those proxies only ids listed from now on become
     /// uncertain, so that messages do not have to include every known worker again.
     pub fn forget(&mut self, worker: WorkerId) {
         self.excluded.remove(&worker);
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -1,4 +1,4 @@
-//! Probes of workers: one call of a tower service each, with a limit on concurrent ones.
+//! Probes of workers. Each probe is one call of a tower service, which limits the number of concurrent probes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
     pub outcome: ProbeOutcome,
     /// From the start of the probe to its end.
     pub latency: Ms,
-    /// The load that the worker reported; empty unless the probe succeeded.
+    /// The load that the worker reported; empty if the probe failed or the report is invalid.
     pub load: Load,
 }
 
@@ -67,7 +67,7 @@
     Ok(Limited::new(body, MAX_BODY_BYTES).collect().await?.to_bytes())
 }
 
-/// If connecting failed, the worker is not there; if a later stage failed, it is there, but slow or broken.
+/// If connecting failed, the worker is unreachable. If a later stage failed, it is running, but slow or broken.
 fn outcome_of(error: &ConnectionError) -> ProbeOutcome {
     match error.stage {
         Stage::Connecting => ProbeOutcome::Unreachable,
--- a/crates/manager/src/protocol.rs
+++ b/crates/manager/src/protocol.rs
@@ -11,7 +11,7 @@
 pub const MAX_LINE_BYTES: usize = 1 << 20;
 /// Limit on a line before and including the introduction.
 pub const MAX_FIRST_LINE_BYTES: usize = 4096;
-/// Limit on times and rates; as a time it is an hour in milliseconds.
+/// Limit on times, rates and load metrics. For a time it is an hour in milliseconds.
 const MAX_VALUE: f64 = 3_600_000.0;
 /// Limit on the parts of one message.
 pub const MAX_PARTS: usize = 64;
@@ -81,20 +81,21 @@
     /// A message of a known kind with a field that is missing, out of range or of another type. Only this message is
     /// lost.
     InvalidFields(String),
-    /// Not a message at all: the connection is of no further use.
+    /// Not a message at all. The connection is of no further use and is closed.
     NotAMessage(String),
 }
 
 const KINDS: [&str; 6] = ["probe", "agent", "hello", "outcomes", "demand", "ack"];
 
-/// Whether the beginning of a line can still become a message. Returns how many of its bytes need not be checked
-/// again; `checked_bytes` is what an earlier call returned for a shorter beginning. A peer that sends bytes without
-/// an end of line is thus rejected at once instead of at the length limit.
-pub fn can_become_message(start: &[u8], checked_bytes: usize) -> Option<usize> {
-    let start = start.strip_suffix(b"\r").unwrap_or(start);
+/// Checks the bytes received so far of a line whose end has not arrived. Returns `None` if no message begins with them,
+/// so that a peer that sends other bytes without an end of line is rejected at once instead of at the length limit.
+/// Otherwise returns how many of the bytes need not be checked again; the next call for the same line passes this
+/// number as `checked_bytes`.
+pub fn check_unfinished_line(line: &[u8], checked_bytes: usize) -> Option<usize> {
+    let line = line.strip_suffix(b"\r").unwrap_or(line);
     let max_kind_bytes = KINDS.iter().map(|kind| kind.len() + 1).max().unwrap_or(0);
-    let end = start.iter().take(max_kind_bytes).position(|byte| *byte == b' ');
-    let kind = &start[..end.unwrap_or(start.len())];
+    let end = line.iter().take(max_kind_bytes).position(|byte| *byte == b' ');
+    let kind = &line[..end.unwrap_or(line.len())];
     let is_possible = |known_kind: &&str| {
         if end.is_some() {
             known_kind.as_bytes() == kind
@@ -103,8 +104,8 @@
         }
     };
     let valid = KINDS.iter().any(is_possible)
-        && !start[checked_bytes.min(start.len())..].iter().any(u8::is_ascii_control);
-    valid.then_some(start.len())
+        && !line[checked_bytes.min(line.len())..].iter().any(u8::is_ascii_control);
+    valid.then_some(line.len())
 }
 
 /// The `name=value` fields of a line.
@@ -224,7 +225,7 @@
             proxy: fields.integer("node", u16::MAX)?,
             op: fields.owned_text("route")?,
             invocations: fields.count("total")?,
-            // May exceed the total: invocations of the previous interval may fail to be answered in this one.
+            // May exceed the total: an invocation received in an earlier interval may go unanswered in this one.
             unanswered: fields.count("errors")?,
             interval: fields.duration("interval")?,
         }),
--- a/crates/manager/src/protocol/tests.rs
+++ b/crates/manager/src/protocol/tests.rs
@@ -91,9 +91,9 @@
 #[test]
 fn bytes_that_cannot_become_a_message_are_rejected_before_the_line_ends() {
     for start in [&b""[..], b"p", b"probe", b"probe\r", b"hello no", b"ack node=\xc3"] {
-        assert!(can_become_message(start, 0).is_some(), "{start:?} is rejected");
+        assert!(check_unfinished_line(start, 0).is_some(), "{start:?} is rejected");
     }
     for start in [&b"GET"[..], b"probes", b"prob ", b"ack node=\0", b"\x16\x03\x01", b"\xff", b"\r\r"] {
-        assert!(can_become_message(start, 0).is_none(), "{start:?} is not rejected");
+        assert!(check_unfinished_line(start, 0).is_none(), "{start:?} is not rejected");
     }
 }
--- a/crates/manager/src/scope_filter.rs
+++ b/crates/manager/src/scope_filter.rs
@@ -1,8 +1,8 @@
 //! Filters the entries of a list by the scope of this manager.
 //!
 //! Entries out of scope are dropped, with one exception: if the worker of such an entry was in scope before, it has
-//! left the scope. The proxies have to be told; otherwise they would keep using a worker whose drain they would never
-//! hear of.
+//! left the scope. The proxies have to be notified; otherwise they would keep using a worker whose drain is never
+//! reported to them.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
--- a/crates/manager/src/streams.rs
+++ b/crates/manager/src/streams.rs
@@ -222,7 +222,7 @@
     .await;
 }
 
-/// Runs the stream of a proxy that has joined. Reading and writing run concurrently; bytes that are no message end
+/// Runs the stream of a proxy that has joined. Reading and writing run concurrently; bytes that are not a message end
 /// the stream.
 async fn run_proxy(
     id: StreamId,
@@ -292,7 +292,7 @@
 }
 
 /// Parses a line of a peer that has joined; `None` is a probe. A message with invalid fields is reported and skipped;
-/// a line that is no message is an error, which ends the connection.
+/// a line that is not a message is an error, which ends the connection.
 fn parse_inbound(
     line: &[u8],
     sender: Option<(StreamId, ProxyId)>,
@@ -310,7 +310,7 @@
 struct LineReader {
     read: OwnedReadHalf,
     buffer: LineBuffer,
-    /// Bytes of the unfinished line that [`protocol::can_become_message`] has checked.
+    /// Bytes of the unfinished line that [`protocol::check_unfinished_line`] has checked.
     checked_bytes: usize,
 }
 
@@ -322,12 +322,12 @@
                 self.checked_bytes = 0;
                 return Ok(Some(line));
             }
-            let start = self.buffer.unfinished();
-            let Some(checked_bytes) = protocol::can_become_message(start, self.checked_bytes) else {
-                return Err(ConnectionError::reading("it sent bytes that are no message"));
+            let unfinished = self.buffer.unfinished();
+            let Some(checked_bytes) = protocol::check_unfinished_line(unfinished, self.checked_bytes) else {
+                return Err(ConnectionError::reading("it sent bytes that are not a message"));
             };
             self.checked_bytes = checked_bytes;
-            if start.len() > max_bytes {
+            if unfinished.len() > max_bytes {
                 return Err(ConnectionError::reading(format!("a line is longer than {max_bytes} bytes")));
             }
             let space = self.buffer.space(MIN_READ_BYTES);
--- a/crates/manager/src/subscription.rs
+++ b/crates/manager/src/subscription.rs
@@ -37,5 +37,7 @@
     let parsed: Option<SocketAddr> = address.parse().ok();
     // Port 0 cannot be connected to.
     let parsed = parsed.filter(|address| address.port() != 0);
-    parsed.ok_or_else(|| format!("/jrm:discovery/relay[.='{address}']: {address:?} is no address of a relay"))
+    parsed.ok_or_else(|| {
+        format!("/jrm:discovery/relay[.='{address}']: {address:?} is not the address of a relay")
+    })
 }
--- a/crates/manager/src/worker_registry.rs
+++ b/crates/manager/src/worker_registry.rs
@@ -22,11 +22,11 @@
 }
 
 impl WorkerRegistry {
-    /// Applies a list of discovery. Returns the event for the planner.
+    /// Applies a list from discovery. Returns the event for the planner.
     pub fn apply_list(&mut self, listing: &Listing, kind: ListKind, names: &mut Names) -> Event {
         let Entries { valid: entries, unreadable } = listing.entries(names);
-        // If not even the name of an entry's worker can be read, a full list is applied as changes: otherwise that
-        // worker would count as gone.
+        // If an entry is so damaged that even the worker's name cannot be read, a full list is applied as changes.
+        // Applied as a full list, it would mark that worker as gone.
         let kind = if unreadable.iter().all(Option::is_some) { kind } else { ListKind::Changes };
         tracing::info!("list {}: {} entries, {kind:?}", listing.version, entries.len());
         self.version = listing.version;
@@ -44,7 +44,7 @@
                     name
                 }
                 ReadEntry::Departure(Departure { worker, phase }) => {
-                    // A worker that discovery does not list cannot leave.
+                    // Ignores the departure of a worker that discovery does not list.
                     if !self.composer.update_discovery_phase(&worker, phase) {
                         continue;
                     }
@@ -55,8 +55,8 @@
             listed_names.insert(name);
         }
         if kind != ListKind::Changes {
-            // A worker of whose entry only the name can be read keeps its last state; the list is complete for all
-            // others.
+            // If only the worker's name can be read in an entry, the worker keeps its last state. For all others the
+            // list is complete.
             for name in unreadable
                 .into_iter()
                 .flatten()
@@ -188,8 +188,8 @@
         self.addresses.get(&worker).copied()
     }
 
-    /// Forgets a worker that no order refers to any more. If it left only because the operator took it out, its name
-    /// stays known and gets a new id.
+    /// Forgets a worker that no order refers to any more. If discovery still lists it, so that only the operator had
+    /// removed it, its name is assigned a new id.
     pub fn forget(&mut self, worker: WorkerId, names: &mut Names) {
         let name = names.workers.name(worker.0).to_string();
         tracing::debug!("{name} is forgotten");
--- a/crates/manager/tests/relay.rs
+++ b/crates/manager/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The `relay` command as a process: its log, its errors, and what a subscriber receives when the relay is stopped or
+//! The `relay` command as a process: its log, its errors, and what a subscriber receives when the relay is paused or
 //! killed.
 
 use std::io::{BufRead, BufReader, Read};
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_relay_stopped_during_a_snapshot_continues_where_it_was() {
+fn a_relay_paused_during_a_snapshot_completes_it_when_resumed() {
     let (relay, full_list, mut subscriber, _watch) = relay_in_snapshot();
     relay.signal("STOP");
     // Only what was already in the socket buffers arrives.
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -485,7 +485,8 @@
         let output = check.output().unwrap();
         let stderr = String::from_utf8(output.stderr).unwrap();
         assert_eq!((output.status.code(), stderr.lines().count()), (Some(1), 1), "{stderr}");
-        let expected = format!("/jrm:discovery/relay[.='{address}']: {address:?} is no address of a relay");
+        let expected =
+            format!("/jrm:discovery/relay[.='{address}']: {address:?} is not the address of a relay");
         assert!(stderr.contains(&expected), "{stderr}");
         std::fs::remove_file(&file).unwrap();
     }
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -73,11 +73,11 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_end_only_their_connection() {
+fn bytes_that_are_not_a_message_close_only_their_connection() {
     let cluster = TestCluster::new(64);
     let mut unaffected = cluster.proxy(1);
     unaffected.next_line_containing("whole=1");
-    // Some of these do not end a line.
+    // Some of these have no end of line.
     for (number, bad_bytes) in
         (2..).zip(["shout\r\n", "\r\n", "GET / HTTP/1.1", "\u{16}\u{3}\u{1}", "ack \0"])
     {
@@ -187,8 +187,8 @@
         .iter_mut()
         .map(|proxy| std::iter::from_fn(|| proxy.next_line()).any(|line| line.contains("whole=1")))
         .collect();
-    let kept_count = joined.iter().filter(|joined| **joined).count();
-    assert!((4..20).contains(&kept_count), "{kept_count} of 20 proxies joined");
+    let joined_count = joined.iter().filter(|joined| **joined).count();
+    assert!((4..20).contains(&joined_count), "{joined_count} of 20 proxies joined");
     watch.send_chunk(&(list_json(42, false, &[entry("s-1", "draining")]) + "\n"));
     drop(watch);
     let (request, mut watch) = cluster.accept_watch("200 OK");
@@ -351,7 +351,7 @@
     let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
     let occupied = occupied.local_addr().unwrap().to_string();
     let path = std::env::temp_dir().join(format!("juniperrail-{}.json", std::process::id()));
-    let program = |config: &str, listen: &str| {
+    let start = |config: &str, listen: &str| {
         std::fs::write(&path, config).unwrap();
         let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
         program.env_clear().env("PROXY_CONFIG", &path).env("PROXY_LISTEN", listen);
@@ -368,12 +368,12 @@
         (&valid_config, "nowhere", "PROXY_LISTEN is not an address"),
         (&valid_config, &occupied, "cannot listen on"),
     ] {
-        let output = program(config, listen).wait_with_output().unwrap();
+        let output = start(config, listen).wait_with_output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(error.starts_with("juniperrail: ") && error.contains(expected), "{expected}: {error}");
         assert_eq!((error.lines().count(), output.status.code()), (1, Some(1)), "{error}");
     }
-    let mut running = program(&valid_config, "127.0.0.1:0");
+    let mut running = start(&valid_config, "127.0.0.1:0");
     let mut log = BufReader::new(running.stderr.take().unwrap());
     address_from_log(&mut log);
     Command::new("kill").arg(running.id().to_string()).status().unwrap();
