--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -149,8 +149,8 @@
     });
     let proxy_numbers = |manager: usize| (manager as u16 * PROXIES)..((manager as u16 + 1) * PROXIES);
     for (manager, proxies) in proxies.iter().enumerate() {
-        proxies.wait_until("every proxy has a table", |rules| {
-            proxy_numbers(manager).all(|proxy| rules.routable_workers(proxy).len() == WORKERS)
+        proxies.wait_until("every proxy has a table", |checker| {
+            proxy_numbers(manager).all(|proxy| checker.routable_workers(proxy).len() == WORKERS)
         });
     }
     let (mut accepted, mut rejected, mut timeouts) = (0, 0, 0);
@@ -188,8 +188,8 @@
             // The proxies may use a returning worker before the client receives the reply to the commit.
             let returning: Vec<usize> = after.difference(&before).copied().collect();
             for proxies in &proxies {
-                proxies.with_rules(|rules| {
-                    returning.iter().for_each(|worker| rules.cancel_removal(&cluster.worker_name(*worker)))
+                proxies.with_checker(|checker| {
+                    returning.iter().for_each(|worker| checker.cancel_removal(&cluster.worker_name(*worker)))
                 });
             }
             let (result, other_result, partial_states) = tokio::join!(
@@ -220,12 +220,12 @@
                 configs = change.configs_after;
             }
             for (manager, proxies) in proxies.iter().enumerate() {
-                let start_removals = |rules: &mut RuleChecker| {
+                let start_removals = |checker: &mut RuleChecker| {
                     removal_times.iter().for_each(|(worker, since)| {
-                        rules.start_removal(&cluster.worker_name(*worker), since[manager])
+                        checker.start_removal(&cluster.worker_name(*worker), since[manager])
                     });
                 };
-                proxies.with_rules(start_removals);
+                proxies.with_checker(start_removals);
             }
             let expected = ready_workers(&configs);
             for (manager, reader) in readers.iter_mut().enumerate() {
@@ -240,7 +240,7 @@
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 let table_workers = |proxy: u16| {
-                    let table = proxies[manager].with_rules(|rules| rules.routable_workers(proxy));
+                    let table = proxies[manager].with_checker(|checker| checker.routable_workers(proxy));
                     table.keys().filter_map(|name| name[2..].parse().ok()).collect::<BTreeSet<usize>>()
                 };
                 inconsistent_states +=
@@ -256,8 +256,10 @@
     report.bound("taken though wrong, or refused though sound", wrong_verdicts, wrong_verdicts == 0);
     report.bound("readings or proxies with a mixture", inconsistent_states, inconsistent_states == 0);
     report.bound("changes not held in time", timeouts, timeouts == 0);
-    let violations: Vec<_> =
-        proxies.iter().flat_map(|proxies| proxies.with_rules(|rules| rules.violations.clone())).collect();
+    let violations: Vec<_> = proxies
+        .iter()
+        .flat_map(|proxies| proxies.with_checker(|checker| checker.violations.clone()))
+        .collect();
     let first_violation = violations
         .first()
         .map_or("none".to_string(), |first| format!("{first:?} and {} more", violations.len() - 1));
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
 use juniperrail_client::{Client, Endpoint};
-use juniperrail_standins::{instance_json, list_json, Discovery, RuleChecker, RuleLimits, SshKeys};
+use juniperrail_standins::{instance_json, list_json, Discovery, RuleChecker, RuleLimits, SshKeyPair};
 
 /// The XML namespace of the manager's configuration.
 pub const MANAGER_NAMESPACE: &str = "tag:juniperrail.example,2026:yang:manager";
@@ -33,8 +33,8 @@
     /// The folder with the keys and the managers' configuration files.
     pub folder: PathBuf,
     pub discovery: Discovery,
-    host_key: SshKeys,
-    user_key: SshKeys,
+    host_key: SshKeyPair,
+    user_key: SshKeyPair,
 }
 
 impl Cluster {
@@ -43,7 +43,8 @@
         let folder = std::env::temp_dir().join(format!("juniperrail-lab-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("the temporary folder can be written");
         let discovery = Discovery::start();
-        let (host_key, user_key) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
+        let (host_key, user_key) =
+            (SshKeyPair::write(&folder, "host", 1), SshKeyPair::write(&folder, "ann", 2));
         let cluster = Cluster { size, folder, discovery, host_key, user_key };
         cluster.discovery.publish(&cluster.list());
         cluster
--- a/crates/lab/src/netconf.rs
+++ b/crates/lab/src/netconf.rs
@@ -39,8 +39,8 @@
 /// Starts the proxies and waits until each has a table of at least 10 workers, as many as a zone has.
 fn join_proxies(cluster: &Cluster, manager: &ManagerProcess) -> Proxies {
     let proxies = Proxies::start(manager.address, 0, PROXIES, &["a", "b", "c"], cluster.rules());
-    proxies.wait_until("every proxy has a table", |rules| {
-        (0..PROXIES).all(|proxy| rules.routable_workers(proxy).len() >= 10)
+    proxies.wait_until("every proxy has a table", |checker| {
+        (0..PROXIES).all(|proxy| checker.routable_workers(proxy).len() >= 10)
     });
     proxies
 }
@@ -99,7 +99,7 @@
         );
     }
     report.bound("commits that not all proxies held", unconfirmed, unconfirmed == 0);
-    let violations = proxies.with_rules(|rules| rules.violations.len());
+    let violations = proxies.with_checker(|checker| checker.violations.len());
     report.bound("rules broken meanwhile", violations, violations == 0);
 }
 
--- a/crates/manager/tests/command_line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Output, Stdio};
 
 use juniperrail_standins::{
-    address_from_log, instance_json, list_json, AnsweringProxy, Discovery, Peer, SshKeys, SETTINGS,
+    address_from_log, instance_json, list_json, AnsweringProxy, Discovery, Peer, SshKeyPair, SETTINGS,
 };
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperrail");
@@ -26,8 +26,8 @@
     child: Child,
     address: std::net::SocketAddr,
     ssh: String,
-    host: SshKeys,
-    ann: SshKeys,
+    host: SshKeyPair,
+    ann: SshKeyPair,
     log: BufReader<std::process::ChildStderr>,
 }
 
@@ -40,7 +40,7 @@
 impl TestManager {
     fn new(name: &str) -> TestManager {
         let folder = create_folder(name);
-        let (host, ann) = (SshKeys::write(&folder, "host", 1), SshKeys::write(&folder, "ann", 2));
+        let (host, ann) = (SshKeyPair::write(&folder, "host", 1), SshKeyPair::write(&folder, "ann", 2));
         let discovery = Discovery::start();
         let cached_list =
             list_json(1, true, &["s-1", "s-2"].map(|id| instance_json(id, "a", "127.0.0.1:9", "ready")));
--- a/crates/manager/tests/northbound.rs
+++ b/crates/manager/tests/northbound.rs
@@ -12,7 +12,7 @@
 use juniperrail_manager::{Launch, Manager};
 use juniperrail_model::xml::Element;
 use juniperrail_standins::{
-    instance_json, list_json, CertificateAuthority, Discovery, Proxies, RuleChecker, RuleLimits, SshKeys,
+    instance_json, list_json, CertificateAuthority, Discovery, Proxies, RuleChecker, RuleLimits, SshKeyPair,
     SETTINGS,
 };
 use tokio::time::timeout;
@@ -30,9 +30,9 @@
 struct TestEnvironment {
     folder: PathBuf,
     discovery: Discovery,
-    keys: Vec<(&'static str, &'static str, SshKeys)>,
+    keys: Vec<(&'static str, &'static str, SshKeyPair)>,
     authority: CertificateAuthority,
-    host: SshKeys,
+    host: SshKeyPair,
 }
 
 impl TestEnvironment {
@@ -41,12 +41,13 @@
         fs::create_dir_all(&folder).unwrap();
         let users = [("ann", "admin"), ("bob", "operator"), ("eve", "reader")];
         let seeded_users = users.into_iter().zip(1..);
-        let keys = seeded_users.map(|((user, role), seed)| (user, role, SshKeys::write(&folder, user, seed)));
+        let keys =
+            seeded_users.map(|((user, role), seed)| (user, role, SshKeyPair::write(&folder, user, seed)));
         let discovery = Discovery::start();
         let entries = WORKERS.map(|(id, zone)| instance_json(id, zone, "127.0.0.1:9", "ready"));
         discovery.publish(&list_json(1, true, &entries));
         let keys = keys.collect();
-        let host = SshKeys::write(&folder, "host", 99);
+        let host = SshKeyPair::write(&folder, "host", 99);
         TestEnvironment {
             discovery,
             keys,
@@ -146,9 +147,9 @@
         max_waiting_lines: 5000.0,
         message_overhead_lines: 4.0,
     };
-    let mut rules = RuleChecker::new(limits);
-    WORKERS.iter().for_each(|(worker, _)| rules.add_known_worker(worker));
-    rules
+    let mut checker = RuleChecker::new(limits);
+    WORKERS.iter().for_each(|(worker, _)| checker.add_known_worker(worker));
+    checker
 }
 
 fn worker(name: &str, body: &str) -> String {
@@ -198,19 +199,19 @@
         let env = TestEnvironment::new("commit");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 6, &["a", "b"], rules());
-        proxies.wait_until("every proxy has a full table", |rules| {
-            (0..6).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        proxies.wait_until("every proxy has a full table", |checker| {
+            (0..6).all(|proxy| checker.routable_workers(proxy).len() == 4)
         });
         let mut client = env.connect(&manager, "bob").await;
         let mut subscriber = env.connect(&manager, "ann").await;
         subscriber.subscribe(None).await.unwrap();
-        proxies.with_rules(|rules| rules.start_removal("s-1", 0.0));
-        proxies.with_rules(|rules| rules.cancel_removal("s-1"));
+        proxies.with_checker(|checker| checker.start_removal("s-1", 0.0));
+        proxies.with_checker(|checker| checker.cancel_removal("s-1"));
         let now = proxies.now_ms();
         edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
-        proxies.with_rules(|rules| rules.start_removal("s-1", now));
-        proxies.wait_until("s-1 is removed", |rules| {
-            (0..6).all(|proxy| !rules.routable_workers(proxy).contains_key("s-1"))
+        proxies.with_checker(|checker| checker.start_removal("s-1", now));
+        proxies.wait_until("s-1 is removed", |checker| {
+            (0..6).all(|proxy| !checker.routable_workers(proxy).contains_key("s-1"))
         });
         // The event of the change comes first, then the event that all proxies have applied the change.
         let mut events = Vec::new();
@@ -235,15 +236,15 @@
         edit_and_commit(&mut client, &worker("s-1", "<wanted>follow</wanted><weight>0.5</weight>"))
             .await
             .unwrap();
-        proxies.with_rules(|rules| rules.cancel_removal("s-1"));
-        proxies.wait_until("s-1 is back", |rules| {
-            (0..6).all(|proxy| rules.routable_workers(proxy).contains_key("s-1"))
+        proxies.with_checker(|checker| checker.cancel_removal("s-1"));
+        proxies.wait_until("s-1 is back", |checker| {
+            (0..6).all(|proxy| checker.routable_workers(proxy).contains_key("s-1"))
         });
-        proxies.wait_until("every proxy has the new weight of s-1", |rules| {
-            (0..6).all(|proxy| rules.routable_workers(proxy)["s-1"] < 0.6)
+        proxies.wait_until("every proxy has the new weight of s-1", |checker| {
+            (0..6).all(|proxy| checker.routable_workers(proxy)["s-1"] < 0.6)
         });
         client.close().await.unwrap();
-        assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
+        assert_eq!(proxies.with_checker(|checker| checker.violations.clone()), []);
         drop(manager);
     });
 }
@@ -254,8 +255,8 @@
         let env = TestEnvironment::new("refused");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 4, &["a", "b"], rules());
-        proxies.wait_until("every proxy has a full table", |rules| {
-            (0..4).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        proxies.wait_until("every proxy has a full table", |checker| {
+            (0..4).all(|proxy| checker.routable_workers(proxy).len() == 4)
         });
         let mut client = env.connect(&manager, "bob").await;
         let all_workers = |body: &str| WORKERS.map(|(name, _)| worker(name, body)).concat();
@@ -294,8 +295,8 @@
         }
         let error = edit_and_commit(&mut client, &worker("s-4", "<weight>0</weight>")).await.unwrap_err();
         assert!(error.to_string().contains("lookup would have no ready, warm worker"), "{error}");
-        proxies.wait_until("only s-4 is left", |rules| {
-            (0..4).all(|proxy| rules.routable_workers(proxy).keys().eq(["s-4"]))
+        proxies.wait_until("only s-4 is left", |checker| {
+            (0..4).all(|proxy| checker.routable_workers(proxy).keys().eq(["s-4"]))
         });
         // A worker that discovery lists as gone stays removed, even if a commit wants it ready, until discovery lists it again.
         env.discovery.publish(&list_json(2, false, &[instance_json("s-1", "a", "127.0.0.1:9", "gone")]));
@@ -310,13 +311,16 @@
                 .into();
         }
         edit_and_commit(&mut client, &worker("s-1", "<wanted>ready</wanted>")).await.unwrap();
-        assert!(proxies
-            .with_rules(|rules| (0..4).all(|proxy| !rules.routable_workers(proxy).contains_key("s-1"))));
+        assert!(
+            proxies.with_checker(
+                |checker| (0..4).all(|proxy| !checker.routable_workers(proxy).contains_key("s-1"))
+            )
+        );
         env.discovery.publish(&list_json(3, false, &[instance_json("s-1", "a", "127.0.0.1:9", "ready")]));
-        proxies.wait_until("s-1 is back", |rules| {
-            (0..4).all(|proxy| rules.routable_workers(proxy).contains_key("s-1"))
+        proxies.wait_until("s-1 is back", |checker| {
+            (0..4).all(|proxy| checker.routable_workers(proxy).contains_key("s-1"))
         });
-        assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
+        assert_eq!(proxies.with_checker(|checker| checker.violations.clone()), []);
     });
 }
 
@@ -329,11 +333,11 @@
         let slow_manager = env.start_manager(&file);
         let quick_proxies = Proxies::start(quick_manager.address, 0, 4, &["a", "b"], rules());
         let slow_proxies = Proxies::start(slow_manager.address, 4, 4, &["a", "b"], rules());
-        quick_proxies.wait_until("every proxy has a full table", |rules| {
-            (0..4).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        quick_proxies.wait_until("every proxy has a full table", |checker| {
+            (0..4).all(|proxy| checker.routable_workers(proxy).len() == 4)
         });
-        slow_proxies.wait_until("every proxy has a full table", |rules| {
-            (4..8).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        slow_proxies.wait_until("every proxy has a full table", |checker| {
+            (4..8).all(|proxy| checker.routable_workers(proxy).len() == 4)
         });
         let mut quick_client = env.connect(&quick_manager, "bob").await;
         let mut slow_client = env.connect(&slow_manager, "bob").await;
@@ -341,8 +345,8 @@
         for client in [&mut quick_client, &mut slow_client] {
             edit_and_commit(client, &worker("s-2", "<wanted>draining</wanted>")).await.unwrap();
         }
-        quick_proxies.wait_until("s-2 is removed", |rules| {
-            (0..4).all(|proxy| !rules.routable_workers(proxy).contains_key("s-2"))
+        quick_proxies.wait_until("s-2 is removed", |checker| {
+            (0..4).all(|proxy| !checker.routable_workers(proxy).contains_key("s-2"))
         });
         let last_change = |state: &Element| descendants(state, &["changes", "change"]).pop().unwrap().clone();
         loop {
@@ -362,12 +366,12 @@
             .collect();
         assert_eq!(progress, ["superseded", "going-out"]);
         slow_proxies.set_stalled(false);
-        slow_proxies.wait_until("s-2 is back", |rules| {
-            (4..8).all(|proxy| rules.routable_workers(proxy).contains_key("s-2"))
+        slow_proxies.wait_until("s-2 is back", |checker| {
+            (4..8).all(|proxy| checker.routable_workers(proxy).contains_key("s-2"))
         });
         while text(&last_change(&read_state(&mut slow_client).await), "progress") != "held" {}
         for proxies in [&quick_proxies, &slow_proxies] {
-            assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
+            assert_eq!(proxies.with_checker(|checker| checker.violations.clone()), []);
         }
     });
 }
@@ -431,8 +435,8 @@
         let env = TestEnvironment::new("overdue");
         let manager = env.start_manager(&env.write_operator_file("operator.xml", "", ""));
         let proxies = Proxies::start(manager.address, 0, 2, &["a", "b"], rules());
-        proxies.wait_until("every proxy has a full table", |rules| {
-            (0..2).all(|proxy| rules.routable_workers(proxy).len() == 4)
+        proxies.wait_until("every proxy has a full table", |checker| {
+            (0..2).all(|proxy| checker.routable_workers(proxy).len() == 4)
         });
         let mut client = env.connect(&manager, "ann").await;
         edit_and_commit(&mut client, &worker("s-1", "<wanted>draining</wanted>")).await.unwrap();
@@ -441,14 +445,14 @@
         client.commit(&Commit { confirm_timeout_s: Some(5), persist, persist_id: None }).await.unwrap();
         // s-1 must be back before the others drain: a worker that drains without a replacement is removed when its grace
         // ends.
-        proxies.wait_until("s-1 is back", |rules| {
-            (0..2).all(|proxy| rules.routable_workers(proxy).contains_key("s-1"))
+        proxies.wait_until("s-1 is back", |checker| {
+            (0..2).all(|proxy| checker.routable_workers(proxy).contains_key("s-1"))
         });
         let other_entries =
             |phase| ["s-2", "s-3", "s-4"].map(|id| instance_json(id, "a", "127.0.0.1:9", phase));
         env.discovery.publish(&list_json(2, false, &other_entries("draining")));
-        proxies.wait_until("only s-1 is left", |rules| {
-            (0..2).all(|proxy| rules.routable_workers(proxy).keys().eq(["s-1"]))
+        proxies.wait_until("only s-1 is left", |checker| {
+            (0..2).all(|proxy| checker.routable_workers(proxy).keys().eq(["s-1"]))
         });
         let versions = |state: &Element| descendants(state, &["versions"])[0].clone();
         let mut overdue = String::new();
@@ -456,15 +460,14 @@
             overdue = text(&versions(&read_state(&mut client).await), "overdue").to_string();
         }
         assert!(overdue.contains("would have no ready, warm worker"), "{overdue}");
-        assert!(
-            proxies.with_rules(|rules| (0..2).all(|proxy| rules.routable_workers(proxy).contains_key("s-1")))
-        );
+        assert!(proxies
+            .with_checker(|checker| (0..2).all(|proxy| checker.routable_workers(proxy).contains_key("s-1"))));
         env.discovery.publish(&list_json(3, false, &other_entries("ready")));
-        proxies.wait_until("the commit is reverted", |rules| {
-            (0..2).all(|proxy| rules.routable_workers(proxy).keys().eq(["s-2", "s-3", "s-4"]))
+        proxies.wait_until("the commit is reverted", |checker| {
+            (0..2).all(|proxy| checker.routable_workers(proxy).keys().eq(["s-2", "s-3", "s-4"]))
         });
         assert_eq!(text(&versions(&read_state(&mut client).await), "overdue"), "");
-        assert_eq!(proxies.with_rules(|rules| rules.violations.clone()), []);
+        assert_eq!(proxies.with_checker(|checker| checker.violations.clone()), []);
     });
 }
 
@@ -514,7 +517,7 @@
             assert!(error.stage != Stage::Replied, "{error}");
         }
         // An unknown key, an unknown user, and a wrong host key.
-        let mallory = SshKeys::write(&env.folder, "mallory", 66);
+        let mallory = SshKeyPair::write(&env.folder, "mallory", 66);
         for (user, key) in [("ann", &mallory.private_key_path), ("mallory", &mallory.private_key_path)] {
             let endpoint =
                 Endpoint::ssh(manager.ssh.to_string(), user, key).with_host_key(&env.host.public_key_path);
--- a/crates/standins/src/credentials.rs
+++ b/crates/standins/src/credentials.rs
@@ -10,7 +10,7 @@
 use time::{Duration, OffsetDateTime};
 
 /// An Ed25519 key pair for SSH in two files. The same seed always gives the same keys.
-pub struct SshKeys {
+pub struct SshKeyPair {
     /// The file of the private key, in OpenSSH format.
     pub private_key_path: PathBuf,
     /// The file of the public key.
@@ -19,9 +19,9 @@
     pub public_key: String,
 }
 
-impl SshKeys {
+impl SshKeyPair {
     /// Generates a key pair from a seed and writes it to the files `name` and `name.pub` of a directory.
-    pub fn write(folder: &Path, name: &str, seed: u8) -> SshKeys {
+    pub fn write(folder: &Path, name: &str, seed: u8) -> SshKeyPair {
         let key = PrivateKey::from(Ed25519Keypair::from_seed(&[seed; 32]));
         let public_key = key.public_key().to_openssh().expect("a public key can be encoded");
         let private_key_path = folder.join(name);
@@ -35,7 +35,7 @@
                 .expect("the process owns the file");
         }
         fs::write(&public_key_path, format!("{public_key}\n")).expect("the directory is writable");
-        SshKeys { private_key_path, public_key_path, public_key }
+        SshKeyPair { private_key_path, public_key_path, public_key }
     }
 }
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -10,7 +10,7 @@
 mod rules;
 mod worker;
 
-pub use credentials::{CertificateAuthority, SshKeys};
+pub use credentials::{CertificateAuthority, SshKeyPair};
 pub use discovery::{instance_json, list_json, Discovery};
 pub use list_subscriber::{BodyEnd, ListSubscriber};
 pub use peer::{address_from_log, AnsweringProxy, Peer};
--- a/crates/standins/src/proxies.rs
+++ b/crates/standins/src/proxies.rs
@@ -86,7 +86,7 @@
     }
 
     /// Calls a function with the checker, while no proxy records a message.
-    pub fn with_rules<R>(&self, access: impl FnOnce(&mut RuleChecker) -> R) -> R {
+    pub fn with_checker<R>(&self, access: impl FnOnce(&mut RuleChecker) -> R) -> R {
         access(&mut self.shared.received.lock().expect("no proxy panics").checker)
     }
 
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -249,11 +249,11 @@
             ));
         }
         self.proxies.iter().for_each(|proxies| {
-            let proxies_with_table = |rules: &RuleChecker| {
-                (0..MAX_PROXIES).filter(|proxy| !rules.routable_workers(*proxy).is_empty()).count()
+            let proxies_with_table = |checker: &RuleChecker| {
+                (0..MAX_PROXIES).filter(|proxy| !checker.routable_workers(*proxy).is_empty()).count()
             };
-            proxies.wait_until("every proxy has a table", |rules| {
-                proxies_with_table(rules) >= usize::from(proxies.count())
+            proxies.wait_until("every proxy has a table", |checker| {
+                proxies_with_table(checker) >= usize::from(proxies.count())
             });
         });
     }
@@ -272,8 +272,8 @@
     /// The number of proxies of a manager that may route requests to a worker.
     pub fn count_proxies_routing_to(&self, id: u16, worker: &str) -> usize {
         let proxies = &self.proxies[usize::from(id) - 1];
-        proxies.with_rules(|rules| {
-            (0..MAX_PROXIES).filter(|proxy| rules.routable_workers(*proxy).contains_key(worker)).count()
+        proxies.with_checker(|checker| {
+            (0..MAX_PROXIES).filter(|proxy| checker.routable_workers(*proxy).contains_key(worker)).count()
         })
     }
 
@@ -300,9 +300,9 @@
     pub fn rule_violations(&self) -> Vec<String> {
         let violations = |proxies: &Proxies| {
             let now = proxies.now_ms();
-            proxies.with_rules(|rules| {
-                rules.check_removals(now);
-                rules.violations.iter().map(|violation| format!("{violation:?}")).collect::<Vec<_>>()
+            proxies.with_checker(|checker| {
+                checker.check_removals(now);
+                checker.violations.iter().map(|violation| format!("{violation:?}")).collect::<Vec<_>>()
             })
         };
         self.proxies.iter().flat_map(violations).collect()
@@ -314,7 +314,7 @@
         self.list_version += 1;
         for proxies in &self.proxies {
             let now = proxies.now_ms();
-            proxies.with_rules(|rules| rules.start_removal(worker, now));
+            proxies.with_checker(|checker| checker.start_removal(worker, now));
         }
         let zone = WORKERS.iter().find(|(id, _)| *id == worker).map_or("a", |(_, zone)| zone);
         self.discovery.publish(&list_json(
