--- a/crates/standins/src/credentials.rs
+++ b/crates/standins/src/credentials.rs
@@ -21,11 +21,11 @@
 
 impl SshKeyPair {
     /// Generates a key pair from a seed and writes it to the files `name` and `name.pub` of a directory.
-    pub fn write(folder: &Path, name: &str, seed: u8) -> SshKeyPair {
+    pub fn write(directory: &Path, name: &str, seed: u8) -> SshKeyPair {
         let key = PrivateKey::from(Ed25519Keypair::from_seed(&[seed; 32]));
         let public_key = key.public_key().to_openssh().expect("a public key can be encoded");
-        let private_key_path = folder.join(name);
-        let public_key_path = folder.join(format!("{name}.pub"));
+        let private_key_path = directory.join(name);
+        let public_key_path = directory.join(format!("{name}.pub"));
         let private_key = key.to_openssh(LineEnding::LF).expect("a private key can be encoded");
         fs::write(&private_key_path, private_key.as_bytes()).expect("the directory is writable");
         #[cfg(unix)]
@@ -44,20 +44,24 @@
     issuer: Issuer<'static, KeyPair>,
     /// The file of its self-signed certificate, in PEM format.
     pub certificate_path: PathBuf,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl CertificateAuthority {
     /// Creates an authority and writes its certificate to the file `name.pem` of a directory.
-    pub fn new(folder: &Path, name: &str) -> CertificateAuthority {
+    pub fn new(directory: &Path, name: &str) -> CertificateAuthority {
         let key = KeyPair::generate().expect("a key can be generated");
         let mut params = CertificateParams::new(Vec::new()).expect("an empty list of names is valid");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.distinguished_name.push(DnType::CommonName, name);
         let certificate = params.self_signed(&key).expect("the certificate can be signed");
-        let certificate_path = folder.join(format!("{name}.pem"));
+        let certificate_path = directory.join(format!("{name}.pem"));
         fs::write(&certificate_path, certificate.pem()).expect("the directory is writable");
-        CertificateAuthority { issuer: Issuer::new(params, key), certificate_path, folder: folder.into() }
+        CertificateAuthority {
+            issuer: Issuer::new(params, key),
+            certificate_path,
+            directory: directory.into(),
+        }
     }
 
     /// Issues a certificate for a DNS name and writes it to the file `name.crt` and its private key to `name.key`.
@@ -72,8 +76,8 @@
         params.not_before = now + Duration::days(start_days);
         params.not_after = now + Duration::days(end_days);
         let certificate = params.signed_by(&key, &self.issuer).expect("the certificate can be signed");
-        let certificate_path = self.folder.join(format!("{name}.crt"));
-        let key_path = self.folder.join(format!("{name}.key"));
+        let certificate_path = self.directory.join(format!("{name}.crt"));
+        let key_path = self.directory.join(format!("{name}.key"));
         fs::write(&certificate_path, certificate.pem()).expect("the directory is writable");
         fs::write(&key_path, key.serialize_pem()).expect("the directory is writable");
         let fingerprint =
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -75,7 +75,7 @@
     /// The configuration it was created with.
     pub config: ClusterConfig,
     /// Its temporary directory. It is not removed after a panic, so that the logs can be read.
-    pub folder: PathBuf,
+    pub directory: PathBuf,
     /// The stand-in for discovery, which lists the workers.
     pub discovery: Discovery,
     /// The stand-in for the worker that runs schedules.
@@ -125,8 +125,9 @@
     pub fn new(config: ClusterConfig) -> TestCluster {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("juniperrail-trial-{}-{number}", std::process::id()));
-        _ = fs::remove_dir_all(&folder);
+        let directory =
+            std::env::temp_dir().join(format!("juniperrail-trial-{}-{number}", std::process::id()));
+        _ = fs::remove_dir_all(&directory);
         let discovery = Discovery::start();
         discovery.publish(&list_json(
             1,
@@ -146,7 +147,7 @@
             .map(|(from, to)| ((from, to), Link::start(from, listen_addresses[&to], traffic.clone())))
             .collect();
         let mut cluster = TestCluster {
-            folder,
+            directory,
             discovery,
             executor,
             managers: BTreeMap::new(),
@@ -159,9 +160,9 @@
             config,
         };
         for id in ids {
-            let folder = cluster.folder.join(format!("n{}", id.0));
-            fs::create_dir_all(&folder).expect("the directory can be created");
-            cluster.managers.insert(id, ManagerProcess::new(&format!("n{}", id.0), folder));
+            let directory = cluster.directory.join(format!("n{}", id.0));
+            fs::create_dir_all(&directory).expect("the directory can be created");
+            cluster.managers.insert(id, ManagerProcess::new(&format!("n{}", id.0), directory));
             cluster.write_config_files(id, 0, &configured);
         }
         cluster
@@ -169,7 +170,7 @@
 
     /// Writes the configuration of a manager. Its operator file has this generation and lists these members.
     pub fn write_config_files(&self, id: MemberId, generation: u64, members: &[MemberId]) {
-        let folder = self.managers[&id].folder();
+        let directory = self.managers[&id].directory();
         let config = format!(
             r#"{{"name":"n{}","listen":"127.0.0.1:0","discovery":"{}","seed":"8c1f30d27a5be9{:02x}",
             "settings":{}}}"#,
@@ -178,8 +179,8 @@
             id.0,
             manager_settings()
         );
-        fs::write(folder.join("config.json"), config).expect("the file can be written");
-        fs::write(folder.join("operator.xml"), self.operator_xml(id, generation, members))
+        fs::write(directory.join("config.json"), config).expect("the file can be written");
+        fs::write(directory.join("operator.xml"), self.operator_xml(id, generation, members))
             .expect("the file can be written");
     }
 
@@ -440,7 +441,7 @@
 
     /// The directory of the store of a manager.
     pub fn store_dir(&self, id: u16) -> PathBuf {
-        self.managers[&MemberId(id)].folder().join("council")
+        self.managers[&MemberId(id)].directory().join("council")
     }
 }
 
@@ -458,7 +459,7 @@
         self.managers.clear();
         // Kept after a panic, so that the logs can be read.
         if !std::thread::panicking() {
-            _ = fs::remove_dir_all(&self.folder);
+            _ = fs::remove_dir_all(&self.directory);
         }
     }
 }
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -54,7 +54,7 @@
 /// A manager process that can be started, signalled and restarted, with the log of all its runs.
 pub struct ManagerProcess {
     name: String,
-    folder: PathBuf,
+    directory: PathBuf,
     child: Option<Child>,
     log: Arc<(Mutex<Log>, Condvar)>,
     /// Environment variables for the next start only.
@@ -66,12 +66,12 @@
 }
 
 impl ManagerProcess {
-    /// A manager that is not yet started. `folder` holds its `config.json` and `operator.xml`.
-    pub fn new(name: &str, folder: PathBuf) -> ManagerProcess {
+    /// A manager that is not yet started. `directory` holds its `config.json` and `operator.xml`.
+    pub fn new(name: &str, directory: PathBuf) -> ManagerProcess {
         let (next_start_env, env) = Default::default();
         ManagerProcess {
             name: name.into(),
-            folder,
+            directory,
             child: None,
             log: Arc::default(),
             next_start_env,
@@ -81,16 +81,16 @@
     }
 
     /// The directory of its configuration, log and store.
-    pub fn folder(&self) -> &Path {
-        &self.folder
+    pub fn directory(&self) -> &Path {
+        &self.directory
     }
 
     /// Starts the process and a thread that collects its log.
     pub fn start(&mut self) {
         let mut command = Command::new(ManagerBinary::with_fault_points().path());
-        command.env_clear().env("PROXY_CONFIG", self.folder.join("config.json")).env("RUST_LOG", "info");
+        command.env_clear().env("PROXY_CONFIG", self.directory.join("config.json")).env("RUST_LOG", "info");
         command.envs(&self.env).envs(std::mem::take(&mut self.next_start_env));
-        command.arg("--operator-file").arg(self.folder.join("operator.xml"));
+        command.arg("--operator-file").arg(self.directory.join("operator.xml"));
         let mut child = command
             .stderr(Stdio::piped())
             .stdout(Stdio::null())
@@ -102,7 +102,7 @@
         let mut log_file = File::options()
             .append(true)
             .create(true)
-            .open(self.folder.join("log"))
+            .open(self.directory.join("log"))
             .expect("the log file can be opened");
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -69,13 +69,13 @@
         let mut cluster = TestCluster::new(cluster_config(workload));
         let passed = |id: u16| format!("passed-{id}");
         for (id, manager) in cluster.managers.iter_mut() {
-            let path = cluster.folder.join(passed(id.0)).display().to_string();
+            let path = cluster.directory.join(passed(id.0)).display().to_string();
             manager.env.insert("JUNIPERRAIL_POINTS_PASSED".into(), path);
             manager.start();
         }
         run_workload(&mut cluster, workload, |_| true);
         for id in cluster.managers.keys() {
-            let text = fs::read_to_string(cluster.folder.join(passed(id.0))).unwrap_or_default();
+            let text = fs::read_to_string(cluster.directory.join(passed(id.0))).unwrap_or_default();
             let mut counts: BTreeMap<Point, u64> = BTreeMap::new();
             for point in text.lines().filter_map(|line| line.parse().ok()).map(Point) {
                 *counts.entry(point).or_default() += 1;
@@ -231,7 +231,7 @@
     let workload = workload(case.point);
     let mut cluster = TestCluster::new(cluster_config(workload));
     let FaultCase { point, fault, passing, at_all_managers } = case;
-    let once = cluster.folder.join("once").display().to_string();
+    let once = cluster.directory.join("once").display().to_string();
     for manager in cluster.managers.values_mut() {
         let setting = format!("{}:{passing}:{}", point.0, fault.name());
         manager.next_start_env.insert("JUNIPERRAIL_POINTS".into(), setting);
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -47,7 +47,7 @@
             descriptors.iter().filter(|target| target.starts_with('/') && !target.starts_with("/dev/"));
         assert_eq!(files.count(), 0, "{descriptors:?}");
         let files =
-            fs::read_dir(cluster.manager(id).folder()).unwrap().flatten().map(|file| file.file_name());
+            fs::read_dir(cluster.manager(id).directory()).unwrap().flatten().map(|file| file.file_name());
         let mut files: Vec<String> = files.map(|name| name.into_string().unwrap()).collect();
         files.sort();
         assert_eq!(files, ["config.json", "log", "operator.xml"]);
@@ -127,7 +127,7 @@
 #[test]
 fn after_all_members_are_killed_one_recovers_from_an_outdated_store() {
     let mut cluster = start_with_leader(ClusterConfig::default());
-    let old_store = cluster.folder.join("old");
+    let old_store = cluster.directory.join("old");
     cluster.manager(2).kill();
     copy_dir(&cluster.store_dir(2), &old_store);
     cluster.manager(2).start();
--- a/crates/trials/tests/schedules.rs
+++ b/crates/trials/tests/schedules.rs
@@ -14,7 +14,7 @@
 fn start_with_clock_offsets(config: ClusterConfig) -> TestCluster {
     let mut cluster = TestCluster::new(config);
     for (id, manager) in cluster.managers.iter_mut() {
-        let path = cluster.folder.join(format!("clock-{}", id.0));
+        let path = cluster.directory.join(format!("clock-{}", id.0));
         fs::write(&path, "0").unwrap();
         manager.env.insert("JUNIPERRAIL_CLOCK".into(), path.display().to_string());
         manager.start();
@@ -26,9 +26,9 @@
 
 /// Sets the offset of a manager's clock. The file is replaced atomically, so that the manager never reads half of it.
 fn set_clock_offset(cluster: &TestCluster, id: u16, ms: f64) {
-    let new = cluster.folder.join("clock-new");
+    let new = cluster.directory.join("clock-new");
     fs::write(&new, ms.to_string()).unwrap();
-    fs::rename(new, cluster.folder.join(format!("clock-{id}"))).unwrap();
+    fs::rename(new, cluster.directory.join(format!("clock-{id}"))).unwrap();
 }
 
 /// The longest time in milliseconds by which one of the latest four executions was received before its due time.
--- a/examples/common.rs
+++ b/examples/common.rs
@@ -17,7 +17,7 @@
 const REPORT_PERIOD: Duration = Duration::from_secs(2);
 
 fn main() -> std::io::Result<()> {
-    let folder = std::env::temp_dir().join("juniperrail-common");
+    let directory = std::env::temp_dir().join("juniperrail-common");
     let discovery = Discovery::start_at("127.0.0.1:8501")?;
     discovery.publish(&list_json(
         1,
@@ -27,13 +27,13 @@
     let worker = std::net::TcpListener::bind("127.0.0.1:7011")?;
     thread::spawn(move || worker.incoming().flatten().for_each(|request| _ = answer_run(request)));
     for id in 1..=3 {
-        let manager_folder = folder.join(format!("n{id}"));
-        fs::create_dir_all(&manager_folder)?;
-        fs::write(manager_folder.join("config.json"), config(id))?;
-        fs::write(manager_folder.join("operator.xml"), operator_file(id))?;
+        let manager_directory = directory.join(format!("n{id}"));
+        fs::create_dir_all(&manager_directory)?;
+        fs::write(manager_directory.join("config.json"), config(id))?;
+        fs::write(manager_directory.join("operator.xml"), operator_file(id))?;
         println!(
             "PROXY_CONFIG={0}/config.json target/release/juniperrail --operator-file {0}/operator.xml",
-            manager_folder.display()
+            manager_directory.display()
         );
     }
     let lost_zones: Arc<Mutex<Vec<String>>> = Arc::default();
--- a/examples/relays.rs
+++ b/examples/relays.rs
@@ -16,7 +16,7 @@
 const MANAGERS: [(&str, &str); 2] = [("a", "127.0.0.1:5021"), ("b", "127.0.0.1:5022")];
 /// Nothing listens at this address: the workers of this example exist only in the list.
 const WORKER_ADDRESS: &str = "127.0.0.1:9";
-const FOLDER: &str = "juniperrail-relays";
+const DIRECTORY: &str = "juniperrail-relays";
 const RECONNECT_DELAY: Duration = Duration::from_millis(500);
 /// How often each proxy reports its demand.
 const REPORT_PERIOD: Duration = Duration::from_secs(2);
@@ -53,13 +53,13 @@
 
 /// Writes the configuration and the operator's file of the manager of a zone, and prints the command that starts it.
 fn write_files(zone: &str, address: &str) -> Result<()> {
-    let folder = std::env::temp_dir().join(FOLDER).join(zone);
-    fs::create_dir_all(&folder)?;
-    fs::write(folder.join("config.json"), config(zone, address))?;
-    fs::write(folder.join("operator.xml"), operator_file(zone))?;
+    let directory = std::env::temp_dir().join(DIRECTORY).join(zone);
+    fs::create_dir_all(&directory)?;
+    fs::write(directory.join("config.json"), config(zone, address))?;
+    fs::write(directory.join("operator.xml"), operator_file(zone))?;
     println!(
         "PROXY_CONFIG={0}/config.json target/release/juniperrail --operator-file {0}/operator.xml",
-        folder.display()
+        directory.display()
     );
     Ok(())
 }
