--- a/crates/model/src/value.rs
+++ b/crates/model/src/value.rs
@@ -5,7 +5,8 @@
 
 use regex::Regex;
 
-/// The value of a leaf. List entries are sorted by the order of their key values.
+/// The value of a leaf. List entries are sorted by their key values, in the order derived from the variants and their
+/// fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Value {
     Integer(i128),
@@ -206,8 +207,8 @@
     Err(ranges.iter().map(range_text).collect::<Vec<_>>().join(" | "))
 }
 
-/// The most digits on either side of the decimal point. An i64 has at most 19, and with up to 18 fraction digits the
-/// number still fits in an i128.
+/// Maximum number of digits before the decimal point, and of those after it. An i64 has at most 19 digits, and with up
+/// to 18 fraction digits the number still fits in an i128.
 const MAX_PART_DIGITS: usize = 20;
 
 /// Parses the text of a decimal into units of its last fraction digit. Returns `None` if the text is not a decimal
@@ -218,14 +219,14 @@
         None => (1, text.strip_prefix('+').unwrap_or(text)),
     };
     let (integer, fraction) = unsigned.split_once('.').unwrap_or((unsigned, ""));
-    let is_digit_run =
+    let has_valid_digits =
         |text: &str| text.len() <= MAX_PART_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
     let fraction =
         if fraction.len() > fraction_digits.into() { fraction.trim_end_matches('0') } else { fraction };
     if integer.is_empty()
         || unsigned.ends_with('.')
-        || !is_digit_run(integer)
-        || !is_digit_run(fraction)
+        || !has_valid_digits(integer)
+        || !has_valid_digits(fraction)
         || fraction.len() > fraction_digits.into()
     {
         return None;
