--- a/crates/distribution/src/cursor.rs
+++ b/crates/distribution/src/cursor.rs
@@ -22,9 +22,9 @@
 /// Limits on one call of [`Cursor::next`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CursorLimits {
-    /// Bytes of entries written. A single entry that is longer is written alone.
+    /// Maximum size of the entries written, in bytes. A single entry that is longer is written alone.
     pub chunk_bytes: usize,
-    /// Workers or changes examined.
+    /// Maximum number of workers or changes examined.
     pub scanned_records: usize,
 }
 
@@ -78,7 +78,7 @@
     /// The departures up to here were sent.
     departures_sent_through: ChangePosition,
     /// All other changes up to here were sent.
-    others_sent_through: ChangePosition,
+    other_changes_sent_through: ChangePosition,
 }
 
 /// The content of a line of differences: the slots of the changed workers, and the bytes of their entries.
@@ -108,7 +108,7 @@
             version: index.unwrap_or_default(),
             last_sent_version: None,
             departures_sent_through: sent_through,
-            others_sent_through: sent_through,
+            other_changes_sent_through: sent_through,
         }
     }
 
@@ -185,7 +185,8 @@
     /// after it, even if it already includes them.
     fn begin_snapshot(&mut self, list: &WorkerList, out: &mut Vec<u8>) {
         self.sent_through = list.head();
-        (self.departures_sent_through, self.others_sent_through) = (self.sent_through, self.sent_through);
+        (self.departures_sent_through, self.other_changes_sent_through) =
+            (self.sent_through, self.sent_through);
         self.version = list.version().unwrap_or_default();
         write_line_start(out, self.version, true);
     }
@@ -222,12 +223,18 @@
         self.departures_sent_through = departures;
         let mut all_done = false;
         if departures_done {
-            (self.others_sent_through, all_done) =
-                self.collect(list, list.others(), self.others_sent_through, &mut batch, &mut scan_budget);
+            (self.other_changes_sent_through, all_done) = self.collect(
+                list,
+                list.other_changes(),
+                self.other_changes_sent_through,
+                &mut batch,
+                &mut scan_budget,
+            );
         }
         if all_done {
             self.sent_through = list.head();
-            (self.departures_sent_through, self.others_sent_through) = (self.sent_through, self.sent_through);
+            (self.departures_sent_through, self.other_changes_sent_through) =
+                (self.sent_through, self.sent_through);
             self.version = list.version().unwrap_or_default();
         }
         if !batch.slots.is_empty() {
--- a/crates/distribution/src/list_reader.rs
+++ b/crates/distribution/src/list_reader.rs
@@ -1,7 +1,7 @@
 //! An incremental parser of worker lists, which buffers no more than one entry and the other fields of a line.
 //!
-//! A list is one JSON object on one line, as discovery sends it. The line of a full list of a large fleet has many
-//! megabytes, so it is never buffered: each element of its `instances` is returned as soon as it is complete. The
+//! A list is one JSON object on one line, as discovery sends it. The line of a full list of a large fleet is many
+//! megabytes long, so it is never buffered: each element of its `instances` is returned as soon as it is complete. The
 //! version may come after the entries, so a receiver stages them until [`ListEvent::End`].
 
 use std::fmt;
@@ -13,15 +13,15 @@
 /// The field with the entries.
 const INSTANCES: &str = "instances";
 
-/// Bytes of the input that an error message quotes.
+/// Maximum length of the input that an error message quotes, in bytes.
 const EXCERPT_BYTES: usize = 120;
 
 /// Limits on what a [`ListReader`] buffers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListLimits {
-    /// Bytes of one entry.
+    /// Maximum size of one entry, in bytes.
     pub entry_bytes: usize,
-    /// Bytes of one line, its entries excluded.
+    /// Maximum size of one line without its entries, in bytes.
     pub envelope_bytes: usize,
 }
 
@@ -40,7 +40,7 @@
     Entry(&'a [u8]),
     /// An empty line, which shows that the source is alive.
     Heartbeat,
-    /// The end of a list, to which all entries since the previous event of this kind belong.
+    /// The end of a list. The list consists of all entries returned since the end of the previous list.
     End(ListEnd),
 }
 
@@ -55,7 +55,8 @@
     pub entry_count: usize,
 }
 
-/// Why a line is not a list. None of its entries counts, and the bytes after the error must not be read.
+/// Why a line is not a list. The entries already returned from it must be discarded, and the bytes after the error must
+/// not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListError {
     /// The entry with this beginning exceeds [`ListLimits::entry_bytes`].
@@ -94,7 +95,7 @@
     generation: u64,
     #[serde(default)]
     reset: bool,
-    /// Empty in a valid line, because the elements of the array are extracted before.
+    /// Empty in a valid line, because the reader removes the elements of the array beforehand.
     #[serde(default)]
     instances: Vec<IgnoredAny>,
 }
@@ -293,24 +294,25 @@
 
     fn begin_entry(&mut self) {
         self.position = Position::WithinEntry;
-        // From here on the nesting is that of the entry alone. That of the envelope is known: the array in the
-        // outermost object.
+        // From here on the nesting is that of the entry alone. That of the envelope need not be saved: it is always the
+        // array within the outermost object, and `finish_entry` restores it.
         self.nesting = Nesting::default();
     }
 
     /// Consumes the bytes that belong to the entry. Returns whether the entry is complete.
     fn read_entry(&mut self, bytes: &mut &[u8]) -> Result<bool, ListError> {
-        let is_scalar = !matches!(self.entry.first().unwrap_or(&bytes[0]), b'{' | b'[' | b'"');
+        // Numbers, booleans and null have no closing delimiter and end before the next separator.
+        let is_undelimited = !matches!(self.entry.first().unwrap_or(&bytes[0]), b'{' | b'[' | b'"');
         let mut length = 0;
         let mut complete = false;
         for &byte in bytes.iter() {
-            let ends_scalar = is_scalar && matches!(byte, b',' | b']' | b' ' | b'\t' | b'\r');
-            if byte == b'\n' || ends_scalar {
-                complete = ends_scalar;
+            let ends_undelimited = is_undelimited && matches!(byte, b',' | b']' | b' ' | b'\t' | b'\r');
+            if byte == b'\n' || ends_undelimited {
+                complete = ends_undelimited;
                 break;
             }
             length += 1;
-            if self.nesting.advance(byte) && !self.nesting.is_open() && !is_scalar {
+            if self.nesting.advance(byte) && !self.nesting.is_open() && !is_undelimited {
                 complete = true;
                 break;
             }
--- a/crates/distribution/src/worker_list.rs
+++ b/crates/distribution/src/worker_list.rs
@@ -24,7 +24,7 @@
 /// Limits on what a [`WorkerList`] stores besides the workers in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerListLimits {
-    /// Workers that are gone and still remembered.
+    /// Maximum number of workers that are gone and still remembered.
     pub tombstones: usize,
 }
 
@@ -71,7 +71,7 @@
 pub struct WorkerList {
     limits: WorkerListLimits,
     version: Option<u64>,
-    /// The versions that the list has had, in ascending order, including the current one.
+    /// The latest versions of the list, in ascending order, including the current one.
     versions: VecDeque<u64>,
     /// The number of times that the source has restarted its versions.
     epoch: u64,
@@ -88,9 +88,9 @@
     /// Changes that may take a worker away from a scope: drains, removals and moves.
     departures: ChangeLog,
     /// All other changes.
-    others: ChangeLog,
-    /// Removals, whose tombstones are evicted in this order.
-    tombstones: ChangeLog,
+    other_changes: ChangeLog,
+    /// Removals. The tombstones of the removed workers are evicted in this order.
+    removals: ChangeLog,
     tombstone_count: usize,
     staged: Vec<Staged>,
     /// Rejected entries of the line that is being staged.
@@ -135,7 +135,7 @@
     pub fn heap_bytes(&self) -> usize {
         let record_bytes = |record: &Record| record.entry.len() + size_of_val(record.former_locations());
         let entries: usize = self.records.iter().flatten().map(record_bytes).sum();
-        let logs = [&self.departures, &self.others, &self.tombstones].map(ChangeLog::heap_bytes);
+        let logs = [&self.departures, &self.other_changes, &self.removals].map(ChangeLog::heap_bytes);
         entries
             + self.records.capacity() * size_of::<Option<Record>>()
             + self.slot_by_id.allocation_size()
@@ -173,8 +173,8 @@
         &self.departures
     }
 
-    pub(crate) fn others(&self) -> &ChangeLog {
-        &self.others
+    pub(crate) fn other_changes(&self) -> &ChangeLog {
+        &self.other_changes
     }
 
     pub(crate) fn head(&self) -> ChangePosition {
--- a/crates/distribution/src/worker_list/apply.rs
+++ b/crates/distribution/src/worker_list/apply.rs
@@ -265,9 +265,9 @@
             return;
         }
         if record.lifecycle == Lifecycle::Gone {
-            self.tombstones.push(self.head, slot);
+            self.removals.push(self.head, slot);
         }
-        let log = if record.is_departure() { &mut self.departures } else { &mut self.others };
+        let log = if record.is_departure() { &mut self.departures } else { &mut self.other_changes };
         log.push(self.head, slot);
     }
 
--- a/crates/distribution/src/worker_list/history.rs
+++ b/crates/distribution/src/worker_list/history.rs
@@ -6,7 +6,7 @@
 use crate::entry::Lifecycle;
 
 impl WorkerList {
-    /// Discards all history. Afterwards a subscriber with a lower version than this one needs a snapshot.
+    /// Discards all history. Afterwards a subscriber with a version below `version` needs a snapshot.
     pub(super) fn clear_history(&mut self, version: u64) {
         for slot in 0..self.records.len() as u32 {
             let Some(record) = self.records[slot as usize].as_mut() else { continue };
@@ -16,7 +16,7 @@
             }
         }
         self.tombstone_count = 0;
-        for log in [&mut self.departures, &mut self.others, &mut self.tombstones] {
+        for log in [&mut self.departures, &mut self.other_changes, &mut self.removals] {
             log.clear();
         }
         self.versions.clear();
@@ -24,10 +24,10 @@
         self.head = self.floor;
     }
 
-    /// Removes the oldest tombstones above the limit, and raises the floor to them.
+    /// Removes the oldest tombstones above the limit, and raises the floor to the latest removal among them.
     pub(super) fn evict_tombstones(&mut self) {
         while self.tombstone_count > self.limits.tombstones {
-            let Some(oldest) = self.tombstones.pop_oldest() else { return };
+            let Some(oldest) = self.removals.pop_oldest() else { return };
             if self.is_latest(&oldest) {
                 self.floor = self.floor.max(oldest.position());
                 self.tombstone_count -= 1;
@@ -51,8 +51,8 @@
         let (records, floor) = (&self.records, self.floor);
         let is_needed = |change: &LoggedChange| is_latest(records, change) && change.position() > floor;
         self.departures.compact(is_needed);
-        self.others.compact(is_needed);
-        self.tombstones.compact(|change| is_latest(records, change));
+        self.other_changes.compact(is_needed);
+        self.removals.compact(|change| is_latest(records, change));
     }
 
     /// Whether a change is the latest of its worker.
