--- a/crates/standins/src/proxies.rs
+++ b/crates/standins/src/proxies.rs
@@ -13,7 +13,7 @@
 /// The workers to which a proxy may route requests, with their weights.
 pub type WorkerWeights = BTreeMap<String, f64>;
 
-/// The checker of the messages that the proxies received, and their number.
+/// The checker of the received messages, and the number of these messages.
 struct Received {
     checker: RuleChecker,
     message_count: u64,
@@ -22,7 +22,8 @@
 /// State shared with the threads of the proxies.
 struct Shared {
     received: Mutex<Received>,
-    changed: Condvar,
+    /// Notified after each recorded message.
+    message_recorded: Condvar,
     /// Whether the proxies are stalled and neither read nor acknowledge.
     stalled: Mutex<bool>,
     resumed: Condvar,
@@ -44,10 +45,11 @@
 /// Time between two attempts to connect to a manager.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Time since the proxies were started after which one that cannot connect gives up, as the manager is gone for good.
+/// A proxy that cannot connect stops trying this long after the proxies were started, because the manager has
+/// terminated by then.
 const RECONNECT_LIMIT: Duration = Duration::from_secs(600);
 
-/// Stack size of the thread of a proxy, in bytes. A proxy needs little.
+/// Stack size of the thread of a proxy, in bytes. A proxy needs only a small stack.
 const STACK_BYTES: usize = 128 << 10;
 
 impl Proxies {
@@ -61,7 +63,7 @@
     ) -> Proxies {
         let shared = Arc::new(Shared {
             received: Mutex::new(Received { checker, message_count: 0 }),
-            changed: Condvar::new(),
+            message_recorded: Condvar::new(),
             stalled: Mutex::new(false),
             resumed: Condvar::new(),
             started: Instant::now(),
@@ -102,7 +104,12 @@
         let start = Instant::now();
         while !condition(&received.checker) {
             assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
-            received = self.shared.changed.wait_timeout(received, POLL_INTERVAL).expect("no proxy panics").0;
+            received = self
+                .shared
+                .message_recorded
+                .wait_timeout(received, POLL_INTERVAL)
+                .expect("no proxy panics")
+                .0;
         }
     }
 
@@ -151,7 +158,7 @@
             received.checker.record_acknowledgement(number, mark);
         }
         drop(received);
-        shared.changed.notify_all();
+        shared.message_recorded.notify_all();
         parts.clear();
         if let Some(mark) = mark {
             if write!(socket, "ack node={number} nonce={mark} latency=1.0\r\n").is_err() {
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -349,7 +349,7 @@
         self.links.values().for_each(|link| link.set(LinkState::Open));
     }
 
-    /// The leader and its term as a manager last logged them. `None` where it knows no leader: it stepped down, its
+    /// The leader and its term as a manager last logged them. `None` if it knows no leader: it stepped down, its
     /// store fails, or it was restarted and has not learned of a leader yet.
     pub fn known_leader(&self, id: MemberId) -> Option<(u16, u64)> {
         let lines = self.managers[&id].log_lines();
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -19,8 +19,9 @@
 pub struct ManagerBinary(PathBuf);
 
 impl ManagerBinary {
-    /// Builds the binary, once per test process. It has its own target directory, since Cargo's feature unification
-    /// would otherwise enable the fault points in the released binary as well.
+    /// Builds the binary, once per test process. A separate Cargo process builds it, because a dependency with the
+    /// feature would enable the fault points in the released binary as well, through Cargo's feature unification. It has
+    /// its own target directory, because this build would otherwise overwrite the binary without fault points.
     pub fn with_fault_points() -> &'static ManagerBinary {
         static BUILT: OnceLock<ManagerBinary> = OnceLock::new();
         BUILT.get_or_init(|| {
@@ -61,7 +62,7 @@
     pub next_start_env: BTreeMap<String, String>,
     /// Environment variables for every start.
     pub env: BTreeMap<String, String>,
-    /// How often it was started.
+    /// The number of times that it was started.
     pub start_count: usize,
 }
 
@@ -132,7 +133,11 @@
             if started.elapsed() >= WAIT_TIMEOUT {
                 let last: Vec<String> = log.lines.iter().rev().take(12).cloned().collect();
                 drop(log);
-                panic!("{}: fewer than {count} log lines with {part:?}; newest first: {last:#?}", self.name);
+                panic!(
+                    "{}: timed out after {WAIT_TIMEOUT:?} waiting for {count} log lines with {part:?}; the last \
+                     lines, newest first: {last:#?}",
+                    self.name
+                );
             }
             log = self.log.1.wait_timeout(log, Duration::from_millis(50)).expect("no reader panics").0;
         }
@@ -176,7 +181,8 @@
         self.wait_for_exit();
     }
 
-    /// Waits for the process to exit; `None` where none was started. Panics after [`WAIT_TIMEOUT`].
+    /// Waits for the process to exit. `None` if none was started, or if its exit has been waited for already. Panics
+    /// after [`WAIT_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut child = self.child.take()?;
         let started = Instant::now();
@@ -187,7 +193,10 @@
                 _ => {
                     _ = child.kill();
                     _ = child.wait();
-                    panic!("{} did not exit", self.name);
+                    panic!(
+                        "{} did not exit within {WAIT_TIMEOUT:?}, or its status cannot be read",
+                        self.name
+                    );
                 }
             }
         }
--- a/crates/trials/src/sweep.rs
+++ b/crates/trials/src/sweep.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// How often a process passes each point in a run without faults: the maximum over all processes.
+/// The number of times that a process passes each point in a run without faults: the maximum over all processes.
 pub fn count_point_passings() -> BTreeMap<Point, u64> {
     let mut maxima: BTreeMap<Point, u64> = BTreeMap::new();
     for workload in [Workload::Schedules, Workload::Zones] {
