--- a/crates/lab/src/scale/agreement.rs
+++ b/crates/lab/src/scale/agreement.rs
@@ -111,10 +111,12 @@
 async fn free_addresses(count: usize) -> Result<Vec<SocketAddr>, ScaleError> {
     let mut listeners = Vec::new();
     for _ in 0..count {
-        listeners.push(TcpListener::bind("127.0.0.1:0").await.map_err(ScaleError::io("a free port"))?);
+        listeners
+            .push(TcpListener::bind("127.0.0.1:0").await.map_err(ScaleError::io("binding a free port"))?);
     }
-    let addresses =
-        listeners.iter().map(|listener| listener.local_addr().map_err(ScaleError::io("a free port")));
+    let addresses = listeners
+        .iter()
+        .map(|listener| listener.local_addr().map_err(ScaleError::io("reading the address of a free port")));
     addresses.collect()
 }
 
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -5,7 +5,8 @@
 
 /// The significance level of the test for lack of fit.
 const SIGNIFICANCE: f64 = 0.01;
-/// A deviation of the means from the line below this share of the largest mean is ignored, however significant it is.
+/// A deviation of the means from the line up to this share of the largest mean is negligible, even if it is
+/// significant.
 const NEGLIGIBLE_DEVIATION: f64 = 0.05;
 
 /// The value that one play measured at a size.
--- a/crates/lab/src/scale/guard.rs
+++ b/crates/lab/src/scale/guard.rs
@@ -102,7 +102,7 @@
     if descriptors.current.is_some_and(|current| current < needed) {
         let raised = Rlimit { current: Some(needed), maximum: descriptors.maximum };
         setrlimit(Resource::Nofile, raised)
-            .map_err(|cause| ScaleError::io("the limit on file descriptors")(cause.into()))?;
+            .map_err(|cause| ScaleError::io("raising the limit on file descriptors")(cause.into()))?;
     }
     Ok(())
 }
--- a/crates/lab/src/scale/measured_process.rs
+++ b/crates/lab/src/scale/measured_process.rs
@@ -28,7 +28,8 @@
 impl Program {
     /// Finds the program in the folder of this executable or, when a test runs, in the one above.
     pub fn find() -> Result<Program, ScaleError> {
-        let executable = std::env::current_exe().map_err(ScaleError::io("this executable"))?;
+        let executable =
+            std::env::current_exe().map_err(ScaleError::io("finding the path of this executable"))?;
         let folders = executable.ancestors().skip(1).take(2);
         let candidates: Vec<PathBuf> = folders.map(|folder| folder.join("juniperrail")).collect();
         let found = candidates.iter().find(|path| path.is_file());
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -194,7 +194,7 @@
 
 fn runtime() -> Result<Runtime, ScaleError> {
     let built = Builder::new_multi_thread().worker_threads(PEER_THREADS).enable_all().build();
-    built.map_err(ScaleError::io("the runtime of the simulated peers"))
+    built.map_err(ScaleError::io("starting the runtime of the simulated peers"))
 }
 
 impl ScaleRun {
--- a/crates/lab/src/scale/simulated/discovery.rs
+++ b/crates/lab/src/scale/simulated/discovery.rs
@@ -134,7 +134,7 @@
 pub struct Discovery {
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Discovery {
@@ -142,16 +142,16 @@
     pub async fn start(fleet: Fleet) -> Result<Discovery, ScaleError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
-            .map_err(ScaleError::io("the address of the simulated discovery service"))?;
+            .map_err(ScaleError::io("binding a port for the simulated discovery service"))?;
         let address = listener
             .local_addr()
-            .map_err(ScaleError::io("the address of the simulated discovery service"))?;
+            .map_err(ScaleError::io("reading the address of the simulated discovery service"))?;
         let ready = (0..fleet.workers).map(|worker| Change { worker, ..Change::default() });
         let snapshot = fleet.line(FIRST_GENERATION, true, ready);
         let (changes, change_count, traffic) = (Mutex::default(), watch::Sender::new(0), Traffic::default());
         let shared = Arc::new(Shared { fleet, snapshot, changes, change_count, traffic });
-        let accepting = tokio::spawn(accept(listener, shared.clone()));
-        Ok(Discovery { address, shared, accepting })
+        let accept_task = tokio::spawn(accept(listener, shared.clone()));
+        Ok(Discovery { address, shared, accept_task })
     }
 
     /// The bytes of all connections.
@@ -195,7 +195,7 @@
 
 impl Drop for Discovery {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
--- a/crates/lab/src/scale/simulated/forwarder.rs
+++ b/crates/lab/src/scale/simulated/forwarder.rs
@@ -23,17 +23,19 @@
 pub struct Forwarder {
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Forwarder {
     /// Starts a forwarder to the target on a free port.
     pub async fn start(target: SocketAddr) -> Result<Forwarder, ScaleError> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(ScaleError::io("a forwarder"))?;
-        let address = listener.local_addr().map_err(ScaleError::io("a forwarder"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(ScaleError::io("binding a port for a forwarder"))?;
+        let address = listener.local_addr().map_err(ScaleError::io("reading the address of a forwarder"))?;
         let shared = Arc::<Shared>::default();
-        let accepting = tokio::spawn(accept(listener, target, shared.clone()));
-        Ok(Forwarder { address, shared, accepting })
+        let accept_task = tokio::spawn(accept(listener, target, shared.clone()));
+        Ok(Forwarder { address, shared, accept_task })
     }
 
     /// The number of connections that are open.
@@ -59,7 +61,7 @@
 
 impl Drop for Forwarder {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
--- a/crates/lab/src/scale/simulated/workers.rs
+++ b/crates/lab/src/scale/simulated/workers.rs
@@ -14,7 +14,7 @@
 /// Answers probes until it is dropped.
 pub struct Workers {
     pub address: SocketAddr,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Workers {
@@ -22,27 +22,27 @@
     pub async fn start() -> Result<Workers, ScaleError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
-            .map_err(ScaleError::io("the address of the simulated workers"))?;
+            .map_err(ScaleError::io("binding a port for the simulated workers"))?;
         let address =
-            listener.local_addr().map_err(ScaleError::io("the address of the simulated workers"))?;
-        Ok(Workers { address, accepting: tokio::spawn(accept(listener)) })
+            listener.local_addr().map_err(ScaleError::io("reading the address of the simulated workers"))?;
+        Ok(Workers { address, accept_task: tokio::spawn(accept(listener)) })
     }
 }
 
 impl Drop for Workers {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
 async fn accept(listener: TcpListener) {
-    let mut probes = JoinSet::new();
+    let mut connections = JoinSet::new();
     while let Ok((socket, _)) = listener.accept().await {
-        probes.spawn(async move {
+        connections.spawn(async move {
             // The prober notices a broken connection itself.
             _ = answer_probes(socket).await;
         });
-        while probes.try_join_next().is_some() {}
+        while connections.try_join_next().is_some() {}
     }
 }
 
