--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -62,7 +62,7 @@
         title: "configuration by service after a cut: the changes missed and no others",
         stage: Stage::WorstCase,
         role: Role::Configuration,
-        row: "all of them at one manager, at 5 KB/s",
+        row: "all missed changes at one manager, at 5 KB/s",
     },
     Gap {
         title: "entries of the operators' list that name their service: without it a scope is a zone",
@@ -98,7 +98,7 @@
         title: "a change of configuration timed until it is in force everywhere",
         stage: Stage::NotDemonstrated,
         role: Role::Configuration,
-        row: "commit to in force everywhere",
+        row: "time until a change is in force everywhere",
     },
     Gap {
         title: "the full fan-out, 51 relays and 17,000 managers, on more than one machine",
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -64,7 +64,7 @@
     blocks
 }
 
-/// A table with a line for each row, except that those rows of a failure that have no limit share one line per failure.
+/// A table with a line for each row. The rows without a limit that belong to the same failure share one line.
 fn rows_table(rows: &[&Row]) -> String {
     let lines = rows.iter().filter(|row| !shares_failure_line(row)).map(|row| row.cells());
     let failures = Failure::ALL.iter().filter_map(|failure| failure_line(rows, *failure));
@@ -143,8 +143,8 @@
         "assumed",
         "value",
         "why",
-        "figures that move, and the one that moves most: at half, as assumed, at double",
-        "verdicts that turn",
+        "figures that change, and the one that changes most: at half, as assumed, at double",
+        "verdicts that change",
     ];
     table(&headings, &lines)
 }
@@ -231,7 +231,7 @@
         vec![failure.title().into(), by_role.join(". ")]
     };
     let lines: Vec<Vec<String>> = Failure::ALL.iter().map(line).collect();
-    table(&["what happens", "what is asked of whom"], &lines)
+    table(&["what happens", "figures by role"], &lines)
 }
 
 fn runs(measured: &Measurements) -> String {
@@ -260,8 +260,8 @@
 fn missing_measurements_text(rows: &[Row]) -> String {
     let missing = missing_measurements(rows);
     match missing.is_empty() {
-        true => paragraph("Every slope that the page wants was measured."),
-        false => paragraph(&format!("Wanted and not measured: {}.", missing.join("; "))),
+        true => paragraph("Every slope and reading that the page needs was measured."),
+        false => paragraph(&format!("Needed and not measured: {}.", missing.join("; "))),
     }
 }
 
--- a/crates/lab/src/capacity/roles/configuration.rs
+++ b/crates/lab/src/capacity/roles/configuration.rs
@@ -21,35 +21,35 @@
 fn steady_state(inputs: &Inputs<'_>, table: &mut Table) {
     let sizes = &inputs.sizes;
     let limit = Limit::required(requirements::MANAGER_MEMORY_BYTES, Unit::Bytes);
-    let tenants = requirements::TENANTS * sizes.assumed(Assumption::TenantBytes);
+    let tenant_bytes = requirements::TENANTS * sizes.assumed(Assumption::TenantBytes);
     table.add_limited(
         Scenario::SteadyState,
         "all tenants, at one manager",
-        bytes(tenants),
+        bytes(tenant_bytes),
         limit,
         paths::DATASTORES,
     );
-    let of_services = bytes(tenants * sizes.scope_share());
+    let service_tenant_bytes = bytes(tenant_bytes * sizes.scope_share());
     table.add_limited(
         Scenario::SteadyState,
         "its services' tenants, at one manager",
-        of_services,
+        service_tenant_bytes,
         limit,
         THROUGH_RELAYS,
     );
-    let routes = sizes.changes_bytes(requirements::ROUTES);
+    let route_bytes = sizes.changes_bytes(requirements::ROUTES);
     table.add_limited(
         Scenario::SteadyState,
         "all routes, at one manager",
-        bytes(routes),
+        bytes(route_bytes),
         limit,
         paths::DATASTORES,
     );
-    let of_services = bytes(routes * sizes.scope_share());
+    let service_route_bytes = bytes(route_bytes * sizes.scope_share());
     table.add_limited(
         Scenario::SteadyState,
         "its services' routes, at one manager",
-        of_services,
+        service_route_bytes,
         limit,
         THROUGH_RELAYS,
     );
@@ -65,36 +65,36 @@
     let at_concerned_managers = per_second(changes * requirements::MANAGERS * sizes.change_share());
     table.add(
         ordinary_day,
-        "commits, each change where it concerns one",
+        "commits, each change at the managers that it concerns",
         at_concerned_managers,
         THROUGH_RELAYS,
     );
     let limit = Limit::required(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
-    let all = bytes_per_second(sizes.changes_bytes(changes));
-    table.add_limited(ordinary_day, "all changes, at one manager", all, limit, paths::DATASTORES);
-    let of_services = bytes_per_second(traffic::configuration(sizes));
+    let all_changes = bytes_per_second(sizes.changes_bytes(changes));
+    table.add_limited(ordinary_day, "all changes, at one manager", all_changes, limit, paths::DATASTORES);
+    let service_changes = bytes_per_second(traffic::configuration(sizes));
     table.add_limited(
         ordinary_day,
         "its services' changes, at one manager",
-        of_services,
+        service_changes,
         limit,
         THROUGH_RELAYS,
     );
-    let in_force = Limit::required(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
+    let in_force_limit = Limit::required(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
     let at_one_manager = series::CHANGE_IN_FORCE.at(measured, sizes.proxies_per_manager());
     table.add_limited(
         ordinary_day,
-        "commit to held by all proxies of one manager",
+        "time until all proxies of one manager have a change",
         at_one_manager,
-        in_force,
+        in_force_limit,
         paths::DATASTORES,
     );
     let through_relays = series::CHANGE_IN_FORCE_THROUGH_RELAYS.at(measured, requirements::MANAGERS);
     table.add_limited(
         ordinary_day,
-        "commit to in force everywhere",
+        "time until a change is in force everywhere",
         through_relays,
-        in_force,
+        in_force_limit,
         THROUGH_RELAYS,
     );
 }
@@ -105,10 +105,28 @@
     let missed_changes = sizes.changes_per_second() * requirements::REGION_PARTITION_SECONDS;
     table.add(scenario, "changes missed", count(missed_changes), THROUGH_RELAYS);
     let missed_bytes = sizes.changes_bytes(missed_changes);
-    table.add(scenario, "bytes of them, at one control machine", bytes(missed_bytes), THROUGH_RELAYS);
-    let in_force = Limit::required(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
-    let at_budget = seconds(missed_bytes / requirements::MANAGER_BYTES_PER_SECOND);
-    table.add_limited(scenario, "all of them at one manager, at 5 KB/s", at_budget, in_force, THROUGH_RELAYS);
-    let of_services = seconds(missed_bytes * sizes.change_share() / requirements::MANAGER_BYTES_PER_SECOND);
-    table.add_limited(scenario, "its services' of them, at 5 KB/s", of_services, in_force, THROUGH_RELAYS);
+    table.add(
+        scenario,
+        "bytes of the missed changes, at one control machine",
+        bytes(missed_bytes),
+        THROUGH_RELAYS,
+    );
+    let in_force_limit = Limit::required(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
+    let catch_up_time = seconds(missed_bytes / requirements::MANAGER_BYTES_PER_SECOND);
+    table.add_limited(
+        scenario,
+        "all missed changes at one manager, at 5 KB/s",
+        catch_up_time,
+        in_force_limit,
+        THROUGH_RELAYS,
+    );
+    let service_catch_up_time =
+        seconds(missed_bytes * sizes.change_share() / requirements::MANAGER_BYTES_PER_SECOND);
+    table.add_limited(
+        scenario,
+        "its services' missed changes, at 5 KB/s",
+        service_catch_up_time,
+        in_force_limit,
+        THROUGH_RELAYS,
+    );
 }
--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -75,12 +75,12 @@
     let processor_per_manager = series::RELAY_PROCESSOR_BY_SUBSCRIBERS.growth_per_unit(measured);
     table.add(scenario, "processor time for each manager", processor_per_manager, paths::RELAY);
     let delay = series::RELAY_CHANGE_DELAY.look_up(measured);
-    let in_force = Limit::required(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
+    let in_force_limit = Limit::required(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
     table.add_limited(
         scenario,
         "a changed entry until the last manager has it, p99",
         delay,
-        in_force,
+        in_force_limit,
         paths::RELAY,
     );
 }
--- a/crates/lab/src/capacity/roles/manager.rs
+++ b/crates/lab/src/capacity/roles/manager.rs
@@ -243,8 +243,13 @@
     let zone_recovered = Scenario::WorstCase(Failure::ZoneRecovered);
     let name = "entries, one a worker, where it watches that zone or all";
     table.add(zone_recovered, name, entries(zone_workers), paths::DISCOVERY_WATCH);
-    let of_services = entries(zone_workers * sizes.scope_share());
-    table.add(zone_recovered, "entries, one a worker, of its services", of_services, paths::MANAGER_SCOPE);
+    let service_entries = entries(zone_workers * sizes.scope_share());
+    table.add(
+        zone_recovered,
+        "entries, one a worker, of its services",
+        service_entries,
+        paths::MANAGER_SCOPE,
+    );
 }
 
 fn region_partition(inputs: &Inputs<'_>, table: &mut Table) {
@@ -282,16 +287,16 @@
     let snapshot = bytes(sizes.snapshot_bytes());
     table.add(control_machine_failed, "a snapshot from another, at most", snapshot, paths::MANAGER_SCOPE);
     let all_restarted = Scenario::WorstCase(Failure::AllControlMachinesRestarted);
-    let at_budget = |bytes: f64| seconds(bytes / requirements::MANAGER_BYTES_PER_SECOND);
+    let transfer_time = |bytes: f64| seconds(bytes / requirements::MANAGER_BYTES_PER_SECOND);
     table.add(
         all_restarted,
         "the whole list at 5 KB/s",
-        at_budget(sizes.list_bytes()),
+        transfer_time(sizes.list_bytes()),
         paths::DISCOVERY_WATCH,
     );
-    let zone_list = at_budget(sizes.entries_bytes(sizes.workers_per_zone()));
+    let zone_list = transfer_time(sizes.entries_bytes(sizes.workers_per_zone()));
     let entries_with_service = Mechanism::Missing("entries that name their service");
     table.add(all_restarted, "its zone's workers at 5 KB/s", zone_list, entries_with_service);
-    let scoped_list = at_budget(sizes.snapshot_bytes());
+    let scoped_list = transfer_time(sizes.snapshot_bytes());
     table.add(all_restarted, "its services' workers at 5 KB/s", scoped_list, paths::MANAGER_SCOPE);
 }
--- a/crates/lab/src/capacity/row.rs
+++ b/crates/lab/src/capacity/row.rs
@@ -90,8 +90,8 @@
             Failure::ZoneFailed => "a zone is lost",
             Failure::ZoneRecovered => "a zone comes back",
             Failure::RegionPartitioned => "a region was cut off for an hour and is back",
-            Failure::ControlMachineFailed => "a control machine is dead",
-            Failure::AllControlMachinesRestarted => "all control machines start anew at once",
+            Failure::ControlMachineFailed => "a control machine fails",
+            Failure::AllControlMachinesRestarted => "all control machines restart at once",
         }
     }
 }
@@ -99,7 +99,7 @@
 /// The situation in which a figure occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// State that is held permanently, whatever the load.
+    /// State that is kept permanently, whatever the load.
     SteadyState,
     OrdinaryDay,
     WorstCase(Failure),
