--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -19,8 +19,9 @@
 pub struct ManagerBinary(PathBuf);
 
 impl ManagerBinary {
-    /// Builds the binary, once per test process. It has its own target directory, since Cargo's feature unification
-    /// would otherwise enable the fault points in the released binary as well.
+    /// Builds the binary, once per test process. A separate Cargo process builds it, because a dependency with the
+    /// feature would enable the fault points in the released binary as well, through Cargo's feature unification. It has
+    /// its own target directory, because this build would otherwise overwrite the binary without fault points.
     pub fn with_fault_points() -> &'static ManagerBinary {
         static BUILT: OnceLock<ManagerBinary> = OnceLock::new();
         BUILT.get_or_init(|| {
@@ -54,24 +55,24 @@
 /// A manager process that can be started, signalled and restarted, with the log of all its runs.
 pub struct ManagerProcess {
     name: String,
-    folder: PathBuf,
+    directory: PathBuf,
     child: Option<Child>,
     log: Arc<(Mutex<Log>, Condvar)>,
     /// Environment variables for the next start only.
     pub next_start_env: BTreeMap<String, String>,
     /// Environment variables for every start.
     pub env: BTreeMap<String, String>,
-    /// How often it was started.
+    /// The number of times that it was started.
     pub start_count: usize,
 }
 
 impl ManagerProcess {
-    /// A manager that is not yet started. `folder` holds its `config.json` and `operator.xml`.
-    pub fn new(name: &str, folder: PathBuf) -> ManagerProcess {
+    /// A manager that is not yet started. `directory` holds its `config.json` and `operator.xml`.
+    pub fn new(name: &str, directory: PathBuf) -> ManagerProcess {
         let (next_start_env, env) = Default::default();
         ManagerProcess {
             name: name.into(),
-            folder,
+            directory,
             child: None,
             log: Arc::default(),
             next_start_env,
@@ -81,16 +82,16 @@
     }
 
     /// The directory of its configuration, log and store.
-    pub fn folder(&self) -> &Path {
-        &self.folder
+    pub fn directory(&self) -> &Path {
+        &self.directory
     }
 
     /// Starts the process and a thread that collects its log.
     pub fn start(&mut self) {
         let mut command = Command::new(ManagerBinary::with_fault_points().path());
-        command.env_clear().env("PROXY_CONFIG", self.folder.join("config.json")).env("RUST_LOG", "info");
+        command.env_clear().env("PROXY_CONFIG", self.directory.join("config.json")).env("RUST_LOG", "info");
         command.envs(&self.env).envs(std::mem::take(&mut self.next_start_env));
-        command.arg("--operator-file").arg(self.folder.join("operator.xml"));
+        command.arg("--operator-file").arg(self.directory.join("operator.xml"));
         let mut child = command
             .stderr(Stdio::piped())
             .stdout(Stdio::null())
@@ -102,7 +103,7 @@
         let mut log_file = File::options()
             .append(true)
             .create(true)
-            .open(self.folder.join("log"))
+            .open(self.directory.join("log"))
             .expect("the log file can be opened");
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
@@ -132,7 +133,11 @@
             if started.elapsed() >= WAIT_TIMEOUT {
                 let last: Vec<String> = log.lines.iter().rev().take(12).cloned().collect();
                 drop(log);
-                panic!("{}: fewer than {count} log lines with {part:?}; newest first: {last:#?}", self.name);
+                panic!(
+                    "{}: timed out after {WAIT_TIMEOUT:?} waiting for {count} log lines with {part:?}; the last \
+                     lines, newest first: {last:#?}",
+                    self.name
+                );
             }
             log = self.log.1.wait_timeout(log, Duration::from_millis(50)).expect("no reader panics").0;
         }
@@ -176,7 +181,8 @@
         self.wait_for_exit();
     }
 
-    /// Waits for the process to exit; `None` where none was started. Panics after [`WAIT_TIMEOUT`].
+    /// Waits for the process to exit. `None` if none was started, or if its exit has been waited for already. Panics
+    /// after [`WAIT_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut child = self.child.take()?;
         let started = Instant::now();
@@ -187,7 +193,10 @@
                 _ => {
                     _ = child.kill();
                     _ = child.wait();
-                    panic!("{} did not exit", self.name);
+                    panic!(
+                        "{} did not exit within {WAIT_TIMEOUT:?}, or its status cannot be read",
+                        self.name
+                    );
                 }
             }
         }
