--- a/crates/schedule/src/claim_tracker.rs
+++ b/crates/schedule/src/claim_tracker.rs
@@ -25,11 +25,17 @@
 /// The progress of a claim at its owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClaimProgress {
-    /// The start was proposed, last at this time of the monotonic clock.
-    Starting(Ms),
+    /// The start was last proposed at `proposed_at`, by the monotonic clock.
+    Starting {
+        proposed_at: Ms,
+    },
     Executing,
-    /// The try ended, at the first time (time of day). Its outcome was last proposed at the second (monotonic clock).
-    Finished(TryOutcome, Ms, Ms),
+    /// The try ended at the Unix time `ended_at`. Its outcome was last proposed at `proposed_at`, by the monotonic clock.
+    Finished {
+        outcome: TryOutcome,
+        ended_at: Ms,
+        proposed_at: Ms,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -89,7 +95,11 @@
                 let progress = match (claim.started_by.is_some(), action.idempotent) {
                     (true, _) => {
                         tasks.push(propose_task(finish_command(TryOutcome::Unanswered, time_of_day)));
-                        ClaimProgress::Finished(TryOutcome::Unanswered, time_of_day, now)
+                        ClaimProgress::Finished {
+                            outcome: TryOutcome::Unanswered,
+                            ended_at: time_of_day,
+                            proposed_at: now,
+                        }
                     }
                     (false, true) => {
                         let (occurrence, action, tries) = (occurrence.clone(), action.clone(), open.tries);
@@ -108,7 +118,7 @@
                             fence: claim.fence,
                             run: self.run,
                         }));
-                        ClaimProgress::Starting(now)
+                        ClaimProgress::Starting { proposed_at: now }
                     }
                 };
                 self.claims.insert(
@@ -118,14 +128,18 @@
                 continue;
             };
             match tracked.progress {
-                ClaimProgress::Starting(_) if claim.started_by == Some(self.run) => {
+                ClaimProgress::Starting { .. } if claim.started_by == Some(self.run) => {
                     // Guards against a start that was committed late: the lease may have expired and the outcome been
                     // recorded.
                     let remaining = tracked.learned_at + action.claim_lease / 2.0 - now;
                     if remaining <= 0.0 {
                         // Nothing was sent. If the claim expired and the outcome was recorded as unknown, the record
                         // says less than is known, but the action is not started again.
-                        tracked.progress = ClaimProgress::Finished(TryOutcome::Unsent, time_of_day, now);
+                        tracked.progress = ClaimProgress::Finished {
+                            outcome: TryOutcome::Unsent,
+                            ended_at: time_of_day,
+                            proposed_at: now,
+                        };
                         tasks.push(propose_task(finish_command(TryOutcome::Unsent, time_of_day)));
                     } else {
                         let (occurrence, action, tries) = (occurrence.clone(), action.clone(), open.tries);
@@ -139,18 +153,18 @@
                         tracked.progress = ClaimProgress::Executing;
                     }
                 }
-                ClaimProgress::Starting(proposed_at) if now >= proposed_at + retry_after => {
-                    tracked.progress = ClaimProgress::Starting(now);
+                ClaimProgress::Starting { proposed_at } if now >= proposed_at + retry_after => {
+                    tracked.progress = ClaimProgress::Starting { proposed_at: now };
                     tasks.push(propose_task(Command::Start {
                         occurrence: occurrence.clone(),
                         fence: claim.fence,
                         run: self.run,
                     }));
                 }
-                ClaimProgress::Finished(outcome, ended_at, proposed_at)
+                ClaimProgress::Finished { outcome, ended_at, proposed_at }
                     if now >= proposed_at + retry_after =>
                 {
-                    tracked.progress = ClaimProgress::Finished(outcome, ended_at, now);
+                    tracked.progress = ClaimProgress::Finished { outcome, ended_at, proposed_at: now };
                     tasks.push(propose_task(finish_command(outcome, ended_at)));
                 }
                 _ => {}
@@ -171,7 +185,7 @@
         time_of_day: Ms,
     ) -> Option<Command> {
         let tracked = self.claims.get_mut(&fence)?;
-        tracked.progress = ClaimProgress::Finished(outcome, time_of_day, now);
+        tracked.progress = ClaimProgress::Finished { outcome, ended_at: time_of_day, proposed_at: now };
         Some(Command::FinishTry { occurrence: tracked.occurrence.clone(), fence, outcome, at: time_of_day })
     }
 }
