--- a/crates/schedule/src/claim_tracker.rs
+++ b/crates/schedule/src/claim_tracker.rs
@@ -16,6 +16,7 @@
     Execute {
         occurrence: Occurrence,
         fence: Index,
+        /// The tries of the occurrence so far, this one included.
         tries: u32,
         action: Action,
         time_limit: Ms,
@@ -69,15 +70,10 @@
         self.claims.is_empty()
     }
 
-    /// Compares the tracked claims with the ledger and returns what to do now. `now` is the monotonic clock, `time_of_day`
-    /// is Unix time, and a proposal that is not committed within `retry_after` is proposed again.
-    pub fn next_tasks(
-        &mut self,
-        ledger: &Ledger,
-        now: Ms,
-        time_of_day: Ms,
-        retry_after: Ms,
-    ) -> Vec<ClaimTask> {
+    /// Compares the tracked claims with the ledger and returns what to do now. `now` is the monotonic clock, and
+    /// `unix_time` this member's wall clock in Unix milliseconds. A proposal that is not committed within `retry_after`
+    /// is proposed again.
+    pub fn next_tasks(&mut self, ledger: &Ledger, now: Ms, unix_time: Ms, retry_after: Ms) -> Vec<ClaimTask> {
         let mut tasks = Vec::new();
         let mut open_fences = BTreeSet::new();
         for (occurrence, open, claim) in ledger.claims(self.me) {
@@ -91,13 +87,14 @@
                 at: ended_at,
             };
             let Some(tracked) = self.claims.get_mut(&claim.fence) else {
-                // A claim that is started but not tracked was started before a restart: whether it took effect is unknown.
+                // A claim that is started but not tracked was started before this member restarted: whether the action
+                // took effect is unknown.
                 let progress = match (claim.started_by.is_some(), action.idempotent) {
                     (true, _) => {
-                        tasks.push(propose_task(finish_command(TryOutcome::Unanswered, time_of_day)));
+                        tasks.push(propose_task(finish_command(TryOutcome::Unanswered, unix_time)));
                         ClaimProgress::Finished {
                             outcome: TryOutcome::Unanswered,
-                            ended_at: time_of_day,
+                            ended_at: unix_time,
                             proposed_at: now,
                         }
                     }
@@ -129,18 +126,18 @@
             };
             match tracked.progress {
                 ClaimProgress::Starting { .. } if claim.started_by == Some(self.run) => {
-                    // Guards against a start that was committed late: the lease may have expired and the outcome been
-                    // recorded.
-                    let remaining = tracked.learned_at + action.claim_lease / 2.0 - now;
-                    if remaining <= 0.0 {
-                        // Nothing was sent. If the claim expired and the outcome was recorded as unknown, the record
-                        // says less than is known, but the action is not started again.
+                    // Half of the lease limits the execution. If the start was committed so late that nothing of it
+                    // remains, the claim may have expired and its outcome been recorded.
+                    let remaining_time = tracked.learned_at + action.claim_lease / 2.0 - now;
+                    if remaining_time <= 0.0 {
+                        // Nothing was sent. If the claim has expired, its outcome stays recorded as unknown although
+                        // the action had no effect, and the action is not started again.
                         tracked.progress = ClaimProgress::Finished {
                             outcome: TryOutcome::Unsent,
-                            ended_at: time_of_day,
+                            ended_at: unix_time,
                             proposed_at: now,
                         };
-                        tasks.push(propose_task(finish_command(TryOutcome::Unsent, time_of_day)));
+                        tasks.push(propose_task(finish_command(TryOutcome::Unsent, unix_time)));
                     } else {
                         let (occurrence, action, tries) = (occurrence.clone(), action.clone(), open.tries);
                         tasks.push(ClaimTask::Execute {
@@ -148,7 +145,7 @@
                             fence: claim.fence,
                             tries,
                             action,
-                            time_limit: remaining,
+                            time_limit: remaining_time,
                         });
                         tracked.progress = ClaimProgress::Executing;
                     }
@@ -182,10 +179,10 @@
         fence: Index,
         outcome: TryOutcome,
         now: Ms,
-        time_of_day: Ms,
+        unix_time: Ms,
     ) -> Option<Command> {
         let tracked = self.claims.get_mut(&fence)?;
-        tracked.progress = ClaimProgress::Finished { outcome, ended_at: time_of_day, proposed_at: now };
-        Some(Command::FinishTry { occurrence: tracked.occurrence.clone(), fence, outcome, at: time_of_day })
+        tracked.progress = ClaimProgress::Finished { outcome, ended_at: unix_time, proposed_at: now };
+        Some(Command::FinishTry { occurrence: tracked.occurrence.clone(), fence, outcome, at: unix_time })
     }
 }
--- a/crates/schedule/src/decide.rs
+++ b/crates/schedule/src/decide.rs
@@ -18,7 +18,7 @@
     #[default]
     None,
     Last,
-    /// The last ones, up to this number.
+    /// The last ones, at most this number.
     LastCount(u32),
 }
 
@@ -33,7 +33,8 @@
     pub overlap: OverlapPolicy,
 }
 
-/// Commands proposed in one pass, and occurrences of one schedule examined in it; the rest is left to the next pass.
+/// The most commands that one pass proposes, and the most occurrences of one schedule that it examines. The rest is left
+/// to the next pass.
 pub const MAX_COMMANDS_PER_PASS: usize = 256;
 
 /// The wait before the next try doubles with each try, up to this exponent.
@@ -44,36 +45,61 @@
 pub struct LeaderState {
     /// When this leader first saw each claim, by its own monotonic clock.
     first_seen: BTreeMap<Index, Ms>,
-    /// Proposals that are not committed yet, with the time of the proposal. The number distinguishes kinds of commands.
-    proposed: BTreeMap<(Occurrence, u8), Ms>,
-    /// Schedules that need no check yet, as long as their record does not change.
-    idle: BTreeMap<String, Idle>,
+    /// When each recent command was last proposed, by the leader's monotonic clock.
+    proposed: BTreeMap<ProposalKey, Ms>,
+    /// Per schedule: the period in which it needs no check.
+    idle_periods: BTreeMap<String, IdlePeriod>,
 }
 
-/// Until when a schedule needs no check: by the time of day, and by the leader's monotonic clock.
+/// Identifies a proposed command.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ProposalKey {
+    /// What the command is about. For a command on the schedule itself `due_ms` is `i64::MIN`.
+    occurrence: Occurrence,
+    /// A number per kind of command.
+    command_kind: u8,
+}
+
+/// A period in which a schedule needs no check. It lasts until both times have passed, and ends early if the schedule's
+/// record changes.
 #[derive(Clone, Copy, Debug)]
-struct Idle {
-    fingerprint: (i64, u64, usize),
-    until_time_of_day: Ms,
-    until: Ms,
+struct IdlePeriod {
+    fingerprint: RecordFingerprint,
+    until_unix_time: Ms,
+    /// By the leader's monotonic clock.
+    until_monotonic: Ms,
 }
 
-impl Idle {
-    fn holds(&self, record: &ScheduleRecord, time_of_day: Ms, now: Ms) -> bool {
-        self.fingerprint == fingerprint(record) && (time_of_day < self.until_time_of_day || now < self.until)
+impl IdlePeriod {
+    fn is_in_effect(&self, record: &ScheduleRecord, unix_time: Ms, now: Ms) -> bool {
+        self.fingerprint == RecordFingerprint::of(record)
+            && (unix_time < self.until_unix_time || now < self.until_monotonic)
     }
 }
 
-/// Changes whenever an occurrence of the schedule is claimed, skipped or ended.
-fn fingerprint(record: &ScheduleRecord) -> (i64, u64, usize) {
-    (record.decided_through_ms, record.ended_count, record.open.len())
+/// Changes whenever an occurrence of the schedule is claimed for the first time, skipped or ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct RecordFingerprint {
+    decided_through_ms: i64,
+    ended_count: u64,
+    open_count: usize,
+}
+
+impl RecordFingerprint {
+    fn of(record: &ScheduleRecord) -> RecordFingerprint {
+        RecordFingerprint {
+            decided_through_ms: record.decided_through_ms,
+            ended_count: record.ended_count,
+            open_count: record.open.len(),
+        }
+    }
 }
 
 impl LeaderState {
-    /// Whether a command may be proposed now; if so, records its proposal. A command is not proposed again within
-    /// `retry_after`.
-    fn may_propose(&mut self, now: Ms, command: &Command, retry_after: Ms) -> bool {
-        let key = match command {
+    /// Records the proposal of a command and returns whether to propose it: a command that was proposed within the last
+    /// `retry_after` is not proposed again.
+    fn record_proposal(&mut self, now: Ms, command: &Command, retry_after: Ms) -> bool {
+        let (occurrence, command_kind) = match command {
             Command::AddSchedule { schedule, .. } => {
                 (Occurrence { schedule: schedule.clone(), due_ms: i64::MIN }, 0)
             }
@@ -86,6 +112,7 @@
             Command::FinishTry { occurrence, .. } => (occurrence.clone(), 5),
             Command::ExpireClaim { occurrence, .. } => (occurrence.clone(), 6),
         };
+        let key = ProposalKey { occurrence, command_kind };
         let last_proposed_at = self.proposed.get(&key).copied();
         let is_due = last_proposed_at.is_none_or(|last_proposed_at| now >= last_proposed_at + retry_after);
         if is_due {
@@ -95,29 +122,29 @@
     }
 }
 
-/// Returns the commands to propose now. `now` is the leader's monotonic clock, `time_of_day` the median of the
-/// members' wall clocks (Unix milliseconds), `retry_after` the time after which a proposal that was not committed is
-/// repeated, and `alive` the members that may be given claims.
+/// Returns the commands to propose now. `now` is the leader's monotonic clock, `unix_time` the median of the members'
+/// wall clocks in Unix milliseconds, `retry_after` the time after which a proposal that was not committed is repeated,
+/// and `alive` the members that may be given claims.
 pub fn propose_commands(
     schedules: &BTreeMap<String, Schedule>,
     ledger: &Ledger,
     leader_state: &mut LeaderState,
     now: Ms,
-    time_of_day: Ms,
+    unix_time: Ms,
     retry_after: Ms,
     alive: &[MemberId],
 ) -> Vec<Command> {
     let mut commands = Vec::new();
-    let open_fences = |record: &ScheduleRecord| {
+    let fences_of = |record: &ScheduleRecord| {
         record.open.values().filter_map(|open| Some(open.claim.as_ref()?.fence)).collect::<Vec<_>>()
     };
-    let fences: BTreeSet<Index> = ledger.schedules.values().flat_map(open_fences).collect();
-    leader_state.first_seen.retain(|fence, _| fences.contains(fence));
+    let open_fences: BTreeSet<Index> = ledger.schedules.values().flat_map(fences_of).collect();
+    leader_state.first_seen.retain(|fence, _| open_fences.contains(fence));
     leader_state.proposed.retain(|_, proposed_at| now < *proposed_at + retry_after);
-    // Proposes a command unless it was proposed recently. Returns whether the pass has room for more. A command that
-    // does not fit into this pass must not count as proposed, or it would be delayed until `retry_after`.
+    // Proposes a command unless it was proposed recently, and returns whether the pass may propose more. At the limit the
+    // pass ends: a command that was recorded but not returned would be delayed by `retry_after`.
     let mut propose = |leader_state: &mut LeaderState, command: Command| {
-        if leader_state.may_propose(now, &command, retry_after) {
+        if leader_state.record_proposal(now, &command, retry_after) {
             commands.push(command);
         }
         commands.len() < MAX_COMMANDS_PER_PASS
@@ -125,7 +152,7 @@
     for (name, record) in &ledger.schedules {
         for (due_ms, open) in &record.open {
             let occurrence = Occurrence { schedule: name.clone(), due_ms: *due_ms };
-            let command = command_for_open(occurrence, open, leader_state, now, time_of_day, alive);
+            let command = command_for_open(occurrence, open, leader_state, now, unix_time, alive);
             if command.is_some_and(|command| !propose(leader_state, command)) {
                 return commands;
             }
@@ -138,10 +165,10 @@
     for (name, schedule) in schedules {
         let command = match ledger.schedules.get(name) {
             None => {
-                Some(Command::AddSchedule { schedule: name.clone(), decided_through_ms: time_of_day as i64 })
+                Some(Command::AddSchedule { schedule: name.clone(), decided_through_ms: unix_time as i64 })
             }
             Some(record) => {
-                let pass = Pass { now, time_of_day, retry_after, alive };
+                let pass = Pass { now, unix_time, retry_after, alive };
                 command_unless_idle(name, schedule, record, leader_state, pass)
             }
         };
@@ -156,7 +183,7 @@
 #[derive(Clone, Copy)]
 struct Pass<'a> {
     now: Ms,
-    time_of_day: Ms,
+    unix_time: Ms,
     retry_after: Ms,
     alive: &'a [MemberId],
 }
@@ -169,20 +196,20 @@
     leader_state: &mut LeaderState,
     pass: Pass<'_>,
 ) -> Option<Command> {
-    let Pass { now, time_of_day, retry_after, alive } = pass;
-    if leader_state.idle.get(name).is_some_and(|idle| idle.holds(record, time_of_day, now)) {
+    let Pass { now, unix_time, retry_after, alive } = pass;
+    if leader_state.idle_periods.get(name).is_some_and(|period| period.is_in_effect(record, unix_time, now)) {
         return None;
     }
-    let (command, next) = next_command(name, schedule, record, time_of_day, alive);
-    // After a proposal the schedule is idle for `retry_after`. If it waits for an open occurrence, the end of that one
-    // changes the fingerprint and makes it checked again.
-    let until = if next.is_none() { now + retry_after } else { f64::NEG_INFINITY };
-    let idle = Idle {
-        fingerprint: fingerprint(record),
-        until_time_of_day: next.unwrap_or(f64::NEG_INFINITY),
-        until,
+    let NextCommand { command, next_run_at } = next_command(name, schedule, record, unix_time, alive);
+    // If an occurrence is due, the schedule is idle for `retry_after`, whether a command was proposed or it has to wait
+    // for an open occurrence. The end of that occurrence changes the fingerprint, so the schedule is checked again.
+    let until_monotonic = if next_run_at.is_none() { now + retry_after } else { f64::NEG_INFINITY };
+    let idle_period = IdlePeriod {
+        fingerprint: RecordFingerprint::of(record),
+        until_unix_time: next_run_at.unwrap_or(f64::NEG_INFINITY),
+        until_monotonic,
     };
-    leader_state.idle.insert(name.to_string(), idle);
+    leader_state.idle_periods.insert(name.to_string(), idle_period);
     command
 }
 
@@ -192,7 +219,7 @@
     open: &OpenOccurrence,
     leader_state: &mut LeaderState,
     now: Ms,
-    time_of_day: Ms,
+    unix_time: Ms,
     alive: &[MemberId],
 ) -> Option<Command> {
     match &open.claim {
@@ -200,15 +227,15 @@
             // A new leader grants every claim its full lease, as it cannot know how much of it has passed.
             let first_seen = *leader_state.first_seen.entry(claim.fence).or_insert(now);
             let expired = now >= first_seen + open.action.claim_lease || !alive.contains(&claim.owner);
-            expired.then_some(Command::ExpireClaim { occurrence, fence: claim.fence, at: time_of_day })
+            expired.then_some(Command::ExpireClaim { occurrence, fence: claim.fence, at: unix_time })
         }
         None => {
             let wait = open.action.backoff
                 * 2f64.powi(open.tries.saturating_sub(1).min(MAX_BACKOFF_EXPONENT) as i32);
             let owner = choose_owner(&occurrence, open.tries, alive)?;
-            // If the time of day went back, the wait must not become longer than the backoff.
+            // If the clock was set back by more than `wait`, the try is due at once, so the wait at most doubles.
             let has_waited =
-                time_of_day >= open.last_try_ended + wait || time_of_day < open.last_try_ended - wait;
+                unix_time >= open.last_try_ended + wait || unix_time < open.last_try_ended - wait;
             has_waited.then(|| Command::Claim {
                 occurrence,
                 owner,
@@ -219,56 +246,66 @@
     }
 }
 
-/// The command for what has become due since `decided_through_ms`: at most one, as the next command depends on it. If
-/// nothing is due, returns the time at which the next occurrence runs.
+/// The result of [`next_command`].
+struct NextCommand {
+    command: Option<Command>,
+    /// If nothing is due: the Unix time at which the next occurrence runs, infinite if there is none.
+    next_run_at: Option<Ms>,
+}
+
+/// The command for what has become due since `decided_through_ms`: at most one, as the next command depends on it.
 fn next_command(
     name: &str,
     schedule: &Schedule,
     record: &ScheduleRecord,
-    time_of_day: Ms,
+    unix_time: Ms,
     alive: &[MemberId],
-) -> (Option<Command>, Option<Ms>) {
+) -> NextCommand {
     let mut due: Vec<ScheduledTime> = Vec::new();
     let mut next_run_at = f64::INFINITY;
     for time in schedule.timing.after(record.decided_through_ms as Ms).take(MAX_COMMANDS_PER_PASS) {
-        if time.run_at > time_of_day {
+        if time.run_at > unix_time {
             next_run_at = time.run_at;
             break;
         }
         due.push(time);
     }
     match due.is_empty() {
-        true => (None, Some(next_run_at)),
-        false => (command_for_due(name, schedule, record, time_of_day, alive, &due), None),
+        true => NextCommand { command: None, next_run_at: Some(next_run_at) },
+        false => NextCommand {
+            command: command_for_due(name, schedule, record, unix_time, alive, &due),
+            next_run_at: None,
+        },
     }
 }
 
-/// Skips or claims the first of the due occurrences.
+/// The command for the earliest due occurrences: skips one that is in a quiet time or overlaps an open one, or all that
+/// are missed, or claims the first. `None` if it has to wait for an open one or no member is alive.
 fn command_for_due(
     name: &str,
     schedule: &Schedule,
     record: &ScheduleRecord,
-    time_of_day: Ms,
+    unix_time: Ms,
     alive: &[MemberId],
     due: &[ScheduledTime],
 ) -> Option<Command> {
-    let occurrence_at = |due: Ms| Occurrence { schedule: name.into(), due_ms: due as i64 };
-    let skip_command = |time: &ScheduledTime, reason, count| {
-        Some(Command::Skip { occurrence: occurrence_at(time.due), reason, count })
+    let occurrence_at = |due_ms: Ms| Occurrence { schedule: name.into(), due_ms: due_ms as i64 };
+    let skip_command = |last_skipped: &ScheduledTime, reason, count| {
+        Some(Command::Skip { occurrence: occurrence_at(last_skipped.due), reason, count })
     };
-    let is_in_time = |time: &ScheduledTime| time_of_day <= time.run_at + schedule.deadline;
+    let is_within_deadline = |time: &ScheduledTime| unix_time <= time.run_at + schedule.deadline;
     let first_due = due.first()?;
     if first_due.in_quiet_time {
         return skip_command(first_due, SkipReason::Quiet, 1);
     }
-    let late_count = due.iter().take_while(|time| !time.in_quiet_time && !is_in_time(time)).count();
+    let late_count = due.iter().take_while(|time| !time.in_quiet_time && !is_within_deadline(time)).count();
     let catch_up_count = match schedule.catch_up {
         CatchUp::None => 0,
         CatchUp::Last => 1,
         CatchUp::LastCount(count) => count as usize,
     };
-    // Only the last missed occurrences are run late. If all occurrences that this pass examines are missed, more may
-    // follow, so all of these are skipped.
+    // Only the last missed occurrences are run late. If the pass examined as many as it may and all are missed, later
+    // ones may be missed too, so all of these are skipped.
     let catch_up_count =
         if due.len() == MAX_COMMANDS_PER_PASS && late_count == due.len() { 0 } else { catch_up_count };
     if late_count > catch_up_count {
@@ -290,7 +327,8 @@
     Some(Command::Claim { occurrence, owner, action: schedule.action.clone(), overlap: schedule.overlap })
 }
 
-/// Spreads occurrences over the members by hash; each try goes to another member.
+/// Spreads occurrences over the members by hash. While these stay the same, the tries of one occurrence go to one member
+/// after the other.
 fn choose_owner(occurrence: &Occurrence, tries: u32, alive: &[MemberId]) -> Option<MemberId> {
     let hash = xxh3_64(format!("{}\0{}", occurrence.schedule, occurrence.due_ms).as_bytes());
     let owner_index = (hash as usize).checked_add(tries as usize).unwrap_or(0).checked_rem(alive.len())?;
--- a/crates/schedule/src/ledger.rs
+++ b/crates/schedule/src/ledger.rs
@@ -37,17 +37,18 @@
     #[default]
     Skip,
     Queue,
-    /// The earlier one's claim becomes void, and executors reject its fencing token.
+    /// The earlier one ends as replaced, and executors that have seen the later one's fencing token reject its own.
     Replace,
 }
 
 /// Why an occurrence was skipped. The names of the variants appear in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum SkipReason {
-    /// No manager could claim it before its deadline.
+    /// Its deadline passed before it was claimed.
     Missed,
     /// It was due in a period in which the schedule is not to run.
     Quiet,
+    /// An earlier occurrence was open.
     Overlap,
 }
 
@@ -82,7 +83,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
     pub owner: MemberId,
-    /// The fencing token: the index of the log entry that granted the claim. Executors reject lower ones.
+    /// The fencing token: the index of the log entry that granted the claim. Executors reject a token that is lower than
+    /// one they have seen.
     pub fence: Index,
     /// The owner's run in which the action was started. For side-effecting actions the entry that records it is
     /// committed before the request is sent.
@@ -93,6 +95,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OpenOccurrence {
     pub action: Action,
+    /// Number of claims granted so far: tries that were not sent count too.
     pub tries: u32,
     pub claim: Option<Claim>,
     /// When the last try ended, in Unix milliseconds: by the wall clock of the claim's owner or, if the claim expired,
@@ -163,11 +166,11 @@
                 is_new
             }
             Command::RemoveSchedule { schedule } => {
-                let is_idle = self.schedules.get(schedule).is_some_and(|record| record.open.is_empty());
-                if is_idle {
+                let may_remove = self.schedules.get(schedule).is_some_and(|record| record.open.is_empty());
+                if may_remove {
                     self.schedules.remove(schedule);
                 }
-                is_idle
+                may_remove
             }
             Command::Skip { occurrence, reason, count } => {
                 let Some(record) = self
@@ -237,7 +240,7 @@
         }
         if !record.open.is_empty() {
             match overlap {
-                // The proposer did not know of the open occurrence; the leader now skips this one or waits.
+                // The proposer did not know of the open occurrence; a later pass of the leader skips this one or waits.
                 OverlapPolicy::Skip | OverlapPolicy::Queue => return false,
                 OverlapPolicy::Replace => {
                     let earlier: Vec<i64> = record.open.keys().copied().collect();
--- a/crates/schedule/src/lib.rs
+++ b/crates/schedule/src/lib.rs
@@ -1,4 +1,5 @@
-//! Cron-like schedules whose occurrences run once, whichever manager is up. This crate has no I/O, clock or thread.
+//! Cron-like schedules: each occurrence is run by one of the managers that are up. This crate has no I/O, clock or
+//! thread.
 //!
 //! [`Timing`] computes when a schedule is due. [`Ledger`] is the replicated state of every occurrence.
 //! [`propose_commands`] is what the leader proposes, and [`ClaimTracker`] is what the owner of a claim does.
@@ -11,8 +12,8 @@
 //! - Neither is dropped silently: every time at which a schedule was due has an outcome in the ledger, or is counted as
 //!   skipped with the reason.
 //!
-//! Fencing tokens are indices of the consensus log. An executor that rejects lower tokens than it has seen never runs a
-//! superseded claim.
+//! Fencing tokens are indices of the consensus log. An executor that rejects tokens lower than the highest it has seen
+//! runs no action under a superseded claim once it has seen a later one.
 
 mod claim_tracker;
 mod decide;
--- a/crates/schedule/src/timing.rs
+++ b/crates/schedule/src/timing.rs
@@ -22,7 +22,7 @@
     Skip,
 }
 
-/// At which of the two instants of a repeated civil time a schedule is due.
+/// At which of its two instants a civil time that a clock change repeats is due.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FoldPolicy {
     #[default]
@@ -74,17 +74,24 @@
     gap: GapPolicy,
     fold: FoldPolicy,
     jitter: Ms,
-    /// The schedule is due only at civil times from the first and before the second.
-    window: (Option<DateTime>, Option<DateTime>),
-    quiet: Vec<(DateTime, DateTime)>,
+    window: Window,
+    /// Each quiet time begins at its first civil time and ends before its second.
+    quiet_times: Vec<(DateTime, DateTime)>,
     quiet_policy: QuietPolicy,
 }
 
-/// How far ahead to search. Five years find an occurrence that is due once in a leap year.
+/// The schedule is due only at civil times from `from` and before `until`; `None` sets no limit.
+#[derive(Clone, Debug)]
+struct Window {
+    from: Option<DateTime>,
+    until: Option<DateTime>,
+}
+
+/// How far ahead to search. Five years suffice for a schedule that is due only on 29 February, except around 2100.
 const SEARCH_LIMIT: SignedDuration = SignedDuration::from_hours(24 * 366 * 5);
-/// This many instants, or all if there are fewer, are collected before the earliest is returned.
+/// Number of instants, or all if there are fewer, that are collected before the earliest is returned.
 const COLLECTED_INSTANTS: usize = 8;
-/// Limit for adjoining quiet times, each of which defers an occurrence into the next.
+/// How many adjoining quiet times can defer an occurrence, each into the next.
 const MAX_CHAINED_QUIET_TIMES: usize = 64;
 
 fn unix_ms(instant: Timestamp) -> Ms {
@@ -95,13 +102,13 @@
     /// Parses a cron pattern of five fields, or six with seconds first. `name` is the schedule's name, which seeds the
     /// jitter.
     pub fn parse(name: &str, cron: &str, zone: &str) -> Result<Timing, TimingError> {
-        let error = |part, reason: String| TimingError { part, reason };
+        let timing_error = |part, reason: String| TimingError { part, reason };
         let parser = CronParser::builder().seconds(Seconds::Optional).build();
         let pattern = parser
             .parse(cron)
-            .map_err(|why| error("cron", format!("{cron:?} is not a cron pattern: {why}")))?;
+            .map_err(|error| timing_error("cron", format!("{cron:?} is not a cron pattern: {error}")))?;
         let zone = TimeZone::get(zone).map_err(|_| {
-            error(
+            timing_error(
                 "time-zone",
                 format!("{zone:?} is not a known time zone; use a name such as \"Asia/Karachi\" or \"UTC\""),
             )
@@ -113,8 +120,8 @@
             gap: GapPolicy::default(),
             fold: FoldPolicy::default(),
             jitter: 0.0,
-            window: (None, None),
-            quiet: Vec::new(),
+            window: Window { from: None, until: None },
+            quiet_times: Vec::new(),
             quiet_policy: QuietPolicy::default(),
         })
     }
@@ -131,7 +138,8 @@
 
     /// Limits the schedule to civil times from `from` and before `until`, written as `2027-02-01T08:00`.
     pub fn with_window(self, from: Option<&str>, until: Option<&str>) -> Result<Timing, TimingError> {
-        let window = (from.map(parse_civil).transpose()?, until.map(parse_civil).transpose()?);
+        let window =
+            Window { from: from.map(parse_civil).transpose()?, until: until.map(parse_civil).transpose()? };
         Ok(Timing { window, ..self })
     }
 
@@ -148,11 +156,12 @@
                 false => Err(TimingError { part: "quiet", reason: format!("{from} is not before {until}") }),
             }
         };
-        let quiet = times.into_iter().map(parse).collect::<Result<Vec<_>, TimingError>>()?;
-        Ok(Timing { quiet, quiet_policy, ..self })
+        let quiet_times = times.into_iter().map(parse).collect::<Result<Vec<_>, TimingError>>()?;
+        Ok(Timing { quiet_times, quiet_policy, ..self })
     }
 
-    /// The times due after `after`, in ascending order. The iterator ends when nothing is due for five years.
+    /// The times due after `after`, in ascending order. The iterator ends when nothing more is due within the five
+    /// years after `after`.
     pub fn after(&self, after: Ms) -> impl Iterator<Item = ScheduledTime> + '_ {
         let start = Timestamp::from_millisecond(after as i64).unwrap_or(Timestamp::MIN);
         let local_start = self.zone.to_datetime(start);
@@ -169,7 +178,7 @@
             while let Some(civil) = next_civil.filter(|_| pending.len() < COLLECTED_INSTANTS) {
                 next_civil = self.cron.find_next_occurrence(&civil, false).ok().filter(|next| {
                     let limit = self.zone.to_datetime(start).saturating_add(SEARCH_LIMIT);
-                    *next <= limit && self.window.1.is_none_or(|until| *next < until)
+                    *next <= limit && self.window.until.is_none_or(|until| *next < until)
                 });
                 next_civil.iter().for_each(|civil| pending.extend(self.instants(*civil)));
                 pending.sort();
@@ -183,7 +192,7 @@
             let next = pending.iter().find(|instant| **instant > due).copied();
             return Some(self.scheduled_time(due, next));
         })
-        .filter(|time| self.window.0.is_none_or(|from| self.civil_time(time.due) >= from))
+        .filter(|time| self.window.from.is_none_or(|from| self.civil_time(time.due) >= from))
     }
 
     fn civil_time(&self, unix: Ms) -> DateTime {
@@ -197,10 +206,11 @@
             AmbiguousOffset::Unambiguous { .. } => ambiguous.compatible().into_iter().collect(),
             AmbiguousOffset::Gap { before, .. } => match self.gap {
                 GapPolicy::Skip => Vec::new(),
-                // The gap ends at the clock change, which is the first instant after the gap.
+                // The gap ends at the clock change. By the offset before the change, a skipped civil time lies at or
+                // after the change. The nanosecond is added because `preceding` excludes the given instant itself.
                 GapPolicy::AtGapEnd => {
-                    let inside = before.to_timestamp(civil).ok();
-                    let change = inside.and_then(|instant| {
+                    let by_offset_before = before.to_timestamp(civil).ok();
+                    let change = by_offset_before.and_then(|instant| {
                         let just_after =
                             instant.saturating_add(SignedDuration::from_nanos(1)).unwrap_or(instant);
                         self.zone.preceding(just_after).next().map(|change| change.timestamp())
@@ -224,7 +234,8 @@
         let mut run_at = due;
         for _ in 0..MAX_CHAINED_QUIET_TIMES {
             let civil = self.zone.to_datetime(run_at);
-            let Some((_, until)) = self.quiet.iter().find(|(from, until)| *from <= civil && civil < *until)
+            let Some((_, until)) =
+                self.quiet_times.iter().find(|(from, until)| *from <= civil && civil < *until)
             else {
                 break;
             };
@@ -235,18 +246,28 @@
         }
         let (due, run_at) = (unix_ms(due), unix_ms(run_at));
         // Jitter must not reach the next due time, the end of the window or a quiet time.
-        let end = self.window.1.and_then(|until| self.zone.to_ambiguous_timestamp(until).compatible().ok());
+        let window_end =
+            self.window.until.and_then(|until| self.zone.to_ambiguous_timestamp(until).compatible().ok());
         let quiet_starts = self
-            .quiet
+            .quiet_times
             .iter()
             .filter_map(|(from, _)| self.zone.to_ambiguous_timestamp(*from).compatible().ok());
-        let bounds =
-            next.into_iter().chain(end).chain(quiet_starts).map(unix_ms).filter(|bound| *bound > run_at);
-        let room = bounds.fold(self.jitter, |room, bound| room.min(bound - run_at - 1.0)).max(0.0);
-        ScheduledTime { due, run_at: (run_at + self.jitter_ratio(due) * room).floor(), in_quiet_time: false }
+        let bounds = next
+            .into_iter()
+            .chain(window_end)
+            .chain(quiet_starts)
+            .map(unix_ms)
+            .filter(|bound| *bound > run_at);
+        let max_delay =
+            bounds.fold(self.jitter, |max_delay, bound| max_delay.min(bound - run_at - 1.0)).max(0.0);
+        ScheduledTime {
+            due,
+            run_at: (run_at + self.jitter_ratio(due) * max_delay).floor(),
+            in_quiet_time: false,
+        }
     }
 
-    /// A hash of the schedule's name and the due time in 0..1: the same at every manager, and evenly distributed.
+    /// A hash of the schedule's name and the due time, scaled to 0..1: the same at every manager, and evenly distributed.
     fn jitter_ratio(&self, due: Ms) -> f64 {
         let text = format!("{}\0{due}", self.name);
         (xxh3_64(text.as_bytes()) >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/schedule/tests/histories.rs
+++ b/crates/schedule/tests/histories.rs
@@ -23,7 +23,7 @@
     run: u64,
     down_until: Ms,
     /// How far its clock is ahead, in milliseconds.
-    clock: Ms,
+    clock_offset: Ms,
 }
 
 /// A request on its way to the worker.
@@ -35,6 +35,16 @@
     fence: Index,
 }
 
+/// A response on its way to the owner of the claim.
+struct Response {
+    arrival: Ms,
+    owner: MemberId,
+    /// The run in which the owner sent the request.
+    run: u64,
+    fence: Index,
+    outcome: TryOutcome,
+}
+
 struct Simulation {
     rng: fastrand::Rng,
     now: Ms,
@@ -43,8 +53,7 @@
     /// Each with the time at which it reaches the log.
     proposals: Vec<(Ms, Command)>,
     effects: Vec<Effect>,
-    /// Time of arrival, owner of the claim, the owner's run, fencing token, and outcome.
-    responses: Vec<(Ms, MemberId, u64, Index, TryOutcome)>,
+    responses: Vec<Response>,
     replicas: Vec<Replica>,
     leader: usize,
     /// Per schedule, the highest fencing token that the worker has seen.
@@ -84,7 +93,7 @@
             claim_tracker: ClaimTracker::new(id(replica_index), Run(1)),
             run: 1,
             down_until: 0.0,
-            clock: 0.0,
+            clock_offset: 0.0,
         };
         Simulation {
             rng,
@@ -102,8 +111,10 @@
         }
     }
 
-    fn time_of_day(&self) -> Ms {
-        START_UNIX_MS + self.now + median_clock(self.replicas.iter().map(|replica| replica.clock)).unwrap()
+    fn unix_time(&self) -> Ms {
+        START_UNIX_MS
+            + self.now
+            + median_clock(self.replicas.iter().map(|replica| replica.clock_offset)).unwrap()
     }
 
     fn propose(&mut self, command: Command) {
@@ -137,23 +148,24 @@
         self.log.extend(arrived.into_iter().map(|(_, command)| command));
         let effects: Vec<Effect> = self.effects.extract_if(.., |effect| effect.arrival <= now).collect();
         effects.into_iter().for_each(|effect| self.execute(effect));
-        let time_of_day = self.time_of_day();
+        let unix_time = self.unix_time();
         for replica_index in 0..self.replicas.len() {
             if self.replicas[replica_index].down_until > now || faulty && self.rng.u8(..6) == 0 {
                 continue;
             }
             self.apply(replica_index);
             let replica = &mut self.replicas[replica_index];
-            for task in replica.claim_tracker.next_tasks(&replica.ledger, now, time_of_day, RETRY_AFTER) {
+            for task in replica.claim_tracker.next_tasks(&replica.ledger, now, unix_time, RETRY_AFTER) {
                 self.run_task(replica_index, task);
             }
         }
-        let responses: Vec<_> = self.responses.extract_if(.., |(arrival, ..)| *arrival <= now).collect();
-        for (_, owner, run, fence, outcome) in responses {
+        let responses: Vec<Response> =
+            self.responses.extract_if(.., |response| response.arrival <= now).collect();
+        for Response { owner, run, fence, outcome, .. } in responses {
             let replica_index = usize::from(owner.0 - 1);
             let replica = &mut self.replicas[replica_index];
             if replica.run == run && replica.down_until <= now {
-                let command = replica.claim_tracker.record_outcome(fence, outcome, now, time_of_day);
+                let command = replica.claim_tracker.record_outcome(fence, outcome, now, unix_time);
                 command.into_iter().for_each(|command| self.propose(command));
             }
         }
@@ -169,15 +181,8 @@
             let alive: Vec<MemberId> =
                 (0..3).filter(|other| self.replicas[*other].down_until <= now).map(id).collect();
             let Replica { ledger, leader_state, .. } = &mut self.replicas[replica_index];
-            let commands = propose_commands(
-                &self.schedules,
-                ledger,
-                leader_state,
-                now,
-                time_of_day,
-                RETRY_AFTER,
-                &alive,
-            );
+            let commands =
+                propose_commands(&self.schedules, ledger, leader_state, now, unix_time, RETRY_AFTER, &alive);
             commands.into_iter().for_each(|command| self.propose(command));
         }
     }
@@ -206,23 +211,24 @@
                 let run = self.replicas[replica_index].run;
                 let max_delay = if self.rng.u8(..8) == 0 { 1500.0 } else { 60.0 };
                 let arrival = self.now + self.rng.f64() * max_delay;
+                let owner = id(replica_index);
                 if self.rng.u8(..10) == 0 {
-                    self.responses.push((arrival, id(replica_index), run, fence, TryOutcome::Unsent));
+                    self.responses.push(Response { arrival, owner, run, fence, outcome: TryOutcome::Unsent });
                 } else {
-                    self.effects.push(Effect { arrival, owner: id(replica_index), run, occurrence, fence });
-                    self.responses.push((
-                        self.now + time_limit,
-                        id(replica_index),
+                    self.effects.push(Effect { arrival, owner, run, occurrence, fence });
+                    self.responses.push(Response {
+                        arrival: self.now + time_limit,
+                        owner,
                         run,
                         fence,
-                        TryOutcome::Unanswered,
-                    ));
+                        outcome: TryOutcome::Unanswered,
+                    });
                 }
             }
         }
     }
 
-    /// The worker: it rejects lower fencing tokens than it has seen for the schedule.
+    /// Runs a request at the worker, which rejects a fencing token lower than one it has seen for the schedule.
     fn execute(&mut self, effect: Effect) {
         let Effect { owner, run, occurrence, fence, .. } = effect;
         let highest_fence = self.highest_fence.entry(occurrence.schedule.clone()).or_default();
@@ -238,21 +244,22 @@
             }
         };
         if self.rng.u8(..8) > 0 {
-            self.responses.push((self.now + 5.0, owner, run, fence, outcome));
+            self.responses.push(Response { arrival: self.now + 5.0, owner, run, fence, outcome });
         }
     }
 
     fn inject_fault(&mut self) {
-        let chosen = self.rng.usize(..3);
+        let replica_index = self.rng.usize(..3);
         match self.rng.u8(..6) {
-            0 | 1 => self.crash(chosen),
+            0 | 1 => self.crash(replica_index),
             2 => {
-                self.leader = chosen;
-                self.replicas[chosen].leader_state = LeaderState::default();
+                self.leader = replica_index;
+                self.replicas[replica_index].leader_state = LeaderState::default();
             }
             3 => {
-                self.replicas.iter_mut().for_each(|replica| replica.clock = 0.0);
-                self.replicas[chosen].clock = [3_600_000.0, -3_600_000.0, 40_000.0, 0.0][self.rng.usize(..4)];
+                self.replicas.iter_mut().for_each(|replica| replica.clock_offset = 0.0);
+                self.replicas[replica_index].clock_offset =
+                    [3_600_000.0, -3_600_000.0, 40_000.0, 0.0][self.rng.usize(..4)];
             }
             4 => (0..3).for_each(|replica_index| self.crash(replica_index)),
             _ => {}
@@ -319,15 +326,15 @@
                     simulation.inject_fault();
                 }
                 if !faulty {
-                    simulation.replicas.iter_mut().for_each(|replica| replica.clock = 0.0);
+                    simulation.replicas.iter_mut().for_each(|replica| replica.clock_offset = 0.0);
                 }
                 simulation.step(faulty);
             }
             simulation.check();
         }));
-        if let Err(why) = result {
+        if let Err(panic_payload) = result {
             eprintln!("seed {seed} fails");
-            std::panic::resume_unwind(why);
+            std::panic::resume_unwind(panic_payload);
         }
         let newest_due_ms =
             simulation.outcomes.keys().map(|occurrence| occurrence.due_ms).max().unwrap_or_default() as Ms;
--- a/crates/schedule/tests/many.rs
+++ b/crates/schedule/tests/many.rs
@@ -1,7 +1,7 @@
 //! More schedules due at once than one pass may propose commands for.
 //!
-//! Guards against recording commands beyond the limit of a pass as proposed: they would then be delayed until proposals
-//! are repeated.
+//! Guards against recording commands beyond the limit of a pass as proposed: they would then be delayed by the time after
+//! which proposals are repeated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,15 +29,15 @@
     let alive = [MemberId(1)];
     let mut claimed = BTreeSet::new();
     // One pass every 50 ms: three add the schedules, and three claim the occurrences once all are due. The
-    // schedules are added at a full minute, and the time of day of the claims is the next full minute.
+    // schedules are added at a full minute, and the occurrences are claimed at the next full minute.
     for pass in 0..6 {
-        let time_of_day = if pass < 3 { 1_796_000_040_000.0 } else { 1_796_000_100_000.0 };
+        let unix_time = if pass < 3 { 1_796_000_040_000.0 } else { 1_796_000_100_000.0 };
         let commands = propose_commands(
             &schedules,
             &ledger,
             &mut leader_state,
             f64::from(pass) * 50.0,
-            time_of_day,
+            unix_time,
             2000.0,
             &alive,
         );
--- a/crates/schedule/tests/timing.rs
+++ b/crates/schedule/tests/timing.rs
@@ -10,8 +10,8 @@
     text.parse::<Timestamp>().unwrap().as_millisecond() as f64
 }
 
-fn utc(unix: f64) -> String {
-    Timestamp::from_millisecond(unix as i64).unwrap().to_string()
+fn utc(unix_ms: f64) -> String {
+    Timestamp::from_millisecond(unix_ms as i64).unwrap().to_string()
 }
 
 fn due_times(timing: &Timing, after: &str, limit: usize) -> Vec<String> {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn cron_fields_in_a_time_zone() {
+fn cron_fields_are_civil_times_of_the_time_zone() {
     let daily = Timing::parse("warm", "30 7 * * MON-FRI", "Asia/Karachi").unwrap();
     let due = due_times(&daily, "2026-12-04T00:00:00Z", 3);
     assert_eq!(due, ["2026-12-04T02:30:00Z", "2026-12-07T02:30:00Z", "2026-12-08T02:30:00Z"]);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_civil_time_that_a_clock_change_skips() {
+fn a_civil_time_skipped_by_a_clock_change_is_due_by_the_gap_policy() {
     // 2027-03-28 in Berlin: 02:00 becomes 03:00 at 01:00 UTC.
     let with_gap_policy = |gap| {
         Timing::parse("x", "30 2 * * *", "Europe/Berlin").unwrap().with_clock_changes(gap, FoldPolicy::First)
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_civil_time_that_a_clock_change_repeats() {
+fn a_civil_time_repeated_by_a_clock_change_is_due_by_the_fold_policy() {
     // 2026-10-25 in Berlin: 03:00 becomes 02:00 at 01:00 UTC.
     let with_fold_policy = |fold| {
         Timing::parse("x", "30 2 * * *", "Europe/Berlin")
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn windows_and_quiet_times() {
+fn windows_limit_and_quiet_times_skip_or_defer_occurrences() {
     let timing = Timing::parse("x", "0 * * * *", "Asia/Karachi").unwrap();
     let within = timing.clone().with_window(Some("2027-02-01T08:00"), Some("2027-02-01T10:00")).unwrap();
     assert_eq!(
