--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -1,5 +1,5 @@
-//! The leader's failover controller. It removes a zone at once when the zone certainly does not serve, restores it in
-//! observed steps, and takes no step sooner than the age of the evidence it is based on.
+//! The leader's failover controller. It removes a lost zone at once and restores it in steps. Each decision is based only
+//! on evidence from after the previous change to the zone, so that the controller does not react to its own delay.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +10,12 @@
 use crate::health::{assess_zone, FleetView, ZoneHealth};
 use crate::plan::{Plan, ZoneShare};
 
-/// Configured times, in milliseconds.
+/// The configured times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailoverConfig {
-    /// Time between two reports of a proxy, each with the sums over its tries.
+    /// Time between two reports of a proxy, each with the sums over the tries since the previous one.
     pub report_period: Ms,
-    /// The longest time that such a report may be under way.
+    /// The longest time that such a report may take to arrive.
     pub max_transit: Ms,
     /// How long a plan lasts without a renewal by the leader.
     pub plan_lease: Ms,
@@ -28,23 +28,27 @@
     }
 }
 
-/// Weight ratios of a zone that is being restored, one after the other. The first tests the zone: it is so low that few
-/// tries fail if the zone is still lost.
+/// Successive weight ratios of a zone that is being restored. The first tests the zone: it is so low that few tries fail
+/// if the zone is still lost.
 const RESTORE_STEPS: [f64; 4] = [0.1, 0.3, 0.6, 1.0];
+/// Settling times between a change of a zone and the next step of relieving or restoring it.
+const SETTLING_TIMES_PER_STEP: f64 = 2.0;
 /// One step moves at most this ratio of an overloaded zone's load away.
 const MAX_MOVED_RATIO: f64 = 0.5;
+/// A smaller ratio is within the uncertainty of the load and is not moved.
+const MIN_MOVED_RATIO: f64 = 0.05;
 /// Only this ratio of a receiver's free capacity is used for planning.
 const USABLE_CAPACITY_RATIO: f64 = 0.8;
 /// Each relapse doubles the wait before the next attempt to restore the zone, up to this exponent.
 const MAX_BACKOFF_EXPONENT: u32 = 5;
-/// After this many settling times without trouble a new loss does not count as a relapse.
+/// From this many settling times after the last change of a fully restored zone, a new loss is not a relapse.
 const RELAPSE_SETTLING_TIMES: f64 = 16.0;
 /// A zone that is cut off but serves its own proxies is removed only if the demand of all other zones exceeds its own by
 /// this factor.
 const CUT_OFF_DEMAND_FACTOR: f64 = 1.5;
-/// A lower reported utilization counts as this.
+/// A lower reported utilization counts as this, which bounds the estimate of the free capacity.
 const MIN_UTILIZATION: f64 = 0.05;
-/// Reports kept per member; older ones of the same member are dropped first.
+/// Limit on the stored reports of one member; the oldest is dropped first.
 const MAX_REPORTS_PER_MEMBER: usize = 16;
 
 /// What the controller last decided for one zone.
@@ -57,16 +61,18 @@
     relapses: u32,
 }
 
-/// The leader's state. A new leader starts from the agreed plan and waits as if the plan had just been changed.
+/// The leader's state. A new leader starts from the committed plan and waits as if the plan had just been changed.
 #[derive(Clone, Debug, Default)]
 pub struct FailoverController {
+    /// The recent reports of each member, with their times of arrival by the leader's clock.
     reports: BTreeMap<MemberId, Vec<(Ms, Evidence)>>,
     decisions: BTreeMap<Zone, ZoneDecision>,
+    /// The last proposed plan, and when it was proposed.
     last_proposed: Option<(Ms, Plan)>,
 }
 
 impl FailoverController {
-    /// Stores a member's report and drops those that are too old to count.
+    /// Stores a member's report and drops those of the member that are older than the settling time.
     pub fn record_evidence(
         &mut self,
         now: Ms,
@@ -90,18 +96,18 @@
 
     /// Combines the reports that arrived after `since`.
     fn view(&self, now: Ms, config: &FailoverConfig, since: Ms) -> FleetView {
-        let all = self.reports.iter().flat_map(|(id, reports)| {
+        let all_reports = self.reports.iter().flat_map(|(id, reports)| {
             reports.iter().map(|(received_at, evidence)| (*id, *received_at, evidence))
         });
-        let recent = all
+        let recent_reports = all_reports
             .filter(|(_, received_at, _)| *received_at > since)
             .map(|(id, received_at, evidence)| (id, now - received_at, evidence));
-        FleetView::from_evidence(recent, config.settling_time())
+        FleetView::from_evidence(recent_reports, config.settling_time())
     }
 
-    /// Returns the plan to propose now: a changed one, or a renewal of the agreed one. `None` if neither is due.
-    pub fn next_plan(&mut self, now: Ms, config: &FailoverConfig, agreed: &Plan) -> Option<Plan> {
-        for (zone, share) in &agreed.shares {
+    /// Returns the plan to propose now: a changed one, or a renewal of the committed one. `None` if neither is due.
+    pub fn next_plan(&mut self, now: Ms, config: &FailoverConfig, committed: &Plan) -> Option<Plan> {
+        for (zone, share) in &committed.shares {
             let decision = ZoneDecision {
                 weight_ratio: share.weight_ratio,
                 reason: share.reason,
@@ -119,7 +125,8 @@
                 changed_at: f64::NEG_INFINITY,
                 relapses: 0,
             });
-            // Evidence from before a change, or under way at that time, does not show the effect of the change.
+            // Evidence from before a change does not show its effect, nor, while the zone is restricted, does evidence
+            // that was in transit at the change.
             let since =
                 decision.changed_at + if decision.weight_ratio < 1.0 { config.max_transit } else { 0.0 };
             let decision = *decision;
@@ -140,16 +147,16 @@
         let ratios = |shares: &BTreeMap<Zone, ZoneShare>| {
             shares.iter().map(|(zone, share)| (zone.clone(), share.weight_ratio)).collect::<Vec<_>>()
         };
-        let plan = if ratios(&shares) != ratios(&agreed.shares) {
-            Plan { version: agreed.version + 1, renewal: 0, shares, lease: config.plan_lease }
-        } else if !agreed.is_empty() {
-            Plan { renewal: agreed.renewal + 1, ..agreed.clone() }
+        let plan = if ratios(&shares) != ratios(&committed.shares) {
+            Plan { version: committed.version + 1, renewal: 0, shares, lease: config.plan_lease }
+        } else if !committed.is_empty() {
+            Plan { renewal: committed.renewal + 1, ..committed.clone() }
         } else {
             return None;
         };
-        // A lease is renewed three times within its length. A new version is given time to be agreed before it is
+        // A lease is renewed after each third of its length. A new version is given time to be committed before it is
         // proposed again.
-        let retry_after = if plan.version > agreed.version {
+        let retry_after = if plan.version > committed.version {
             config.settling_time() / 2.0
         } else {
             config.plan_lease / 3.0
@@ -164,16 +171,17 @@
         Some(plan)
     }
 
-    /// If every zone would be removed, the one with the most weight keeps its full weight, so that one still serves.
+    /// If the decisions leave no ready weight, gives the zone with the most ready weight its full weight, so that one zone
+    /// still serves.
     fn keep_one_zone(&mut self, view: &FleetView) {
         let weight = |zone: &Zone| view.ready_weight.get(zone).copied().unwrap_or(0.0);
         if view.ready_weight.values().sum::<f64>() <= 0.0 {
             // No weights have been reported yet, or no zone has a ready worker.
             return;
         }
-        let remaining: f64 =
+        let remaining_weight: f64 =
             self.decisions.iter().map(|(zone, decision)| weight(zone) * decision.weight_ratio).sum();
-        if remaining > 0.0 {
+        if remaining_weight > 0.0 {
             return;
         }
         let heaviest = self.decisions.keys().max_by(|a, b| weight(a).total_cmp(&weight(b))).cloned();
@@ -183,7 +191,8 @@
     }
 }
 
-/// Decides on the next weight ratio of one zone.
+/// Decides on the next weight ratio of one zone. Returns `decision`, with its reason updated if the zone is unrestricted,
+/// if no change is due.
 fn next_decision(
     now: Ms,
     config: &FailoverConfig,
@@ -217,29 +226,32 @@
         return change_to(0.0, relapses);
     }
     if must_remove {
-        // While discovery lists no ready worker, no attempt is made to restore the zone, and the wait starts once
-        // discovery lists one again.
+        // While discovery lists no ready worker, the start of the wait moves along: no attempt is made to restore the
+        // zone, and the full wait applies once discovery lists one again.
         let has_no_ready_worker = view.ready_weight.get(zone).is_some_and(|weight| *weight <= 0.0);
         return if has_no_ready_worker { change_to(0.0, relapses) } else { decision };
     }
-    if health == ZoneHealth::Overloaded && weight_ratio > 0.0 && now >= changed_at + 2.0 * settling_time {
+    if health == ZoneHealth::Overloaded
+        && weight_ratio > 0.0
+        && now >= changed_at + SETTLING_TIMES_PER_STEP * settling_time
+    {
         let load = view.load.get(zone).copied().unwrap_or(0.0);
         // The lower limit of the load guards against a division by zero.
         let moved_ratio = (free_capacity(view, zone) / load.max(1e-9)).min(MAX_MOVED_RATIO);
-        // Less than a twentieth is within the uncertainty of the load.
-        if moved_ratio > 0.05 {
+        if moved_ratio > MIN_MOVED_RATIO {
             return change_to((weight_ratio * (1.0 - moved_ratio)).max(RESTORE_STEPS[0]), relapses);
         }
     }
     if weight_ratio >= 1.0 {
         return ZoneDecision { reason: health, ..decision };
     }
-    let wait = 2.0 * settling_time * f64::from(2u32.pow(relapses.min(MAX_BACKOFF_EXPONENT)));
+    let wait =
+        SETTLING_TIMES_PER_STEP * settling_time * f64::from(2u32.pow(relapses.min(MAX_BACKOFF_EXPONENT)));
     let is_due = match weight_ratio {
         0.0 => now >= changed_at + wait,
         // Once the zone receives load again, each further step requires evidence of successful tries.
         _ => {
-            now >= changed_at + 2.0 * settling_time
+            now >= changed_at + SETTLING_TIMES_PER_STEP * settling_time
                 && matches!(health, ZoneHealth::Well | ZoneHealth::Slow | ZoneHealth::Silent)
         }
     };
@@ -253,10 +265,10 @@
 /// The free capacity of all zones but `excluded_zone`, in tries per second.
 fn free_capacity(view: &FleetView, excluded_zone: &Zone) -> f64 {
     let others = view.load.iter().filter(|(zone, _)| *zone != excluded_zone);
-    let free = |(zone, load): (&Zone, &f64)| {
+    let free_in_zone = |(zone, load): (&Zone, &f64)| {
         let utilization = view.utilization.get(zone)?;
         // A zone that reports no utilization counts as having no free capacity.
         Some(load * (1.0 / utilization.max(MIN_UTILIZATION) - 1.0).max(0.0) * USABLE_CAPACITY_RATIO)
     };
-    others.filter_map(free).sum()
+    others.filter_map(free_in_zone).sum()
 }
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What one manager observed between zones since its last report.
+//! What one manager observed within and between zones since its last report.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
         self.success_time_sum += other.success_time_sum;
     }
 
-    /// The mean response time of the tries that did not fail.
+    /// The mean response time of the tries that did not fail; `None` if there are none.
     pub fn mean_success_time(&self) -> Option<Ms> {
         let succeeded = self.tries - self.failed;
         (succeeded > 0.0).then(|| self.success_time_sum / succeeded)
@@ -37,13 +37,14 @@
         if self.tries <= 0.0 {
             return (0.0, 1.0);
         }
-        // 95% of a normal distribution lie within 1.96 standard deviations of its mean.
+        // In the formula's symbols: n tries, of which the ratio p failed. 95% of a normal distribution lie within z = 1.96
+        // standard deviations of its mean.
         let (n, z) = (self.tries, 1.96f64);
         let p = (self.failed / n).clamp(0.0, 1.0);
         let centre = p + z * z / (2.0 * n);
-        let half = z * (p * (1.0 - p) / n + z * z / (4.0 * n * n)).sqrt();
+        let half_width = z * (p * (1.0 - p) / n + z * z / (4.0 * n * n)).sqrt();
         let scale = 1.0 + z * z / n;
-        (((centre - half) / scale).max(0.0), ((centre + half) / scale).min(1.0))
+        (((centre - half_width) / scale).max(0.0), ((centre + half_width) / scale).min(1.0))
     }
 }
 
@@ -68,7 +69,8 @@
     pair_stats: BTreeMap<(Zone, Zone), ZonePairStats>,
     /// Per zone: the sum of the reported utilizations and their count.
     utilization: BTreeMap<Zone, (f64, f64)>,
-    last_taken: Ms,
+    /// When the last report was taken.
+    last_taken_at: Ms,
 }
 
 impl EvidenceAccumulator {
@@ -87,12 +89,13 @@
         let stats = ZonePairStats { tries, failed, success_time_sum: (tries - failed) * mean_success_time };
         self.pair_stats.entry((proxy_zone.clone(), worker_zone.clone())).or_default().add(&stats);
         if let Some(utilization) = utilization.filter(|utilization| utilization.is_finite()) {
-            let sum = self.utilization.entry(worker_zone.clone()).or_default();
-            (sum.0, sum.1) = (sum.0 + utilization, sum.1 + 1.0);
+            let (sum, count) = self.utilization.entry(worker_zone.clone()).or_default();
+            (*sum, *count) = (*sum + utilization, *count + 1.0);
         }
     }
 
-    /// Returns everything recorded since the last call, with the current weights and proxy counts, and resets the accumulator.
+    /// Returns everything recorded since the last call, with the current weights and proxy counts, and resets the
+    /// accumulator.
     pub fn take_evidence(
         &mut self,
         now: Ms,
@@ -101,8 +104,8 @@
     ) -> Evidence {
         let utilization = std::mem::take(&mut self.utilization);
         let utilization = utilization.into_iter().map(|(zone, (sum, count))| (zone, sum / count)).collect();
-        let duration = (now - self.last_taken).max(0.0);
-        self.last_taken = now;
+        let duration = (now - self.last_taken_at).max(0.0);
+        self.last_taken_at = now;
         Evidence {
             pair_stats: std::mem::take(&mut self.pair_stats),
             ready_weight,
--- a/crates/failover/src/health.rs
+++ b/crates/failover/src/health.rs
@@ -43,7 +43,9 @@
 pub struct FleetView {
     /// Keyed by the zone of the proxies and the zone of the workers.
     pub pair_stats: BTreeMap<(Zone, Zone), ZonePairStats>,
+    /// Per zone: the lowest of the reported sums of the ready workers' weights.
     pub ready_weight: BTreeMap<Zone, f64>,
+    /// Per zone: the mean of the reported utilizations.
     pub utilization: BTreeMap<Zone, f64>,
     /// Tries per second sent to workers of a zone.
     pub load: BTreeMap<Zone, f64>,
@@ -60,56 +62,58 @@
         max_age: Ms,
     ) -> FleetView {
         let mut view = FleetView::default();
+        // Per zone: the sum of the reported utilizations and their count.
         let mut utilization: BTreeMap<Zone, (f64, f64)> = BTreeMap::new();
         for (_, _, evidence) in reports.filter(|(_, age, _)| *age <= max_age) {
             for ((proxy_zone, worker_zone), stats) in &evidence.pair_stats {
                 view.pair_stats.entry((proxy_zone.clone(), worker_zone.clone())).or_default().add(stats);
-                let per_second = 1000.0 / evidence.duration.max(1.0);
-                *view.load.entry(worker_zone.clone()).or_default() += stats.tries * per_second;
-                *view.demand.entry(proxy_zone.clone()).or_default() += stats.tries * per_second;
+                let tries_to_rate = 1000.0 / evidence.duration.max(1.0);
+                *view.load.entry(worker_zone.clone()).or_default() += stats.tries * tries_to_rate;
+                *view.demand.entry(proxy_zone.clone()).or_default() += stats.tries * tries_to_rate;
             }
             for (zone, reported) in &evidence.utilization {
-                let sum = utilization.entry(zone.clone()).or_default();
-                (sum.0, sum.1) = (sum.0 + reported, sum.1 + 1.0);
+                let (sum, count) = utilization.entry(zone.clone()).or_default();
+                (*sum, *count) = (*sum + reported, *count + 1.0);
             }
             // All managers follow the same worker list, so their weights differ only where some have not yet processed a
             // change. The lowest value counts: a higher one may come from a manager that has not learned of a loss.
             for (zone, weight) in &evidence.ready_weight {
-                let lowest = view.ready_weight.entry(zone.clone()).or_insert(*weight);
-                *lowest = lowest.min(*weight);
+                let lowest_weight = view.ready_weight.entry(zone.clone()).or_insert(*weight);
+                *lowest_weight = lowest_weight.min(*weight);
             }
             for (zone, (joined, overdue)) in &evidence.proxies {
-                let total = view.proxies.entry(zone.clone()).or_default();
-                *total = (total.0 + joined, total.1 + overdue);
+                let (total_joined, total_overdue) = view.proxies.entry(zone.clone()).or_default();
+                (*total_joined, *total_overdue) = (*total_joined + joined, *total_overdue + overdue);
             }
         }
         view.utilization = utilization.into_iter().map(|(zone, (sum, count))| (zone, sum / count)).collect();
         view
     }
 
-    /// All zones that tries went from or to, or that have workers.
+    /// All zones that tries went from or to, or whose ready weight was reported.
     pub fn zones(&self) -> BTreeSet<Zone> {
-        let tried = self.pair_stats.keys().flat_map(|(proxy_zone, worker_zone)| [proxy_zone, worker_zone]);
-        tried.chain(self.ready_weight.keys()).cloned().collect()
+        let zones_with_tries =
+            self.pair_stats.keys().flat_map(|(proxy_zone, worker_zone)| [proxy_zone, worker_zone]);
+        zones_with_tries.chain(self.ready_weight.keys()).cloned().collect()
     }
 
     fn stats(&self, proxy_zone: &Zone, worker_zone: &Zone) -> ZonePairStats {
         self.pair_stats.get(&(proxy_zone.clone(), worker_zone.clone())).copied().unwrap_or_default()
     }
 
-    /// Whether the proxies of `proxy_zone` reach any zone other than their own and `excluded_zone`. If they reach none,
-    /// the fault may be theirs, and their failures prove nothing about `excluded_zone`.
+    /// Whether the proxies of `proxy_zone` reach any zone other than their own and `excluded_zone` or, if they tried none,
+    /// their own. If not, the fault may be theirs, and their failures prove nothing about `excluded_zone`.
     fn reaches_others(&self, proxy_zone: &Zone, excluded_zone: &Zone) -> bool {
-        let third_zones = self.pair_stats.iter().filter(|((origin, worker_zone), _)| {
+        let stats_of_third_zones = self.pair_stats.iter().filter(|((origin, worker_zone), _)| {
             origin == proxy_zone && worker_zone != proxy_zone && worker_zone != excluded_zone
         });
-        let mut third_zones = third_zones.peekable();
-        // If there is no third zone, results within their own zone show whether the proxies work.
+        let mut stats_of_third_zones = stats_of_third_zones.peekable();
+        // Without tries at a third zone, the proxies count as working unless most tries within their own zone fail.
         let reaches_own_zone = || is_failing(&self.stats(proxy_zone, proxy_zone)) != Some(true);
-        if third_zones.peek().is_none() {
+        if stats_of_third_zones.peek().is_none() {
             return reaches_own_zone();
         }
-        third_zones.any(|(_, stats)| is_failing(stats) == Some(false))
+        stats_of_third_zones.any(|(_, stats)| is_failing(stats) == Some(false))
     }
 
     /// Results of tries at `zone` by proxies of other zones, without those of zones whose own proxies may be at fault
@@ -137,7 +141,7 @@
     }
 }
 
-/// Assesses one zone.
+/// Assesses one zone. The first condition that applies decides.
 pub fn assess_zone(view: &FleetView, zone: &Zone) -> ZoneHealth {
     if view.ready_weight.get(zone).is_some_and(|weight| *weight <= 0.0) {
         // Discovery lists no ready worker there.
@@ -148,6 +152,7 @@
         (Some(true), Some(false)) => return ZoneHealth::CutOff,
         // Nothing shows that the zone's own proxies are served, so the zone counts as lost.
         (Some(true), _) => return ZoneHealth::Lost,
+        // Too few tries came from other zones, and most of the zone's own fail.
         (None, Some(true)) if stats_from_others.tries < MIN_TRIES => return ZoneHealth::Lost,
         (None, None) => return ZoneHealth::Unknown,
         _ => {}
@@ -162,9 +167,12 @@
     });
     let mut mean_times: Vec<Ms> = mean_times.collect();
     mean_times.sort_by(f64::total_cmp);
-    let median = mean_times.get(mean_times.len().saturating_sub(1) / 2).copied();
-    let is_slow =
-        all_stats.mean_success_time().zip(median).is_some_and(|(mean, median)| mean > SLOW_FACTOR * median);
+    // Of an even number of values the lower one in the middle.
+    let median_of_others = mean_times.get(mean_times.len().saturating_sub(1) / 2).copied();
+    let is_slow = all_stats
+        .mean_success_time()
+        .zip(median_of_others)
+        .is_some_and(|(mean, median)| mean > SLOW_FACTOR * median);
     let has_failures = all_stats.failure_ratio_bounds().0 > MIN_OVERLOAD_FAILURE_RATIO;
     if utilization.is_some_and(|utilization| utilization >= FULL_UTILIZATION) && (is_slow || has_failures) {
         return ZoneHealth::Overloaded;
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -1,4 +1,4 @@
-//! The agreed plan, and how a member applies it while its lease lasts.
+//! The committed plan, and how a member applies it while its lease lasts.
 
 use std::collections::BTreeMap;
 
@@ -11,19 +11,19 @@
 /// The ratio of its weight that a zone keeps, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneShare {
-    /// 0 takes all its workers out; 1 leaves the zone unrestricted.
+    /// 0 removes all workers of the zone; 1 leaves the zone unrestricted.
     pub weight_ratio: f64,
     pub reason: ZoneHealth,
 }
 
-/// An agreed failover plan. Zones that it does not name keep their full weight.
+/// A failover plan, as proposed or committed. Zones that it does not name keep their full weight.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     /// Increases with every change of the shares.
     pub version: u64,
     /// Counts the leader's renewals of this version's lease.
     pub renewal: u64,
-    /// The zones that are restricted.
+    /// The restricted zones.
     pub shares: BTreeMap<Zone, ZoneShare>,
     /// How long a member applies the plan without a renewal.
     pub lease: Ms,
@@ -35,12 +35,12 @@
         self.shares.values().all(|share| share.weight_ratio >= 1.0)
     }
 
-    /// Adopts a plan that was agreed and returns whether it was newer. An older one, such as that of a deposed leader, is
-    /// ignored.
-    pub fn adopt_if_newer(&mut self, agreed: &Plan) -> bool {
-        let is_newer = (agreed.version, agreed.renewal) > (self.version, self.renewal);
+    /// Adopts a committed plan if it is newer, and returns whether it was. An older one, such as that of a deposed leader,
+    /// is ignored.
+    pub fn adopt_if_newer(&mut self, committed: &Plan) -> bool {
+        let is_newer = (committed.version, committed.renewal) > (self.version, self.renewal);
         if is_newer {
-            *self = agreed.clone();
+            *self = committed.clone();
         }
         is_newer
     }
@@ -55,7 +55,7 @@
 }
 
 impl ActivePlan {
-    /// Applies a plan that was agreed or renewed, and restarts its lease.
+    /// Applies a new or renewed plan and starts its lease anew.
     pub fn activate(&mut self, now: Ms, plan: &Plan) {
         (self.plan, self.lease_start, self.expired) = (plan.clone(), now, false);
     }
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -24,7 +24,7 @@
     accumulator.take_evidence(0.0, BTreeMap::new(), BTreeMap::new());
     for proxy_zone in zones {
         for worker_zone in zones {
-            let (failure_ratio, mean) = results(proxy_zone, worker_zone);
+            let (failure_ratio, mean_success_time) = results(proxy_zone, worker_zone);
             let tries = 100.0 * weight_ratio(worker_zone);
             if tries > 0.0 {
                 accumulator.record(
@@ -32,14 +32,14 @@
                     &zone(worker_zone),
                     tries,
                     tries * failure_ratio,
-                    mean,
+                    mean_success_time,
                     Some(0.5),
                 );
             }
         }
     }
     let ready_weight = zones.iter().map(|name| (zone(name), 10.0)).collect();
-    // By zone: how many proxies are joined, and how many of them have an overdue acknowledgement.
+    // Per zone: joined proxies, and how many of them have an overdue acknowledgement.
     let proxies = zones.iter().map(|name| (zone(name), (10, 0))).collect();
     accumulator.take_evidence(1000.0, ready_weight, proxies)
 }
@@ -128,6 +128,7 @@
     controller: FailoverController,
     plan: Plan,
     active_plan: ActivePlan,
+    /// Each change of the weight ratios with its time, and the ratios from then on.
     changes: Vec<(f64, BTreeMap<Zone, f64>)>,
 }
 
@@ -182,8 +183,8 @@
     assert!(fleet.changes.is_empty());
     fleet.run(3_000.0, B_LOST);
     assert_eq!((fleet.weight_ratio("b"), fleet.changes.len()), (0.0, 1));
-    let removed_after = fleet.changes[0].0 - 5_000.0;
-    assert!(removed_after <= 2.0 * CONFIG.report_period, "removed after {removed_after} ms");
+    let removal_delay = fleet.changes[0].0 - 5_000.0;
+    assert!(removal_delay <= 2.0 * CONFIG.report_period, "removed after {removal_delay} ms");
     fleet.run(40_000.0, ALL_WELL);
     assert_eq!(fleet.weight_ratio("b"), 1.0);
     let ratios: Vec<f64> =
@@ -225,7 +226,7 @@
 }
 
 #[test]
-fn if_all_zones_are_lost_one_is_kept() {
+fn if_all_zones_are_lost_one_keeps_its_weight() {
     let mut fleet = Fleet::new();
     fleet.run(2_000.0, ALL_WELL);
     fleet.run(4_000.0, &|_, worker_zone| (f64::from(u8::from(worker_zone != "a")), 50.0));
@@ -255,10 +256,10 @@
     assert!((weight_ratio - (1.0 - free / 300.0)).abs() < 0.01, "{weight_ratio}");
     evidence.utilization =
         [("a", 0.99), ("b", 0.99), ("c", 0.99)].map(|(name, utilization)| (zone(name), utilization)).into();
-    let mut full = FailoverController::default();
-    full.record_evidence(10_000.0, MemberId(1), evidence, &CONFIG);
+    let mut controller_without_capacity = FailoverController::default();
+    controller_without_capacity.record_evidence(10_000.0, MemberId(1), evidence, &CONFIG);
     assert_eq!(
-        full.next_plan(10_010.0, &CONFIG, &Plan::default()),
+        controller_without_capacity.next_plan(10_010.0, &CONFIG, &Plan::default()),
         None,
         "no zone has free capacity: admission levels have to shed the load"
     );
@@ -277,16 +278,16 @@
         active_plan.weight_ratios().is_empty() && !active_plan.expire(9200.0),
         "the expiry is reported once"
     );
-    let mut agreed = plan.clone();
+    let mut committed = plan.clone();
     assert!(
-        !agreed.adopt_if_newer(&Plan { version: 2, renewal: 9, ..plan.clone() }),
+        !committed.adopt_if_newer(&Plan { version: 2, renewal: 9, ..plan.clone() }),
         "a deposed leader's plan is not adopted"
     );
-    assert!(agreed.adopt_if_newer(&Plan { renewal: 2, ..plan }));
+    assert!(committed.adopt_if_newer(&Plan { renewal: 2, ..plan }));
 }
 
 #[test]
-fn a_new_leader_renews_the_agreed_plan() {
+fn a_new_leader_renews_the_committed_plan() {
     let shares = [(zone("b"), ZoneShare { weight_ratio: 0.3, reason: ZoneHealth::Well })].into();
     let plan = Plan { version: 7, renewal: 2, shares, lease: 9000.0 };
     let mut controller = FailoverController::default();
