--- a/crates/gangs/src/gang.rs
+++ b/crates/gangs/src/gang.rs
@@ -6,40 +6,42 @@
 
 use crate::progress::{median, Attempt, PartId, ProgressReport};
 
-/// The rate ratio to the peers that the test assumes of a straggler. Evidence for and against is balanced at its square
-/// root, two thirds: half speed is clearly below that, and the usual differences among workers of one kind are above it.
+/// The rate of a straggler, divided by that of its peers, that the test assumes. Evidence for and against is balanced at
+/// its square root, two thirds: half speed is clearly below that, and the usual differences among workers of one kind are
+/// above it.
 const STRAGGLER_RATE_RATIO: f64 = 4.0 / 9.0;
-/// Accepted rate of false alarms and of missed stragglers. A run has ten million reports, such as a thousand each from ten
+/// Accepted rate of false alarms: one in ten million reports, the number in a run with a thousand reports from each of ten
 /// thousand workers.
 const FALSE_ALARM_RATE: f64 = 1e-7;
+/// Accepted rate of missed stragglers.
 const MISS_RATE: f64 = 0.02;
-/// The smallest scatter of the rates, as a standard deviation of their logarithms: a lower measured value is taken for
-/// chance.
+/// The smallest scatter of the rates, as a standard deviation of their logarithms. A lower measured value is attributed to
+/// chance and raised to this.
 const MIN_SCATTER: f64 = 0.12;
 /// The fewest reports that can lead to a verdict: a stall of one period does not make a straggler.
 const MIN_REPORTS: f64 = 4.0;
-/// With fewer peers of the same kind, all workers of the gang that are equally warm or cold are compared. With fewer of
-/// those there is no baseline.
+/// With fewer peers of the same kind, a worker is compared with all workers of the gang that are warm, or cold, like it.
+/// With fewer of those there is no baseline.
 const MIN_PEERS: usize = 4;
-/// A worker without a report for this many periods is silent.
+/// A worker without a report for this many report periods is silent.
 const SILENT_PERIODS: f64 = 3.0;
 /// A part is large if it exceeds the median size by this factor.
 const LARGE_PART_FACTOR: f64 = 1.8;
 
-/// Why an attempt is at its current progress.
+/// The state of an attempt and, if it is slow, the cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// Slow compared with its peers.
     Straggler,
-    /// Slow together with all warm workers of its machine type.
+    /// The warm workers of its machine type are slow as a group.
     KindSlow,
-    /// As fast as its peers, with more to do.
+    /// Its part is much larger than the median part, and nothing shows that the worker is slow.
     LargePart,
-    /// Cold, and as slow as the other cold workers.
+    /// The cold workers of its machine type are slow as a group.
     Cold,
-    /// The worker reports nothing, which neither shows nor excludes progress.
+    /// The worker's reports have stopped, so it is not known whether it makes progress.
     Silent,
-    /// All workers of its zone report nothing, which is left to the failover between zones.
+    /// The reports of all workers of its zone have stopped, which is left to the failover between zones.
     ZoneSilent,
     /// Its part is done and it waits for the others.
     AtBarrier,
@@ -54,7 +56,7 @@
     pub cause: Cause,
     /// Its rate divided by the usual rate of its peers, if both are known.
     pub rate_ratio: Option<f64>,
-    /// 0 to 1: the evidence for a straggler, as a ratio of the evidence that a verdict requires.
+    /// 0 to 1: the evidence for a straggler, divided by the evidence that the verdict [`Cause::Straggler`] requires.
     pub confidence: f64,
     /// How many more reports like the last one would complete the evidence; `None` if the last one speaks against it.
     pub reports_needed: Option<u32>,
@@ -66,7 +68,7 @@
     /// The round of the latest reports.
     pub round: u32,
     /// Time between two reports of a worker.
-    period: Ms,
+    report_period: Ms,
     /// Whether a part may run twice at once.
     pub idempotent: bool,
     /// Attempts at each part, in the order in which they were first reported.
@@ -81,9 +83,9 @@
 }
 
 impl Gang {
-    /// `period` is the time between two reports of a worker; `idempotent` tells whether a part may run twice at once.
-    pub fn new(period: Ms, idempotent: bool) -> Gang {
-        Gang { round: 0, period, idempotent, parts: BTreeMap::new() }
+    /// `report_period` is the time between two reports of a worker, and `idempotent` whether a part may run twice at once.
+    pub fn new(report_period: Ms, idempotent: bool) -> Gang {
+        Gang { round: 0, report_period, idempotent, parts: BTreeMap::new() }
     }
 
     /// All attempts of the round, running or finished, with their parts.
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The baseline of an attempt: from the rates of its peers, each over all kept points of the peer.
+    /// The baseline of an attempt: from the rates of its peers, each over all stored points of the peer.
     fn baseline(&self, part: PartId, worker: WorkerId) -> Option<Baseline> {
         let own_attempt = self
             .attempts()
@@ -168,8 +170,8 @@
         if deviations.len() < MIN_PEERS {
             deviations = peers.iter().map(|log_rate| (log_rate - median_log_rate).abs()).collect();
         }
-        // The test looks at the rate between two reports, which scatters more than a rate over many. For a normal
-        // distribution the median absolute deviation is 0.6745 of the standard deviation.
+        // The test evaluates the rate between two consecutive reports, which scatters more than the rate over many. The
+        // median absolute deviation of a normal distribution is 0.6745 standard deviations.
         let scatter = median(&mut deviations)? / 0.6745;
         Some(Baseline { median_log_rate, scatter: scatter.max(MIN_SCATTER) })
     }
@@ -181,11 +183,11 @@
         // Per zone: the attempts that are not finished, and how many of them are silent.
         let mut zone_counts: BTreeMap<ZoneId, (usize, usize)> = BTreeMap::new();
         for (_, attempt) in self.attempts().filter(|(_, attempt)| !attempt.is_finished()) {
-            let counts = zone_counts.entry(attempt.kind.zone).or_default();
-            (counts.0, counts.1) = (counts.0 + 1, counts.1 + usize::from(self.is_silent(attempt, now)));
+            let (unfinished, silent) = zone_counts.entry(attempt.kind.zone).or_default();
+            (*unfinished, *silent) = (*unfinished + 1, *silent + usize::from(self.is_silent(attempt, now)));
         }
         let zone_count = zone_counts.len();
-        let verdict = |(part, attempt): (PartId, &Attempt)| {
+        let verdict_on = |(part, attempt): (PartId, &Attempt)| {
             let baseline = self.baseline(part, attempt.worker);
             let rate = attempt.rate();
             let rate_ratio = rate.zip(baseline).map(|(rate, baseline)| rate / baseline.median_log_rate.exp());
@@ -221,14 +223,15 @@
             };
             Verdict { part, worker: attempt.worker, cause, rate_ratio, confidence, reports_needed }
         };
-        self.attempts().map(verdict).collect()
+        self.attempts().map(verdict_on).collect()
     }
 
     fn is_silent(&self, attempt: &Attempt, now: Ms) -> bool {
-        now > attempt.last_report_time() + SILENT_PERIODS * self.period
+        now > attempt.last_report_time() + SILENT_PERIODS * self.report_period
     }
 
-    /// Whether all workers of this kind together are slow compared with the others.
+    /// Whether the median rate of the workers of this machine type that are warm, or cold, like this one is far below that
+    /// of all other workers.
     fn is_kind_slow(&self, own_attempt: &Attempt) -> bool {
         let rates = |same_kind: bool| -> Vec<f64> {
             let all = self.attempts().map(|(_, attempt)| attempt);
@@ -246,8 +249,8 @@
     }
 }
 
-/// The evidence of one report for a straggler, or against it if negative: the log-likelihood ratio of the rate at
-/// [`STRAGGLER_RATE_RATIO`] and at the baseline.
+/// The evidence of one report for a straggler, or against it if negative: the log-likelihood ratio of its rate, with the
+/// rate of a straggler ([`STRAGGLER_RATE_RATIO`]) against that of the baseline.
 fn evidence(rate: f64, baseline: Baseline) -> f64 {
     let limit = score_threshold() / MIN_REPORTS;
     if rate <= 0.0 {
--- a/crates/gangs/src/lib.rs
+++ b/crates/gangs/src/lib.rs
@@ -1,5 +1,5 @@
 //! Straggler detection in gangs: groups of workers that run the parts of one bulk job, often in rounds. A round starts
-//! only when the previous one has finished, so one slow worker delays all. This crate has no I/O, clock or thread.
+//! only when the previous one has finished, so one slow worker delays the job. This crate has no I/O, clock or thread.
 //!
 //! [`Gang`] takes progress reports, which may be delayed, lost and reordered. It compares a worker's rate with the rates of
 //! its peers, which are the workers of the same kind (machine type, warm or cold). The comparison uses logarithms, the
@@ -8,7 +8,7 @@
 //! sum, 1954, so that a worker that has recovered is cleared). A [`Verdict`] states the confidence and how many more
 //! reports are needed.
 //!
-//! The [`Mitigation`] depends on the cause and on a [`Budget`] of extra work. The ideas are those published for LATE
+//! The [`Mitigation`] depends on the cause and on a [`Budget`] of extra work. It follows the published designs of LATE
 //! (progress rates), Mantri (mitigation by cause, only where it saves time) and Dolly (clones within a budget).
 
 mod gang;
--- a/crates/gangs/src/mitigation.rs
+++ b/crates/gangs/src/mitigation.rs
@@ -8,22 +8,17 @@
 /// What to do about one verdict.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mitigation {
+    /// Do nothing now.
     Wait,
     /// Reduce the worker's weight for all other work, so that it has more time for the part.
     ReduceWeight(WorkerId),
     /// Start a second attempt at another worker; the first attempt to finish completes the part.
-    Speculate {
-        part: PartId,
-        worker: WorkerId,
-    },
-    /// Cancel the attempt. Only once its end or its refusal is durable may the part be started elsewhere.
-    CancelThenRestart {
-        part: PartId,
-        worker: WorkerId,
-    },
+    Speculate { part: PartId, worker: WorkerId },
+    /// Cancel the attempt. The part may be started elsewhere only once the end or the refusal of this attempt is durable.
+    CancelThenRestart { part: PartId, worker: WorkerId },
 }
 
-/// The limit on extra work under way, in the unit of the parts' sizes.
+/// The limit on the work of running extra attempts, in the unit of the parts' sizes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     pub max_work: f64,
@@ -34,7 +29,7 @@
 const MIN_SAVED_RATIO: f64 = 0.3;
 
 impl Budget {
-    /// A budget of `ratio` of the total work of all gangs.
+    /// A budget of `total_work`, which is that of all gangs, times `ratio`.
     pub fn from_ratio(total_work: f64, ratio: f64) -> Budget {
         Budget { max_work: total_work * ratio, used_work: 0.0 }
     }
@@ -55,8 +50,8 @@
 }
 
 impl Gang {
-    /// Decides what to do about one verdict. `spare` is an idle worker that is as fast as is usual for its kind in this
-    /// gang.
+    /// Decides what to do about one verdict. `spare` is an idle worker, assumed to be as fast as the peers of the worker
+    /// that the verdict is about.
     pub fn choose_mitigation(
         &self,
         verdict: &Verdict,
@@ -69,14 +64,14 @@
         let reduce_weight = Mitigation::ReduceWeight(verdict.worker);
         let own_attempt =
             self.attempts().find(|(part, attempt)| *part == verdict.part && attempt.worker == verdict.worker);
-        let Some(((_, own_attempt), ratio)) =
-            own_attempt.zip(verdict.rate_ratio.filter(|ratio| *ratio > 0.0))
+        let Some(((_, own_attempt), rate_ratio)) =
+            own_attempt.zip(verdict.rate_ratio.filter(|rate_ratio| *rate_ratio > 0.0))
         else {
             return reduce_weight;
         };
         let Some(remaining_time) = own_attempt.remaining_time() else { return reduce_weight };
         // A restart elsewhere runs the whole part at the usual rate of the peers.
-        let restart_time: Ms = own_attempt.size / (own_attempt.rate().unwrap_or(f64::INFINITY) / ratio);
+        let restart_time: Ms = own_attempt.size / (own_attempt.rate().unwrap_or(f64::INFINITY) / rate_ratio);
         let saves_enough = restart_time < (1.0 - MIN_SAVED_RATIO) * remaining_time;
         let Some(worker) = spare.filter(|_| saves_enough && self.attempt_count(verdict.part) == 1) else {
             return reduce_weight;
@@ -92,8 +87,9 @@
 
     /// The total work of the round: each part counts once, whatever its number of attempts.
     pub fn total_work(&self) -> f64 {
-        let mut last = None;
-        let firsts = self.attempts().filter(move |(part, _)| last.replace(*part) != Some(*part));
-        firsts.map(|(_, attempt): (PartId, &Attempt)| attempt.size).sum()
+        let mut previous_part = None;
+        let first_attempts =
+            self.attempts().filter(move |(part, _)| previous_part.replace(*part) != Some(*part));
+        first_attempts.map(|(_, attempt): (PartId, &Attempt)| attempt.size).sum()
     }
 }
--- a/crates/gangs/tests/gangs.rs
+++ b/crates/gangs/tests/gangs.rs
@@ -15,7 +15,7 @@
     size: f64,
     /// Mean work per millisecond.
     speed: f64,
-    /// The time in milliseconds from which its reports stop.
+    /// The time in milliseconds at which its reports stop.
     silent_from: f64,
 }
 
@@ -30,7 +30,7 @@
     in_transit: Vec<(f64, ProgressReport)>,
 }
 
-fn warm(machine: u16, zone: u16) -> WorkerKind {
+fn warm_kind(machine: u16, zone: u16) -> WorkerKind {
     WorkerKind { machine: MachineId(machine), cell: CellId(0), zone: ZoneId(zone), warm: true }
 }
 
@@ -38,7 +38,7 @@
     fn new(seed: u64, count: usize) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let worker = |n: usize| SimulatedWorker {
-            kind: warm(0, (n % 3) as u16),
+            kind: warm_kind(0, (n % 3) as u16),
             size: 100_000.0,
             speed: 1.0,
             silent_from: f64::INFINITY,
@@ -62,9 +62,10 @@
         for n in 0..self.workers.len() {
             let worker = self.workers[n];
             // The sum of twelve uniform values is approximately normal.
-            let normal = (0..12).map(|_| self.rng.f64()).sum::<f64>() - 6.0;
-            self.done[n] =
-                (self.done[n] + worker.speed * (0.15 * normal).exp() * REPORT_PERIOD / worker.size).min(1.0);
+            let normal_noise = (0..12).map(|_| self.rng.f64()).sum::<f64>() - 6.0;
+            self.done[n] = (self.done[n]
+                + worker.speed * (0.15 * normal_noise).exp() * REPORT_PERIOD / worker.size)
+                .min(1.0);
             let report = ProgressReport {
                 round: 1,
                 part: PartId(n as u32),
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_uniformly_slow_gang_has_no_straggler() {
+fn a_gang_of_equally_slow_workers_has_no_straggler() {
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, 64);
         simulation.workers.iter_mut().for_each(|worker| worker.speed = 0.3);
@@ -123,7 +124,7 @@
 #[test]
 fn other_causes_of_slowness_are_distinguished() {
     let mut simulation = Simulation::new(3, 48);
-    (0..12).for_each(|n| (simulation.workers[n].kind, simulation.workers[n].speed) = (warm(1, 0), 0.4));
+    (0..12).for_each(|n| (simulation.workers[n].kind, simulation.workers[n].speed) = (warm_kind(1, 0), 0.4));
     (12..18).for_each(|n| (simulation.workers[n].kind.warm, simulation.workers[n].speed) = (false, 0.35));
     simulation.workers[20].size = 300_000.0;
     simulation.workers[21].silent_from = 6_000.0;
@@ -148,7 +149,7 @@
 #[test]
 fn a_straggler_within_a_slow_kind_is_found() {
     let mut simulation = Simulation::new(4, 40);
-    (0..12).for_each(|n| (simulation.workers[n].kind, simulation.workers[n].speed) = (warm(1, 0), 0.4));
+    (0..12).for_each(|n| (simulation.workers[n].kind, simulation.workers[n].speed) = (warm_kind(1, 0), 0.4));
     simulation.workers[3].speed = 0.15;
     (0..25).for_each(|_| simulation.run_period());
     assert_eq!(simulation.workers_with(Cause::Straggler), [3]);
@@ -173,7 +174,7 @@
         round,
         part: PartId(0),
         worker: WorkerId(0),
-        kind: warm(0, 0),
+        kind: warm_kind(0, 0),
         size: 10.0,
         done,
         reported_at,
@@ -245,9 +246,9 @@
     (0..3).for_each(|_| simulation.run_period());
     let verdicts = simulation.gang.verdicts(simulation.now);
     let nearly_done = verdicts.iter().find(|verdict| verdict.worker == WorkerId(1)).unwrap();
-    let mut ample = Budget::from_ratio(1e9, 1.0);
+    let mut large_budget = Budget::from_ratio(1e9, 1.0);
     assert!(!matches!(
-        simulation.gang.choose_mitigation(nearly_done, spare, &mut ample),
+        simulation.gang.choose_mitigation(nearly_done, spare, &mut large_budget),
         Mitigation::Speculate { .. }
     ));
 }
