--- a/crates/schedule/src/ledger.rs
+++ b/crates/schedule/src/ledger.rs
@@ -109,7 +109,9 @@
     pub due_ms: i64,
     pub outcome: OccurrenceOutcome,
     pub tries: u32,
+    /// Of the claim at its end; 0 if it was not claimed then.
     pub fence: Index,
+    /// Of the claim at its end; 0 if it was not claimed then.
     pub owner: MemberId,
 }
 
@@ -243,8 +245,10 @@
                 // The proposer did not know of the open occurrence; a later pass of the leader skips this one or waits.
                 OverlapPolicy::Skip | OverlapPolicy::Queue => return false,
                 OverlapPolicy::Replace => {
-                    let earlier: Vec<i64> = record.open.keys().copied().collect();
-                    earlier.into_iter().for_each(|due_ms| record.end(due_ms, OccurrenceOutcome::Replaced));
+                    let earlier_due_times: Vec<i64> = record.open.keys().copied().collect();
+                    earlier_due_times
+                        .into_iter()
+                        .for_each(|due_ms| record.end(due_ms, OccurrenceOutcome::Replaced));
                 }
             }
         }
