--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -3,8 +3,8 @@
 //! occurs at which pass of which point, and every pass is recorded in a file. A trial can thus inject each fault in turn
 //! and name the points that were never reached. Without the feature, [`Point::pass`] does nothing.
 //!
-//! The crate `fail` does not fit: its points are selected by name and act by probability or count, but the crate records
-//! no passes, can't ask a caller to lose, repeat or tear a step, and has no abort action.
+//! The crate `fail` is not used: its points are selected by name and act by probability or count, but it records no
+//! passes, can't ask a caller to lose, repeat or tear a step, and has no abort action.
 
 use std::fmt;
 
@@ -21,7 +21,7 @@
     Lose,
     /// The caller performs the step twice.
     Repeat,
-    /// The caller performs part of the step and acts as if it had failed.
+    /// The caller performs part of the step and acts as if the step had failed.
     Tear,
 }
 
@@ -154,22 +154,28 @@
     /// The faults to inject: `POINT:PASS:FAULT`, separated by commas. PASS is the number of the pass, from 1, or `*` for
     /// each pass.
     const FAULTS_VARIABLE: &str = "JUNIPERRAIL_POINTS";
-    /// The path of a file that only one process can create. That process injects the fault, once; the others continue
-    /// without it.
+    /// The path of a file that only one process can create. That process injects the fault, once; the others inject none.
     const ONCE_FILE_VARIABLE: &str = "JUNIPERRAIL_POINTS_ONCE";
-    /// The path of the file that passes are recorded in, one point number per line.
+    /// The path of the file to record passes in, one point number per line.
     const PASSED_FILE_VARIABLE: &str = "JUNIPERRAIL_POINTS_PASSED";
     /// The path of a file with the offset of the clock in milliseconds; it is read again at each use of the clock.
     const CLOCK_FILE_VARIABLE: &str = "JUNIPERRAIL_CLOCK";
-    /// Limits the passes recorded of one point, and so the size of the file. Trials choose the passes to inject faults at
-    /// among those recorded.
+    /// Limit on the recorded passes of each point, and so on the size of the file. Trials inject faults only at recorded
+    /// passes.
     const MAX_RECORDED_PASSES: u64 = 200;
     /// Longer than a lease and an election in the trials, but shorter than their wait time-outs.
-    const STALL: Duration = Duration::from_millis(2500);
+    const STALL_DURATION: Duration = Duration::from_millis(2500);
+
+    /// A fault to inject, from [`FAULTS_VARIABLE`].
+    struct SelectedFault {
+        point: Point,
+        /// The number of the pass at which to inject the fault, from 1; `None` for each pass.
+        pass_number: Option<u64>,
+        fault: Fault,
+    }
 
     struct Injector {
-        /// The point, the number of the pass (`None`: each pass) and the fault.
-        faults: Vec<(Point, Option<u64>, Fault)>,
+        faults: Vec<SelectedFault>,
         passed_file: Option<File>,
         pass_counts: BTreeMap<Point, u64>,
     }
@@ -178,11 +184,11 @@
         static INJECTOR: OnceLock<Mutex<Injector>> = OnceLock::new();
         INJECTOR.get_or_init(|| {
             let selection = std::env::var(FAULTS_VARIABLE).unwrap_or_default();
-            let words = selection.split(',').filter(|word| !word.is_empty());
+            let entries = selection.split(',').filter(|entry| !entry.is_empty());
             let passed_path = std::env::var_os(PASSED_FILE_VARIABLE);
             let open_file = |path| OpenOptions::new().append(true).create(true).open(path).ok();
             Mutex::new(Injector {
-                faults: words.map(parse_fault).collect(),
+                faults: entries.map(parse_fault).collect(),
                 passed_file: passed_path.and_then(open_file),
                 pass_counts: <_>::default(),
             })
@@ -190,9 +196,9 @@
     }
 
     /// Parses `POINT:PASS:FAULT`; exits the process if the text is invalid.
-    fn parse_fault(word: &str) -> (Point, Option<u64>, Fault) {
+    fn parse_fault(entry: &str) -> SelectedFault {
         let parse = || {
-            let mut parts = word.split(':');
+            let mut parts = entry.split(':');
             let point = Point(parts.next()?.parse().ok()?);
             let pass_number = match parts.next()? {
                 "*" => None,
@@ -200,11 +206,11 @@
             };
             let name = parts.next()?;
             let fault = Fault::ALL.iter().find(|(fault_name, _)| *fault_name == name)?.1;
-            Some((point, pass_number, fault))
+            Some(SelectedFault { point, pass_number, fault })
         };
         // Without this check, a trial that selects an unknown fault would pass without testing anything.
         parse().unwrap_or_else(|| {
-            eprintln!("{FAULTS_VARIABLE} contains an invalid POINT:PASS:FAULT: {word:?}");
+            eprintln!("{FAULTS_VARIABLE} contains an invalid POINT:PASS:FAULT: {entry:?}");
             std::process::exit(2)
         })
     }
@@ -219,10 +225,10 @@
                 // If this fails, the trial reports the point as not reached.
                 _ = writeln!(file, "{}", point.0);
             }
-            let matches_pass = |(selected_point, pass_number, _): &&(Point, Option<u64>, Fault)| {
-                *selected_point == point && pass_number.is_none_or(|number| number == *count)
+            let matches_pass = |selected: &&SelectedFault| {
+                selected.point == point && selected.pass_number.is_none_or(|number| number == *count)
             };
-            faults.iter().find(matches_pass).map(|(_, _, fault)| *fault).filter(|_| claim_once_file())
+            faults.iter().find(matches_pass).map(|selected| selected.fault).filter(|_| claim_once_file())
         };
         match fault {
             Some(Fault::Abort) => {
@@ -231,7 +237,7 @@
             }
             Some(Fault::Stall) => {
                 eprintln!("{point}: stall");
-                std::thread::sleep(STALL);
+                std::thread::sleep(STALL_DURATION);
                 None
             }
             other => {
@@ -241,7 +247,7 @@
         }
     }
 
-    /// Whether this process may inject the fault: it creates the file, or no file is configured.
+    /// Returns whether this process may inject the fault: it has just created the file, or no file is configured.
     fn claim_once_file() -> bool {
         std::env::var_os(ONCE_FILE_VARIABLE).is_none_or(|path| File::create_new(path).is_ok())
     }
@@ -262,8 +268,8 @@
     #[test]
     fn points_have_unique_numbers_and_names_and_at_least_one_fault() {
         for (index, info) in POINTS.iter().enumerate() {
-            let same = |other: &&PointInfo| other.point == info.point || other.name == info.name;
-            assert_eq!(POINTS.iter().filter(same).count(), 1, "{}", info.name);
+            let is_same = |other: &&PointInfo| other.point == info.point || other.name == info.name;
+            assert_eq!(POINTS.iter().filter(is_same).count(), 1, "{}", info.name);
             assert!(!info.faults.is_empty(), "{}", info.point);
             assert!(index == 0 || POINTS[index - 1].point < info.point, "points are sorted by number");
             assert_eq!(super::info(info.point).map(|found| found.name), Some(info.name));
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -2,8 +2,8 @@
 //! allowed to retry such an operation only once the ledger holds the authorisation durably. After a crash at any step
 //! the ledger therefore contains every authorisation that was ever sent, and none that was never requested.
 //!
-//! The ledger is append-only. Compaction has one rule: an authorisation is removed once it ended so long ago that no
-//! proxy can still report an invocation of that time.
+//! The ledger is append-only. Compaction removes an authorisation only once it ended so long ago that no proxy can still
+//! report an invocation of that time.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,8 +11,8 @@
 use juniperrail_interface::{Ms, ProxyId, TableId};
 use serde::{Deserialize, Serialize};
 
-/// Identifies what may be retried: an operation at a proxy through a table. The operation is stored by name, as ids
-/// change with the settings.
+/// Identifies what may be retried: an operation at a proxy through a table. The operation is stored by name, as its id
+/// changes with the settings.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RetryKey {
     pub operation: String,
@@ -78,7 +78,7 @@
         match postcard::take_from_bytes(bytes) {
             Ok((record, [])) => Ok(record),
             Ok((_, rest)) => Err(DecodeError(format!("{} trailing bytes", rest.len()))),
-            Err(why) => Err(DecodeError(why.to_string())),
+            Err(error) => Err(DecodeError(error.to_string())),
         }
     }
 }
@@ -90,18 +90,19 @@
 }
 
 impl Ledger {
-    /// Applies a durable record.
+    /// Applies a record. The caller makes sure that the record is durable.
     pub fn apply(&mut self, record: Record) {
         match record {
             Record::Authorised { key, from, since } => {
-                let all = self.authorisations.entry(key).or_default();
-                // A record that was rewritten after a disk failure is the same authorisation.
-                if all.last().is_none_or(|last| last.to.is_some()) {
-                    all.push(Authorisation { from, since, to: None });
+                let authorisations = self.authorisations.entry(key).or_default();
+                // A record that was written again after a disk failure does not start another authorisation.
+                if authorisations.last().is_none_or(|last| last.to.is_some()) {
+                    authorisations.push(Authorisation { from, since, to: None });
                 }
             }
             Record::Revoked { key, to, at } => {
-                let last = self.authorisations.get_mut(&key).and_then(|all| all.last_mut());
+                let last =
+                    self.authorisations.get_mut(&key).and_then(|authorisations| authorisations.last_mut());
                 last.into_iter().for_each(|last| last.to = last.to.or(Some((to, at))));
             }
             Record::Snapshot { key, authorisation } => {
@@ -112,28 +113,33 @@
 
     /// Whether an authorisation of the key is in force.
     pub fn is_authorised(&self, key: &RetryKey) -> bool {
-        self.authorisations.get(key).and_then(|all| all.last()).is_some_and(|last| last.to.is_none())
+        self.authorisations
+            .get(key)
+            .and_then(|authorisations| authorisations.last())
+            .is_some_and(|last| last.to.is_none())
     }
 
-    /// Whether a retry at this position was authorised.
+    /// Whether an authorisation of the key covers this position.
     pub fn was_authorised_at(&self, key: &RetryKey, position: MarkPosition) -> bool {
-        let covers =
-            |entry: &Authorisation| entry.from <= position && entry.to.is_none_or(|(to, _)| position <= to);
-        self.authorisations.get(key).is_some_and(|all| all.iter().any(covers))
+        let covers = |authorisation: &Authorisation| {
+            authorisation.from <= position && authorisation.to.is_none_or(|(to, _)| position <= to)
+        };
+        self.authorisations.get(key).is_some_and(|authorisations| authorisations.iter().any(covers))
     }
 
     /// Every authorisation with its key.
     pub fn entries(&self) -> impl Iterator<Item = (&RetryKey, &Authorisation)> {
-        self.authorisations
-            .iter()
-            .flat_map(|(key, all)| all.iter().map(move |authorisation| (key, authorisation)))
+        self.authorisations.iter().flat_map(|(key, authorisations)| {
+            authorisations.iter().map(move |authorisation| (key, authorisation))
+        })
     }
 
     /// Removes authorisations that ended before this time. Those still in force stay, however old they are.
     pub fn remove_ended_before(&mut self, time: Ms) {
-        let is_retained = |entry: &Authorisation| entry.to.is_none_or(|(_, at)| at >= time);
-        self.authorisations.values_mut().for_each(|all| all.retain(is_retained));
-        self.authorisations.retain(|_, all| !all.is_empty());
+        let is_retained =
+            |authorisation: &Authorisation| authorisation.to.is_none_or(|(_, ended_at)| ended_at >= time);
+        self.authorisations.values_mut().for_each(|authorisations| authorisations.retain(is_retained));
+        self.authorisations.retain(|_, authorisations| !authorisations.is_empty());
     }
 
     /// The ledger as records for a snapshot.
@@ -146,21 +152,21 @@
     }
 }
 
-/// How to handle an order that allows an operation to be retried.
+/// How the caller handles an order that allows retries of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// The order may be sent: the ledger holds the authorisation durably.
     Granted,
-    /// Write this record first; until it is durable, the order is sent without the retry.
+    /// Write this record first; until it is durable, the order is sent without allowing retries.
     Write(Record),
-    /// The record is being written.
+    /// The record was submitted and is not durable yet.
     Pending,
-    /// The disk fails: no new retry is authorised, everything else continues.
+    /// The disk is failing: no new retries are authorised, everything else continues.
     Unavailable,
 }
 
-/// Authorises retries once their records are durable. `T` is the ticket of a record; tickets are ordered as records
-/// become durable.
+/// Authorises retries once their records are durable. `T` is the ticket of a submitted record; tickets are ordered as the
+/// records become durable.
 #[derive(Clone, Debug)]
 pub struct RetryAuthoriser<T> {
     /// The durable records, as far as [`RetryAuthoriser::records_durable`] reported them.
@@ -183,7 +189,7 @@
         &self.ledger
     }
 
-    /// Decides on an order that would allow retries from this position on.
+    /// Decides on an order that would allow retries of `key` from this position on.
     pub fn authorise(&mut self, now: Ms, key: &RetryKey, from: MarkPosition) -> Decision {
         let submitted_grant = self.submitted.iter().rev().find_map(|(_, record)| match record {
             Record::Authorised { key: other, .. } if other == key => Some(true),
@@ -204,16 +210,17 @@
         Decision::Write(self.requested.entry(key.clone()).or_insert(record).clone())
     }
 
-    /// The proxy acknowledged a mark sent after the order that revoked the retry. Returns the record to write if the
-    /// retry was ever authorised. If the record is late or lost, the ledger contains too many authorisations, but never
-    /// too few.
+    /// Called when the proxy has acknowledged the mark `to`, which was sent after the order that revoked the retries.
+    /// Returns the record to write, if an authorisation is in force or submitted. If that record is late or lost, the
+    /// ledger contains too many authorisations, but never too few.
     pub fn revoke(&mut self, now: Ms, key: &RetryKey, to: MarkPosition) -> Option<Record> {
         let authorises = |(_, record): &(T, Record)| matches!(record, Record::Authorised { key: other, .. } if other == key);
-        let authorised_or_submitted = self.ledger.is_authorised(key) || self.submitted.iter().any(authorises);
-        authorised_or_submitted.then(|| Record::Revoked { key: key.clone(), to, at: now })
+        let is_authorised_or_submitted =
+            self.ledger.is_authorised(key) || self.submitted.iter().any(authorises);
+        is_authorised_or_submitted.then(|| Record::Revoked { key: key.clone(), to, at: now })
     }
 
-    /// A record was submitted to the store and will be durable as `ticket`.
+    /// Called when a record was submitted to the store, which reports it as durable by `ticket`.
     pub fn record_submitted(&mut self, ticket: T, record: Record) {
         if let Record::Authorised { key, .. } = &record {
             self.requested.remove(key);
@@ -221,7 +228,8 @@
         self.submitted.push((ticket, record));
     }
 
-    /// All records up to `durable` are on disk. Returns the keys that are authorised by this.
+    /// Called when all records up to the ticket `durable` are on disk. Applies them and returns the keys that they
+    /// authorise.
     pub fn records_durable(&mut self, durable: T, disk_failing: bool) -> Vec<RetryKey> {
         self.disk_failing = disk_failing;
         let count = self.submitted.iter().take_while(|(ticket, _)| *ticket <= durable).count();
@@ -306,7 +314,7 @@
         authoriser.record_submitted(3, renewed);
         assert!(
             authoriser.records_durable(2, false).is_empty(),
-            "authorised and revoked at once: nothing is granted"
+            "both records are durable at once, so nothing is granted"
         );
         assert_eq!(authoriser.records_durable(3, false), [key(1)]);
         let authorised_at = |mark| authoriser.ledger().was_authorised_at(&key(1), position(mark));
--- a/crates/recovery/tests/crashes.rs
+++ b/crates/recovery/tests/crashes.rs
@@ -12,7 +12,7 @@
 const LIMITS: Limits =
     Limits { max_segment_bytes: 600, max_total_bytes: 1 << 20, max_pending_bytes: 64 << 10 };
 
-/// The ledger from the recovered snapshot and records.
+/// Rebuilds the ledger from the recovered snapshot and records.
 fn replay(recovered: &juniperrail_store::Recovered) -> Ledger {
     let records = recovered.records.iter().map(|(_, bytes)| bytes);
     let mut ledger = Ledger::default();
@@ -20,9 +20,10 @@
     ledger
 }
 
+/// Keys with the positions from which their retries were requested or granted.
 type Authorisations = BTreeSet<(RetryKey, MarkPosition)>;
 
-/// Runs a manager through several crashes, all drawn from the seed.
+/// Runs a manager several times, mostly until a crash. The seed determines the crashes, faults and calls.
 fn run_history(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let disk = Arc::new(SimDisk::new(seed));
@@ -42,9 +43,9 @@
                     "seed {seed}: {key:?} at {position:?} is lost"
                 );
             }
-            for (key, entry) in ledger.entries() {
+            for (key, authorisation) in ledger.entries() {
                 assert!(
-                    requested.contains(&(key.clone(), entry.from)),
+                    requested.contains(&(key.clone(), authorisation.from)),
                     "seed {seed}: {key:?} was never requested"
                 );
             }
@@ -91,8 +92,8 @@
                         }
                     }
                     _ => {
-                        let failing = store.commit().is_err();
-                        authoriser.records_durable(store.durable(), failing);
+                        let disk_failing = store.commit().is_err();
+                        authoriser.records_durable(store.durable(), disk_failing);
                     }
                 }
             }
@@ -108,22 +109,22 @@
                     "seed {seed}: {key:?} at {position:?} is lost"
                 )
             });
-            ledger.entries().for_each(|(key, entry)| {
+            ledger.entries().for_each(|(key, authorisation)| {
                 assert!(
-                    requested.contains(&(key.clone(), entry.from)),
+                    requested.contains(&(key.clone(), authorisation.from)),
                     "seed {seed}: {key:?} was never requested"
                 )
             });
         }
-        Err(OpenError::Io(why)) => panic!("seed {seed}: {why}"),
-        Err(refused) => panic!("seed {seed}: {refused}"),
+        Err(OpenError::Io(error)) => panic!("seed {seed}: {error}"),
+        Err(error) => panic!("seed {seed}: {error}"),
     }
 }
 
 #[test]
 fn no_crash_loses_a_granted_authorisation_or_adds_one() {
     let configured_count = std::env::var("JUNIPERRAIL_HISTORIES").ok().and_then(|count| count.parse().ok());
-    let count: u64 = configured_count.unwrap_or(2_000);
-    println!("histories 1 to {count}, each by its seed");
-    (1..=count).for_each(run_history);
+    let history_count: u64 = configured_count.unwrap_or(2_000);
+    println!("histories with the seeds 1 to {history_count}");
+    (1..=history_count).for_each(run_history);
 }
--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -1,17 +1,17 @@
 //! Records of the ledger that an earlier build wrote are read as the same values and written as the same bytes. Guards
-//! against renames and reordered fields that make a stored ledger unreadable after an upgrade. Each line of the file in
-//! `formats/` is a record's name and its bytes in hexadecimal digits.
+//! against renamed, retyped or reordered fields and variants that make a stored ledger unreadable after an upgrade. Each
+//! line of the file in `formats/` is a record's name and its bytes in hexadecimal digits.
 
 use juniperrail_interface::{ProxyId, TableId};
 use juniperrail_recovery::{Authorisation, MarkPosition, Record, RetryKey};
 
 const STORED: &str = include_str!("formats/ledger-records.txt");
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn to_hexadecimal(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(digits: &str) -> Vec<u8> {
+fn bytes_from_hexadecimal(digits: &str) -> Vec<u8> {
     (0..digits.len())
         .step_by(2)
         .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
@@ -39,7 +39,11 @@
     assert_eq!(stored.len(), records.len());
     for ((stored_name, digits), (name, record)) in stored.iter().zip(&records) {
         assert_eq!(stored_name, name);
-        assert_eq!(&Record::decode(&bytes(digits)).unwrap(), record, "{name} is read as another record");
-        assert_eq!(&hexadecimal(&record.encode()), digits, "{name} is written as other bytes");
+        assert_eq!(
+            &Record::decode(&bytes_from_hexadecimal(digits)).unwrap(),
+            record,
+            "{name} is read as another record"
+        );
+        assert_eq!(&to_hexadecimal(&record.encode()), digits, "{name} is written as other bytes");
     }
 }
