--- a/crates/consensus/src/clock.rs
+++ b/crates/consensus/src/clock.rs
@@ -4,7 +4,7 @@
 
 /// Returns the median of the clock readings, in Unix milliseconds, or `None` if none is finite. Of an even count it is
 /// the lower of the two middle readings, so that nothing starts before at least half of the clocks have reached its
-/// time. As long as fewer than half of the clocks are wrong, the median lies between two correct ones.
+/// time. As long as fewer than half of the clocks are wrong, the median lies within the range of the correct ones.
 pub fn median_clock(readings: impl IntoIterator<Item = Ms>) -> Option<Ms> {
     let mut readings: Vec<Ms> = readings.into_iter().filter(|reading| reading.is_finite()).collect();
     readings.sort_by(f64::total_cmp);
--- a/crates/consensus/src/ids.rs
+++ b/crates/consensus/src/ids.rs
@@ -27,7 +27,7 @@
         Index(self.0 + 1)
     }
 
-    /// The previous position; for 0 it is 0.
+    /// The previous position; 0 has none and gives 0.
     pub fn previous(self) -> Index {
         Index(self.0.saturating_sub(1))
     }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,15 +1,15 @@
 //! Consensus between managers and failure detection, free of I/O, clocks and threads. The caller passes in the time,
 //! received messages, notices of durable writes and random seeds; it gets back the records to write, the messages to
-//! send after that, and the entries that are committed.
+//! send and the entries that are committed.
 //!
 //! [`RaftNode`] is Raft (Ongaro and Ousterhout, 2014) with the extensions of Ongaro's dissertation: pre-vote,
 //! check-quorum, leases, one-at-a-time membership changes, learners and leadership transfer. [`FailureDetector`] is
 //! SWIM (Das, Gupta and Motivala, 2002) with Lifeguard's local health (Dadgar, Phillips and Currey, 2017).
-//! [`median_clock`] gives a group a wall-clock time that does not jump when single clocks do. `docs/design/consensus.md`
-//! lists the departures from the papers.
+//! [`median_clock`] gives a group a wall-clock time that does not jump when individual clocks do.
+//! `docs/design/consensus.md` lists the departures from the papers.
 //!
-//! A fencing token is the index of the log entry that granted it: tokens increase across all restarts, and no two
-//! grants share one.
+//! A fencing token is the index of the log entry that records the grant: tokens increase across all restarts, and no
+//! two grants share one.
 
 mod clock;
 mod failure_detector;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -10,18 +10,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRole {
     Voter,
-    /// It receives the log and has no vote, until it has caught up and is promoted.
+    /// Receives the log but has no vote until it has caught up and is promoted.
     Learner,
 }
 
 /// A member of the group, as the log records it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The address that the member listens on. Other members learn it from here.
+    /// The address that the member listens on and that the other members connect to.
     pub address: String,
     pub role: MemberRole,
 }
 
+/// The members of a group by their ids.
 pub type Members = BTreeMap<MemberId, Member>;
 
 /// A single membership change. Only one is in progress at a time, so that any quorum before it and any quorum after it
@@ -53,7 +54,7 @@
     pub payload: Payload,
 }
 
-/// Replaces all entries up to `last_index`.
+/// The state after the entry at `last_index`. It replaces all entries up to and including that one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub last_index: Index,
@@ -100,6 +101,8 @@
         self.entries.get(self.offset(index)?)
     }
 
+    /// The offset in `entries` of this index, also beyond the end of the log; `None` if the index is part of the
+    /// snapshot.
     fn offset(&self, index: Index) -> Option<usize> {
         usize::try_from(index.0.checked_sub(self.snapshot.last_index.0 + 1)?).ok()
     }
@@ -155,8 +158,8 @@
             Payload::Membership(members) => Some(members.clone()),
             _ => None,
         };
-        let latest = self.entries[..=offset].iter().rev().find_map(membership);
-        let members = latest.unwrap_or_else(|| self.snapshot.members.clone());
+        let latest_members = self.entries[..=offset].iter().rev().find_map(membership);
+        let members = latest_members.unwrap_or_else(|| self.snapshot.members.clone());
         self.snapshot = Snapshot { last_index: index, last_term: term, members, state };
         self.entries.drain(..=offset);
         self.membership_offset =
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -29,8 +29,8 @@
         /// A random number that identifies the answering member's store: it distinguishes a new store of the same
         /// member from the old one.
         store_id: u64,
-        /// The store ids of the members that bootstrapped the group; `None` if the answering member's own store is
-        /// empty.
+        /// The store ids of the members that bootstrapped the group. `None` if the answering member's own store is
+        /// empty; an empty map if the member joined later or lost its store, and so does not know the ids.
         bootstrap_stores: Option<BTreeMap<MemberId, u64>>,
     },
     RequestVote {
@@ -39,7 +39,7 @@
         last: (Index, Term),
         /// Asks only whether the candidate would be elected; neither side changes its term or vote.
         pre_vote: bool,
-        /// The leader itself asked the candidate to stand, so its lease is no reason to refuse.
+        /// The leader itself asked the candidate to stand, so the leader's lease does not prevent the vote.
         leadership_transfer: bool,
     },
     RequestVoteReply {
@@ -49,7 +49,8 @@
     },
     AppendEntries {
         term: Term,
-        /// The leader's clock. The reply returns it, so that the leader knows when the request was sent.
+        /// When the request was sent, by the leader's clock. The reply repeats it, because the leader's lease counts
+        /// from this time.
         sent_at: Ms,
         /// Index and term of the entry before the first one sent.
         previous: (Index, Term),
@@ -68,23 +69,23 @@
         /// The time given in the request.
         sent_at: Ms,
         success: bool,
-        /// On success the index up to which both logs match; otherwise the index that the leader is to try next as the
-        /// previous one.
+        /// On success, the index up to which both logs match; otherwise the index that the leader is to use
+        /// as `previous` in its next request.
         index: Index,
     },
     /// Leadership transfer: the receiver is to start an election at once.
     TimeoutNow {
         term: Term,
     },
-    /// A command that a member which does not lead forwards to the leader.
+    /// A command that another member forwards to the leader.
     Propose {
         command: Vec<u8>,
     },
 }
 
 impl Message {
-    /// The slot of a message whose newer version replaces an older one that still waits for the same peer; `None` for
-    /// messages that all have to be sent.
+    /// The outbox slot of this message: a newer message replaces an older one that is still queued for the same peer
+    /// in the same slot. `None` if the message must not be replaced.
     pub fn slot(&self) -> Option<u8> {
         match self {
             Message::HandshakeRequest { .. } => Some(0),
--- a/crates/consensus/src/record.rs
+++ b/crates/consensus/src/record.rs
@@ -17,12 +17,13 @@
     Run(Run),
     /// The latest run and nonce of another member whose handshake this member has answered.
     PeerRun(MemberId, Run, u64),
-    /// The group was bootstrapped with these members and stores, all of which were empty.
+    /// The group was bootstrapped with these members and stores, all of which were empty. Compaction writes the record
+    /// again with the current snapshot.
     Bootstrapped(Snapshot, BTreeMap<MemberId, u64>),
     /// This store is lost or outdated. The member grants no vote until [`Record::RecoveryFinished`].
     RecoveryStarted,
     RecoveryFinished,
-    /// The current term and the candidate that got this member's vote in it.
+    /// The current term and the candidate that received this member's vote in it.
     TermAndVote(Term, Option<MemberId>),
     /// Log entries; they replace all entries from the index of the first one on.
     Entries(Vec<Entry>),
@@ -73,24 +74,25 @@
             *self = KnownRun { run, nonce, previous: self.run };
             return (self.previous, true);
         }
-        // Detects a store that was restored from a copy: its next start reuses a run number, with another nonce.
+        // A start from a store that was restored from a copy reuses a run number, with another nonce. It then gets an
+        // answer with a known run that is not lower than its own, and recovers.
         let repeated = run == self.run && nonce == self.nonce;
         (if repeated { self.previous } else { self.run }, false)
     }
 }
 
-/// The state that a store's records add up to.
+/// The state that results from replaying a store's records.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
     /// `None` for an empty store.
     pub store_id: Option<u64>,
-    /// The store ids of the members that bootstrapped the group, if they are known here.
+    /// The store ids of the members that bootstrapped the group; empty if this member does not know them.
     pub bootstrap_stores: BTreeMap<MemberId, u64>,
     pub run: Run,
     pub peer_runs: BTreeMap<MemberId, KnownRun>,
     /// The member is or was part of a group.
     pub bootstrapped: bool,
-    /// A recovery was started and not finished.
+    /// A recovery was started but not finished.
     pub recovering: bool,
     pub term: Term,
     pub vote: Option<MemberId>,
@@ -121,8 +123,8 @@
             Record::RecoveryStarted => (self.bootstrapped, self.recovering) = (true, true),
             Record::RecoveryFinished => self.recovering = false,
             Record::TermAndVote(term, vote) => (self.term, self.vote) = (term, vote),
-            // The store keeps the order, so a gap means that a file of another member was put here. Entries after the
-            // gap are left out, and the leader sends them again.
+            // The store preserves the order of records, so a gap means that it contains a file of another member.
+            // Entries after the gap are dropped, and the leader sends them again.
             Record::Entries(entries) => _ = self.log.replace_from(&entries),
             Record::Snapshot(snapshot) => self.log = Log::new(snapshot),
         }
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -1,10 +1,11 @@
 //! Whether a member may vote after a start, or has to recover first because its store is empty, lost or outdated.
 //!
-//! Raft assumes that what was synced is there after a restart. If a store is lost, or an older copy of it is restored,
+//! Raft assumes that synced writes survive a restart. If a store is lost, or an older copy of it is restored,
 //! the member has forgotten votes and entries that others counted on, and could help to elect a leader that lacks
-//! committed entries. So at each start a member asks the others what they know of it. If they know of a later run (start
-//! of the member) than its own store does, the member grants no vote until its log holds all that the leader's log held
-//! when the leader was asked. The idea is that of Viewstamped Replication's recovery (Liskov and Cowling, 2012).
+//! committed entries. So at each start a member asks the others for the latest run (start) of it that they know. If
+//! that is later than the latest run in its own store, the member grants no vote until its log holds all that the
+//! leader's log held when the leader was asked. The approach is that of Viewstamped Replication's recovery (Liskov and
+//! Cowling, 2012).
 
 use std::collections::BTreeMap;
 
@@ -12,12 +13,13 @@
 
 use crate::ids::{Index, MemberId, Run, Term};
 
-/// How far a member is in verifying its store. It votes only when [`RecoveryState::Ready`].
+/// The state of verifying a member's store after a start. It votes only when [`RecoveryState::Ready`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RecoveryState {
     /// The store is empty: either the group is not bootstrapped yet, or the store was lost.
     Empty,
-    /// The store has content; until this time the others may still report that it is outdated.
+    /// The store is not empty, but may be outdated. The member waits for answers until it and those that have answered
+    /// are a majority of the voters, but no longer than until this time.
     Verifying {
         until: Ms,
     },
@@ -55,8 +57,8 @@
     /// Adds an answer, in place of an earlier one of the same member.
     pub fn record(&mut self, sender: MemberId, answer: Answer) {
         let earlier = self.answers.get(&sender);
-        // The leader's log grows while this member catches up: to recover, the last index in the leader's first answer of
-        // a term is enough.
+        // The leader's log grows while this member catches up. The last index in the leader's first answer of a term is
+        // enough for the recovery, so later answers do not raise it.
         let same_leadership =
             |earlier: &&Answer| earlier.is_leader && answer.is_leader && earlier.term == answer.term;
         let last_index =
@@ -97,25 +99,27 @@
         others.filter(|id| self.answers.contains_key(id)).count()
     }
 
-    /// The highest term among the other voters, once enough of them have answered: `voters - voters / 2`, so that they
-    /// include a member of every quorum that this member may have been part of.
+    /// The highest term among the other voters, once enough of them have answered from a store that is not empty:
+    /// `voter_count - voter_count / 2`, so that they include a member of every quorum that this member may have been
+    /// part of.
     pub fn highest_term<'a>(&self, others: impl Iterator<Item = &'a MemberId>) -> Option<Term> {
         let others: Vec<&MemberId> = others.collect();
-        let voters = others.len() + 1;
+        let voter_count = others.len() + 1;
         let bootstrapped_answer =
             |id: &&MemberId| self.answers.get(id).filter(|answer| answer.bootstrap_stores.is_some());
         let terms: Vec<Term> =
             others.iter().filter_map(bootstrapped_answer).map(|answer| answer.term).collect();
-        (terms.len() >= voters - voters / 2).then(|| terms.into_iter().max()).flatten()
+        (terms.len() >= voter_count - voter_count / 2).then(|| terms.into_iter().max()).flatten()
     }
 
-    /// The last index of this leader's log when the leader was asked.
+    /// The last index of this leader's log when the leader was asked; `None` if the member has not answered as leader
+    /// of this term.
     pub fn leader_last_index(&self, leader: MemberId, term: Term) -> Option<Index> {
         let answer = self.answers.get(&leader)?;
         (answer.is_leader && answer.term == term).then_some(answer.last_index)
     }
 
-    /// Drops the answers: they are about a run that is no longer the current one.
+    /// Drops the answers, which are for a run that is no longer the current one.
     pub fn clear(&mut self) {
         self.answers.clear();
     }
