--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -1,9 +1,9 @@
 //! Failure detector: SWIM's direct and indirect probes, suspicion and incarnation numbers, with Lifeguard's local
 //! health, so that a slow member suspects itself before it suspects others.
 //!
-//! Departures from the papers: an indirect ack is distinguished from a direct one ([`Reach::Indirect`]), since a link
-//! that is cut in one direction is not a dead process and operators need to know which it is; and a member that leaves
-//! announces it.
+//! Departures from the papers: an indirect ack is distinguished from a direct one ([`Reach::Indirect`]), because
+//! operators need to tell a link that is cut in one direction from a dead process; and a member that leaves announces
+//! it.
 
 use std::collections::BTreeMap;
 
@@ -34,14 +34,14 @@
 }
 
 /// A gossip update about a member. Of two updates the one with the higher incarnation takes precedence; with the same
-/// incarnation, the one with the worse health. Updates and messages are encoded by position, so fields and variants
-/// keep their order.
+/// incarnation, the one with the later variant of [`Health`]. Updates and messages are encoded by position, so fields
+/// and variants keep their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
     pub member: MemberId,
     pub health: Health,
     pub incarnation: u64,
-    /// For a suspicion the member that raised it: independent suspicions confirm each other.
+    /// For a suspicion, the member that raised it. Suspicions by different members confirm each other.
     pub reported_by: MemberId,
 }
 
@@ -65,17 +65,18 @@
         target: MemberId,
         updates: Vec<GossipUpdate>,
     },
-    /// The target of a ping request did not answer in time. The nack also shows that the sender itself works.
+    /// The target of a ping request did not answer the relay in time. The nack also shows that the relay and the link
+    /// to it work.
     Nack {
         sequence: u64,
     },
 }
 
 impl SwimMessage {
-    /// The slot of a message whose newer version replaces an older one that still waits for the same peer; `None` for
-    /// messages that all have to be sent.
+    /// The outbox slot of this message: a newer message replaces an older one that is still queued for the same peer
+    /// in the same slot. `None` if the message must not be replaced.
     pub fn slot(&self) -> Option<u8> {
-        // Differs from the slots of `Message`, because both kinds of messages wait in the same outbox.
+        // Differs from the slots of `Message`, because both kinds of messages are queued in the same outbox.
         matches!(self, SwimMessage::Ping { .. }).then_some(16)
     }
 }
@@ -102,6 +103,12 @@
 const MAX_CONFIRMATION_COUNT: f64 = 3.0;
 /// The number of probes for other members that may be in progress; further ping requests are dropped.
 const MAX_RELAYED_PROBES: usize = 256;
+/// The most by which one failed probe worsens the local health.
+const MAX_PROBE_PENALTY: u32 = 2;
+/// The number of times an update is gossiped, per binary logarithm of the group's size (SWIM's lambda).
+const GOSSIP_FACTOR: u32 = 3;
+/// The number of low bits of an incarnation that count the increments within one run.
+const INCARNATION_BITS_PER_RUN: u32 = 20;
 
 /// What this member knows of another one.
 #[derive(Clone, Debug)]
@@ -113,7 +120,7 @@
     suspected_by: Vec<MemberId>,
     direct_ack_at: Option<Ms>,
     indirect_ack_at: Option<Ms>,
-    /// The peer's wall clock less this member's monotonic clock, which does not jump; and when that was measured.
+    /// The peer's wall clock minus this member's monotonic clock, which does not jump; and when it was measured.
     clock_offset: Option<(Ms, Ms)>,
     /// How often the current update about the peer has been sent.
     times_gossiped: u32,
@@ -125,7 +132,7 @@
     sequence: u64,
     target: MemberId,
     sent_at: Ms,
-    /// The number of ping requests sent after the direct probe timed out; at least 1 from then on.
+    /// 0 until the direct probe times out; then the number of ping requests sent, or 1 if there was no relay.
     ping_request_count: usize,
     nack_count: usize,
     acked_indirectly: bool,
@@ -167,7 +174,7 @@
     pub fn start(id: MemberId, config: SwimConfig, incarnation: u64, seed: u64, now: Ms) -> FailureDetector {
         let rng = fastrand::Rng::with_seed(seed);
         // Leaves room for the increments of one run below the next run's incarnation.
-        let incarnation = incarnation << 20;
+        let incarnation = incarnation << INCARNATION_BITS_PER_RUN;
         FailureDetector {
             id,
             config,
@@ -186,7 +193,7 @@
         }
     }
 
-    /// Sets the members to watch. The state of members that were watched before is retained.
+    /// Sets the members to watch. Members that were watched before keep their state.
     pub fn set_members(&mut self, now: Ms, members: impl Iterator<Item = MemberId>) {
         let members: Vec<MemberId> = members.filter(|id| *id != self.id).collect();
         self.peers.retain(|id, _| members.contains(id));
@@ -249,7 +256,8 @@
         self.local_health
     }
 
-    /// The wall clocks of the members that were reached within the last two rounds, and this member's own wall clock.
+    /// The wall clocks of the members that answered a direct probe within the last two rounds, and this member's own
+    /// wall clock.
     pub fn clocks(&self, now: Ms, own_clock: Ms) -> Vec<Ms> {
         let recent_clock = |peer: &Peer| {
             let (offset, measured_at) = peer.clock_offset?;
@@ -258,7 +266,7 @@
         self.peers.values().filter_map(recent_clock).chain([own_clock]).collect()
     }
 
-    /// The time in which this member probes every other one once.
+    /// A time within which this member probes every other one at least once.
     fn round_duration(&self) -> Ms {
         self.config.probe_period_ms
             * (self.peers.len().max(1) as f64 + 1.0)
@@ -267,8 +275,8 @@
 
     /// When [`FailureDetector::tick`] is due next.
     pub fn next_tick(&self) -> Ms {
-        let probe = self.probe.filter(|probe| probe.ping_request_count == 0);
-        let probe_timeout = probe.map(|probe| probe.sent_at + self.probe_timeout());
+        let direct_probe = self.probe.filter(|probe| probe.ping_request_count == 0);
+        let probe_timeout = direct_probe.map(|probe| probe.sent_at + self.probe_timeout());
         let relayed_deadlines = self.relayed_probes.iter().map(|relayed| relayed.deadline);
         let suspects = self.peers.values().filter(|peer| peer.health == Health::Suspect);
         let suspicion_ends = suspects.map(|peer| peer.health_since + self.suspicion_timeout(peer));
@@ -279,12 +287,13 @@
             .fold(self.next_probe_at, f64::min)
     }
 
+    /// How long this member waits for the answer to a direct or relayed probe.
     fn probe_timeout(&self) -> Ms {
         self.config.probe_timeout_ms * f64::from(self.local_health + 1)
     }
 
-    /// How long a member stays suspect before it counts as dead: the longer the worse this member's own health is, the
-    /// shorter the more members suspect it.
+    /// How long a peer stays suspect before it counts as dead. The timeout grows as this member's own local health gets
+    /// worse, and shrinks as more members confirm the suspicion.
     fn suspicion_timeout(&self, peer: &Peer) -> Ms {
         let group_factor = (self.peers.len() as f64 + 1.0).log10().max(1.0);
         let period = self.config.probe_period_ms * f64::from(self.local_health + 1);
@@ -293,9 +302,9 @@
             MAX_SUSPICION_RATIO * MIN_SUSPICION_FACTOR * group_factor * period,
         );
         let max_confirmations = MAX_CONFIRMATION_COUNT.min(self.peers.len() as f64 - 1.0).max(1.0);
-        let ratio =
+        let confirmation_ratio =
             (peer.suspected_by.len().saturating_sub(1) as f64 + 1.0).ln() / (max_confirmations + 1.0).ln();
-        (longest - (longest - shortest) * ratio).max(shortest)
+        (longest - (longest - shortest) * confirmation_ratio).max(shortest)
     }
 
     /// Handles expired probes and suspicions, and starts the next probe when it is due.
@@ -326,8 +335,8 @@
             self.send_ping_requests(probe);
         }
         if now >= self.next_probe_at {
-            // If the tick is late by more than a period, this member itself was suspended or starved, and the probe's
-            // result says nothing about its target.
+            // If the tick is late by more than a period, this member itself was suspended or got no CPU time, and the
+            // probe's result says nothing about its target.
             let late = now - self.next_probe_at > self.config.probe_period_ms;
             self.finish_probe(now, late);
             self.next_probe_at = now + self.config.probe_period_ms * f64::from(self.local_health + 1);
@@ -335,6 +344,7 @@
         }
     }
 
+    /// Asks random other members to probe the target, after it has not answered a direct probe in time.
     fn send_ping_requests(&mut self, probe: Probe) {
         let mut relays: Vec<MemberId> =
             self.alive().filter(|id| *id != self.id && *id != probe.target).collect();
@@ -350,7 +360,8 @@
         }
     }
 
-    /// Ends the previous period's probe: a target that has not answered is suspected.
+    /// Ends the previous period's probe. A target that has answered neither directly nor through a relay is suspected,
+    /// and the local health gets worse for each missing nack. A late tick only makes the local health worse.
     fn finish_probe(&mut self, now: Ms, late: bool) {
         let probe = self.probe.take();
         if late {
@@ -361,10 +372,10 @@
         if probe.acked_indirectly {
             return;
         }
-        // A relay that has not even sent a nack indicates a fault of this member's own links or timing.
+        // A relay that has not sent a nack either indicates a fault of this member's own links or timing.
         let missing_nacks = probe.ping_request_count.saturating_sub(probe.nack_count);
         let penalty = if probe.ping_request_count > 1 { missing_nacks as u32 } else { 1 };
-        self.local_health = (self.local_health + penalty.min(2)).min(MAX_LOCAL_HEALTH);
+        self.local_health = (self.local_health + penalty.min(MAX_PROBE_PENALTY)).min(MAX_LOCAL_HEALTH);
         let Some(peer) = self.peers.get(&probe.target) else { return };
         let suspicion = GossipUpdate {
             member: probe.target,
@@ -375,6 +386,7 @@
         self.apply_update(now, suspicion);
     }
 
+    /// Probes the next member of the round; starts a new round if all have been probed.
     fn start_probe(&mut self, now: Ms) {
         if self.probe_order.is_empty() {
             self.probe_order = self.peers.keys().copied().collect();
@@ -396,10 +408,10 @@
         self.messages.push((target, SwimMessage::Ping { sequence, updates }));
     }
 
-    /// The updates to piggyback on a message: this member's own state, then those sent least often. An update that
-    /// reports the receiver itself as not alive precedes the others, so that the receiver can refute it.
+    /// The updates to piggyback on a message: this member's own state, then the updates sent least often. An update
+    /// that reports the receiver itself as not alive precedes these, so that the receiver can refute it.
     fn updates_for(&mut self, receiver: MemberId) -> Vec<GossipUpdate> {
-        let max_times_gossiped = 3 * (self.peers.len() + 2).ilog2().max(1);
+        let max_times_gossiped = GOSSIP_FACTOR * (self.peers.len() + 2).ilog2().max(1);
         let own_update = GossipUpdate {
             member: self.id,
             health: if self.leaving { Health::Left } else { Health::Alive },
@@ -430,11 +442,13 @@
         updates
     }
 
+    /// Applies an update if it takes precedence over what is known of the member, and counts a suspicion that another
+    /// member confirms. Refutes an update that reports this member as not alive.
     fn apply_update(&mut self, now: Ms, update: GossipUpdate) {
         let GossipUpdate { member, health, incarnation, reported_by } = update;
         if member == self.id {
             if health != Health::Alive && incarnation >= self.incarnation && !self.leaving {
-                // Refutes the update. Having to do so indicates that this member is slow.
+                // The higher incarnation refutes the update. Having to refute one indicates that this member is slow.
                 self.incarnation = incarnation + 1;
                 self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
             }
@@ -502,6 +516,7 @@
         }
     }
 
+    /// Relays the ack of a relayed probe to its requester, or records the ack of this member's own probe.
     fn handle_ack(&mut self, now: Ms, sender: MemberId, sequence: u64, target_clock: Ms) {
         if let Some(position) = self.relayed_probes.iter().position(|relayed| relayed.sequence == sequence) {
             let relayed = self.relayed_probes.swap_remove(position);
@@ -513,8 +528,8 @@
         let Some(probe) = self.probe.filter(|probe| probe.sequence == sequence) else { return };
         let Some(peer) = self.peers.get_mut(&probe.target) else { return };
         if sender == probe.target {
-            // The ack arrived before the next probe was sent, so the offset is exact to within the time between the two
-            // probes.
+            // The ack arrived before the next probe was sent, so the error of the offset is less than the time between
+            // the two probes.
             peer.direct_ack_at = Some(now);
             peer.clock_offset = Some((target_clock - now, now));
             self.local_health = self.local_health.saturating_sub(1);
