--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -11,21 +11,21 @@
 use crate::record::{KnownRun, Record, StoredState};
 use crate::recovery::{Answer, Handshake, RecoveryState};
 
-/// Messages held back until the records that they depend on are durable. Beyond this number the oldest are dropped,
-/// as any link may lose a message.
+/// The number of messages that may wait until the records that they depend on are durable. Beyond it the oldest are
+/// dropped, which Raft tolerates like a message lost on a link.
 const MAX_DEFERRED_MESSAGES: usize = 4096;
 
 /// Timeouts and limits of a Raft group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RaftConfig {
     pub heartbeat_interval_ms: Ms,
-    /// The shortest time without contact to a leader after which a member stands for election. The longest is twice
+    /// The shortest time without contact with a leader after which a member stands for election. The longest is twice
     /// this.
     pub election_timeout_ms: Ms,
-    /// By what ratio the clocks of two members may differ in speed.
+    /// The largest relative difference in speed between the clocks of two members.
     pub max_clock_drift_ratio: f64,
     pub max_entries_per_message: usize,
-    /// Entries that may await commitment; proposals beyond this number are rejected.
+    /// The number of entries that may await commitment; further proposals are rejected.
     pub max_uncommitted_entries: usize,
 }
 
@@ -80,7 +80,7 @@
     BecameLeader(Term),
     /// This member follows another leader than before.
     LeaderChanged(MemberId, Term),
-    /// This member no longer leads in this term, and the reason.
+    /// This member no longer leads in this term, for the given reason.
     SteppedDown(Term, &'static str),
     /// The group was bootstrapped with this many members.
     Bootstrapped(usize),
@@ -91,10 +91,10 @@
     StaleLeader(MemberId, Term),
 }
 
-/// What was committed, in log order.
+/// A committed snapshot or entry for the application, which receives them in log order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Committed {
-    /// Replaces all that was committed before.
+    /// Replaces the state that results from all that was committed before.
     Snapshot(Snapshot),
     Entry(Entry),
 }
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Actions {
     pub records: Vec<Record>,
-    /// Messages that may be sent without waiting for the records above.
+    /// Messages that may be sent before the records above are durable.
     pub messages: Vec<(MemberId, Message)>,
     pub committed: Vec<Committed>,
     pub events: Vec<RaftEvent>,
@@ -127,10 +127,11 @@
     /// The index of the first entry of this leader's term.
     first_index: Index,
     next_heartbeat_at: Ms,
-    /// A leadership transfer in progress: to whom, and until when it is tried.
+    /// The leadership transfer in progress: its target, and when it is given up.
     transfer: Option<(MemberId, Ms)>,
 }
 
+/// A member's role, with the state that the role needs.
 #[derive(Clone, Debug)]
 enum RoleState {
     Follower {
@@ -150,7 +151,7 @@
     id: MemberId,
     config: RaftConfig,
     rng: fastrand::Rng,
-    /// The configured members, which are used until the log has a membership.
+    /// The configured members, which are in force until the log has a membership.
     configured_members: Members,
     run: Run,
     peer_runs: BTreeMap<MemberId, KnownRun>,
@@ -170,9 +171,10 @@
     election_due_at: Ms,
     records_written: u64,
     records_durable: u64,
-    /// The own log is durable up to here.
+    /// This member's own log is durable up to here.
     durable_index: Index,
-    /// Once this many records are durable, the log is durable up to this index.
+    /// Log entries that are not durable yet: once the given number of records is durable, the log is durable up to the
+    /// given index.
     pending_syncs: VecDeque<(u64, Index)>,
     /// Messages, each with the number of records that have to be durable before it is sent.
     deferred_messages: VecDeque<(u64, MemberId, Message)>,
@@ -181,7 +183,7 @@
 }
 
 impl RaftNode {
-    /// Starts a member with the state that its store held. `configured_members` bootstrap the group if all of their
+    /// Starts a member with the state read from its store. `configured_members` bootstrap the group if all of their
     /// stores are empty.
     pub fn start(
         id: MemberId,
@@ -303,17 +305,19 @@
         self.voters().any(|id| *id == self.id)
     }
 
-    /// The highest value that a majority of the voters has reached.
-    fn majority<T: Copy + PartialOrd>(&self, reached: impl Fn(MemberId) -> T) -> Option<T> {
-        let mut values: Vec<T> = self.voters().map(|id| reached(*id)).collect();
+    /// The highest value that a majority of the voters has reached; `None` if there are no voters.
+    fn majority<T: Copy + PartialOrd>(&self, value_of: impl Fn(MemberId) -> T) -> Option<T> {
+        let mut values: Vec<T> = self.voters().map(|id| value_of(*id)).collect();
         values.sort_by(|a, b| b.partial_cmp(a).unwrap_or(std::cmp::Ordering::Equal));
         values.get(values.len() / 2).copied()
     }
 
+    /// Restarts the election timer with a random timeout between the shortest and the longest.
     fn reset_election_timer(&mut self, now: Ms) {
         self.election_due_at = now + self.config.election_timeout_ms * (1.0 + self.rng.f64());
     }
 
+    /// Queues a record for the caller to write.
     fn write(&mut self, record: Record) {
         self.records_written += 1;
         self.actions.records.push(record);
@@ -333,7 +337,7 @@
         self.deferred_messages.push_back((self.records_written, to, message));
     }
 
-    /// Sends a message that depends on no record being durable.
+    /// Sends a message that does not depend on records being durable.
     fn send_now(&mut self, to: MemberId, message: Message) {
         if to != self.id {
             self.actions.messages.push((to, message));
@@ -389,6 +393,7 @@
         self.update_recovery(now);
     }
 
+    /// Advances the recovery state according to the answers received so far.
     fn update_recovery(&mut self, now: Ms) {
         if self.handshake.known_run() >= self.run {
             self.run = Run(self.handshake.known_run().0 + 1);
@@ -400,9 +405,9 @@
             RecoveryState::Ready => {}
             RecoveryState::Empty => {
                 let stores = match self.handshake.bootstrap_stores() {
-                    // Another member has bootstrapped the group with this very store, which was empty then as well.
+                    // Another member has already bootstrapped the group with this store, so this member does the same.
                     Some(stores) if stores.get(&self.id) == Some(&self.store_id) => Some(stores.clone()),
-                    // The group was bootstrapped with a store that is lost, or before this member was added.
+                    // The store with which this member bootstrapped the group is lost, or the member was added later.
                     Some(_) => return self.start_recovery(now),
                     None if self.is_voter() => self.handshake.empty_stores(self.other_voters()),
                     None => None,
@@ -432,6 +437,7 @@
         }
     }
 
+    /// Starts the group's log with the configured members; `stores` are the store ids of its voters.
     fn bootstrap(&mut self, stores: BTreeMap<MemberId, u64>) {
         let snapshot = Snapshot { members: self.configured_members.clone(), ..Snapshot::default() };
         self.log = Log::new(snapshot.clone());
@@ -451,8 +457,8 @@
         self.actions.events.push(RaftEvent::RecoveryStarted);
     }
 
-    /// Finishes the recovery if the own log, which matches the leader's up to `match_index`, holds all that the leader's
-    /// log held when the leader was asked: this member may not have forgotten more than that.
+    /// Finishes the recovery if this member's log, which matches the leader's up to `match_index`, holds all that the
+    /// leader's log held when the leader was asked: any committed entry that this member has lost is among these.
     fn finish_recovery(&mut self, leader: MemberId, match_index: Index) {
         let RecoveryState::Recovering { term: Some(adopted_term) } = self.recovery else { return };
         let required_index = self.handshake.leader_last_index(leader, self.term);
@@ -465,6 +471,8 @@
 
     // Elections.
 
+    /// Starts a pre-vote, or an election in the next term. `leadership_transfer` marks an election that the leader
+    /// asked for.
     fn start_election(&mut self, now: Ms, pre_vote: bool, leadership_transfer: bool) {
         let term = Term(self.term.0 + 1);
         if !pre_vote {
@@ -484,7 +492,8 @@
         self.count_votes(now);
     }
 
-    /// Becomes leader, or goes from the pre-vote to the vote, with a majority. The own vote counts once it is durable.
+    /// With a majority of the votes, goes from the pre-vote to the election, or becomes leader. This member's own vote
+    /// counts once it is durable.
     fn count_votes(&mut self, now: Ms) {
         let RoleState::Candidate { pre_vote, votes, own_vote_record } = &mut self.state else { return };
         if *pre_vote || self.records_durable >= *own_vote_record {
@@ -518,6 +527,8 @@
         self.heartbeat(now);
     }
 
+    /// Becomes a follower, in the later of `term` and the current term. `leader` is the leader to follow, if it is
+    /// known. If this member was the leader, `reason` is reported as the cause.
     fn become_follower(&mut self, now: Ms, term: Term, leader: Option<MemberId>, reason: &'static str) {
         if matches!(self.state, RoleState::Leader(_)) {
             self.actions.events.push(RaftEvent::SteppedDown(self.term, reason));
@@ -535,10 +546,17 @@
         self.state = RoleState::Follower { leader };
     }
 
-    fn handle_request_vote(&mut self, now: Ms, sender: MemberId, request: (Term, (Index, Term), bool, bool)) {
-        let (term, last, pre_vote, leadership_transfer) = request;
-        // A leader that was heard from within the shortest election timeout may hold a lease that relies on this member
-        // granting no vote (Ongaro's dissertation, 4.2.3 and 6.4.1).
+    fn handle_request_vote(
+        &mut self,
+        now: Ms,
+        sender: MemberId,
+        term: Term,
+        (last_index, last_term): (Index, Term),
+        pre_vote: bool,
+        leadership_transfer: bool,
+    ) {
+        // A leader whose last message arrived within the shortest election timeout may hold a lease that relies on this
+        // member granting no vote (Ongaro's dissertation, 4.2.3 and 6.4.1).
         let lease_may_hold = self.leader().is_some()
             && now < self.leader_contact_at + self.config.election_timeout_ms
             || now < self.earliest_vote_at();
@@ -546,7 +564,7 @@
             return;
         }
         let (own_last_index, own_last_term) = self.log.last();
-        let up_to_date = (last.1, last.0) >= (own_last_term, own_last_index);
+        let up_to_date = (last_term, last_index) >= (own_last_term, own_last_index);
         if pre_vote {
             let granted = term > self.term && up_to_date && self.may_vote();
             return self.send_now(
@@ -557,8 +575,8 @@
         if term > self.term {
             self.become_follower(now, term, None, "another member stands for election in a later term");
         }
-        let vote_free = self.voted_for.is_none_or(|candidate| candidate == sender);
-        let granted = term == self.term && vote_free && up_to_date && self.may_vote();
+        let vote_available = self.voted_for.is_none_or(|candidate| candidate == sender);
+        let granted = term == self.term && vote_available && up_to_date && self.may_vote();
         if granted && self.voted_for.is_none() {
             self.voted_for = Some(sender);
             self.write(Record::TermAndVote(self.term, self.voted_for));
@@ -567,8 +585,9 @@
         self.send_when_durable(sender, Message::RequestVoteReply { term: self.term, granted, pre_vote });
     }
 
-    /// A member that has just started may have supported a leader's lease before, so it waits for an election timeout
-    /// before it votes. A member without any state has supported none.
+    /// The earliest time at which this member may vote in a later term, unless the leader asks for the election: the
+    /// shortest election timeout after the last contact with a leader. The start counts as contact, since the member
+    /// may have supported a leader's lease before it. A member without any state has supported none.
     fn earliest_vote_at(&self) -> Ms {
         match self.log.is_empty() && self.term == Term(0) {
             true => f64::NEG_INFINITY,
@@ -585,8 +604,9 @@
         }
     }
 
-    // Leading.
+    // The leader's part: proposals, replication, commitment, leases and leadership transfer.
 
+    /// Appends entries of the current term. Returns the position of the last one.
     fn append_as_leader(&mut self, payloads: Vec<Payload>) -> LogPosition {
         let (last_index, term) = (self.log.last().0, self.term);
         let entry = |(index, payload)| Entry { index: Index(index), term, payload };
@@ -595,7 +615,8 @@
         LogPosition { term, index: self.log.last().0 }
     }
 
-    /// Adds entries to the log and writes them. Entries that they replace no longer count as durable.
+    /// Adds entries to the log and writes them. Entries that they replace no longer count as durable. Returns false,
+    /// and changes nothing, if the log does not accept them ([`Log::replace_from`]).
     fn write_entries(&mut self, entries: Vec<Entry>) -> bool {
         let Some(first) = entries.first().map(|entry| entry.index) else { return true };
         if !self.log.replace_from(&entries) {
@@ -609,7 +630,7 @@
         true
     }
 
-    /// Sends each follower a heartbeat with the entries that it lacks; steps down without contact to a quorum.
+    /// Sends each follower a heartbeat with the entries that it lacks; steps down without contact with a quorum.
     fn heartbeat(&mut self, now: Ms) {
         if let RoleState::Leader(leadership) = &mut self.state {
             leadership.next_heartbeat_at = now + self.config.heartbeat_interval_ms;
@@ -721,6 +742,7 @@
         }
     }
 
+    /// Raises the commit index and hands out the newly committed entries.
     fn commit_up_to(&mut self, index: Index) {
         self.commit_index = index.max(self.commit_index);
         while self.last_applied < self.commit_index {
@@ -807,8 +829,8 @@
         Ok(position)
     }
 
-    /// Transfers the leadership to the reachable voter whose log is the most complete, as for a planned shutdown.
-    /// Returns false if there is none.
+    /// Starts to transfer the leadership to the reachable voter whose log is the most complete, for example before a
+    /// planned shutdown. Returns false if this member does not lead or reaches no other voter.
     pub fn transfer_leadership(&mut self, now: Ms) -> bool {
         let until = now + self.config.election_timeout_ms;
         let target = match &self.state {
@@ -827,7 +849,7 @@
         target.is_some()
     }
 
-    /// Asks the target of a leadership transfer to stand for election once it holds the whole log.
+    /// Asks the target of a leadership transfer to stand for election once it holds the complete log.
     fn send_timeout_now(&mut self) {
         let RoleState::Leader(leadership) = &self.state else { return };
         let Some((target, _)) = leadership.transfer else { return };
@@ -836,13 +858,13 @@
         }
     }
 
-    // Following.
+    // The follower's part: entries and snapshots from the leader.
 
     /// Accepts the sender as leader, unless its term has ended.
     fn accept_leader(&mut self, now: Ms, sender: MemberId, term: Term) -> bool {
         if term < self.term {
             self.actions.events.push(RaftEvent::StaleLeader(sender, term));
-            // Tells the sender of the later term; the reply has nothing to do with an election.
+            // Informs the sender of the later term. The reply does not answer a vote request.
             self.send_when_durable(
                 sender,
                 Message::RequestVoteReply { term: self.term, granted: false, pre_vote: false },
@@ -863,7 +885,7 @@
         &mut self,
         sender: MemberId,
         sent_at: Ms,
-        previous: (Index, Term),
+        (previous_index, previous_term): (Index, Term),
         entries: Vec<Entry>,
         leader_commit: Index,
     ) {
@@ -871,16 +893,17 @@
         let rejection = |index: Index| Message::AppendEntriesReply { term, sent_at, success: false, index };
         let snapshot_index = self.log.snapshot.last_index;
         // The entries in the snapshot were committed, so they match.
-        let matches = previous.0 < snapshot_index || self.log.term_at(previous.0) == Some(previous.1);
+        let matches =
+            previous_index < snapshot_index || self.log.term_at(previous_index) == Some(previous_term);
         if !matches {
-            let next_previous = previous.0.previous().min(last_index).max(snapshot_index);
+            let next_previous = previous_index.previous().min(last_index).max(snapshot_index);
             return self.send_when_durable(sender, rejection(next_previous));
         }
-        let match_index = Index(previous.0 .0 + entries.len() as u64);
+        let match_index = Index(previous_index.0 + entries.len() as u64);
         let differs =
             |entry: &Entry| entry.index > snapshot_index && self.log.term_at(entry.index) != Some(entry.term);
         if let Some(first) = entries.iter().position(differs) {
-            // A committed entry is never replaced: a sender that asks for it is not a member of this group.
+            // A committed entry is never replaced: a sender that asks to replace one is not a member of this group.
             if entries[first].index <= self.commit_index || !self.write_entries(entries[first..].to_vec()) {
                 return;
             }
@@ -933,7 +956,7 @@
                 }
             }
             Message::RequestVote { term, last, pre_vote, leadership_transfer } => {
-                self.handle_request_vote(now, sender, (term, last, pre_vote, leadership_transfer));
+                self.handle_request_vote(now, sender, term, last, pre_vote, leadership_transfer);
             }
             // A granted pre-vote names the next term, which has not started.
             Message::RequestVoteReply { term, granted, pre_vote }
@@ -1000,9 +1023,9 @@
         self.send_when_durable(sender, reply);
     }
 
-    // The store.
+    // Notices from the store, and compaction.
 
-    /// Notes that the first `records_durable` of the records handed out since the start are durable.
+    /// Records that the first `records_durable` of the records handed out since the start are durable.
     pub fn handle_durable(&mut self, now: Ms, records_durable: u64) {
         self.records_durable = self.records_durable.max(records_durable);
         while self.pending_syncs.front().is_some_and(|(record, _)| *record <= self.records_durable) {
@@ -1017,7 +1040,7 @@
         self.advance_commit_index(now);
     }
 
-    /// Notes whether the store is failing. A member that cannot write durably steps down, and grants no vote until the
+    /// Sets whether the store is failing. A member that cannot write durably steps down, and grants no vote until the
     /// store works again.
     pub fn set_store_failing(&mut self, now: Ms, failing: bool) {
         if failing && !self.store_failing && !matches!(self.state, RoleState::Follower { .. }) {
@@ -1035,7 +1058,7 @@
         Some(self.state_records())
     }
 
-    /// The records that make up this member's whole durable state.
+    /// The records that make up this member's complete durable state.
     fn state_records(&self) -> Vec<Record> {
         let mut records = Vec::new();
         for (peer, known) in &self.peer_runs {
