--- a/crates/consensus/tests/failure_detector.rs
+++ b/crates/consensus/tests/failure_detector.rs
@@ -1,5 +1,5 @@
-//! The failure detector in groups on simulated links: all members find a death, and links cut in one direction, slow
-//! members, loss and partitions are not mistaken for a death for longer than necessary.
+//! The failure detector in groups on simulated links: all members detect a death; cut links and message loss are not
+//! taken for one; and members that were suspended or partitioned count as alive again afterwards.
 
 use std::collections::BTreeMap;
 
@@ -52,13 +52,15 @@
         self.detectors[&MemberId(id)].as_ref().unwrap()
     }
 
+    /// Simulates the group for this long, in steps of 1 ms.
     fn run(&mut self, duration: Ms) {
         let end = self.now + duration;
         while self.now < end {
             self.now += 1.0;
             let now = self.now;
             let is_running = |group: &Group, id: &MemberId| !group.suspended.contains(id);
-            let arrived: Vec<_> = self.in_flight.extract_if(.., |(arrival, ..)| *arrival <= now).collect();
+            let arrived: Vec<_> =
+                self.in_flight.extract_if(.., |(arrival_time, ..)| *arrival_time <= now).collect();
             for (_, sender, receiver, message) in arrived {
                 if !is_running(self, &receiver) {
                     // A suspended process finds the message in its socket later.
@@ -97,7 +99,7 @@
 }
 
 #[test]
-fn all_members_find_a_death_and_suspect_no_other_member() {
+fn all_members_detect_a_death_and_declare_no_other_member_dead() {
     for seed in 0..20 {
         let mut group = Group::new(seed, 3 + seed as u16 % 5);
         group.run(2_000.0);
@@ -138,10 +140,10 @@
     }
 }
 
-/// Guards against a member that was suspended declaring the others dead when it resumes, because their answers seem
-/// overdue to it.
+/// Guards against a suspended member that declares the others dead when it resumes, because their answers seem overdue
+/// to it.
 #[test]
-fn a_suspended_member_lowers_its_own_health_before_it_suspects_others() {
+fn a_resumed_member_worsens_its_local_health_and_declares_no_other_member_dead() {
     let mut group = Group::new(3, 5);
     group.run(1_000.0);
     group.suspended.push(MemberId(4));
@@ -157,7 +159,7 @@
         group.healths(4).iter().all(|health| *health == Health::Alive),
         "the resumed member refutes its death with a higher incarnation"
     );
-    assert_eq!(group.detector(4).local_health(), 0, "the local health of member 4 is good again");
+    assert_eq!(group.detector(4).local_health(), 0, "member 4 is in good local health again");
 }
 
 #[test]
@@ -177,13 +179,13 @@
     let clocks = group.detector(5).clocks(group.now, group.now + 5.0);
     assert_eq!(clocks.len(), 5);
     let median_offset = median_clock(clocks).unwrap() - group.now;
-    // A member whose own clock jumps by an hour still sees the other clocks where they were.
+    // A jump of the member's own clock by an hour does not change what it knows of the other clocks.
     let after_jump = group.detector(5).clocks(group.now, group.now + 3_600_000.0);
     assert!(median_clock(after_jump).unwrap() - group.now < 20.0);
     // The clocks of the members 1 to 5 are 1 to 5 ms ahead, so their median is 3 ms ahead.
     assert!(
         (median_offset - 3.0).abs() < 6.0,
-        "clocks are known to within a message's delay: {median_offset}"
+        "clocks are known to within a message delay; the median offset is {median_offset} ms"
     );
 }
 
--- a/crates/consensus/tests/histories.rs
+++ b/crates/consensus/tests/histories.rs
@@ -1,7 +1,7 @@
 //! Random fault histories of a whole Raft group on simulated links, disks and clocks. Each history checks that there is
 //! one leader per term, one lease at a time and one committed log, that nothing reported as committed is lost, and that
 //! the group commits again once the faults are over. The seed of a failing history is printed; the environment variable
-//! `JUNIPERRAIL_HISTORIES` sets how many are run.
+//! `JUNIPERRAIL_HISTORIES` sets how many histories each test of random faults runs.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -25,8 +25,12 @@
         message: Message,
     },
     Tick(MemberId),
-    /// A member, the generation of its process, and how many of the records that this process has written are durable.
-    Synced(MemberId, u64, u64),
+    /// The first `records_durable` of the records that this generation of the process has written are durable.
+    Synced {
+        id: MemberId,
+        generation: u64,
+        records_durable: u64,
+    },
     Start(MemberId),
     /// A suspended process continues.
     Resume(MemberId),
@@ -43,16 +47,18 @@
     /// `None` while the process is down.
     node: Option<RaftNode>,
     disk: Disk,
-    /// Counts the starts, so that events of an earlier process are dropped.
+    /// Counts the starts, so that events of an earlier start are dropped.
     generation: u64,
     records_written: u64,
     suspended: bool,
-    /// Messages that arrived while the process was suspended.
+    /// Messages that arrived while the process was suspended, each with its sender and the sender's generation.
     inbox: Vec<(MemberId, u64, Message)>,
-    /// The number of the one tick event that is valid.
+    /// The number of the latest tick event; earlier ones are ignored.
     tick_event: u64,
     clock_rate: f64,
+    /// The committed entries that the process has applied since the snapshot.
     log: BTreeMap<Index, Entry>,
+    /// The last committed snapshot that the process has applied.
     snapshot: Option<Snapshot>,
 }
 
@@ -91,7 +97,7 @@
     leaders: BTreeMap<Term, MemberId>,
     /// The entry at each index, as the first member applied it.
     committed: BTreeMap<Index, (Term, Payload)>,
-    /// The highest commit index seen at a member that held a lease.
+    /// The highest commit index of any lease holder so far: clients may have seen its entries as committed.
     acknowledged: Index,
     proposal_count: u64,
     lease_count: u64,
@@ -133,10 +139,12 @@
         self.events.insert(self.last_event, event);
     }
 
+    /// The member's own clock, which runs at its own rate.
     fn clock(&self, id: MemberId) -> Ms {
         self.now * self.processes[&id].clock_rate
     }
 
+    /// Starts a process that is down, from the synced records of its disk.
     fn start(&mut self, id: MemberId) {
         let (seed, now) = (self.rng.u64(..), self.clock(id));
         let configured_members = self.configured_members.clone();
@@ -150,23 +158,23 @@
         (process.log, process.snapshot) = (BTreeMap::new(), None);
         process.inbox.clear();
         process.node = Some(RaftNode::start(id, CONFIG, configured_members, seed, now, stored_state));
-        self.settle(id);
+        self.perform_actions(id);
     }
 
-    /// Ends a process and schedules its next start. Of its unsynced records the first ones survive, a random number.
+    /// Ends a process and schedules its next start. A random number of its unsynced records survive, the earliest ones.
     fn crash(&mut self, id: MemberId) {
-        let kept_ratio = self.rng.f64();
+        let surviving_ratio = self.rng.f64();
         let process = self.processes.get_mut(&id).unwrap();
         process.node = None;
-        let kept_count = (process.disk.unsynced.len() as f64 * kept_ratio) as usize;
+        let surviving_count = (process.disk.unsynced.len() as f64 * surviving_ratio) as usize;
         let unsynced = std::mem::take(&mut process.disk.unsynced);
-        process.disk.synced.extend(unsynced.into_iter().take(kept_count));
+        process.disk.synced.extend(unsynced.into_iter().take(surviving_count));
         let delay = 50.0 + self.rng.f64() * 600.0;
         self.schedule(delay, Event::Start(id));
     }
 
-    /// Carries out a member's actions and checks the invariants.
-    fn settle(&mut self, id: MemberId) {
+    /// Carries out a member's pending actions, checks the invariants and schedules the next tick.
+    fn perform_actions(&mut self, id: MemberId) {
         let now = self.clock(id);
         let (next_tick, actions, generation) = {
             let process = self.processes.get_mut(&id).unwrap();
@@ -181,7 +189,7 @@
         let has_written = !actions.records.is_empty();
         process.disk.unsynced.extend(actions.records);
         if has_written {
-            self.schedule(sync_time, Event::Synced(id, generation, records_written));
+            self.schedule(sync_time, Event::Synced { id, generation, records_durable: records_written });
         }
         for (to, message) in actions.messages {
             if self.cut_links.contains(&(id, to)) || self.rng.f64() < self.loss_ratio {
@@ -212,6 +220,7 @@
         self.processes.get_mut(&id).unwrap().tick_event = self.last_event;
     }
 
+    /// Applies what a member reports as committed, and checks that all members commit the same entries.
     fn apply(&mut self, id: MemberId, committed: Committed) {
         let process = self.processes.get_mut(&id).unwrap();
         match committed {
@@ -249,6 +258,7 @@
         }
     }
 
+    /// Handles the next event. Returns false if there is none.
     fn step(&mut self) -> bool {
         let Some((Reverse(time_us), Reverse(event_number))) = self.queue.pop() else { return false };
         self.now = self.now.max(time_us as f64 / 1000.0);
@@ -271,16 +281,16 @@
                     self.tick(id);
                 }
             }
-            Event::Synced(id, generation, records_written) => {
+            Event::Synced { id, generation, records_durable } => {
                 let now = self.clock(id);
                 let process = self.processes.get_mut(&id).unwrap();
                 if let Some(node) = process.node.as_mut().filter(|_| process.generation == generation) {
-                    let written_since = (process.records_written - records_written) as usize;
+                    let written_since = (process.records_written - records_durable) as usize;
                     let synced_count = process.disk.unsynced.len().saturating_sub(written_since);
                     let synced: Vec<Record> = process.disk.unsynced.drain(..synced_count).collect();
                     process.disk.synced.extend(synced);
-                    node.handle_durable(now, records_written);
-                    self.settle(id);
+                    node.handle_durable(now, records_durable);
+                    self.perform_actions(id);
                 }
             }
             Event::Message { to, sender, sender_generation, message } => {
@@ -296,7 +306,7 @@
                     process.inbox.push((sender, sender_generation, message));
                 } else if let Some(node) = &mut process.node {
                     node.handle_message(now, sender, message);
-                    self.settle(to);
+                    self.perform_actions(to);
                 }
             }
         }
@@ -311,7 +321,7 @@
         }
         if let Some(node) = &mut process.node {
             node.tick(now);
-            self.settle(id);
+            self.perform_actions(id);
         }
     }
 
@@ -322,7 +332,7 @@
         self.now = end;
     }
 
-    /// The running leader with the highest term.
+    /// The leader with the highest term among the processes that are neither down nor suspended.
     fn leader(&self) -> Option<MemberId> {
         let leads = |process: &Process| {
             process.node.as_ref().is_some_and(|node| node.role() == Role::Leader) && !process.suspended
@@ -334,12 +344,13 @@
         leaders.into_iter().max().map(|(_, id)| id)
     }
 
+    /// Proposes a new command to the current leader, if there is one.
     fn propose(&mut self) {
         let Some(leader) = self.leader() else { return };
         self.proposal_count += 1;
         let (now, command) = (self.clock(leader), self.proposal_count.to_be_bytes().to_vec());
         _ = self.processes.get_mut(&leader).unwrap().node.as_mut().unwrap().propose(now, command);
-        self.settle(leader);
+        self.perform_actions(leader);
     }
 
     fn all_ready(&self) -> bool {
@@ -361,6 +372,7 @@
         MemberId(self.rng.u16(1..=self.processes.len() as u16))
     }
 
+    /// Injects a random fault, compacts a log, starts a leadership transfer or ends the link faults.
     fn inject_fault(&mut self) {
         let member = self.random_member();
         match self.rng.u8(..12) {
@@ -375,7 +387,7 @@
                 self.schedule(delay, Event::Resume(member));
             }
             4 => {
-                // A random partition; half of the time it cuts one direction only.
+                // A random partition; in half of the cases it cuts one direction only.
                 let side: Vec<MemberId> =
                     self.processes.keys().copied().filter(|_| self.rng.bool()).collect();
                 let both_ways = self.rng.bool();
@@ -398,7 +410,7 @@
                     let now = self.clock(leader);
                     let node = self.processes.get_mut(&leader).unwrap().node.as_mut().unwrap();
                     _ = node.transfer_leadership(now);
-                    self.settle(leader);
+                    self.perform_actions(leader);
                 }
             }
             8 => {
@@ -413,7 +425,7 @@
                 let last_applied = process.log.keys().next_back().copied();
                 if let (Some(index), Some(node)) = (last_applied, &mut process.node) {
                     if let Some(records) = node.compact(index, b"all before".to_vec()) {
-                        // A store's compaction replaces all records at once; the new ones cover those not yet synced.
+                        // Compaction replaces all records of the store at once; the new ones cover the unsynced ones.
                         process.disk = Disk { synced: records, unsynced: Vec::new() };
                     }
                 }
@@ -423,13 +435,14 @@
     }
 }
 
+/// How many histories each test of random faults runs.
 fn history_count() -> u64 {
     std::env::var("JUNIPERRAIL_HISTORIES").ok().and_then(|count| count.parse().ok()).unwrap_or(300)
 }
 
 /// Runs a history for each seed, and prints the seed of one that fails.
-fn for_each_seed(first: u64, history: impl Fn(u64) + std::panic::RefUnwindSafe) {
-    for seed in first..first + history_count() {
+fn for_each_seed(first_seed: u64, history: impl Fn(u64) + std::panic::RefUnwindSafe) {
+    for seed in first_seed..first_seed + history_count() {
         if let Err(panic) = std::panic::catch_unwind(|| history(seed)) {
             eprintln!("seed {seed} fails");
             std::panic::resume_unwind(panic);
@@ -468,8 +481,8 @@
     });
 }
 
-/// Leaders crash, or are cut off while they append entries that no other member has, so that many terms leave
-/// uncommitted entries behind. None of them may replace a committed one.
+/// Leaders crash, or are cut off while they append entries that few or no other members receive, so that many terms
+/// leave uncommitted entries behind. None of these may replace a committed one.
 #[test]
 fn frequent_leader_changes_lose_no_committed_entry() {
     for_each_seed(4_000_000, |seed| {
@@ -481,7 +494,7 @@
             let leader = simulation.leader().unwrap_or(MemberId(1));
             match simulation.rng.u8(..10) {
                 0 | 1 => simulation.crash(leader),
-                // The leader goes on appending entries that no other member receives.
+                // The leader continues to append entries, which few or no other members receive.
                 2 | 3 => {
                     let others: Vec<MemberId> =
                         simulation.processes.keys().copied().filter(|id| *id != leader).collect();
@@ -516,7 +529,7 @@
     let mut simulation = Simulation::new(11, 3);
     simulation.run(1500.0);
     let leader = simulation.leader().unwrap();
-    // The leader is cut off in both directions, so it has to notice by itself that it has no quorum.
+    // The leader is cut off in both directions, so it has to detect by itself that it has no quorum.
     for other in simulation.processes.keys().copied().collect::<Vec<_>>() {
         simulation.cut_links.extend([(leader, other), (other, leader)]);
     }
@@ -524,8 +537,8 @@
     assert_ne!(simulation.processes[&leader].node.as_ref().unwrap().role(), Role::Leader);
 }
 
-/// Members crash while the group bootstraps. A member that restarts between another's bootstrap and its own still has
-/// the same store, so it joins without a recovery.
+/// Members crash while the group bootstraps. A member that restarts after another's bootstrap and before its own still
+/// has the same store, so it joins without a recovery.
 #[test]
 fn bootstrap_survives_restarts_at_any_time() {
     for_each_seed(1_000_000, |seed| {
@@ -615,7 +628,7 @@
                             Err(ProposeError::MembershipChangeInProgress),
                             "only one change at a time is accepted"
                         );
-                        simulation.settle(leader);
+                        simulation.perform_actions(leader);
                         break;
                     }
                 }
@@ -649,10 +662,10 @@
     let leader = simulation.leader().unwrap();
     let now = simulation.clock(leader);
     simulation.processes.get_mut(&leader).unwrap().node.as_mut().unwrap().set_store_failing(now, true);
-    simulation.settle(leader);
+    simulation.perform_actions(leader);
     assert_eq!(simulation.processes[&leader].node.as_ref().unwrap().role(), Role::Follower);
     simulation.run(3000.0);
-    assert!(simulation.leader().is_some_and(|new| new != leader), "another member was elected");
+    assert!(simulation.leader().is_some_and(|new_leader| new_leader != leader), "another member was elected");
     assert_eq!(simulation.processes[&leader].node.as_ref().unwrap().role(), Role::Follower);
 }
 
@@ -664,7 +677,7 @@
     let now = simulation.clock(leader);
     let node = simulation.processes.get_mut(&leader).unwrap().node.as_mut().unwrap();
     assert!(node.transfer_leadership(now));
-    simulation.settle(leader);
+    simulation.perform_actions(leader);
     simulation.run(CONFIG.election_timeout_ms / 2.0);
     let new_leader = simulation.leader().unwrap();
     assert!(new_leader != leader && *simulation.leaders.keys().next_back().unwrap() > term);
