--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -344,7 +344,7 @@
         }
     }
 
-    /// Asks random other members to probe the target, after it has not answered a direct probe in time.
+    /// Asks random live members to probe the target, after it has not answered a direct probe in time.
     fn send_ping_requests(&mut self, probe: Probe) {
         let mut relays: Vec<MemberId> =
             self.alive().filter(|id| *id != self.id && *id != probe.target).collect();
@@ -361,7 +361,8 @@
     }
 
     /// Ends the previous period's probe. A target that has answered neither directly nor through a relay is suspected,
-    /// and the local health gets worse for each missing nack. A late tick only makes the local health worse.
+    /// and the local health gets worse: by the number of missing nacks up to [`MAX_PROBE_PENALTY`], or by 1 if fewer
+    /// than two relays were asked. A late tick only makes the local health worse.
     fn finish_probe(&mut self, now: Ms, late: bool) {
         let probe = self.probe.take();
         if late {
@@ -442,8 +443,8 @@
         updates
     }
 
-    /// Applies an update if it takes precedence over what is known of the member, and counts a suspicion that another
-    /// member confirms. Refutes an update that reports this member as not alive.
+    /// Applies an update if it takes precedence over what is known of the member, and records who confirms a suspicion.
+    /// Refutes an update that reports this member as not alive.
     fn apply_update(&mut self, now: Ms, update: GossipUpdate) {
         let GossipUpdate { member, health, incarnation, reported_by } = update;
         if member == self.id {
--- a/crates/consensus/src/raft_node.rs
+++ b/crates/consensus/src/raft_node.rs
@@ -50,7 +50,9 @@
             ProposeError::NotLeader(None) => f.write_str("not the leader, and no leader is known"),
             ProposeError::TooManyUncommitted => f.write_str("too many entries await commitment"),
             ProposeError::TransferInProgress => f.write_str("a leadership transfer is in progress"),
-            ProposeError::MembershipChangeInProgress => f.write_str("a membership change is in progress"),
+            ProposeError::MembershipChangeInProgress => f.write_str(
+                "a membership change is in progress, or no entry of the leader's term is committed yet",
+            ),
             ProposeError::InvalidMembershipChange => {
                 f.write_str("the membership change does not fit the current members")
             }
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -13,7 +13,7 @@
 
 use crate::ids::{Index, MemberId, Run, Term};
 
-/// The state of verifying a member's store after a start. It votes only when [`RecoveryState::Ready`].
+/// The state of verifying a member's store after a start. The member votes only when [`RecoveryState::Ready`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RecoveryState {
     /// The store is empty: either the group is not bootstrapped yet, or the store was lost.
