--- a/src/sending.rs
+++ b/src/sending.rs
@@ -4,97 +4,124 @@
 use juniperrail_interface::*;
 use std::collections::BTreeSet;
 
-/// Ratio of the line backlog (`max_pending_lines`) up to which updates are sent.
+/// Fraction of `max_pending_lines` (the backlog) up to which updates are sent.
 pub(crate) const SEND_BACKLOG_RATIO: f64 = 0.5;
-/// Ratio of the line backlog up to which overdue drains, and a bind that would never fit otherwise, are sent.
+/// Fraction of the backlog up to which overdue exclusions, and binds into an empty channel, are sent.
 const OVERDUE_BACKLOG_RATIO: f64 = 0.8;
-/// Ratio of the channel's rate at which unacknowledged lines are assumed to leave the channel.
+/// Fraction of the channel's rate at which unacknowledged lines are assumed to leave the channel.
 const MIN_CHANNEL_RATE_RATIO: f64 = 0.1;
-/// Ratio of the messages allowed to a proxy that ordinary updates may use; the rest is left to drains and binds.
+/// Fraction of the messages allowed to a proxy that ordinary updates (lines, levels and readmissions) may use; the
+/// rest is left to exclusions and binds.
 const ORDINARY_MESSAGE_RATIO: f64 = 0.6;
-/// Ratio of the channel's rate that the overhead of ordinary messages may use.
+/// Fraction of the channel's rate that the overhead of ordinary messages may use.
 const ORDINARY_OVERHEAD_RATIO: f64 = 0.2;
-/// Ratio of the message window for which the times of messages are kept and counted; a little above 1.
-const KEPT_WINDOW_RATIO: f64 = 1.02;
-/// Ratio of the drain grace after which an exclusion no longer waits for acknowledgements of earlier updates.
+/// Factor on the message window, a little above 1: how long the time of a message counts against the limit.
+const MESSAGE_RETENTION_RATIO: f64 = 1.02;
+/// Fraction of the drain grace after which an exclusion is overdue: it no longer waits for acknowledgements of the
+/// updates ordered before it.
 const OVERDUE_DRAIN_GRACE_RATIO: f64 = 0.4;
 
+/// An update other than an exclusion (a line, a level or a readmission) that may be sent in this turn.
+struct OrdinaryUpdate {
+    key: UpdateKey,
+    is_level: bool,
+    /// The absolute difference of the desired from the sent value. NaN, which sorts as the largest, if the sent value
+    /// is unknown; 0 if the update has no effect on traffic.
+    change: f64,
+}
+
 impl Planner {
-    /// Sends idle updates (those to be sent) and a mark: exclusions, then binds, then levels and the largest changes of
-    /// weights, up to [`SEND_BACKLOG_RATIO`] of the backlog. Overdue drains may use more.
+    /// Sends idle updates (those to be sent) and a mark: exclusions, then binds, then levels, then lines and
+    /// readmissions by size of change. They may fill [`SEND_BACKLOG_RATIO`] of the backlog; overdue exclusions, and a
+    /// bind into an empty channel, may fill [`OVERDUE_BACKLOG_RATIO`].
     pub(crate) fn send_updates(&mut self) {
         let now = self.now;
         let backlog = self.settings.max_pending_lines;
-        // Lines are assumed to leave the channel only by acknowledgements and at a very slow rate: this holds for
-        // slow channels, stalls and lost acknowledgements.
-        let assumed_left =
+        // Besides acknowledged lines, only a small fraction of the channel's rate is assumed to have left the channel:
+        // this allows for slow channels, stalls and lost acknowledgements.
+        let assumed_departed_lines =
             (now - self.progress_at) * self.settings.channel_rate * MIN_CHANNEL_RATE_RATIO / 1000.0;
-        let waiting = (self.unacknowledged.values().sum::<f64>() - assumed_left).max(0.0);
-        // Lines that a message costs besides those of its updates.
-        let fixed_lines = self.settings.message_overhead + 1.0;
-        // Room for a message of one line to each proxy.
-        let reserve =
-            (self.proxies.len() as f64 * (fixed_lines + 1.0)).min(backlog * SEND_BACKLOG_RATIO / 4.0);
+        let waiting_lines = (self.unacknowledged.values().sum::<f64>() - assumed_departed_lines).max(0.0);
+        // Lines that a message costs besides those of its updates: the overhead and its mark.
+        let fixed_message_lines = self.settings.message_overhead + 1.0;
+        // Lines kept free for exclusions: a message of one line to each proxy, but at most a quarter of the lines that
+        // may wait.
+        let exclusion_reserve =
+            (self.proxies.len() as f64 * (fixed_message_lines + 1.0)).min(backlog * SEND_BACKLOG_RATIO / 4.0);
+        // Lines and levels of tables with bound proxies are sent together, at the longest of these intervals: by the
+        // message limit, half a report period and, in a partitioned fleet, by the rate that overhead may use.
         let message_interval =
             self.settings.message_window / (self.settings.max_messages_per_window * ORDINARY_MESSAGE_RATIO);
-        let overhead_interval = self.expected_proxy_count() * fixed_lines * 1000.0
+        let overhead_interval = self.expected_proxy_count() * fixed_message_lines * 1000.0
             / (self.settings.channel_rate * ORDINARY_OVERHEAD_RATIO);
         let overhead_interval = if self.partition_count > 0 { overhead_interval } else { 0.0 };
         let ordinary_interval =
             message_interval.max(self.settings.report_period / 2.0).max(overhead_interval);
+        // Updates that wait for the acknowledgement of an earlier one.
         let blocked: BTreeSet<UpdateKey> = self.ordered_pairs.keys().map(|pair| pair.1).collect();
-        let has_no_proxies = |table: &TableId| self.tables[usize::from(table.0)].bound_proxies.is_empty();
-        // Exclusions are sent together: sent one by one as room appears, they would take a message each until the
-        // proxies' message limit is reached.
+        let has_no_bound_proxies =
+            |table: &TableId| self.tables[usize::from(table.0)].bound_proxies.is_empty();
+        // Exclusions are sent together: sent one by one as lines leave the channel, they would take a message each
+        // until the proxies' message limit is reached.
         let exclusion_interval = self.settings.message_window
             / (self.settings.max_messages_per_window * (1.0 - ORDINARY_MESSAGE_RATIO));
         let exclusion_interval =
             exclusion_interval.min(OVERDUE_DRAIN_GRACE_RATIO * self.settings.drain_grace);
         let exclusions_due = now >= self.exclusions_sent_at + exclusion_interval;
-        let due = |key: &&UpdateKey| match key {
+        let is_due = |key: &&UpdateKey| match key {
             UpdateKey::Line(table, _) | UpdateKey::Level(table, _) => {
-                now >= self.ordinary_sent_at + ordinary_interval || has_no_proxies(table)
+                now >= self.ordinary_sent_at + ordinary_interval || has_no_bound_proxies(table)
             }
             UpdateKey::Exclusion(_) => exclusions_due || self.updates[key].desired == 0.0,
         };
         let is_idle = |key: &&UpdateKey| self.updates[key].desired != self.updates[key].sent;
         let idle = self.pending.iter().filter(is_idle);
-        let mut changes = Vec::new();
-        for key in idle.filter(due).copied().collect::<Vec<UpdateKey>>() {
+        let mut ordinary_updates = Vec::new();
+        for key in idle.filter(is_due).copied().collect::<Vec<UpdateKey>>() {
             let update = &self.updates[&key];
-            let ready = !blocked.contains(&key);
+            let is_unblocked = !blocked.contains(&key);
             if let (UpdateKey::Exclusion(id), true) = (key, update.desired > 0.0) {
                 let overdue_after = OVERDUE_DRAIN_GRACE_RATIO * self.settings.drain_grace;
                 let overdue = now >= self.workers[&id].drain_requested_at + overdue_after;
-                let ratio = if overdue { OVERDUE_BACKLOG_RATIO } else { SEND_BACKLOG_RATIO };
-                if (ready || overdue) && self.send_update(key, backlog * ratio - waiting, 1.0) {
+                let backlog_ratio = if overdue { OVERDUE_BACKLOG_RATIO } else { SEND_BACKLOG_RATIO };
+                if (is_unblocked || overdue)
+                    && self.send_update(key, backlog * backlog_ratio - waiting_lines, 1.0)
+                {
                     self.exclusions_sent_at = now;
                 }
-            } else if ready {
-                // Levels go first: by size of change they would wait behind all lines of a growing fleet. The line
-                // of an excluded worker has no effect any more: its removal waits behind the lines of replacements.
+            } else if is_unblocked {
+                // Levels are sent first: ordered by size of change, they would wait behind all lines of a growing
+                // fleet. The line of an excluded worker has no effect any more, so its removal is sent last, after
+                // the lines of replacements.
                 let no_effect =
                     matches!(key, UpdateKey::Line(_, id) if update.desired == 0.0 && self.is_excluded(id));
                 let change = if no_effect { 0.0 } else { (update.desired - update.sent).abs() };
-                changes.push((matches!(key, UpdateKey::Level(..)), change, key));
+                ordinary_updates.push(OrdinaryUpdate {
+                    is_level: matches!(key, UpdateKey::Level(..)),
+                    change,
+                    key,
+                });
             }
         }
-        let room = backlog * SEND_BACKLOG_RATIO - reserve - waiting;
+        // Lines that binds and ordinary updates may add in this turn.
+        let line_limit = backlog * SEND_BACKLOG_RATIO - exclusion_reserve - waiting_lines;
+        // Proxies with the highest rate of invocations are bound first.
         let unbound = self.proxies.iter().filter(|(_, proxy)| !proxy.bound);
         let mut unbound: Vec<(f64, ProxyId)> =
             unbound.map(|(id, proxy)| (proxy.inv_per_second, *id)).collect();
         unbound.sort_by(|a, b| b.0.total_cmp(&a.0));
         self.assign_partitions(&unbound);
         for (_, id) in unbound {
-            // A bind that would never fit otherwise is sent alone, into an empty channel.
-            let alone = waiting == 0.0 && self.message_lines.is_empty();
-            if !self.bind_proxy(id, if alone { backlog * OVERDUE_BACKLOG_RATIO } else { room }) {
+            // A bind that would not fit within the limit even in an empty channel may use more of the backlog there.
+            let channel_is_empty = waiting_lines == 0.0 && self.message_lines.is_empty();
+            let bind_limit = if channel_is_empty { backlog * OVERDUE_BACKLOG_RATIO } else { line_limit };
+            if !self.bind_proxy(id, bind_limit) {
                 break;
             }
         }
-        changes.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)));
-        for (_, _, key) in changes {
-            if self.turn_lines < room && self.send_update(key, room, ORDINARY_MESSAGE_RATIO) {
+        ordinary_updates.sort_by(|a, b| b.is_level.cmp(&a.is_level).then(b.change.total_cmp(&a.change)));
+        for OrdinaryUpdate { key, .. } in ordinary_updates {
+            if self.turn_lines < line_limit && self.send_update(key, line_limit, ORDINARY_MESSAGE_RATIO) {
                 self.ordinary_sent_at = now;
             }
         }
@@ -110,38 +137,48 @@
         }
     }
 
-    /// Reserves lines in this turn's message to each receiver, if they fit into `room` lines in all and no receiver
-    /// gets more than `message_ratio` of its allowed messages. Returns whether they fit.
-    fn reserve(&mut self, receivers: &BTreeSet<ProxyId>, lines: f64, room: f64, message_ratio: f64) -> bool {
+    /// Reserves lines in this turn's message to each receiver, if the turn's messages then take at most `line_limit`
+    /// lines and no receiver gets more than `message_ratio` of its allowed messages. Returns whether they fit.
+    fn reserve_lines(
+        &mut self,
+        receivers: &BTreeSet<ProxyId>,
+        lines: f64,
+        line_limit: f64,
+        message_ratio: f64,
+    ) -> bool {
         let now = self.now;
         let message_window = self.settings.message_window;
-        // Lines that a message costs besides those of its updates.
-        let fixed_lines = self.settings.message_overhead + 1.0;
+        // Lines that a message costs besides those of its updates: the overhead and its mark.
+        let fixed_message_lines = self.settings.message_overhead + 1.0;
         let new_receivers: Vec<&ProxyId> =
             receivers.iter().filter(|id| !self.message_lines.contains_key(id)).collect();
-        let cost = receivers.len() as f64 * lines + new_receivers.len() as f64 * fixed_lines;
-        let mut fits = self.turn_lines + cost <= room;
-        // Times are kept beyond a stream's end: a proxy that joins again may be counted as if it had never left.
+        let cost = receivers.len() as f64 * lines + new_receivers.len() as f64 * fixed_message_lines;
+        let mut fits = self.turn_lines + cost <= line_limit;
+        // Times are kept after a proxy has left: if it joins again, its limit may count the messages of its earlier
+        // connection.
         for id in new_receivers {
             let times = self.message_times.entry(*id).or_default();
-            times.retain(|sent_at| now - sent_at <= message_window * KEPT_WINDOW_RATIO);
+            times.retain(|sent_at| now - sent_at <= message_window * MESSAGE_RETENTION_RATIO);
             fits &= (times.len() as f64) < (self.settings.max_messages_per_window * message_ratio).floor();
         }
         if fits {
             self.turn_lines += cost;
-            receivers.iter().for_each(|id| *self.message_lines.entry(*id).or_insert(fixed_lines) += lines);
+            receivers
+                .iter()
+                .for_each(|id| *self.message_lines.entry(*id).or_insert(fixed_message_lines) += lines);
         }
         fits
     }
 
-    /// Sends an update if it fits. Returns whether it took part of a message: one without receivers takes none.
-    fn send_update(&mut self, key: UpdateKey, room: f64, message_ratio: f64) -> bool {
+    /// Sends an update if it fits within `line_limit` and `message_ratio` (see [`Planner::reserve_lines`]). Returns
+    /// whether it was added to a message; an update without receivers counts as sent, but is in no message.
+    fn send_update(&mut self, key: UpdateKey, line_limit: f64, message_ratio: f64) -> bool {
         let receivers = self.receivers(key);
         let lines = match key {
             UpdateKey::Line(_, id) => self.line_cost(id, &self.updates[&key]),
             _ => 1.0,
         };
-        if !receivers.is_empty() && !self.reserve(&receivers, lines, room, message_ratio) {
+        if !receivers.is_empty() && !self.reserve_lines(&receivers, lines, line_limit, message_ratio) {
             return false;
         }
         let update = self.updates.get_mut(&key).expect("a known key");
@@ -149,7 +186,8 @@
         update.readmission_uncertain = false;
         update.awaited_mark = (!receivers.is_empty()).then_some(self.last_mark + 1);
         let value = update.desired;
-        // Any other retry multiplies an overload: a try that was given up still occupies its worker.
+        // No retries while demand is rejected, and never of a try that may have been executed: retries multiply an
+        // overload, since a try that the proxy gave up still occupies its worker.
         let retry = if self.admission_ratio < 1.0 { Retry::Never } else { Retry::IfNotExecuted };
         self.orders.push(match key {
             UpdateKey::Exclusion(worker) => Order::ExcludeWorker { worker, excluded: value > 0.0 },
@@ -161,17 +199,17 @@
         !receivers.is_empty()
     }
 
-    /// How many lines a write to a table costs: 1, or 2 where a possibly excluded worker enters the table and has to be
-    /// readmitted.
+    /// The number of message lines that the write of a table's line costs: 1, or 2 where a possibly excluded worker
+    /// enters the table and has to be readmitted.
     fn line_cost(&self, id: WorkerId, line: &UpdateState) -> f64 {
         let may_be_absent = line.readmission_uncertain || line.sent.is_nan() || line.sent == 0.0;
         let enters = line.desired > 0.0 && may_be_absent;
         1.0 + f64::from(u8::from(enters && self.workers[&id].possibly_excluded))
     }
 
-    /// Binds a joined proxy to its tables if their lines fit; a table without usable lines waits. Returns false
-    /// where there is no room left.
-    fn bind_proxy(&mut self, id: ProxyId, room: f64) -> bool {
+    /// Binds a joined proxy to its tables if their lines fit within `line_limit`; a table without usable lines is left
+    /// for a later bind. Returns false where the lines do not fit.
+    fn bind_proxy(&mut self, id: ProxyId, line_limit: f64) -> bool {
         let mut cost = 0.0;
         let mut binds = Vec::new();
         for table in self.tables_for(&self.proxies[&id]) {
@@ -181,16 +219,20 @@
             if !usable.is_empty() {
                 let readmitted =
                     usable.iter().filter(|(worker, _)| self.workers[worker].possibly_excluded).count();
+                // The bind itself, the line and the exclusion of each excluded worker, the line of each usable worker,
+                // the readmissions, and the level of each operation.
                 cost += (1 + 2 * excluded.len() + usable.len() + readmitted + table.ops.len()) as f64;
                 binds.push((table.id, table.ops.iter().map(|op| 1 << op).sum()));
             }
         }
-        if binds.is_empty() || !self.reserve(&BTreeSet::from([id]), cost, room, 1.0) {
-            return binds.is_empty() || self.turn_lines + cost <= room;
+        if binds.is_empty() || !self.reserve_lines(&BTreeSet::from([id]), cost, line_limit, 1.0) {
+            return binds.is_empty() || self.turn_lines + cost <= line_limit;
         }
         // The proxy may have been bound to the tables of the whole fleet or to those of its partition.
-        let former = [None, self.proxies[&id].partition];
-        for index in former.iter().filter_map(|partition| self.partition_tables.get(partition)).flatten() {
+        let former_partitions = [None, self.proxies[&id].partition];
+        let former_tables =
+            former_partitions.iter().filter_map(|partition| self.partition_tables.get(partition)).flatten();
+        for index in former_tables {
             self.tables[*index].bound_proxies.remove(&id);
         }
         for (table, ops) in binds {
