--- a/src/events.rs
+++ b/src/events.rs
@@ -5,9 +5,9 @@
 use juniperrail_interface::*;
 use std::collections::VecDeque;
 
-/// Reports kept for each worker.
+/// Number of reports kept for each worker.
 const MAX_WORKER_SAMPLES: usize = 12;
-/// Demand reports kept for each proxy and operation.
+/// Number of demand reports kept for each proxy and operation.
 const MAX_DEMAND_SAMPLES: usize = 3;
 
 impl Planner {
@@ -15,7 +15,7 @@
     pub(crate) fn handle_event(&mut self, event: &Event) {
         match event {
             Event::List { kind: ListKind::Failed, .. } => {
-                // About an eighth of the deadline, and random, so that managers whose requests failed together do not
+                // From 1/16 to 3/16 of the deadline, at random, so that managers whose requests failed together do not
                 // repeat them together.
                 let delay = self.settings.list_request_deadline / 8.0 * (0.5 + self.rng.f64());
                 self.list_request_at = self.settings.list_on_request.then_some(self.now + delay);
@@ -94,7 +94,7 @@
 
     /// Applies one entry of the worker list. `is_change`: the entry is from a change of the list, not from a full list.
     fn apply_listed(&mut self, mut listed: WorkerEntry, is_change: bool) {
-        // A worker that is listed without a weight gets the mean weight of the known workers.
+        // A worker listed without a positive weight gets the mean weight of the known workers, or 1 if there are none.
         let known_weights = self.workers.values().map(|worker| worker.listed.weight);
         listed.weight = if listed.weight > 0.0 { listed.weight } else { mean(known_weights).unwrap_or(1.0) };
         let now = self.now;
@@ -107,8 +107,8 @@
             partition: None,
             possibly_excluded: is_change,
         };
-        let unknown = UpdateState { desired: f64::NAN, sent: f64::NAN, ..UpdateState::default() };
-        self.updates.entry(UpdateKey::Exclusion(listed.worker)).or_insert(unknown);
+        let unknown_exclusion = UpdateState { desired: f64::NAN, sent: f64::NAN, ..UpdateState::default() };
+        self.updates.entry(UpdateKey::Exclusion(listed.worker)).or_insert(unknown_exclusion);
         let worker = self.workers.entry(listed.worker).or_insert(new_worker);
         if listed.booted > worker.listed.booted {
             worker.weight_factor = 1.0;
@@ -121,8 +121,8 @@
                 _ = self.updates.get_mut(&line).map(|update| update.readmission_uncertain = true)
             });
         }
-        let left_ready = worker.listed.phase == Phase::Ready && listed.phase != Phase::Ready;
-        worker.drain_requested_at = if left_ready { now } else { worker.drain_requested_at };
+        let stopped_being_ready = worker.listed.phase == Phase::Ready && listed.phase != Phase::Ready;
+        worker.drain_requested_at = if stopped_being_ready { now } else { worker.drain_requested_at };
         worker.listed = listed;
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 use juniperrail_interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Timers ordered in a report period, unless they would be shorter than [`MIN_TIMER`].
+/// Number of timers ordered in a report period, unless they would be shorter than [`MIN_TIMER`].
 const TIMERS_PER_REPORT_PERIOD: f64 = 8.0;
 /// The shortest timer that is ordered.
 const MIN_TIMER: Ms = 20.0;
@@ -42,7 +42,8 @@
     sent: f64,
     /// The mark sent after the last write, until all bound proxies have acknowledged it.
     awaited_mark: Option<u64>,
-    /// Another manager may have excluded the worker since this line was sent: the next write may have to readmit it.
+    /// Whether another manager may have excluded the worker since this line was sent; the next write may then have to
+    /// readmit it.
     readmission_uncertain: bool,
 }
 
@@ -53,7 +54,7 @@
     failed_tries: f64,
     /// Sum of the times of successful tries.
     success_time: Ms,
-    /// Ratio of the worker's cores that are busy, if reported.
+    /// Fraction of the worker's cores that are busy, if reported.
     utilization: Option<f64>,
 }
 
@@ -61,15 +62,15 @@
     listed: WorkerEntry,
     /// When the worker last left the phase ready; if it never did, when it was first listed.
     drain_requested_at: Ms,
-    /// Factor on the listed weight. It falls while the worker's tries cost more than its peers' or its cores are busier,
-    /// and rises in the opposite case.
+    /// Factor on the listed weight. It falls while the worker's tries cost more than its peers' or its cores are
+    /// busier, and rises in the opposite case.
     weight_factor: f64,
     weight_adjusted_at: Ms,
-    /// Its latest reports, the newest first.
+    /// What its latest reports say, the newest first.
     samples: VecDeque<Sample>,
     /// `None` while the fleet is not partitioned.
     partition: Option<usize>,
-    /// Another manager may have excluded the worker at a proxy, and the proxy then has to be sent a readmission.
+    /// Whether another manager may have excluded the worker at a proxy; the proxy then has to be sent a readmission.
     possibly_excluded: bool,
 }
 
@@ -77,11 +78,11 @@
 struct Proxy {
     zone: ZoneId,
     inv_per_second: f64,
-    /// The partition whose tables it gets; `None` is the whole fleet.
+    /// The partition whose tables it gets; `None` means those of the whole fleet.
     partition: Option<usize>,
     bound: bool,
     acknowledged_mark: u64,
-    /// Invocations a second by operation, as last reported; the newest first.
+    /// By operation: the last reported rates in invocations a second, the newest first.
     demand: BTreeMap<OpId, VecDeque<f64>>,
 }
 
@@ -92,9 +93,9 @@
     ops: Vec<usize>,
     /// The first of its operations; all have the same restrictions on workers.
     operation: Operation,
-    /// The zone of its proxies; `None` is all zones.
+    /// The zone of its proxies; `None` means all zones.
     proxy_zone: Option<ZoneId>,
-    /// The partition whose workers it has; `None` is the whole fleet.
+    /// The partition whose workers it has; `None` means the whole fleet.
     partition: Option<usize>,
     bound_proxies: BTreeSet<ProxyId>,
 }
@@ -151,16 +152,17 @@
     ordinary_sent_at: Ms,
     /// When exclusions were last sent.
     exclusions_sent_at: Ms,
-    /// Ratio of the demand that is admitted, for an operation of mean billed value.
+    /// Fraction of the demand that is admitted, for an operation of mean billed value.
     admission_ratio: f64,
     admission_changed_at: Ms,
-    /// The admission ratio at which the fleet was last overloaded after a raise.
+    /// The admission ratio from which admission was last cut after a raise.
     overloaded_ratio: f64,
-    /// The last change of the admission ratio was a raise.
+    /// Whether the last change of the admission ratio was a raise.
     admission_rising: bool,
-    /// When admission was last adjusted, the estimated capacity was so low that the fleet counts as near overload.
+    /// Whether the capacity estimated at the last adjustment of admission was so low that the fleet counts as near
+    /// overload.
     near_overload: bool,
-    /// A timer has to be ordered at the end of this turn.
+    /// Whether a timer has to be ordered at the end of this turn.
     timer_due: bool,
     /// When the worker list is to be requested.
     list_request_at: Option<Ms>,
@@ -210,9 +212,9 @@
         std::mem::take(&mut self.orders)
     }
 
-    /// How many joined proxies have acknowledged all that is desired of these workers.
+    /// The number of bound proxies that have acknowledged all desired exclusions and lines of these workers.
     pub fn synced_proxy_count(&self, workers: &BTreeSet<WorkerId>) -> usize {
-        // Removals of lines are left out: they make no difference where the worker is already excluded.
+        // Removals of lines do not count: they make no difference once the worker is excluded.
         let concerns = |key: &&UpdateKey| match key {
             UpdateKey::Exclusion(id) => workers.contains(id),
             UpdateKey::Line(_, id) => workers.contains(id) && self.updates[key].desired > 0.0,
--- a/src/numbers.rs
+++ b/src/numbers.rs
@@ -1,6 +1,6 @@
 //! Small numeric functions.
 
-/// Preferences and rate limits are rounded to powers of this ratio, so that small changes cost no lines.
+/// Preferences and rate levels are rounded to powers of this ratio, so that small changes cost no lines.
 const ROUNDING_STEP_RATIO: f64 = 1.1;
 
 /// The mean of the values; `None` if there are none.
--- a/src/updates.rs
+++ b/src/updates.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 impl Planner {
-    /// Composes a write onto the pending updates: the later write wins, and an unacknowledged one counts as not
-    /// applied. Returns whether the value changed and has to be sent.
+    /// Composes a write onto the pending updates: the later write wins, and an update stays pending until it is
+    /// acknowledged. Returns whether the value changed and has to be sent.
     pub(crate) fn compose(&mut self, key: UpdateKey, value: f64) -> bool {
         let update = self.updates.entry(key).or_default();
         let changed = std::mem::replace(&mut update.desired, value) != value;
@@ -59,7 +59,7 @@
 
     /// Adds a pair of ordered updates. Where it closes a cycle, the oldest pair of the cycle is removed, and the
     /// predecessors of its first update are linked to the successors of its second. A link that would itself close a
-    /// cycle is left out: otherwise links could bring removed pairs back, and the loop would not end.
+    /// cycle is not added: otherwise links could bring removed pairs back, and the loop would not end.
     fn order_before(&mut self, first: UpdateKey, second: UpdateKey) {
         self.ordered_pairs.insert((first, second), self.now);
         while let Some(cycle) = self.shortest_cycle(first) {
@@ -122,8 +122,8 @@
         None
     }
 
-    /// Completes each update that every proxy concerned has acknowledged, by a mark sent after it. An update that no
-    /// proxy is left to acknowledge becomes idle: it is to be sent again.
+    /// Completes each update of which all proxies concerned have acknowledged the mark sent after it, or a later one.
+    /// An update that no proxy is left to acknowledge becomes idle: it is to be sent again.
     pub(crate) fn complete_updates(&mut self) {
         let acknowledged_mark = |id: &ProxyId| self.proxies[id].acknowledged_mark;
         let lowest_by_table: Vec<_> =
