--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -39,14 +39,16 @@
 /// An operation that proxies invoke on workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operation {
-    /// The response time to stay within.
+    /// The latency that its invocations are to stay within.
     pub latency_objective: Ms,
-    /// The value of one invocation: the lower it is, the more of the operation is rejected near overload.
+    /// The value of one invocation, relative to other operations: the lower it is, the more of the operation is
+    /// rejected under overload.
     pub billed_value: f64,
-    /// The zones and machine types whose workers serve it; `None` means all of them.
+    /// The zones whose workers serve it; `None` means all zones.
     pub zones: Option<Vec<ZoneId>>,
+    /// The machine types whose workers serve it; `None` means all types.
     pub machines: Option<Vec<MachineId>>,
-    /// Served only by workers in the proxy's own zone.
+    /// Whether it is served only by workers in the proxy's own zone.
     pub own_zone_only: bool,
 }
 
@@ -65,28 +67,33 @@
 /// The settings that a manager starts with.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
+    /// The operations, by [`OpId`].
     pub operations: Vec<Operation>,
+    /// The zones that are known at the start; others may appear later.
     pub zones: Vec<ZoneId>,
     /// The number of slices of the key space; 0 where proxies are bound to tables instead.
     pub slice_count: usize,
+    /// The unit of the admission levels.
     pub level_kind: LevelKind,
-    /// Proxies stop sending to a worker for some time after several consecutive failures.
+    /// Whether proxies stop sending to a worker for some time after several consecutive failures.
     pub proxies_avoid_outliers: bool,
-    /// The cost if every first try crossed zones.
+    /// The cost that would arise if every first try crossed zones, in the unit of `channel_cost`.
     pub cross_zone_cost: f64,
     /// The cost of using the channel to the proxies at its full rate.
     pub channel_cost: f64,
-    /// Lines per second that the channel to the proxies carries.
+    /// The number of lines per second that the channel to the proxies carries.
     pub channel_rate: f64,
-    /// The limit of lines that wait in the channel.
+    /// The limit on the number of lines that wait in the channel.
     pub max_pending_lines: f64,
     /// The cost of a message besides its lines, counted in lines.
     pub message_overhead: f64,
-    /// The limit of messages to one proxy within `message_window`; infinite where there is none.
+    /// The limit on the number of messages to one proxy within `message_window`; infinite where there is none.
     pub max_messages_per_window: f64,
+    /// The time over which messages to a proxy are counted.
     pub message_window: Ms,
     /// The longest time that a message takes to reach a proxy.
     pub max_transit: Ms,
+    /// The interval between two reports of the sums of tries and invocations.
     pub report_period: Ms,
     /// How long a draining worker still serves.
     pub drain_grace: Ms,
@@ -94,13 +101,13 @@
     pub warm_up: Ms,
     /// The fraction of a warm worker's weight that a worker has when it starts.
     pub cold_share: f64,
-    /// By how much a cold worker's share of the load may go beyond its capacity.
+    /// How many times its capacity a cold worker's share of the load may reach.
     pub overload_factor: f64,
     /// The number of proxies in the deployment.
     pub proxy_count: f64,
     /// The number of managers that the proxies join.
     pub manager_count: f64,
-    /// The worker list is sent only on request.
+    /// Whether the worker list is sent only on request.
     pub list_on_request: bool,
     /// The time within which the list has to be requested.
     pub list_request_deadline: Ms,
@@ -130,11 +137,12 @@
 pub struct WorkerEntry {
     pub worker: WorkerId,
     pub phase: Phase,
-    /// When it last started; `None` if that was long ago.
+    /// When it last started; `None` if that is unknown or long ago, and the worker counts as warm.
     pub booted: Option<Ms>,
     pub zone: ZoneId,
     pub machine: MachineId,
     pub cell: CellId,
+    /// Its share of the load relative to other workers; 0 or less if the list gives none.
     pub weight: f64,
 }
 
@@ -158,7 +166,7 @@
     pub in_flight: Option<f64>,
     /// Requests waiting in the worker's queue.
     pub queued: Option<f64>,
-    /// The busy fraction of the worker.
+    /// The fraction of the worker's cores that are busy.
     pub utilization: Option<f64>,
     /// The latency of recent requests.
     pub recent_latency: Option<Ms>,
@@ -171,7 +179,7 @@
 pub enum ProbeOutcome {
     Success,
     ErrorResponse,
-    /// The worker had no capacity left.
+    /// The worker rejected the probe because it had no capacity left.
     Rejected,
     TimedOut,
     Unreachable,
@@ -196,7 +204,7 @@
     /// A proxy joined this manager.
     Joined {
         proxy: ProxyId,
-        /// The proxy holds only its initial tables, and nothing from an earlier connection.
+        /// Whether the proxy has only its initial tables, and nothing from an earlier connection.
         fresh: bool,
         inv_per_second: f64,
         zone: ZoneId,
@@ -207,21 +215,24 @@
     WorkerSums {
         zone: ZoneId,
         worker: WorkerId,
+        /// The number of tries, including failed ones.
         tries: f64,
+        /// The number of failed tries.
         failed: f64,
+        /// The mean latency of the successful tries.
         mean_latency: Ms,
         period: Ms,
         load: Load,
     },
-    /// Sums over a period of the invocations that a proxy received.
+    /// Sums over a period of the invocations of an operation that a proxy received.
     ProxySums { proxy: ProxyId, op: OpId, invocations: f64, unanswered: f64, period: Ms },
-    /// Sums over a period of the invocations for a slice.
+    /// Sums over a period of the invocations of an operation for a slice.
     SliceSums { slice: TableId, op: OpId, invocations: f64, unanswered: f64, period: Ms },
     /// This manager became responsible for a slice.
     SliceAssigned { slice: TableId },
     /// This manager is no longer responsible for a slice.
     SliceRevoked { slice: TableId },
-    /// A line that the slice's table already contains.
+    /// A line that the slice's table already has.
     SliceLine { slice: TableId, worker: WorkerId, weight: f64 },
     /// A proxy acknowledged a mark.
     MarkAcknowledged { mark: MarkId, took: Ms, proxy: ProxyId },
@@ -257,7 +268,7 @@
 pub enum Order {
     /// Reports [`Event::TimerFired`] with this handle after the given time.
     SetTimer { after: Ms, handle: String },
-    /// Asks a worker for its load.
+    /// Asks a worker for its load; reported as [`Event::Probed`].
     Probe { worker: WorkerId },
     /// Sends a message to other managers.
     SendMessage { to: Receiver, content: Vec<u8> },
@@ -277,7 +288,7 @@
     ExcludeWorker { worker: WorkerId, excluded: bool },
     /// Binds a joined proxy to a table for some operations (bit k stands for operation k).
     Bind { table: TableId, ops: u32, proxy: ProxyId },
-    /// Sets the admission level and the retry policy of some operations.
+    /// Sets the admission level and the retry policy of some operations (bits as in [`Order::Bind`]).
     SetAdmission { scope: AdmissionScope, ops: u32, level: f64, retry: Retry },
     /// Sends a mark that proxies acknowledge once they have applied every order before it.
     Mark { number: MarkId, all_proxies: bool },
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs planners on the simulator's line protocol: one isolated planner for each manager instance.
+//! Runs planners on the simulator's line protocol: one planner for each simulated manager, isolated from the others.
 
 mod wire;
 
@@ -9,7 +9,7 @@
 use juniperrail::Planner;
 use juniperrail_interface::{Event, Ms};
 use juniperrail_start::Names;
-use wire::{Fault, Line};
+use wire::{Line, LineError};
 
 /// A simulated manager.
 struct Instance {
@@ -17,32 +17,32 @@
     /// `None` once the instance was killed; later events for it are dropped.
     planner: Option<Planner>,
     events: Vec<Event>,
-    /// The current batch has an event for this instance, so its planner runs.
+    /// Whether the current batch has an event for this instance, so that its planner runs.
     has_events: bool,
 }
 
 fn main() {
     std::panic::set_hook(Box::new(|info| eprintln!("the planner panicked: {info}")));
     let (input, output) = (io::stdin().lock(), io::stdout().lock());
-    if let Err(fault) = serve(input, io::BufWriter::new(output)) {
-        eprintln!("juniperrail-simhost: {fault}");
+    if let Err(error) = serve(input, io::BufWriter::new(output)) {
+        eprintln!("juniperrail-simhost: {error}");
         std::process::exit(2);
     }
 }
 
-/// Answers batches of events with the planners' orders until the input ends.
-fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
+/// Replies to each batch of events with the planners' orders, until the input ends.
+fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), LineError> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
     let mut lines = input.lines().enumerate().map(|(index, text)| match text {
         Ok(text) => Ok((index + 1, text)),
-        Err(err) => Err(Fault::at_line(index + 1, format!("read error: {err}"))),
+        Err(err) => Err(LineError::at_line(index + 1, format!("read error: {err}"))),
     });
     while let Some(first) = lines.next() {
         let (line_number, text) = first?;
         let mut turn_line = Line::new(line_number, &text);
         match turn_line.word("message")? {
             "TURN" => {}
-            other => return Err(turn_line.fault(format!("expected TURN, found {other:?}"))),
+            other => return Err(turn_line.error(format!("expected TURN, found {other:?}"))),
         }
         let now = turn_line.number("time-ms")?;
         turn_line.finish()?;
@@ -64,17 +64,17 @@
         output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush())
-            .map_err(|err| Fault::at_line(line_number, format!("cannot write the reply: {err}")))?;
+            .map_err(|err| LineError::at_line(line_number, format!("cannot write the reply: {err}")))?;
     }
     Ok(())
 }
 
-/// Reads the rest of a batch, up to its GO, and queues its events at their instances.
+/// Reads the rest of a batch, up to its GO, and queues each event for its instance.
 fn read_batch(
     now: Ms,
-    lines: &mut impl Iterator<Item = Result<(usize, String), Fault>>,
+    lines: &mut impl Iterator<Item = Result<(usize, String), LineError>>,
     instances: &mut BTreeMap<u32, Instance>,
-) -> Result<(), Fault> {
+) -> Result<(), LineError> {
     let mut current_instance: Option<u32> = None;
     let mut last_line_number = 0;
     while let Some(next) = lines.next() {
@@ -91,12 +91,13 @@
             }
             _ => {}
         }
-        let instance_number = current_instance.ok_or_else(|| line.fault("message precedes the first AT"))?;
+        let instance_number = current_instance.ok_or_else(|| line.error("message precedes the first AT"))?;
         if name == "BORN" {
             let seed = line.integer("init-seed")?;
             let info = serde_json::from_str(line.rest("info")?);
-            let info = info.map_err(|err| line.fault(format!("info is not valid JSON: {err}")))?;
-            let (settings, names) = juniperrail_start::decode(&info).map_err(|why| line.fault(why))?;
+            let info = info.map_err(|err| line.error(format!("info is not valid JSON: {err}")))?;
+            let (settings, names) =
+                juniperrail_start::decode(&info).map_err(|message| line.error(message))?;
             let planner = Planner::new(now, seed, settings);
             instances.insert(
                 instance_number,
@@ -106,7 +107,7 @@
         }
         let instance = instances
             .get_mut(&instance_number)
-            .ok_or_else(|| line.fault(format!("no BORN message for instance {instance_number}")))?;
+            .ok_or_else(|| line.error(format!("no BORN message for instance {instance_number}")))?;
         if name == "DETACH" {
             line.finish()?;
             instance.planner = None;
@@ -117,14 +118,14 @@
         instance.has_events = true;
         instance.events.push(event);
     }
-    Err(Fault::at_line(last_line_number + 1, "input ends within a batch".into()))
+    Err(LineError::at_line(last_line_number + 1, "input ends within a batch".into()))
 }
 
 /// The text of a panic, on one line.
 fn panic_message(panic: &(dyn std::any::Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(|text| text.to_string());
     let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-    text.unwrap_or_else(|| "the decision module panicked".into()).replace('\n', " ")
+    text.unwrap_or_else(|| "the planner panicked".into()).replace('\n', " ")
 }
 
 #[cfg(test)]
@@ -133,7 +134,7 @@
 
     fn replies(input: &str) -> Result<String, String> {
         let mut output = Vec::new();
-        serve(input.as_bytes(), &mut output).map_err(|fault| fault.to_string())?;
+        serve(input.as_bytes(), &mut output).map_err(|error| error.to_string())?;
         Ok(String::from_utf8(output).unwrap())
     }
 
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -6,21 +6,21 @@
 use juniperrail_interface::*;
 use juniperrail_start::Names;
 
-/// An error in the input, with its line number.
+/// An error at a line of the input: in its text, or in reading it or replying to it.
 #[derive(Debug)]
-pub struct Fault {
+pub struct LineError {
     line: usize,
     message: String,
 }
 
-impl Fault {
+impl LineError {
     /// An error at the line of that number, counted from 1.
     pub fn at_line(line: usize, message: String) -> Self {
-        Fault { line, message }
+        LineError { line, message }
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for LineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "input line {}: {}", self.line, self.message)
     }
@@ -28,32 +28,32 @@
 
 /// One line of input, parsed value by value.
 pub struct Line<'a> {
-    number: usize,
+    line_number: usize,
     text: &'a str,
     /// The part that is not parsed yet.
     rest: Option<&'a str>,
 }
 
 impl<'a> Line<'a> {
-    /// A line by its number, counted from 1, and its text.
-    pub fn new(number: usize, text: &'a str) -> Self {
+    /// A line with its number, counted from 1, and its text.
+    pub fn new(line_number: usize, text: &'a str) -> Self {
         let text = text.strip_suffix('\r').unwrap_or(text);
-        Line { number, text, rest: Some(text) }
+        Line { line_number, text, rest: Some(text) }
     }
 
     /// An error at this line.
-    pub fn fault(&self, message: impl Into<String>) -> Fault {
+    pub fn error(&self, message: impl Into<String>) -> LineError {
         let excerpt: String = self.text.chars().take(60).collect();
-        Fault::at_line(self.number, format!("{} (in {excerpt:?})", message.into()))
+        LineError::at_line(self.line_number, format!("{} (in {excerpt:?})", message.into()))
     }
 
-    /// Everything up to the end of the line.
-    pub fn rest(&mut self, value_name: &str) -> Result<&'a str, Fault> {
-        self.rest.take().ok_or_else(|| self.fault(format!("value {value_name} is missing")))
+    /// Everything that is left up to the end of the line.
+    pub fn rest(&mut self, value_name: &str) -> Result<&'a str, LineError> {
+        self.rest.take().ok_or_else(|| self.error(format!("value {value_name} is missing")))
     }
 
     /// The next space-separated value.
-    pub fn word(&mut self, value_name: &str) -> Result<&'a str, Fault> {
+    pub fn word(&mut self, value_name: &str) -> Result<&'a str, LineError> {
         let text = self.rest(value_name)?;
         let (word, rest) = match text.split_once(' ') {
             Some((word, rest)) => (word, Some(rest)),
@@ -61,54 +61,56 @@
         };
         self.rest = rest;
         if word.is_empty() {
-            return Err(self.fault(format!("value {value_name} is empty")));
+            return Err(self.error(format!("value {value_name} is empty")));
         }
         Ok(word)
     }
 
     /// Checks that no value is left.
-    pub fn finish(&self) -> Result<(), Fault> {
-        self.rest.map_or(Ok(()), |rest| Err(self.fault(format!("unexpected values: {rest:?}"))))
+    pub fn finish(&self) -> Result<(), LineError> {
+        self.rest.map_or(Ok(()), |rest| Err(self.error(format!("unexpected values: {rest:?}"))))
     }
 
     /// A finite number, or `None` for `-`.
-    fn optional_number(&mut self, value_name: &str) -> Result<Option<f64>, Fault> {
+    fn optional_number(&mut self, value_name: &str) -> Result<Option<f64>, LineError> {
         let word = self.word(value_name)?;
         if word == "-" {
             return Ok(None);
         }
         let number = word.parse().ok().filter(|number: &f64| number.is_finite());
-        number.map(Some).ok_or_else(|| self.fault(format!("{value_name} is not a number: {word:?}")))
+        number.map(Some).ok_or_else(|| self.error(format!("{value_name} is not a number: {word:?}")))
     }
 
     /// A finite number.
-    pub fn number(&mut self, value_name: &str) -> Result<f64, Fault> {
-        self.optional_number(value_name)?.ok_or_else(|| self.fault(format!("value {value_name} is absent")))
+    pub fn number(&mut self, value_name: &str) -> Result<f64, LineError> {
+        self.optional_number(value_name)?.ok_or_else(|| self.error(format!("value {value_name} is absent")))
     }
 
     /// An integer that fits the type.
-    pub fn integer<T: std::str::FromStr>(&mut self, value_name: &str) -> Result<T, Fault> {
+    pub fn integer<T: std::str::FromStr>(&mut self, value_name: &str) -> Result<T, LineError> {
         let word = self.word(value_name)?;
-        word.parse().map_err(|_| self.fault(format!("{value_name} is not an integer in range: {word:?}")))
+        word.parse().map_err(|_| self.error(format!("{value_name} is not an integer in range: {word:?}")))
     }
 
     /// A Boolean, written as 1 or 0.
-    fn flag(&mut self, value_name: &str) -> Result<bool, Fault> {
+    fn flag(&mut self, value_name: &str) -> Result<bool, LineError> {
         match self.word(value_name)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            other => Err(self.fault(format!("{value_name} is not 1 or 0: {other:?}"))),
+            other => Err(self.error(format!("{value_name} is not 1 or 0: {other:?}"))),
         }
     }
 
     /// A load report: name:value pairs separated by commas, or `-`. Unknown names are ignored.
-    fn load(&mut self, value_name: &str) -> Result<Load, Fault> {
+    fn load(&mut self, value_name: &str) -> Result<Load, LineError> {
         let mut load = Load::default();
         let text = self.word(value_name)?;
         for pair in text.split(',').filter(|_| text != "-") {
-            let fault = || self.fault(format!("{value_name} contains an invalid name:value pair: {pair:?}"));
-            let (name, value) = pair.split_once(':').ok_or_else(fault)?;
-            let value = Some(value.parse().ok().filter(|v: &f64| v.is_finite()).ok_or_else(fault)?);
+            let invalid_pair =
+                || self.error(format!("{value_name} contains an invalid name:value pair: {pair:?}"));
+            let (name, value) = pair.split_once(':').ok_or_else(invalid_pair)?;
+            let value =
+                Some(value.parse().ok().filter(|number: &f64| number.is_finite()).ok_or_else(invalid_pair)?);
             match name {
                 "outstanding" => load.in_flight = value,
                 "backlog" => load.queued = value,
@@ -122,23 +124,27 @@
         Ok(load)
     }
 
-    fn op(&mut self, names: &Names) -> Result<OpId, Fault> {
+    /// The operation of a name in the settings.
+    fn op(&mut self, names: &Names) -> Result<OpId, LineError> {
         let name = self.word("profile")?;
-        names.op(name).ok_or_else(|| self.fault(format!("unknown class {name:?}")))
+        names.op(name).ok_or_else(|| self.error(format!("unknown operation {name:?}")))
     }
 
-    fn proxy(&mut self) -> Result<ProxyId, Fault> {
+    /// The number of a proxy.
+    fn proxy(&mut self) -> Result<ProxyId, LineError> {
         self.integer("client-lb").map(ProxyId)
     }
 }
 
 /// Reads an event. A list also consumes the lines of its entries from `more_lines`.
+///
+/// The fields of an event are written in the order of the line's values, since that is the order of evaluation.
 pub fn read(
     name: &str,
     mut line: Line<'_>,
     names: &mut Names,
-    more_lines: &mut impl Iterator<Item = Result<(usize, String), Fault>>,
-) -> Result<Event, Fault> {
+    more_lines: &mut impl Iterator<Item = Result<(usize, String), LineError>>,
+) -> Result<Event, LineError> {
     let event = match name {
         "TOPOLOGY" => {
             let kind = match line.word("kind")? {
@@ -146,20 +152,20 @@
                 "full" => ListKind::Full,
                 "cached" => ListKind::Remembered,
                 "failed" => ListKind::Failed,
-                other => return Err(line.fault(format!("unknown list kind {other:?}"))),
+                other => return Err(line.error(format!("unknown list kind {other:?}"))),
             };
             let version = line.word("version")?;
             let version = version.parse().ok().or((version == "-").then_some(0));
-            let version = version.ok_or_else(|| line.fault("version is not an integer"))?;
+            let version = version.ok_or_else(|| line.error("version is not an integer"))?;
             let count = match line.word("hosts")? {
                 "-" => 0,
-                count => count.parse().map_err(|_| line.fault("hosts is not an integer"))?,
+                count => count.parse().map_err(|_| line.error("hosts is not an integer"))?,
             };
             let mut workers = Vec::new();
             for _ in 0..count {
-                let (number, text) =
-                    more_lines.next().unwrap_or_else(|| Err(line.fault("fewer entries than announced")))?;
-                workers.push(read_entry(Line::new(number, &text), names)?);
+                let (line_number, text) =
+                    more_lines.next().unwrap_or_else(|| Err(line.error("fewer entries than announced")))?;
+                workers.push(read_entry(Line::new(line_number, &text), names)?);
             }
             Event::List { kind, version, workers }
         }
@@ -175,7 +181,7 @@
                 "RST" => ProbeOutcome::ConnectionLost,
                 "CXL" => ProbeOutcome::Cancelled,
                 "NOP" => ProbeOutcome::NotApplicable,
-                other => return Err(line.fault(format!("unknown reason {other:?}"))),
+                other => return Err(line.error(format!("unknown reason {other:?}"))),
             },
             took: line.optional_number("took-ms")?.unwrap_or(0.0),
             load: line.load("load")?,
@@ -185,7 +191,7 @@
             content: match line.word("content")? {
                 "-" => Vec::new(),
                 text => {
-                    BASE64_STANDARD.decode(text).map_err(|_| line.fault("content is not valid base64"))?
+                    BASE64_STANDARD.decode(text).map_err(|_| line.error("content is not valid base64"))?
                 }
             },
         },
@@ -238,26 +244,26 @@
             took: line.optional_number("took-ms")?.unwrap_or(0.0),
             proxy: line.proxy()?,
         },
-        other => return Err(line.fault(format!("unknown message {other:?}"))),
+        other => return Err(line.error(format!("unknown message {other:?}"))),
     };
     line.finish()?;
     Ok(event)
 }
 
-/// Reads an entry of a worker list.
-fn read_entry(mut line: Line<'_>, names: &mut Names) -> Result<WorkerEntry, Fault> {
+/// Reads an entry of a worker list. Its fields are written in the order of the line's values.
+fn read_entry(mut line: Line<'_>, names: &mut Names) -> Result<WorkerEntry, LineError> {
     if line.word("message")? != "M" {
-        return Err(line.fault("expected a list entry"));
+        return Err(line.error("expected a list entry"));
     }
     let cell = line.word("pod")?;
     let cell = cell.parse().ok().or((cell == "-").then_some(u32::MAX));
     let entry = WorkerEntry {
-        cell: CellId(cell.ok_or_else(|| line.fault("pod is not an integer"))?),
+        cell: CellId(cell.ok_or_else(|| line.error("pod is not an integer"))?),
         phase: match line.word("phase")? {
             "IN" => Phase::Ready,
             "LAME" => Phase::Draining,
             "OUT" => Phase::Gone,
-            other => return Err(line.fault(format!("unknown phase {other:?}"))),
+            other => return Err(line.error(format!("unknown phase {other:?}"))),
         },
         worker: names.worker(line.word("worker")?),
         booted: line.optional_number("boot-time-ms")?.filter(|&time| time != 0.0),
--- a/crates/start/src/lib.rs
+++ b/crates/start/src/lib.rs
@@ -1,12 +1,12 @@
 //! Decodes the JSON settings object that the manager and `simhost` receive, and maps names to ids. Unknown keys are
-//! ignored and an absent number is 0; a value of the wrong type is an error.
+//! ignored. An absent number is 0, an absent string or array is empty, and a value of the wrong type is an error.
 
 use std::collections::HashMap;
 
 use juniperrail_interface::*;
 use serde_json::Value;
 
-/// Maps the names of a protocol to the ids of the planner, which are assigned in order of first appearance.
+/// Maps the names of a protocol to the planner's ids, which are assigned in order of first appearance.
 #[derive(Clone, Default)]
 pub struct IdMap {
     ids: HashMap<String, u32>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The names behind the planner's ids.
+/// The names that the planner's ids stand for, by kind.
 #[derive(Clone, Default)]
 pub struct Names {
     pub workers: IdMap,
@@ -105,7 +105,7 @@
 }
 
 /// The string at a dotted path; empty where it is absent.
-fn text<'a>(object: &'a Value, path: &str) -> Result<&'a str, String> {
+fn string<'a>(object: &'a Value, path: &str) -> Result<&'a str, String> {
     match value_at(object, path) {
         Value::Null => Ok(""),
         value => value.as_str().ok_or_else(|| format!("setting {path} is not a string: {value}")),
@@ -113,7 +113,7 @@
 }
 
 /// The array at a dotted path; empty where it is absent.
-fn list<'a>(object: &'a Value, path: &str) -> Result<&'a [Value], String> {
+fn array<'a>(object: &'a Value, path: &str) -> Result<&'a [Value], String> {
     match value_at(object, path) {
         Value::Null => Ok(&[]),
         value => Ok(value.as_array().ok_or_else(|| format!("setting {path} is not an array: {value}"))?),
@@ -121,11 +121,11 @@
 }
 
 /// The strings of the array at a dotted path; empty where it is absent.
-fn texts<'a>(object: &'a Value, path: &str) -> Result<Vec<&'a str>, String> {
-    let to_text = |value: &'a Value| {
+fn strings<'a>(object: &'a Value, path: &str) -> Result<Vec<&'a str>, String> {
+    let as_string = |value: &'a Value| {
         value.as_str().ok_or_else(|| format!("setting {path} contains a value that is not a string: {value}"))
     };
-    list(object, path)?.iter().map(to_text).collect()
+    array(object, path)?.iter().map(as_string).collect()
 }
 
 /// Decodes the settings object. Returns the settings and the names that the ids in them stand for.
@@ -134,33 +134,34 @@
         return Err("the settings are not a JSON object".into());
     }
     let mut names = Names::default();
-    let zones = texts(object, "zones")?.into_iter().map(|zone| names.zone(zone)).collect();
-    for machine in texts(object, "skus")? {
+    let zones = strings(object, "zones")?.into_iter().map(|zone| names.zone(zone)).collect();
+    for machine in strings(object, "skus")? {
         names.machine(machine);
     }
-    let own_zone_only = list(object, "domain.class-own-zone")?;
+    // One Boolean for each operation; anything else counts as false.
+    let own_zone_flags = array(object, "domain.class-own-zone")?;
     let mut operations = Vec::new();
-    for (index, lane) in list(object, "lanes")?.iter().enumerate() {
-        names.ops.id_for(text(lane, "name")?);
+    for (index, operation_object) in array(object, "lanes")?.iter().enumerate() {
+        names.ops.id_for(string(operation_object, "name")?);
         operations.push(Operation {
-            latency_objective: number(lane, "on-time-ms")?,
-            billed_value: number(lane, "worth")?,
-            zones: match texts(lane, "only-zones")? {
+            latency_objective: number(operation_object, "on-time-ms")?,
+            billed_value: number(operation_object, "worth")?,
+            zones: match strings(operation_object, "only-zones")? {
                 zones if zones.is_empty() => None,
                 zones => Some(zones.into_iter().map(|zone| names.zone(zone)).collect()),
             },
-            machines: match texts(lane, "only-kinds")? {
+            machines: match strings(operation_object, "only-kinds")? {
                 machines if machines.is_empty() => None,
                 machines => Some(machines.into_iter().map(|machine| names.machine(machine)).collect()),
             },
-            own_zone_only: own_zone_only.get(index).and_then(Value::as_bool).unwrap_or(false),
+            own_zone_only: own_zone_flags.get(index).and_then(Value::as_bool).unwrap_or(false),
         });
     }
     let settings = Settings {
         operations,
         zones,
         slice_count: count(object, "domain.key-ranges")?,
-        level_kind: match text(object, "domain.level-kind")? {
+        level_kind: match string(object, "domain.level-kind")? {
             "share" => LevelKind::Share,
             "rate" => LevelKind::PerSecond,
             _ => LevelKind::Unsupported,
@@ -184,7 +185,7 @@
         overload_factor: number(object, "rules.overload-factor")?,
         proxy_count: number(object, "domain.proxy-count")?,
         manager_count: number(object, "n-instances")?,
-        list_on_request: text(object, "registry-mode")? == "ask",
+        list_on_request: string(object, "registry-mode")? == "ask",
         list_request_deadline: number(object, "rules.must-ask-in-ms")?,
     };
     Ok((settings, names))
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -6,11 +6,11 @@
 
 pub const FIRST_TABLE: TableId = TableId(0);
 
-/// A planner and what the proxies have by its orders, as if they carried each out at once.
+/// A planner, and the state of the proxies if they carried out each of its orders at once.
 pub struct Host {
     pub planner: Planner,
     pub now: Ms,
-    /// The lines in the tables, without removed ones.
+    /// The weight of each line that a table has.
     pub weights: BTreeMap<(TableId, WorkerId), f64>,
     pub excluded: BTreeSet<WorkerId>,
     /// All tables that a proxy was ever bound to, in order.
@@ -87,7 +87,7 @@
     Event::Joined { proxy: ProxyId(proxy), fresh: true, inv_per_second: 10.0, zone: ZoneId(proxy % 2) }
 }
 
-/// A report of one second about a worker, without utilization.
+/// A report about a worker over a second, without utilization.
 pub fn worker_report(worker: u32, tries: f64, failed: f64, mean_latency: Ms) -> Event {
     let (zone, worker, load) = (ZoneId(0), WorkerId(worker), Load::default());
     Event::WorkerSums { zone, worker, tries, failed, mean_latency, period: 1000.0, load }
@@ -120,7 +120,8 @@
         }
     }
 
-    /// `workers` warm workers, listed from the start, and `proxies` that have joined and acknowledged.
+    /// A host with `workers` warm workers, listed from the start, and `proxies` proxies that have joined and
+    /// acknowledged the first mark.
     pub fn running(settings: Settings, workers: u32, proxies: u16) -> Self {
         let mut host = Host::new(settings);
         let ready = (0..workers).map(|worker| entry(worker, Phase::Ready)).collect();
@@ -178,7 +179,7 @@
         self.advance(100.0, &(0..proxies).map(acknowledgement).collect::<Vec<_>>())
     }
 
-    /// Runs for some seconds with the same events in each, while all proxies acknowledge each mark.
+    /// Runs for some seconds with the same events in each, while the first `proxies` proxies acknowledge each mark.
     pub fn run_seconds(&mut self, seconds: u32, proxies: u16, events: &[Event]) {
         for _ in 0..seconds {
             self.advance(500.0, events);
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -105,7 +105,7 @@
     let mut host = Host::running(settings(), 2, 2);
     host.advance(600.0, &[list_change(vec![entry(0, Phase::Draining)])]);
     assert!(host.is_excluded(0));
-    // It restarts before any proxy acknowledged: the line now has to precede the readmission.
+    // The worker restarts before any proxy has acknowledged: now its line has to precede its readmission.
     let now = host.now;
     let orders = host.advance(600.0, &[list_change(vec![restarted_entry(0, now)])]);
     assert_eq!(line_count(&orders), 1);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn next_bind_restores_state_after_broken_stream() {
+fn next_bind_restores_state_after_lost_connection() {
     let mut host = Host::running(settings(), 4, 2);
     host.advance(600.0, &[weight_change(1, 2.0)]);
     host.advance(50.0, &[Event::Left { proxy: ProxyId(1) }]);
@@ -148,7 +148,7 @@
     let bound_count = host.bindings.len();
     assert!((1..=2).contains(&bound_count), "a bind takes 18 lines: {bound_count} proxies are bound");
     host.advance(400.0, &[]);
-    assert_eq!(host.bindings.len(), bound_count, "without acknowledgements there is no more room");
+    assert_eq!(host.bindings.len(), bound_count, "without acknowledgements no further bind fits");
     for _ in 0..8 {
         let mark = *host.marks.last().unwrap();
         let acknowledgement = |proxy: &ProxyId| Event::MarkAcknowledged { mark, took: 1.0, proxy: *proxy };
@@ -250,12 +250,13 @@
     assert!(!host.is_excluded(0), "a small weight remains to detect recovery");
     assert!(host.weight(5) >= 1.0);
     let reports: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 100.0)).collect();
-    let low = host.weight(0);
+    let low_weight = host.weight(0);
     host.run_seconds(12, 2, &reports);
-    let reports: Vec<Event> =
-        (0..8).map(|w| worker_report(w, 10.0, 0.0, if w == 0 { 60.0 } else { 100.0 })).collect();
+    let reports: Vec<Event> = (0..8)
+        .map(|worker| worker_report(worker, 10.0, 0.0, if worker == 0 { 60.0 } else { 100.0 }))
+        .collect();
     host.run_seconds(40, 2, &reports);
-    assert!(host.weight(0) > 2.0 * low);
+    assert!(host.weight(0) > 2.0 * low_weight);
 }
 
 #[test]
@@ -282,8 +283,8 @@
     };
     let reports: Vec<Event> = (0..10).map(report).collect();
     host.run_seconds(20, 2, &reports);
-    let low = (0..10).filter(|worker| host.weight(*worker) < 0.5).count();
-    assert!((1..=3).contains(&low), "{low} of 10 workers have a low weight");
+    let low_count = (0..10).filter(|worker| host.weight(*worker) < 0.5).count();
+    assert!((1..=3).contains(&low_count), "{low_count} of 10 workers have a low weight");
 }
 
 #[test]
@@ -337,8 +338,8 @@
     let reports: Vec<Event> =
         (0..6).map(|worker| worker_report(worker, 10.0, f64::from(worker), 300.0)).collect();
     host.run_seconds(20, 2, &reports);
-    let safe = |retry: &Retry| matches!(retry, Retry::Never | Retry::IfNotExecuted);
-    assert!(!host.admissions.is_empty() && host.admissions.iter().all(|(_, retry)| safe(retry)));
+    let is_safe = |retry: &Retry| matches!(retry, Retry::Never | Retry::IfNotExecuted);
+    assert!(!host.admissions.is_empty() && host.admissions.iter().all(|(_, retry)| is_safe(retry)));
 }
 
 #[test]
@@ -482,9 +483,9 @@
             (0..8).map(|worker| worker_report(worker, 10.0, failed, mean_latency)).collect::<Vec<Event>>()
         };
         host.run_seconds(4, 2, &reports(5.0, 800.0));
-        let low = host.levels[&(FIRST_TABLE, OpId(0))];
+        let low_level = host.levels[&(FIRST_TABLE, OpId(0))];
         host.run_seconds(3, 2, &reports(0.0, recovery_latency));
-        host.levels[&(FIRST_TABLE, OpId(0))] / low
+        host.levels[&(FIRST_TABLE, OpId(0))] / low_level
     };
     let (rise_at_160_ms, rise_at_100_ms) = (rise(160.0), rise(100.0));
     assert!(rise_at_100_ms > 1.25 * rise_at_160_ms, "{rise_at_160_ms} {rise_at_100_ms}");
@@ -496,8 +497,8 @@
     let overloaded: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 5.0, 800.0)).collect();
     let healthy: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 0.0, 50.0)).collect();
     host.run_seconds(4, 2, &overloaded);
-    let low = host.admissions.last().unwrap().0;
-    assert!(low <= 0.5);
+    let low_level = host.admissions.last().unwrap().0;
+    assert!(low_level <= 0.5);
     host.admissions.clear();
     host.run_seconds(30, 2, &healthy);
     let levels: Vec<f64> = host.admissions.iter().step_by(2).map(|admission| admission.0).collect();
@@ -641,7 +642,7 @@
     };
     let mut messages = usize::from(has_exclusion(&host.advance(100.0, &[list_change(draining)])));
     for step in 0..80 {
-        // Some proxies acknowledge, so that there is room for one or two exclusions at a time.
+        // Some proxies acknowledge, so that one or two exclusions fit at a time.
         let mark = *host.marks.last().unwrap();
         let acknowledging = (0..12).map(|proxy| ProxyId((step * 12 + proxy) % 20));
         let acknowledgements =
@@ -711,8 +712,9 @@
         (0..8).map(|worker| worker_report(worker, 20.0, failed, mean_latency)).collect::<Vec<_>>()
     };
     let cut_count = |orders: &[Order]| {
-        let matches_text = |o: &Order| matches!(o, Order::Log { text, .. } if text.starts_with("admitting "));
-        orders.iter().filter(|order| matches_text(order)).count()
+        let is_cut =
+            |order: &Order| matches!(order, Order::Log { text, .. } if text.starts_with("admitting "));
+        orders.iter().filter(|order| is_cut(order)).count()
     };
     let mut first_cut_count = 0;
     while first_cut_count == 0 {
@@ -740,13 +742,13 @@
 fn lines_of_tables_without_bound_proxies_do_not_delay_others() {
     let mut host = Host::running(settings(), 60, 60);
     host.run_seconds(4, 60, &[]);
-    let sent = host.marks.len();
+    let marks_before = host.marks.len();
     for step in 0..60 {
         host.advance(100.0, &[weight_change(step, 2.0)]);
         host.acknowledge(60);
     }
     assert!(
-        host.marks.len() > sent + 3,
+        host.marks.len() > marks_before + 3,
         "changes of the whole-fleet table, to which no proxy is bound, blocked all others"
     );
 }
@@ -829,7 +831,8 @@
     let mut reports: Vec<Event> = (0..8).map(|worker| worker_report(worker, 10.0, 5.0, 800.0)).collect();
     reports.extend((0..8).map(|worker| weight_change(worker, 9.0)));
     let orders = host.advance(3000.0, &reports);
-    let first = orders.iter().find(|o| matches!(o, Order::SetLine { .. } | Order::SetAdmission { .. }));
+    let first =
+        orders.iter().find(|order| matches!(order, Order::SetLine { .. } | Order::SetAdmission { .. }));
     assert!(matches!(first, Some(Order::SetAdmission { .. })), "{first:?}");
 }
 
@@ -878,7 +881,7 @@
         "warm under the shorter warm-up, and no other line is sent"
     );
     host.acknowledge(2);
-    // With a shorter drain grace, an exclusion waits less for the replacement lines.
+    // With a shorter drain grace, an exclusion waits for the replacement lines for a shorter time.
     let mut short = Host::running(settings(), 1, 2);
     let mut long = Host::running(settings(), 1, 2);
     short.advance(
