--- a/crates/intent/src/admission.rs
+++ b/crates/intent/src/admission.rs
@@ -242,7 +242,7 @@
 
 fn is_ready_and_warm(context: &AdmissionContext<'_>, intent: &Intent, composed: &ComposedWorker) -> bool {
     let warm_up = intent.warm_up.unwrap_or(context.settings.warm_up);
-    let warm = composed.entry.booted.is_none_or(|booted| context.now >= booted + warm_up);
+    let warm = composed.entry.started_at.is_none_or(|started_at| context.now >= started_at + warm_up);
     composed.entry.phase == Phase::Ready && warm
 }
 
@@ -393,11 +393,11 @@
             manager
         }
 
-        fn discover(&mut self, worker: u32, phase: Phase, booted: Option<Ms>) {
+        fn discover(&mut self, worker: u32, phase: Phase, started_at: Option<Ms>) {
             let zone = ZoneId((worker % 2) as u16);
             let (machine, cell) = (MachineId(0), CellId(0));
             let listed =
-                WorkerEntry { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 };
+                WorkerEntry { worker: WorkerId(worker), phase, started_at, zone, machine, cell, weight: 1.0 };
             self.composer.update_discovery(&format!("s-{worker}"), listed, None);
         }
 
@@ -408,7 +408,7 @@
                 Some(WorkerEntry {
                     worker,
                     phase: Phase::Ready,
-                    booted: None,
+                    started_at: None,
                     zone,
                     machine,
                     cell,
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -90,7 +90,7 @@
         let (mut phase_at, mut weight_at) = (self.last_sequence, self.last_sequence);
         if let Some(earlier) = self.discovery.get(name) {
             // The phase of a restarted worker is a new value even if it is the same.
-            let restarted = entry.booted > earlier.entry.booted || earlier.entry.phase == Phase::Gone;
+            let restarted = entry.started_at > earlier.entry.started_at || earlier.entry.phase == Phase::Gone;
             if !restarted && earlier.entry.phase == entry.phase {
                 phase_at = earlier.phase_at;
             }
@@ -303,9 +303,9 @@
     use super::*;
     use juniperrail_interface::{CellId, MachineId};
 
-    fn listed(phase: Phase, weight: f64, booted: Option<f64>) -> WorkerEntry {
+    fn listed(phase: Phase, weight: f64, started_at: Option<f64>) -> WorkerEntry {
         let (zone, machine, cell) = (ZoneId(0), MachineId(0), CellId(0));
-        WorkerEntry { worker: WorkerId(1), phase, booted, zone, machine, cell, weight }
+        WorkerEntry { worker: WorkerId(1), phase, started_at, zone, machine, cell, weight }
     }
 
     fn intent(worker: WorkerIntent) -> Intent {
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -346,7 +346,7 @@
                     let weight = f64::from(weight);
                     composer.update_discovery(
                         "w",
-                        WorkerEntry { worker, phase, booted: None, zone, machine, cell, weight },
+                        WorkerEntry { worker, phase, started_at: None, zone, machine, cell, weight },
                         None,
                     );
                     discovered = Some(phase);
--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -138,7 +138,7 @@
     pub worker: WorkerId,
     pub phase: Phase,
     /// When it last started; `None` if that is unknown or long ago, and the worker counts as warm.
-    pub booted: Option<Ms>,
+    pub started_at: Option<Ms>,
     pub zone: ZoneId,
     pub machine: MachineId,
     pub cell: CellId,
--- a/crates/lab/src/turns.rs
+++ b/crates/lab/src/turns.rs
@@ -50,9 +50,9 @@
     }
 }
 
-fn worker_entry(worker: u32, phase: Phase, booted: Option<Ms>) -> WorkerEntry {
+fn worker_entry(worker: u32, phase: Phase, started_at: Option<Ms>) -> WorkerEntry {
     let (zone, machine, cell) = (ZoneId((worker % 3) as u16), MachineId(0), CellId(0));
-    WorkerEntry { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 }
+    WorkerEntry { worker: WorkerId(worker), phase, started_at, zone, machine, cell, weight: 1.0 }
 }
 
 /// Runs a new planner, with sums and acknowledged marks at each turn and a replacement of half of the workers midway.
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -53,7 +53,7 @@
                 name,
                 zone: name_or_empty(self.names.zones.find_name(composed.entry.zone.0.into())),
                 machine: name_or_empty(self.names.machines.find_name(composed.entry.machine.0.into())),
-                warm: composed.entry.booted.is_none_or(|booted| now >= booted + warm_up),
+                warm: composed.entry.started_at.is_none_or(|started_at| now >= started_at + warm_up),
                 composed,
             }
         };
@@ -82,14 +82,14 @@
     pub(super) fn report_evidence(&mut self, now: Ms) {
         let Some((handle, evidence)) = &mut self.fleet else { return };
         let runtime = self.intent.runtime_settings(&self.settings, &self.operation_names);
-        let warm_ratio = |booted: Option<Ms>| match booted {
-            Some(booted) if now < booted + runtime.warm_up => runtime.cold_share,
+        let warm_ratio = |started_at: Option<Ms>| match started_at {
+            Some(started_at) if now < started_at + runtime.warm_up => runtime.cold_share,
             _ => 1.0,
         };
         let names = &self.names;
         let entries = self.registry.workers();
         let entries =
-            entries.map(|entry| (entry, names.zones.name(entry.zone.0.into()), warm_ratio(entry.booted)));
+            entries.map(|entry| (entry, names.zones.name(entry.zone.0.into()), warm_ratio(entry.started_at)));
         let streams = self.connections.streams.values();
         let proxies =
             streams.map(|stream| (names.zones.name(stream.zone.0.into()), stream.silent_since.is_some()));
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -136,7 +136,7 @@
     let listed = WorkerEntry {
         worker: names.worker(&entry.instance_id),
         phase,
-        booted: entry.started_at_ms.filter(|started_at| *started_at > 0.0),
+        started_at: entry.started_at_ms.filter(|started_at| *started_at > 0.0),
         zone: names.zone(&entry.zone),
         machine: names.machine(&entry.machine_type),
         cell: CellId(entry.cell.and_then(|cell| u32::try_from(cell).ok()).unwrap_or(u32::MAX)),
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -101,7 +101,7 @@
     /// Records an entry of the worker list.
     pub fn record_entry(&mut self, entry: &WorkerEntry) {
         self.highest_id = self.highest_id.max(entry.worker);
-        if entry.phase != Phase::Ready || entry.booted.is_some() {
+        if entry.phase != Phase::Ready || entry.started_at.is_some() {
             self.maybe_excluded.insert(entry.worker);
         }
     }
@@ -517,10 +517,10 @@
 
     #[test]
     fn a_worker_that_another_manager_may_have_excluded_is_included_with_its_line() {
-        let entry = |worker, booted, phase| WorkerEntry {
+        let entry = |worker, started_at, phase| WorkerEntry {
             worker: WorkerId(worker),
             phase,
-            booted,
+            started_at,
             zone: ZoneId(0),
             machine: MachineId(0),
             cell: CellId(0),
@@ -567,7 +567,7 @@
         let entry = |worker| WorkerEntry {
             worker: WorkerId(worker),
             phase: Phase::Ready,
-            booted: Some(5.0),
+            started_at: Some(5.0),
             zone: ZoneId(0),
             machine: MachineId(0),
             cell: CellId(0),
@@ -649,9 +649,9 @@
             let mut unacknowledged: BTreeMap<(u64, ProxyId), f64> = BTreeMap::new();
             let (mut mark, mut joined) = (0_u64, BTreeSet::new());
             let mut listed: Vec<WorkerEntry> = Vec::new();
-            let entry = |id: u32, phase, booted| {
+            let entry = |id: u32, phase, started_at| {
                 let (zone, machine, cell) = (ZoneId(0), MachineId(0), CellId(0));
-                WorkerEntry { worker: WorkerId(id), phase, booted, zone, machine, cell, weight: 1.0 }
+                WorkerEntry { worker: WorkerId(id), phase, started_at, zone, machine, cell, weight: 1.0 }
             };
             let mut events = Vec::new();
             for _ in 0..WORKERS {
@@ -683,11 +683,11 @@
                     5..7 => {
                         let index = rng.usize(0..listed.len());
                         let changed = &mut listed[index];
-                        (changed.phase, changed.booted) = match (changed.phase, rng.u32(0..4)) {
+                        (changed.phase, changed.started_at) = match (changed.phase, rng.u32(0..4)) {
                             (Phase::Ready, 0) => (Phase::Ready, Some(now)),
-                            (Phase::Ready, _) => (Phase::Draining, changed.booted),
+                            (Phase::Ready, _) => (Phase::Draining, changed.started_at),
                             (Phase::Draining, 0..2) => (Phase::Ready, Some(now)),
-                            _ => (Phase::Gone, changed.booted),
+                            _ => (Phase::Gone, changed.started_at),
                         };
                         let mut workers = vec![changed.clone()];
                         if changed.phase == Phase::Gone {
--- a/crates/manager/src/worker_registry.rs
+++ b/crates/manager/src/worker_registry.rs
@@ -217,7 +217,7 @@
         Some(WorkerEntry {
             worker: WorkerId(names.workers.find_id(name).unwrap_or(u32::MAX)),
             phase: Phase::Ready,
-            booted: None,
+            started_at: None,
             zone: ZoneId(id_or_max(names.zones.find_id(&place.zone))),
             machine: MachineId(id_or_max(names.machines.find_id(&place.machine))),
             cell: CellId(place.cell.unwrap_or(u32::MAX)),
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -376,7 +376,7 @@
         let entry = WorkerEntry {
             worker: WorkerId(0),
             phase: Phase::Draining,
-            booted: None,
+            started_at: None,
             zone,
             machine,
             cell,
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -266,7 +266,7 @@
             other => return Err(line.error(format!("unknown phase {other:?}"))),
         },
         worker: names.worker(line.word("worker")?),
-        booted: line.optional_number("boot-time-ms")?.filter(|&time| time != 0.0),
+        started_at: line.optional_number("boot-time-ms")?.filter(|&time| time != 0.0),
         machine: names.machine(line.word("shape")?),
         zone: names.zone(line.word("site")?),
         weight: line.optional_number("size")?.unwrap_or(0.0),
--- a/src/events.rs
+++ b/src/events.rs
@@ -110,11 +110,11 @@
         let unknown_exclusion = UpdateState { desired: f64::NAN, sent: f64::NAN, ..UpdateState::default() };
         self.updates.entry(UpdateKey::Exclusion(listed.worker)).or_insert(unknown_exclusion);
         let worker = self.workers.entry(listed.worker).or_insert(new_worker);
-        if listed.booted > worker.listed.booted {
+        if listed.started_at > worker.listed.started_at {
             worker.weight_factor = 1.0;
             worker.samples = VecDeque::new();
         }
-        if !worker.possibly_excluded && (listed.booted.is_some() || listed.phase != Phase::Ready) {
+        if !worker.possibly_excluded && (listed.started_at.is_some() || listed.phase != Phase::Ready) {
             worker.possibly_excluded = true;
             let lines = self.tables.iter().map(|table| UpdateKey::Line(table.id, listed.worker));
             lines.for_each(|line| {
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -31,8 +31,8 @@
     /// The fraction of its full capacity that a worker has at this point of its warm-up. It rises from the cold share
     /// to 1 in [`WARM_UP_STEPS`] steps.
     pub(crate) fn warm_up_ratio(&self, listed: &WorkerEntry) -> f64 {
-        let Some(booted) = listed.booted.filter(|_| self.settings.warm_up > 0.0) else { return 1.0 };
-        let completed_steps = ((self.now - booted) / self.settings.warm_up * WARM_UP_STEPS).floor();
+        let Some(started_at) = listed.started_at.filter(|_| self.settings.warm_up > 0.0) else { return 1.0 };
+        let completed_steps = ((self.now - started_at) / self.settings.warm_up * WARM_UP_STEPS).floor();
         let progress = completed_steps / WARM_UP_STEPS;
         let cold_share = self.settings.cold_share.clamp(0.01, 1.0);
         (cold_share + (1.0 - cold_share) * progress.clamp(0.0, 1.0)).min(1.0)
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -67,7 +67,7 @@
     WorkerEntry {
         worker: WorkerId(worker),
         phase,
-        booted: None,
+        started_at: None,
         zone: ZoneId((worker % 2) as u16),
         machine: MachineId(0),
         cell: CellId(0),
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -9,8 +9,8 @@
     orders.iter().filter(|order| matches!(order, Order::SetLine { .. })).count()
 }
 
-fn restarted_entry(worker: u32, booted: Ms) -> WorkerEntry {
-    WorkerEntry { booted: Some(booted), ..entry(worker, Phase::Ready) }
+fn restarted_entry(worker: u32, started_at: Ms) -> WorkerEntry {
+    WorkerEntry { started_at: Some(started_at), ..entry(worker, Phase::Ready) }
 }
 
 fn weight_change(worker: u32, weight: f64) -> Event {
@@ -186,8 +186,8 @@
 #[test]
 fn cold_worker_weight_rises_in_steps_from_cold_share() {
     let mut host = Host::running(settings(), 8, 2);
-    let booted = host.now;
-    host.advance(600.0, &[list_change(vec![restarted_entry(3, booted)])]);
+    let started_at = host.now;
+    host.advance(600.0, &[list_change(vec![restarted_entry(3, started_at)])]);
     let mut weights = vec![host.weight(3)];
     for _ in 0..20 {
         host.run_seconds(1, 2, &[]);
@@ -867,8 +867,8 @@
 #[test]
 fn changed_setting_applies_at_once_and_state_is_kept() {
     let mut host = Host::running(settings(), 4, 2);
-    let booted = host.now - 2_000.0;
-    host.advance(600.0, &[list_change(vec![restarted_entry(1, booted)])]);
+    let started_at = host.now - 2_000.0;
+    host.advance(600.0, &[list_change(vec![restarted_entry(1, started_at)])]);
     host.acknowledge(2);
     assert!(host.weight(1) < 0.5, "cold under the initial warm-up of 16 s");
     let orders = host.advance(
