--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -101,7 +101,7 @@
     pub warm_up: Ms,
     /// The fraction of a warm worker's weight that a worker has when it starts.
     pub cold_share: f64,
-    /// How many times its capacity a cold worker's share of the load may reach.
+    /// The factor by which a cold worker's share of the load may exceed its capacity.
     pub overload_factor: f64,
     /// The number of proxies in the deployment.
     pub proxy_count: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -189,7 +189,8 @@
 
     /// Handles the events of a turn and returns the orders to carry out, in this order.
     ///
-    /// A turn of acknowledgements alone only completes and sends updates; any other, also an empty one, plans anew.
+    /// A turn of acknowledgements alone only completes and sends updates; any other turn, also one without events, plans
+    /// anew.
     pub fn process_events(&mut self, now: Ms, events: &[Event]) -> Vec<Order> {
         self.now = now;
         events.iter().for_each(|event| self.handle_event(event));
--- a/src/partitions.rs
+++ b/src/partitions.rs
@@ -41,15 +41,20 @@
             (0..partition_count).for_each(|partition| self.build_tables(Some(partition), None));
             self.proxies.values_mut().for_each(|proxy| proxy.bound = false);
         }
-        // A new worker joins the partition with the least effective weight, so that no partition has too few workers or
-        // mostly cold ones.
-        let mut weights = vec![0.0; self.partition_count];
+        // A new worker joins the partition with the least effective weight, so that no partition has too few workers
+        // or mostly cold ones.
+        let mut partition_weights = vec![0.0; self.partition_count];
         self.workers.values().for_each(|worker| {
-            worker.partition.map_or((), |partition| weights[partition] += self.effective_weight(worker))
+            worker
+                .partition
+                .map_or((), |partition| partition_weights[partition] += self.effective_weight(worker))
         });
         for worker in self.workers.values_mut().filter(|worker| worker.partition.is_none()) {
-            worker.partition = index_of_least(&weights);
-            worker.partition.iter().for_each(|partition| weights[*partition] += worker.listed.weight);
+            worker.partition = index_of_least(&partition_weights);
+            worker
+                .partition
+                .iter()
+                .for_each(|partition| partition_weights[*partition] += worker.listed.weight);
         }
     }
 
@@ -78,9 +83,9 @@
     /// fleet is too large for one table.
     pub(crate) fn assign_partitions(&mut self, unbound: &[(f64, ProxyId)]) {
         // By partition: the sum of its proxies' rates.
-        let mut loads = vec![0.0; self.partition_count];
+        let mut partition_loads = vec![0.0; self.partition_count];
         self.proxies.values().for_each(|proxy| {
-            proxy.partition.map_or((), |partition| loads[partition] += proxy.inv_per_second)
+            proxy.partition.map_or((), |partition| partition_loads[partition] += proxy.inv_per_second)
         });
         let rates = self.proxies.values().map(|proxy| proxy.inv_per_second);
         // Half of a partition's mean load once all expected proxies have joined.
@@ -89,9 +94,9 @@
         let too_large_for_one_table =
             self.workers.len() as f64 > self.settings.max_pending_lines * SEND_BACKLOG_RATIO;
         for (rate, id) in unbound.iter().filter(|(rate, _)| too_large_for_one_table || *rate <= max_rate) {
-            let Some(least) = index_of_least(&loads) else { return };
+            let Some(least) = index_of_least(&partition_loads) else { return };
             let proxy = self.proxies.get_mut(id).expect("a joined proxy");
-            loads[*proxy.partition.get_or_insert(least)] += rate;
+            partition_loads[*proxy.partition.get_or_insert(least)] += rate;
         }
     }
 
--- a/src/planning.rs
+++ b/src/planning.rs
@@ -77,11 +77,11 @@
             }
             // By table of the group and worker: the load that the table puts on the worker. A table's demand goes first
             // to the workers in the zone of its proxies, as far as they have free load, and the rest to all.
-            let mut loads = vec![vec![0.0; workers.len()]; group.len()];
-            for own_zone_only in [true, false] {
-                for (table, loads) in group.iter().zip(&mut loads) {
+            let mut table_loads = vec![vec![0.0; workers.len()]; group.len()];
+            for is_own_zone_pass in [true, false] {
+                for (table, loads) in group.iter().zip(&mut table_loads) {
                     let is_eligible = |index: &usize| {
-                        !own_zone_only
+                        !is_own_zone_pass
                             || table.proxy_zone.is_none_or(|zone| zone == workers[*index].listed.zone)
                     };
                     let eligible: Vec<usize> = (0..workers.len()).filter(is_eligible).collect();
@@ -103,11 +103,12 @@
             let partition_ratio =
                 if limits_partition { (MAX_PARTITION_LOAD_RATIO / load_ratio).min(1.0) } else { 1.0 };
             let admission_ratio = self.admission_ratio * partition_ratio;
-            for (table, loads) in group.iter().zip(loads) {
+            for (table, loads) in group.iter().zip(table_loads) {
                 for (worker, load) in workers.iter().zip(loads) {
-                    let even_load = table_demand[&table.id] * self.effective_weight(worker) / total_weight;
-                    let preference = if even_load > 0.0 {
-                        round_to_step((load / even_load).max(MIN_PREFERENCE_RATIO))
+                    let proportional_load =
+                        table_demand[&table.id] * self.effective_weight(worker) / total_weight;
+                    let preference = if proportional_load > 0.0 {
+                        round_to_step((load / proportional_load).max(MIN_PREFERENCE_RATIO))
                     } else {
                         1.0
                     };
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -88,7 +88,7 @@
                 cost_ratio = (cost_ratio * utilization_ratio).sqrt();
             }
             let adjusted_recently = now < worker.weight_adjusted_at + 2.0 * self.settings.report_period;
-            // Both the worker and its peers need tries.
+            // Both the worker and its peers need enough tries.
             if adjusted_recently
                 || own_tries.min(total_tries - own_tries) < MIN_EVIDENCE_COUNT
                 || cost_ratio > 1.0 / WEIGHT_DEADBAND_RATIO && cost_ratio < WEIGHT_DEADBAND_RATIO
