--- a/src/admission.rs
+++ b/src/admission.rs
@@ -12,7 +12,7 @@
 /// Mean utilization of the workers that admission aims at.
 const TARGET_UTILIZATION: f64 = 0.85;
 /// Utilization below which failed and slow tries are not attributed to overload.
-const IDLE_UTILIZATION: f64 = 0.7;
+const LOW_UTILIZATION: f64 = 0.7;
 /// Least capacity estimate; it bounds the cut of the admission ratio in one step.
 const MIN_CAPACITY_RATIO: f64 = 0.4;
 /// Largest capacity estimate.
@@ -43,8 +43,8 @@
     ///
     /// The estimate is the least of those by latency, by failures and by utilization. Latency and failures are those
     /// of the median worker, since a single failing worker is no overload; utilization is the mean, and below
-    /// `idle_below` it rules overload out. Returns `None` if too few workers report tries.
-    fn capacity_ratio(&self, since: Ms, idle_below: f64) -> Option<f64> {
+    /// `low_utilization` it rules overload out. Returns `None` if too few workers report tries.
+    fn capacity_ratio(&self, since: Ms, low_utilization: f64) -> Option<f64> {
         let samples = self.workers.values().map(|worker| self.sum_samples(worker, since));
         let samples: Vec<Sample> = samples.filter(|sample| sample.tries > 0.0).collect();
         (samples.len() as f64 >= MIN_EVIDENCE_COUNT).then_some(())?;
@@ -63,11 +63,13 @@
         // Failed and slow tries at low utilization are no overload: responses are lost on the network, or clients
         // cancel. At low utilization, the estimate by latency and failures counts as at least this much: enough for a
         // small raise in an unpartitioned fleet, the largest estimate in a partitioned one.
-        let idle_capacity = [RAISE_CAPACITY_RATIO, MAX_CAPACITY_RATIO][self.partition_count.min(1)];
-        let by_idleness =
-            mean_utilization.filter(|utilization| *utilization < idle_below).map_or(0.0, |_| idle_capacity);
+        let low_utilization_capacity =
+            [RAISE_CAPACITY_RATIO, MAX_CAPACITY_RATIO][self.partition_count.min(1)];
+        let low_utilization_estimate = mean_utilization
+            .filter(|utilization| *utilization < low_utilization)
+            .map_or(0.0, |_| low_utilization_capacity);
         let by_failures = MAX_CAPACITY_RATIO * (1.0 - failed_ratio).powi(2);
-        let estimate = by_latency.min(by_failures).max(by_idleness);
+        let estimate = by_latency.min(by_failures).max(low_utilization_estimate);
         // From 0 without tries towards 1 with many: as an exponent, it draws an estimate from few tries towards 1.
         let confidence = total_tries / (total_tries + MIN_EVIDENCE_COUNT * MIN_EVIDENCE_COUNT);
         let bounded_estimate = estimate.min(by_utilization).clamp(MIN_CAPACITY_RATIO, MAX_CAPACITY_RATIO);
@@ -98,7 +100,7 @@
         let ignored_time =
             if ignores_late_reports { IGNORED_DELAYS_AFTER_CUT * report_delay } else { report_delay };
         let since = (self.admission_changed_at + ignored_time).max(now - report_delay);
-        let Some(recent_capacity) = self.capacity_ratio(since, IDLE_UTILIZATION) else { return };
+        let Some(recent_capacity) = self.capacity_ratio(since, LOW_UTILIZATION) else { return };
         let cut_floor =
             CUT_FLOOR_RATIO.min(self.admission_ratio * CUT_CAPACITY_RATIO).max(MIN_ADMISSION_RATIO);
         // Raises are large up to `QUICK_RAISE_RATIO` of the ratio at the last overload, and small beyond.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -125,7 +125,7 @@
     proxies: BTreeMap<ProxyId, Proxy>,
     /// When messages were sent to each proxy, as far as they may still count within `Settings::message_window`.
     message_times: BTreeMap<ProxyId, VecDeque<Ms>>,
-    /// By table id.
+    /// Indexed by table id.
     tables: Vec<Table>,
     /// Indices into `tables`, by partition; those under `None` are of the tables of the whole fleet.
     partition_tables: BTreeMap<Option<usize>, Vec<usize>>,
@@ -170,7 +170,7 @@
 }
 
 impl Planner {
-    /// A planner that knows no workers and no proxies yet. The seed determines all random choices.
+    /// Creates a planner that knows no workers and no proxies yet. The seed determines all its random choices.
     pub fn new(now: Ms, seed: u64, settings: Settings) -> Self {
         let mut planner = Planner {
             rng: fastrand::Rng::with_seed(seed),
@@ -189,8 +189,8 @@
 
     /// Handles the events of a turn and returns the orders to carry out, in this order.
     ///
-    /// A turn of acknowledgements alone only completes and sends updates; any other turn, also one without events, plans
-    /// anew.
+    /// A turn of acknowledgements alone only completes and sends updates; any other turn, also one without events,
+    /// plans anew.
     pub fn process_events(&mut self, now: Ms, events: &[Event]) -> Vec<Order> {
         self.now = now;
         events.iter().for_each(|event| self.handle_event(event));
@@ -224,15 +224,18 @@
         let concerned_keys = self.pending.iter().filter(concerns);
         let concerned_updates: Vec<(&UpdateState, BTreeSet<ProxyId>)> =
             concerned_keys.map(|key| (&self.updates[key], self.receivers(*key))).collect();
-        let acknowledged = |proxy: &Proxy, update: &UpdateState| {
+        let has_acknowledged = |proxy: &Proxy, update: &UpdateState| {
             update.awaited_mark.is_none_or(|mark| proxy.acknowledged_mark >= mark)
         };
-        let synced = |(id, proxy): &(&ProxyId, &Proxy)| {
-            let done = |update: &UpdateState| update.desired == update.sent && acknowledged(proxy, update);
+        let is_synced = |(id, proxy): &(&ProxyId, &Proxy)| {
+            let is_applied =
+                |update: &UpdateState| update.desired == update.sent && has_acknowledged(proxy, update);
             proxy.bound
-                && concerned_updates.iter().all(|(update, receivers)| !receivers.contains(id) || done(update))
+                && concerned_updates
+                    .iter()
+                    .all(|(update, receivers)| !receivers.contains(id) || is_applied(update))
         };
-        self.proxies.iter().filter(synced).count()
+        self.proxies.iter().filter(is_synced).count()
     }
 
     /// Lines sent, with overhead, of which no acknowledgement has yet shown that they left the channel.
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -120,8 +120,8 @@
 
     /// The listed weight times the weight factor and the warm-up ratio; 0 if the worker is not ready.
     pub(crate) fn effective_weight(&self, worker: &Worker) -> f64 {
-        let ready = f64::from(u8::from(worker.listed.phase == Phase::Ready));
-        ready * worker.listed.weight * worker.weight_factor * self.warm_up_ratio(&worker.listed)
+        let ready_factor = f64::from(u8::from(worker.listed.phase == Phase::Ready));
+        ready_factor * worker.listed.weight * worker.weight_factor * self.warm_up_ratio(&worker.listed)
     }
 
     /// The fraction of its effective weight that a cold worker gets in a group of tables, given the group's workers and
