--- a/crates/manager/src/clock.rs
+++ b/crates/manager/src/clock.rs
@@ -1,12 +1,12 @@
-//! The clock that the decisions use.
+//! The clock of a manager.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use juniperrail_interface::Ms;
 use tokio::time::Instant;
 
-/// Unix time at the start plus the monotonic time since then: comparable with other machines' clocks, and it never
-/// goes backwards.
+/// The Unix time at the start plus the monotonic time since then, which is comparable with the clocks of other machines
+/// and never goes backwards.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix_at_start: Ms,
@@ -14,14 +14,14 @@
 }
 
 impl Clock {
-    /// Starts a clock at the system's time.
+    /// Starts a clock at the current system time.
     pub fn start() -> Self {
         let unix_at_start =
             SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
         Clock { unix_at_start, started: Instant::now() }
     }
 
-    /// The time now, as Unix time.
+    /// The current Unix time.
     pub fn now(&self) -> Ms {
         self.unix_at_start + self.started.elapsed().as_secs_f64() * 1000.0
     }
--- a/crates/manager/src/connection_tracker.rs
+++ b/crates/manager/src/connection_tracker.rs
@@ -1,4 +1,4 @@
-//! Tracks the streams of proxies: the marks that await acknowledgement, and timeouts of silent streams.
+//! Tracks the streams of proxies: the marks that await acknowledgement, and the time-outs of silent streams.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,8 +6,7 @@
 use bytes::Bytes;
 use juniperrail_interface::{MarkId, Ms, ProxyId, ZoneId};
 
-/// Limit on the recent messages to one proxy whose times are kept. The limits on messages per window that are in use
-/// are far below it.
+/// Limit on the send times that are kept for one proxy. Usual limits on messages per window are far below it.
 const MAX_RECENT_MESSAGES: usize = 1024;
 
 /// A mark that was sent and not acknowledged yet.
@@ -75,7 +74,7 @@
     }
 }
 
-/// The timeout of a silent stream.
+/// What follows from the time-out of a stream.
 pub enum StreamTimeout {
     /// Acknowledgements are pending and nothing was received: the proxy counts as left until it sends a message.
     Silent { proxy: ProxyId, idle_for: Ms, pending_count: usize },
@@ -83,7 +82,7 @@
     Closed(ProxyId),
 }
 
-/// A message was received over a stream.
+/// The state of a stream just before a message was received over it.
 pub struct Activity {
     /// The proxy had been reported as left.
     pub resumed: bool,
@@ -93,11 +92,11 @@
     pub pending_for: Ms,
 }
 
-/// Timeouts of proxies that do not answer.
+/// Time limits that decide when a proxy counts as silent.
 #[derive(Clone, Copy)]
 pub struct SilenceTimeouts {
     /// Time allowed for an acknowledgement, from when the message with the mark has left the channel.
-    pub answer_timeout: Ms,
+    pub ack_timeout: Ms,
     /// The time in which a full channel empties at its usual rate.
     pub queue_drain_time: Ms,
 }
@@ -163,14 +162,14 @@
         stream.send(pending_mark, now, message_window, bytes)
     }
 
-    /// When a stream times out: first the proxy is reported as left, then its connection is closed.
+    /// When a stream times out next. At the first time-out the proxy is reported as left, at the second its connection is
+    /// closed.
     ///
-    /// A proxy whose message still waits in the channel, which takes seconds at a start, must not count as silent.
-    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy acknowledged a
-    /// mark of a later turn. If no proxy acknowledges anything, the timeout starts once a full channel would have
-    /// emptied.
+    /// A proxy whose message still waits in the channel, as it may for seconds after a start, must not count as silent.
+    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy has acknowledged a mark of
+    /// a later turn. If no proxy acknowledges anything, the time-out starts once a full channel would have emptied.
     fn times_out_at(&self, stream: &Stream) -> Option<Ms> {
-        let SilenceTimeouts { answer_timeout, queue_drain_time } = self.silence_timeouts;
+        let SilenceTimeouts { ack_timeout, queue_drain_time } = self.silence_timeouts;
         let silent_since = stream.silent_since.or_else(|| {
             let delivered_since = stream.delivered_since.or_else(|| {
                 let oldest = stream.pending_marks.front()?;
@@ -178,7 +177,7 @@
             })?;
             Some(delivered_since.max(stream.last_received_at))
         })?;
-        Some(silent_since + answer_timeout)
+        Some(silent_since + ack_timeout)
     }
 
     /// When the next stream times out.
@@ -189,7 +188,7 @@
     /// Handles the streams that have timed out.
     ///
     /// A connection may fail without a reset. A proxy with pending acknowledgements that sends nothing counts as left
-    /// until it sends a message. Its connection stays open for one more timeout, since it may be healthy, and is then
+    /// until it sends a message. Its connection stays open for one more time-out, since it may be healthy, and is then
     /// closed: otherwise a machine that vanished would occupy a file descriptor forever.
     pub fn handle_timeouts(&mut self, now: Ms) -> Vec<StreamTimeout> {
         let is_due = |stream: &Stream| self.times_out_at(stream).is_some_and(|timeout| now >= timeout);
@@ -219,8 +218,8 @@
         Some(Activity { resumed: stream.silent_since.take().is_some(), idle_for, pending_for })
     }
 
-    /// Records that a proxy acknowledged a mark and all before it. Marks that were not sent over this stream are
-    /// refused, since mark numbers wrap around and repeat.
+    /// Records that a proxy acknowledged a mark and all before it. A mark that is not pending on this stream is an error:
+    /// mark numbers wrap around, so it may belong to an earlier stream.
     pub fn acknowledge(&mut self, now: Ms, proxy: ProxyId, mark: MarkId) -> Result<(), String> {
         let stream = self.streams.get_mut(&proxy).expect("the proxy has a stream");
         let index = stream.pending_marks.iter().position(|pending| pending.mark == mark);
--- a/crates/manager/src/connection_tracker/tests.rs
+++ b/crates/manager/src/connection_tracker/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-const TIMEOUTS: SilenceTimeouts = SilenceTimeouts { answer_timeout: 3000.0, queue_drain_time: 12_000.0 };
+const TIMEOUTS: SilenceTimeouts = SilenceTimeouts { ack_timeout: 3000.0, queue_drain_time: 12_000.0 };
 
 /// Three proxies; at time 0 each was sent the mark of its own turn, in this order.
 fn three_proxies() -> (ConnectionTracker, Vec<impl Sized>) {
     let mut connections = ConnectionTracker::new(TIMEOUTS);
-    let mut peers = Vec::new();
+    let mut receivers = Vec::new();
     for proxy in 0..3 {
-        let (outbox, messages, end) = Outbox::new(8);
-        peers.push((messages, end));
+        let (outbox, messages, dropped) = Outbox::new(8);
+        receivers.push((messages, dropped));
         let stream = Stream::new(StreamId(proxy.into()), outbox, ZoneId(0), 1.0, 0.0);
         connections.streams.insert(ProxyId(proxy), stream);
         connections.start_turn();
         assert!(connections.send(ProxyId(proxy), 0.0, 1e4, Some(MarkId(proxy)), Bytes::new()));
     }
-    (connections, peers)
+    (connections, receivers)
 }
 
 /// The proxies whose streams time out by `now`.
@@ -35,7 +35,7 @@
 /// A proxy whose message still waits in the channel must not count as silent.
 #[test]
 fn a_proxy_is_silent_only_after_its_message_left_the_channel() {
-    let (mut connections, _peers) = three_proxies();
+    let (mut connections, _receivers) = three_proxies();
     acknowledge(&mut connections, 4000.0, 0);
     assert_eq!(timed_out(&mut connections, 9000.0).len(), 0, "the other messages wait in the channel");
     // The acknowledgement of the last message shows that the second one was delivered too.
@@ -43,13 +43,13 @@
     assert_eq!(connections.next_timeout(), Some(12_500.0));
     assert_eq!(timed_out(&mut connections, 12_499.0).len(), 0);
     assert_eq!(timed_out(&mut connections, 12_500.0), [1]);
-    assert_eq!(timed_out(&mut connections, 15_499.0).len(), 0, "the connection stays for one more timeout");
+    assert_eq!(timed_out(&mut connections, 15_499.0).len(), 0, "the connection stays for one more time-out");
     assert_eq!(timed_out(&mut connections, 15_500.0), [1]);
 }
 
 #[test]
 fn without_any_acknowledgement_the_timeout_starts_after_a_full_channel_has_emptied() {
-    let (mut connections, _peers) = three_proxies();
+    let (mut connections, _receivers) = three_proxies();
     assert_eq!(timed_out(&mut connections, 14_999.0).len(), 0);
     assert_eq!(timed_out(&mut connections, 15_000.0), [0, 1, 2]);
 }
--- a/crates/manager/src/inbound.rs
+++ b/crates/manager/src/inbound.rs
@@ -54,12 +54,12 @@
 
 /// How a proxy introduces itself.
 pub struct Hello {
-    /// Its number.
+    /// The number of the proxy.
     pub proxy: u16,
-    /// The name of its zone.
+    /// The name of the proxy's zone.
     pub zone: String,
-    /// Invocations per second that it receives.
+    /// Invocations per second that the proxy receives.
     pub inv_per_second: f64,
-    /// It has just started and has no tables.
+    /// The proxy has just started and has no tables.
     pub fresh: bool,
 }
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -29,13 +29,13 @@
     pub(crate) names: Names,
     /// Names of the zones in the settings; the list can add others.
     pub(crate) zones: Vec<String>,
-    /// A stream that has not answered within these time-outs is considered lost.
+    /// When a proxy that does not acknowledge marks counts as silent.
     pub(crate) silence_timeouts: SilenceTimeouts,
     /// The operator's file, unless it is absent or empty.
     pub(crate) operator_config: Option<OperatorConfig>,
     /// Which part of the list is needed, and the relays to take it from.
     pub(crate) subscription: Subscription,
-    /// Drops entries out of scope; `None` where the whole list is needed.
+    /// Drops entries out of scope; `None` where the full list is needed.
     pub(crate) filter: Option<ScopeFilter>,
 }
 
@@ -49,7 +49,7 @@
     pub fleet: Option<juniperrail_fleet::FleetConfig>,
 }
 
-/// Upper limit of each duration in the settings: one day.
+/// Upper limit on each duration in the settings: one day.
 const MAX_DURATION_MS: f64 = 86_400_000.0;
 
 const DISCOVERY_VARIABLE: &str = "PROXY_DISCOVERY";
@@ -59,7 +59,7 @@
 pub(crate) struct FixedConfig {
     pub name: String,
     pub listen: SocketAddr,
-    /// Limit of open file descriptors of this process.
+    /// Limit on open file descriptors of this process.
     pub max_sockets: usize,
     pub settings: Settings,
     /// The shortest time from one turn to the next.
@@ -144,9 +144,9 @@
     }
 
     fn decode(file: ConfigFile, variable: impl Fn(&str) -> Option<String>) -> Result<Launch, String> {
-        let address = |name: &str, value: Option<String>| {
+        let address = |name: &str, file_value: Option<String>| {
             let value = variable(name)
-                .or(value)
+                .or(file_value)
                 .ok_or_else(|| format!("{name} is set neither in the environment nor in the file"))?;
             value.parse().map_err(|_| format!("{name} is not an address with a port: {value:?}"))
         };
@@ -178,9 +178,9 @@
             seed: u64::from_str_radix(&file.seed, 16)
                 .map_err(|_| format!("the seed is not a 64-bit hexadecimal number: {:?}", file.seed))?,
             cached_list: file.known,
-            // Within this time an answer is due, or at least the periodic report of a slow proxy.
+            // Within this time an acknowledgement is due, or at least the periodic report of a slow proxy.
             silence_timeouts: SilenceTimeouts {
-                answer_timeout: fixed.settings.report_period + fixed.settings.max_transit,
+                ack_timeout: fixed.settings.report_period + fixed.settings.max_transit,
                 queue_drain_time: fixed.settings.max_pending_lines * 1000.0
                     / fixed.settings.channel_rate.max(1.0),
             },
@@ -201,8 +201,8 @@
         Datastores::new(schema, 0.0, data.clone()).map(drop).map_err(|refusal| refusal.to_string())
     }
 
-    /// Adds the operator's file to the settings. A file that does not exist is an error only if it is `required`. Data that
-    /// does not fit the model or the settings is an error of one line.
+    /// Adds the operator's file to the settings. A file that does not exist is an error only if it is `required`. Returns a
+    /// one-line error if the data does not fit the model or the settings.
     pub fn with_operator_file(mut self, path: impl Into<PathBuf>, required: bool) -> Result<Launch, String> {
         let file = OperatorFile::new(path);
         let schema = Arc::new(juniperrail_model::schema());
--- a/crates/manager/src/lib.rs
+++ b/crates/manager/src/lib.rs
@@ -57,7 +57,7 @@
 /// Minimum listen backlog: that of tokio's own listeners.
 const MIN_BACKLOG: u32 = 1024;
 
-/// Upper limit of the time in which a worker must answer a probe.
+/// Upper limit on the time in which a worker must answer a probe.
 const MAX_PROBE_ANSWER_MS: f64 = 60_000.0;
 
 /// A manager whose sockets are bound. [`Manager::serve`] runs it on a single-threaded runtime.
@@ -134,13 +134,13 @@
         let latency_objectives =
             fixed.settings.operations.iter().map(|operation| operation.latency_objective);
         // A worker whose answer takes longer than the strictest latency objective counts as not answering.
-        let answer_timeout =
+        let response_timeout =
             Duration::from_secs_f64(latency_objectives.fold(MAX_PROBE_ANSWER_MS, f64::min) / 1000.0);
         let zones = Rc::<limiter::KnownZones>::default();
         let proxy_count = fixed.settings.proxy_count as u16;
         launch.zones.iter().for_each(|zone| zones.add(zone));
         let budget = limiter::Budget::new(fixed.max_sockets, proxy_count.into(), launch.zones.len());
-        let probes = probes::probe_service(fixed.dial_timeout, answer_timeout, budget.probes);
+        let probes = probes::probe_service(fixed.dial_timeout, response_timeout, budget.probes);
         let watch = discovery::Watch::new(&mut launch, reloader.discovery(), inbound.clone());
         let context = Rc::new(streams::AcceptorContext {
             inbound: inbound.clone(),
@@ -158,7 +158,10 @@
             .with_fleet(fleet.as_ref().map(|fleet| fleet.handle()));
         drop(inbound);
         tracing::info!("{} serves on {address}", fixed.name);
-        tracing::debug!("of {} descriptors beside {proxy_count} proxies: {budget:?}", fixed.max_sockets);
+        tracing::debug!(
+            "limits with {} descriptors and {proxy_count} proxies: {budget:?}",
+            fixed.max_sockets
+        );
         let tasks = async {
             tokio::join!(
                 decider.run(inbox),
--- a/crates/manager/src/limiter.rs
+++ b/crates/manager/src/limiter.rs
@@ -8,8 +8,8 @@
 
 use crate::inbound::StreamId;
 
-/// Descriptors for everything else: standard streams, those of the runtime and of signal handling, the listener, a
-/// watch and the one that replaces it, a file being read.
+/// Descriptors reserved for all but accepted connections and probes: standard streams, those of the runtime and of
+/// signal handling, the listener, a watch and the one that replaces it, a file being read.
 const RESERVED_DESCRIPTORS: usize = 16;
 /// Connections of collectors per zone: the current one, the next one before the end of the old one is noticed, and a
 /// margin.
@@ -80,7 +80,7 @@
         ConnectionLimiter { admitted: RefCell::default(), limit: Cell::new(limit) }
     }
 
-    /// Raises the limit to `limit`; if it is higher already, it stays as it is.
+    /// Raises the limit to `limit`, and never lowers it.
     pub fn raise_limit(&self, limit: usize) {
         self.limit.set(self.limit.get().max(limit));
     }
@@ -107,12 +107,12 @@
     pub fn touch(&self, id: StreamId) {
         let mut admitted = self.admitted.borrow_mut();
         if let Some(position) = admitted.iter().position(|(admitted_id, _)| *admitted_id == id) {
-            let latest = admitted.remove(position).expect("the position was just found");
-            admitted.push_back(latest);
+            let connection = admitted.remove(position).expect("the position was just found");
+            admitted.push_back(connection);
         }
     }
 
-    /// Evicts the longest idle connection. False if there is none.
+    /// Evicts the longest idle connection. Returns false if there is none.
     pub fn evict(&self) -> bool {
         let longest_idle = self.admitted.borrow_mut().pop_front();
         longest_idle.iter().for_each(|(_, evicted)| evicted.notify_one());
--- a/crates/manager/src/listening.rs
+++ b/crates/manager/src/listening.rs
@@ -36,7 +36,7 @@
 
 fn bind(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // As listeners usually do, so that a predecessor's connections in TIME_WAIT do not block the address.
+    // As is usual for listeners: connections of a predecessor in TIME_WAIT must not block the address.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(backlog)
--- a/crates/manager/src/log_summary.rs
+++ b/crates/manager/src/log_summary.rs
@@ -2,13 +2,18 @@
 
 use juniperrail_interface::Ms;
 
-/// The number of times that an event occurred, and the details of the last occurrence.
+/// Counts the occurrences of an event.
 #[derive(Default)]
-pub struct EventCount(usize, String);
+pub struct EventCount {
+    count: usize,
+    /// Details of the last occurrence.
+    last: String,
+}
 
 impl EventCount {
+    /// Counts one occurrence.
     pub fn record(&mut self, details: String) {
-        (self.0, self.1) = (self.0 + 1, details);
+        (self.count, self.last) = (self.count + 1, details);
     }
 }
 
@@ -44,22 +49,22 @@
                 summary.left_proxies
             );
         }
-        let EventCount(broken, last) = summary.broken_connections;
+        let EventCount { count: broken, last } = summary.broken_connections;
         if broken > 0 {
             tracing::info!("{broken} connections broke, the last: {last}");
         }
-        let EventCount(silent, last) = summary.silent_proxies;
+        let EventCount { count: silent, last } = summary.silent_proxies;
         if silent + summary.resumed_proxies > 0 {
             tracing::warn!(
                 "{silent} proxies fell silent, {} resumed, the last: {last}",
                 summary.resumed_proxies
             );
         }
-        let EventCount(ignored, last) = summary.ignored_lines;
+        let EventCount { count: ignored, last } = summary.ignored_lines;
         if ignored > 0 {
             tracing::warn!("{ignored} lines ignored, the last: {last}");
         }
-        let EventCount(rejected, last) = summary.rejected_connections;
+        let EventCount { count: rejected, last } = summary.rejected_connections;
         if rejected > 0 {
             tracing::warn!("{rejected} connections rejected before joining, the last: {last}");
         }
--- a/crates/manager/src/northbound.rs
+++ b/crates/manager/src/northbound.rs
@@ -13,7 +13,7 @@
 use crate::decider::NorthboundChannels;
 use crate::launch::Launch;
 
-/// Priority of this thread: the lowest, so that the decider's thread comes first where they share a core.
+/// Niceness of the northbound thread: the lowest priority, so that the decider's thread runs first on a shared core.
 const NICENESS: i32 = 19;
 
 /// The bound NETCONF listeners and the datastores, not served yet.
--- a/crates/manager/src/streams.rs
+++ b/crates/manager/src/streams.rs
@@ -232,7 +232,7 @@
     context: Rc<AcceptorContext>,
 ) -> Result<(), ConnectionError> {
     let sender = Some((id, ProxyId(hello.proxy)));
-    let (outbox, mut queued, closed) = Outbox::new(OUTBOX_CAPACITY);
+    let (outbox, mut queued, dropped) = Outbox::new(OUTBOX_CAPACITY);
     // Answers to probes have a queue of their own, so that a burst of probes does not fill the outbox.
     let (probe_sender, mut probes) = mpsc::channel(OUTBOX_CAPACITY);
     _ = context.inbound.send(Inbound::Joined { stream: id, hello, outbox }).await;
@@ -263,15 +263,15 @@
         // or was silent for too long. Ending the stream at once avoids a write that blocks forever on a peer that
         // does not read, and the delivery of stale orders. Orders that are not written are not acknowledged, so they
         // count as not applied.
-        () = outbox_dropped(closed) => Ok(()),
+        () = outbox_dropped(dropped) => Ok(()),
         end = reading => end,
         end = writing => end,
     }
 }
 
 /// Waits until the owner of the [`Outbox`] has dropped it.
-async fn outbox_dropped(closed: oneshot::Receiver<Infallible>) {
-    _ = closed.await;
+async fn outbox_dropped(dropped: oneshot::Receiver<Infallible>) {
+    _ = dropped.await;
 }
 
 /// Runs the connection of a collector. Only answers to probes are written to it.
