--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -41,7 +41,7 @@
 /// A warning is logged once this share of the limit on unacknowledged lines is reached.
 const CHANNEL_WARNING_RATIO: f64 = 0.8;
 
-/// A warning is logged once the removal of a worker is unacknowledged for this share of the drain grace.
+/// A warning is logged once the removal of a worker has been unacknowledged for this share of the drain grace.
 const DRAIN_GRACE_WARNING_RATIO: f64 = 0.6;
 
 /// Time between two checks of whether all joined proxies have applied the open changes.
@@ -51,7 +51,7 @@
 pub struct NorthboundChannels {
     /// Requests; each is answered in the turn in which it is received.
     pub requests: mpsc::Receiver<PlannerRequest>,
-    /// Unsolicited notices.
+    /// Notices that do not answer a request.
     pub notices: mpsc::Sender<Notice>,
 }
 
@@ -59,7 +59,7 @@
 pub struct Decider {
     name: String,
     planner: Planner,
-    /// The settings of the start; the operator's changes reach the planner as events.
+    /// The settings read at the start; the planner receives the operator's changes as events.
     settings: Settings,
     operation_names: Vec<String>,
     intent: Intent,
@@ -180,11 +180,11 @@
             let mut request = None;
             let mut plan = None;
             tokio::select! {
-                inbound = inbound.recv() => match inbound {
-                    Some(inbound) => first_message = Some(inbound),
+                received = inbound.recv() => match received {
+                    Some(message) => first_message = Some(message),
                     None => return,
                 },
-                next = next_request(&mut self.northbound) => request = Some(next),
+                received = next_request(&mut self.northbound) => request = Some(received),
                 ratios = next_plan(&mut self.fleet) => plan = Some(ratios),
                 () = sleep_until(self.clock.instant(wake_at)) => {}
             }
@@ -269,7 +269,8 @@
     }
 }
 
-/// The next plan that the managers agreed on; pending forever if no consensus is configured.
+/// Waits until another failover plan is active and returns its weight ratios; pending forever if no consensus is
+/// configured.
 async fn next_plan(fleet: &mut Option<(FleetHandle, EvidenceCollector)>) -> Arc<ZoneWeightRatios> {
     match fleet {
         Some((handle, _)) => handle.next_weight_ratios().await,
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -1,4 +1,4 @@
-//! Checks and applies the intents of operators and the plans that the managers agreed on.
+//! Checks and applies the intents of operators and the failover plans of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 impl Decider {
     /// Answers a northbound request in this turn.
     pub(super) fn answer_request(&mut self, request: PlannerRequest) {
-        // The requester may be gone, so errors of sending are ignored.
+        // The requester may be gone, so errors from sending the reply are ignored.
         match request {
             PlannerRequest::State(reply) => _ = reply.send(Arc::new(self.operational_state())),
             PlannerRequest::Validate { intent, reply } => _ = reply.send(self.verdict(&intent)),
@@ -93,8 +93,8 @@
         self.intent = intent;
     }
 
-    /// Applies the plan that the managers agreed on from this turn on, unless the plan leaves an operation without
-    /// workers.
+    /// Applies the weight ratios of a failover plan from this turn on. A plan that the admission checks refuse, for example because
+    /// it would leave an operation without a ready worker, is not applied.
     pub(super) fn apply_plan(&mut self, ratios: &ZoneWeightRatios) {
         let zone_id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
         let ratios: BTreeMap<ZoneId, f64> =
--- a/crates/manager/src/decider/proxies.rs
+++ b/crates/manager/src/decider/proxies.rs
@@ -46,7 +46,7 @@
         self.events.push(Event::Left { proxy });
     }
 
-    /// Handles proxies that owe acknowledgements and send nothing.
+    /// Handles proxies that send nothing while acknowledgements are pending.
     pub(super) fn handle_timeouts(&mut self, now: Ms) {
         for timeout in self.connections.handle_timeouts(now) {
             match timeout {
@@ -83,7 +83,7 @@
         true
     }
 
-    /// The planner event of a report, or why the report is ignored.
+    /// Translates a report into a planner event. An error says why the report is ignored.
     pub(super) fn translate_report(
         &mut self,
         sender: Option<(StreamId, ProxyId)>,
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -14,10 +14,10 @@
     "domain":{"channel-rate":5000,"pending-max":5000,"overhead":4,"worst-transit-ms":1000,"period-ms":2000,
     "proxy-count":4},"rules":{"drain-grace-ms":3000},"n-instances":1}}"#;
 
-/// Messages that a proxy's queue holds.
+/// Messages that a proxy's queue can hold.
 const OUTBOX_CAPACITY: usize = 64;
 
-/// So late that a check of the progress is due.
+/// A time so late that a check of the progress is due.
 const LATER: Ms = 1e18;
 
 /// The decider of a manager with one worker, driven without sockets.
@@ -56,7 +56,7 @@
         planner_events
     }
 
-    /// When the stream of the proxy times out.
+    /// When the stream of proxy 2 times out.
     fn timeout(&self) -> Ms {
         self.decider.connections.next_timeout().expect("an acknowledgement is pending")
     }
@@ -223,7 +223,7 @@
     manager.decider.receive(Inbound::Reported(None, Ok(demand)));
     assert!(manager.decider.events.is_empty());
     let names = &manager.decider.names;
-    assert_eq!([&names.zones, &names.workers, &names.ops].map(|named| named.count()), [1, 1, 1]);
+    assert_eq!([&names.zones, &names.workers, &names.ops].map(|ids| ids.count()), [1, 1, 1]);
 }
 
 #[test]
@@ -293,6 +293,7 @@
 }
 
 impl TestManager {
+    /// Receives changes of the worker list: names of workers, each with its lifecycle.
     fn list(&mut self, version: u64, entries: &[(&str, &str)]) {
         let entry = |(id, lifecycle): &(&str, &str)| {
             let other_fields = r#""hostPort":"127.0.0.1:1","zone":"a","weight":1"#;
@@ -473,14 +474,17 @@
     let now = manager.decider.clock.now();
     assert_eq!(manager.decider.limit_warnings(now), Vec::<String>::new(), "no warning below both limits");
     let max_pending_lines = std::mem::replace(&mut manager.decider.settings.max_pending_lines, 5.0);
-    let full = manager.decider.limit_warnings(now);
-    assert!(matches!(&full[..], [full] if full.ends_with("of 5 lines wait in the channel")), "{full:?}");
+    let channel_warnings = manager.decider.limit_warnings(now);
+    assert!(
+        matches!(&channel_warnings[..], [warning] if warning.ends_with("of 5 lines wait in the channel")),
+        "{channel_warnings:?}"
+    );
     manager.decider.settings.max_pending_lines = max_pending_lines;
-    let late = manager.decider.limit_warnings(now + 2000.0);
+    let drain_warnings = manager.decider.limit_warnings(now + 2000.0);
     assert!(
-        matches!(&late[..], [late] if late.starts_with("1 of 1 proxies have not acknowledged the removal of 1 workers")
-            && late.contains("s-1 for 20") && late.ends_with("ms of 3000")),
-        "{late:?}"
+        matches!(&drain_warnings[..], [warning] if warning.starts_with("1 of 1 proxies have not acknowledged the removal of 1 workers")
+            && warning.contains("s-1 for 20") && warning.ends_with("ms of 3000")),
+        "{drain_warnings:?}"
     );
     manager.settle(stream);
     assert_eq!(
--- a/crates/manager/src/decider/turns.rs
+++ b/crates/manager/src/decider/turns.rs
@@ -20,7 +20,7 @@
         self.run_turn_with(Planner::process_events);
     }
 
-    /// Runs a turn in which `decide` makes the orders: the planner's own function, or a test's replacement of it.
+    /// Runs a turn in which `decide` makes the orders: the planner's own function, or a replacement in a test.
     pub(super) fn run_turn_with(&mut self, decide: impl FnOnce(&mut Planner, Ms, &[Event]) -> Vec<Order>) {
         let now = self.clock.now();
         let events = std::mem::take(&mut self.events);
@@ -99,7 +99,7 @@
         self.mark_offset = self.last_mark;
         self.order_writer.handle_planner_restart();
         self.timers.clear();
-        self.events.push(self.registry.cached_list());
+        self.events.push(self.registry.current_list());
         let runtime = self.intent.runtime_settings(&self.settings, &self.operation_names);
         if runtime != Intent::default().runtime_settings(&self.settings, &self.operation_names) {
             self.events.push(Event::SettingsChanged(runtime));
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Configuration of the fleet, the managers that decide together by consensus: reads it from the operator's file for the
+//! The fleet, the managers that decide together by consensus: reads its configuration from the operator's file for the
 //! runtime in `crates/fleet`, reports its state, and collects evidence on the health of zones.
 
 use std::collections::BTreeMap;
@@ -21,13 +21,13 @@
 /// Limit on the log entries that are proposed and not yet committed.
 const MAX_UNCOMMITTED_ENTRIES: usize = 4096;
 
-/// Limit on the membership updates (SWIM gossip) in one message.
+/// Limit on the gossip updates (SWIM) in one message.
 const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
 /// Number of managers that are asked for an indirect probe, as in the evaluation of the SWIM paper.
 const INDIRECT_PROBE_COUNT: usize = 3;
 
-/// In a report a worker with a lower weight counts with this one.
+/// Lower limit on the weight with which a worker counts in a report.
 const MIN_WORKER_WEIGHT: f64 = 1e-3;
 
 /// Reads the fleet's configuration; `None` where the file has none. An error names the path and the violated rule.
@@ -97,7 +97,8 @@
     let plan_lease_ms = failover.number("plan-lease").unwrap_or_default();
     let report_period_ms = settings.report_period;
     let max_transit_ms = settings.max_transit;
-    // The lease must outlast the age of the sums that a plan is based on; otherwise plans would expire and return in turn.
+    // The lease must outlast the age of the sums that a plan is based on; otherwise a plan would repeatedly expire and
+    // come back.
     if failover.exists() && plan_lease_ms < 3.0 * (report_period_ms + max_transit_ms) {
         let reason = format!(
             "{plan_lease_ms} ms is less than three times the maximum age of sums, {} ms",
@@ -156,7 +157,7 @@
     let timing = Timing::parse(name, text("cron"), text("time-zone"))
         .and_then(|timing| timing.with_window(view.text("from"), view.text("until")))
         .and_then(|timing| timing.with_quiet_times(quiet_times, quiet_policy))
-        .map_err(|fault| fault.to_string())?;
+        .map_err(|error| error.to_string())?;
     if text("worker").parse::<SocketAddr>().is_err() {
         return Err(format!("worker: {:?} is not an address with a port", text("worker")));
     }
@@ -188,7 +189,7 @@
     })
 }
 
-/// The fleet's state, in the words of the YANG model.
+/// The fleet's state, with the enum names of the YANG model.
 pub fn state(handle: &FleetHandle) -> FleetState {
     let status = handle.status();
     let outcome_name = |outcome: OccurrenceOutcome| match outcome {
@@ -317,8 +318,8 @@
         // By zone: all connected proxies, and the silent ones among them.
         let mut proxy_counts: BTreeMap<Zone, (u32, u32)> = BTreeMap::new();
         for (zone, silent) in proxies {
-            let counts = proxy_counts.entry(Zone(zone.into())).or_default();
-            (counts.0, counts.1) = (counts.0 + 1, counts.1 + u32::from(silent));
+            let (connected_count, silent_count) = proxy_counts.entry(Zone(zone.into())).or_default();
+            (*connected_count, *silent_count) = (*connected_count + 1, *silent_count + u32::from(silent));
         }
         Some(self.accumulator.take_evidence(now, weight_by_zone, proxy_counts))
     }
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -28,9 +28,10 @@
 
 /// What a joined proxy was sent over its current stream.
 struct Proxy {
-    /// The proxy may exclude workers with this id or a higher one although this was not sent over this stream. The id
-    /// is 0 if the proxy holds orders of an earlier connection, possibly to another manager, or of a planner that was
-    /// restarted. If a worker that the proxy excludes was forgotten, the id is at most the next one to be listed.
+    /// The proxy may exclude workers with this id or a higher one although their exclusion was not sent over this stream.
+    /// The id is 0 if the proxy has orders from an earlier connection, possibly to another manager, or from before a
+    /// restart of the planner. Once a worker that the proxy excludes is forgotten, the id is at most the one that follows
+    /// the highest id listed until then.
     uncertain_from: WorkerId,
     /// The table that each operation is bound to.
     bindings: BTreeMap<OpId, TableId>,
@@ -58,8 +59,8 @@
     excluded: BTreeSet<WorkerId>,
     /// Levels that apply to all proxies.
     global_levels: BTreeMap<OpId, Level>,
-    /// Workers that some manager may have excluded: those that were not ready at some time, and those whose start is
-    /// known.
+    /// Workers that some manager may have excluded: those that were not ready at some time, those whose start is known,
+    /// and those whose entry the operator changed.
     maybe_excluded: BTreeSet<WorkerId>,
     /// The highest id that was listed.
     highest_id: WorkerId,
@@ -87,7 +88,7 @@
 }
 
 impl OrderWriter {
-    /// Adds a proxy that joined; `fresh` if it holds nothing from an earlier connection.
+    /// Adds a proxy that joined; `fresh` if it has nothing from an earlier connection.
     pub fn add_proxy(&mut self, proxy: ProxyId, fresh: bool) {
         let uncertain_from = if fresh { ABOVE_ALL_IDS } else { WorkerId(0) };
         let state = Proxy { uncertain_from, bindings: BTreeMap::new(), exclusions: BTreeMap::new() };
@@ -118,8 +119,8 @@
     }
 
     /// Forgets a worker that no order refers to any more. If the worker is listed again under its name, it has a new
-    /// id, but the proxies to which its exclusion was sent still exclude it. At those proxies only ids listed from now on become
-    /// uncertain, so that messages do not have to include every known worker again.
+    /// id, but the proxies to which its exclusion was sent still exclude it. At those proxies only ids listed from now on
+    /// become uncertain, so that messages do not have to include every known worker again.
     pub fn forget(&mut self, worker: WorkerId) {
         self.excluded.remove(&worker);
         self.maybe_excluded.remove(&worker);
@@ -216,7 +217,7 @@
                 }
                 updates.values_mut().for_each(|update| update.mark = Some(*number));
             }
-            // All other orders do not concern proxies.
+            // No other order concerns proxies.
             _ => {}
         }
     }
@@ -227,7 +228,7 @@
         self.proxies.values().filter(has_line).count()
     }
 
-    /// The tables that proxies are bound to.
+    /// The tables that proxies are bound to, each with its lines.
     pub fn table_states(&self, names: &Names) -> Vec<TableState> {
         let named_line =
             |(worker, weight): (&WorkerId, &f64)| (names.workers.name(worker.0).to_string(), *weight);
@@ -433,7 +434,8 @@
         order_writer
     }
 
-    /// Runs a turn with these orders. Returns each proxy concerned, its message and the lines that the message counts.
+    /// Runs a turn with these orders. Returns each proxy concerned, its message, and the number of lines that the message
+    /// counts for.
     fn write(order_writer: &mut OrderWriter, orders: &[Order]) -> Vec<(u16, String, usize)> {
         let messages = order_writer.messages(orders, &names()).into_iter();
         messages
@@ -459,8 +461,8 @@
         assert_eq!(first[0], (0, "push out=b\r\n".into(), 1));
         let bound = write(&mut order_writer, &[bind(TABLE, 0, 0), bind(TABLE, 0, 2), mark(905, false)]);
         // One line for the bind, two for the table, one for the exclusion, one for the level, one for the mark.
-        let whole = "push whole=1 lines=a:1.5,b:0.2 level=0.9 retry=1 out=b ticket=905\r\n";
-        assert_eq!(bound, [(0, whole.to_string(), 6), (2, whole.to_string(), 6)]);
+        let full_table = "push whole=1 lines=a:1.5,b:0.2 level=0.9 retry=1 out=b ticket=905\r\n";
+        assert_eq!(bound, [(0, full_table.to_string(), 6), (2, full_table.to_string(), 6)]);
         let changed = write(
             &mut order_writer,
             &[line(TABLE, 0, 0.30000000000000004), line(TABLE, 1, 0.0), mark(906, false)],
@@ -472,8 +474,8 @@
         );
         // For a worker without a line only the unbound proxy is concerned.
         assert_eq!(write(&mut order_writer, &[exclude(1, false)]), [(1, "push back=b\r\n".to_string(), 1)]);
-        let all = write(&mut order_writer, &[mark(907, true)]);
-        assert_eq!((all.len(), all[1].1.as_str()), (3, "push ticket=907\r\n"));
+        let to_all = write(&mut order_writer, &[mark(907, true)]);
+        assert_eq!((to_all.len(), to_all[1].1.as_str()), (3, "push ticket=907\r\n"));
     }
 
     #[test]
@@ -604,8 +606,8 @@
         assert_eq!(write(&mut order_writer, &[line(TABLE, 2, 1.0)])[0].1, "push lines=c:1 back=c\r\n");
     }
 
-    /// The planner's count of unacknowledged lines must never be below what was written to the channel: it would send
-    /// more than the channel takes. Random histories of a small fleet, in which workers start, drain, leave and return,
+    /// The planner's count of unacknowledged lines must never be below what was written to the channel; otherwise the
+    /// planner would send more than the channel can take. Random histories of a small fleet, in which workers start, drain, leave and return,
     /// and proxies join with other managers' orders, disconnect and acknowledge late.
     #[test]
     fn the_planners_count_of_unacknowledged_lines_is_never_below_the_lines_written() {
--- a/crates/manager/src/worker_registry.rs
+++ b/crates/manager/src/worker_registry.rs
@@ -88,7 +88,7 @@
                 Some(entry) if previous.as_ref() == Some(&entry) => {}
                 Some(entry) if previous.is_none() && entry.phase == Phase::Gone => {}
                 Some(entry) => workers.push(entry),
-                // No source places the worker any more.
+                // No source names the worker's zone any more.
                 None => workers.extend(previous.map(|entry| {
                     self.entries.remove(&id);
                     self.addresses.remove(&id);
@@ -100,7 +100,7 @@
         (!workers.is_empty()).then_some(Event::List { kind, version, workers })
     }
 
-    /// Applies the plan that the managers agreed on. Returns the event for the planner if entries changed.
+    /// Applies the weight ratios of a failover plan. Returns the event for the planner if entries changed.
     pub fn apply_plan(&mut self, ratios: BTreeMap<ZoneId, f64>, names: &Names) -> Option<Event> {
         if !self.composer.update_plan(ratios) {
             return None;
@@ -141,10 +141,10 @@
 
     /// Assigns ids to workers that only the operator places, and to their zones and machines.
     fn assign_ids(&self, names: &mut Names) {
-        for (name, place) in self.composer.operator_placed() {
+        for (name, placement) in self.composer.operator_placed() {
             names.worker(name);
-            names.zone(&place.zone);
-            names.machine(&place.machine);
+            names.zone(&placement.zone);
+            names.machine(&placement.machine);
         }
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// The current entries as a list, for a restarted planner.
-    pub fn cached_list(&self) -> Event {
+    pub fn current_list(&self) -> Event {
         let workers = self.entries.values().cloned().collect();
         Event::List { kind: ListKind::Remembered, version: 0, workers }
     }
@@ -209,18 +209,18 @@
 }
 
 fn compose(composer: &Composer, name: &str, names: &Names) -> Option<ComposedWorker> {
-    // A change that is only checked may place workers that have no id yet. They get the highest id here; no table has a
+    // A change that is only checked may place workers that have no ids yet. They get the highest id here; no table has a
     // line of such a worker.
     let entry_from_intent = |intent: &WorkerIntent| {
-        let place = intent.placement.as_ref()?;
+        let placement = intent.placement.as_ref()?;
         let id_or_max = |id: Option<u32>| id.map_or(u16::MAX, |id| id as u16);
         Some(WorkerEntry {
             worker: WorkerId(names.workers.find_id(name).unwrap_or(u32::MAX)),
             phase: Phase::Ready,
             booted: None,
-            zone: ZoneId(id_or_max(names.zones.find_id(&place.zone))),
-            machine: MachineId(id_or_max(names.machines.find_id(&place.machine))),
-            cell: CellId(place.cell.unwrap_or(u32::MAX)),
+            zone: ZoneId(id_or_max(names.zones.find_id(&placement.zone))),
+            machine: MachineId(id_or_max(names.machines.find_id(&placement.machine))),
+            cell: CellId(placement.cell.unwrap_or(u32::MAX)),
             weight: 0.0,
         })
     };
