--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -71,7 +71,7 @@
         #[arg(long, value_name = "COUNT")]
         events: Option<u64>,
     },
-    /// Runs a relay of the list of workers, which keeps the whole list and serves each manager its part, until SIGTERM.
+    /// Runs a relay of the list of workers, which keeps the full list and serves each manager its part of it, until SIGTERM.
     Relay(relay::RelayArgs),
     /// Prints a completion script for a shell.
     Completions { shell: Shell },
@@ -86,7 +86,7 @@
     /// Prints the YANG modules; this is the default.
     #[arg(long)]
     yang: bool,
-    /// Folder to write to, one file per document, in place of standard output.
+    /// Folder to write to, one file per document, instead of standard output.
     #[arg(short, long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
--- a/crates/manager/src/cli/relay.rs
+++ b/crates/manager/src/cli/relay.rs
@@ -1,4 +1,4 @@
-//! The `relay` command: a server that relays the list of workers to managers, each the part that it needs.
+//! The `relay` command: a server that relays the list of workers, to each manager the part that it needs.
 
 use std::net::SocketAddr;
 
--- a/crates/manager/src/cli/remote.rs
+++ b/crates/manager/src/cli/remote.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// What part of the data is printed, and in which format.
+/// Which part of the data is printed, and in which format.
 #[derive(Args)]
 pub struct OutputArgs {
     /// Prints only the data at this path, such as `/workers/worker[name='s-1']`.
@@ -177,7 +177,7 @@
 impl ConfigCommand {
     /// Runs the command in a session of its own.
     pub async fn run(self, connection: &ConnectionArgs) -> Result<(), CommandError> {
-        // Read the input first, so that a bad file fails before a connection is opened.
+        // Reads the input first, so that the command fails on an invalid file before it opens a connection.
         let edits = match &self {
             ConfigCommand::Edit { file, .. } => Some(edit_content(&read_text(file)?)?),
             _ => None,
@@ -239,7 +239,7 @@
 fn edit_content(text: &str) -> Result<String, CommandError> {
     let local_error = |message: String| CommandError::Local(message);
     let root = xml::parse(text.as_bytes())
-        .map_err(|fault| local_error(format!("line {}: {}", fault.line, fault.message)))?;
+        .map_err(|error| local_error(format!("line {}: {}", error.line, error.message)))?;
     if !root.is(NETCONF_NAMESPACE, "config") {
         return Err(local_error(format!(
             "expected <config xmlns=\"{NETCONF_NAMESPACE}\">, found <{}>",
@@ -252,11 +252,11 @@
 async fn read_datastore(client: &mut Client, datastore: DatastoreArg) -> Result<Data, CommandError> {
     let reply = client.get_config(datastore.to_datastore(), None).await?;
     let schema = schema();
-    let drafts = xml::to_edit_nodes(&schema, &reply.0, false)
-        .and_then(|drafts| Data::from_edit_nodes(&schema, &drafts));
-    drafts.map_err(|fault| {
+    let data = xml::to_edit_nodes(&schema, &reply.0, false)
+        .and_then(|edit_nodes| Data::from_edit_nodes(&schema, &edit_nodes));
+    data.map_err(|error| {
         CommandError::Local(format!(
-            "the manager's configuration does not fit the model of this program: {fault}"
+            "the manager's configuration does not fit the model of this program: {error}"
         ))
     })
 }
@@ -284,7 +284,7 @@
         None => reply.0,
         Some(path) => {
             let path =
-                Path::parse(&schema(), path).map_err(|fault| CommandError::Local(fault.to_string()))?;
+                Path::parse(&schema(), path).map_err(|error| CommandError::Local(error.to_string()))?;
             select(&schema(), &reply.0, &path)
         }
     };
--- a/crates/manager/src/connection_tracker.rs
+++ b/crates/manager/src/connection_tracker.rs
@@ -162,12 +162,12 @@
         stream.send(pending_mark, now, message_window, bytes)
     }
 
-    /// When a stream times out next. At the first time-out the proxy is reported as left, at the second its connection is
-    /// closed.
+    /// When a stream times out next. At the first time-out the proxy is reported as left, at the second its connection
+    /// is closed.
     ///
     /// A proxy whose message still waits in the channel, as it may for seconds after a start, must not count as silent.
-    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy has acknowledged a mark of
-    /// a later turn. If no proxy acknowledges anything, the time-out starts once a full channel would have emptied.
+    /// Messages leave the channel in order, so a mark is known to be delivered once any proxy has acknowledged a mark
+    /// of a later turn. If no proxy acknowledges anything, the time-out starts once a full channel would have emptied.
     fn times_out_at(&self, stream: &Stream) -> Option<Ms> {
         let SilenceTimeouts { ack_timeout, queue_drain_time } = self.silence_timeouts;
         let silent_since = stream.silent_since.or_else(|| {
@@ -218,8 +218,8 @@
         Some(Activity { resumed: stream.silent_since.take().is_some(), idle_for, pending_for })
     }
 
-    /// Records that a proxy acknowledged a mark and all before it. A mark that is not pending on this stream is an error:
-    /// mark numbers wrap around, so it may belong to an earlier stream.
+    /// Records that a proxy acknowledged a mark and all before it. A mark that is not pending on this stream is an
+    /// error: mark numbers wrap around, so it may belong to an earlier stream.
     pub fn acknowledge(&mut self, now: Ms, proxy: ProxyId, mark: MarkId) -> Result<(), String> {
         let stream = self.streams.get_mut(&proxy).expect("the proxy has a stream");
         let index = stream.pending_marks.iter().position(|pending| pending.mark == mark);
--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -93,8 +93,8 @@
         self.intent = intent;
     }
 
-    /// Applies the weight ratios of a failover plan from this turn on. A plan that the admission checks refuse, for example because
-    /// it would leave an operation without a ready worker, is not applied.
+    /// Applies the weight ratios of a failover plan from this turn on. A plan that the admission checks refuse,
+    /// for example because it would leave an operation without a ready worker, is not applied.
     pub(super) fn apply_plan(&mut self, ratios: &ZoneWeightRatios) {
         let zone_id = |zone: &str| self.names.zones.find_id(zone).map(|id| ZoneId(id as u16));
         let ratios: BTreeMap<ZoneId, f64> =
--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -23,10 +23,10 @@
 use crate::upstream::{wait_too_large, Upstream};
 
 /// While nothing changes, the source sends an empty line at this interval.
-pub const HEARTBEAT: Duration = Duration::from_secs(2);
-/// A watch without a complete line for this long is considered dead.
-const SILENCE_TIMEOUT: Duration = HEARTBEAT.saturating_mul(2);
-/// Relays pace large lists. A line of which entries keep arriving may take this long.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// A watch that completes no line for this long is considered dead. Each further entry from a relay extends the time.
+const SILENCE_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(2);
+/// Limit on the time for a line from a relay while its entries keep arriving: relays pace large lists.
 const RELAYED_LINE_TIMEOUT: Duration = Duration::from_secs(30);
 /// By the protocol, every change reaches all agents and relays within this time. A source that has been behind the
 /// current list for longer will not catch up.
@@ -38,7 +38,7 @@
     Broken(ConnectionError),
     /// Its lists stay older than the current one.
     Behind,
-    /// Its list is larger than its limit.
+    /// It sent a list that exceeds a limit.
     TooLarge(OverLimit),
 }
 
@@ -61,7 +61,7 @@
     fn from(error: LineError) -> Self {
         match error {
             LineError::Unreadable(cause) => WatchEnd::Broken(ConnectionError::reading(cause.to_string())),
-            LineError::OverLimit(over) => WatchEnd::TooLarge(over),
+            LineError::OverLimit(over_limit) => WatchEnd::TooLarge(over_limit),
         }
     }
 }
@@ -71,7 +71,7 @@
         match self {
             WatchEnd::Broken(error) => error.fmt(f),
             WatchEnd::Behind => f.write_str("its lists stay older than the current one"),
-            WatchEnd::TooLarge(over) => over.fmt(f),
+            WatchEnd::TooLarge(over_limit) => over_limit.fmt(f),
         }
     }
 }
@@ -80,9 +80,9 @@
 pub struct Watch {
     upstream: Upstream,
     follower: Follower,
-    /// Watches in a row that brought nothing new.
+    /// Consecutive watches that did not show that their source works.
     failures: u32,
-    /// Lists in a row that were too large.
+    /// Consecutive lists that were too large.
     too_large_count: u32,
     rng: fastrand::Rng,
 }
@@ -111,7 +111,7 @@
     /// Reconnects whenever a watch ends or the agent moves, and resumes from the current version. After a
     /// notification on `resync` it requests the full list.
     pub async fn run(mut self, resync: &Notify) {
-        let exchange = http::exchange(HEARTBEAT, SILENCE_TIMEOUT);
+        let exchange = http::exchange(HEARTBEAT_INTERVAL, SILENCE_TIMEOUT);
         if let Some(version) = self.follower.current_version {
             self.follower.warn_if_empty(version);
         }
@@ -155,11 +155,11 @@
                 self.follower.reset();
             }
         }
-        if let WatchEnd::TooLarge(over) = end {
+        if let WatchEnd::TooLarge(over_limit) = end {
             retry.wait = wait_too_large(self.too_large_count, &mut self.rng);
             self.too_large_count = self.too_large_count.saturating_add(1);
             tracing::warn!(
-                "the list of {address} is too large and rejected: {over}; {}; the list is requested again in {} s",
+                "the list of {address} is too large and rejected: {over_limit}; {}; the list is requested again in {} s",
                 self.follower.describe_current(),
                 retry.wait.as_secs()
             );
@@ -186,12 +186,12 @@
     }
 }
 
-/// What the current watch has brought.
+/// What the current watch has received so far.
 struct Session {
     started: Instant,
-    /// It brought another version than the current one.
+    /// It has received a list of another version than the current one.
     advanced: bool,
-    /// It brought a list that was accepted.
+    /// It has received a list that was accepted.
     accepted_list: bool,
     /// It has lasted long enough to show that the source works, even if nothing changed.
     steady: bool,
@@ -203,7 +203,7 @@
     }
 }
 
-/// The time-out of a watch.
+/// Decides when a watch times out.
 struct Liveness {
     /// When the watch is given up unless a line ends or, with relays, more entries arrive.
     deadline: Instant,
@@ -228,7 +228,7 @@
     }
 }
 
-/// Processes the lines of watches, one watch after the other, and passes lists on.
+/// Processes the lines of watches, one watch after the other, and passes the lists on to the decider.
 struct Follower {
     /// The version of the current list; without one the full list is requested.
     current_version: Option<u64>,
@@ -298,14 +298,14 @@
         let index = self.current_version.map(|version| format!("&index={version}")).unwrap_or_default();
         let scope = self.filter.as_ref().map(|filter| filter.scope().to_query()).unwrap_or_default();
         let call = (address, format!("/v1/servers?stream=1{index}{scope}"));
-        let answer = exchange.clone().oneshot(call).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(ConnectionError::reading(format!("{address} answered {}", answer.status())));
+        let response = exchange.clone().oneshot(call).await?;
+        if response.status() != StatusCode::OK {
+            return Err(ConnectionError::reading(format!("{address} answered {}", response.status())));
         }
         let from_version =
             self.current_version.map(|version| format!(" from {version} on")).unwrap_or_default();
         tracing::info!("watching the list at {address}{from_version}");
-        Ok(answer.into_body())
+        Ok(response.into_body())
     }
 
     /// Processes one line of a watch.
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -1,5 +1,5 @@
-//! Start-up configuration of a manager: the `PROXY_*` environment variables, the JSON file that `PROXY_CONFIG` names, and
-//! the operator's file.
+//! Start-up configuration of a manager: the `PROXY_*` environment variables, the JSON file that `PROXY_CONFIG` names,
+//! and the operator's file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -201,8 +201,8 @@
         Datastores::new(schema, 0.0, data.clone()).map(drop).map_err(|refusal| refusal.to_string())
     }
 
-    /// Adds the operator's file to the settings. A file that does not exist is an error only if it is `required`. Returns a
-    /// one-line error if the data does not fit the model or the settings.
+    /// Adds the operator's file to the settings. A file that does not exist is an error only if it is `required`. Returns
+    /// a one-line error if the data does not fit the model or the settings.
     pub fn with_operator_file(mut self, path: impl Into<PathBuf>, required: bool) -> Result<Launch, String> {
         let file = OperatorFile::new(path);
         let schema = Arc::new(juniperrail_model::schema());
--- a/crates/manager/src/list_assembler.rs
+++ b/crates/manager/src/list_assembler.rs
@@ -43,9 +43,9 @@
 /// The limit that a list exceeded.
 #[derive(Debug)]
 pub enum Limit {
-    /// On all kept entries together.
+    /// On the bytes of all kept entries together.
     Kept,
-    /// On one entry, or on the fields besides the entries.
+    /// On the bytes of one entry, or of the fields besides the entries.
     Part(ListError),
 }
 
@@ -66,7 +66,7 @@
     reader: ListReader,
     instances: Vec<Instance>,
     kept_bytes: usize,
-    /// Entries read of the current line, in scope or not.
+    /// Entries of the current line that have been read, in scope or not.
     entries: usize,
 }
 
@@ -77,7 +77,7 @@
         ListAssembler { reader, instances: Vec::new(), kept_bytes: 0, entries: 0 }
     }
 
-    /// Entries read of the current line.
+    /// Entries of the current line that have been read, in scope or not.
     pub fn entries(&self) -> usize {
         self.entries
     }
@@ -125,7 +125,7 @@
     }
 }
 
-/// What is kept of an entry, and how many bytes the entry had.
+/// What is kept of an entry, and the size of the entry in bytes; `None` if the entry is dropped.
 fn keep(entry: &[u8], filter: &mut Option<ScopeFilter>) -> Result<Option<(Instance, usize)>, LineError> {
     let classification = filter.as_mut().map_or(Classification::Kept, |filter| filter.classify(entry));
     let instance = match classification {
--- a/crates/manager/src/listing.rs
+++ b/crates/manager/src/listing.rs
@@ -11,13 +11,13 @@
 /// A full list or changes of it, as discovery sends them. Fields that no decision needs are not parsed.
 #[derive(Debug, Default, Deserialize)]
 pub struct Listing {
-    /// The version that the source gave this state of the list.
+    /// The version of the list at its source.
     #[serde(rename = "generation")]
     pub version: u64,
     /// Whether it is the full list; otherwise it holds changes.
     #[serde(default, rename = "reset")]
     pub full: bool,
-    /// The entries, as far as they are in scope.
+    /// The entries, without those that the scope filter dropped.
     #[serde(default)]
     pub instances: Vec<Instance>,
 }
@@ -32,8 +32,8 @@
 }
 
 impl<'de> Deserialize<'de> for Instance {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Instance, D::Error> {
-        Box::<RawValue>::deserialize(from).map(Instance::Entry)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Instance, D::Error> {
+        Box::<RawValue>::deserialize(deserializer).map(Instance::Entry)
     }
 }
 
@@ -42,7 +42,7 @@
 pub struct Departure {
     /// The name of the worker.
     pub worker: String,
-    /// The phase that it has for this manager from now on: gone if the entry says so, else draining.
+    /// The phase that the worker has for this manager from now on: gone if its entry names that, otherwise draining.
     pub phase: Phase,
 }
 
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -28,10 +28,10 @@
 
 /// What a joined proxy was sent over its current stream.
 struct Proxy {
-    /// The proxy may exclude workers with this id or a higher one although their exclusion was not sent over this stream.
-    /// The id is 0 if the proxy has orders from an earlier connection, possibly to another manager, or from before a
-    /// restart of the planner. Once a worker that the proxy excludes is forgotten, the id is at most the one that follows
-    /// the highest id listed until then.
+    /// The proxy may exclude workers with this id or a higher one although their exclusion was not sent over this
+    /// stream. The id is 0 if the proxy has orders from an earlier connection, possibly to another manager, or from
+    /// before a restart of the planner. Once a worker that the proxy excludes is forgotten, the id is at most the one
+    /// that follows the highest id listed until then.
     uncertain_from: WorkerId,
     /// The table that each operation is bound to.
     bindings: BTreeMap<OpId, TableId>,
@@ -119,8 +119,8 @@
     }
 
     /// Forgets a worker that no order refers to any more. If the worker is listed again under its name, it has a new
-    /// id, but the proxies to which its exclusion was sent still exclude it. At those proxies only ids listed from now on
-    /// become uncertain, so that messages do not have to include every known worker again.
+    /// id, but the proxies to which its exclusion was sent still exclude it. At those proxies only ids listed from now
+    /// on become uncertain, so that messages do not have to include every known worker again.
     pub fn forget(&mut self, worker: WorkerId) {
         self.excluded.remove(&worker);
         self.maybe_excluded.remove(&worker);
@@ -347,7 +347,7 @@
                 parts.extend(levels.into_iter().map(|(level, ops)| level_part(&ops, level, names)));
             }
         }
-        // Levels of operations that this manager has not bound to a table.
+        // The levels of operations that this manager has not bound to a table at this proxy.
         parts.extend(remaining_levels.into_iter().map(|(op, level)| level_part(&[op], level, names)));
         if parts.is_empty() {
             parts.push(MessagePart::default());
@@ -434,8 +434,8 @@
         order_writer
     }
 
-    /// Runs a turn with these orders. Returns each proxy concerned, its message, and the number of lines that the message
-    /// counts for.
+    /// Runs a turn with these orders. Returns each proxy concerned, its message, and the number of lines that the
+    /// message counts for.
     fn write(order_writer: &mut OrderWriter, orders: &[Order]) -> Vec<(u16, String, usize)> {
         let messages = order_writer.messages(orders, &names()).into_iter();
         messages
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -19,7 +19,7 @@
 pub struct ProbeResult {
     /// Whether the worker answered, and how.
     pub outcome: ProbeOutcome,
-    /// From the start of the probe to its end.
+    /// The time from the start of the probe to its end.
     pub latency: Ms,
     /// The load that the worker reported; empty if the probe failed or the report is invalid.
     pub load: Load,
@@ -28,7 +28,7 @@
 /// A service that probes the worker at an address.
 pub type ProbeService = BoxCloneSyncService<SocketAddr, ProbeResult, std::convert::Infallible>;
 
-/// Limit on the body of an answer.
+/// Limit on the body of a response.
 const MAX_BODY_BYTES: usize = 4096;
 
 /// Returns a service with these time-outs that runs at most `max_concurrent` probes at a time.
@@ -45,11 +45,11 @@
     let probe = service_fn(move |worker: SocketAddr| {
         let (exchange, read_body, started) = (exchange.clone(), read_body.clone(), Instant::now());
         async move {
-            let answer = async {
+            let response = async {
                 let (head, body) = exchange.oneshot((worker, "/load".into())).await?.into_parts();
                 Ok((head.status, read_body.oneshot(body).await?))
             };
-            let (outcome, load) = match answer.await {
+            let (outcome, load) = match response.await {
                 Ok((StatusCode::OK, body)) => {
                     (ProbeOutcome::Success, protocol::parse_load(&body).unwrap_or_default())
                 }
@@ -82,8 +82,8 @@
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::TcpListener;
 
-    /// A worker that reads a request, sends `answer` and closes the connection; with `hang` it keeps it open.
-    async fn worker(answer: &'static str, hang: bool) -> SocketAddr {
+    /// A worker that reads a request, sends `response` and closes the connection, or keeps it open with `hang`.
+    async fn worker(response: &'static str, hang: bool) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::spawn(async move {
@@ -91,7 +91,7 @@
             let mut request = [0; 1024];
             let read = socket.read(&mut request).await.unwrap();
             assert!(request[..read].starts_with(b"GET /load HTTP/1.1\r\n"));
-            socket.write_all(answer.as_bytes()).await.unwrap();
+            socket.write_all(response.as_bytes()).await.unwrap();
             if hang {
                 std::future::pending::<()>().await;
             }
--- a/crates/manager/src/protocol.rs
+++ b/crates/manager/src/protocol.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use juniperrail_interface::*;
 
-/// Limit on a line after the introduction.
+/// Limit on the length of a line after the introduction.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
-/// Limit on a line before and including the introduction.
+/// Limit on the length of a line up to and including the introduction.
 pub const MAX_FIRST_LINE_BYTES: usize = 4096;
 /// Limit on times, rates and load metrics. For a time it is an hour in milliseconds.
 const MAX_VALUE: f64 = 3_600_000.0;
@@ -65,11 +65,11 @@
     pub full: bool,
     /// Workers and their weights.
     pub lines: Vec<(&'a str, f64)>,
-    /// The admission level and the retry rule.
+    /// The admission level and the retry policy.
     pub level: Option<(f64, Retry)>,
-    /// Workers that get no more tries.
+    /// Workers that the proxy excludes from now on: they get no more tries.
     pub removed: Vec<&'a str>,
-    /// Workers that may get tries again.
+    /// Workers that the proxy no longer excludes.
     pub restored: Vec<&'a str>,
     /// A mark for the proxy to acknowledge.
     pub mark: Option<MarkId>,
--- a/crates/manager/src/scope_filter.rs
+++ b/crates/manager/src/scope_filter.rs
@@ -16,7 +16,7 @@
 /// What to do with an entry.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Classification {
-    /// Keep it: it is in scope, or invalid in a way that the reader of the list has to know of.
+    /// Keep it: it is in scope, or it is invalid and the reader of the list has to treat it as an unreadable entry.
     Kept,
     /// Pass on the departure: the worker was in scope and has left the scope.
     Left(Departure),
@@ -64,7 +64,7 @@
         ScopeFilter { scope, workers: HashSet::new(), staged: HashMap::new(), unreadable: false }
     }
 
-    /// The scope.
+    /// The scope by which entries are filtered.
     pub fn scope(&self) -> &Scope {
         &self.scope
     }
--- a/crates/manager/src/upstream.rs
+++ b/crates/manager/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The source of the list of workers, and the wait before it is asked again.
+//! The source of the list of workers, and the wait before the next watch.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use juniperrail_distribution::{RelayChoice, RelayFailure, Retry, Round};
 use tokio::sync::watch;
 
-use crate::discovery::HEARTBEAT;
+use crate::discovery::HEARTBEAT_INTERVAL;
 
 /// The wait after the first list that was too large; it doubles with each further one.
 const MIN_WAIT_TOO_LARGE: Duration = Duration::from_secs(3);
@@ -15,8 +15,8 @@
 
 /// The source that the watch follows.
 pub enum Upstream {
-    /// The agent on this machine, at its present address.
-    /// `failures`: the watches in a row that broke without having shown that the agent works.
+    /// The agent on this machine, at its current address.
+    /// `failures`: consecutive watches that broke without having shown that the agent works.
     Agent { address: watch::Receiver<SocketAddr>, failures: u32 },
     /// One of several relays.
     Relays(RelayChoice),
@@ -68,9 +68,9 @@
             Upstream::Agent { failures, .. } => {
                 let behind = failure == RelayFailure::Behind;
                 *failures = if source_works || behind { 0 } else { failures.saturating_add(1) };
-                // Starts at 1/32 of a heartbeat and doubles up to one, with jitter so that managers do not retry
-                // together.
-                let wait = HEARTBEAT.mul_f64(0.5 + rng.f64()) / (32 >> (*failures).min(5));
+                // Starts at 1/32 of the heartbeat interval and doubles up to the whole interval, with jitter so that
+                // managers do not retry together.
+                let wait = HEARTBEAT_INTERVAL.mul_f64(0.5 + rng.f64()) / (32 >> (*failures).min(5));
                 Retry { wait, round: if behind { Round::AllBehind } else { Round::InProgress } }
             }
             Upstream::Relays(relays) => {
--- a/crates/manager/src/worker_registry.rs
+++ b/crates/manager/src/worker_registry.rs
@@ -209,8 +209,8 @@
 }
 
 fn compose(composer: &Composer, name: &str, names: &Names) -> Option<ComposedWorker> {
-    // A change that is only checked may place workers that have no ids yet. They get the highest id here; no table has a
-    // line of such a worker.
+    // A change that is only checked may place workers that have no id yet. They get the highest id here; no table has
+    // a line of such a worker.
     let entry_from_intent = |intent: &WorkerIntent| {
         let placement = intent.placement.as_ref()?;
         let id_or_max = |id: Option<u32>| id.map_or(u16::MAX, |id| id as u16);
