--- a/crates/manager/src/decider.rs
+++ b/crates/manager/src/decider.rs
@@ -44,7 +44,7 @@
 /// A warning is logged once the removal of a worker has been unacknowledged for this share of the drain grace.
 const DRAIN_GRACE_WARNING_RATIO: f64 = 0.6;
 
-/// Time between two checks of whether all joined proxies have applied the open changes.
+/// Time between two checks of whether all joined proxies have applied the changes that are being distributed.
 const PROGRESS_CHECK_PERIOD_MS: Ms = 5.0;
 
 /// The channels to the northbound management interface, where one is configured.
@@ -70,6 +70,7 @@
     order_writer: OrderWriter,
     connections: ConnectionTracker,
     registry: WorkerRegistry,
+    /// The distribution of the operator's changes to the proxies.
     progress: ChangeTracker,
     progress_checked_at: Ms,
     /// The planner's timers: when each expires, and its handle.
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -10,7 +10,7 @@
 use crate::fleet;
 
 impl Decider {
-    /// Checks which open changes all joined proxies have applied.
+    /// Checks which of the changes that are being distributed all joined proxies have applied.
     pub(super) fn check_progress(&mut self, now: Ms) {
         let is_due = now >= self.progress_checked_at + PROGRESS_CHECK_PERIOD_MS
             && self.progress.distributing().next().is_some();
@@ -19,9 +19,9 @@
         }
         self.progress_checked_at = now;
         let joined = self.connections.joined().count();
-        let open_changes: Vec<(u64, BTreeSet<WorkerId>)> =
+        let distributing_changes: Vec<(u64, BTreeSet<WorkerId>)> =
             self.progress.distributing().map(|change| (change.number, self.known_workers(change))).collect();
-        for (number, workers) in open_changes {
+        for (number, workers) in distributing_changes {
             let applied_count = self.planner.synced_proxy_count(&workers);
             if self.progress.update(now, number, applied_count, joined) {
                 let elapsed = self
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -311,9 +311,9 @@
         self.last_report_at = now;
         let mut weight_by_zone: BTreeMap<Zone, f64> = BTreeMap::new();
         for (entry, zone, warm_ratio) in workers {
-            let ready_ratio = if entry.phase == Phase::Gone { 0.0 } else { warm_ratio };
+            let counted_ratio = if entry.phase == Phase::Gone { 0.0 } else { warm_ratio };
             *weight_by_zone.entry(Zone(zone.into())).or_default() +=
-                ready_ratio * entry.weight.max(MIN_WORKER_WEIGHT);
+                counted_ratio * entry.weight.max(MIN_WORKER_WEIGHT);
         }
         // By zone: all connected proxies, and the silent ones among them.
         let mut proxy_counts: BTreeMap<Zone, (u32, u32)> = BTreeMap::new();
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -46,7 +46,9 @@
     full_tables: BTreeSet<TableId>,
     /// By table, the new weights of workers; 0 removes the line.
     lines: BTreeMap<TableId, BTreeMap<WorkerId, f64>>,
+    /// New levels of operations.
     levels: BTreeMap<OpId, Level>,
+    /// Whether each worker is excluded from now on.
     exclusions: BTreeMap<WorkerId, bool>,
     mark: Option<MarkId>,
 }
@@ -357,15 +359,15 @@
             workers.map(|(id, _)| names.workers.name(id.0)).collect::<Vec<_>>()
         };
         let last_part = parts.last_mut().expect("a message has a part");
-        last_part.removed = workers_with(true);
-        last_part.restored = workers_with(false);
+        last_part.excluded = workers_with(true);
+        last_part.included = workers_with(false);
         last_part.mark = update.mark;
         let line_count = |part: &MessagePart| {
             // A full table, a level and a mark count as one line each.
             let single_lines = [part.full, part.level.is_some(), part.mark.is_some()];
             part.lines.len()
-                + part.removed.len()
-                + part.restored.len()
+                + part.excluded.len()
+                + part.included.len()
                 + single_lines.iter().filter(|is_present| **is_present).count()
         };
         let lines = parts.iter().map(line_count).sum();
--- a/crates/manager/src/protocol.rs
+++ b/crates/manager/src/protocol.rs
@@ -68,9 +68,9 @@
     /// The admission level and the retry policy.
     pub level: Option<(f64, Retry)>,
     /// Workers that the proxy excludes from now on: they get no more tries.
-    pub removed: Vec<&'a str>,
+    pub excluded: Vec<&'a str>,
     /// Workers that the proxy no longer excludes.
-    pub restored: Vec<&'a str>,
+    pub included: Vec<&'a str>,
     /// A mark for the proxy to acknowledge.
     pub mark: Option<MarkId>,
 }
@@ -94,10 +94,10 @@
 pub fn check_unfinished_line(line: &[u8], checked_bytes: usize) -> Option<usize> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let max_kind_bytes = KINDS.iter().map(|kind| kind.len() + 1).max().unwrap_or(0);
-    let end = line.iter().take(max_kind_bytes).position(|byte| *byte == b' ');
-    let kind = &line[..end.unwrap_or(line.len())];
+    let kind_end = line.iter().take(max_kind_bytes).position(|byte| *byte == b' ');
+    let kind = &line[..kind_end.unwrap_or(line.len())];
     let is_possible = |known_kind: &&str| {
-        if end.is_some() {
+        if kind_end.is_some() {
             known_kind.as_bytes() == kind
         } else {
             known_kind.as_bytes().starts_with(kind)
@@ -264,8 +264,8 @@
             write_field("level", "", &[&level.to_string()]);
             write_field("retry", "", &[retry]);
         }
-        write_field("out", ",", &part.removed);
-        write_field("back", ",", &part.restored);
+        write_field("out", ",", &part.excluded);
+        write_field("back", ",", &part.included);
         if let Some(mark) = part.mark {
             write_field("ticket", "", &[&mark.0.to_string()]);
         }
