--- a/crates/manager/src/protocol.rs
+++ b/crates/manager/src/protocol.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use juniperrail_interface::*;
 
-/// Limit on a line after the introduction.
+/// Limit on the length of a line after the introduction.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
-/// Limit on a line before and including the introduction.
+/// Limit on the length of a line up to and including the introduction.
 pub const MAX_FIRST_LINE_BYTES: usize = 4096;
 /// Limit on times, rates and load metrics. For a time it is an hour in milliseconds.
 const MAX_VALUE: f64 = 3_600_000.0;
@@ -65,12 +65,12 @@
     pub full: bool,
     /// Workers and their weights.
     pub lines: Vec<(&'a str, f64)>,
-    /// The admission level and the retry rule.
+    /// The admission level and the retry policy.
     pub level: Option<(f64, Retry)>,
-    /// Workers that get no more tries.
-    pub removed: Vec<&'a str>,
-    /// Workers that may get tries again.
-    pub restored: Vec<&'a str>,
+    /// Workers that the proxy excludes from now on: they get no more tries.
+    pub excluded: Vec<&'a str>,
+    /// Workers that the proxy no longer excludes.
+    pub included: Vec<&'a str>,
     /// A mark for the proxy to acknowledge.
     pub mark: Option<MarkId>,
 }
@@ -94,10 +94,10 @@
 pub fn check_unfinished_line(line: &[u8], checked_bytes: usize) -> Option<usize> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let max_kind_bytes = KINDS.iter().map(|kind| kind.len() + 1).max().unwrap_or(0);
-    let end = line.iter().take(max_kind_bytes).position(|byte| *byte == b' ');
-    let kind = &line[..end.unwrap_or(line.len())];
+    let kind_end = line.iter().take(max_kind_bytes).position(|byte| *byte == b' ');
+    let kind = &line[..kind_end.unwrap_or(line.len())];
     let is_possible = |known_kind: &&str| {
-        if end.is_some() {
+        if kind_end.is_some() {
             known_kind.as_bytes() == kind
         } else {
             known_kind.as_bytes().starts_with(kind)
@@ -264,8 +264,8 @@
             write_field("level", "", &[&level.to_string()]);
             write_field("retry", "", &[retry]);
         }
-        write_field("out", ",", &part.removed);
-        write_field("back", ",", &part.restored);
+        write_field("out", ",", &part.excluded);
+        write_field("back", ",", &part.included);
         if let Some(mark) = part.mark {
             write_field("ticket", "", &[&mark.0.to_string()]);
         }
