--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -34,17 +34,18 @@
 
 const GAPS: [Gap; 12] = [
     Gap {
-        title: "a small consensus group, with learners through the relays in place of the full mesh of links \
-                (it is off unless the operator's file has a `fleet`)",
+        title: "a small consensus group, with learners through the relays in place of the full mesh of \
+                links (it is off unless the operator's file has a `fleet`)",
         stage: Stage::OrdinaryDay,
         role: Role::ConsensusMember,
         row: "connections at each, every manager a member",
     },
     Gap {
-        title: "a byte budget for each manager, as a subscriber and for its sums: coalesced to fit, the oldest first",
+        title: "a byte budget per manager, for its subscription and for its sums: updates are coalesced to \
+                fit, the oldest first",
         stage: Stage::OrdinaryDay,
         role: Role::Manager,
-        row: "all that it reads: list, configuration, sums",
+        row: "total bytes received: list, configuration and sums",
     },
     Gap {
         title: "numbers of proxies that hold the whole fleet's",
@@ -65,10 +66,11 @@
         row: "all missed changes at one manager, at 5 KB/s",
     },
     Gap {
-        title: "entries of the operators' list that name their service: without it a scope is a zone",
+        title: "list entries from discovery that name the worker's service: without the service, a scope \
+                can only name zones",
         stage: Stage::WorstCase,
         role: Role::Manager,
-        row: "its zone's workers at 5 KB/s",
+        row: "transfer time of the list entries of the manager's zone at 5 KB/s",
     },
     Gap {
         title: "snapshots at a pace after a mass return",
--- a/crates/lab/src/capacity/roles/manager.rs
+++ b/crates/lab/src/capacity/roles/manager.rs
@@ -44,7 +44,7 @@
     let max_entries = Limit::program(MAX_LIST_BYTES, Unit::Bytes);
     table.add_limited(
         Scenario::SteadyState,
-        "entries taken without a scope",
+        "bytes of list entries in one list, without a scope",
         entries,
         max_entries,
         paths::LIST_ASSEMBLER,
@@ -52,7 +52,7 @@
     let memory = series::MANAGER_MEMORY.at(inputs.measured, requirements::WORKERS);
     table.add_limited(
         Scenario::SteadyState,
-        "memory with the whole list",
+        "memory with the complete list",
         memory,
         memory_limit(),
         paths::WORKER_REGISTRY,
@@ -62,7 +62,7 @@
     let required_workers = Limit::required_at_least(requirements::WORKERS);
     table.add_limited(
         Scenario::SteadyState,
-        "workers listed that 32 MB bear",
+        "listed workers that fit into 32 MB of memory",
         max_workers,
         required_workers,
         paths::WORKER_REGISTRY,
@@ -74,38 +74,38 @@
     let growth = |series: Series| series.growth_per_unit(inputs.measured);
     table.add(
         Scenario::SteadyState,
-        "memory for each worker",
+        "memory per listed worker",
         growth(series::MANAGER_MEMORY),
         paths::WORKER_REGISTRY,
     );
     table.add(
         Scenario::SteadyState,
-        "memory for each proxy",
+        "memory per joined proxy",
         growth(series::MANAGER_MEMORY_BY_PROXIES),
         paths::ORDER_WRITER,
     );
     let per_operation = growth(series::MANAGER_MEMORY_BY_OPERATIONS);
-    table.add(Scenario::SteadyState, "memory for each operation", per_operation, paths::PLANNER);
+    table.add(Scenario::SteadyState, "memory per operation", per_operation, paths::PLANNER);
 }
 
 fn state_of_scope(inputs: &Inputs<'_>, table: &mut Table) {
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
     table.add(
         Scenario::SteadyState,
-        "workers of its services",
+        "workers of the manager's services",
         count(sizes.workers_in_scope()),
         paths::MANAGER_SCOPE,
     );
     table.add(
         Scenario::SteadyState,
-        "their entries, as sent",
+        "bytes of the list entries of these workers, as sent",
         bytes(sizes.snapshot_bytes()),
         paths::MANAGER_SCOPE,
     );
     let by_zone = series::MANAGER_MEMORY.at(measured, sizes.workers_per_zone());
     table.add_limited(
         Scenario::SteadyState,
-        "memory with its zone's workers",
+        "memory with the workers of the manager's zone listed",
         by_zone,
         memory_limit(),
         paths::MANAGER_SCOPE,
@@ -114,7 +114,7 @@
     let scoped = scoped.or(series::MANAGER_MEMORY.at(measured, sizes.workers_in_scope()));
     table.add_limited(
         Scenario::SteadyState,
-        "memory with its services' workers",
+        "memory with the workers of the manager's services listed",
         scoped,
         memory_limit(),
         paths::MANAGER_SCOPE,
@@ -124,7 +124,7 @@
     let by_proxies = series::MANAGER_MEMORY_BY_PROXIES.at(measured, sizes.proxies_per_manager());
     let by_operations = series::MANAGER_MEMORY_BY_OPERATIONS.growth(measured, sizes.operations_per_manager());
     let total = by_proxies.plus(by_operations);
-    let name = "memory with its workers, proxies and operations";
+    let name = "memory with the manager's workers, proxies and operations";
     table.add_limited(Scenario::SteadyState, name, total, memory_limit(), paths::ORDER_WRITER);
 }
 
@@ -135,7 +135,7 @@
     let by_complete_list = processor(requirements::WORKERS);
     table.add_limited(
         scenario,
-        "processor time with the whole list",
+        "processor time with the complete list",
         by_complete_list,
         processor_limit(),
         paths::WORKER_REGISTRY,
@@ -144,7 +144,7 @@
     let required_workers = Limit::required_at_least(requirements::WORKERS);
     table.add_limited(
         scenario,
-        "workers listed that 1.3% of a core bears",
+        "listed workers that 1.3% of a core can handle",
         max_workers,
         required_workers,
         paths::WORKER_REGISTRY,
@@ -152,7 +152,7 @@
     let by_zone = processor(sizes.workers_per_zone());
     table.add_limited(
         scenario,
-        "processor time with its zone's workers",
+        "processor time with the workers of the manager's zone listed",
         by_zone,
         processor_limit(),
         paths::MANAGER_SCOPE,
@@ -161,7 +161,7 @@
     let scoped = scoped.or(processor(sizes.workers_in_scope()));
     table.add_limited(
         scenario,
-        "processor time with its services' workers",
+        "processor time with the workers of the manager's services listed",
         scoped,
         processor_limit(),
         paths::MANAGER_SCOPE,
@@ -175,7 +175,7 @@
     let by_reports = series::MANAGER_PROCESSOR_BY_REPORTS.growth(measured, reports);
     table.add_limited(
         scenario,
-        "processor time that sums add",
+        "additional processor time for received sums",
         by_reports.clone(),
         processor_limit(),
         paths::PLANNER,
@@ -186,7 +186,7 @@
     let by_operations =
         series::MANAGER_PROCESSOR_BY_OPERATIONS.growth(measured, sizes.operations_per_manager());
     let total = by_proxies.plus(by_operations).plus(by_reports);
-    let name = "processor time with its workers, proxies, operations and sums";
+    let name = "processor time with the manager's workers, proxies, operations and received sums";
     table.add_limited(scenario, name, total, processor_limit(), paths::PLANNER);
 }
 
@@ -199,24 +199,30 @@
         measured.or(bytes_per_second(computed + traffic::heartbeats()))
     };
     let complete = watch(changes, traffic::complete_list(sizes));
-    table.add_limited(scenario, "watch of the whole list", complete, traffic_limit(), paths::DISCOVERY_WATCH);
+    table.add_limited(
+        scenario,
+        "bytes received over a watch of the complete list",
+        complete,
+        traffic_limit(),
+        paths::DISCOVERY_WATCH,
+    );
     let entries = per_second(changes * sizes.scope_share());
-    table.add(scenario, "entries of its services that change", entries, paths::MANAGER_SCOPE);
+    table.add(scenario, "changed list entries of the manager's services", entries, paths::MANAGER_SCOPE);
     let scoped = series::SCOPED_BYTES_IN.look_up(measured);
     let scoped = scoped.or(watch(changes * sizes.scope_share(), traffic::scoped_list(sizes)));
     table.add_limited(
         scenario,
-        "watch of its services",
+        "bytes received over a watch of the manager's services",
         scoped.clone(),
         traffic_limit(),
         paths::MANAGER_SCOPE,
     );
     let configuration = bytes_per_second(traffic::configuration(sizes));
     let total = scoped.plus(configuration).plus(sums_read(inputs));
-    let budget = Mechanism::Missing("a byte budget");
+    let budget = Mechanism::Missing("a byte budget per manager");
     table.add_limited(
         scenario,
-        "all that it reads: list, configuration, sums",
+        "total bytes received: list, configuration and sums",
         total,
         traffic_limit(),
         budget,
@@ -237,16 +243,17 @@
     let entries = |workers: f64| bytes(sizes.entries_bytes(workers));
     let rack_workers =
         sizes.assumed(Assumption::MachinesPerRack) * sizes.assumed(Assumption::WorkersPerMachine);
-    let name = "entries, were all its workers of one service of this manager";
+    let name = "list entries received if all workers of the rack belong to one of the manager's services";
     table.add(Scenario::WorstCase(Failure::RackFailed), name, entries(rack_workers), paths::MANAGER_SCOPE);
     let zone_workers = sizes.workers_per_zone();
     let zone_recovered = Scenario::WorstCase(Failure::ZoneRecovered);
-    let name = "entries, one a worker, where it watches that zone or all";
+    let name = "list entries received, one per worker of the zone, if the manager watches that zone or \
+                the complete list";
     table.add(zone_recovered, name, entries(zone_workers), paths::DISCOVERY_WATCH);
     let service_entries = entries(zone_workers * sizes.scope_share());
     table.add(
         zone_recovered,
-        "entries, one a worker, of its services",
+        "list entries received, one per worker of the zone that belongs to the manager's services",
         service_entries,
         paths::MANAGER_SCOPE,
     );
@@ -259,16 +266,21 @@
     let entries = |workers: f64| bytes(sizes.entries_bytes(workers * sizes.scope_share()));
     table.add(
         scenario,
-        "there: entries missed of its services",
+        "manager in the region: missed list entries of its services",
         entries(missed_entries),
         paths::LIST_VERSIONS,
     );
     let snapshot = bytes(sizes.snapshot_bytes());
-    table.add(scenario, "there: a snapshot of its services instead", snapshot, paths::MANAGER_SCOPE);
+    table.add(
+        scenario,
+        "manager in the region: snapshot of its services instead of the missed entries",
+        snapshot,
+        paths::MANAGER_SCOPE,
+    );
     let region_entries = entries(sizes.workers_per_region());
     table.add(
         scenario,
-        "elsewhere: its services' workers of that region",
+        "manager in another region: list entries of its services' workers in the region",
         region_entries,
         paths::MANAGER_SCOPE,
     );
@@ -280,23 +292,38 @@
     let detection_time = seconds(wire::SILENCE_TIMEOUT_SECONDS);
     table.add(
         control_machine_failed,
-        "until a watch that went silent is dialled again",
+        "time until a manager reconnects a watch that has become silent",
         detection_time,
         paths::DISCOVERY_WATCH,
     );
     let snapshot = bytes(sizes.snapshot_bytes());
-    table.add(control_machine_failed, "a snapshot from another, at most", snapshot, paths::MANAGER_SCOPE);
+    table.add(
+        control_machine_failed,
+        "snapshot of the manager's services from another control machine, at most",
+        snapshot,
+        paths::MANAGER_SCOPE,
+    );
     let all_restarted = Scenario::WorstCase(Failure::AllControlMachinesRestarted);
     let transfer_time = |bytes: f64| seconds(bytes / requirements::MANAGER_BYTES_PER_SECOND);
     table.add(
         all_restarted,
-        "the whole list at 5 KB/s",
+        "transfer time of the complete list at 5 KB/s",
         transfer_time(sizes.list_bytes()),
         paths::DISCOVERY_WATCH,
     );
     let zone_list = transfer_time(sizes.entries_bytes(sizes.workers_per_zone()));
-    let entries_with_service = Mechanism::Missing("entries that name their service");
-    table.add(all_restarted, "its zone's workers at 5 KB/s", zone_list, entries_with_service);
+    let entries_with_service = Mechanism::Missing("list entries that name the worker's service");
+    table.add(
+        all_restarted,
+        "transfer time of the list entries of the manager's zone at 5 KB/s",
+        zone_list,
+        entries_with_service,
+    );
     let scoped_list = transfer_time(sizes.snapshot_bytes());
-    table.add(all_restarted, "its services' workers at 5 KB/s", scoped_list, paths::MANAGER_SCOPE);
+    table.add(
+        all_restarted,
+        "transfer time of the list entries of the manager's services at 5 KB/s",
+        scoped_list,
+        paths::MANAGER_SCOPE,
+    );
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -90,7 +90,8 @@
 #[test]
 fn manually_edited_figure_is_detected() {
     let text = page_text();
-    let row = text.lines().find(|line| line.starts_with("| kept | workers of its services |")).unwrap();
+    let row =
+        text.lines().find(|line| line.starts_with("| kept | workers of the manager's services |")).unwrap();
     let changed = text.replace(row, &row.replace("(assumed)", "(measured)"));
     assert_ne!(text, changed);
     let faults = faults(&changed, &measured());
