--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -73,10 +73,10 @@
         row: "transfer time of the list entries of the manager's zone at 5 KB/s",
     },
     Gap {
-        title: "snapshots at a pace after a mass return",
+        title: "rate-limited snapshots after many managers reconnect at once",
         stage: Stage::WorstCase,
         role: Role::ControlMachine,
-        row: "snapshots for its managers by services",
+        row: "snapshots for all its managers, with scopes by service",
     },
     Gap {
         title: "bounded load, on the relays and on the managers that are left",
@@ -85,10 +85,11 @@
         row: "more proxies at each manager of a service that lost one",
     },
     Gap {
-        title: "a choice of relay that heeds regions: a relay of the own one first, the others behind it",
+        title: "a relay choice that prefers relays of the manager's own region and uses the others only \
+                after them",
         stage: Stage::WorstCase,
         role: Role::ControlMachine,
-        row: "there: managers whose relay is elsewhere",
+        row: "managers in the region whose relay is in another region",
     },
     Gap {
         title: "a cold worker's part that all managers together keep",
@@ -103,10 +104,10 @@
         row: "time until a change is in force everywhere",
     },
     Gap {
-        title: "the full fan-out, 51 relays and 17,000 managers, on more than one machine",
+        title: "a run of the full fan-out, 51 relays and 17,000 managers, on more than one machine",
         stage: Stage::NotDemonstrated,
         role: Role::ControlMachine,
-        row: "managers that watch it",
+        row: "managers that watch one control machine",
     },
 ];
 
--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -26,23 +26,29 @@
     let subscribers = sizes.managers_per_control_machine();
     let scenario = Scenario::SteadyState;
     let max_subscribers = Limit::program(MAX_SUBSCRIBERS, Unit::Count);
-    table.add_limited(scenario, "managers that watch it", count(subscribers), max_subscribers, paths::RELAY);
+    table.add_limited(
+        scenario,
+        "managers that watch one control machine",
+        count(subscribers),
+        max_subscribers,
+        paths::RELAY,
+    );
     let machines_needed = count(requirements::MANAGERS / MAX_SUBSCRIBERS);
     let machines_available = Limit::required(requirements::CONTROL_MACHINES, Unit::Count);
     table.add_limited(
         scenario,
-        "machines that could take all managers",
+        "control machines needed for all managers, at the maximum number of subscribers each",
         machines_needed,
         machines_available,
         paths::RELAY,
     );
-    table.add(scenario, "the whole list, as sent", bytes(sizes.list_bytes()), paths::RELAY);
+    table.add(scenario, "bytes of the complete list, as sent", bytes(sizes.list_bytes()), paths::RELAY);
     let memory_per_worker = series::RELAY_MEMORY_BY_WORKERS.growth_per_unit(measured);
-    table.add(scenario, "memory for each worker", memory_per_worker, paths::RELAY);
+    table.add(scenario, "memory per listed worker", memory_per_worker, paths::RELAY);
     let memory_per_manager = series::RELAY_MEMORY_BY_SUBSCRIBERS.growth_per_unit(measured);
-    table.add(scenario, "memory for each manager", memory_per_manager, paths::RELAY);
+    table.add(scenario, "memory per watching manager", memory_per_manager, paths::RELAY);
     let memory = series::RELAY_MEMORY.look_up(measured);
-    table.add(scenario, "memory with the whole list and its managers", memory, paths::RELAY);
+    table.add(scenario, "memory with the complete list and all its managers watching", memory, paths::RELAY);
 }
 
 fn ordinary_day(inputs: &Inputs<'_>, table: &mut Table) {
@@ -51,34 +57,34 @@
     let scenario = Scenario::OrdinaryDay;
     let bytes_in = series::RELAY_BYTES_IN.look_up(measured);
     let bytes_in = bytes_in.or(bytes_per_second(traffic::complete_list(sizes)));
-    table.add(scenario, "bytes in", bytes_in, paths::RELAY);
+    table.add(scenario, "bytes received", bytes_in, paths::RELAY);
     let heartbeats = per_second(subscribers / wire::HEARTBEAT_PERIOD_SECONDS);
-    table.add(scenario, "empty lines out", heartbeats, paths::RELAY);
+    table.add(scenario, "heartbeats sent (empty lines)", heartbeats, paths::RELAY);
     let scoped = subscribers * (traffic::scoped_list(sizes) + traffic::heartbeats());
-    table.add(scenario, "bytes out by services", bytes_per_second(scoped), paths::SCOPE);
+    table.add(scenario, "bytes sent, with scopes by service", bytes_per_second(scoped), paths::SCOPE);
     let with_timed_changes = series::RELAY_BYTES_OUT.look_up(measured);
     table.add(
         scenario,
-        "bytes out, and one change a second that all its managers need",
+        "bytes sent, with one change per second that all its managers need",
         with_timed_changes,
         paths::RELAY,
     );
     let unscoped = subscribers * (traffic::complete_list(sizes) + traffic::heartbeats());
     table.add(
         scenario,
-        "bytes out, were all to watch the whole list",
+        "bytes sent if all its managers watched the complete list",
         bytes_per_second(unscoped),
         paths::RELAY,
     );
     let processor = series::RELAY_PROCESSOR.look_up(measured);
     table.add(scenario, "processor time", processor, paths::RELAY);
     let processor_per_manager = series::RELAY_PROCESSOR_BY_SUBSCRIBERS.growth_per_unit(measured);
-    table.add(scenario, "processor time for each manager", processor_per_manager, paths::RELAY);
+    table.add(scenario, "processor time per watching manager", processor_per_manager, paths::RELAY);
     let delay = series::RELAY_CHANGE_DELAY.look_up(measured);
     let in_force_limit = Limit::required(requirements::CHANGE_IN_FORCE_SECONDS, Unit::Seconds);
     table.add_limited(
         scenario,
-        "a changed entry until the last manager has it, p99",
+        "time from a changed list entry until the last manager receives it, p99",
         delay,
         in_force_limit,
         paths::RELAY,
@@ -101,34 +107,55 @@
     ];
     for (failure, workers) in failures {
         let scenario = Scenario::WorstCase(failure);
-        table.add(scenario, "entries in, one a worker", bytes(sizes.entries_bytes(workers)), paths::RELAY);
-        table.add(scenario, "bytes out by services", bytes(bytes_sent(sizes, workers)), paths::SCOPE);
+        table.add(
+            scenario,
+            "list entries received, one per affected worker",
+            bytes(sizes.entries_bytes(workers)),
+            paths::RELAY,
+        );
+        table.add(
+            scenario,
+            "bytes sent, with scopes by service",
+            bytes(bytes_sent(sizes, workers)),
+            paths::SCOPE,
+        );
     }
     let scenario = Scenario::WorstCase(Failure::RegionPartitioned);
     let versions_behind = sizes.entries_per_second() * requirements::REGION_PARTITION_SECONDS;
     let versions_kept = Limit::program(MAX_VERSIONS, Unit::Count);
     table.add_limited(
         scenario,
-        "there: versions behind, at most",
+        "control machine in the region: list versions behind, at most",
         count(versions_behind),
         versions_kept,
         paths::LIST_VERSIONS,
     );
     let difference = bytes(sizes.entries_bytes(versions_behind));
-    table.add(scenario, "there: the difference", difference, paths::LIST_VERSIONS);
-    table.add(scenario, "there: a whole list instead", bytes(sizes.list_bytes()), paths::RELAY);
+    table.add(
+        scenario,
+        "control machine in the region: difference to the current list",
+        difference,
+        paths::LIST_VERSIONS,
+    );
+    table.add(
+        scenario,
+        "control machine in the region: complete list instead of the difference",
+        bytes(sizes.list_bytes()),
+        paths::RELAY,
+    );
     relay_choice_without_regions(table);
 }
 
 /// The consequences of a relay choice that does not consider regions.
 fn relay_choice_without_regions(table: &mut Table) {
     let scenario = Scenario::WorstCase(Failure::RegionPartitioned);
-    let regional_choice = Mechanism::Missing("a choice of relay that heeds regions");
+    let regional_choice =
+        Mechanism::Missing("a relay choice that prefers relays of the manager's own region");
     let managers_elsewhere =
         requirements::MANAGERS / requirements::REGIONS * (1.0 - 1.0 / requirements::REGIONS);
     table.add(
         scenario,
-        "there: managers whose relay is elsewhere",
+        "managers in the region whose relay is in another region",
         count(managers_elsewhere),
         regional_choice,
     );
@@ -137,7 +164,7 @@
     let relays_tried = (requirements::CONTROL_MACHINES + 1.0) / (relays_in_region + 1.0);
     table.add(
         scenario,
-        "there: relays asked until one of the region is met",
+        "relays that a manager in the region tries until it reaches one of its region, on average",
         count(relays_tried),
         regional_choice,
     );
@@ -151,58 +178,78 @@
     let machines_lost = count(requirements::CONTROL_MACHINES / requirements::ZONES);
     table.add(
         zone_failed,
-        "control machines lost with it, if spread evenly",
+        "control machines in the failed zone, if spread evenly over the zones",
         machines_lost,
         paths::RELAY_CHOICE,
     );
     let zone_recovered = Scenario::WorstCase(Failure::ZoneRecovered);
     let returning_managers = sizes.managers_per_zone() / requirements::CONTROL_MACHINES;
-    table.add(zone_recovered, "managers that come to each", count(returning_managers), paths::RELAY_CHOICE);
-    table.add(zone_recovered, "snapshots for them by services", snapshots(returning_managers), paths::SCOPE);
+    table.add(
+        zone_recovered,
+        "managers that connect to each control machine",
+        count(returning_managers),
+        paths::RELAY_CHOICE,
+    );
+    table.add(
+        zone_recovered,
+        "snapshots for these managers, with scopes by service",
+        snapshots(returning_managers),
+        paths::SCOPE,
+    );
     let control_machine_failed = Scenario::WorstCase(Failure::ControlMachineFailed);
     let takeover_time = series::RELAY_TAKEOVER_TIME.look_up(inputs.measured);
     table.add(
         control_machine_failed,
-        "one other takes all: until the last is served",
+        "one other control machine takes over all managers: time until the last is served",
         takeover_time,
         paths::RELAY,
     );
     let memory = series::RELAY_MEMORY_AFTER_TAKEOVER.look_up(inputs.measured);
-    table.add(control_machine_failed, "one other takes all: its memory", memory, paths::RELAY);
+    table.add(
+        control_machine_failed,
+        "one other control machine takes over all managers: its memory",
+        memory,
+        paths::RELAY,
+    );
     let processor = series::RELAY_PROCESSOR_AFTER_TAKEOVER.look_up(inputs.measured);
-    table.add(control_machine_failed, "one other takes all: its processor time", processor, paths::RELAY);
+    table.add(
+        control_machine_failed,
+        "one other control machine takes over all managers: its processor time",
+        processor,
+        paths::RELAY,
+    );
     let additional_managers = subscribers / (requirements::CONTROL_MACHINES - 1.0);
     table.add(
         control_machine_failed,
-        "managers that come to each other one",
+        "managers that connect to each remaining control machine",
         count(additional_managers),
         paths::RELAY_CHOICE,
     );
     table.add(
         control_machine_failed,
-        "snapshots for them by services, at most",
+        "snapshots for these managers, with scopes by service, at most",
         snapshots(additional_managers),
         paths::SCOPE,
     );
     let complete_lists = bytes(additional_managers * sizes.list_bytes());
     table.add(
         control_machine_failed,
-        "snapshots for them, were they whole lists",
+        "snapshots for these managers if each were the complete list",
         complete_lists,
         paths::RELAY,
     );
     let all_restarted = Scenario::WorstCase(Failure::AllControlMachinesRestarted);
-    let paced_snapshots = Mechanism::Missing("snapshots at a pace");
+    let paced_snapshots = Mechanism::Missing("rate-limited snapshots");
     table.add(
         all_restarted,
-        "snapshots for its managers by services",
+        "snapshots for all its managers, with scopes by service",
         snapshots(subscribers),
         paced_snapshots,
     );
     let complete_lists = bytes(subscribers * sizes.list_bytes());
     table.add(
         all_restarted,
-        "snapshots for its managers, were they whole lists",
+        "snapshots for all its managers if each were the complete list",
         complete_lists,
         paced_snapshots,
     );
