--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -34,11 +34,11 @@
 
 const GAPS: [Gap; 12] = [
     Gap {
-        title: "a small consensus group, with learners through the relays in place of the full mesh of \
-                links (it is off unless the operator's file has a `fleet`)",
+        title: "a small consensus group, with learners served through the relays, in place of the full mesh \
+                of links (which is off unless the operator's file has a `fleet`)",
         stage: Stage::OrdinaryDay,
         role: Role::ConsensusMember,
-        row: "connections at each, every manager a member",
+        row: "connections per member, with every manager a member",
     },
     Gap {
         title: "a byte budget per manager, for its subscription and for its sums: updates are coalesced to \
--- a/crates/lab/src/capacity/roles/consensus_member.rs
+++ b/crates/lab/src/capacity/roles/consensus_member.rs
@@ -14,7 +14,8 @@
 /// Members that one member probes per second, at the default period of 1 s.
 const PROBES_PER_SECOND: f64 = 1.0;
 
-const LEARNERS: Mechanism = Mechanism::Missing("a small group, and learners through the relays");
+const LEARNERS: Mechanism =
+    Mechanism::Missing("a small consensus group, with learners served through the relays");
 
 pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
     let mut table = Table::new(Role::ConsensusMember);
@@ -28,11 +29,16 @@
     let others = requirements::MANAGERS - 1.0;
     let descriptors = Limit::descriptors();
     let links = count(requirements::MANAGERS * others);
-    table.add(Scenario::SteadyState, "links in all, every manager a member", links, paths::MANAGER_LINKS);
+    table.add(
+        Scenario::SteadyState,
+        "links in total, with every manager a member",
+        links,
+        paths::MANAGER_LINKS,
+    );
     let connections = count(2.0 * others);
     table.add_limited(
         Scenario::SteadyState,
-        "connections at each, every manager a member",
+        "connections per member, with every manager a member",
         connections,
         descriptors,
         LEARNERS,
@@ -40,19 +46,24 @@
     let heartbeats = per_second(others * HEARTBEATS_PER_SECOND);
     table.add(
         Scenario::OrdinaryDay,
-        "heartbeats of the leader, every manager a member",
+        "heartbeats sent by the leader, with every manager a member",
         heartbeats,
         LEARNERS,
     );
     let quorum = count((requirements::MANAGERS / 2.0).floor() + 1.0);
-    table.add(Scenario::OrdinaryDay, "votes for one commit, every manager a member", quorum, LEARNERS);
+    table.add(Scenario::OrdinaryDay, "quorum for one commit, with every manager a member", quorum, LEARNERS);
     let probes = per_second(PROBES_PER_SECOND);
-    table.add(Scenario::OrdinaryDay, "probes sent by each, at any size", probes, paths::FAILURE_DETECTOR);
+    table.add(
+        Scenario::OrdinaryDay,
+        "probes sent per member, at any group size",
+        probes,
+        paths::FAILURE_DETECTOR,
+    );
     let processor = series::MEMBER_PROCESSOR.at(inputs.measured, requirements::MANAGERS);
     let limit = Limit::required(requirements::MANAGER_CORES, Unit::Cores);
     table.add_limited(
         Scenario::OrdinaryDay,
-        "processor time, every manager a member",
+        "processor time of the busiest member, with every manager a member",
         processor,
         limit,
         LEARNERS,
@@ -65,29 +76,45 @@
     let descriptors = Limit::descriptors();
     table.add(
         Scenario::SteadyState,
-        "links in all, a small group",
+        "links in total, with a small group",
         count(members * others),
         paths::CONSENSUS,
     );
     let connections = count(2.0 * others);
     table.add_limited(
         Scenario::SteadyState,
-        "connections at each, a small group",
+        "connections per member, with a small group",
         connections,
         descriptors,
         paths::CONSENSUS,
     );
     let memory_per_member = series::MEMBER_MEMORY.growth_per_unit(inputs.measured);
-    table.add(Scenario::SteadyState, "memory for each member", memory_per_member, paths::CONSENSUS);
+    table.add(
+        Scenario::SteadyState,
+        "additional memory per further member of the group",
+        memory_per_member,
+        paths::CONSENSUS,
+    );
     let memory = series::MEMBER_MEMORY.at(inputs.measured, members);
     let limit = Limit::required(requirements::MANAGER_MEMORY_BYTES, Unit::Bytes);
-    table.add_limited(Scenario::SteadyState, "memory, a small group", memory, limit, paths::CONSENSUS);
+    table.add_limited(
+        Scenario::SteadyState,
+        "memory of the largest member, with a small group",
+        memory,
+        limit,
+        paths::CONSENSUS,
+    );
     let heartbeats = per_second(others * HEARTBEATS_PER_SECOND);
-    table.add(Scenario::OrdinaryDay, "heartbeats of the leader, a small group", heartbeats, paths::CONSENSUS);
+    table.add(
+        Scenario::OrdinaryDay,
+        "heartbeats sent by the leader, with a small group",
+        heartbeats,
+        paths::CONSENSUS,
+    );
     let bytes_between_members = series::MEMBER_BYTES.at(inputs.measured, members);
     table.add(
         Scenario::OrdinaryDay,
-        "bytes between all members, a small group",
+        "bytes sent between all members, with a small group",
         bytes_between_members,
         paths::CONSENSUS,
     );
@@ -95,7 +122,7 @@
     let limit = Limit::required(requirements::MANAGER_CORES, Unit::Cores);
     table.add_limited(
         Scenario::OrdinaryDay,
-        "processor time, a small group",
+        "processor time of the busiest member, with a small group",
         processor,
         limit,
         paths::CONSENSUS,
@@ -105,13 +132,13 @@
 fn worst_cases(inputs: &Inputs<'_>, table: &mut Table) {
     let zone_managers = inputs.sizes.managers_per_zone();
     let zone_failed = Scenario::WorstCase(Failure::ZoneFailed);
-    let name = "suspicions that every member is told, every manager a member";
+    let name = "suspected managers that every member is told of, with every manager a member";
     table.add(zone_failed, name, count(zone_managers), paths::FAILURE_DETECTOR);
     let links = 2.0 * zone_managers * (requirements::MANAGERS - zone_managers);
     let zone_recovered = Scenario::WorstCase(Failure::ZoneRecovered);
     table.add(
         zone_recovered,
-        "links dialled anew, every manager a member",
+        "links to re-establish, with every manager a member",
         count(links),
         paths::MANAGER_LINKS,
     );
@@ -120,7 +147,7 @@
     let region_partitioned = Scenario::WorstCase(Failure::RegionPartitioned);
     table.add(
         region_partitioned,
-        "links dialled anew, every manager a member",
+        "links to re-establish, with every manager a member",
         count(links),
         paths::MANAGER_LINKS,
     );
