--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -48,10 +48,10 @@
         row: "total bytes received: list, configuration and sums",
     },
     Gap {
-        title: "numbers of proxies that hold the whole fleet's",
+        title: "proxy identifiers wide enough for the proxies of the whole fleet",
         stage: Stage::OrdinaryDay,
         role: Role::ProxyStream,
-        row: "proxies numbered across the fleet",
+        row: "proxy identifiers needed, unique across the fleet",
     },
     Gap {
         title: "configuration through the relays, each change to the managers that it concerns",
@@ -79,10 +79,10 @@
         row: "snapshots for all its managers, with scopes by service",
     },
     Gap {
-        title: "bounded load, on the relays and on the managers that are left",
+        title: "bounded load on the relays and on the remaining managers",
         stage: Stage::WorstCase,
         role: Role::ProxyStream,
-        row: "more proxies at each manager of a service that lost one",
+        row: "additional proxies per remaining manager of a service that lost one manager",
     },
     Gap {
         title: "a relay choice that prefers relays of the manager's own region and uses the others only \
--- a/crates/lab/src/capacity/roles/proxy_stream.rs
+++ b/crates/lab/src/capacity/roles/proxy_stream.rs
@@ -27,10 +27,11 @@
     let sizes = &inputs.sizes;
     let max_16_bit = Limit::program(IDENTIFIERS_OF_16_BITS, Unit::Count);
     let max_8_bit = Limit::program(IDENTIFIERS_OF_8_BITS, Unit::Count);
-    let wider_identifiers = Mechanism::Missing("numbers of proxies of 32 bits, or a manager's own");
+    let wider_identifiers =
+        Mechanism::Missing("proxy identifiers of 32 bits, or identifiers unique only within a manager");
     table.add_limited(
         Scenario::SteadyState,
-        "proxies numbered across the fleet",
+        "proxy identifiers needed, unique across the fleet",
         count(sizes.proxies()),
         max_16_bit,
         wider_identifiers,
@@ -38,7 +39,7 @@
     let operations = count(sizes.operations_per_manager());
     table.add_limited(
         Scenario::SteadyState,
-        "operations of its services",
+        "operations of the manager's services",
         operations,
         max_8_bit,
         paths::IDENTIFIERS,
@@ -46,7 +47,7 @@
     let all_operations = count(requirements::ROUTES);
     table.add_limited(
         Scenario::SteadyState,
-        "operations, were one manager to serve all",
+        "operations if one manager served all services",
         all_operations,
         max_8_bit,
         paths::SCOPE,
@@ -54,7 +55,7 @@
     let tables = count(requirements::SERVICES * requirements::ZONES);
     table.add_limited(
         Scenario::SteadyState,
-        "tables, were one manager to serve all",
+        "tables if one manager served all services",
         tables,
         max_16_bit,
         paths::SCOPE,
@@ -64,12 +65,12 @@
 fn steady_state(inputs: &Inputs<'_>, table: &mut Table) {
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
     let proxies = sizes.proxies_per_manager();
-    table.add(Scenario::SteadyState, "proxies of one manager", count(proxies), paths::ORDER_WRITER);
+    table.add(Scenario::SteadyState, "proxies joined to one manager", count(proxies), paths::ORDER_WRITER);
     let memory = series::MANAGER_MEMORY_BY_PROXIES.at(measured, proxies);
     let limit = Limit::required(requirements::MANAGER_MEMORY_BYTES, Unit::Bytes);
     table.add_limited(
         Scenario::SteadyState,
-        "memory of a manager with its proxies",
+        "memory of a manager with its proxies joined",
         memory,
         limit,
         paths::ORDER_WRITER,
@@ -78,13 +79,18 @@
         series::MANAGER_MEMORY_BY_PROXIES.size_at_limit(measured, requirements::MANAGER_MEMORY_BYTES);
     table.add_limited(
         Scenario::SteadyState,
-        "proxies that 32 MB bear",
+        "joined proxies that fit into 32 MB of memory",
         max_proxies,
         Limit::required_at_least(proxies),
         paths::ORDER_WRITER,
     );
     let complete_table = bytes(wire::order_bytes(sizes.workers_in_scope()));
-    table.add(Scenario::SteadyState, "a whole table, as sent", complete_table, paths::ORDER_WRITER);
+    table.add(
+        Scenario::SteadyState,
+        "bytes of one complete table, as sent",
+        complete_table,
+        paths::ORDER_WRITER,
+    );
 }
 
 fn ordinary_day(inputs: &Inputs<'_>, table: &mut Table) {
@@ -93,20 +99,20 @@
     let limit = Limit::required(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
     table.add_limited(
         Scenario::OrdinaryDay,
-        "orders, every weight moved as often as may be",
+        "bytes of orders sent, with every weight changed as often as the planner allows",
         orders,
         limit,
         paths::PLANNER,
     );
     let measured_orders = series::MANAGER_BYTES_OUT_BY_PROXIES.at(measured, sizes.proxies_per_manager());
-    let name = "orders, one worker of 100 changing each second";
+    let name = "bytes of orders sent, with one of 100 workers changing every second";
     let limit = Limit::required(requirements::MANAGER_BYTES_PER_SECOND, Unit::BytesPerSecond);
     table.add_limited(Scenario::OrdinaryDay, name, measured_orders, limit, paths::PLANNER);
     let processor = series::MANAGER_PROCESSOR_BY_PROXIES.at(measured, sizes.proxies_per_manager());
     let limit = Limit::required(requirements::MANAGER_CORES, Unit::Cores);
     table.add_limited(
         Scenario::OrdinaryDay,
-        "processor time of a manager with its proxies",
+        "processor time of a manager with its proxies joined",
         processor,
         limit,
         paths::PLANNER,
@@ -117,19 +123,24 @@
     let sizes = &inputs.sizes;
     let scenario = Scenario::WorstCase(Failure::ZoneFailed);
     let proxies_without_manager = sizes.managers_per_zone() * sizes.proxies_per_manager();
-    table.add(scenario, "proxies whose manager is gone", count(proxies_without_manager), paths::ORDER_WRITER);
+    table.add(scenario, "proxies whose manager failed", count(proxies_without_manager), paths::ORDER_WRITER);
     let remaining_managers = (sizes.managers_per_service() - 1.0).max(1.0);
     let additional_proxies = sizes.proxies_per_manager() / remaining_managers;
-    let bounded_load = Mechanism::Missing("a bounded load on the managers that are left");
+    let bounded_load = Mechanism::Missing("bounded load on the remaining managers");
     table.add(
         scenario,
-        "more proxies at each manager of a service that lost one",
+        "additional proxies per remaining manager of a service that lost one manager",
         count(additional_proxies),
         bounded_load,
     );
     let tables = bytes(additional_proxies * wire::order_bytes(sizes.workers_in_scope()));
-    table.add(scenario, "whole tables for them", tables, paths::ORDER_WRITER);
+    table.add(scenario, "complete tables sent to these additional proxies", tables, paths::ORDER_WRITER);
     let zone_recovered = Scenario::WorstCase(Failure::ZoneRecovered);
     let tables = sizes.proxies_per_manager() * wire::order_bytes(sizes.workers_in_scope());
-    table.add(zone_recovered, "whole tables of a manager that is back", bytes(tables), paths::ORDER_WRITER);
+    table.add(
+        zone_recovered,
+        "complete tables sent by a manager that has returned",
+        bytes(tables),
+        paths::ORDER_WRITER,
+    );
 }
