--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -92,10 +92,10 @@
         row: "managers in the region whose relay is in another region",
     },
     Gap {
-        title: "a cold worker's part that all managers together keep",
+        title: "a load share of a cold worker that all managers together keep to",
         stage: Stage::WorstCase,
         role: Role::Worker,
-        row: "managers that each ease one in by themselves",
+        row: "managers that warm up the same worker independently",
     },
     Gap {
         title: "a change of configuration timed until it is in force everywhere",
