--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -54,16 +54,16 @@
         row: "proxy identifiers needed, unique across the fleet",
     },
     Gap {
-        title: "configuration through the relays, each change to the managers that it concerns",
+        title: "configuration distributed through the relays, each change to the managers that it concerns",
         stage: Stage::OrdinaryDay,
         role: Role::Configuration,
-        row: "commits, each change at each manager",
+        row: "commits in the fleet, with each change committed at every manager",
     },
     Gap {
-        title: "configuration by service after a cut: the changes missed and no others",
+        title: "configuration by service after a network partition: only the missed changes are sent",
         stage: Stage::WorstCase,
         role: Role::Configuration,
-        row: "all missed changes at one manager, at 5 KB/s",
+        row: "transfer time of all missed changes to one manager at 5 KB/s",
     },
     Gap {
         title: "list entries from discovery that name the worker's service: without the service, a scope \
@@ -98,10 +98,10 @@
         row: "managers that warm up the same worker independently",
     },
     Gap {
-        title: "a change of configuration timed until it is in force everywhere",
+        title: "a measurement of the time from a commit until the change is in force everywhere",
         stage: Stage::NotDemonstrated,
         role: Role::Configuration,
-        row: "time until a change is in force everywhere",
+        row: "time from a commit until the change is in force everywhere",
     },
     Gap {
         title: "a run of the full fan-out, 51 relays and 17,000 managers, on more than one machine",
