--- a/crates/lab/src/capacity/requests.rs
+++ b/crates/lab/src/capacity/requests.rs
@@ -28,16 +28,17 @@
     // than the share of the requests that may exceed the added latency.
     let max_stalled_share = Limit::required(1.0 - requirements::ADDED_LATENCY_SHARE, Unit::Share);
     vec![
-        row(Scenario::SteadyState, "lines of one order that stop a proxy for 1.8 ms", max_lines, None),
+        row(Scenario::SteadyState, "lines of one order that stall a proxy for 1.8 ms", max_lines, None),
         row(
             Scenario::SteadyState,
-            "a whole table of its services stops a proxy for",
+            "time for which one complete table of the manager's services stalls a proxy",
             complete_table_stall,
             None,
         ),
         row(
             Scenario::OrdinaryDay,
-            "time a proxy stands still, every weight moved as often as may be",
+            "share of time for which a proxy is stalled, with every weight changed as often as the \
+             planner allows",
             stalled_share,
             Some(max_stalled_share),
         ),
