--- a/crates/lab/src/capacity/figure.rs
+++ b/crates/lab/src/capacity/figure.rs
@@ -117,7 +117,7 @@
         let sign = if self.bound == Bound::AtMost { "at most " } else { "" };
         let basis = match &self.basis {
             Basis::Measured => "measured".to_string(),
-            Basis::Interpolated => "measured, between two sizes".to_string(),
+            Basis::Interpolated => "interpolated between two measured sizes".to_string(),
             Basis::Extrapolated(warning) => format!("**extrapolated**: {warning}"),
             Basis::Computed => "computed".to_string(),
             Basis::Assumed => "assumed".to_string(),
--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -17,8 +17,8 @@
     pub fn title(self) -> &'static str {
         match self {
             Stage::OrdinaryDay => "ordinary day",
-            Stage::WorstCase => "worst minute",
-            Stage::NotDemonstrated => "not shown",
+            Stage::WorstCase => "after a failure",
+            Stage::NotDemonstrated => "not demonstrated",
         }
     }
 }
--- a/crates/lab/src/capacity/page.rs
+++ b/crates/lab/src/capacity/page.rs
@@ -10,8 +10,15 @@
 use super::{requests, requirements};
 use crate::measured::Measurements;
 
-const ROW_HEADINGS: [&str; 7] =
-    ["when", "figure", "slope as measured", "at size", "limit", "carries", "mechanism"];
+const ROW_HEADINGS: [&str; 7] = [
+    "scenario",
+    "figure",
+    "measured slope or reading",
+    "at the required size",
+    "limit",
+    "meets the limit",
+    "mechanism",
+];
 /// Ratios that differ by at most this factor count as equal, since rounding alone can make them differ.
 const EQUAL_RATIO_TOLERANCE: f64 = 1.001;
 
@@ -110,41 +117,49 @@
         vec![role.title().into(), meeting.len().to_string(), missing.len().to_string(), names]
     };
     let lines: Vec<Vec<String>> = Role::ALL.iter().map(line).collect();
-    table(&["role", "rows that carry", "that do not", "which"], &lines)
+    table(
+        &[
+            "role",
+            "figures that meet their limit",
+            "figures that miss it",
+            "names of the figures that miss it",
+        ],
+        &lines,
+    )
 }
 
 fn fleet(sizes: &Sizes) -> String {
-    let part = |name: &str, value: f64, unit| format!("{name} {}", Quantity::new(value, unit));
+    let part = |name: &str, value: f64, unit| format!("{name}: {}", Quantity::new(value, unit));
     let regions = requirements::REGIONS;
     let parts = [
-        part("managers of one control machine", sizes.managers_per_control_machine(), Unit::Count),
-        part("control machines of a region", requirements::CONTROL_MACHINES / regions, Unit::Count),
-        part("managers of a zone", sizes.managers_per_zone(), Unit::Count),
-        part("workers of a zone", sizes.workers_per_zone(), Unit::Count),
-        part("managers of a region", requirements::MANAGERS / regions, Unit::Count),
-        part("workers of a region", sizes.workers_per_region(), Unit::Count),
-        part("workers of a service", requirements::WORKERS / requirements::SERVICES, Unit::Count),
-        part("managers that need one service's workers", sizes.managers_per_service(), Unit::Count),
-        part("routes of a service", requirements::ROUTES / requirements::SERVICES, Unit::Count),
-        part("tenants of a service", requirements::TENANTS / requirements::SERVICES, Unit::Count),
-        part("proxies in all", sizes.proxies(), Unit::Count),
-        part("proxies of a manager", sizes.proxies_per_manager(), Unit::Count),
-        part("changed entries of the list", sizes.entries_per_second(), Unit::PerSecond),
-        part("changes of configuration", sizes.changes_per_second(), Unit::PerSecond),
-        part("the whole list", sizes.list_bytes(), Unit::Bytes),
+        part("managers per control machine", sizes.managers_per_control_machine(), Unit::Count),
+        part("control machines per region", requirements::CONTROL_MACHINES / regions, Unit::Count),
+        part("managers per zone", sizes.managers_per_zone(), Unit::Count),
+        part("workers per zone", sizes.workers_per_zone(), Unit::Count),
+        part("managers per region", requirements::MANAGERS / regions, Unit::Count),
+        part("workers per region", sizes.workers_per_region(), Unit::Count),
+        part("workers per service", requirements::WORKERS / requirements::SERVICES, Unit::Count),
+        part("managers per service", sizes.managers_per_service(), Unit::Count),
+        part("routes per service", requirements::ROUTES / requirements::SERVICES, Unit::Count),
+        part("tenants per service", requirements::TENANTS / requirements::SERVICES, Unit::Count),
+        part("proxies in total", sizes.proxies(), Unit::Count),
+        part("proxies per manager", sizes.proxies_per_manager(), Unit::Count),
+        part("changed list entries", sizes.entries_per_second(), Unit::PerSecond),
+        part("configuration changes", sizes.changes_per_second(), Unit::PerSecond),
+        part("size of the complete list", sizes.list_bytes(), Unit::Bytes),
     ];
-    paragraph(&format!("On average: {}.", parts.join("; ")))
+    paragraph(&format!("Averages: {}.", parts.join("; ")))
 }
 
 fn assumptions(rows: &[Row], sensitivities: &[Sensitivity]) -> String {
     let lines: Vec<Vec<String>> =
         sensitivities.iter().map(|sensitivity| sensitivity_line(rows, sensitivity)).collect();
     let headings = [
-        "assumed",
+        "assumption",
         "value",
-        "why",
-        "figures that change, and the one that changes most: at half, as assumed, at double",
-        "verdicts that change",
+        "reason",
+        "number of figures that change, and the one that changes most: at half, as assumed, at double",
+        "changed verdicts",
     ];
     table(&headings, &lines)
 }
@@ -208,8 +223,8 @@
 fn verdict_change_text(rows: &[Row], sensitivity: &Sensitivity, index: usize) -> String {
     let row = &rows[index];
     let verdict_text = |row: &Row| match row.verdict() {
-        Verdict::MeetsLimit => "carries",
-        Verdict::MissesLimit => "does not carry",
+        Verdict::MeetsLimit => "meets the limit",
+        Verdict::MissesLimit => "misses the limit",
         Verdict::NotJudged => "is not judged",
     };
     let scaled_rows =
@@ -231,7 +246,7 @@
         vec![failure.title().into(), by_role.join(". ")]
     };
     let lines: Vec<Vec<String>> = Failure::ALL.iter().map(line).collect();
-    table(&["what happens", "figures by role"], &lines)
+    table(&["failure", "figures by role"], &lines)
 }
 
 fn runs(measured: &Measurements) -> String {
@@ -261,7 +276,7 @@
     let missing = missing_measurements(rows);
     match missing.is_empty() {
         true => paragraph("Every slope and reading that the page needs was measured."),
-        false => paragraph(&format!("Needed and not measured: {}.", missing.join("; "))),
+        false => paragraph(&format!("Needed by the page, but not measured: {}.", missing.join("; "))),
     }
 }
 
--- a/crates/lab/src/capacity/row.rs
+++ b/crates/lab/src/capacity/row.rs
@@ -87,9 +87,9 @@
     pub fn title(self) -> &'static str {
         match self {
             Failure::RackFailed => "a rack or switch fails",
-            Failure::ZoneFailed => "a zone is lost",
-            Failure::ZoneRecovered => "a zone comes back",
-            Failure::RegionPartitioned => "a region was cut off for an hour and is back",
+            Failure::ZoneFailed => "a zone fails",
+            Failure::ZoneRecovered => "a zone recovers",
+            Failure::RegionPartitioned => "a region reconnects after a partition of one hour",
             Failure::ControlMachineFailed => "a control machine fails",
             Failure::AllControlMachinesRestarted => "all control machines restart at once",
         }
@@ -108,7 +108,7 @@
 impl Scenario {
     fn cell(self) -> &'static str {
         match self {
-            Scenario::SteadyState => "kept",
+            Scenario::SteadyState => "steady state",
             Scenario::OrdinaryDay => "ordinary day",
             Scenario::WorstCase(failure) => failure.title(),
         }
--- a/crates/lab/src/capacity/series.rs
+++ b/crates/lab/src/capacity/series.rs
@@ -171,18 +171,18 @@
 fn basis_on_line(slope: &Slope, readings: &[Sample], size: f64) -> Basis {
     let largest = largest_size(slope);
     if !slope.straight {
-        return Basis::Extrapolated("what was measured bends".into());
+        return Basis::Extrapolated("the measurements do not lie on a straight line".into());
     }
     if size <= MAX_TRUSTED_SIZE_RATIO * largest {
         return Basis::Measured;
     }
-    let distance = format!("{} times the largest size of the line", format_number(size / largest));
+    let distance = format!("{} times the largest fitted size", format_number(size / largest));
     let contradicting = readings.iter().rev().find(|reading| contradicts(slope, reading));
     let warning = match contradicting {
         Some(reading) => {
             let ratio = ratio_to_line(slope, reading);
             format!(
-                "{distance}, and at {} a reading is {} times the line",
+                "{distance}; a reading at {} is {} times the fitted line",
                 format_number(reading.size),
                 format_number(ratio)
             )
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -90,8 +90,10 @@
 #[test]
 fn manually_edited_figure_is_detected() {
     let text = page_text();
-    let row =
-        text.lines().find(|line| line.starts_with("| kept | workers of the manager's services |")).unwrap();
+    let row = text
+        .lines()
+        .find(|line| line.starts_with("| steady state | workers of the manager's services |"))
+        .unwrap();
     let changed = text.replace(row, &row.replace("(assumed)", "(measured)"));
     assert_ne!(text, changed);
     let faults = faults(&changed, &measured());
@@ -201,9 +203,7 @@
     assert!(!MEMORY.at(&measured, 200_000.0).cell().contains("a reading"));
     measured.readings = vec![reading("50,000 workers listed", 2.0 * line_at_50_000)];
     let contradicted = MEMORY.at(&measured, 200_000.0);
-    assert!(contradicted
-        .cell()
-        .contains("20 times the largest size of the line, and at 50,000 a reading is 2 times"));
+    assert!(contradicted.cell().contains("20 times the largest fitted size; a reading at 50,000 is 2 times"));
     assert_eq!(MEMORY.at(&measured, 20_000.0).basis, Basis::Measured);
 }
 
