--- a/crates/lab/src/capacity/gaps.rs
+++ b/crates/lab/src/capacity/gaps.rs
@@ -17,8 +17,8 @@
     pub fn title(self) -> &'static str {
         match self {
             Stage::OrdinaryDay => "ordinary day",
-            Stage::WorstCase => "worst minute",
-            Stage::NotDemonstrated => "not shown",
+            Stage::WorstCase => "after a failure",
+            Stage::NotDemonstrated => "not demonstrated",
         }
     }
 }
@@ -34,77 +34,80 @@
 
 const GAPS: [Gap; 12] = [
     Gap {
-        title: "a small consensus group, with learners through the relays in place of the full mesh of links \
-                (it is off unless the operator's file has a `fleet`)",
+        title: "a small consensus group, with learners served through the relays, in place of the full mesh \
+                of links (which is off unless the operator's file has a `fleet`)",
         stage: Stage::OrdinaryDay,
         role: Role::ConsensusMember,
-        row: "connections at each, every manager a member",
+        row: "connections per member, with every manager a member",
     },
     Gap {
-        title: "a byte budget for each manager, as a subscriber and for its sums: coalesced to fit, the oldest first",
+        title: "a byte budget per manager, for its subscription and for its sums: updates are coalesced to \
+                fit, the oldest first",
         stage: Stage::OrdinaryDay,
         role: Role::Manager,
-        row: "all that it reads: list, configuration, sums",
+        row: "total bytes received: list, configuration and sums",
     },
     Gap {
-        title: "numbers of proxies that hold the whole fleet's",
+        title: "proxy identifiers wide enough for the proxies of the whole fleet",
         stage: Stage::OrdinaryDay,
         role: Role::ProxyStream,
-        row: "proxies numbered across the fleet",
+        row: "proxy identifiers needed, unique across the fleet",
     },
     Gap {
-        title: "configuration through the relays, each change to the managers that it concerns",
+        title: "configuration distributed through the relays, each change to the managers that it concerns",
         stage: Stage::OrdinaryDay,
         role: Role::Configuration,
-        row: "commits, each change at each manager",
+        row: "commits in the fleet, with each change committed at every manager",
     },
     Gap {
-        title: "configuration by service after a cut: the changes missed and no others",
+        title: "configuration by service after a network partition: only the missed changes are sent",
         stage: Stage::WorstCase,
         role: Role::Configuration,
-        row: "all missed changes at one manager, at 5 KB/s",
+        row: "transfer time of all missed changes to one manager at 5 KB/s",
     },
     Gap {
-        title: "entries of the operators' list that name their service: without it a scope is a zone",
+        title: "list entries from discovery that name the worker's service: without the service, a scope \
+                can only name zones",
         stage: Stage::WorstCase,
         role: Role::Manager,
-        row: "its zone's workers at 5 KB/s",
+        row: "transfer time of the list entries of the manager's zone at 5 KB/s",
     },
     Gap {
-        title: "snapshots at a pace after a mass return",
+        title: "rate-limited snapshots after many managers reconnect at once",
         stage: Stage::WorstCase,
         role: Role::ControlMachine,
-        row: "snapshots for its managers by services",
+        row: "snapshots for all its managers, with scopes by service",
     },
     Gap {
-        title: "bounded load, on the relays and on the managers that are left",
+        title: "bounded load on the relays and on the remaining managers",
         stage: Stage::WorstCase,
         role: Role::ProxyStream,
-        row: "more proxies at each manager of a service that lost one",
+        row: "additional proxies per remaining manager of a service that lost one manager",
     },
     Gap {
-        title: "a choice of relay that heeds regions: a relay of the own one first, the others behind it",
+        title: "a relay choice that prefers relays of the manager's own region and uses the others only \
+                after them",
         stage: Stage::WorstCase,
         role: Role::ControlMachine,
-        row: "there: managers whose relay is elsewhere",
+        row: "managers in the region whose relay is in another region",
     },
     Gap {
-        title: "a cold worker's part that all managers together keep",
+        title: "a load share of a cold worker that all managers together keep to",
         stage: Stage::WorstCase,
         role: Role::Worker,
-        row: "managers that each ease one in by themselves",
+        row: "managers that warm up the same worker independently",
     },
     Gap {
-        title: "a change of configuration timed until it is in force everywhere",
+        title: "a measurement of the time from a commit until the change is in force everywhere",
         stage: Stage::NotDemonstrated,
         role: Role::Configuration,
-        row: "time until a change is in force everywhere",
+        row: "time from a commit until the change is in force everywhere",
     },
     Gap {
-        title: "the full fan-out, 51 relays and 17,000 managers, on more than one machine",
+        title: "a run of the full fan-out, 51 relays and 17,000 managers, on more than one machine",
         stage: Stage::NotDemonstrated,
         role: Role::ControlMachine,
-        row: "managers that watch it",
+        row: "managers that watch one control machine",
     },
 ];
 
