--- a/crates/intent/src/datastores.rs
+++ b/crates/intent/src/datastores.rs
@@ -1,6 +1,7 @@
 //! The datastores running, candidate and startup (RFC 6241 sections 5.1, 8.3 and 8.7) with locks, versions and
-//! confirmed commits (section 8.4). A commit is proposed here, checked for admission elsewhere, and then applied here.
-//! A proposal that is refused changes nothing.
+//! confirmed commits (section 8.4). A commit takes three steps: [`Datastores::propose_commit`] makes a [`Proposal`],
+//! the caller runs the admission checks on it, and [`Datastores::apply`] makes it running. A proposal that is refused
+//! is dropped and changes nothing.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -14,13 +15,13 @@
 use crate::edit::{edit_config, DefaultOperation, ErrorOption};
 use crate::intent::Intent;
 
-/// The number of versions of running that are kept for a rollback.
+/// The maximum number of versions of running that are kept, so that they can be restored.
 const MAX_VERSIONS: usize = 32;
 /// The confirm-timeout of a confirmed commit that gives none (RFC 6241 section 8.4.1).
 const DEFAULT_CONFIRM_TIMEOUT: Ms = 600_000.0;
-/// A longer confirm-timeout is shortened to this.
+/// The longest confirm-timeout; a longer one is shortened to this.
 const MAX_CONFIRM_TIMEOUT: Ms = 86_400_000.0;
-/// How long after a refused rollback it is tried again.
+/// The delay before a refused rollback is retried.
 const ROLLBACK_RETRY_INTERVAL: Ms = 1_000.0;
 
 /// The identifier of a management session, independent of its protocol.
@@ -38,26 +39,27 @@
 /// Why an operation on a datastore fails.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DatastoreError {
-    /// The data does not match the data model.
+    /// The data violates the data model or a constraint that is checked in addition to it.
     Faults(Vec<ModelError>),
     /// The admission checks refuse the change.
     NotAdmitted(Vec<Refusal>),
-    /// The lock cannot be granted: this session holds it or has a pending confirmed commit.
+    /// The lock is denied, as the given session holds it or has a pending confirmed commit.
     LockDenied(Session),
-    /// Another session has locked the datastore.
+    /// The given session, another than the caller's, has locked the datastore.
     InUse(Session),
-    /// The candidate has uncommitted changes, so that it cannot be locked.
+    /// The candidate cannot be locked, as it has uncommitted changes.
     CandidateChanged,
-    /// The session does not hold the lock that it releases.
+    /// The session tried to release a lock that it does not hold.
     NotLocked,
-    /// A confirmed commit of this other session awaits its confirmation.
+    /// A confirmed commit of the given session, another than the caller's, awaits its confirmation.
     ConfirmedCommitPending(Session),
     NoConfirmedCommitPending,
     WrongPersistId,
     /// The version never existed or is no longer kept.
     UnknownVersion(u64),
-    /// The user may not access this: the path of a node, or a description of another object.
+    /// The user may not access the given object: the path of a data node, or a description such as "a lock".
     AccessDenied(String),
+    /// The operation is not possible, for the given reason.
     Unsupported(&'static str),
 }
 
@@ -106,8 +108,9 @@
 pub struct Commit {
     /// The commit is rolled back unless it is confirmed in time.
     pub confirmed: bool,
+    /// The time within which the commit must be confirmed; ten minutes if `None`.
     pub confirm_timeout: Option<Ms>,
-    /// The id by which any session may confirm or cancel this commit.
+    /// The id with which any session may confirm or cancel this commit.
     pub persist: Option<String>,
     /// The persist id of the confirmed commit that this one confirms or extends.
     pub persist_id: Option<String>,
@@ -120,7 +123,7 @@
     Rollback,
 }
 
-/// A new configuration for running. After the admission checks it is applied or dropped.
+/// A proposed configuration for running, which is applied or dropped after the admission checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
     kind: ProposalKind,
@@ -136,7 +139,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommitOutcome {
     pub number: u64,
-    /// Until when a confirmation is awaited, if any.
+    /// The time until which the commit must be confirmed, if it is a confirmed commit.
     pub confirm_deadline: Option<Ms>,
 }
 
@@ -157,8 +160,9 @@
     session: Session,
     author: String,
     persist: Option<String>,
+    /// When the rollback falls due; after a refused attempt, when it is retried.
     deadline: Ms,
-    /// Why a rollback that is due was refused.
+    /// Why the last attempt to roll back was refused, if there was one.
     overdue_reason: Option<String>,
 }
 
@@ -167,7 +171,7 @@
 pub struct Datastores {
     schema: Arc<Schema>,
     running: Data,
-    /// `None` while it equals running.
+    /// `None` while it has no changes of its own and therefore equals running.
     candidate: Option<Data>,
     startup: Data,
     locks: BTreeMap<Datastore, Session>,
@@ -176,7 +180,7 @@
 }
 
 impl Datastores {
-    /// Starts with startup as the running configuration.
+    /// Creates the datastores with startup as the running configuration. Fails if startup is invalid.
     pub fn new(schema: Arc<Schema>, now: Ms, startup: Data) -> Result<Datastores, DatastoreError> {
         validate_data(&schema, &startup)?;
         let first = Version { number: 1, committed_at: now, author: "startup".into(), data: startup.clone() };
@@ -199,12 +203,12 @@
         }
     }
 
-    /// The versions of running that are kept, oldest first.
+    /// The retained versions of running, oldest first.
     pub fn versions(&self) -> impl Iterator<Item = &Version> {
         self.versions.iter()
     }
 
-    /// The number of the running version.
+    /// The version number of the running configuration.
     pub fn version(&self) -> u64 {
         self.versions.back().map_or(0, |version| version.number)
     }
@@ -259,24 +263,29 @@
         Ok(())
     }
 
-    /// Returns what the candidate would be after an edit, without changing it.
+    /// Returns the candidate as it would be after an edit, and the faults of the edit. Does not change the candidate.
     pub fn edit_candidate(
         &self,
         session: Session,
         edit_nodes: &[EditNode],
-        default: DefaultOperation,
-        errors: ErrorOption,
+        default_operation: DefaultOperation,
+        error_option: ErrorOption,
     ) -> Result<(Data, Vec<ModelError>), DatastoreError> {
         self.check_not_locked(Datastore::Candidate, session)?;
-        let (edited, faults) =
-            edit_config(&self.schema, self.get(Datastore::Candidate), edit_nodes, default, errors);
-        match errors {
+        let (edited, faults) = edit_config(
+            &self.schema,
+            self.get(Datastore::Candidate),
+            edit_nodes,
+            default_operation,
+            error_option,
+        );
+        match error_option {
             ErrorOption::RollbackOnError if !faults.is_empty() => Err(DatastoreError::Faults(faults)),
             _ => Ok((edited, faults)),
         }
     }
 
-    /// Replaces the content of candidate or startup.
+    /// Replaces the content of candidate or startup; startup must be valid.
     pub fn put(&mut self, session: Session, datastore: Datastore, data: Data) -> Result<(), DatastoreError> {
         self.check_not_locked(datastore, session)?;
         match datastore {
@@ -304,13 +313,13 @@
         validate_data(&self.schema, data)
     }
 
-    /// The data of a version that is kept, for a copy into the candidate.
+    /// The data of a retained version of running.
     pub fn version_data(&self, number: u64) -> Result<&Data, DatastoreError> {
         let found = self.versions.iter().find(|version| version.number == number);
         found.map(|version| &version.data).ok_or(DatastoreError::UnknownVersion(number))
     }
 
-    /// Proposes the candidate as the running configuration, after all checks but those for admission.
+    /// Proposes the candidate as the running configuration. Performs all checks except the admission checks.
     pub fn propose_commit(
         &self,
         session: Session,
@@ -379,12 +388,12 @@
         CommitOutcome { number, confirm_deadline: self.pending.as_ref().map(|pending| pending.deadline) }
     }
 
-    /// When [`Datastores::due_rollback`] has to be called next.
+    /// When [`Datastores::due_rollback`] must be called next; `None` if no confirmed commit is pending.
     pub fn next_deadline(&self) -> Option<Ms> {
         self.pending.as_ref().map(|pending| pending.deadline)
     }
 
-    /// The rollback of a confirmed commit that was not confirmed in time. It does not depend on locks.
+    /// The rollback of the pending confirmed commit if its deadline has passed. Locks do not prevent it.
     pub fn due_rollback(&self, now: Ms) -> Option<Proposal> {
         let pending = self.pending.as_ref().filter(|pending| now >= pending.deadline)?;
         Some(self.proposal(
@@ -395,8 +404,8 @@
         ))
     }
 
-    /// The admission checks refused the rollback that is due, for example because it would now leave an operation without
-    /// a ready worker. It is tried again until it is admitted or the commit is confirmed after all.
+    /// Schedules a retry of a rollback that the admission checks refused, for example because it would now leave an
+    /// operation without a ready worker. It is retried until it is admitted or the commit is confirmed or cancelled.
     pub fn postpone_rollback(&mut self, now: Ms, reason: String) {
         if let Some(pending) = &mut self.pending {
             (pending.deadline, pending.overdue_reason) = (now + ROLLBACK_RETRY_INTERVAL, Some(reason));
@@ -404,7 +413,7 @@
     }
 
     /// Ends a session: its locks are released, the changes of a candidate that it had locked are discarded, and the
-    /// rollback of its confirmed commit falls due at once unless that has a persist id (section 8.4.1).
+    /// rollback of its confirmed commit falls due at once unless the commit has a persist id (section 8.4.1).
     pub fn end_session(&mut self, now: Ms, session: Session) {
         if self.lock_holder(Datastore::Candidate) == Some(session) {
             self.candidate = None;
@@ -435,19 +444,19 @@
 /// Checks the constraints that the types of the data model cannot express.
 fn validate_data(schema: &Schema, data: &Data) -> Result<(), DatastoreError> {
     use juniperrail_model::ErrorKind;
-    let invalid = |path: &str, name: &str, message: String| {
+    let bad_value = |path: &str, name: &str, message: String| {
         Err(DatastoreError::Faults(vec![ModelError::new(ErrorKind::BadValue, path, name, message)]))
     };
     data.check_mandatory(schema).map_err(|fault| DatastoreError::Faults(vec![fault]))?;
     let access = match AccessControl::from_data(schema, data) {
         Ok(access) => access,
-        Err(message) => return invalid("/jrm:northbound/rule", "path", message),
+        Err(message) => return bad_value("/jrm:northbound/rule", "path", message),
     };
     let netconf = View::new(schema, data).container("northbound").container("netconf");
     let has_listener = netconf.container("ssh").exists() || netconf.container("tls").exists();
     if has_listener && !access.has_admin() {
         let message = "a listener without a user whose role is admin: no user could change the access rights";
-        return invalid("/jrm:northbound/user", "role", message.into());
+        return bad_value("/jrm:northbound/user", "role", message.into());
     }
     let lacks_user =
         |client: &View<'_>| client.text("name-from") == Some("specified") && client.text("user").is_none();
@@ -455,7 +464,7 @@
     {
         let fingerprint = client.text("fingerprint").unwrap_or_default();
         let path = format!("/jrm:northbound/netconf/tls/client[fingerprint='{fingerprint}']");
-        return invalid(&path, "user", "name-from is specified, but no user is given".into());
+        return bad_value(&path, "user", "name-from is specified, but no user is given".into());
     }
     Ok(())
 }
@@ -481,8 +490,8 @@
     }
 
     impl Datastores {
-        /// Edits the candidate: sets the weight of the worker `s-1`.
-        fn set(&mut self, session: Session, weight: u32) -> Result<(), DatastoreError> {
+        /// Sets the weight of the worker `s-1` in the candidate.
+        fn set_candidate_weight(&mut self, session: Session, weight: u32) -> Result<(), DatastoreError> {
             let (data, _) = self.edit_candidate(
                 session,
                 &edit_nodes(weight),
@@ -492,7 +501,7 @@
             self.put(session, Datastore::Candidate, data)
         }
 
-        /// Commits the candidate.
+        /// Commits the candidate and applies the proposal without admission checks.
         fn commit(
             &mut self,
             now: Ms,
@@ -503,6 +512,7 @@
             Ok(self.apply(now, proposal))
         }
 
+        /// The weight of the worker `s-1`.
         fn weight(&self, datastore: Datastore) -> Option<f64> {
             Intent::from_data(&self.schema, self.get(datastore))
                 .workers
@@ -525,9 +535,9 @@
     }
 
     #[test]
-    fn a_commit_makes_the_candidate_running_and_a_refused_one_changes_nothing() {
+    fn a_commit_makes_the_candidate_running_and_a_dropped_proposal_changes_nothing() {
         let mut stores = stores();
-        stores.set(ANN, 2).unwrap();
+        stores.set_candidate_weight(ANN, 2).unwrap();
         assert_eq!(
             (stores.weight(Datastore::Candidate), stores.weight(Datastore::Running)),
             (Some(2.0), None)
@@ -536,7 +546,7 @@
         drop(proposal);
         assert_eq!((stores.weight(Datastore::Candidate), stores.version()), (Some(2.0), 1));
         assert_eq!(stores.commit(5.0, ANN, Commit::default()).unwrap().number, 2);
-        stores.set(ANN, 3).unwrap();
+        stores.set_candidate_weight(ANN, 3).unwrap();
         stores.discard(ANN).unwrap();
         assert_eq!(stores.weight(Datastore::Candidate), Some(2.0));
         assert!(matches!(
@@ -563,14 +573,14 @@
             Err(DatastoreError::LockDenied(ANN)),
             "not even the holder can lock it again"
         );
-        assert_eq!(stores.set(BOB, 1), Err(DatastoreError::InUse(ANN)));
+        assert_eq!(stores.set_candidate_weight(BOB, 1), Err(DatastoreError::InUse(ANN)));
         assert_eq!(stores.discard(BOB), Err(DatastoreError::InUse(ANN)));
         assert_eq!(stores.propose_commit(BOB, "bob", Commit::default()), Err(DatastoreError::InUse(ANN)));
         assert_eq!(stores.unlock(Datastore::Candidate, BOB), Err(DatastoreError::NotLocked));
-        stores.set(ANN, 1).unwrap();
+        stores.set_candidate_weight(ANN, 1).unwrap();
         stores.unlock(Datastore::Candidate, ANN).unwrap();
         assert_eq!(stores.weight(Datastore::Candidate), None, "its changes are discarded with the lock");
-        stores.set(BOB, 4).unwrap();
+        stores.set_candidate_weight(BOB, 4).unwrap();
         assert_eq!(stores.lock(Datastore::Candidate, ANN), Err(DatastoreError::CandidateChanged));
         assert_eq!(
             stores.commit(0.0, BOB, Commit::default()),
@@ -580,7 +590,7 @@
         stores.end_session(0.0, ANN);
         stores.commit(0.0, BOB, Commit::default()).unwrap();
         stores.lock(Datastore::Candidate, ANN).unwrap();
-        stores.set(ANN, 9).unwrap();
+        stores.set_candidate_weight(ANN, 9).unwrap();
         stores.end_session(1.0, ANN);
         assert_eq!(
             (stores.lock_holder(Datastore::Candidate), stores.weight(Datastore::Candidate)),
@@ -591,8 +601,8 @@
     #[test]
     fn two_sessions_edit_one_candidate_and_the_first_commit_includes_both_edits() {
         let mut stores = stores();
-        stores.set(ANN, 1).unwrap();
-        stores.set(BOB, 2).unwrap();
+        stores.set_candidate_weight(ANN, 1).unwrap();
+        stores.set_candidate_weight(BOB, 2).unwrap();
         stores.commit(0.0, ANN, Commit::default()).unwrap();
         assert_eq!(stores.weight(Datastore::Running), Some(2.0), "the later edit of the one candidate wins");
         let proposal = stores.propose_commit(BOB, "bob", Commit::default()).unwrap();
@@ -602,13 +612,13 @@
     #[test]
     fn a_confirmed_commit_is_rolled_back_unless_it_is_confirmed_in_time() {
         let mut stores = stores();
-        stores.set(ANN, 1).unwrap();
+        stores.set_candidate_weight(ANN, 1).unwrap();
         stores.commit(0.0, ANN, Commit::default()).unwrap();
-        stores.set(ANN, 2).unwrap();
+        stores.set_candidate_weight(ANN, 2).unwrap();
         assert_eq!(stores.commit(10.0, ANN, confirmed(None)).unwrap().confirm_deadline, Some(1010.0));
         assert_eq!((stores.weight(Datastore::Running), stores.due_rollback(1009.0)), (Some(2.0), None));
-        // A second confirmed commit restarts the timeout; the rollback still returns to before the first.
-        stores.set(ANN, 3).unwrap();
+        // A second confirmed commit restarts the timeout; the rollback still returns to the version before the first.
+        stores.set_candidate_weight(ANN, 3).unwrap();
         stores.commit(500.0, ANN, confirmed(None)).unwrap();
         assert_eq!(stores.next_deadline(), Some(1500.0));
         stores.lock(Datastore::Running, ANN).unwrap();
@@ -620,16 +630,16 @@
             "a lock on running does not prevent the rollback"
         );
         assert!(stores.versions().last().unwrap().author.contains("roll-back of ann"));
-        stores.set(ANN, 4).unwrap();
+        stores.set_candidate_weight(ANN, 4).unwrap();
         stores.commit(2000.0, ANN, confirmed(None)).unwrap();
         stores.commit(2500.0, ANN, Commit::default()).unwrap();
         assert_eq!((stores.due_rollback(99_999.0), stores.weight(Datastore::Running)), (None, Some(4.0)));
     }
 
     #[test]
-    fn only_its_session_or_its_persist_id_confirms_a_commit() {
+    fn a_confirmed_commit_needs_its_session_or_its_persist_id_to_be_confirmed() {
         let mut stores = stores();
-        stores.set(ANN, 2).unwrap();
+        stores.set_candidate_weight(ANN, 2).unwrap();
         stores.commit(0.0, ANN, confirmed(None)).unwrap();
         assert_eq!(
             stores.propose_commit(BOB, "bob", Commit::default()),
@@ -654,7 +664,7 @@
             stores.propose_commit(BOB, "bob", confirming(Some("x"))),
             Err(DatastoreError::NoConfirmedCommitPending)
         );
-        stores.set(ANN, 3).unwrap();
+        stores.set_candidate_weight(ANN, 3).unwrap();
         stores.commit(2.0, ANN, confirmed(Some("night"))).unwrap();
         stores.end_session(3.0, ANN);
         assert_eq!(stores.due_rollback(4.0), None, "a commit with a persist id outlives its session");
@@ -673,11 +683,12 @@
     #[test]
     fn the_end_of_a_session_makes_its_rollback_due_at_once() {
         let mut stores = stores();
-        stores.set(ANN, 2).unwrap();
+        stores.set_candidate_weight(ANN, 2).unwrap();
         stores.commit(0.0, ANN, confirmed(None)).unwrap();
         stores.lock(Datastore::Candidate, BOB).unwrap();
         stores.end_session(10.0, ANN);
-        let due = stores.due_rollback(10.0).expect("due at once, whichever session holds the candidate");
+        let due =
+            stores.due_rollback(10.0).expect("due at once, even if another session has locked the candidate");
         stores.apply(10.0, due);
         assert_eq!(
             (stores.weight(Datastore::Running), stores.lock_holder(Datastore::Candidate)),
@@ -686,9 +697,9 @@
     }
 
     #[test]
-    fn a_rollback_that_is_refused_is_tried_again() {
+    fn a_refused_rollback_is_retried() {
         let mut stores = stores();
-        stores.set(ANN, 2).unwrap();
+        stores.set_candidate_weight(ANN, 2).unwrap();
         stores.commit(0.0, ANN, confirmed(Some("x"))).unwrap();
         assert!(stores.due_rollback(1000.0).is_some());
         stores.postpone_rollback(1000.0, "lookup would have no ready, warm worker".into());
@@ -703,20 +714,24 @@
     }
 
     #[test]
-    fn after_a_restart_only_startup_remains() {
+    fn after_a_restart_running_is_startup_and_no_commit_is_pending() {
         let mut stores = stores();
-        stores.set(ANN, 2).unwrap();
+        stores.set_candidate_weight(ANN, 2).unwrap();
         stores.commit(0.0, ANN, Commit::default()).unwrap();
         let running = stores.get(Datastore::Running).clone();
         stores.put(ANN, Datastore::Startup, running).unwrap();
-        stores.set(ANN, 3).unwrap();
+        stores.set_candidate_weight(ANN, 3).unwrap();
         stores.commit(0.0, ANN, confirmed(Some("x"))).unwrap();
-        let again = Datastores::new(Arc::new(schema()), 9.0, stores.get(Datastore::Startup).clone()).unwrap();
-        assert_eq!((again.weight(Datastore::Running), again.pending_confirmation()), (Some(2.0), None));
+        let restarted =
+            Datastores::new(Arc::new(schema()), 9.0, stores.get(Datastore::Startup).clone()).unwrap();
+        assert_eq!(
+            (restarted.weight(Datastore::Running), restarted.pending_confirmation()),
+            (Some(2.0), None)
+        );
     }
 
     #[test]
-    fn constraints_beyond_types_are_checked_before_a_commit() {
+    fn constraints_that_types_cannot_express_are_checked_before_a_commit() {
         let mut stores = stores();
         let northbound = |body: &str| {
             let text = format!(
--- a/crates/intent/src/edit.rs
+++ b/crates/intent/src/edit.rs
@@ -1,20 +1,22 @@
-//! The edit-config operation (RFC 6241 section 7.2) on edit nodes, independent of the protocol that they came by.
+//! The edit-config operation (RFC 6241 section 7.2), applied to [`EditNode`]s. It does not depend on the management
+//! protocol or on the encoding that the edit was parsed from.
 
 use juniperrail_model::{
     Content, Data, EditNode, EditOperation, ErrorKind, ModelError, NodeKind, Path, Schema,
 };
 
-/// What is done with nodes that name no operation (RFC 6241's `default-operation`).
+/// The operation for edit nodes that neither specify one nor inherit one from an ancestor (RFC 6241's
+/// `default-operation`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DefaultOperation {
     #[default]
     Merge,
     Replace,
-    /// Nothing is changed, but the node must exist.
+    /// A node without an operation is not changed, but must exist.
     None,
 }
 
-/// How an edit with faults is handled (RFC 6241's `error-option`).
+/// How an edit is handled if a part of it fails (RFC 6241's `error-option`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ErrorOption {
     /// The edit changes nothing. RFC 6241's `stop-on-error` and `rollback-on-error` are the same here, since an edit
@@ -25,16 +27,17 @@
     ContinueOnError,
 }
 
-/// The operation in effect at a node, its own or inherited from an ancestor.
+/// The operation in effect at a node: its own, or the one inherited from an ancestor or from the default operation.
 #[derive(Clone, Copy, PartialEq)]
 enum EffectiveOperation {
-    Op(EditOperation),
+    Edit(EditOperation),
     None,
 }
 
+/// Applies one edit and collects its faults.
 struct Editor<'a> {
     schema: &'a Schema,
-    errors: ErrorOption,
+    error_option: ErrorOption,
     faults: Vec<ModelError>,
 }
 
@@ -44,25 +47,26 @@
     schema: &Schema,
     data: &Data,
     edit_nodes: &[EditNode],
-    default: DefaultOperation,
-    errors: ErrorOption,
+    default_operation: DefaultOperation,
+    error_option: ErrorOption,
 ) -> (Data, Vec<ModelError>) {
-    let mut editor = Editor { schema, errors, faults: Vec::new() };
-    let operation = match default {
-        DefaultOperation::Merge => EffectiveOperation::Op(EditOperation::Merge),
-        DefaultOperation::Replace => EffectiveOperation::Op(EditOperation::Replace),
+    let mut editor = Editor { schema, error_option, faults: Vec::new() };
+    let operation = match default_operation {
+        DefaultOperation::Merge => EffectiveOperation::Edit(EditOperation::Merge),
+        DefaultOperation::Replace => EffectiveOperation::Edit(EditOperation::Replace),
         DefaultOperation::None => EffectiveOperation::None,
     };
-    // A default operation of replace replaces the whole datastore, not just the nodes named (section 7.2).
-    let mut edited = if default == DefaultOperation::Replace { Data::default() } else { data.clone() };
-    let operation = if default == DefaultOperation::Replace {
-        EffectiveOperation::Op(EditOperation::Merge)
+    // A default operation of replace replaces the entire datastore, not only the nodes in the edit (section 7.2).
+    let mut edited =
+        if default_operation == DefaultOperation::Replace { Data::default() } else { data.clone() };
+    let operation = if default_operation == DefaultOperation::Replace {
+        EffectiveOperation::Edit(EditOperation::Merge)
     } else {
         operation
     };
     editor.apply_all(&mut edited, edit_nodes, &Path::default(), operation);
     edited.prune_empty(schema);
-    if errors == ErrorOption::RollbackOnError && !editor.faults.is_empty() {
+    if error_option == ErrorOption::RollbackOnError && !editor.faults.is_empty() {
         return (data.clone(), editor.faults);
     }
     (edited, editor.faults)
@@ -79,7 +83,7 @@
         for edit_node in edit_nodes {
             if let Err(fault) = self.apply_one(data, edit_node, parent, inherited) {
                 self.faults.push(fault);
-                if self.errors == ErrorOption::RollbackOnError {
+                if self.error_option == ErrorOption::RollbackOnError {
                     return;
                 }
             }
@@ -93,10 +97,10 @@
         parent: &Path,
         inherited: EffectiveOperation,
     ) -> Result<(), ModelError> {
-        let operation = edit_node.operation.map_or(inherited, EffectiveOperation::Op);
+        let operation = edit_node.operation.map_or(inherited, EffectiveOperation::Edit);
         let exists = contains(data, edit_node);
         match operation {
-            EffectiveOperation::Op(EditOperation::Delete) if !exists => {
+            EffectiveOperation::Edit(EditOperation::Delete) if !exists => {
                 return Err(edit_node.error(
                     self.schema,
                     parent,
@@ -104,26 +108,26 @@
                     "does not exist and cannot be deleted",
                 ));
             }
-            EffectiveOperation::Op(EditOperation::Delete | EditOperation::Remove) => {
+            EffectiveOperation::Edit(EditOperation::Delete | EditOperation::Remove) => {
                 remove_node(data, edit_node);
                 return Ok(());
             }
-            EffectiveOperation::Op(EditOperation::Create) if exists && edit_node.operation.is_some() => {
+            EffectiveOperation::Edit(EditOperation::Create) if exists && edit_node.operation.is_some() => {
                 return Err(edit_node.error(self.schema, parent, ErrorKind::DataExists, "exists already"));
             }
             _ => {}
         }
         let path = parent.child(edit_node.step());
-        let inner = match &self.schema.node(edit_node.node).kind {
+        let node_data = match &self.schema.node(edit_node.node).kind {
             NodeKind::Leaf { .. } => {
-                // The list entry sets its keys; without an operation nothing is changed.
-                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &edit_node.value) {
+                // Without an operation the leaf stays unchanged. Key leaves are already set by `Data::list_entry`.
+                if let (EffectiveOperation::Edit(_), Some(value)) = (operation, &edit_node.value) {
                     data.set(edit_node.node, Content::Leaf(value.clone()));
                 }
                 return Ok(());
             }
             NodeKind::LeafList { .. } => {
-                if let (EffectiveOperation::Op(_), Some(value)) = (operation, &edit_node.value) {
+                if let (EffectiveOperation::Edit(_), Some(value)) = (operation, &edit_node.value) {
                     if edit_node.operation == Some(EditOperation::Replace) {
                         remove_node(data, edit_node);
                     }
@@ -138,30 +142,32 @@
             NodeKind::List { .. } => data.list_entry(self.schema, edit_node.node, &edit_node.keys),
         };
         if edit_node.operation == Some(EditOperation::Replace)
-            || operation == EffectiveOperation::Op(EditOperation::Replace) && edit_node.operation.is_none()
+            || operation == EffectiveOperation::Edit(EditOperation::Replace) && edit_node.operation.is_none()
         {
-            *inner = Data::default();
+            *node_data = Data::default();
         }
-        // A node that was just replaced or created has no existing content below it, so the rest is merged.
-        let below =
-            if matches!(operation, EffectiveOperation::Op(EditOperation::Replace | EditOperation::Create)) {
-                EffectiveOperation::Op(EditOperation::Merge)
-            } else {
-                operation
-            };
-        self.apply_all(inner, &edit_node.children, &path, below);
+        // A node that was just replaced or created has no earlier content, so its descendants are merged.
+        let operation_below = if matches!(
+            operation,
+            EffectiveOperation::Edit(EditOperation::Replace | EditOperation::Create)
+        ) {
+            EffectiveOperation::Edit(EditOperation::Merge)
+        } else {
+            operation
+        };
+        self.apply_all(node_data, &edit_node.children, &path, operation_below);
         Ok(())
     }
 
     /// Applies the edits below a node that has no operation and does not exist. Only a non-presence container may be
-    /// absent, and only if a descendant names an operation.
+    /// absent, and only if a descendant specifies an operation.
     fn apply_below_absent(
         &mut self,
         data: &mut Data,
         edit_node: &EditNode,
         parent: &Path,
     ) -> Result<(), ModelError> {
-        if !edit_node.children.iter().any(names_operation) {
+        if !edit_node.children.iter().any(specifies_operation) {
             return Err(edit_node.error(self.schema, parent, ErrorKind::DataMissing, "does not exist"));
         }
         let non_presence =
@@ -175,25 +181,26 @@
             ));
         }
         // A non-presence container exists implicitly.
-        let mut inner = Data::default();
+        let mut container_data = Data::default();
         self.apply_all(
-            &mut inner,
+            &mut container_data,
             &edit_node.children,
             &parent.child(edit_node.step()),
             EffectiveOperation::None,
         );
-        if !inner.is_empty() {
-            *data.container(edit_node.node) = inner;
+        if !container_data.is_empty() {
+            *data.container(edit_node.node) = container_data;
         }
         Ok(())
     }
 }
 
-/// Whether the edit node or a descendant names an operation.
-fn names_operation(edit_node: &EditNode) -> bool {
-    edit_node.operation.is_some() || edit_node.children.iter().any(names_operation)
+/// Whether the edit node or a descendant specifies an operation.
+fn specifies_operation(edit_node: &EditNode) -> bool {
+    edit_node.operation.is_some() || edit_node.children.iter().any(specifies_operation)
 }
 
+/// Whether the data contains the node, list entry or leaf-list value that the edit node names.
 fn contains(data: &Data, edit_node: &EditNode) -> bool {
     match data.get(edit_node.node) {
         Some(Content::List(entries)) => entries.contains_key(&edit_node.keys),
@@ -205,9 +212,10 @@
     }
 }
 
-/// Removes the node that the edit node names, and its list or leaf-list if that becomes empty.
+/// Removes the node, list entry or leaf-list value that the edit node names. A list or leaf-list that becomes empty is
+/// removed too.
 fn remove_node(data: &mut Data, edit_node: &EditNode) {
-    let is_empty = match data.get(edit_node.node) {
+    let none_left = match data.get(edit_node.node) {
         Some(Content::List(_)) => {
             let entries = data.list(edit_node.node);
             entries.remove(&edit_node.keys);
@@ -220,7 +228,7 @@
         }
         _ => true,
     };
-    if is_empty {
+    if none_left {
         data.remove(edit_node.node);
     }
 }
@@ -245,7 +253,7 @@
     const TWO_WORKERS: &str = "<worker><name>a</name><weight>1</weight></worker>\
                                <worker><name>b</name><wanted>out</wanted></worker>";
 
-    /// Edits a datastore with the two workers; a fault must leave it unchanged.
+    /// Applies an edit to the data of the two workers. Asserts that an edit with a fault changes nothing.
     fn edited(body: &str, default: DefaultOperation) -> Result<Data, ModelError> {
         let before = data(TWO_WORKERS);
         let (after, mut faults) =
@@ -265,41 +273,57 @@
     fn each_operation_follows_rfc_6241() {
         use DefaultOperation::*;
         let a = |rest: &str| format!("<worker><name>a</name>{rest}</worker>");
-        let op = |op: &str, name: &str, rest: &str| {
-            format!("<worker n:operation=\"{op}\"><name>{name}</name>{rest}</worker>")
+        let with_operation = |operation: &str, name: &str, rest: &str| {
+            format!("<worker n:operation=\"{operation}\"><name>{name}</name>{rest}</worker>")
         };
         let b = "<worker><name>b</name><wanted>out</wanted></worker>";
         let weight = "<weight>2</weight>";
-        let old = "<weight>1</weight>";
+        let old_weight = "<weight>1</weight>";
         for (body, default, expected) in [
-            (a("<wanted>out</wanted>"), Merge, format!("{}{b}", a(&format!("<wanted>out</wanted>{old}")))),
+            (
+                a("<wanted>out</wanted>"),
+                Merge,
+                format!("{}{b}", a(&format!("<wanted>out</wanted>{old_weight}"))),
+            ),
             (a(weight), Merge, format!("{}{b}", a(weight))),
             (a(weight), Replace, a(weight)),
             (
-                op("replace", "a", "<wanted>ready</wanted>"),
+                with_operation("replace", "a", "<wanted>ready</wanted>"),
                 Merge,
                 format!("{}{b}", a("<wanted>ready</wanted>")),
             ),
-            (op("create", "c", ""), Merge, format!("{TWO_WORKERS}<worker><name>c</name></worker>")),
-            (op("create", "c", ""), None, format!("{TWO_WORKERS}<worker><name>c</name></worker>")),
-            (op("delete", "a", ""), Merge, b.to_string()),
-            (op("remove", "c", ""), Merge, TWO_WORKERS.to_string()),
-            (op("remove", "b", ""), None, a(old)),
+            (
+                with_operation("create", "c", ""),
+                Merge,
+                format!("{TWO_WORKERS}<worker><name>c</name></worker>"),
+            ),
+            (
+                with_operation("create", "c", ""),
+                None,
+                format!("{TWO_WORKERS}<worker><name>c</name></worker>"),
+            ),
+            (with_operation("delete", "a", ""), Merge, b.to_string()),
+            (with_operation("remove", "c", ""), Merge, TWO_WORKERS.to_string()),
+            (with_operation("remove", "b", ""), None, a(old_weight)),
             (a("<weight n:operation=\"delete\"/>"), None, format!("{}{b}", a(""))),
             (a("<weight n:operation=\"replace\">2</weight>"), None, format!("{}{b}", a(weight))),
             (a(weight), None, TWO_WORKERS.to_string()),
-            (op("merge", "c", weight), None, format!("{TWO_WORKERS}<worker><name>c</name>{weight}</worker>")),
+            (
+                with_operation("merge", "c", weight),
+                None,
+                format!("{TWO_WORKERS}<worker><name>c</name>{weight}</worker>"),
+            ),
         ] {
             assert_eq!(edited(&body, default), Ok(data(&expected)), "{body}");
         }
     }
 
     #[test]
-    fn an_edit_with_a_fault_is_rejected_as_a_whole() {
+    fn an_edit_with_a_fault_changes_nothing() {
         use DefaultOperation::*;
         let create = "<worker n:operation=\"create\"><name>a</name></worker>";
         let valid = "<worker><name>a</name><weight>9</weight></worker>";
-        for (body, default, rule) in [
+        for (body, default, kind) in [
             (format!("{valid}{create}"), Merge, ErrorKind::DataExists),
             (format!("{valid}<worker n:operation=\"delete\"><name>c</name></worker>"), Merge, ErrorKind::DataMissing),
             ("<worker><name>b</name><weight n:operation=\"delete\"/></worker>".into(), Merge, ErrorKind::DataMissing),
@@ -307,7 +331,7 @@
             ("<worker><name>c</name></worker>".into(), None, ErrorKind::DataMissing),
             ("<worker><name>c</name><weight n:operation=\"create\">1</weight></worker>".into(), None, ErrorKind::DataMissing),
         ] {
-            assert_eq!(edited(&body, default).unwrap_err().kind, rule, "{body}");
+            assert_eq!(edited(&body, default).unwrap_err().kind, kind, "{body}");
         }
     }
 
