--- a/crates/intent/src/access.rs
+++ b/crates/intent/src/access.rs
@@ -9,15 +9,15 @@
 /// What a user may do where no rule matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Reads all but the northbound configuration.
+    /// May read everything except the northbound configuration, and write nothing.
     Reader,
-    /// Reads everything and writes all but the northbound configuration.
+    /// May read everything, and write everything except the northbound configuration.
     Operator,
-    /// Reads and writes everything.
+    /// May read and write everything.
     Admin,
 }
 
-/// The kind of access that a rule covers (NACM's access-operations).
+/// The kind of access that a rule covers, a simplification of NACM's access operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessOperation {
     Read,
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug)]
 struct Rule {
-    /// The users it applies to; all users if empty.
+    /// The users that the rule applies to; all users if empty.
     users: BTreeSet<String>,
     path: Path,
     covers_read: bool,
@@ -54,18 +54,18 @@
     users: BTreeMap<String, User>,
     /// In ascending order of their numbers.
     rules: Vec<Rule>,
-    /// Mappings of client certificates to user names, by fingerprint.
+    /// How client certificates are mapped to user names, by the certificate's fingerprint.
     cert_to_name: BTreeMap<String, CertToName>,
-    /// The `northbound` container, which by default only admins may write and readers may not read.
+    /// The `northbound` container. Without a matching rule, only admins may write it, and readers may not read it.
     northbound_node: Option<NodeId>,
 }
 
 impl AccessControl {
     /// Reads the users and rules from a configuration. Fails with a one-line message if the path of a rule names no
-    /// node of the model.
+    /// node of the data model.
     pub fn from_data(schema: &Schema, data: &Data) -> Result<AccessControl, String> {
         let northbound = View::new(schema, data).container("northbound");
-        let leaf_list = |view: &View<'_>, name: &str| -> BTreeSet<String> {
+        let leaf_list_texts = |view: &View<'_>, name: &str| -> BTreeSet<String> {
             view.leaf_list(name).into_iter().map(ToString::to_string).collect()
         };
         let mut access =
@@ -77,7 +77,7 @@
                 _ => Role::Reader,
             };
             let name = user.text("name").unwrap_or_default().to_string();
-            access.users.insert(name, User { role, ssh_keys: leaf_list(&user, "ssh-key") });
+            access.users.insert(name, User { role, ssh_keys: leaf_list_texts(&user, "ssh-key") });
         }
         for client in northbound.container("netconf").container("tls").entries("client") {
             let mapping = match client.text("name-from") {
@@ -90,7 +90,7 @@
         }
         // List entries are sorted by their key, the rule's number.
         for rule in northbound.entries("rule") {
-            let operations = leaf_list(&rule, "access");
+            let operations = leaf_list_texts(&rule, "access");
             let path = rule.text("path").unwrap_or_default();
             let number = rule.leaf("number").map(ToString::to_string).unwrap_or_default();
             let path = Path::parse(schema, path).map_err(|fault| {
@@ -98,7 +98,7 @@
             })?;
             let covers = |operation: &str| operations.is_empty() || operations.contains(operation);
             access.rules.push(Rule {
-                users: leaf_list(&rule, "user"),
+                users: leaf_list_texts(&rule, "user"),
                 path,
                 covers_read: covers("read"),
                 covers_write: covers("write"),
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The part of the data that the user may read, with the list keys on the paths to it.
+    /// The part of the data that the user may read, with the keys of the list entries that contain readable nodes.
     pub fn filter_readable(&self, schema: &Schema, user: &str, data: &Data) -> Data {
         if self.role(user) == Some(Role::Admin) && self.rules.is_empty() {
             return data.clone();
@@ -196,7 +196,7 @@
         readable
     }
 
-    /// The first node that differs between the two configurations and that the user may not write.
+    /// The path of the first node that differs between the two configurations and that the user may not write.
     pub fn first_denied_write(&self, schema: &Schema, user: &str, old: &Data, new: &Data) -> Option<Path> {
         let changed_paths = diff(schema, old, new).into_iter().map(|difference| difference.path);
         changed_paths.into_iter().find(|path| !self.permits(user, AccessOperation::Write, path))
@@ -226,13 +226,13 @@
         (schema, data, access)
     }
 
-    /// The configuration file as the user may read it.
+    /// The part of the configuration file that the user may read, as XML.
     fn readable_file(rules: &str, user: &str) -> String {
         let (schema, data, access) = load(rules);
         xml::write_config(&schema, &access.filter_readable(&schema, user, &data))
     }
 
-    /// The path at which the user is denied replacing `old` by `new` in the file.
+    /// The path at which the user is denied a change of the file, in which `old` is replaced with `new`.
     fn denied_write(rules: &str, user: &str, old: &str, new: &str) -> Option<String> {
         let (schema, data, access) = load(rules);
         let changed = FILE.replace("RULES", rules).replace(old, new);
@@ -262,7 +262,7 @@
         assert_eq!(
             denied.as_deref(),
             Some("/jrm:northbound/user[name='bob']/role"),
-            "an operator can't change its own role"
+            "a user with the operator role can't change their own role"
         );
         assert_eq!(denied_write("", "ann", "<role>operator", "<role>admin"), None);
     }
@@ -286,10 +286,10 @@
             denied_write(&rules, "ann", "<weight>1", "<weight>3").is_some(),
             "a rule for all users also takes precedence over the admin role"
         );
-        let hidden = rule(10, "", worker, "read", "deny");
+        let hide_worker = rule(10, "", worker, "read", "deny");
         assert!(
-            !readable_file(&hidden, "ann").contains("<name>s-1")
-                && readable_file(&hidden, "ann").contains("<name>s-2")
+            !readable_file(&hide_worker, "ann").contains("<name>s-1")
+                && readable_file(&hide_worker, "ann").contains("<name>s-2")
         );
         let one_leaf = rule(1, "bob", &format!("{worker}/weight"), "read", "permit")
             + &rule(2, "bob", "/workers", "", "deny");
@@ -302,7 +302,7 @@
     }
 
     #[test]
-    fn a_rule_whose_path_is_not_in_the_model_is_an_error() {
+    fn a_rule_whose_path_is_not_in_the_data_model_is_rejected() {
         let rule = "<rule><number>7</number><path>/workers/shift</path><action>deny</action></rule>";
         let schema = juniperrail_model::schema();
         let data = xml::parse_config(&schema, FILE.replace("RULES", rule).as_bytes()).unwrap();
--- a/crates/intent/src/admission.rs
+++ b/crates/intent/src/admission.rs
@@ -1,5 +1,5 @@
-//! The admission checks of a commit. A change is checked against the state at the moment of the commit: it is refused
-//! if it already cannot be fulfilled. What happens later is up to the planner.
+//! The admission checks of a commit. A change is checked against the state of the manager at the time of the commit
+//! and refused if it could not be fulfilled in that state. Later events are left to the planner.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,9 +12,10 @@
 /// The share of the drain grace that may be spent on notifying the proxies. The planner may use the rest to wait for
 /// acknowledgements of the replacement workers.
 const NOTIFY_SHARE: f64 = 0.5;
-/// How often a change must fit the channel: it is sent again if an acknowledgement is lost or a stream breaks.
+/// The number of times that the channel must be able to carry a change in time, as a change is sent again if an
+/// acknowledgement is lost or a stream breaks.
 const SENDS_PER_CHANGE: f64 = 2.0;
-/// A configuration with more workers is taken for a mistake, as each of them is a line in every table.
+/// A configuration with more workers is taken for a mistake, as each worker adds a line to every table.
 const MAX_WORKERS: usize = 4096;
 
 /// The state of the manager that a change is checked against.
@@ -31,14 +32,14 @@
     pub proxies_with_line: &'a dyn Fn(WorkerId) -> usize,
 }
 
-/// One reason for which a change is refused.
+/// A reason to refuse a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
     /// No ready, warm worker would be left that serves the operation (for the proxies of `zone`, if given).
     NoReadyWorker {
         operation: String,
         zone: Option<String>,
-        /// The workers that the change takes away.
+        /// The ready workers that the operation would lose by the change.
         departing: Vec<String>,
     },
     /// A figure is looser than the same figure of the settings.
@@ -52,12 +53,13 @@
         requested: Ms,
         min: Ms,
     },
-    /// The change has more lines than the channel can carry twice in the available time.
+    /// Sending the change twice takes more lines than the channel can carry in the available time.
     TooManyLines {
+        /// The lines of sending it twice, with the overhead of the messages.
         lines: f64,
         max_lines: f64,
     },
-    /// The message limit doesn't allow sending a proxy a second message in time.
+    /// The limit on messages per proxy leaves no room to send a change a second time.
     NoSecondMessage {
         max_messages: f64,
     },
@@ -93,7 +95,7 @@
         }
     }
 
-    /// The identifier of the reason for programs, RFC 6241's `error-app-tag`.
+    /// A machine-readable identifier of the reason, for RFC 6241's `error-app-tag`.
     pub fn error_app_tag(&self) -> &'static str {
         match self {
             Refusal::NoReadyWorker { .. } => "no-ready-worker",
@@ -169,14 +171,14 @@
     refusals
 }
 
-/// Checks what depends on the intent and the settings alone, whatever the state of the workers.
+/// Performs the checks that depend only on the intent and the settings, not on the state of the workers.
 pub fn check_against_settings(context: &AdmissionContext<'_>, intent: &Intent) -> Vec<Refusal> {
     let mut refusals = check_values(context, intent);
     refusals.extend(check_figures(context, intent));
     refusals
 }
 
-/// Checks single values and references to zones and operations of the settings.
+/// Checks the number of workers and their weights, and that every zone and operation exists in the settings.
 fn check_values(context: &AdmissionContext<'_>, intent: &Intent) -> Vec<Refusal> {
     let mut refusals = Vec::new();
     if intent.workers.len() > MAX_WORKERS {
@@ -220,26 +222,27 @@
     refusals
 }
 
-/// The shortest drain grace: the time to notify all proxies of one departure at the channel's rate, divided by the
-/// share of the grace that may be spent on it. The grace of the settings always passes, as an operator cannot choose
-/// a longer one.
+/// The shortest drain grace that is admitted: the time to notify all proxies of one departure at the channel's rate,
+/// divided by the share of the grace that may be spent on it. The grace of the settings always passes, as an operator
+/// cannot choose a longer one.
 fn min_grace(context: &AdmissionContext<'_>) -> Ms {
     let settings = context.settings;
     if settings.channel_rate <= 0.0 {
         return 0.0;
     }
-    // Each proxy that may join here gets one message with two lines, the departure and its mark.
+    // Each expected proxy is sent one message with two lines: the departure and its mark.
     let lines = expected_proxies(context) * (settings.message_overhead + 2.0);
     let notify_time = lines * 1000.0 / settings.channel_rate + settings.max_transit;
     (notify_time / NOTIFY_SHARE).min(settings.drain_grace)
 }
 
-/// The manager's share of all proxies, or the number of joined proxies if that is higher.
+/// The number of proxies to allow for: this manager's share of all proxies, or the joined proxies if they are more.
 fn expected_proxies(context: &AdmissionContext<'_>) -> f64 {
     (context.settings.proxy_count / context.settings.manager_count.max(1.0))
         .max(context.joined_proxies as f64)
 }
 
+/// Whether the worker is ready and its warm-up, as the intent or else the settings give it, has passed.
 fn is_ready_and_warm(context: &AdmissionContext<'_>, intent: &Intent, composed: &ComposedWorker) -> bool {
     let warm_up = intent.warm_up.unwrap_or(context.settings.warm_up);
     let warm = composed.entry.booted.is_none_or(|booted| context.now >= booted + warm_up);
@@ -253,8 +256,8 @@
         && zone.is_none_or(|zone| zone == composed.entry.zone)
 }
 
-/// Guards against an operation that loses its last ready, warm worker. If it has none already, a change may not take
-/// away a ready worker that is still warming up.
+/// Refuses a change that takes away ready workers of an operation and leaves it without a ready, warm one. An operation
+/// that has none already must not lose a ready worker that is still warming up either.
 fn check_ready_workers(
     context: &AdmissionContext<'_>,
     before: &BTreeMap<String, ComposedWorker>,
@@ -262,36 +265,36 @@
     intent: &Intent,
 ) -> Vec<Refusal> {
     let mut refusals = Vec::new();
-    for (operation, name) in context.settings.operations.iter().zip(context.operation_names) {
+    for (operation, operation_name) in context.settings.operations.iter().zip(context.operation_names) {
         let zones: Vec<Option<ZoneId>> = match operation.own_zone_only {
             true => context.settings.zones.iter().copied().map(Some).collect(),
             false => vec![None],
         };
         for zone in zones {
-            let is_ready = |composed: &ComposedWorker| {
+            let is_ready_to_serve = |composed: &ComposedWorker| {
                 composed.entry.phase == Phase::Ready && serves(operation, zone, composed)
             };
             let any_ready_and_warm = |workers: &BTreeMap<String, ComposedWorker>| {
-                workers
-                    .values()
-                    .any(|composed| is_ready(composed) && is_ready_and_warm(context, intent, composed))
+                workers.values().any(|composed| {
+                    is_ready_to_serve(composed) && is_ready_and_warm(context, intent, composed)
+                })
             };
-            let departs = |name: &String| !after.get(name).is_some_and(is_ready);
+            let departs = |name: &String| !after.get(name).is_some_and(is_ready_to_serve);
             let departing: Vec<String> = before
                 .iter()
-                .filter(|(name, previous)| is_ready(previous) && departs(name))
+                .filter(|(name, previous)| is_ready_to_serve(previous) && departs(name))
                 .map(|(name, _)| name.clone())
                 .collect();
             if !departing.is_empty() && !any_ready_and_warm(after) {
                 let zone = zone.map(context.zone_name);
-                refusals.push(Refusal::NoReadyWorker { operation: name.clone(), zone, departing });
+                refusals.push(Refusal::NoReadyWorker { operation: operation_name.clone(), zone, departing });
             }
         }
     }
     refusals
 }
 
-/// Guards against a change that fills the channel, so that drains could not be sent in time.
+/// Refuses a change that would fill the channel so far that drains could not be sent in time.
 fn check_channel_load(
     context: &AdmissionContext<'_>,
     before: &BTreeMap<String, ComposedWorker>,
@@ -302,16 +305,16 @@
     let (mut lines, mut max_receivers, mut any_departure) = (0.0, 0.0f64, false);
     for (name, current) in after {
         let previous = before.get(name);
-        let phase =
+        let phase_of =
             |composed: Option<&ComposedWorker>| composed.map_or(Phase::Gone, |composed| composed.entry.phase);
-        let readiness_changed = (phase(previous) == Phase::Ready) != (current.entry.phase == Phase::Ready);
+        let readiness_changed = (phase_of(previous) == Phase::Ready) != (current.entry.phase == Phase::Ready);
         let weight_changed = previous.is_some_and(|previous| previous.entry.weight != current.entry.weight);
         if !(readiness_changed || weight_changed && current.entry.phase == Phase::Ready) {
             continue;
         }
         let departs = readiness_changed && current.entry.phase != Phase::Ready;
         any_departure |= departs;
-        // An added worker is sent to all proxies, a changed one to those that have a line of it.
+        // A worker that becomes ready is sent to all proxies, any other change only to those with a line of the worker.
         let receivers = if readiness_changed && !departs {
             expected_proxies(context)
         } else {
@@ -374,7 +377,7 @@
         }
     }
 
-    /// A manager with 75 of 150 proxies joined, the zones a and b, and the operations `lookup` and `order`.
+    /// A manager with 75 of the 150 proxies joined, the zones a and b, and the operations `lookup` and `order`.
     struct TestManager {
         settings: Settings,
         composer: Composer,
@@ -382,7 +385,7 @@
     }
 
     impl TestManager {
-        /// Four workers, two in each zone; the operation `order` is served in zone 1 (named b) only.
+        /// Four workers, two in each zone. The operation `order` is served only in zone 1, named b.
         fn new() -> TestManager {
             let mut manager = TestManager {
                 settings: settings(),
@@ -396,9 +399,9 @@
         fn discover(&mut self, worker: u32, phase: Phase, booted: Option<Ms>) {
             let zone = ZoneId((worker % 2) as u16);
             let (machine, cell) = (MachineId(0), CellId(0));
-            let listed =
+            let entry =
                 WorkerEntry { worker: WorkerId(worker), phase, booted, zone, machine, cell, weight: 1.0 };
-            self.composer.update_discovery(&format!("s-{worker}"), listed, None);
+            self.composer.update_discovery(&format!("s-{worker}"), entry, None);
         }
 
         fn compose_all(&self, composer: &Composer) -> BTreeMap<String, ComposedWorker> {
@@ -415,8 +418,10 @@
                     weight: 0.0,
                 })
             };
-            let names = composer.worker_names().map(str::to_string);
-            names.filter_map(|name| Some((name.clone(), composer.compose(&name, placed_entry)?))).collect()
+            let worker_names = composer.worker_names().map(str::to_string);
+            worker_names
+                .filter_map(|name| Some((name.clone(), composer.compose(&name, placed_entry)?)))
+                .collect()
         }
 
         fn check(&self, intent: &Intent) -> Vec<Refusal> {
@@ -444,7 +449,7 @@
             refusals
         }
 
-        /// The running intent with another intent for one worker.
+        /// The running intent, with the intent for one worker replaced.
         fn with_worker(&self, name: &str, worker: WorkerIntent) -> Intent {
             let mut intent = self.running.clone();
             intent.workers.insert(name.into(), worker);
@@ -461,7 +466,7 @@
     }
 
     #[test]
-    fn no_operation_may_lose_its_last_ready_worker_by_any_kind_of_departure() {
+    fn a_departure_of_any_kind_is_refused_if_an_operation_would_have_no_ready_worker() {
         for departure in [
             desired(DesiredState::Draining),
             desired(DesiredState::Out),
@@ -476,14 +481,14 @@
             assert_eq!(
                 tags(&refusals),
                 ["no-ready-worker"],
-                "each of the two departures is admitted alone, but not the second after the first"
+                "the second departure is refused after the first, although it would be admitted alone"
             );
             let message = refusals[0].to_string();
             assert!(message.contains("order would have no ready, warm worker without s-3"), "{message}");
             assert_eq!(refusals[0].path(), "/jrm:workers/worker[name='s-3']");
             assert!(
                 manager.commit(manager.with_worker("s-2", departure)).is_empty(),
-                "the operation lookup has other ready workers"
+                "other workers are ready for the operation lookup"
             );
         }
         let manager = TestManager::new();
@@ -503,7 +508,7 @@
     }
 
     #[test]
-    fn an_operation_of_each_zone_needs_a_worker_in_each() {
+    fn an_operation_served_in_the_proxys_own_zone_needs_a_ready_worker_in_each_zone() {
         let mut manager = TestManager::new();
         manager.settings.operations = vec![operation(None, true), operation(None, false)];
         assert!(manager.commit(manager.with_worker("s-0", desired(DesiredState::Draining))).is_empty());
@@ -514,7 +519,7 @@
     }
 
     #[test]
-    fn a_cold_or_draining_worker_is_no_replacement() {
+    fn a_cold_or_draining_worker_does_not_replace_a_departing_one() {
         let mut manager = TestManager::new();
         manager.discover(3, Phase::Ready, Some(NOW - 10_000.0));
         assert_eq!(
@@ -524,12 +529,12 @@
         manager.discover(3, Phase::Ready, Some(NOW - 20_000.0));
         assert!(
             manager.check(&manager.with_worker("s-1", desired(DesiredState::Draining))).is_empty(),
-            "s-3 is warm in the meantime"
+            "s-3 has warmed up"
         );
         manager.discover(3, Phase::Draining, None);
         let refusals = manager.check(&manager.with_worker("s-1", desired(DesiredState::Draining)));
         assert_eq!(tags(&refusals), ["no-ready-worker"]);
-        // With no worker left, a change that takes none away is still admitted.
+        // The operation order has no ready worker left; a change that takes none away from it is still admitted.
         manager.discover(1, Phase::Gone, None);
         assert!(manager.check(&manager.with_worker("s-0", desired(DesiredState::Draining))).is_empty());
         assert!(manager.check(&manager.with_worker("s-3", desired(DesiredState::Ready))).is_empty());
@@ -561,17 +566,17 @@
     }
 
     #[test]
-    fn a_grace_must_leave_the_channel_time_to_notify_all_proxies() {
+    fn a_drain_grace_must_leave_the_channel_time_to_notify_all_proxies() {
         let mut manager = TestManager::new();
-        let grace = |grace| Intent { drain_grace: Some(grace), ..Intent::default() };
+        let with_grace = |drain_grace| Intent { drain_grace: Some(drain_grace), ..Intent::default() };
         // 75 proxies with 6 lines each at 5,000 lines/s take 90 ms, plus 500 ms of transit, doubled.
-        assert!(manager.check(&grace(1180.0)).is_empty());
-        let refusals = manager.check(&grace(1179.0));
+        assert!(manager.check(&with_grace(1180.0)).is_empty());
+        let refusals = manager.check(&with_grace(1179.0));
         assert_eq!(tags(&refusals), ["grace-too-short"]);
         assert!(refusals[0].to_string().contains("at least 1180 ms"), "{}", refusals[0]);
         manager.settings.channel_rate = 300.0;
-        assert!(manager.check(&grace(3000.0)).is_empty(), "the grace of the settings always passes");
-        assert_eq!(tags(&manager.check(&grace(2900.0))), ["grace-too-short"]);
+        assert!(manager.check(&with_grace(3000.0)).is_empty(), "the grace of the settings always passes");
+        assert_eq!(tags(&manager.check(&with_grace(2900.0))), ["grace-too-short"]);
     }
 
     #[test]
@@ -579,24 +584,29 @@
         let mut manager = TestManager::new();
         (4..90).for_each(|worker| manager.discover(worker, Phase::Ready, None));
         let drains = |count: u32| {
-            let names = (4..4 + count).map(|worker| (format!("s-{worker}"), desired(DesiredState::Draining)));
-            Intent { workers: names.collect(), ..Intent::default() }
+            let workers =
+                (4..4 + count).map(|worker| (format!("s-{worker}"), desired(DesiredState::Draining)));
+            Intent { workers: workers.collect(), ..Intent::default() }
         };
-        // Sent twice to 75 proxies: two lines per worker and five of overhead per message, in 2.5 s at 5,000 lines/s.
+        // Sent twice to 75 proxies: two lines per worker and five lines of overhead per message, at 5,000 lines/s in
+        // 2.5 s.
         assert!(manager.check(&drains(39)).is_empty());
         assert_eq!(tags(&manager.check(&drains(40))), ["too-many-lines"]);
         let weights = |count: u32| {
             let weight = WorkerIntent { weight: Some(2.0), ..WorkerIntent::default() };
-            let names = (4..4 + count).map(|worker| (format!("s-{worker}"), weight.clone()));
-            Intent { workers: names.collect(), ..Intent::default() }
+            let workers = (4..4 + count).map(|worker| (format!("s-{worker}"), weight.clone()));
+            Intent { workers: workers.collect(), ..Intent::default() }
         };
-        assert!(manager.check(&weights(80)).is_empty(), "no worker departs, and the time is 10 s");
+        assert!(
+            manager.check(&weights(80)).is_empty(),
+            "no worker departs, so the available time is the message window of 10 s"
+        );
         manager.settings.max_messages_per_window = 1.0;
         assert_eq!(tags(&manager.check(&drains(1))), ["no-second-message"]);
     }
 
     #[test]
-    fn unknown_names_and_invalid_weights_are_refused_in_any_state() {
+    fn unknown_names_invalid_weights_and_too_many_workers_are_refused() {
         let manager = TestManager::new();
         let mut intent = manager.with_worker(
             "s-9",
--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -1,15 +1,19 @@
-//! Composes what the sources (discovery, the operator, the failover plan) say about a worker, field by field, by the
-//! rules of the update algebra: a value holds until its source replaces it; of two values for one field the later
-//! wins; a departure (draining or gone) overrides every earlier value; a source that gives no value for a field
-//! erases none; a worker that discovery reports gone stays gone until discovery lists it again.
+//! Composes each worker, field by field, from the values of its sources: discovery, the operator and the failover plan.
+//! The rules are those of the update algebra:
 //!
-//! One exception to "the later wins": a departure set by the operator (draining, out, weight 0) is not undone by a
-//! later update from discovery. Discovery's `ready` means that the process runs; it doesn't know why the operator
-//! took the worker out, and the running configuration still takes it out.
+//! - A value holds until its source replaces it.
+//! - Of two values for one field, the later one takes precedence.
+//! - A departure (draining or gone) overrides every earlier value.
+//! - A source that gives no value for a field does not erase the value of another source.
+//! - A worker that discovery reports gone stays gone until discovery lists it again.
 //!
-//! The failover plan that the managers agree on has the lowest precedence. It reduces the weight of a zone's workers,
-//! or drains them if it leaves them none. It never brings back a departed worker and doesn't apply to workers that
-//! the operator wants ready. When the plan ends, the other sources' values hold unchanged.
+//! One exception to the precedence of the later value: a departure set by the operator (draining, out, weight 0) is not
+//! undone by a later update from discovery. Discovery's `ready` means that the process runs; discovery doesn't know why
+//! the operator took the worker out, and the running configuration still does.
+//!
+//! The failover plan, which the managers commit by consensus, has the lowest precedence. It reduces the weight of a
+//! zone's workers, or drains them if it leaves them none. It never brings back a departed worker and doesn't apply to
+//! workers that the operator wants ready. When the plan ends, the values of the other sources are in effect unchanged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +27,7 @@
 pub enum Origin {
     Discovery,
     Operator,
-    /// The failover plan that the managers agreed on.
+    /// The failover plan that the managers committed by consensus.
     Plan,
 }
 
@@ -41,13 +45,14 @@
 /// A worker as composed from all sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ComposedWorker {
-    /// The entry that the planner receives. A weight of 0 means that no source gives one.
+    /// The entry that the planner receives. The planner reads a weight of 0 as none given.
     pub entry: WorkerEntry,
     pub address: Option<SocketAddr>,
     pub phase_origin: Origin,
+    /// `None` if no source gives a weight.
     pub weight_origin: Option<Origin>,
     pub placement_origin: Origin,
-    /// The phase that discovery last reported.
+    /// The phase that discovery last reported; `None` if there is no entry from discovery.
     pub discovery_phase: Option<Phase>,
 }
 
@@ -56,56 +61,57 @@
 struct DiscoveryEntry {
     entry: WorkerEntry,
     address: Option<SocketAddr>,
-    phase_at: u64,
-    weight_at: u64,
+    phase_sequence: u64,
+    weight_sequence: u64,
 }
 
 /// What the operator configured for a worker, with the sequence number of the update that set each field.
 #[derive(Clone, Debug)]
 struct OperatorEntry {
     intent: WorkerIntent,
-    desired_state_at: u64,
-    weight_at: u64,
-    /// Discovery reported the worker gone. Stays set after discovery's entry is removed.
-    gone: bool,
+    desired_state_sequence: u64,
+    weight_sequence: u64,
+    /// Whether discovery last reported the worker gone. Outlasts the removal of discovery's entry.
+    reported_gone: bool,
 }
 
-/// The values of every source for every worker, by the worker's name. Its size is bounded by discovery's list and
-/// the running configuration.
+/// The values of all sources for all workers, by worker name. Its size is bounded by discovery's list and the running
+/// configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Composer {
     discovery: BTreeMap<String, DiscoveryEntry>,
     operator: BTreeMap<String, OperatorEntry>,
-    /// The ratio of their weight that workers of a zone keep under the failover plan. Workers of zones that are not
-    /// listed keep their full weight.
+    /// The ratio of their weight that the workers of a zone keep under the failover plan. Workers of other zones keep
+    /// their full weight.
     weight_ratios: BTreeMap<ZoneId, f64>,
-    /// Updates are ordered by sequence number, as two of them may have the same time.
+    /// The sequence number of the last update. Updates are ordered by it, as two of them may have the same time.
     last_sequence: u64,
 }
 
 impl Composer {
-    /// Applies discovery's entry for a worker. A field that repeats its value keeps its sequence number.
+    /// Applies discovery's entry for a worker. A field whose value is repeated keeps its sequence number.
     pub fn update_discovery(&mut self, name: &str, entry: WorkerEntry, address: Option<SocketAddr>) {
         self.last_sequence += 1;
-        let (mut phase_at, mut weight_at) = (self.last_sequence, self.last_sequence);
+        let (mut phase_sequence, mut weight_sequence) = (self.last_sequence, self.last_sequence);
         if let Some(earlier) = self.discovery.get(name) {
             // The phase of a restarted worker is a new value even if it is the same.
             let restarted = entry.booted > earlier.entry.booted || earlier.entry.phase == Phase::Gone;
             if !restarted && earlier.entry.phase == entry.phase {
-                phase_at = earlier.phase_at;
+                phase_sequence = earlier.phase_sequence;
             }
             if earlier.entry.weight == entry.weight {
-                weight_at = earlier.weight_at;
+                weight_sequence = earlier.weight_sequence;
             }
         }
         if let Some(operator) = self.operator.get_mut(name) {
-            operator.gone = entry.phase == Phase::Gone;
+            operator.reported_gone = entry.phase == Phase::Gone;
         }
-        self.discovery.insert(name.to_string(), DiscoveryEntry { entry, address, phase_at, weight_at });
+        self.discovery
+            .insert(name.to_string(), DiscoveryEntry { entry, address, phase_sequence, weight_sequence });
     }
 
-    /// Applies a phase alone; the other fields that discovery reported stay. Returns false and changes nothing if
-    /// discovery does not list the worker or reported it gone, so that this never brings a worker back.
+    /// Applies a phase that discovery reports alone; the other fields keep their values. Returns false and changes
+    /// nothing if discovery does not list the worker or reported it gone, so that this never brings a worker back.
     pub fn update_discovery_phase(&mut self, name: &str, phase: Phase) -> bool {
         let discovery = self.discovery.get(name).filter(|discovery| discovery.entry.phase != Phase::Gone);
         let Some(discovery) = discovery.cloned() else { return false };
@@ -114,7 +120,7 @@
         true
     }
 
-    /// Applies a complete list: workers that it does not name are marked gone. Returns their names.
+    /// Marks the workers gone that a complete list from discovery no longer names. Returns their names.
     pub fn mark_unlisted_gone(&mut self, is_listed: &dyn Fn(&str) -> bool) -> Vec<String> {
         let unlisted = |(name, discovery): (&String, &DiscoveryEntry)| {
             (discovery.entry.phase != Phase::Gone && !is_listed(name)).then(|| name.clone())
@@ -127,47 +133,48 @@
         unlisted
     }
 
-    /// Records that the planner removed the worker. If discovery still lists the worker, only the operator took it out:
-    /// discovery's entry stays and true is returned. Otherwise only the fact that discovery reported it gone is kept.
+    /// Forgets a worker that the planner removed. If discovery still lists the worker, it was only taken out by the
+    /// operator: its entry is kept and true is returned. Otherwise the entry is removed and, if the operator configures
+    /// the worker, only the fact that discovery reported it gone is kept.
     pub fn forget(&mut self, name: &str) -> bool {
         if self.discovery.get(name).is_some_and(|discovery| discovery.entry.phase != Phase::Gone) {
             return true;
         }
         let was_reported_gone = self.discovery.remove(name).is_some();
         if let Some(operator) = self.operator.get_mut(name) {
-            operator.gone |= was_reported_gone;
+            operator.reported_gone |= was_reported_gone;
         }
         false
     }
 
-    /// Gives a worker that was forgotten a new id.
+    /// Gives a new id to a worker that the planner removed but discovery still lists.
     pub fn reassign_id(&mut self, name: &str, worker: WorkerId) {
         self.discovery.get_mut(name).into_iter().for_each(|discovery| discovery.entry.worker = worker);
     }
 
-    /// Replaces the operator's intent for all workers. A field that repeats its value keeps its sequence number.
+    /// Replaces the operator's intent for all workers. A field whose value is repeated keeps its sequence number.
     /// Returns the names of the workers whose intent changed.
     pub fn update_intent(&mut self, intent: &Intent) -> Vec<String> {
         self.last_sequence += 1;
         let mut changed = Vec::new();
-        let before = std::mem::take(&mut self.operator);
+        let earlier_entries = std::mem::take(&mut self.operator);
         for (name, worker_intent) in &intent.workers {
-            let earlier = before.get(name);
+            let earlier = earlier_entries.get(name);
             let sequence_for =
                 |unchanged: bool, sequence: u64| if unchanged { sequence } else { self.last_sequence };
             let entry = OperatorEntry {
-                desired_state_at: earlier.map_or(self.last_sequence, |earlier| {
+                desired_state_sequence: earlier.map_or(self.last_sequence, |earlier| {
                     sequence_for(
                         earlier.intent.desired_state == worker_intent.desired_state,
-                        earlier.desired_state_at,
+                        earlier.desired_state_sequence,
                     )
                 }),
-                weight_at: earlier.map_or(self.last_sequence, |earlier| {
-                    sequence_for(earlier.intent.weight == worker_intent.weight, earlier.weight_at)
+                weight_sequence: earlier.map_or(self.last_sequence, |earlier| {
+                    sequence_for(earlier.intent.weight == worker_intent.weight, earlier.weight_sequence)
                 }),
-                gone: match self.discovery.get(name) {
+                reported_gone: match self.discovery.get(name) {
                     Some(discovery) => discovery.entry.phase == Phase::Gone,
-                    None => earlier.is_some_and(|earlier| earlier.gone),
+                    None => earlier.is_some_and(|earlier| earlier.reported_gone),
                 },
                 intent: worker_intent.clone(),
             };
@@ -176,11 +183,12 @@
             }
             self.operator.insert(name.clone(), entry);
         }
-        changed.extend(before.into_keys().filter(|name| !intent.workers.contains_key(name)));
+        changed.extend(earlier_entries.into_keys().filter(|name| !intent.workers.contains_key(name)));
         changed
     }
 
-    /// Replaces the failover plan: the ratio of their weight that workers of a zone keep. Returns whether it changed.
+    /// Replaces the failover plan, given as the ratio of their weight that the workers of a zone keep. Returns whether
+    /// it changed.
     pub fn update_plan(&mut self, weight_ratios: BTreeMap<ZoneId, f64>) -> bool {
         let changed = self.weight_ratios != weight_ratios;
         self.weight_ratios = weight_ratios;
@@ -198,19 +206,19 @@
             (entry.phase, composed.phase_origin) = (Phase::Draining, Origin::Plan);
             return;
         }
-        // The planner gives a worker without a weight the mean of the others, so the ratio applies to that mean.
+        // The planner gives a worker without a weight the mean weight of the others, so the ratio applies to that mean.
         let known_weights =
             || self.discovery.values().map(|discovery| discovery.entry.weight).filter(|weight| *weight > 0.0);
-        let mean = || known_weights().sum::<f64>() / (known_weights().count() as f64);
+        let mean_weight = || known_weights().sum::<f64>() / (known_weights().count() as f64);
         let full_weight = if entry.weight > 0.0 {
             entry.weight
         } else {
-            Some(mean()).filter(|mean| *mean > 0.0).unwrap_or(1.0)
+            Some(mean_weight()).filter(|mean| *mean > 0.0).unwrap_or(1.0)
         };
         (entry.weight, composed.weight_origin) = (full_weight * ratio, Some(Origin::Plan));
     }
 
-    /// The names of all workers that discovery lists or the operator places.
+    /// The names of all workers that have an entry from discovery or are placed by the operator.
     pub fn worker_names(&self) -> impl Iterator<Item = &str> {
         self.discovery.keys().map(String::as_str).chain(self.operator_placed().map(|(name, _)| name))
     }
@@ -221,8 +229,8 @@
         unlisted.filter_map(|(name, entry)| Some((name.as_str(), entry.intent.placement.as_ref()?)))
     }
 
-    /// Composes one worker from all sources; `None` if no source places it. `placed_entry` makes the entry of a
-    /// worker that only the operator places, with ids for the names in its placement.
+    /// Composes one worker from all sources; `None` if no source places it. `placed_entry` makes the entry of a worker
+    /// that only the operator places, with the ids for the names in its placement.
     pub fn compose(
         &self,
         name: &str,
@@ -241,8 +249,8 @@
                 placement_origin: Origin::Operator,
                 discovery_phase: None,
             };
-            if operator.gone {
-                // Guards against bringing back a worker by a placement that the operator configured earlier.
+            if operator.reported_gone {
+                // A placement by the operator must not bring back a worker that discovery reported gone.
                 (composed.entry.phase, composed.phase_origin) = (Phase::Gone, Origin::Discovery);
             }
             operator.apply(&mut composed, 0, 0);
@@ -258,7 +266,7 @@
             discovery_phase: Some(discovery.entry.phase),
         };
         if let Some(operator) = operator {
-            operator.apply(&mut composed, discovery.phase_at, discovery.weight_at);
+            operator.apply(&mut composed, discovery.phase_sequence, discovery.weight_sequence);
         }
         self.apply_plan(&mut composed, operator.map(|operator| operator.intent.desired_state));
         Some(composed)
@@ -267,9 +275,11 @@
 
 impl OperatorEntry {
     /// Applies the operator's intent to a worker whose phase and weight were set at the given sequence numbers.
-    fn apply(&self, composed: &mut ComposedWorker, phase_at: u64, weight_at: u64) {
-        if let Some(weight) =
-            self.intent.weight.filter(|_| self.weight_at > weight_at || !composed.entry.weight.gt(&0.0))
+    fn apply(&self, composed: &mut ComposedWorker, phase_sequence: u64, weight_sequence: u64) {
+        if let Some(weight) = self
+            .intent
+            .weight
+            .filter(|_| self.weight_sequence > weight_sequence || !composed.entry.weight.gt(&0.0))
         {
             (composed.entry.weight, composed.weight_origin) = (weight, Some(Origin::Operator));
         }
@@ -278,7 +288,7 @@
             DesiredState::Out => Some(Phase::Gone),
             DesiredState::Draining => Some(Phase::Draining),
             _ if drained_by_weight => Some(Phase::Draining),
-            DesiredState::Ready if self.desired_state_at > phase_at => Some(Phase::Ready),
+            DesiredState::Ready if self.desired_state_sequence > phase_sequence => Some(Phase::Ready),
             DesiredState::Ready | DesiredState::Follow => None,
         };
         let departure_rank = |phase: Phase| match phase {
@@ -291,7 +301,7 @@
         if cancels_drain || departure_rank(phase) > departure_rank(composed.entry.phase) {
             (composed.entry.phase, composed.phase_origin) = (phase, Origin::Operator);
         }
-        // The planner reads weight 0 as "none given". That does no harm, as a draining worker has no line in a table.
+        // The planner reads a weight of 0 as none given, which is harmless: a draining worker has no line in any table.
         if drained_by_weight && composed.entry.weight == 0.0 {
             composed.weight_origin = Some(Origin::Operator);
         }
@@ -339,18 +349,22 @@
     use Phase::*;
 
     #[test]
-    fn the_later_phase_wins_and_a_departure_overrides_earlier_values() {
+    fn the_later_phase_takes_precedence_and_a_departure_overrides_earlier_values() {
         let mut worker = OneWorker(Composer::default());
         worker.discover(Draining, 1.0);
         worker.0.update_intent(&desired(DesiredState::Ready, None));
         assert_eq!(worker.phase(), (Ready, Operator));
         worker.discover(Draining, 1.0);
-        assert_eq!(worker.phase(), (Ready, Operator), "a repeated phase is no later update");
+        assert_eq!(worker.phase(), (Ready, Operator), "a repeated phase does not count as a later update");
         worker.discover(Ready, 1.0);
         worker.discover(Draining, 1.0);
         assert_eq!(worker.phase(), (Draining, Discovery), "a later departure overrides the operator's ready");
         assert!(worker.0.update_intent(&desired(DesiredState::Ready, None)).is_empty());
-        assert_eq!(worker.phase(), (Draining, Discovery), "a repeated intent is no later update");
+        assert_eq!(
+            worker.phase(),
+            (Draining, Discovery),
+            "a repeated intent does not count as a later update"
+        );
         worker.0.update_intent(&desired(DesiredState::Follow, None));
         worker.0.update_intent(&desired(DesiredState::Ready, None));
         assert_eq!(worker.phase(), (Ready, Operator));
@@ -375,11 +389,11 @@
         worker.discover(Ready, 1.0);
         assert_eq!(worker.phase(), (Ready, Discovery));
         assert!(worker.0.mark_unlisted_gone(&|_| false) == ["s-1"] && worker.phase() == (Gone, Discovery));
-        assert!(worker.0.mark_unlisted_gone(&|_| false).is_empty(), "a gone worker is reported once");
+        assert!(worker.0.mark_unlisted_gone(&|_| false).is_empty(), "a worker is marked gone only once");
     }
 
     #[test]
-    fn a_plan_reduces_weights_below_other_sources_and_leaves_no_trace() {
+    fn a_plan_has_the_lowest_precedence_and_no_effect_after_its_end() {
         let mut worker = OneWorker(Composer::default());
         let plan = |ratio: f64| BTreeMap::from([(ZoneId(0), ratio)]);
         worker.discover(Ready, 2.0);
@@ -388,7 +402,7 @@
         worker.0.update_plan(plan(0.0));
         assert_eq!(worker.phase(), (Draining, Origin::Plan));
         worker.discover(Gone, 2.0);
-        assert_eq!(worker.phase(), (Gone, Discovery), "a plan brings no worker back");
+        assert_eq!(worker.phase(), (Gone, Discovery), "a plan does not bring a worker back");
         worker.discover(Ready, 2.0);
         worker.0.update_intent(&desired(DesiredState::Out, None));
         assert_eq!(worker.phase(), (Gone, Operator));
@@ -396,7 +410,7 @@
         assert_eq!(
             worker.phase(),
             (Ready, Discovery),
-            "a worker that the operator wants ready is not reduced"
+            "the plan does not apply to a worker that the operator wants ready"
         );
         worker.0.update_intent(&Intent::default());
         worker.discover(Ready, 0.0);
@@ -435,7 +449,7 @@
     }
 
     #[test]
-    fn the_later_weight_wins_and_a_missing_weight_erases_none() {
+    fn the_later_weight_takes_precedence_and_a_missing_weight_erases_none() {
         let mut worker = OneWorker(Composer::default());
         worker.discover(Ready, 2.0);
         worker.0.update_intent(&desired(DesiredState::Follow, Some(0.5)));
@@ -450,7 +464,11 @@
         assert_eq!(worker.weight(), (3.0, Some(Discovery)));
         worker.0.update_intent(&desired(DesiredState::Follow, Some(0.25)));
         worker.discover(Ready, 0.0);
-        assert_eq!(worker.weight(), (0.25, Some(Operator)), "discovery gives no weight");
+        assert_eq!(
+            worker.weight(),
+            (0.25, Some(Operator)),
+            "discovery gives no weight, so the operator's holds"
+        );
         worker.0.update_intent(&desired(DesiredState::Draining, None));
         assert_eq!(worker.weight(), (0.0, None));
     }
@@ -476,6 +494,9 @@
         assert!(worker.0.forget("s-1"), "discovery still lists it");
         worker.discover(Gone, 1.0);
         assert!(!worker.0.forget("s-1"));
-        assert!(worker.0.worker_names().next().is_none(), "nothing is kept of a worker that no source names");
+        assert!(
+            worker.0.worker_names().next().is_none(),
+            "no entry is kept of a worker that no source names"
+        );
     }
 }
--- a/crates/intent/src/intent.rs
+++ b/crates/intent/src/intent.rs
@@ -9,15 +9,16 @@
 /// The state that the operator wants a worker to be in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DesiredState {
-    /// Whatever phase discovery reports.
+    /// The phase that discovery reports.
     #[default]
     Follow,
     Ready,
     Draining,
+    /// Taken out: the worker counts as gone.
     Out,
 }
 
-/// Where a worker runs that discovery does not list.
+/// The place that the operator gives for a worker, used if discovery does not list the worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     pub zone: String,
@@ -35,7 +36,7 @@
 }
 
 /// The part of the running configuration that the planner acts on. A field that is `None` leaves the value of the
-/// settings.
+/// settings in effect.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Intent {
     pub workers: BTreeMap<String, WorkerIntent>,
@@ -48,7 +49,7 @@
 }
 
 impl Intent {
-    /// Reads an intent from data of the schema, which has already checked each value by itself.
+    /// Reads an intent from data that conforms to the schema, so that each value has the type of its node.
     pub fn from_data(schema: &Schema, data: &Data) -> Intent {
         let top = View::new(schema, data);
         let figures = top.container("figures");
@@ -57,7 +58,8 @@
             zone: text(&view, "zone"),
             machine: text(&view, "machine"),
             cell: view.leaf("cell").and_then(|cell| cell.as_u64()).and_then(|cell| u32::try_from(cell).ok()),
-            // The YANG pattern admits values that are no address, such as 300.1.1.1. Such a worker is never probed.
+            // The YANG pattern also admits values that are not addresses, such as 300.1.1.1. A worker with such a value
+            // is never probed.
             address: view.text("address").and_then(|address| address.parse().ok()),
         };
         let worker_intent = |view: &View<'_>| WorkerIntent {
@@ -83,11 +85,11 @@
         }
     }
 
-    /// The runtime settings in effect: the figures of this intent where given, else those of the settings. `operations`
-    /// are the names of the operations in the order of the settings.
-    pub fn runtime_settings(&self, settings: &Settings, operations: &[String]) -> RuntimeSettings {
+    /// The runtime settings in effect: the figures of this intent where given, else those of the settings.
+    /// `operation_names` are in the order of the settings.
+    pub fn runtime_settings(&self, settings: &Settings, operation_names: &[String]) -> RuntimeSettings {
         let overrides = |name: &String| self.operations.get(name).copied().unwrap_or_default();
-        let named_operations = settings.operations.iter().zip(operations);
+        let named_operations = settings.operations.iter().zip(operation_names);
         RuntimeSettings {
             drain_grace: self.drain_grace.unwrap_or(settings.drain_grace),
             warm_up: self.warm_up.unwrap_or(settings.warm_up),
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The names of the workers for which the two intents differ.
+    /// The names of the workers whose intent differs between `self` and `other`.
     pub fn changed_workers<'a>(&'a self, other: &'a Intent) -> impl Iterator<Item = &'a str> {
         let removed = self.workers.keys().filter(|name| !other.workers.contains_key(*name));
         let changed = other.workers.iter().filter(|(name, worker)| self.workers.get(*name) != Some(worker));
--- a/crates/intent/src/progress.rs
+++ b/crates/intent/src/progress.rs
@@ -1,20 +1,20 @@
-//! Tracks the distribution of configuration changes: how many of the joined proxies have acknowledged each.
+//! Tracks the distribution of configuration changes: how many of the joined proxies have applied each change.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use juniperrail_interface::Ms;
 
-/// The number of changes that are tracked; older ones are dropped.
+/// The maximum number of changes that are tracked. The oldest are dropped first.
 const MAX_TRACKED_CHANGES: usize = 64;
 
 /// How far a change has been distributed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// Some joined proxies have not acknowledged it yet.
+    /// Not every joined proxy has applied the change yet.
     Distributing,
-    /// Every joined proxy has applied it, this long after it was committed.
+    /// Every joined proxy has applied the change, this long after it was committed.
     Applied { after: Ms },
-    /// A later change affects some of the same workers, so that the distribution of this one is no longer tracked.
+    /// A later change affects some of the same workers, so the distribution of this one is no longer tracked.
     Superseded,
 }
 
@@ -24,9 +24,9 @@
     /// The number of the version of the running datastore that it created.
     pub number: u64,
     pub author: String,
-    /// When the planner accepted it, which is a step of the commit.
+    /// When the planner accepted the change, which it does before the commit completes.
     pub committed_at: Ms,
-    /// The workers that it affects.
+    /// The names of the workers that the change affects.
     pub workers: BTreeSet<String>,
     pub stage: Stage,
     pub applied_proxies: usize,
@@ -70,8 +70,8 @@
     }
 
     /// Records how many of the joined proxies have applied a change. Returns true if this call makes the change
-    /// applied, which requires at least one joined proxy. An applied change stays so: later updates may replace its
-    /// weights, and the counts would then no longer describe it.
+    /// applied, which requires at least one joined proxy. An applied change stays applied: later updates may
+    /// replace its weights, and the counts would then no longer describe it.
     pub fn update(&mut self, now: Ms, number: u64, applied_proxies: usize, joined_proxies: usize) -> bool {
         let Some(change) = self.changes.iter_mut().find(|change| change.number == number) else {
             return false;
@@ -102,10 +102,10 @@
     }
 
     #[test]
-    fn a_change_is_applied_once_every_joined_proxy_applied_it_and_stays_so() {
+    fn a_change_is_applied_once_every_joined_proxy_has_applied_it_and_stays_applied() {
         let mut tracker = ChangeTracker::default();
         tracker.record(1000.0, 1, "ann", workers(&["s-1"]));
-        assert!(!tracker.update(1100.0, 1, 0, 0), "without joined proxies it is not applied");
+        assert!(!tracker.update(1100.0, 1, 0, 0), "a change is not applied without joined proxies");
         assert!(!tracker.update(1200.0, 1, 2, 3));
         let distributing: Vec<(usize, usize)> =
             tracker.distributing().map(|change| (change.applied_proxies, change.joined_proxies)).collect();
