--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Property tests over random sequences: the datastores against a reference model made of maps, and invariants of
-//! composition.
+//! Property tests with random sequences: the datastores compared with a simple reference model, invariants of the
+//! composition, and rejected edits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// A runner with a fixed seed, so that each run has the same cases.
+/// A test runner with a fixed seed, so that every run checks the same cases.
 fn runner(cases: u32) -> TestRunner {
     let seed = [17; 32];
     println!("seed {}", u32::from_le_bytes([seed[0], seed[1], seed[2], seed[3]]));
@@ -20,25 +20,27 @@
 
 const WORKERS: [&str; 3] = ["a", "b", "c"];
 
+/// One operation on the datastores.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Session, worker, operation, weight, default operation.
+    /// The session, the index of the worker, the operation, the weight and the default operation.
     Edit(u32, usize, Option<EditOperation>, Option<u32>, DefaultOperation),
     Discard(u32),
-    /// Session, whether it is a confirmed commit, persist, persist id.
+    /// The session, whether it is a confirmed commit, `persist` and `persist_id`.
     Commit(u32, bool, Option<u8>, Option<u8>),
+    /// The session and `persist_id`.
     Cancel(u32, Option<u8>),
     Lock(u32, Datastore),
     Unlock(u32, Datastore),
-    /// Session, and how many versions to go back.
-    Version(u32, usize),
+    /// The session and the number of versions to go back.
+    RestoreVersion(u32, usize),
     EndSession(u32),
-    /// Milliseconds.
+    /// The time to wait in milliseconds.
     Wait(u32),
 }
 
-fn step() -> impl Strategy<Value = Step> {
-    let op = prop_oneof![
+fn step_strategy() -> impl Strategy<Value = Step> {
+    let operation = prop_oneof![
         Just(None),
         Just(Some(EditOperation::Merge)),
         Just(Some(EditOperation::Replace)),
@@ -46,7 +48,7 @@
         Just(Some(EditOperation::Delete)),
         Just(Some(EditOperation::Remove))
     ];
-    let default = prop_oneof![
+    let default_operation = prop_oneof![
         Just(DefaultOperation::Merge),
         Just(DefaultOperation::None),
         Just(DefaultOperation::Replace)
@@ -55,15 +57,15 @@
     let session = 1u32..4;
     let persist = proptest::option::of(0u8..2);
     prop_oneof![
-        8 => (session.clone(), 0usize..3, op, proptest::option::of(0u32..4), default)
-            .prop_map(|(session, worker, op, weight, default)| Step::Edit(session, worker, op, weight, default)),
+        8 => (session.clone(), 0usize..3, operation, proptest::option::of(0u32..4), default_operation)
+            .prop_map(|(session, worker, operation, weight, default)| Step::Edit(session, worker, operation, weight, default)),
         1 => session.clone().prop_map(Step::Discard),
         5 => (session.clone(), any::<bool>(), persist.clone(), persist.clone())
             .prop_map(|(session, confirmed, persist, persist_id)| Step::Commit(session, confirmed, persist, persist_id)),
         1 => (session.clone(), persist).prop_map(|(session, persist_id)| Step::Cancel(session, persist_id)),
         1 => (session.clone(), datastore.clone()).prop_map(|(session, datastore)| Step::Lock(session, datastore)),
         1 => (session.clone(), datastore).prop_map(|(session, datastore)| Step::Unlock(session, datastore)),
-        1 => (session.clone(), 0usize..6).prop_map(|(session, back)| Step::Version(session, back)),
+        1 => (session.clone(), 0usize..6).prop_map(|(session, back)| Step::RestoreVersion(session, back)),
         1 => session.prop_map(Step::EndSession),
         2 => (1u32..800).prop_map(Step::Wait),
     ]
@@ -72,18 +74,27 @@
 /// A configuration as a map from each worker to its weight, if it has one.
 type Workers = BTreeMap<&'static str, Option<u32>>;
 
+/// A confirmed commit of the reference model that awaits its confirmation.
+struct PendingCommit {
+    /// The configuration before the commit.
+    before: Workers,
+    owner: u32,
+    persist: Option<u8>,
+    deadline: f64,
+}
+
 /// The reference model of the datastores.
 #[derive(Default)]
-struct Model {
+struct ReferenceModel {
     running: Workers,
     candidate: Option<Workers>,
     locks: BTreeMap<Datastore, u32>,
-    /// The pending confirmed commit: the configuration before it, session, persist, deadline.
-    pending: Option<(Workers, u32, Option<u8>, f64)>,
+    pending: Option<PendingCommit>,
     versions: Vec<Workers>,
 }
 
-impl Model {
+impl ReferenceModel {
+    /// Whether no other session has locked the datastore.
     fn is_free(&self, datastore: Datastore, session: u32) -> bool {
         self.locks.get(&datastore).is_none_or(|holder| *holder == session)
     }
@@ -93,33 +104,31 @@
         match (&self.pending, persist_id) {
             (None, None) => true,
             (None, Some(_)) => false,
-            (Some((_, owner, None, _)), None) => *owner == session,
-            (Some((_, owner, Some(_), _)), None) => {
-                // A commit with a persist id needs that id: its own session gets `WrongPersistId` without it.
-                let _ = owner;
-                false
-            }
-            (Some((_, _, persist, _)), Some(persist_id)) => *persist == Some(persist_id),
+            (Some(PendingCommit { owner, persist: None, .. }), None) => *owner == session,
+            // A commit with a persist id needs that id: even its own session gets `WrongPersistId` without it.
+            (Some(PendingCommit { persist: Some(_), .. }), None) => false,
+            (Some(PendingCommit { persist, .. }), Some(persist_id)) => *persist == Some(persist_id),
         }
     }
 
+    /// Edits the candidate. Returns false and changes nothing if the edit must fail.
     fn edit(
         &mut self,
         session: u32,
         worker: &'static str,
-        op: Option<EditOperation>,
+        operation: Option<EditOperation>,
         weight: Option<u32>,
-        default: DefaultOperation,
+        default_operation: DefaultOperation,
     ) -> bool {
         if !self.is_free(Datastore::Candidate, session) {
             return false;
         }
-        let mut workers = match default {
+        let mut workers = match default_operation {
             DefaultOperation::Replace => Workers::new(),
             _ => self.candidate.clone().unwrap_or_else(|| self.running.clone()),
         };
         let exists = workers.contains_key(worker);
-        match (op, default) {
+        match (operation, default_operation) {
             (Some(EditOperation::Delete), _) if !exists => return false,
             (Some(EditOperation::Delete | EditOperation::Remove), _) => _ = workers.remove(worker),
             (Some(EditOperation::Create), _) if exists => return false,
@@ -135,16 +144,18 @@
         true
     }
 
+    /// Makes the configuration running, as a new version.
     fn make_running(&mut self, workers: Workers) {
         self.running = workers.clone();
         self.versions.push(workers);
     }
 }
 
+/// An edit of one worker, with its weight if one is given.
 fn edit_nodes(
     schema: &Schema,
     worker: &str,
-    op: Option<EditOperation>,
+    operation: Option<EditOperation>,
     weight: Option<u32>,
 ) -> Vec<EditNode> {
     let weight_node = weight.map(|weight| {
@@ -153,9 +164,10 @@
         EditNode { node: path.0[2].node, keys: vec![], value, operation: None, line: 0, children: vec![] }
     });
     let path = Path::parse(schema, &format!("/workers/worker[name='{worker}']")).unwrap();
-    EditNode::at_path(schema, &path, op, None, weight_node.into_iter().collect())
+    EditNode::at_path(schema, &path, operation, None, weight_node.into_iter().collect())
 }
 
+/// The workers in a datastore with their weights, for comparison with the reference model.
 fn workers_of(schema: &Schema, stores: &Datastores, datastore: Datastore) -> Workers {
     let intent = Intent::from_data(schema, stores.get(datastore));
     let worker_name = |name: &String| WORKERS.into_iter().find(|worker| worker == name).unwrap();
@@ -169,27 +181,27 @@
 #[test]
 fn the_datastores_match_the_reference_model() {
     let schema = Arc::new(schema());
-    let sequences = proptest::collection::vec(step(), 1..60);
+    let sequences = proptest::collection::vec(step_strategy(), 1..60);
     let check_sequence = |steps: Vec<Step>| -> Result<(), TestCaseError> {
         let mut stores = Datastores::new(schema.clone(), 0.0, Data::default()).unwrap();
-        let mut model = Model { versions: vec![Workers::new()], ..Model::default() };
+        let mut model = ReferenceModel { versions: vec![Workers::new()], ..ReferenceModel::default() };
         let mut now = 0.0;
         for step in steps {
             let description = format!("{step:?}");
             let id_text = |id: Option<u8>| id.map(|id| id.to_string());
             let (succeeded, expected) = match step {
-                Step::Edit(session, worker, op, weight, default) => {
+                Step::Edit(session, worker, operation, weight, default_operation) => {
                     let worker = WORKERS[worker];
-                    let edit_nodes = edit_nodes(&schema, worker, op, weight);
+                    let edit_nodes = edit_nodes(&schema, worker, operation, weight);
                     let edited = stores.edit_candidate(
                         Session(session),
                         &edit_nodes,
-                        default,
+                        default_operation,
                         ErrorOption::RollbackOnError,
                     );
                     let stored =
                         edited.and_then(|(data, _)| stores.put(Session(session), Datastore::Candidate, data));
-                    (stored.is_ok(), model.edit(session, worker, op, weight, default))
+                    (stored.is_ok(), model.edit(session, worker, operation, weight, default_operation))
                 }
                 Step::Discard(session) => {
                     let is_allowed = model.is_free(Datastore::Candidate, session);
@@ -215,9 +227,14 @@
                         let candidate = model.candidate.take().unwrap_or_else(|| before.clone());
                         let pending = model.pending.take();
                         if confirmed {
-                            let (before, earlier_persist) = pending
-                                .map_or((before, None), |(earliest, _, persist, _)| (earliest, persist));
-                            model.pending = Some((before, session, persist.or(earlier_persist), now + 500.0));
+                            let (before, earlier_persist) =
+                                pending.map_or((before, None), |earlier| (earlier.before, earlier.persist));
+                            model.pending = Some(PendingCommit {
+                                before,
+                                owner: session,
+                                persist: persist.or(earlier_persist),
+                                deadline: now + 500.0,
+                            });
                         }
                         model.make_running(candidate);
                     }
@@ -228,7 +245,7 @@
                     let applied = proposal.map(|proposal| stores.apply(now, proposal)).is_ok();
                     let is_allowed = model.pending.is_some() && model.may_resolve(session, persist_id);
                     if is_allowed {
-                        let before = model.pending.take().unwrap().0;
+                        let before = model.pending.take().unwrap().before;
                         model.make_running(before);
                     }
                     (applied, is_allowed)
@@ -236,7 +253,7 @@
                 Step::Lock(session, datastore) => {
                     let changed = model.candidate.as_ref().is_some_and(|workers| *workers != model.running);
                     let pending_elsewhere =
-                        model.pending.as_ref().is_some_and(|(_, owner, ..)| *owner != session);
+                        model.pending.as_ref().is_some_and(|pending| pending.owner != session);
                     let locked = model.locks.contains_key(&datastore);
                     let denied = if datastore == Datastore::Candidate { changed } else { pending_elsewhere };
                     let is_allowed = !(locked || denied);
@@ -255,7 +272,7 @@
                     }
                     (stores.unlock(datastore, Session(session)).is_ok(), is_allowed)
                 }
-                Step::Version(session, back) => {
+                Step::RestoreVersion(session, back) => {
                     let number = model.versions.len().saturating_sub(back) as u64;
                     let found = stores.version_data(number).cloned();
                     let stored = found
@@ -275,7 +292,7 @@
                         model.candidate = None;
                     }
                     model.locks.retain(|_, holder| *holder != session);
-                    if let Some((_, owner, None, deadline)) = &mut model.pending {
+                    if let Some(PendingCommit { owner, persist: None, deadline, .. }) = &mut model.pending {
                         *deadline = if *owner == session { deadline.min(now) } else { *deadline };
                     }
                     (true, true)
@@ -289,8 +306,8 @@
             if let Some(rollback) = stores.due_rollback(now) {
                 stores.apply(now, rollback);
             }
-            if model.pending.as_ref().is_some_and(|(.., deadline)| now >= *deadline) {
-                let before = model.pending.take().unwrap().0;
+            if model.pending.as_ref().is_some_and(|pending| now >= pending.deadline) {
+                let before = model.pending.take().unwrap().before;
                 model.make_running(before);
             }
             let candidate = model.candidate.clone().unwrap_or_else(|| model.running.clone());
@@ -314,11 +331,12 @@
     runner(600).run(&sequences, check_sequence).unwrap();
 }
 
-/// An update of the one worker by one of the sources.
+/// An update of the only worker.
 #[derive(Clone, Copy, Debug)]
 enum Update {
     Discovery(Phase, u8),
     Operator(DesiredState, Option<u8>),
+    /// The planner removed the worker; applied only if discovery reported it gone.
     Forgotten,
 }
 
@@ -376,7 +394,7 @@
                 "{:?}",
                 update
             );
-            // A worker that discovery reports as ready departs only if the operator sets that.
+            // A worker that discovery reports as ready departs only if the operator configures it.
             prop_assert!(
                 discovered != Some(Phase::Ready) || departs || phase == Phase::Ready,
                 "{:?}",
@@ -399,7 +417,7 @@
     let schema = Arc::new(schema());
     let mut stores = Datastores::new(schema.clone(), 0.0, Data::default()).unwrap();
     let mut rng = fastrand::Rng::with_seed(17);
-    let ops = [
+    let operations = [
         None,
         Some(EditOperation::Merge),
         Some(EditOperation::Replace),
@@ -412,7 +430,7 @@
         let edit: Vec<EditNode> = (0..rng.usize(1..4))
             .flat_map(|_| {
                 let weight = rng.bool().then(|| rng.u32(0..4));
-                edit_nodes(&schema, WORKERS[rng.usize(..3)], ops[rng.usize(..6)], weight)
+                edit_nodes(&schema, WORKERS[rng.usize(..3)], operations[rng.usize(..6)], weight)
             })
             .collect();
         let before = stores.get(Datastore::Candidate).clone();
