--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -1,6 +1,6 @@
 //! Manages the datastores and the sessions of the management interface. Each operation of a protocol server is one
-//! method of [`DatastoreManager`]. All operations run under one fair lock, which is also held while the planner task
-//! answers.
+//! method of [`DatastoreManager`]. All operations run under one fair lock, which is also held while an operation
+//! waits for the planner task's answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,9 +32,13 @@
 /// Why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TerminationReason {
+    /// The client closed the session.
     Closed,
+    /// The given session killed it.
     Killed(Session),
+    /// The connection was lost or the session could not be established.
     Dropped,
+    /// The client sent no hello in time, or was idle for too long.
     TimedOut,
 }
 
@@ -45,12 +49,16 @@
     ConfigChanged {
         number: u64,
         by: String,
+        /// The session that committed the change; `None` for a rollback by the server.
         session: Option<Session>,
+        /// Whether the change is a confirmed commit that still awaits its confirmation.
         unconfirmed: bool,
+        /// The changed paths, each with its edit operation.
         edits: Vec<(String, &'static str)>,
     },
     /// A confirmed commit was confirmed, cancelled, or rolled back after its timeout.
     ConfirmedCommit {
+        /// The `confirm-event` of RFC 6470.
         how: &'static str,
     },
     SessionStarted {
@@ -69,7 +77,7 @@
     },
 }
 
-/// The configuration data that an operation uses.
+/// Where an operation takes its configuration data from.
 pub enum Source {
     /// The content of a datastore.
     Store(Datastore),
@@ -82,16 +90,17 @@
     user: String,
     /// The transport and the address of the client.
     client_origin: String,
-    /// Tells the protocol server to end the session.
+    /// Signals the protocol server to end the session.
     end_signal: Arc<Notify>,
     killed_by: Option<Session>,
 }
 
-/// The state under the lock.
+/// The state that the lock protects.
 struct Inner {
     datastores: Datastores,
     access: AccessControl,
     sessions: BTreeMap<Session, OpenSession>,
+    /// The number of the last session that was opened.
     last_session: u32,
     /// The last operational state and when it was received.
     cached_state: Option<(Instant, Arc<OperationalState>)>,
@@ -101,6 +110,7 @@
 #[derive(Clone)]
 pub struct DatastoreManager(Arc<Shared>);
 
+/// What the clones of a [`DatastoreManager`] share.
 struct Shared {
     schema: Arc<Schema>,
     file: Option<OperatorFile>,
@@ -112,20 +122,21 @@
     /// The current access rules, for protocol servers that authenticate users before they open a session.
     access: watch::Sender<AccessControl>,
     notifications: broadcast::Sender<Arc<Notification>>,
-    /// Signals that the time of the next rollback may have changed.
+    /// Signals [`DatastoreManager::run`] that the time of the next rollback may have changed.
     rescheduled: Notify,
 }
 
 impl DatastoreManager {
-    /// Creates the datastores with `startup` as running. `unix` is the current time in Unix milliseconds.
+    /// Creates the datastores with `startup` as the running configuration. `unix_now` is the current Unix time in
+    /// milliseconds.
     pub fn new(
         schema: Arc<Schema>,
-        unix: Ms,
+        unix_now: Ms,
         startup: Data,
         file: Option<OperatorFile>,
         requests: mpsc::Sender<PlannerRequest>,
     ) -> Result<DatastoreManager, DatastoreError> {
-        let datastores = Datastores::new(schema.clone(), unix, startup)?;
+        let datastores = Datastores::new(schema.clone(), unix_now, startup)?;
         let access =
             AccessControl::from_data(&schema, datastores.get(Datastore::Running)).unwrap_or_default();
         let inner = Mutex::new(Inner {
@@ -144,7 +155,7 @@
             file,
             requests,
             started,
-            unix_at_start: unix,
+            unix_at_start: unix_now,
             inner,
             access,
             notifications,
@@ -157,36 +168,37 @@
         &self.0.schema
     }
 
-    /// Unix time in milliseconds; monotonic, as later clock adjustments are ignored.
+    /// The Unix time in milliseconds. It is monotonic, as clock adjustments after the start are ignored.
     pub fn now(&self) -> Ms {
         self.0.unix_at_start + self.0.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The current access rules, with a signal at each change.
+    /// A receiver of the current access rules, which is notified of each change.
     pub fn access_rules(&self) -> watch::Receiver<AccessControl> {
         self.0.access.subscribe()
     }
 
-    /// Subscribes to notifications from now on. A slow reader loses the oldest ones and learns how many.
+    /// Subscribes to notifications from now on. A receiver that is too slow loses the oldest ones and is told how many.
     pub fn subscribe(&self) -> broadcast::Receiver<Arc<Notification>> {
         self.0.notifications.subscribe()
     }
 
     fn notify(&self, notification: Notification) {
-        // Sending fails if there is no subscriber, which is fine.
+        // Sending fails only if there is no subscriber.
         _ = self.0.notifications.send(Arc::new(notification));
     }
 
-    /// Rolls back timed-out confirmed commits and forwards notices of the planner task. Returns when that task ends.
+    /// Rolls back confirmed commits that time out, and notifies subscribers of the planner task's notices. Returns when
+    /// the planner task ends.
     pub async fn run(&self, mut notices: mpsc::Receiver<Notice>) {
         loop {
             let deadline = self.0.inner.lock().await.datastores.next_deadline();
-            let wait = deadline
+            let time_left = deadline
                 .map(|deadline| Duration::from_secs_f64(((deadline - self.now()) / 1000.0).clamp(0.0, 1e6)));
-            let wait = wait.map(tokio::time::sleep);
+            let sleep = time_left.map(tokio::time::sleep);
             let timer = async {
-                match wait {
-                    Some(wait) => wait.await,
+                match sleep {
+                    Some(sleep) => sleep.await,
                     None => std::future::pending().await,
                 }
             };
@@ -206,7 +218,7 @@
         }
     }
 
-    /// Rolls back the confirmed commit that was not confirmed in time.
+    /// Rolls back the pending confirmed commit if it was not confirmed in time.
     async fn roll_back(&self) {
         let mut inner = self.0.inner.lock().await;
         let Some(proposal) = inner.datastores.due_rollback(self.now()) else { return };
@@ -223,7 +235,8 @@
         }
     }
 
-    /// Sends a proposal to the planner task, and makes it the running configuration if it is accepted.
+    /// Sends a proposal to the planner task and makes it the running configuration if the planner accepts it.
+    /// `session` is `None` for a rollback by the server.
     async fn apply(
         &self,
         inner: &mut Inner,
@@ -240,7 +253,7 @@
         let outcome = inner.datastores.apply(self.now(), proposal);
         inner.cached_state = None;
         let running = inner.datastores.get(Datastore::Running);
-        // The validation has parsed these rules before, so the default is never used.
+        // The validation of the proposal has already parsed these rules, so the default is never used.
         inner.access = AccessControl::from_data(&self.0.schema, running).unwrap_or_default();
         self.0.access.send_replace(inner.access.clone());
         self.0.rescheduled.notify_one();
@@ -254,7 +267,7 @@
     /// The changed paths, each with its edit operation.
     fn edits(&self, before: &Data, after: &Data) -> Vec<(String, &'static str)> {
         let differences = juniperrail_model::diff(&self.0.schema, before, after);
-        let edit = |difference: juniperrail_model::Difference| {
+        let path_and_operation = |difference: juniperrail_model::Difference| {
             let operation = match (difference.old.is_some(), difference.new.is_some()) {
                 (false, _) => "create",
                 (true, false) => "delete",
@@ -262,7 +275,7 @@
             };
             (difference.path.format(&self.0.schema), operation)
         };
-        differences.into_iter().map(edit).collect()
+        differences.into_iter().map(path_and_operation).collect()
     }
 
     /// Sends a request to the planner task and waits for its verdict.
@@ -276,7 +289,8 @@
         verdict.await.map_err(|_| unavailable)?.map_err(DatastoreError::NotAdmitted)
     }
 
-    /// Opens a session for an authenticated user. `None` if the user is not configured.
+    /// Opens a session for an authenticated user; `None` if the user is not configured. The protocol server must end
+    /// the session when the returned signal is notified.
     pub async fn open_session(&self, user: &str, client_origin: &str) -> Option<(Caller, Arc<Notify>)> {
         let mut inner = self.0.inner.lock().await;
         inner.access.role(user)?;
@@ -300,7 +314,8 @@
         Some((caller, end_signal))
     }
 
-    /// Closes a session: releases its locks, and rolls back its confirmed commit unless the commit has a persist id.
+    /// Closes a session: releases its locks and makes the rollback of its confirmed commit due, unless the commit has a
+    /// persist id.
     pub async fn close_session(&self, caller: &Caller, how: TerminationReason) {
         let mut inner = self.0.inner.lock().await;
         let Some(closed) = inner.sessions.remove(&caller.session) else { return };
@@ -317,7 +332,7 @@
         self.notify(Notification::SessionEnded { caller: caller.clone(), how });
     }
 
-    /// Ends another session. Only an admin or that session's own user may end it.
+    /// Signals another session to end. Only an admin or the other session's own user may end it.
     pub async fn kill_session(&self, caller: &Caller, session: Session) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let is_admin = inner.access.role(&caller.user) == Some(Role::Admin);
@@ -332,29 +347,32 @@
         Ok(())
     }
 
-    /// Every session with its user and the client's origin (transport and address).
+    /// The open sessions, each with its user and the client's transport and address.
     pub async fn sessions(&self) -> Vec<(Session, String, String)> {
         let inner = self.0.inner.lock().await;
         inner.sessions.iter().map(|(id, open)| (*id, open.user.clone(), open.client_origin.clone())).collect()
     }
 
-    /// The locked datastores with the sessions that hold the locks.
+    /// The locked datastores, each with the session that holds the lock.
     pub async fn locks(&self) -> Vec<(Datastore, Session)> {
         let inner = self.0.inner.lock().await;
-        let stores = [Datastore::Running, Datastore::Candidate, Datastore::Startup];
-        stores.into_iter().filter_map(|store| Some((store, inner.datastores.lock_holder(store)?))).collect()
+        let all_datastores = [Datastore::Running, Datastore::Candidate, Datastore::Startup];
+        all_datastores
+            .into_iter()
+            .filter_map(|datastore| Some((datastore, inner.datastores.lock_holder(datastore)?)))
+            .collect()
     }
 
     /// The part of a datastore that the user may read.
-    pub async fn get(&self, caller: &Caller, store: Datastore) -> Data {
+    pub async fn get(&self, caller: &Caller, datastore: Datastore) -> Data {
         let inner = self.0.inner.lock().await;
-        inner.access.filter_readable(&self.0.schema, &caller.user, inner.datastores.get(store))
+        inner.access.filter_readable(&self.0.schema, &caller.user, inner.datastores.get(datastore))
     }
 
-    /// The part of the operational state that the user may read. It shows what was actually sent to the proxies, and is
+    /// The part of the operational state that the user may read. It shows what was actually sent to the proxies and is
     /// at most [`STATE_CACHE_TTL`] old.
     pub async fn state(&self, caller: &Caller) -> Result<Data, DatastoreError> {
-        let state = self.snapshot().await?;
+        let state = self.operational_state().await?;
         let inner = self.0.inner.lock().await;
         let now = self.now();
         let versions = inner.datastores.versions().map(|version| VersionState {
@@ -365,7 +383,7 @@
         let pending = inner.datastores.pending_confirmation();
         let versions = VersionsState {
             unconfirmed_for: pending.map(|(deadline, _)| deadline - now),
-            rollback_failure: pending.and_then(|(_, why)| why.map(str::to_string)),
+            rollback_failure: pending.and_then(|(_, reason)| reason.map(str::to_string)),
             versions: versions.collect(),
         };
         let data = state.data(&self.0.schema, &versions);
@@ -373,7 +391,7 @@
     }
 
     /// The operational state, cached or requested from the planner task.
-    async fn snapshot(&self) -> Result<Arc<OperationalState>, DatastoreError> {
+    async fn operational_state(&self) -> Result<Arc<OperationalState>, DatastoreError> {
         // The lock is held during the request, so that concurrent readers share one request.
         let mut inner = self.0.inner.lock().await;
         if let Some((_, state)) =
@@ -389,8 +407,8 @@
         Ok(state)
     }
 
-    /// Edits the candidate, or only tests whether the edit is valid. An edit that touches anything that the user may not
-    /// write is refused as a whole.
+    /// Edits the candidate, or only tests whether the edit is valid. An edit that changes any node that the user may
+    /// not write is rejected and changes nothing.
     pub async fn edit(
         &self,
         caller: &Caller,
@@ -429,7 +447,7 @@
     /// The data of a source, if the user may read all of it.
     fn source_data(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, DatastoreError> {
         Ok(match source {
-            // A user who may read only a part must not copy the rest without seeing it.
+            // A user who may read only a part of the source must not copy the rest, which they cannot see.
             Source::Store(store) => {
                 let data = inner.datastores.get(store);
                 let readable = inner.access.filter_readable(&self.0.schema, &caller.user, data);
@@ -447,7 +465,7 @@
         })
     }
 
-    /// Replaces the candidate or startup. Startup is written to the operator's file first.
+    /// Replaces the candidate or startup with a source. Startup is first written to the operator's file.
     pub async fn copy(
         &self,
         caller: &Caller,
@@ -459,7 +477,7 @@
         self.put(&mut inner, caller, target, data)
     }
 
-    /// Replaces a datastore if the user may make every change.
+    /// Replaces a datastore if the user may make every change that this takes.
     fn put(
         &self,
         inner: &mut Inner,
@@ -490,7 +508,7 @@
         inner.datastores.put(caller.session, target, data)
     }
 
-    /// Empties startup; other datastores can't be deleted.
+    /// Empties startup. Other datastores cannot be deleted.
     pub async fn delete(&self, caller: &Caller, target: Datastore) -> Result<(), DatastoreError> {
         if target != Datastore::Startup {
             return Err(DatastoreError::Unsupported("only startup can be deleted"));
@@ -499,24 +517,25 @@
         self.put(&mut inner, caller, target, Data::default())
     }
 
-    /// Checks that the user may write anything at all. Otherwise a reader could block writers, for example with a lock.
-    fn check_writer(inner: &Inner, caller: &Caller, denied: &str) -> Result<(), DatastoreError> {
+    /// Checks that the user's role may write at all, since a reader could otherwise block writers, for example with a
+    /// lock. `target` names what access is denied to.
+    fn check_writer(inner: &Inner, caller: &Caller, target: &str) -> Result<(), DatastoreError> {
         match inner.access.role(&caller.user) {
             Some(Role::Operator | Role::Admin) => Ok(()),
-            Some(Role::Reader) | None => Err(DatastoreError::AccessDenied(denied.into())),
+            Some(Role::Reader) | None => Err(DatastoreError::AccessDenied(target.into())),
         }
     }
 
     /// Locks a datastore for the session.
-    pub async fn lock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
+    pub async fn lock(&self, caller: &Caller, datastore: Datastore) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         DatastoreManager::check_writer(&inner, caller, "a lock")?;
-        inner.datastores.lock(store, caller.session)
+        inner.datastores.lock(datastore, caller.session)
     }
 
     /// Releases a lock of the session.
-    pub async fn unlock(&self, caller: &Caller, store: Datastore) -> Result<(), DatastoreError> {
-        self.0.inner.lock().await.datastores.unlock(store, caller.session)
+    pub async fn unlock(&self, caller: &Caller, datastore: Datastore) -> Result<(), DatastoreError> {
+        self.0.inner.lock().await.datastores.unlock(datastore, caller.session)
     }
 
     /// Resets the candidate to running.
@@ -526,7 +545,7 @@
         inner.datastores.discard(caller.session)
     }
 
-    /// Checks that the data is valid and that the planner would accept it now.
+    /// Checks that the data of a source is valid and that the planner would accept it now.
     pub async fn validate(&self, caller: &Caller, source: Source) -> Result<(), DatastoreError> {
         let inner = self.0.inner.lock().await;
         let data = self.source_data(&inner, caller, source)?;
@@ -536,14 +555,14 @@
         self.request_verdict(PlannerRequest::Validate { intent, verdict: reply }, verdict).await
     }
 
-    /// Makes the whole candidate the running configuration, or returns why it is refused.
+    /// Makes the candidate the running configuration, or returns why the commit is refused.
     pub async fn commit(&self, caller: &Caller, commit: Commit) -> Result<CommitOutcome, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let confirmed = commit.confirmed;
         let was_pending = inner.datastores.pending_confirmation().is_some();
         DatastoreManager::check_writer(&inner, caller, "running")?;
         let proposal = inner.datastores.propose_commit(caller.session, &caller.user, commit)?;
-        // The candidate may contain edits of other users; the committing user needs write access to all of them.
+        // The candidate may contain edits of other users. The committing user must be allowed to write all of them.
         self.check_write_access(&inner, caller, inner.datastores.get(Datastore::Running), &proposal.data)?;
         let outcome = self.apply(&mut inner, Some(caller.session), proposal).await?;
         if was_pending && !confirmed {
@@ -552,7 +571,7 @@
         Ok(outcome)
     }
 
-    /// Cancels a pending confirmed commit and restores the configuration before it.
+    /// Cancels the pending confirmed commit and restores the configuration before it.
     pub async fn cancel_commit(
         &self,
         caller: &Caller,
@@ -566,7 +585,7 @@
         Ok(())
     }
 
-    /// Copies an older version of running into the candidate.
+    /// Copies a retained version of running into the candidate.
     pub async fn restore_version(&self, caller: &Caller, number: u64) -> Result<(), DatastoreError> {
         let mut inner = self.0.inner.lock().await;
         let data = inner.datastores.version_data(number)?.clone();
@@ -579,7 +598,7 @@
     }
 }
 
-/// The `test-option` of an edit (RFC 6241).
+/// The `test-option` of an edit (RFC 6241): whether the edit is validated, applied, or both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TestOption {
     TestThenSet,
--- a/crates/northbound/src/file.rs
+++ b/crates/northbound/src/file.rs
@@ -1,4 +1,5 @@
-//! The operator's file, which stores the startup datastore: read at the start and replaced atomically on each write.
+//! The operator's file, which stores the startup datastore. It is read when the manager starts and replaced atomically
+//! on each write.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -6,7 +7,7 @@
 
 use juniperrail_model::{xml, Data, Schema};
 
-/// Larger files are not read.
+/// A larger file is rejected without being read.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// The XML file that stores the startup datastore.
@@ -16,7 +17,7 @@
 }
 
 impl OperatorFile {
-    /// The file at this path; it need not exist.
+    /// The operator's file at the path. The file need not exist.
     pub fn new(path: impl Into<PathBuf>) -> OperatorFile {
         OperatorFile { path: path.into() }
     }
@@ -25,13 +26,13 @@
         &self.path
     }
 
-    /// Resolves a path named in the file relative to the file's directory.
+    /// Resolves a path that the file contains, relative to the file's directory.
     pub fn resolve(&self, path: &str) -> PathBuf {
         self.path.parent().unwrap_or(Path::new("")).join(path)
     }
 
-    /// Reads the data; `None` if there is no file. The error is one line that names the file and, for
-    /// invalid content, the line, the path of the node and what is wrong there.
+    /// Reads the data; `None` if the file does not exist. The error is one line that names the file and, for invalid
+    /// content, the line, the path of the node and what is wrong with it.
     pub fn read(&self, schema: &Schema) -> Result<Option<Data>, String> {
         let path = self.path.display();
         let read_error = |error: io::Error| format!("{path} cannot be read: {error}");
@@ -57,9 +58,9 @@
             Some(directory) if !directory.as_os_str().is_empty() => directory,
             _ => Path::new("."),
         };
-        let mut name = self.path.file_name().unwrap_or_default().to_os_string();
-        name.push(".new");
-        let temporary = directory.join(name);
+        let mut temporary_name = self.path.file_name().unwrap_or_default().to_os_string();
+        temporary_name.push(".new");
+        let temporary = directory.join(temporary_name);
         let mut file = File::create(&temporary)?;
         let result = file
             .write_all(xml::write_config(schema, data).as_bytes())
@@ -79,7 +80,7 @@
     use super::*;
 
     #[test]
-    fn the_file_is_replaced_atomically_or_left_unchanged() {
+    fn a_write_replaces_the_file_or_leaves_it_unchanged() {
         let schema = juniperrail_model::schema();
         let directory = std::env::temp_dir().join(format!("juniperrail-file-{}", std::process::id()));
         fs::create_dir_all(&directory).unwrap();
@@ -96,7 +97,7 @@
         assert_eq!(file.read(&schema), Ok(Some(data.clone())));
         assert_eq!(fs::read_dir(&directory).unwrap().count(), 1, "no temporary file is left");
         assert_eq!(file.resolve("host.key"), directory.join("host.key"));
-        // The temporary file cannot be created: the old file stays unchanged.
+        // If the temporary file cannot be created, the file stays unchanged.
         fs::create_dir(directory.join("operator.xml.new")).unwrap();
         assert!(file.write(&schema, &Data::default()).is_err());
         assert_eq!(file.read(&schema), Ok(Some(data)));
--- a/crates/northbound/src/planner_request.rs
+++ b/crates/northbound/src/planner_request.rs
@@ -8,17 +8,19 @@
 
 use crate::state::OperationalState;
 
-/// Requests that may be queued; further senders wait. The planner handles at most one per turn.
+/// The capacity of the request queue; further senders wait. The planner task handles at most one request per turn.
 pub const REQUEST_QUEUE_CAPACITY: usize = 16;
-/// Notices that may be queued. Further ones are lost, but the operational state still shows their content.
+/// The capacity of the queue of notices, and of the queue of notifications for each subscriber. Notices beyond it are
+/// lost, but the operational state still shows their content.
 pub const NOTICE_QUEUE_CAPACITY: usize = 256;
 
-/// Whether a change was accepted as a whole, or why it was refused.
+/// The planner's answer to a change: accepted completely, or refused for the given reasons.
 pub type Verdict = Result<(), Vec<Refusal>>;
 
 /// A request to the planner task.
 pub enum PlannerRequest {
-    /// Checks an intent against the current state of the workers and applies it at once if it is accepted.
+    /// Checks an intent against the current state of the manager and applies it at once if it is accepted. `number` is
+    /// the version of running that it becomes.
     Apply { number: u64, by: String, intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
     /// Checks an intent without applying it.
     Validate { intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -1,4 +1,5 @@
-//! The operational state: as typed values from the planner task, and as data of the YANG module `juniperrail-state`.
+//! The operational state as typed values, which the planner task provides, and its conversion to data of the YANG
+//! module `juniperrail-state`.
 
 use juniperrail_intent::{ComposedWorker, Origin, Stage};
 use juniperrail_interface::{Ms, Phase, Retry};
@@ -11,6 +12,7 @@
     pub composed: ComposedWorker,
     pub zone: String,
     pub machine: String,
+    /// Whether the warm-up of the worker has passed.
     pub warm: bool,
 }
 
@@ -18,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct TableState {
     pub number: u16,
-    /// Workers with their weights.
+    /// The names of the workers, each with its weight.
     pub lines: Vec<(String, f64)>,
 }
 
@@ -26,6 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct OperationState {
     pub name: String,
+    /// The number of the table that the operation is bound to.
     pub table: Option<u16>,
     /// The admission level and the retry policy.
     pub level: Option<(f64, Retry)>,
@@ -48,7 +51,7 @@
     pub operations: Vec<OperationState>,
 }
 
-/// The distribution of an accepted change.
+/// An accepted change and how far it has been distributed.
 #[derive(Clone, Debug)]
 pub struct ChangeState {
     pub number: u64,
@@ -69,35 +72,42 @@
     pub workers: Vec<WorkerState>,
     pub tables: Vec<TableState>,
     pub proxies: Vec<ProxyState>,
-    /// Lines that wait in the channel to the proxies, and their limit.
+    /// The lines sent to the proxies that have not been acknowledged.
     pub pending_lines: f64,
+    /// The limit on `pending_lines`.
     pub max_pending_lines: f64,
     pub changes: Vec<ChangeState>,
-    /// The consensus with other managers, if it is configured.
+    /// The state of the consensus with other managers, if it is configured.
     pub fleet: Option<FleetState>,
 }
 
-/// The consensus between managers. Texts are the enumeration values of the module `juniperrail-state`.
+/// The state of the consensus between managers. The `&'static str` values are enumeration values of the module
+/// `juniperrail-state`.
 #[derive(Clone, Debug, Default)]
 pub struct FleetState {
+    /// The member number of this manager.
     pub member: u16,
     pub role: &'static str,
     pub leader: Option<u16>,
     pub term: u64,
     pub recovery_state: &'static str,
+    /// The commit index of the log.
     pub committed: u64,
     pub store_failing: bool,
+    /// The size of the store in bytes.
     pub store_size: u64,
+    /// Messages to other managers that were dropped because a queue was full.
     pub messages_lost: u64,
+    /// How slow this manager itself is, from 0 (healthy) to 8.
     pub own_health: u32,
-    /// Each other manager's number, health and reachability.
+    /// The other managers, each with its member number, health and reachability.
     pub members: Vec<(u16, &'static str, &'static str)>,
     pub schedules: Vec<ScheduleState>,
-    /// The version of the agreed plan.
+    /// The version of the committed failover plan.
     pub plan: u64,
-    /// Whether the lease of the plan has expired.
+    /// Whether the lease of the plan has expired, so that every zone has its full weight.
     pub plan_lease_expired: bool,
-    /// Each zone of the plan: its name, its weight ratio and the reason.
+    /// The zones of the plan, each with its name, weight ratio and reason.
     pub zones: Vec<(String, f64, &'static str)>,
 }
 
@@ -105,19 +115,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct ScheduleState {
     pub name: String,
-    /// Every occurrence that was due up to this time is decided on, in Unix milliseconds.
+    /// The Unix time in milliseconds up to which every due occurrence has been decided.
     pub decided_through_ms: i64,
-    /// The number of occurrences in progress.
+    /// The number of occurrences that have not finished.
     pub open_count: usize,
     /// The number of occurrences that finished.
     pub finished: u64,
     /// The number of occurrences that were skipped.
     pub skipped: u64,
-    /// The last finished occurrence: its due time, its result and its owner.
+    /// The last finished occurrence: its due time in Unix milliseconds, its result and its owner's member number.
     pub last: Option<(i64, &'static str, u16)>,
 }
 
-/// A version of running that can be restored.
+/// A retained version of running, which can be restored.
 #[derive(Clone, Debug)]
 pub struct VersionState {
     pub number: u64,
@@ -128,14 +138,14 @@
 /// The versions of running, and the pending confirmed commit.
 #[derive(Clone, Debug, Default)]
 pub struct VersionsState {
-    /// The time left to confirm the pending commit.
+    /// The time left to confirm the pending commit; `None` if none is pending.
     pub unconfirmed_for: Option<Ms>,
-    /// Why the rollback of the pending commit is delayed.
+    /// Why the last attempt to roll back the pending commit was refused.
     pub rollback_failure: Option<String>,
     pub versions: Vec<VersionState>,
 }
 
-/// Writes child nodes by name below one node of the data tree.
+/// Writes the child nodes of one node of the data tree, by name.
 struct Writer<'a> {
     schema: &'a Schema,
     node: NodeId,
@@ -145,7 +155,7 @@
 impl Writer<'_> {
     fn id(&self, name: &str) -> NodeId {
         let id = self.schema.child(Some(self.node), name, None);
-        // Can't panic outside of development: a test writes every name that is used.
+        // Panics only if a name is not in the YANG module, which a test that writes every name would detect.
         id.unwrap_or_else(|| panic!("no node {name} in the module"))
     }
 
@@ -172,11 +182,13 @@
         }
     }
 
-    fn inner<R>(&mut self, name: &str, write: impl FnOnce(&mut Writer<'_>) -> R) -> R {
+    /// Writes the container with the name.
+    fn container<R>(&mut self, name: &str, write: impl FnOnce(&mut Writer<'_>) -> R) -> R {
         let node = self.id(name);
         write(&mut Writer { schema: self.schema, node, data: self.data.container(node) })
     }
 
+    /// Writes the entry with the keys in the list with the name.
     fn entry<R>(&mut self, name: &str, keys: &[Value], write: impl FnOnce(&mut Writer<'_>) -> R) -> R {
         let node = self.id(name);
         write(&mut Writer { schema: self.schema, node, data: self.data.list_entry(self.schema, node, keys) })
@@ -200,7 +212,7 @@
     }
 }
 
-/// The longest duration that the module allows: one hour.
+/// The longest duration that is written: one hour, the limit of the YANG type.
 const MAX_DURATION: Ms = 3_600_000.0;
 
 impl OperationalState {
@@ -210,17 +222,17 @@
         let node = schema.find(&["state"]).expect("the module has a state container");
         let mut top = Writer { schema, node, data: data.container(node) };
         top.text("manager", &self.manager).integer("list-version", self.list_version);
-        top.inner("workers", |all| self.workers.iter().for_each(|worker| worker.write(all)));
-        top.inner("tables", |all| self.tables.iter().for_each(|table| table.write(all)));
-        top.inner("proxies", |all| self.proxies.iter().for_each(|proxy| proxy.write(all)));
-        top.inner("channel", |channel| {
+        top.container("workers", |workers| self.workers.iter().for_each(|worker| worker.write(workers)));
+        top.container("tables", |tables| self.tables.iter().for_each(|table| table.write(tables)));
+        top.container("proxies", |proxies| self.proxies.iter().for_each(|proxy| proxy.write(proxies)));
+        top.container("channel", |channel| {
             channel.decimal("lines-waiting", self.pending_lines, 3);
             channel.decimal("lines-waiting-most", self.max_pending_lines, 3);
         });
-        top.inner("versions", |all| versions.write(all));
-        top.inner("changes", |all| self.changes.iter().for_each(|change| change.write(all)));
+        top.container("versions", |parent| versions.write(parent));
+        top.container("changes", |changes| self.changes.iter().for_each(|change| change.write(changes)));
         if let Some(fleet) = &self.fleet {
-            top.inner("fleet", |all| fleet.write(all));
+            top.container("fleet", |parent| fleet.write(parent));
         }
         data.prune_empty(schema);
         data
@@ -228,10 +240,10 @@
 }
 
 impl WorkerState {
-    fn write(&self, all: &mut Writer<'_>) {
+    fn write(&self, parent: &mut Writer<'_>) {
         let ComposedWorker { entry, phase_origin, weight_origin, placement_origin, discovery_phase, .. } =
             &self.composed;
-        all.entry("worker", &[Value::text(&*self.name)], |worker| {
+        parent.entry("worker", &[Value::text(&*self.name)], |worker| {
             worker.text("phase", phase_name(entry.phase)).text("phase-from", phase_origin.name());
             if let Some(origin) = weight_origin {
                 worker.decimal("weight", entry.weight, 4).text("weight-from", origin.name());
@@ -246,8 +258,8 @@
 }
 
 impl TableState {
-    fn write(&self, all: &mut Writer<'_>) {
-        all.entry("table", &[Value::Integer(self.number.into())], |table| {
+    fn write(&self, parent: &mut Writer<'_>) {
+        parent.entry("table", &[Value::Integer(self.number.into())], |table| {
             for (worker, weight) in &self.lines {
                 table.entry("line", &[Value::text(&**worker)], |line| _ = line.decimal("weight", *weight, 6));
             }
@@ -256,8 +268,8 @@
 }
 
 impl ProxyState {
-    fn write(&self, all: &mut Writer<'_>) {
-        all.entry("proxy", &[Value::Integer(self.number.into())], |proxy| {
+    fn write(&self, parent: &mut Writer<'_>) {
+        parent.entry("proxy", &[Value::Integer(self.number.into())], |proxy| {
             proxy.text("zone", &self.zone).integer("answers-owed", self.unacknowledged as u64);
             proxy.integer("messages-lately", self.recent_messages as u64);
             if let Some(mark) = self.mark_sent {
@@ -266,8 +278,8 @@
             if let Some(mark) = self.mark_acknowledged {
                 proxy.integer("mark-answered", mark);
             }
-            if let Some(owed_for) = self.unacknowledged_for {
-                proxy.decimal("owed-since", owed_for.clamp(0.0, MAX_DURATION), 3);
+            if let Some(age) = self.unacknowledged_for {
+                proxy.decimal("owed-since", age.clamp(0.0, MAX_DURATION), 3);
             }
             let shut_out = proxy.id("shut-out");
             for worker in &self.excluded_workers {
@@ -288,31 +300,36 @@
 }
 
 impl FleetState {
-    fn write(&self, all: &mut Writer<'_>) {
-        all.integer("member", self.member).text("role", self.role).integer("term", self.term);
-        self.leader.iter().for_each(|leader| _ = all.integer("leader", *leader));
-        all.text("standing", self.recovery_state).integer("committed", self.committed);
-        all.set("store-failing", Value::Boolean(self.store_failing)).integer("store-size", self.store_size);
-        all.integer("messages-lost", self.messages_lost).integer("own-health", self.own_health);
-        for (number, health, reach) in &self.members {
-            all.entry("member-of", &[Value::Integer((*number).into())], |member| {
-                member.text("health", health).text("reach", reach);
+    fn write(&self, parent: &mut Writer<'_>) {
+        parent.integer("member", self.member).text("role", self.role).integer("term", self.term);
+        self.leader.iter().for_each(|leader| _ = parent.integer("leader", *leader));
+        parent.text("standing", self.recovery_state).integer("committed", self.committed);
+        parent
+            .set("store-failing", Value::Boolean(self.store_failing))
+            .integer("store-size", self.store_size);
+        parent.integer("messages-lost", self.messages_lost).integer("own-health", self.own_health);
+        for (number, health, reachability) in &self.members {
+            parent.entry("member-of", &[Value::Integer((*number).into())], |member| {
+                member.text("health", health).text("reach", reachability);
             });
         }
-        all.integer("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lease_expired));
-        for (name, weight_ratio, why) in &self.zones {
-            all.entry("zone", &[Value::text(&**name)], |zone| {
-                zone.decimal("part", *weight_ratio, 4).text("why", why);
+        parent.integer("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lease_expired));
+        for (name, weight_ratio, reason) in &self.zones {
+            parent.entry("zone", &[Value::text(&**name)], |zone| {
+                zone.decimal("part", *weight_ratio, 4).text("why", reason);
             });
         }
         for state in &self.schedules {
-            all.entry("schedule", &[Value::text(&*state.name)], |schedule| {
+            parent.entry("schedule", &[Value::text(&*state.name)], |schedule| {
                 schedule
                     .integer("through", state.decided_through_ms)
                     .integer("open", state.open_count as u64);
                 schedule.integer("ended", state.finished).integer("passed", state.skipped);
-                if let Some((due, end, owner)) = state.last {
-                    schedule.integer("last-due", due).text("last-end", end).integer("last-owner", owner);
+                if let Some((due_ms, result, owner)) = state.last {
+                    schedule
+                        .integer("last-due", due_ms)
+                        .text("last-end", result)
+                        .integer("last-owner", owner);
                 }
             });
         }
@@ -320,11 +337,13 @@
 }
 
 impl VersionsState {
-    fn write(&self, all: &mut Writer<'_>) {
-        self.unconfirmed_for.iter().for_each(|left| _ = all.decimal("unconfirmed-for", *left, 3));
-        self.rollback_failure.iter().for_each(|why| _ = all.text("overdue", why));
+    fn write(&self, parent: &mut Writer<'_>) {
+        self.unconfirmed_for
+            .iter()
+            .for_each(|time_left| _ = parent.decimal("unconfirmed-for", *time_left, 3));
+        self.rollback_failure.iter().for_each(|reason| _ = parent.text("overdue", reason));
         for version in &self.versions {
-            all.entry("version", &[Value::Integer(version.number.into())], |entry| {
+            parent.entry("version", &[Value::Integer(version.number.into())], |entry| {
                 entry.text("by", &version.by).decimal("age", version.age, 3);
             });
         }
@@ -332,8 +351,8 @@
 }
 
 impl ChangeState {
-    fn write(&self, all: &mut Writer<'_>) {
-        all.entry("change", &[Value::Integer(self.number.into())], |change| {
+    fn write(&self, parent: &mut Writer<'_>) {
+        parent.entry("change", &[Value::Integer(self.number.into())], |change| {
             change.text("by", &self.by).decimal("age", self.age, 3);
             change.integer("held-by", self.applied_by as u64).integer("joined", self.joined as u64);
             match self.stage {
@@ -351,13 +370,13 @@
     use juniperrail_interface::{CellId, MachineId, WorkerEntry, WorkerId, ZoneId};
     use juniperrail_model::{json, NodeKind};
 
-    /// Checks that each leaf has a valid value of its type in the module.
+    /// Asserts that each leaf has a valid value of its type in the YANG module.
     fn check_types(schema: &Schema, data: &Data) {
         for (id, content) in data.iter() {
             let check_value = |value: &Value| match &schema.node(id).kind {
                 NodeKind::Leaf { ty, .. } | NodeKind::LeafList { ty } => {
-                    let read = ty.parse(&value.to_string());
-                    assert_eq!(read.as_ref(), Ok(value), "{}", schema.node(id).name);
+                    let parsed = ty.parse(&value.to_string());
+                    assert_eq!(parsed.as_ref(), Ok(value), "{}", schema.node(id).name);
                 }
                 _ => panic!("{} is not a leaf", schema.node(id).name),
             };
--- a/crates/northbound/tests/datastore_manager.rs
+++ b/crates/northbound/tests/datastore_manager.rs
@@ -1,4 +1,5 @@
-//! The datastore manager with a simulated planner task: notifications and their order, refused changes, access.
+//! Tests of the datastore manager with a simulated planner task: the order of notifications, refused changes and access
+//! control.
 
 use std::sync::Arc;
 
@@ -18,8 +19,8 @@
 fn manager() -> (DatastoreManager, mpsc::Receiver<PlannerRequest>) {
     let schema = Arc::new(schema());
     let data = xml::parse_config(&schema, FILE.as_bytes()).unwrap();
-    let (sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
-    (DatastoreManager::new(schema, 1e12, data, None, sender).unwrap(), requests)
+    let (request_sender, requests) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
+    (DatastoreManager::new(schema, 1e12, data, None, request_sender).unwrap(), requests)
 }
 
 /// An edit that sets the weight of worker s-1.
@@ -32,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_change_is_notified_before_its_application() {
+async fn subscribers_are_notified_of_a_change_before_they_are_notified_that_it_is_applied() {
     let (manager, mut requests) = manager();
     let (notice_sender, notices) = mpsc::channel(NOTICE_QUEUE_CAPACITY);
     let run_task = tokio::spawn({
@@ -42,7 +43,7 @@
     let planner = tokio::spawn(async move {
         while let Some(request) = requests.recv().await {
             if let PlannerRequest::Apply { number, verdict, .. } = request {
-                // All proxies have applied the change before the commit learns that it was accepted.
+                // The notice that all proxies have applied the change is sent before the commit receives the verdict.
                 notice_sender.send(Notice::Applied { number, after: 1.0 }).await.unwrap();
                 tokio::task::yield_now().await;
                 verdict.send(Ok(())).unwrap();
@@ -83,31 +84,37 @@
     let (manager, mut requests) = manager();
     let (ann, _end) = manager.open_session("ann", "test").await.unwrap();
     let before = manager.get(&ann, Datastore::Running).await;
-    let refusing = tokio::spawn(async move {
+    let planner = tokio::spawn(async move {
         let refusal = juniperrail_intent::Refusal::NoSecondMessage { max_messages: 1.0 };
         match requests.recv().await {
             Some(PlannerRequest::Apply { verdict, .. }) => verdict.send(Err(vec![refusal])).unwrap(),
             _ => panic!("expected an apply request"),
         }
-        // The next request is dropped without an answer, and then the receiver is closed.
+        // The second request is dropped without an answer; for the third, the receiver is closed.
         drop(requests.recv().await);
     });
-    let drafts = set_weight(&manager, 2);
+    let edit_nodes = set_weight(&manager, 2);
     manager
-        .edit(&ann, &drafts, DefaultOperation::Merge, ErrorOption::RollbackOnError, TestOption::TestThenSet)
+        .edit(
+            &ann,
+            &edit_nodes,
+            DefaultOperation::Merge,
+            ErrorOption::RollbackOnError,
+            TestOption::TestThenSet,
+        )
         .await
         .unwrap();
-    for why in ["too few to send it twice", "the planner is not running", "the planner is not running"] {
+    for reason in ["too few to send it twice", "the planner is not running", "the planner is not running"] {
         let refused = manager.commit(&ann, Commit::default()).await.unwrap_err();
-        assert!(refused.to_string().contains(why), "{refused}");
+        assert!(refused.to_string().contains(reason), "{refused}");
         assert_eq!(manager.get(&ann, Datastore::Running).await, before);
     }
-    refusing.await.unwrap();
+    planner.await.unwrap();
     assert!(manager.state(&ann).await.is_err(), "there is no operational state either");
 }
 
 #[tokio::test]
-async fn unknown_users_are_rejected_and_startup_needs_a_file() {
+async fn unknown_users_and_readers_are_rejected_and_startup_needs_a_file() {
     let (manager, _requests) = manager();
     assert!(manager.open_session("mallory", "test").await.is_none());
     let (eve, _end) = manager.open_session("eve", "test").await.unwrap();
@@ -124,6 +131,6 @@
     assert_eq!(
         manager.get(&eve, Datastore::Running).await,
         Data::default(),
-        "a reader does not see the northbound section"
+        "a reader may not read the northbound configuration"
     );
 }
