--- a/crates/manager/src/decider/intents.rs
+++ b/crates/manager/src/decider/intents.rs
@@ -17,20 +17,20 @@
         match request {
             PlannerRequest::State(reply) => _ = reply.send(Arc::new(self.operational_state())),
             PlannerRequest::Validate { intent, verdict } => _ = verdict.send(self.verdict(&intent)),
-            PlannerRequest::Apply { number, by, intent, verdict } => {
-                let _change = tracing::info_span!("change", number, by).entered();
+            PlannerRequest::Apply { number, author, intent, verdict } => {
+                let _change = tracing::info_span!("change", number, by = author).entered();
                 let result = self.verdict(&intent);
                 match &result {
                     Ok(()) => {
                         let workers: BTreeSet<String> =
                             self.intent.changed_workers(&intent).map(str::to_string).collect();
-                        tracing::info!("change {number} by {by} is accepted: {} workers", workers.len());
-                        self.progress.record(self.clock.now(), number, &by, workers);
+                        tracing::info!("change {number} by {author} is accepted: {} workers", workers.len());
+                        self.progress.record(self.clock.now(), number, &author, workers);
                         self.apply_intent(*intent);
                     }
                     Err(refusals) => {
                         let reason = refusals.first().map(ToString::to_string).unwrap_or_default();
-                        tracing::info!("a change by {by} is refused: {reason}");
+                        tracing::info!("a change by {author} is refused: {reason}");
                     }
                 }
                 _ = verdict.send(result);
--- a/crates/manager/src/decider/state.rs
+++ b/crates/manager/src/decider/state.rs
@@ -59,11 +59,11 @@
         };
         let change_state = |change: &Change| ChangeState {
             number: change.number,
-            by: change.author.clone(),
+            author: change.author.clone(),
             age: now - change.committed_at,
             stage: change.stage,
-            applied_by: change.applied_proxies,
-            joined: change.joined_proxies,
+            applied_proxies: change.applied_proxies,
+            joined_proxies: change.joined_proxies,
         };
         OperationalState {
             manager: self.name.clone(),
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -311,7 +311,7 @@
         let workers = desired_states.iter().map(worker_intent).collect();
         let intent = Box::new(Intent { workers, drain_grace: Some(2500.0), ..Intent::default() });
         let (verdict, mut reply) = oneshot::channel();
-        self.decider.answer_request(PlannerRequest::Apply { number, by: "ann".into(), intent, verdict });
+        self.decider.answer_request(PlannerRequest::Apply { number, author: "ann".into(), intent, verdict });
         reply.try_recv().expect("answered at once")
     }
 
@@ -362,7 +362,7 @@
     assert!(sent.contains("out=s-1"), "the exclusion of s-1 is not sent: {sent}");
     manager.decider.check_progress(LATER);
     assert_eq!(
-        manager.decider.operational_state().changes[0].applied_by,
+        manager.decider.operational_state().changes[0].applied_proxies,
         0,
         "a change that was sent and not acknowledged is not applied"
     );
@@ -372,10 +372,10 @@
     manager.decider.check_progress(2.0 * LATER);
     let change = &manager.decider.operational_state().changes[0];
     assert!(matches!(change.stage, juniperrail_intent::Stage::Applied { .. }), "{change:?}");
-    assert_eq!((change.number, change.applied_by, change.joined), (2, 1, 1));
+    assert_eq!((change.number, change.applied_proxies, change.joined_proxies), (2, 1, 1));
     let proxy = &manager.decider.operational_state().proxies[0];
     assert_eq!(
-        (proxy.excluded_workers.as_slice(), proxy.unacknowledged, proxy.mark_sent),
+        (proxy.excluded_workers.as_slice(), proxy.unacknowledged_marks, proxy.mark_sent),
         (&["s-1".to_string()][..], 0, proxy.mark_acknowledged)
     );
     let lines = manager.decider.operational_state().tables.into_iter().flat_map(|table| table.lines);
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -230,10 +230,10 @@
             Some(RecoveryState::Recovering { .. }) => "doubtful",
             Some(RecoveryState::Ready) => "whole",
         },
-        committed: status.commit_index.0,
+        commit_index: status.commit_index.0,
         store_failing: status.store_failing,
-        store_size: status.store_bytes,
-        plan: status.plan.version,
+        store_bytes: status.store_bytes,
+        plan_version: status.plan.version,
         plan_lease_expired: status.plan_lease_expired,
         zones: status
             .plan
@@ -242,7 +242,7 @@
             .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, reason_name(share.reason)))
             .collect(),
         messages_lost: status.messages_lost,
-        own_health: status.local_health,
+        local_health: status.local_health,
         members: status
             .members
             .iter()
@@ -255,9 +255,9 @@
                 name: schedule.name.clone(),
                 decided_through_ms: schedule.decided_through,
                 open_count: schedule.open_count,
-                finished: schedule.ended_count,
-                skipped: schedule.skipped_count,
-                last: schedule
+                finished_count: schedule.ended_count,
+                skipped_count: schedule.skipped_count,
+                last_finished: schedule
                     .last_ended
                     .as_ref()
                     .map(|ended| (ended.due_ms, outcome_name(ended.outcome), ended.owner.0)),
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -258,8 +258,8 @@
                 zone: names.zones.name(stream.zone.0.into()).to_string(),
                 mark_sent: stream.last_mark_sent.map(|mark| mark.0),
                 mark_acknowledged: stream.last_mark_acknowledged.map(|mark| mark.0),
-                unacknowledged: stream.pending_marks.len(),
-                unacknowledged_for: stream.pending_marks.front().map(|oldest| now - oldest.sent_at),
+                unacknowledged_marks: stream.pending_marks.len(),
+                oldest_unacknowledged_age: stream.pending_marks.front().map(|oldest| now - oldest.sent_at),
                 recent_messages: stream.recent_messages.len(),
                 excluded_workers: excluded
                     .map(|(worker, _)| names.workers.name(worker.0).to_string())
--- a/crates/netconf/src/notification.rs
+++ b/crates/netconf/src/notification.rs
@@ -20,9 +20,9 @@
         event.with_child(leaf("username", user)).with_child(leaf("session-id", &id.to_string()))
     };
     match notification {
-        Notification::ConfigChanged { by, session: by_session, edits, .. } => {
+        Notification::ConfigChanged { author, session: by_session, edits, .. } => {
             let changed_by = match by_session {
-                Some(id) => with_session(element("changed-by"), by, id.0),
+                Some(id) => with_session(element("changed-by"), author, id.0),
                 None => element("changed-by").with_child(element("server")),
             };
             let edit = |(path, operation): &(String, &'static str)| {
@@ -34,16 +34,16 @@
                 .with_child(leaf("datastore", "running"))
                 .with_children(edits.iter().take(MAX_EDITS).map(edit))
         }
-        Notification::ConfirmedCommit { how } => {
-            element("netconf-confirmed-commit").with_child(leaf("confirm-event", how))
+        Notification::ConfirmedCommit { event } => {
+            element("netconf-confirmed-commit").with_child(leaf("confirm-event", event))
         }
         Notification::SessionStarted { caller, client_origin } => {
             let host = client_origin.split(' ').nth(1).unwrap_or_default();
             with_session(element("netconf-session-start"), &caller.user, caller.session.0)
                 .with_child(leaf("source-host", host))
         }
-        Notification::SessionEnded { caller, how } => {
-            let (killed_by, reason) = match how {
+        Notification::SessionEnded { caller, reason } => {
+            let (killed_by, reason) = match reason {
                 TerminationReason::Closed => (None, "closed"),
                 TerminationReason::Killed(by) => (Some(by.0.to_string()), "killed"),
                 TerminationReason::Dropped => (None, "dropped"),
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -545,7 +545,7 @@
             .child(&operation.namespace, "source")
             .ok_or_else(|| missing_element("source", &operation.name))?;
         let Some(config) = source.child(NETCONF_NAMESPACE, "config") else {
-            return datastore_parameter(operation, "source").map(Source::Store);
+            return datastore_parameter(operation, "source").map(Source::Datastore);
         };
         let drafts = xml::to_edit_nodes(self.context.datastore_manager.schema(), &config.children, false);
         drafts.map(Source::Inline).map_err(|fault| datastore_error(DatastoreError::Faults(vec![fault])))
@@ -554,7 +554,7 @@
     async fn copy_config(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["target", "source", "with-defaults"])?;
         let (target, source) = (datastore_parameter(operation, "target")?, self.source(operation)?);
-        if matches!(source, Source::Store(store) if store == target) {
+        if matches!(source, Source::Datastore(datastore) if datastore == target) {
             return Err(invalid_value("source", "source and target are the same datastore"));
         }
         self.context.datastore_manager.copy(&self.caller, source, target).await.map_err(datastore_error)?;
--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -48,7 +48,7 @@
     /// The running datastore changed.
     ConfigChanged {
         number: u64,
-        by: String,
+        author: String,
         /// The session that committed the change; `None` for a rollback by the server.
         session: Option<Session>,
         /// Whether the change is a confirmed commit that still awaits its confirmation.
@@ -59,7 +59,7 @@
     /// A confirmed commit was confirmed, cancelled, or rolled back after its timeout.
     ConfirmedCommit {
         /// The `confirm-event` of RFC 6470.
-        how: &'static str,
+        event: &'static str,
     },
     SessionStarted {
         caller: Caller,
@@ -68,7 +68,7 @@
     },
     SessionEnded {
         caller: Caller,
-        how: TerminationReason,
+        reason: TerminationReason,
     },
     /// Every joined proxy has applied a change.
     ChangeApplied {
@@ -80,7 +80,7 @@
 /// Where an operation takes its configuration data from.
 pub enum Source {
     /// The content of a datastore.
-    Store(Datastore),
+    Datastore(Datastore),
     /// Data sent with the request.
     Inline(Vec<EditNode>),
 }
@@ -226,7 +226,7 @@
         match self.apply(&mut inner, None, proposal).await {
             Ok(_) => {
                 tracing::warn!("confirmed commit was not confirmed in time; rolled back as version {number}");
-                self.notify(Notification::ConfirmedCommit { how: "timeout" });
+                self.notify(Notification::ConfirmedCommit { event: "timeout" });
             }
             Err(error) => {
                 tracing::error!("cannot roll back the confirmed commit yet: {error}");
@@ -245,9 +245,9 @@
     ) -> Result<CommitOutcome, DatastoreError> {
         let (reply, verdict) = oneshot::channel();
         let number = proposal.number;
-        let by = proposal.author.clone();
+        let author = proposal.author.clone();
         let intent = Box::new(proposal.intent.clone());
-        let request = PlannerRequest::Apply { number, by: by.clone(), intent, verdict: reply };
+        let request = PlannerRequest::Apply { number, author: author.clone(), intent, verdict: reply };
         self.request_verdict(request, verdict).await?;
         let before = inner.datastores.get(Datastore::Running).clone();
         let outcome = inner.datastores.apply(self.now(), proposal);
@@ -257,10 +257,10 @@
         inner.access = AccessControl::from_data(&self.0.schema, running).unwrap_or_default();
         self.0.access.send_replace(inner.access.clone());
         self.0.rescheduled.notify_one();
-        tracing::info!("version {number} of the configuration is running, by {by}");
+        tracing::info!("version {number} of the configuration is running, by {author}");
         let edits = self.edits(&before, running);
         let unconfirmed = outcome.confirm_deadline.is_some();
-        self.notify(Notification::ConfigChanged { number, by, session, unconfirmed, edits });
+        self.notify(Notification::ConfigChanged { number, author, session, unconfirmed, edits });
         Ok(outcome)
     }
 
@@ -316,20 +316,20 @@
 
     /// Closes a session: releases its locks and makes the rollback of its confirmed commit due, unless the commit has a
     /// persist id.
-    pub async fn close_session(&self, caller: &Caller, how: TerminationReason) {
+    pub async fn close_session(&self, caller: &Caller, reason: TerminationReason) {
         let mut inner = self.0.inner.lock().await;
         let Some(closed) = inner.sessions.remove(&caller.session) else { return };
         inner.datastores.end_session(self.now(), caller.session);
         drop(inner);
-        let how = closed.killed_by.map_or(how, TerminationReason::Killed);
+        let reason = closed.killed_by.map_or(reason, TerminationReason::Killed);
         tracing::info!(
-            "session {} of {} from {} ended: {how:?}",
+            "session {} of {} from {} ended: {reason:?}",
             caller.session.0,
             caller.user,
             closed.client_origin
         );
         self.0.rescheduled.notify_one();
-        self.notify(Notification::SessionEnded { caller: caller.clone(), how });
+        self.notify(Notification::SessionEnded { caller: caller.clone(), reason });
     }
 
     /// Signals another session to end. Only an admin or the other session's own user may end it.
@@ -377,7 +377,7 @@
         let now = self.now();
         let versions = inner.datastores.versions().map(|version| VersionState {
             number: version.number,
-            by: version.author.clone(),
+            author: version.author.clone(),
             age: now - version.committed_at,
         });
         let pending = inner.datastores.pending_confirmation();
@@ -448,8 +448,8 @@
     fn source_data(&self, inner: &Inner, caller: &Caller, source: Source) -> Result<Data, DatastoreError> {
         Ok(match source {
             // A user who may read only a part of the source must not copy the rest, which they cannot see.
-            Source::Store(store) => {
-                let data = inner.datastores.get(store);
+            Source::Datastore(datastore) => {
+                let data = inner.datastores.get(datastore);
                 let readable = inner.access.filter_readable(&self.0.schema, &caller.user, data);
                 if readable != *data {
                     return Err(DatastoreError::AccessDenied("unreadable parts of the source".into()));
@@ -566,7 +566,7 @@
         self.check_write_access(&inner, caller, inner.datastores.get(Datastore::Running), &proposal.data)?;
         let outcome = self.apply(&mut inner, Some(caller.session), proposal).await?;
         if was_pending && !confirmed {
-            self.notify(Notification::ConfirmedCommit { how: "complete" });
+            self.notify(Notification::ConfirmedCommit { event: "complete" });
         }
         Ok(outcome)
     }
@@ -581,7 +581,7 @@
         DatastoreManager::check_writer(&inner, caller, "running")?;
         let proposal = inner.datastores.propose_cancel(caller.session, persist_id)?;
         self.apply(&mut inner, Some(caller.session), proposal).await?;
-        self.notify(Notification::ConfirmedCommit { how: "cancel" });
+        self.notify(Notification::ConfirmedCommit { event: "cancel" });
         Ok(())
     }
 
--- a/crates/northbound/src/planner_request.rs
+++ b/crates/northbound/src/planner_request.rs
@@ -21,7 +21,7 @@
 pub enum PlannerRequest {
     /// Checks an intent against the current state of the manager and applies it at once if it is accepted. `number` is
     /// the version of running that it becomes.
-    Apply { number: u64, by: String, intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
+    Apply { number: u64, author: String, intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
     /// Checks an intent without applying it.
     Validate { intent: Box<Intent>, verdict: oneshot::Sender<Verdict> },
     /// Requests the operational state.
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -42,9 +42,9 @@
     pub mark_sent: Option<u16>,
     pub mark_acknowledged: Option<u16>,
     /// The number of marks that the proxy has not acknowledged.
-    pub unacknowledged: usize,
+    pub unacknowledged_marks: usize,
     /// The age of the oldest mark that the proxy has not acknowledged.
-    pub unacknowledged_for: Option<Ms>,
+    pub oldest_unacknowledged_age: Option<Ms>,
     /// Messages sent within `Settings::message_window`, in which their number is limited.
     pub recent_messages: usize,
     pub excluded_workers: Vec<String>,
@@ -55,13 +55,13 @@
 #[derive(Clone, Debug)]
 pub struct ChangeState {
     pub number: u64,
-    pub by: String,
+    pub author: String,
     pub age: Ms,
     pub stage: Stage,
     /// The number of proxies that have applied the change.
-    pub applied_by: usize,
+    pub applied_proxies: usize,
     /// The number of joined proxies.
-    pub joined: usize,
+    pub joined_proxies: usize,
 }
 
 /// The operational state of a manager.
@@ -91,20 +91,20 @@
     pub leader: Option<u16>,
     pub term: u64,
     pub recovery_state: &'static str,
-    /// The commit index of the log.
-    pub committed: u64,
+    /// The commit index of the consensus log.
+    pub commit_index: u64,
     pub store_failing: bool,
-    /// The size of the store in bytes.
-    pub store_size: u64,
+    /// The size of the store.
+    pub store_bytes: u64,
     /// Messages to other managers that were dropped because a queue was full.
     pub messages_lost: u64,
     /// How slow this manager itself is, from 0 (healthy) to 8.
-    pub own_health: u32,
+    pub local_health: u32,
     /// The other managers, each with its member number, health and reachability.
     pub members: Vec<(u16, &'static str, &'static str)>,
     pub schedules: Vec<ScheduleState>,
     /// The version of the committed failover plan.
-    pub plan: u64,
+    pub plan_version: u64,
     /// Whether the lease of the plan has expired, so that every zone has its full weight.
     pub plan_lease_expired: bool,
     /// The zones of the plan, each with its name, weight ratio and reason.
@@ -120,18 +120,18 @@
     /// The number of occurrences that have not finished.
     pub open_count: usize,
     /// The number of occurrences that finished.
-    pub finished: u64,
+    pub finished_count: u64,
     /// The number of occurrences that were skipped.
-    pub skipped: u64,
+    pub skipped_count: u64,
     /// The last finished occurrence: its due time in Unix milliseconds, its result and its owner's member number.
-    pub last: Option<(i64, &'static str, u16)>,
+    pub last_finished: Option<(i64, &'static str, u16)>,
 }
 
 /// A retained version of running, which can be restored.
 #[derive(Clone, Debug)]
 pub struct VersionState {
     pub number: u64,
-    pub by: String,
+    pub author: String,
     pub age: Ms,
 }
 
@@ -270,7 +270,7 @@
 impl ProxyState {
     fn write(&self, parent: &mut Writer<'_>) {
         parent.entry("proxy", &[Value::Integer(self.number.into())], |proxy| {
-            proxy.text("zone", &self.zone).integer("answers-owed", self.unacknowledged as u64);
+            proxy.text("zone", &self.zone).integer("answers-owed", self.unacknowledged_marks as u64);
             proxy.integer("messages-lately", self.recent_messages as u64);
             if let Some(mark) = self.mark_sent {
                 proxy.integer("mark-sent", mark);
@@ -278,7 +278,7 @@
             if let Some(mark) = self.mark_acknowledged {
                 proxy.integer("mark-answered", mark);
             }
-            if let Some(age) = self.unacknowledged_for {
+            if let Some(age) = self.oldest_unacknowledged_age {
                 proxy.decimal("owed-since", age.clamp(0.0, MAX_DURATION), 3);
             }
             let shut_out = proxy.id("shut-out");
@@ -303,17 +303,17 @@
     fn write(&self, parent: &mut Writer<'_>) {
         parent.integer("member", self.member).text("role", self.role).integer("term", self.term);
         self.leader.iter().for_each(|leader| _ = parent.integer("leader", *leader));
-        parent.text("standing", self.recovery_state).integer("committed", self.committed);
+        parent.text("standing", self.recovery_state).integer("committed", self.commit_index);
         parent
             .set("store-failing", Value::Boolean(self.store_failing))
-            .integer("store-size", self.store_size);
-        parent.integer("messages-lost", self.messages_lost).integer("own-health", self.own_health);
+            .integer("store-size", self.store_bytes);
+        parent.integer("messages-lost", self.messages_lost).integer("own-health", self.local_health);
         for (number, health, reachability) in &self.members {
             parent.entry("member-of", &[Value::Integer((*number).into())], |member| {
                 member.text("health", health).text("reach", reachability);
             });
         }
-        parent.integer("plan", self.plan).set("plan-lapsed", Value::Boolean(self.plan_lease_expired));
+        parent.integer("plan", self.plan_version).set("plan-lapsed", Value::Boolean(self.plan_lease_expired));
         for (name, weight_ratio, reason) in &self.zones {
             parent.entry("zone", &[Value::text(&**name)], |zone| {
                 zone.decimal("part", *weight_ratio, 4).text("why", reason);
@@ -324,8 +324,8 @@
                 schedule
                     .integer("through", state.decided_through_ms)
                     .integer("open", state.open_count as u64);
-                schedule.integer("ended", state.finished).integer("passed", state.skipped);
-                if let Some((due_ms, result, owner)) = state.last {
+                schedule.integer("ended", state.finished_count).integer("passed", state.skipped_count);
+                if let Some((due_ms, result, owner)) = state.last_finished {
                     schedule
                         .integer("last-due", due_ms)
                         .text("last-end", result)
@@ -344,7 +344,7 @@
         self.rollback_failure.iter().for_each(|reason| _ = parent.text("overdue", reason));
         for version in &self.versions {
             parent.entry("version", &[Value::Integer(version.number.into())], |entry| {
-                entry.text("by", &version.by).decimal("age", version.age, 3);
+                entry.text("by", &version.author).decimal("age", version.age, 3);
             });
         }
     }
@@ -353,8 +353,10 @@
 impl ChangeState {
     fn write(&self, parent: &mut Writer<'_>) {
         parent.entry("change", &[Value::Integer(self.number.into())], |change| {
-            change.text("by", &self.by).decimal("age", self.age, 3);
-            change.integer("held-by", self.applied_by as u64).integer("joined", self.joined as u64);
+            change.text("by", &self.author).decimal("age", self.age, 3);
+            change
+                .integer("held-by", self.applied_proxies as u64)
+                .integer("joined", self.joined_proxies as u64);
             match self.stage {
                 Stage::Distributing => change.text("progress", "going-out"),
                 Stage::Superseded => change.text("progress", "superseded"),
@@ -414,11 +416,11 @@
         let operations = operations.into_iter().zip(["x", "y", "z"]);
         let change = |number, stage| ChangeState {
             number,
-            by: "ann".into(),
+            author: "ann".into(),
             age: 1e9,
             stage,
-            applied_by: 1,
-            joined: 2,
+            applied_proxies: 1,
+            joined_proxies: 2,
         };
         let state = OperationalState {
             manager: "n0".into(),
@@ -439,8 +441,8 @@
                 zone,
                 mark_sent: Some(65_535),
                 mark_acknowledged: Some(1),
-                unacknowledged: 2,
-                unacknowledged_for: Some(1e12),
+                unacknowledged_marks: 2,
+                oldest_unacknowledged_age: Some(1e12),
                 recent_messages: 4,
                 excluded_workers: vec!["s-1".into()],
                 operations: operations
@@ -465,7 +467,7 @@
                 schedules: vec![ScheduleState {
                     name: "warm".into(),
                     decided_through_ms: -1,
-                    last: Some((i64::MAX, "given-up", 3)),
+                    last_finished: Some((i64::MAX, "given-up", 3)),
                     ..ScheduleState::default()
                 }],
                 ..FleetState::default()
@@ -475,7 +477,7 @@
         let versions = VersionsState {
             unconfirmed_for: Some(-1.5),
             rollback_failure: Some("why".into()),
-            versions: vec![VersionState { number: 2, by: "ann".into(), age: 3.0 }],
+            versions: vec![VersionState { number: 2, author: "ann".into(), age: 3.0 }],
         };
         let data = state.data(&schema, &versions);
         check_types(&schema, &data);
--- a/crates/northbound/tests/datastore_manager.rs
+++ b/crates/northbound/tests/datastore_manager.rs
@@ -121,7 +121,7 @@
     let (ann, _end) = manager.open_session("ann", "test").await.unwrap();
     assert!(manager.lock(&eve, Datastore::Candidate).await.is_err());
     let refused = manager
-        .copy(&ann, juniperrail_northbound::Source::Store(Datastore::Running), Datastore::Startup)
+        .copy(&ann, juniperrail_northbound::Source::Datastore(Datastore::Running), Datastore::Startup)
         .await;
     assert!(refused.unwrap_err().to_string().contains("no operator's file"));
     assert!(
