--- a/crates/intent/src/admission.rs
+++ b/crates/intent/src/admission.rs
@@ -348,7 +348,7 @@
 mod tests {
     use super::*;
     use crate::compose::Composer;
-    use crate::intent::{DesiredState, Placement, WorkerIntent};
+    use crate::intent::{DesiredState, OperationIntent, Placement, WorkerIntent};
     use juniperrail_interface::{CellId, MachineId, WorkerEntry};
 
     const NOW: Ms = 1_000_000.0;
@@ -548,7 +548,10 @@
             warm_up: Some(20_000.0),
             cold_share: Some(0.2),
             overload_factor: Some(3.0),
-            operations: BTreeMap::from([("order".to_string(), (Some(400.0), Some(5.0)))]),
+            operations: BTreeMap::from([(
+                "order".to_string(),
+                OperationIntent { latency_objective: Some(400.0), billed_value: Some(5.0) },
+            )]),
             ..Intent::default()
         };
         assert!(manager.check(&tighter).is_empty());
@@ -612,7 +615,7 @@
             "s-9",
             WorkerIntent { placement: Some(placement("nowhere")), ..WorkerIntent::default() },
         );
-        intent.operations.insert("shout".into(), (None, None));
+        intent.operations.insert("shout".into(), OperationIntent::default());
         for (name, weight) in [("s-0", f64::NAN), ("s-1", -1.0), ("s-2", f64::INFINITY)] {
             intent
                 .workers
--- a/crates/intent/src/intent.rs
+++ b/crates/intent/src/intent.rs
@@ -35,6 +35,13 @@
     pub placement: Option<Placement>,
 }
 
+/// What the operator configures for one operation. A field that is `None` leaves the value of the settings in effect.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct OperationIntent {
+    pub latency_objective: Option<Ms>,
+    pub billed_value: Option<f64>,
+}
+
 /// The part of the running configuration that the planner acts on. A field that is `None` leaves the value of the
 /// settings in effect.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -44,8 +51,8 @@
     pub warm_up: Option<Ms>,
     pub cold_share: Option<f64>,
     pub overload_factor: Option<f64>,
-    /// The latency objective and the billed value, by the operation's name.
-    pub operations: BTreeMap<String, (Option<Ms>, Option<f64>)>,
+    /// By the operation's name.
+    pub operations: BTreeMap<String, OperationIntent>,
 }
 
 impl Intent {
@@ -74,21 +81,24 @@
         };
         let workers = top.container("workers").entries("worker");
         let operations = figures.entries("operation");
-        let overrides = |view: &View<'_>| (view.number("latency-objective"), view.number("billed-value"));
+        let operation_intent = |view: &View<'_>| OperationIntent {
+            latency_objective: view.number("latency-objective"),
+            billed_value: view.number("billed-value"),
+        };
         Intent {
             workers: workers.iter().map(|view| (text(view, "name"), worker_intent(view))).collect(),
             drain_grace: figures.number("drain-grace"),
             warm_up: figures.number("warm-up"),
             cold_share: figures.number("cold-share"),
             overload_factor: figures.number("overload-factor"),
-            operations: operations.iter().map(|view| (text(view, "name"), overrides(view))).collect(),
+            operations: operations.iter().map(|view| (text(view, "name"), operation_intent(view))).collect(),
         }
     }
 
     /// The runtime settings in effect: the figures of this intent where given, else those of the settings.
     /// `operation_names` are in the order of the settings.
     pub fn runtime_settings(&self, settings: &Settings, operation_names: &[String]) -> RuntimeSettings {
-        let overrides = |name: &String| self.operations.get(name).copied().unwrap_or_default();
+        let operation_intent = |name: &String| self.operations.get(name).copied().unwrap_or_default();
         let named_operations = settings.operations.iter().zip(operation_names);
         RuntimeSettings {
             drain_grace: self.drain_grace.unwrap_or(settings.drain_grace),
@@ -97,10 +107,10 @@
             overload_factor: self.overload_factor.unwrap_or(settings.overload_factor),
             operations: named_operations
                 .map(|(operation, name)| {
-                    let (objective, value) = overrides(name);
+                    let OperationIntent { latency_objective, billed_value } = operation_intent(name);
                     (
-                        objective.unwrap_or(operation.latency_objective),
-                        value.unwrap_or(operation.billed_value),
+                        latency_objective.unwrap_or(operation.latency_objective),
+                        billed_value.unwrap_or(operation.billed_value),
                     )
                 })
                 .collect(),
--- a/crates/intent/src/lib.rs
+++ b/crates/intent/src/lib.rs
@@ -18,5 +18,5 @@
     Commit, CommitOutcome, Datastore, DatastoreError, Datastores, Proposal, Session, Version,
 };
 pub use edit::{edit_config, DefaultOperation, ErrorOption};
-pub use intent::{DesiredState, Intent, Placement, WorkerIntent};
+pub use intent::{DesiredState, Intent, OperationIntent, Placement, WorkerIntent};
 pub use progress::{Change, ChangeTracker, Stage};
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -9,7 +9,9 @@
 use juniperrail_fleet::{FleetConfig, FleetHandle};
 use juniperrail_interface::{Ms, Phase, Settings, WorkerEntry};
 use juniperrail_model::{Data, Schema, View};
-use juniperrail_northbound::{FleetState, OperatorFile, ScheduleState};
+use juniperrail_northbound::{
+    FinishedOccurrence, FleetState, MemberState, OperatorFile, ScheduleState, ZonePlanState,
+};
 use juniperrail_schedule::{
     Action, CatchUp, FoldPolicy, GapPolicy, OccurrenceOutcome, OverlapPolicy, QuietPolicy, Schedule, Timing,
 };
@@ -239,14 +241,22 @@
             .plan
             .shares
             .iter()
-            .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, reason_name(share.reason)))
+            .map(|(zone, share)| ZonePlanState {
+                name: zone.0.clone(),
+                weight_ratio: share.weight_ratio,
+                reason: reason_name(share.reason),
+            })
             .collect(),
         messages_lost: status.messages_lost,
         local_health: status.local_health,
         members: status
             .members
             .iter()
-            .map(|(id, health, reach)| (id.0, health_name(*health), reach_name(*reach)))
+            .map(|(id, health, reach)| MemberState {
+                number: id.0,
+                health: health_name(*health),
+                reachability: reach_name(*reach),
+            })
             .collect(),
         schedules: status
             .schedules
@@ -257,10 +267,11 @@
                 open_count: schedule.open_count,
                 finished_count: schedule.ended_count,
                 skipped_count: schedule.skipped_count,
-                last_finished: schedule
-                    .last_ended
-                    .as_ref()
-                    .map(|ended| (ended.due_ms, outcome_name(ended.outcome), ended.owner.0)),
+                last_finished: schedule.last_ended.as_ref().map(|ended| FinishedOccurrence {
+                    due_ms: ended.due_ms,
+                    outcome: outcome_name(ended.outcome),
+                    owner: ended.owner.0,
+                }),
             })
             .collect(),
     }
--- a/crates/northbound/src/lib.rs
+++ b/crates/northbound/src/lib.rs
@@ -12,6 +12,6 @@
 pub use file::OperatorFile;
 pub use planner_request::{Notice, PlannerRequest, Verdict, NOTICE_QUEUE_CAPACITY, REQUEST_QUEUE_CAPACITY};
 pub use state::{
-    ChangeState, FleetState, OperationState, OperationalState, ProxyState, ScheduleState, TableState,
-    VersionState, VersionsState, WorkerState,
+    ChangeState, FinishedOccurrence, FleetState, MemberState, OperationState, OperationalState, ProxyState,
+    ScheduleState, TableState, VersionState, VersionsState, WorkerState, ZonePlanState,
 };
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -100,15 +100,31 @@
     pub messages_lost: u64,
     /// How slow this manager itself is, from 0 (healthy) to 8.
     pub local_health: u32,
-    /// The other managers, each with its member number, health and reachability.
-    pub members: Vec<(u16, &'static str, &'static str)>,
+    /// The other managers.
+    pub members: Vec<MemberState>,
     pub schedules: Vec<ScheduleState>,
     /// The version of the committed failover plan.
     pub plan_version: u64,
     /// Whether the lease of the plan has expired, so that every zone has its full weight.
     pub plan_lease_expired: bool,
-    /// The zones of the plan, each with its name, weight ratio and reason.
-    pub zones: Vec<(String, f64, &'static str)>,
+    /// The zones of the plan.
+    pub zones: Vec<ZonePlanState>,
+}
+
+/// Another manager as this one sees it.
+#[derive(Clone, Debug)]
+pub struct MemberState {
+    pub number: u16,
+    pub health: &'static str,
+    pub reachability: &'static str,
+}
+
+/// What the failover plan sets for one zone.
+#[derive(Clone, Debug)]
+pub struct ZonePlanState {
+    pub name: String,
+    pub weight_ratio: f64,
+    pub reason: &'static str,
 }
 
 /// The state of one schedule.
@@ -123,8 +139,17 @@
     pub finished_count: u64,
     /// The number of occurrences that were skipped.
     pub skipped_count: u64,
-    /// The last finished occurrence: its due time in Unix milliseconds, its result and its owner's member number.
-    pub last_finished: Option<(i64, &'static str, u16)>,
+    pub last_finished: Option<FinishedOccurrence>,
+}
+
+/// A finished occurrence of a schedule.
+#[derive(Clone, Debug)]
+pub struct FinishedOccurrence {
+    /// The due time in Unix milliseconds.
+    pub due_ms: i64,
+    pub outcome: &'static str,
+    /// The member number of the manager that owned it.
+    pub owner: u16,
 }
 
 /// A retained version of running, which can be restored.
@@ -308,15 +333,15 @@
             .set("store-failing", Value::Boolean(self.store_failing))
             .integer("store-size", self.store_bytes);
         parent.integer("messages-lost", self.messages_lost).integer("own-health", self.local_health);
-        for (number, health, reachability) in &self.members {
-            parent.entry("member-of", &[Value::Integer((*number).into())], |member| {
-                member.text("health", health).text("reach", reachability);
+        for state in &self.members {
+            parent.entry("member-of", &[Value::Integer(state.number.into())], |member| {
+                member.text("health", state.health).text("reach", state.reachability);
             });
         }
         parent.integer("plan", self.plan_version).set("plan-lapsed", Value::Boolean(self.plan_lease_expired));
-        for (name, weight_ratio, reason) in &self.zones {
-            parent.entry("zone", &[Value::text(&**name)], |zone| {
-                zone.decimal("part", *weight_ratio, 4).text("why", reason);
+        for state in &self.zones {
+            parent.entry("zone", &[Value::text(&*state.name)], |zone| {
+                zone.decimal("part", state.weight_ratio, 4).text("why", state.reason);
             });
         }
         for state in &self.schedules {
@@ -325,11 +350,11 @@
                     .integer("through", state.decided_through_ms)
                     .integer("open", state.open_count as u64);
                 schedule.integer("ended", state.finished_count).integer("passed", state.skipped_count);
-                if let Some((due_ms, result, owner)) = state.last_finished {
+                if let Some(finished) = &state.last_finished {
                     schedule
-                        .integer("last-due", due_ms)
-                        .text("last-end", result)
-                        .integer("last-owner", owner);
+                        .integer("last-due", finished.due_ms)
+                        .text("last-end", finished.outcome)
+                        .integer("last-owner", finished.owner);
                 }
             });
         }
@@ -462,12 +487,16 @@
                 leader: Some(1),
                 term: u64::MAX,
                 recovery_state: "doubtful",
-                members: vec![(1, "suspect", "by-others")],
-                zones: vec![("b".into(), 0.3, "cut-off")],
+                members: vec![MemberState { number: 1, health: "suspect", reachability: "by-others" }],
+                zones: vec![ZonePlanState { name: "b".into(), weight_ratio: 0.3, reason: "cut-off" }],
                 schedules: vec![ScheduleState {
                     name: "warm".into(),
                     decided_through_ms: -1,
-                    last_finished: Some((i64::MAX, "given-up", 3)),
+                    last_finished: Some(FinishedOccurrence {
+                        due_ms: i64::MAX,
+                        outcome: "given-up",
+                        owner: 3,
+                    }),
                     ..ScheduleState::default()
                 }],
                 ..FleetState::default()
