--- a/crates/intent/src/datastores.rs
+++ b/crates/intent/src/datastores.rs
@@ -106,7 +106,7 @@
 /// The parameters of a commit (RFC 6241 section 8.4).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Commit {
-    /// The commit is rolled back unless it is confirmed in time.
+    /// Whether this is a confirmed commit, which is rolled back unless it is confirmed in time.
     pub confirmed: bool,
     /// The time within which the commit must be confirmed; ten minutes if `None`.
     pub confirm_timeout: Option<Ms>,
@@ -116,10 +116,11 @@
     pub persist_id: Option<String>,
 }
 
+/// What a proposal originates from.
 #[derive(Clone, Debug, PartialEq)]
 enum ProposalKind {
     Commit(Commit),
-    /// Returns to the configuration before the confirmed commit.
+    /// The return to the configuration before the pending confirmed commit, after its timeout or a cancel-commit.
     Rollback,
 }
 
@@ -128,6 +129,7 @@
 pub struct Proposal {
     kind: ProposalKind,
     session: Session,
+    /// The user who makes the change; for a rollback, the user of the commit that is rolled back.
     pub author: String,
     /// The version number that running will have.
     pub number: u64,
@@ -138,6 +140,7 @@
 /// The result of an applied proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommitOutcome {
+    /// The version number of running after the commit.
     pub number: u64,
     /// The time until which the commit must be confirmed, if it is a confirmed commit.
     pub confirm_deadline: Option<Ms>,
@@ -171,7 +174,7 @@
 pub struct Datastores {
     schema: Arc<Schema>,
     running: Data,
-    /// `None` while it has no changes of its own and therefore equals running.
+    /// `None` while it is unedited and therefore follows running.
     candidate: Option<Data>,
     startup: Data,
     locks: BTreeMap<Datastore, Session>,
--- a/crates/intent/src/edit.rs
+++ b/crates/intent/src/edit.rs
@@ -31,6 +31,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum EffectiveOperation {
     Edit(EditOperation),
+    /// The node is not changed.
     None,
 }
 
--- a/crates/intent/src/progress.rs
+++ b/crates/intent/src/progress.rs
@@ -33,7 +33,7 @@
     pub joined_proxies: usize,
 }
 
-/// Tracks the latest [`MAX_TRACKED_CHANGES`] changes.
+/// Tracks the distribution of the latest changes, at most `MAX_TRACKED_CHANGES`.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeTracker {
     /// The oldest first.
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -58,10 +58,14 @@
     let persist = proptest::option::of(0u8..2);
     prop_oneof![
         8 => (session.clone(), 0usize..3, operation, proptest::option::of(0u32..4), default_operation)
-            .prop_map(|(session, worker, operation, weight, default)| Step::Edit(session, worker, operation, weight, default)),
+            .prop_map(|(session, worker, operation, weight, default_operation)| {
+                Step::Edit(session, worker, operation, weight, default_operation)
+            }),
         1 => session.clone().prop_map(Step::Discard),
         5 => (session.clone(), any::<bool>(), persist.clone(), persist.clone())
-            .prop_map(|(session, confirmed, persist, persist_id)| Step::Commit(session, confirmed, persist, persist_id)),
+            .prop_map(|(session, confirmed, persist, persist_id)| {
+                Step::Commit(session, confirmed, persist, persist_id)
+            }),
         1 => (session.clone(), persist).prop_map(|(session, persist_id)| Step::Cancel(session, persist_id)),
         1 => (session.clone(), datastore.clone()).prop_map(|(session, datastore)| Step::Lock(session, datastore)),
         1 => (session.clone(), datastore).prop_map(|(session, datastore)| Step::Unlock(session, datastore)),
@@ -351,7 +355,8 @@
     ];
     let update = prop_oneof![
         4 => (phase, 0u8..3).prop_map(|(phase, weight)| Update::Discovery(phase, weight)),
-        4 => (desired_state, proptest::option::of(0u8..3)).prop_map(|(desired_state, weight)| Update::Operator(desired_state, weight)),
+        4 => (desired_state, proptest::option::of(0u8..3))
+            .prop_map(|(desired_state, weight)| Update::Operator(desired_state, weight)),
         1 => Just(Update::Forgotten),
     ];
     let (zone, machine, cell, worker) = (ZoneId(0), MachineId(0), CellId(0), WorkerId(0));
--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -370,7 +370,7 @@
     }
 
     /// The part of the operational state that the user may read. It shows what was actually sent to the proxies and is
-    /// at most [`STATE_CACHE_TTL`] old.
+    /// at most `STATE_CACHE_TTL` old.
     pub async fn state(&self, caller: &Caller) -> Result<Data, DatastoreError> {
         let state = self.operational_state().await?;
         let inner = self.0.inner.lock().await;
--- a/crates/northbound/src/state.rs
+++ b/crates/northbound/src/state.rs
@@ -114,8 +114,11 @@
 /// Another manager as this one sees it.
 #[derive(Clone, Debug)]
 pub struct MemberState {
+    /// The member number.
     pub number: u16,
+    /// The `health` value of the YANG module.
     pub health: &'static str,
+    /// The `reach` value of the YANG module.
     pub reachability: &'static str,
 }
 
@@ -123,7 +126,9 @@
 #[derive(Clone, Debug)]
 pub struct ZonePlanState {
     pub name: String,
+    /// The ratio of their weight that the workers of the zone keep.
     pub weight_ratio: f64,
+    /// The `why` value of the YANG module.
     pub reason: &'static str,
 }
 
@@ -147,6 +152,7 @@
 pub struct FinishedOccurrence {
     /// The due time in Unix milliseconds.
     pub due_ms: i64,
+    /// The `last-end` value of the YANG module.
     pub outcome: &'static str,
     /// The member number of the manager that owned it.
     pub owner: u16,
