--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -9,7 +9,9 @@
 use juniperrail_fleet::{FleetConfig, FleetHandle};
 use juniperrail_interface::{Ms, Phase, Settings, WorkerEntry};
 use juniperrail_model::{Data, Schema, View};
-use juniperrail_northbound::{FleetState, OperatorFile, ScheduleState};
+use juniperrail_northbound::{
+    FinishedOccurrence, FleetState, MemberState, OperatorFile, ScheduleState, ZonePlanState,
+};
 use juniperrail_schedule::{
     Action, CatchUp, FoldPolicy, GapPolicy, OccurrenceOutcome, OverlapPolicy, QuietPolicy, Schedule, Timing,
 };
@@ -231,23 +233,31 @@
             Some(RecoveryState::Recovering { .. }) => "doubtful",
             Some(RecoveryState::Ready) => "whole",
         },
-        committed: status.commit_index.0,
+        commit_index: status.commit_index.0,
         store_failing: status.store_failing,
-        store_size: status.store_bytes,
-        plan: status.plan.version,
+        store_bytes: status.store_bytes,
+        plan_version: status.plan.version,
         plan_lease_expired: status.plan_lease_expired,
         zones: status
             .plan
             .shares
             .iter()
-            .map(|(zone, share)| (zone.0.clone(), share.weight_ratio, reason_name(share.reason)))
+            .map(|(zone, share)| ZonePlanState {
+                name: zone.0.clone(),
+                weight_ratio: share.weight_ratio,
+                reason: reason_name(share.reason),
+            })
             .collect(),
         messages_lost: status.messages_lost,
-        own_health: status.local_health,
+        local_health: status.local_health,
         members: status
             .members
             .iter()
-            .map(|(id, health, reach)| (id.0, health_name(*health), reach_name(*reach)))
+            .map(|(id, health, reach)| MemberState {
+                number: id.0,
+                health: health_name(*health),
+                reachability: reach_name(*reach),
+            })
             .collect(),
         schedules: status
             .schedules
@@ -256,12 +266,13 @@
                 name: schedule.name.clone(),
                 decided_through_ms: schedule.decided_through,
                 open_count: schedule.open_count,
-                finished: schedule.ended_count,
-                skipped: schedule.skipped_count,
-                last: schedule
-                    .last_ended
-                    .as_ref()
-                    .map(|ended| (ended.due_ms, outcome_name(ended.outcome), ended.owner.0)),
+                finished_count: schedule.ended_count,
+                skipped_count: schedule.skipped_count,
+                last_finished: schedule.last_ended.as_ref().map(|ended| FinishedOccurrence {
+                    due_ms: ended.due_ms,
+                    outcome: outcome_name(ended.outcome),
+                    owner: ended.owner.0,
+                }),
             })
             .collect(),
     }
