--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,5 +1,5 @@
-//! The disk that a store is kept on, as a trait that tests implement with injected faults. Files are only appended to
-//! or replaced as a whole.
+//! The directory that holds a store's files, as a trait, so that tests can inject I/O errors and power loss. A file is
+//! only appended to or replaced; bytes in the middle of a file are never overwritten.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -7,22 +7,24 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 
-/// One flat directory of files.
+/// A flat directory of files.
 pub trait Disk: Send + Sync {
+    /// The names of all files in ascending order, without the lock file.
     fn list(&self) -> io::Result<Vec<String>>;
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
     /// Creates an empty file, replacing an existing one.
     fn create(&self, name: &str) -> io::Result<()>;
     /// If this fails, some of the bytes may have been written.
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes all appended bytes of the file survive a power loss. After a failure it is unknown which
-    /// of the bytes that were appended since the last successful sync survive.
+    /// Syncs the file, so that all appended bytes survive a power loss. After a failure it is unknown which of the bytes
+    /// that were appended since the last successful sync survive.
     fn sync(&self, name: &str) -> io::Result<()>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes all created, replaced and removed names survive a power loss.
+    /// Syncs the directory, so that files that were created, renamed or removed stay so after a power loss.
     fn sync_directory(&self) -> io::Result<()>;
-    /// Locks the directory until this value is dropped. Fails with `WouldBlock` if another process holds the lock.
+    /// Locks the directory for exclusive use. Fails with `WouldBlock` if it is already locked, by another process or by
+    /// another instance in this one.
     fn lock(&self) -> io::Result<()>;
 }
 
@@ -56,10 +58,10 @@
     }
 }
 
-/// A directory on the file system.
+/// A directory on the file system. Dropping it releases the lock.
 pub struct DirectoryDisk {
     path: PathBuf,
-    /// Open handles of the files that are written to.
+    /// Append handles that stay open, by file name.
     open_files: Mutex<HashMap<String, Arc<File>>>,
     /// The locked file, once [`Disk::lock`] has succeeded: closing it releases the lock.
     lock_file: Mutex<Option<File>>,
@@ -79,7 +81,7 @@
         &self.path
     }
 
-    /// The handle to append to a file; opens the file at its first use.
+    /// Returns the append handle of a file, which is opened on first use.
     fn open_file(&self, name: &str) -> io::Result<Arc<File>> {
         let mut open_files = self.open_files.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some(file) = open_files.get(name) {
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,17 +1,18 @@
 //! The file formats of the store. All integers are little-endian. The manifest, every header and every frame have a
-//! checksum (CRC-32, IEEE). In the table the number in brackets is a field's length in bytes, and N a file's number.
+//! checksum (CRC-32, IEEE). In the table, the number in brackets is a field's length in bytes, and N is a file's number.
 //!
 //! | file | bytes |
 //! | --- | --- |
-//! | `MANIFEST` | `JRMF`, format (2), generation (8), snapshot (8, 0: none), first and newest segment (8 each), checksum (4) |
-//! | `seg-N` | header: `JRSG`, format (2), N (8), first sequence number (8), checksum (4); then frames |
-//! | `snap-N` | header: `JRSN`, format (2), N (8), sequence number of the first record after the snapshot (8), checksum (4); then frames, the last one empty with the record count as its sequence number |
+//! | `MANIFEST` | `JRMF`, format version (2), generation (8), snapshot (8, 0: none), first and newest segment (8 each), checksum (4) |
+//! | `seg-N` | header: `JRSG`, format version (2), N (8), first sequence number (8), checksum (4); then frames |
+//! | `snap-N` | header: `JRSN`, format version (2), N (8), sequence number of the first record after the snapshot (8), checksum (4); then frames, the last one empty with the record count as its sequence number |
 //!
 //! A frame: payload length (4), sequence number (8), the last sequence number that was known to be durable when the
 //! frame was written (8), checksum (4) over these fields, the file's number and the payload; then the payload.
 
 /// The format version that is written. Files of a newer version are rejected.
 pub const FORMAT_VERSION: u16 = 1;
+/// The maximum length of a record.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// The sequence number of a record, from 1.
@@ -77,6 +78,7 @@
     ChecksumMismatch,
 }
 
+/// The integer at `offset`, or 0 if `bytes` ends before it: callers check the length first.
 fn u64_at(bytes: &[u8], offset: usize) -> u64 {
     bytes.get(offset..offset + 8).and_then(|field| field.try_into().ok()).map_or(0, u64::from_le_bytes)
 }
@@ -91,7 +93,7 @@
 
 /// Checks the magic number, the checksum and the version in this order, so that a damaged file is not reported as a
 /// newer version.
-fn check(bytes: &[u8], magic: &[u8; 4], length: usize) -> Result<(), FormatError> {
+fn check_magic_checksum_version(bytes: &[u8], magic: &[u8; 4], length: usize) -> Result<(), FormatError> {
     if bytes.len() < length {
         return Err(FormatError::Truncated);
     }
@@ -102,7 +104,7 @@
         return Err(FormatError::ChecksumMismatch);
     }
     match u16_at(bytes, 4) {
-        format if format > FORMAT_VERSION => Err(FormatError::NewerVersion(format)),
+        version if version > FORMAT_VERSION => Err(FormatError::NewerVersion(version)),
         _ => Ok(()),
     }
 }
@@ -126,7 +128,8 @@
     }
 
     pub fn decode(bytes: &[u8]) -> Result<Manifest, FormatError> {
-        check(bytes, b"JRMF", Manifest::LENGTH)?;
+        check_magic_checksum_version(bytes, b"JRMF", Manifest::LENGTH)?;
+        // The checksum does not cover bytes after it.
         if bytes.len() > Manifest::LENGTH {
             return Err(FormatError::ChecksumMismatch);
         }
@@ -140,49 +143,56 @@
     }
 }
 
-/// The header of a segment or snapshot. `seq` is the first record of the segment, or the first one after the snapshot.
-pub fn encode_header(kind: FileKind, number: u64, seq: Seq) -> Vec<u8> {
+/// Encodes the header of a segment or snapshot. `seq` is the sequence number of the first record of the segment, or of
+/// the first one after the snapshot.
+pub fn encode_header(kind: FileKind, file_number: u64, seq: Seq) -> Vec<u8> {
     let mut bytes = kind.magic().to_vec();
     bytes.extend(FORMAT_VERSION.to_le_bytes());
-    bytes.extend(number.to_le_bytes());
+    bytes.extend(file_number.to_le_bytes());
     bytes.extend(seq.0.to_le_bytes());
     with_checksum(bytes)
 }
 
-/// The file number and the sequence number in a header.
+/// Decodes a header into the file number and the sequence number.
 pub fn decode_header(kind: FileKind, bytes: &[u8]) -> Result<(u64, Seq), FormatError> {
-    check(bytes, kind.magic(), HEADER_BYTES)?;
+    check_magic_checksum_version(bytes, kind.magic(), HEADER_BYTES)?;
     Ok((u64_at(bytes, 6), Seq(u64_at(bytes, 14))))
 }
 
 /// The checksum of a frame. It covers the number of the file, so that a frame of another file is invalid.
-fn checksum(header: &[u8], number: u64, payload: &[u8]) -> u32 {
+fn frame_checksum(header: &[u8], file_number: u64, payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(header);
-    hasher.update(&number.to_le_bytes());
+    hasher.update(&file_number.to_le_bytes());
     hasher.update(payload);
     hasher.finalize()
 }
 
-fn encode_frame_with_length(length: u32, number: u64, seq: Seq, durable: Seq, payload: &[u8]) -> Vec<u8> {
+fn encode_frame_with_length(
+    length: u32,
+    file_number: u64,
+    seq: Seq,
+    durable: Seq,
+    payload: &[u8],
+) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + payload.len());
     bytes.extend(length.to_le_bytes());
     bytes.extend(seq.0.to_le_bytes());
     bytes.extend(durable.0.to_le_bytes());
-    let checksum = checksum(&bytes, number, payload);
+    let checksum = frame_checksum(&bytes, file_number, payload);
     bytes.extend(checksum.to_le_bytes());
     bytes.extend(payload);
     bytes
 }
 
-/// A frame in the file with this number. `durable` is the last sequence number that is known to be durable.
-pub fn encode_frame(number: u64, seq: Seq, durable: Seq, payload: &[u8]) -> Vec<u8> {
-    encode_frame_with_length(payload.len() as u32, number, seq, durable, payload)
+/// Encodes a frame for the file with this number. `durable` is the last sequence number that is known to be durable.
+pub fn encode_frame(file_number: u64, seq: Seq, durable: Seq, payload: &[u8]) -> Vec<u8> {
+    encode_frame_with_length(payload.len() as u32, file_number, seq, durable, payload)
 }
 
-/// The frame that ends a snapshot of `count` records.
-pub fn encode_end_frame(number: u64, count: u64) -> Vec<u8> {
-    encode_frame_with_length(END_OF_SNAPSHOT, number, Seq(count), Seq(0), &[])
+/// Encodes the frame that ends a snapshot of `record_count` records.
+pub fn encode_end_frame(file_number: u64, record_count: u64) -> Vec<u8> {
+    encode_frame_with_length(END_OF_SNAPSHOT, file_number, Seq(record_count), Seq(0), &[])
 }
 
 /// A decoded frame.
@@ -193,12 +203,13 @@
     pub durable: Seq,
     /// `None` in the frame that ends a snapshot.
     pub payload: Option<&'a [u8]>,
-    /// The length of the whole frame in bytes.
+    /// The length of the frame in bytes, including its header.
     pub length: usize,
 }
 
-/// The frame at the start of `bytes`, if it is complete and its checksum is right. `number` is the number of the file.
-pub fn decode_frame(number: u64, bytes: &[u8]) -> Option<Frame<'_>> {
+/// Decodes the frame at the start of `bytes`. Returns `None` if it is incomplete, its checksum does not match or its
+/// payload is too long.
+pub fn decode_frame(file_number: u64, bytes: &[u8]) -> Option<Frame<'_>> {
     let header = bytes.get(..FRAME_HEADER_BYTES)?;
     let length = u32_at(header, 0);
     let (payload_length, payload) = match length {
@@ -208,7 +219,7 @@
             (length as usize, Some(bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + length as usize)?))
         }
     };
-    if checksum(&header[..FRAME_CHECKSUM_OFFSET], number, payload.unwrap_or_default())
+    if frame_checksum(&header[..FRAME_CHECKSUM_OFFSET], file_number, payload.unwrap_or_default())
         != u32_at(header, FRAME_CHECKSUM_OFFSET)
     {
         return None;
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -81,7 +81,7 @@
     let names = disk.list()?;
     let segments: Vec<u64> = names.iter().filter_map(|name| FileKind::Segment.parse_number(name)).collect();
     if !names.iter().any(|name| name == MANIFEST) {
-        // Before the first manifest is written, there is at most one segment without records.
+        // Before the first manifest is written, there is at most one segment, and it has no records.
         for number in &segments {
             let name = FileKind::Segment.file_name(*number);
             if disk.read(&name)?.len() > HEADER_BYTES {
@@ -127,7 +127,7 @@
         };
         next = read_segment(&name, number, &bytes, first, end, &mut recovered)?;
     }
-    // A segment that was created but never named by the manifest holds no durable records, unless its file was renamed.
+    // A segment that was created but never named in the manifest holds no durable records, unless its file was renamed.
     for number in segments.iter().filter(|number| **number > manifest.newest_segment) {
         let name = FileKind::Segment.file_name(*number);
         let bytes = disk.read(&name)?;
@@ -160,8 +160,8 @@
     }
 }
 
-/// Reads the records of a segment and returns the sequence number of the next record. `end` is the first sequence
-/// number of the next segment, `None` for the newest segment.
+/// Reads the records of a segment and returns the sequence number of the record that follows them. `end` is the first
+/// sequence number of the next segment, `None` for the newest segment.
 fn read_segment(
     name: &str,
     number: u64,
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -27,6 +27,7 @@
     content: Vec<u8>,
     /// The content that survives a power loss.
     synced: Vec<u8>,
+    /// Appends that were not synced successfully, in their order. Any part of them may survive a power loss.
     unsynced: Vec<Append>,
 }
 
@@ -55,7 +56,8 @@
     names: BTreeMap<String, usize>,
     /// The names that survive a power loss.
     synced_names: BTreeMap<String, usize>,
-    unsynced_names: Vec<NameChange>,
+    /// Changes of the directory that were not synced, in their order.
+    unsynced_name_changes: Vec<NameChange>,
     faults: Faults,
     step: u64,
     powered_off: bool,
@@ -72,10 +74,10 @@
 
 fn apply_name_change(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
-        NameChange::Created(name, file) => _ = names.insert(name.clone(), *file),
+        NameChange::Created(name, index) => _ = names.insert(name.clone(), *index),
         NameChange::Renamed(from, to) => {
-            if let Some(file) = names.remove(from) {
-                names.insert(to.clone(), file);
+            if let Some(index) = names.remove(from) {
+                names.insert(to.clone(), index);
             }
         }
         NameChange::Removed(name) => _ = names.remove(name),
@@ -105,11 +107,11 @@
         self.state().powered_off
     }
 
-    /// Restores power. Each unsynced append survives at random, also in part or without earlier ones. Of the unsynced
+    /// Restores power, releases the lock and clears the faults. Each unsynced append survives at random, also in part or without earlier ones. Of the unsynced
     /// name changes a random number survives, in their order.
     pub fn restart(&self) {
         let mut state = self.state();
-        let State { files, names, synced_names, unsynced_names, rng, .. } = &mut *state;
+        let State { files, names, synced_names, unsynced_name_changes, rng, .. } = &mut *state;
         for file in files.iter_mut() {
             let mut surviving = file.synced.clone();
             for append in file.unsynced.drain(..) {
@@ -129,8 +131,8 @@
             }
             (file.content, file.synced) = (surviving.clone(), surviving);
         }
-        let survivor_count = rng.usize(..=unsynced_names.len());
-        unsynced_names
+        let survivor_count = rng.usize(..=unsynced_name_changes.len());
+        unsynced_name_changes
             .drain(..)
             .take(survivor_count)
             .for_each(|change| apply_name_change(synced_names, &change));
@@ -141,7 +143,7 @@
     /// The current content of all files, for tests that truncate or corrupt the files.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let state = self.state();
-        state.names.iter().map(|(name, file)| (name.clone(), state.files[*file].content.clone())).collect()
+        state.names.iter().map(|(name, index)| (name.clone(), state.files[*index].content.clone())).collect()
     }
 
     /// Creates a disk that holds these files, all synced.
@@ -185,7 +187,7 @@
         let power_fails = self.begin_step()?;
         if !power_fails || self.rng.bool() {
             apply_name_change(&mut self.names, &change);
-            self.unsynced_names.push(change);
+            self.unsynced_name_changes.push(change);
         }
         match power_fails {
             true => Err(disk_error("the power fails")),
@@ -213,30 +215,31 @@
 
     fn create(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        let file = state.files.len();
+        let index = state.files.len();
         state.files.push(File::default());
-        state.change_names(NameChange::Created(name.into(), file))
+        state.change_names(NameChange::Created(name.into(), index))
     }
 
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut state = self.state();
         let power_fails = state.begin_step()?;
-        let file = state.file_index(name)?;
-        let used_bytes: u64 = state.names.values().map(|file| state.files[*file].content.len() as u64).sum();
+        let index = state.file_index(name)?;
+        let used_bytes: u64 =
+            state.names.values().map(|index| state.files[*index].content.len() as u64).sum();
         let free_bytes = state
             .faults
             .capacity_bytes
             .map_or(usize::MAX, |capacity| capacity.saturating_sub(used_bytes) as usize);
-        let written_count = bytes.len().min(free_bytes);
-        let written_count = if power_fails { state.rng.usize(..=written_count) } else { written_count };
-        let offset = state.files[file].content.len();
-        state.files[file].content.extend(&bytes[..written_count]);
-        state.files[file].unsynced.push(Append {
+        let written_bytes = bytes.len().min(free_bytes);
+        let written_bytes = if power_fails { state.rng.usize(..=written_bytes) } else { written_bytes };
+        let offset = state.files[index].content.len();
+        state.files[index].content.extend(&bytes[..written_bytes]);
+        state.files[index].unsynced.push(Append {
             offset,
-            bytes: bytes[..written_count].to_vec(),
+            bytes: bytes[..written_bytes].to_vec(),
             lost: false,
         });
-        match (power_fails, written_count < bytes.len()) {
+        match (power_fails, written_bytes < bytes.len()) {
             (true, _) => Err(disk_error("the power fails")),
             (false, true) => Err(io::ErrorKind::StorageFull.into()),
             (false, false) => Ok(()),
@@ -246,17 +249,17 @@
     fn sync(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
         let power_fails = state.begin_step()?;
-        let file = state.file_index(name)?;
+        let index = state.file_index(name)?;
         let sync_fails = state.sync_fails();
         if sync_fails || power_fails && state.rng.bool() {
             // As after a failed fsync: the operating system treats the data as clean, although it was not written.
-            state.files[file].unsynced.iter_mut().for_each(|append| append.lost = true);
+            state.files[index].unsynced.iter_mut().for_each(|append| append.lost = true);
             return Err(disk_error("the sync failed"));
         }
-        let file = &mut state.files[file];
+        let file = &mut state.files[index];
         let pending = std::mem::take(&mut file.unsynced);
-        let (lost, sound): (Vec<Append>, Vec<Append>) = pending.into_iter().partition(|append| append.lost);
-        for append in &sound {
+        let (lost, intact): (Vec<Append>, Vec<Append>) = pending.into_iter().partition(|append| append.lost);
+        for append in &intact {
             file.synced.resize(file.synced.len().max(append.offset + append.bytes.len()), 0);
             file.synced[append.offset..append.offset + append.bytes.len()].copy_from_slice(&append.bytes);
         }
@@ -287,8 +290,10 @@
             return Err(disk_error("the sync failed"));
         }
         if !power_fails || state.rng.bool() {
-            let unsynced_names = std::mem::take(&mut state.unsynced_names);
-            unsynced_names.iter().for_each(|change| apply_name_change(&mut state.synced_names, change));
+            let unsynced_name_changes = std::mem::take(&mut state.unsynced_name_changes);
+            unsynced_name_changes
+                .iter()
+                .for_each(|change| apply_name_change(&mut state.synced_names, change));
         }
         match power_fails {
             true => Err(disk_error("the power fails")),
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -11,11 +11,11 @@
 /// Size limits of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The next commit rotates to a new segment once a segment is larger than this.
+    /// A commit rotates to a new segment if the newest one is larger than this.
     pub max_segment_bytes: u64,
-    /// The largest size of all files together. Appends that would exceed it fail until a compaction has freed space.
+    /// The maximum size of all files together. Appends that would exceed it fail until a compaction has freed space.
     pub max_total_bytes: u64,
-    /// The largest size of all records together that are appended but not committed.
+    /// The maximum size of all uncommitted records together.
     pub max_pending_bytes: usize,
 }
 
@@ -30,6 +30,7 @@
 pub enum OpenError {
     /// Another process has the store open.
     Locked,
+    /// A file has a newer format than [`FORMAT_VERSION`].
     NewerFormat {
         file: String,
         format: u16,
@@ -72,9 +73,9 @@
 pub enum StoreError {
     /// The record is longer than [`MAX_RECORD_BYTES`].
     RecordTooLong,
-    /// The uncommitted records have reached [`Limits::max_pending_bytes`].
+    /// The uncommitted records would exceed [`Limits::max_pending_bytes`].
     TooManyPending,
-    /// The files have reached [`Limits::max_total_bytes`].
+    /// The files would exceed [`Limits::max_total_bytes`].
     Full,
     /// The disk failed. The next commit retries the pending records in a new segment.
     Io(io::Error),
@@ -112,11 +113,11 @@
     next: Seq,
     /// The last durable sequence number.
     durable: Seq,
-    /// The records after `durable`. They are framed when they are written, as a frame depends on its segment.
+    /// The records after `durable`. They are framed only when they are written, since a frame depends on its segment.
     pending: Vec<Vec<u8>>,
     pending_bytes: usize,
-    /// An operation failed since the last commit, so the tail of the newest segment is unknown: the next commit
-    /// rotates.
+    /// A rotation or write failed, so the contents of the newest segment's tail are unknown: the next commit rotates to
+    /// a new segment.
     tail_uncertain: bool,
 }
 
@@ -243,7 +244,7 @@
         self.durable
     }
 
-    /// The size of all files.
+    /// The size of all files together.
     pub fn size_bytes(&self) -> u64 {
         self.total_bytes
     }
@@ -289,8 +290,8 @@
         Ok(self.durable)
     }
 
-    /// Begins a compaction: the caller's records will replace all records that are durable now. Records that are
-    /// appended meanwhile go to a new segment.
+    /// Commits the pending records and begins a compaction: the records that the caller writes to it will replace all
+    /// records that are durable by then. Records that are appended during the compaction go to a new segment.
     pub fn begin_compaction(&mut self) -> Result<Compaction<D>, StoreError> {
         self.commit()?;
         self.rotate_segment().map_err(|error| {
@@ -306,20 +307,22 @@
             )
         });
         creation_result.map_err(StoreError::Io)?;
-        Ok(Compaction { disk: self.disk.clone(), number, count: 0, bytes: HEADER_BYTES as u64 })
+        Ok(Compaction { disk: self.disk.clone(), number, record_count: 0, file_bytes: HEADER_BYTES as u64 })
     }
 
     /// Finishes a compaction: names the snapshot in the manifest and removes the files that it replaces.
     pub fn finish_compaction(&mut self, compaction: Compaction<D>) -> Result<(), StoreError> {
-        let Compaction { number, bytes, .. } = compaction;
-        let previous = self.manifest;
-        self.replace_manifest(Manifest { snapshot: number, first_segment: number, ..previous })
+        let Compaction { number, file_bytes, .. } = compaction;
+        let previous_manifest = self.manifest;
+        self.replace_manifest(Manifest { snapshot: number, first_segment: number, ..previous_manifest })
             .map_err(StoreError::Io)?;
-        self.total_bytes += bytes;
+        self.total_bytes += file_bytes;
         // Files that cannot be removed now are removed when the store is opened again.
-        let segments = (previous.first_segment..number).map(|number| FileKind::Segment.file_name(number));
-        let snapshot = (previous.snapshot > 0).then(|| FileKind::Snapshot.file_name(previous.snapshot));
-        for name in segments.chain(snapshot) {
+        let replaced_segments =
+            (previous_manifest.first_segment..number).map(|number| FileKind::Segment.file_name(number));
+        let replaced_snapshot = (previous_manifest.snapshot > 0)
+            .then(|| FileKind::Snapshot.file_name(previous_manifest.snapshot));
+        for name in replaced_segments.chain(replaced_snapshot) {
             let freed_bytes = self.disk.read(&name).map_or(0, |bytes| bytes.len() as u64);
             if self.disk.remove(&name).is_ok() {
                 self.total_bytes = self.total_bytes.saturating_sub(freed_bytes);
@@ -334,10 +337,10 @@
     disk: Arc<D>,
     /// The number of the snapshot's file.
     number: u64,
-    /// The records written so far.
-    count: u64,
+    /// The number of records written so far.
+    record_count: u64,
     /// The length of the file so far.
-    bytes: u64,
+    file_bytes: u64,
 }
 
 impl<D: Disk> Compaction<D> {
@@ -351,18 +354,18 @@
             if record.len() > MAX_RECORD_BYTES {
                 return Err(StoreError::RecordTooLong);
             }
-            self.count += 1;
-            bytes.extend(encode_frame(self.number, Seq(self.count), Seq(0), record));
+            self.record_count += 1;
+            bytes.extend(encode_frame(self.number, Seq(self.record_count), Seq(0), record));
         }
-        self.bytes += bytes.len() as u64;
+        self.file_bytes += bytes.len() as u64;
         self.disk.append(&FileKind::Snapshot.file_name(self.number), &bytes).map_err(StoreError::Io)
     }
 
     /// Completes and syncs the snapshot, so that the manifest may name it.
     pub fn seal(mut self) -> Result<Self, StoreError> {
         let name = FileKind::Snapshot.file_name(self.number);
-        let end_frame = encode_end_frame(self.number, self.count);
-        self.bytes += end_frame.len() as u64;
+        let end_frame = encode_end_frame(self.number, self.record_count);
+        self.file_bytes += end_frame.len() as u64;
         let seal_result = self.disk.append(&name, &end_frame).and_then(|()| self.disk.sync(&name));
         seal_result.and_then(|()| self.disk.sync_directory()).map_err(StoreError::Io)?;
         Ok(self)
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,6 +1,6 @@
-//! Runs a store on its own thread, so that appending never waits for the disk. Records that arrive within a
-//! short time are synced together. A commit that fails, also because the disk is full, is retried; meanwhile no further
-//! record is reported as durable.
+//! Runs a store on its own thread, so that appending never waits for the disk. Records that arrive within a short time
+//! are synced together. A failed commit is retried, also when the disk is full; until it succeeds, no further record is
+//! reported as durable.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -14,7 +14,7 @@
 use crate::format::MAX_RECORD_BYTES;
 use crate::store::{Compaction, Store, StoreError};
 
-/// Capacity of the channel to the thread, and of the thread's own queue.
+/// The capacity of the channel to the writer thread, and of the thread's own queue.
 const MAX_QUEUED_RECORDS: usize = 1024;
 /// Records of a snapshot that are written in one append.
 const SNAPSHOT_BATCH_RECORDS: usize = 256;
@@ -38,8 +38,8 @@
     }
 }
 
-/// The record was not accepted: the queue is full because the disk is slow or fails, or the record is longer than
-/// [`MAX_RECORD_BYTES`].
+/// The record was not accepted: the queue is full because the disk is slow or fails, the record is longer than
+/// [`MAX_RECORD_BYTES`], or the writer thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy;
 
@@ -49,6 +49,7 @@
     }
 }
 
+/// A request to the writer thread.
 enum Work<D> {
     Append(Vec<u8>),
     Compact(Vec<Vec<u8>>),
@@ -57,7 +58,7 @@
     Stop,
 }
 
-/// What the handle and the thread share: the values of [`WriterStats`], whether a compaction runs, and the request to
+/// The state that the handle and the thread share: the values of [`WriterStats`], whether a compaction runs, and the request to
 /// stop.
 #[derive(Default)]
 struct Shared {
@@ -66,7 +67,7 @@
     failures: AtomicU64,
     compacting: AtomicBool,
     compactions: AtomicU64,
-    size: AtomicU64,
+    size_bytes: AtomicU64,
     stopping: AtomicBool,
 }
 
@@ -79,12 +80,13 @@
     pub failing: bool,
     /// Failed commits and compactions.
     pub failures: u64,
+    /// Successful compactions.
     pub compactions: u64,
-    /// The size of all files.
+    /// The size of all files together.
     pub size_bytes: u64,
 }
 
-/// The handle that appends to a store.
+/// The handle of a store that runs on its own thread.
 pub struct Writer<D> {
     work_sender: SyncSender<Work<D>>,
     shared: Arc<Shared>,
@@ -93,7 +95,7 @@
 }
 
 impl<D: Disk + 'static> Writer<D> {
-    /// `on_change` is called on the store's thread after each successful commit, after the first of a series of failed
+    /// Starts the writer thread. It calls `on_change` after each successful commit, after the first of a series of failed
     /// ones, and when a compaction ends.
     pub fn start(
         store: Store<D>,
@@ -102,7 +104,7 @@
     ) -> std::io::Result<Writer<D>> {
         let (work_sender, work_receiver) = sync_channel(MAX_QUEUED_RECORDS);
         let shared = Arc::new(Shared::default());
-        shared.size.store(store.size_bytes(), Ordering::Relaxed);
+        shared.size_bytes.store(store.size_bytes(), Ordering::Relaxed);
         let thread = WriterThread {
             store,
             timing,
@@ -110,7 +112,7 @@
             own_sender: work_sender.clone(),
             shared: shared.clone(),
             queue: VecDeque::new(),
-            accepted: 0,
+            accepted_count: 0,
             on_change: Box::new(on_change),
         };
         let thread = thread::Builder::new().name("store".into()).spawn(move || thread.run())?;
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Replaces all records that were appended so far by `records`. Records that are appended meanwhile are kept.
+    /// Starts to replace all records that were appended so far by `records`. Records that are appended later are kept.
     /// Returns `false` if a compaction is running or the queue is full.
     pub fn compact(&mut self, records: Vec<Vec<u8>>) -> bool {
         if self.shared.compacting.swap(true, Ordering::AcqRel) {
@@ -177,7 +179,7 @@
             failing: self.failing.load(Ordering::Acquire),
             failures: self.failures.load(Ordering::Relaxed),
             compactions: self.compactions.load(Ordering::Relaxed),
-            size_bytes: self.size.load(Ordering::Relaxed),
+            size_bytes: self.size_bytes.load(Ordering::Relaxed),
         }
     }
 }
@@ -186,12 +188,14 @@
     store: Store<D>,
     timing: WriterTiming,
     work_receiver: Receiver<Work<D>>,
+    /// Sends the result of the compaction thread to this thread.
     own_sender: SyncSender<Work<D>>,
     shared: Arc<Shared>,
-    /// Records that the store has not accepted yet because it is full or has too many pending bytes.
+    /// Received records that the store has not accepted yet. They stay queued while it is full or has too many pending
+    /// bytes.
     queue: VecDeque<Vec<u8>>,
     /// The number of records that the store has accepted.
-    accepted: u64,
+    accepted_count: u64,
     on_change: Box<dyn Fn(WriterStats) + Send>,
 }
 
@@ -210,13 +214,13 @@
             }
             // After a failed commit, retries even if no further work arrives.
             let retry_needed =
-                !self.queue.is_empty() || self.shared.durable.load(Ordering::Acquire) < self.accepted;
+                !self.queue.is_empty() || self.shared.durable.load(Ordering::Acquire) < self.accepted_count;
             let first_work = match retry_needed {
                 true => self.work_receiver.recv_timeout(self.timing.retry_interval),
                 false => self.work_receiver.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             let mut stop = match first_work {
-                Ok(work) => self.handle(work),
+                Ok(work) => self.handle_work(work),
                 Err(RecvTimeoutError::Timeout) => self.shared.stopping.load(Ordering::Acquire),
                 Err(RecvTimeoutError::Disconnected) => true,
             };
@@ -226,7 +230,7 @@
                     .work_receiver
                     .recv_timeout(batch_deadline.saturating_duration_since(Instant::now()))
                 {
-                    Ok(work) => stop = self.handle(work),
+                    Ok(work) => stop = self.handle_work(work),
                     Err(RecvTimeoutError::Timeout) => break,
                     Err(RecvTimeoutError::Disconnected) => stop = true,
                 }
@@ -238,8 +242,8 @@
         }
     }
 
-    /// Returns whether the thread is to stop.
-    fn handle(&mut self, work: Work<D>) -> bool {
+    /// Returns `true` if the thread is to stop.
+    fn handle_work(&mut self, work: Work<D>) -> bool {
         match work {
             Work::Append(record) => self.queue.push_back(record),
             Work::Compact(records) => {
@@ -259,13 +263,13 @@
             if let Err(error) = self.store.commit() {
                 break Some(error);
             }
-            self.shared.durable.store(self.accepted, Ordering::Release);
+            self.shared.durable.store(self.accepted_count, Ordering::Release);
             // The store limits its pending bytes: now that they are synced, it accepts the remaining records.
             if !matches!(rejection, Some(StoreError::TooManyPending)) {
                 break rejection;
             }
         };
-        self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
+        self.shared.size_bytes.store(self.store.size_bytes(), Ordering::Relaxed);
         let failed = error.is_some();
         if failed {
             self.shared.failures.fetch_add(1, Ordering::Relaxed);
@@ -282,7 +286,7 @@
             match self.store.append(record) {
                 Ok(_) => {
                     self.queue.pop_front();
-                    self.accepted += 1;
+                    self.accepted_count += 1;
                 }
                 Err(error) => return Some(error),
             }
@@ -292,8 +296,8 @@
 
     fn begin_compaction(&mut self, records: Vec<Vec<u8>>) {
         if !self.queue.is_empty() {
-            // The store has not accepted all records yet that the snapshot would replace: this compaction fails, and
-            // the store is kept as it is.
+            // The store has not yet accepted all records that the snapshot would replace: the compaction fails and leaves
+            // the store unchanged.
             return self.end_compaction(Err(StoreError::TooManyPending));
         }
         match self.store.begin_compaction() {
@@ -302,7 +306,7 @@
                 let own_sender = self.own_sender.clone();
                 let write_and_report = move || {
                     let sealed = write_snapshot(compaction, &records);
-                    // If the writer has ended, the next opening removes the snapshot.
+                    // If the writer thread has ended, the snapshot is removed when the store is next opened.
                     _ = own_sender.send(Work::Sealed(sealed));
                 };
                 if thread::Builder::new().name("compaction".into()).spawn(write_and_report).is_err() {
@@ -316,7 +320,7 @@
         let finish_result = sealed.and_then(|sealed| self.store.finish_compaction(sealed));
         let counter = if finish_result.is_ok() { &self.shared.compactions } else { &self.shared.failures };
         counter.fetch_add(1, Ordering::Relaxed);
-        self.shared.size.store(self.store.size_bytes(), Ordering::Relaxed);
+        self.shared.size_bytes.store(self.store.size_bytes(), Ordering::Relaxed);
         self.shared.compacting.store(false, Ordering::Release);
         (self.on_change)(self.shared.stats());
     }
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -16,14 +16,14 @@
 const FIRST_RECORD: u64 = 4;
 const RECORDS: [&[u8]; 3] = [b"a record after the snapshot", b"", &[0, 255, 7]];
 
-fn decode_hexadecimal(digits: &str) -> Vec<u8> {
+fn decode_hex(digits: &str) -> Vec<u8> {
     (0..digits.len())
         .step_by(2)
         .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
         .collect()
 }
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -42,14 +42,14 @@
         store.append(record).unwrap();
         store.commit().unwrap();
     }
-    disk.files().iter().map(|(name, content)| format!("{name} {}\n", hexadecimal(content))).collect()
+    disk.files().iter().map(|(name, content)| format!("{name} {}\n", encode_hex(content))).collect()
 }
 
 #[test]
 fn a_store_of_an_earlier_build_is_recovered() {
     let files = STORED.lines().filter_map(|line| line.split_once(' '));
     let image: BTreeMap<String, Vec<u8>> =
-        files.map(|(name, digits)| (name.to_string(), decode_hexadecimal(digits))).collect();
+        files.map(|(name, digits)| (name.to_string(), decode_hex(digits))).collect();
     let opened = Store::open(Arc::new(SimDisk::from_files(&image)), LIMITS).unwrap();
     assert_eq!(opened.recovered.snapshot, SNAPSHOT.map(<[u8]>::to_vec));
     let expected: Vec<(Seq, Vec<u8>)> = (FIRST_RECORD..).map(Seq).zip(RECORDS.map(<[u8]>::to_vec)).collect();
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -73,9 +73,9 @@
                             if rng.bool() && write_result.is_ok() {
                                 // Appends while the compaction runs.
                                 appended += 1;
-                                let next = record(appended, rng.usize(..40));
-                                store.append(&next).unwrap();
-                                expected_records.push(next);
+                                let new_record = record(appended, rng.usize(..40));
+                                store.append(&new_record).unwrap();
+                                expected_records.push(new_record);
                                 if store.commit().is_ok() {
                                     durable = store.durable().0;
                                 }
@@ -89,9 +89,9 @@
                         }
                         1..=5 => {
                             appended += 1;
-                            let next = record(appended, rng.usize(..60));
-                            assert_eq!(store.append(&next).unwrap(), Seq(appended));
-                            expected_records.push(next);
+                            let new_record = record(appended, rng.usize(..60));
+                            assert_eq!(store.append(&new_record).unwrap(), Seq(appended));
+                            expected_records.push(new_record);
                         }
                         _ => {
                             if store.commit().is_ok() {
@@ -131,9 +131,9 @@
     let mut store = Store::open(disk.clone(), LIMITS).unwrap().store;
     let mut expected_records = Vec::new();
     for seq in 1..=40 {
-        let next = record(seq, (seq as usize * 7) % 50);
-        store.append(&next).unwrap();
-        expected_records.push(next);
+        let new_record = record(seq, (seq as usize * 7) % 50);
+        store.append(&new_record).unwrap();
+        expected_records.push(new_record);
         if seq % 3 == 0 {
             store.commit().unwrap();
         }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,4 +1,5 @@
-//! The writer thread: appends don't wait, records reported as durable are durable, and failed commits are retried.
+//! The writer thread: appends do not wait for the disk, records that are reported as durable survive a power loss, and
+//! failed commits are retried.
 
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -7,6 +8,7 @@
 use juniperrail_store::sim::{Faults, SimDisk};
 use juniperrail_store::{Limits, Store, Ticket, Writer, WriterStats, WriterTiming};
 
+/// Long enough for every awaited event, even on a busy machine.
 const STATS_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn start(disk: &Arc<SimDisk>) -> (Writer<Arc<SimDisk>>, Receiver<WriterStats>) {
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn compactions_run_one_at_a_time_and_concurrently_with_appends() {
+fn a_compaction_runs_concurrently_with_appends_and_another_may_follow() {
     let disk = Arc::new(SimDisk::new(3));
     let (mut writer, stats_receiver) = start(&disk);
     for number in 0..200u32 {
