--- a/crates/fleet/src/channels.rs
+++ b/crates/fleet/src/channels.rs
@@ -12,13 +12,14 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{watch, Notify};
 
-/// Messages from one peer that may wait. Its connection is not read while the inbox is full.
+/// The capacity of the inbox of one peer. The peer's connection is not read while its inbox is full.
 pub const INBOX_CAPACITY: usize = 512;
-/// Messages to one peer that may wait. If there are more, the oldest are dropped.
+/// The capacity of the outbox of one peer. When it is full, the oldest message is dropped.
 pub const OUTBOX_CAPACITY: usize = 256;
-/// Messages of one peer that are handled in one pass, so that a flood from it does not starve the others.
+/// The maximum number of messages of one peer that are handled in one pass, so that a peer that floods this manager does
+/// not starve the others.
 pub const MAX_MESSAGES_PER_PASS: usize = 64;
-/// Effects that may wait to be sent.
+/// The maximum number of effects that wait to be sent.
 pub const EFFECT_QUEUE_CAPACITY: usize = 1024;
 
 /// The slot of evidence; no consensus or membership message has this slot.
@@ -29,7 +30,7 @@
 pub enum PeerMessage {
     Consensus(Message),
     Membership(SwimMessage),
-    /// For the leader, outside the log: if it is lost or late, the next period's evidence replaces it.
+    /// Sent to the leader outside the log: if it is lost or late, the next period's evidence replaces it.
     Evidence(Evidence),
 }
 
@@ -63,21 +64,21 @@
 pub struct PeerQueues {
     state: Mutex<QueueState>,
     /// A message was added to the outbox.
-    pub outbox_filled: Notify,
+    pub message_queued: Notify,
     /// The inbox has room again.
     pub inbox_drained: Notify,
-    /// The number of the latest connection. It tells the tasks of earlier connections that they were replaced.
+    /// The number of the latest connection. Notifies the tasks of earlier connections that they were replaced.
     latest_connection: watch::Sender<ConnectionNumber>,
 }
 
 impl PeerQueues {
     fn new() -> PeerQueues {
-        let (outbox_filled, inbox_drained, latest_connection) =
+        let (message_queued, inbox_drained, latest_connection) =
             (Notify::new(), Notify::new(), watch::Sender::new(0));
-        PeerQueues { state: Mutex::default(), outbox_filled, inbox_drained, latest_connection }
+        PeerQueues { state: Mutex::default(), message_queued, inbox_drained, latest_connection }
     }
 
-    /// Queues a message to the peer.
+    /// Queues a message to the peer. It replaces a queued message in the same slot.
     pub fn send(&self, message: PeerMessage) {
         let mut state = self.state.lock();
         let slot = message.slot();
@@ -91,7 +92,7 @@
         }
         state.outbox.push_back(message);
         drop(state);
-        self.outbox_filled.notify_one();
+        self.message_queued.notify_one();
     }
 
     pub fn next_outgoing(&self) -> Option<PeerMessage> {
@@ -130,6 +131,7 @@
         state.inbox.len() < INBOX_CAPACITY
     }
 
+    /// Takes the oldest received messages, at most [`MAX_MESSAGES_PER_PASS`].
     fn take_received(&self) -> Vec<PeerMessage> {
         let mut state = self.state.lock();
         let count = state.inbox.len().min(MAX_MESSAGES_PER_PASS);
@@ -165,13 +167,14 @@
     peers: Mutex<BTreeMap<MemberId, Arc<PeerQueues>>>,
     wake_state: Mutex<WakeState>,
     wake_condvar: Condvar,
+    /// The fleet was stopped, which ends the `links` thread.
     pub stopped: Notify,
     /// Members were added or removed, or their addresses changed.
     pub members_changed: Notify,
     effects: Mutex<VecDeque<ClaimTask>>,
     pub effect_queued: Notify,
     completed_effects: Mutex<Vec<CompletedEffect>>,
-    /// The latest evidence of the planner thread, which replaces evidence that was not taken yet.
+    /// The latest evidence of the planner thread that the fleet thread has not taken yet.
     evidence: Mutex<Option<Evidence>>,
 }
 
@@ -196,7 +199,7 @@
         }
     }
 
-    /// The queues of a peer; created if it has none.
+    /// Returns the queues of a peer and creates them if they do not exist.
     pub fn peer(&self, member: MemberId) -> Arc<PeerQueues> {
         self.peers.lock().entry(member).or_insert_with(|| Arc::new(PeerQueues::new())).clone()
     }
@@ -210,7 +213,7 @@
         self.peers.lock().iter().map(|(id, queues)| (*id, queues.clone())).collect()
     }
 
-    /// Takes received messages, by sender. The flag is `true` if more may wait.
+    /// Takes received messages of each peer. The flag is `true` if more messages may be waiting.
     pub fn take_received(&self) -> (Vec<(MemberId, Vec<PeerMessage>)>, bool) {
         let received: Vec<(MemberId, Vec<PeerMessage>)> =
             self.all_peers().iter().map(|(id, queues)| (*id, queues.take_received())).collect();
@@ -228,7 +231,7 @@
         self.wake_condvar.notify_all();
     }
 
-    /// Waits until the fleet thread is woken, and no longer than `timeout`.
+    /// Waits until the fleet thread is woken or stopped, for `timeout` at most.
     pub fn wait(&self, timeout: Duration) -> Wakeup {
         let mut state = self.wake_state.lock();
         let deadline = Instant::now() + timeout;
@@ -262,7 +265,7 @@
         self.wake_condvar.notify_all();
     }
 
-    /// Ends the threads of the fleet.
+    /// Asks the threads of the fleet to end.
     pub fn stop(&self) {
         self.wake_state.lock().stopped = true;
         self.wake_condvar.notify_all();
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -22,8 +22,8 @@
     pub store_limits: Limits,
     /// All managers that the file names, including this one, and the addresses that their links listen on.
     pub members: MemberAddresses,
-    /// The version of `members`: a leader whose file has a later version than the fleet changes the members
-    /// accordingly.
+    /// The version of `members`. A leader whose file has a newer version than the replicated one changes the members of
+    /// the fleet to match.
     pub generation: u64,
     pub raft: RaftConfig,
     pub swim: SwimConfig,
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -18,7 +18,7 @@
 
 use crate::channels::Channels;
 
-/// Effects that may be in progress at once; the others wait in the queue.
+/// The maximum number of effects in progress; the others wait in the queue.
 const MAX_CONCURRENT_EFFECTS: usize = 64;
 
 /// Sends queued effects until it is cancelled.
@@ -33,7 +33,7 @@
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let channels = channels.clone();
         tokio::spawn(async move {
-            // The time limit is given in milliseconds. One below 1 ms counts as 1 ms.
+            // In milliseconds; a limit below 1 ms is raised to 1 ms.
             let time_limit = Duration::from_secs_f64(time_limit.max(1.0) / 1000.0);
             let outcome = send_effect(&occurrence, fence, tries, &action, time_limit).await;
             tracing::info!(
@@ -50,6 +50,8 @@
     }
 }
 
+/// Sends one effect. The outcome states how far the request got: `Unsent` if it was certainly not executed, `Unanswered`
+/// if it may have been.
 async fn send_effect(
     occurrence: &Occurrence,
     fence: Index,
@@ -78,7 +80,7 @@
         .header("juniperrail-fence", fence.0.to_string())
         .header("juniperrail-try", tries.to_string())
         .body(Empty::<Bytes>::new());
-    // The configured path is not valid in a request: only the operator can correct it.
+    // The configured path is not valid in a request, so a retry would fail too: only the operator can correct it.
     let Ok(request) = request else { return TryOutcome::Failed };
     _ = Point::EFFECT_SEND.pass();
     let remaining_time = time_limit.saturating_sub(started_at.elapsed());
--- a/crates/fleet/src/fleet_thread.rs
+++ b/crates/fleet/src/fleet_thread.rs
@@ -25,20 +25,20 @@
 use crate::status::{FleetStatus, ScheduleStatus};
 use crate::ZoneWeightRatios;
 
-/// Records that may wait for the store's writer. With more waiting the store counts as failing, and a leader steps
-/// down.
+/// The maximum number of records that wait for the store's writer. If there are more, the store counts as failing, and a
+/// leader steps down.
 const MAX_UNWRITTEN_RECORDS: usize = 1024;
 /// The longest time between two passes of the loop.
 const MAX_WAIT_MS: Ms = 250.0;
 /// The shortest time between two updates of the status.
 const STATUS_INTERVAL_MS: Ms = 500.0;
-/// Election timeouts after which a proposal that was not committed is proposed again.
-const PROPOSAL_RETRY_ELECTIONS: f64 = 2.0;
+/// The number of election timeouts after which a proposal that was not committed is proposed again.
+const PROPOSAL_RETRY_ELECTION_TIMEOUTS: f64 = 2.0;
 
 /// The state of the fleet thread.
 pub struct FleetThread {
     config: FleetConfig,
-    started: Instant,
+    started_at: Instant,
     raft: RaftNode,
     failure_detector: FailureDetector,
     writer: Writer<DiskWithFaultPoints>,
@@ -50,6 +50,7 @@
     peer_table: PeerTable,
     replicated: ReplicatedState,
     leader_state: LeaderState,
+    /// Whether this manager led and was not leaving at the last pass over the schedules.
     was_leader: bool,
     claim_tracker: ClaimTracker,
     failover_controller: FailoverController,
@@ -74,14 +75,14 @@
             (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
         let voters: Members = config.members.iter().map(voter).collect();
-        // The configured seed alone would repeat at the next start: the random store id, which tells a new
-        // store from the lost one that it replaces, is drawn from this seed.
+        // The random store id is drawn from this seed. It distinguishes a new store from a lost one that it replaces, so it
+        // must not repeat at the next start, as it would with the configured seed alone.
         let seed = config.seed ^ fastrand::u64(..);
         let raft = RaftNode::start(config.member_id, config.raft, voters, seed, 0.0, stored_state);
         let run = raft.run();
         let failure_detector = FailureDetector::start(config.member_id, config.swim, run.0, seed ^ 1, 0.0);
         FleetThread {
-            started: Instant::now(),
+            started_at: Instant::now(),
             raft,
             failure_detector,
             writer,
@@ -114,7 +115,7 @@
 
     /// The monotonic clock of this member. It also advances while the process is stopped.
     fn now(&self) -> Ms {
-        self.started.elapsed().as_secs_f64() * 1000.0
+        self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 
     /// The machine's wall clock, in milliseconds of Unix time.
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Passes waiting records to the writer and tells the Raft node which records are durable.
+    /// Passes waiting records to the writer and reports to the Raft node which records are durable.
     fn update_store(&mut self, now: Ms) {
         while let Some(record) = self.unwritten.front() {
             match self.writer.append(record.clone()) {
@@ -210,7 +211,7 @@
         }
         for effect in self.channels.take_completed_effects() {
             let command = self.claim_tracker.record_outcome(effect.fence, effect.outcome, now, unix_time);
-            command.into_iter().for_each(|command| self.propose_finished(now, command));
+            command.into_iter().for_each(|command| self.propose_outcome(now, command));
         }
         if let Some(evidence) = self.channels.take_evidence() {
             self.send_evidence(now, evidence);
@@ -220,7 +221,8 @@
         }
     }
 
-    /// Carries out the actions of the Raft node until it returns no more, and those of the failure detector.
+    /// Carries out the actions of the Raft node until it returns no more, then those of the failure detector, and compacts
+    /// the log if necessary.
     fn carry_out_actions(&mut self) {
         loop {
             let Actions { records, messages, committed, events } = self.raft.take_actions();
@@ -377,13 +379,13 @@
         }
     }
 
-    /// Updates the peers that are dialled and probed. An address in the operator's file takes precedence over the one
-    /// in the replicated membership.
+    /// Updates the peers that are dialled, from the replicated membership and the operator's file, and the members that are
+    /// probed. An address in the operator's file takes precedence over the replicated one.
     fn update_members(&mut self) {
         let members = self.raft.members();
-        let replicated = members.iter().map(|(id, member)| (*id, member.address.clone()));
+        let replicated_addresses = members.iter().map(|(id, member)| (*id, member.address.clone()));
         let addresses: crate::config::MemberAddresses =
-            replicated.chain(self.config.members.clone()).collect();
+            replicated_addresses.chain(self.config.members.clone()).collect();
         let mut peer_table = self.peer_table.lock();
         if *peer_table != addresses {
             let ids: Vec<MemberId> = addresses.keys().copied().collect();
@@ -397,7 +399,8 @@
         self.failure_detector.set_members(now, probed_members.into_iter());
     }
 
-    /// Replaces the log by a snapshot of the replicated state once the log is long enough.
+    /// Replaces the committed entries by a snapshot of the replicated state if the log has more than `max_log_entries`
+    /// entries.
     fn compact(&mut self) {
         if self.raft.log().len() <= self.config.max_log_entries
             || !self.unwritten.is_empty()
@@ -411,13 +414,14 @@
         if let Some(records) = self.raft.compact(index, self.replicated.encode()) {
             let records = records.iter().map(juniperrail_consensus::Record::encode).collect();
             if !self.writer.compact(records) {
-                // The store keeps the uncompacted records. The next compaction covers them.
+                // The store keeps the records, which the next compaction then replaces.
                 tracing::debug!("fleet: the store is busy and will be compacted later");
             }
         }
     }
 
-    /// Proposes a command, through the leader if that is another member.
+    /// Proposes a command, or forwards it to the leader if that is another member. Without a known leader the command is
+    /// dropped.
     fn propose(&mut self, now: Ms, command: LogCommand) {
         let command = command.encode();
         match self.raft.role() {
@@ -437,7 +441,7 @@
         }
     }
 
-    /// Proposes a command once, unless the fault point loses or repeats it.
+    /// Proposes a command once, unless a fault is injected at `point` that loses or repeats it.
     fn propose_at_point(&mut self, now: Ms, point: Point, command: LogCommand) {
         let copies = match point.pass() {
             Some(Fault::Lose) => 0,
@@ -447,7 +451,8 @@
         (0..copies).for_each(|_| self.propose(now, command.clone()));
     }
 
-    fn propose_finished(&mut self, now: Ms, command: schedule::Command) {
+    /// Proposes the outcome of a try.
+    fn propose_outcome(&mut self, now: Ms, command: schedule::Command) {
         self.propose_at_point(now, Point::SCHEDULE_FINISH, LogCommand::Schedule(command));
     }
 
@@ -474,9 +479,9 @@
         }
     }
 
-    /// As the leader, proposes commands for due schedules; as the owner of claims, works on them.
+    /// As the leader, proposes commands for due schedules. As the owner of claims, carries out their next tasks.
     fn run_schedules(&mut self, now: Ms) {
-        let retry_after = PROPOSAL_RETRY_ELECTIONS * self.config.raft.election_timeout_ms;
+        let retry_after = PROPOSAL_RETRY_ELECTION_TIMEOUTS * self.config.raft.election_timeout_ms;
         let is_leader = self.raft.lease(now).is_some() && self.leaving_since.is_none();
         if is_leader != self.was_leader {
             (self.was_leader, self.leader_state) = (is_leader, LeaderState::default());
@@ -522,7 +527,7 @@
             ClaimTask::Propose(command @ schedule::Command::Start { .. }) => {
                 self.propose_at_point(now, Point::SCHEDULE_CLAIM_GRANTED, LogCommand::Schedule(command));
             }
-            ClaimTask::Propose(command) => self.propose_finished(now, command),
+            ClaimTask::Propose(command) => self.propose_outcome(now, command),
             execute @ ClaimTask::Execute { .. } => {
                 _ = Point::SCHEDULE_STARTED.pass();
                 let ClaimTask::Execute { fence, .. } = &execute else { return };
@@ -535,13 +540,13 @@
                         now,
                         FleetThread::unix_time(),
                     );
-                    command.into_iter().for_each(|command| self.propose_finished(now, command));
+                    command.into_iter().for_each(|command| self.propose_outcome(now, command));
                 }
             }
         }
     }
 
-    /// Sends this manager's evidence to the leader.
+    /// Sends this manager's evidence to the leader; drops it if no leader is known.
     fn send_evidence(&mut self, now: Ms, evidence: Evidence) {
         let copies = match Point::EVIDENCE_SENT.pass() {
             Some(Fault::Lose) => 0,
@@ -565,7 +570,7 @@
         }
     }
 
-    /// As the leader, assesses all zones and proposes the next plan.
+    /// As the leader, assesses all zones and proposes the next plan if one is due.
     fn update_plan(&mut self, now: Ms) {
         let Some(failover) = self.config.failover else { return };
         if self.raft.lease(now).is_none() || self.leaving_since.is_some() {
@@ -605,7 +610,7 @@
         }
     }
 
-    /// Confirms that this manager has left once it is not the leader and works on no claim.
+    /// Confirms that this manager has left once it is no longer the leader and works on no claim.
     fn finish_leaving(&mut self) {
         if self.leaving_since.is_some() && self.raft.role() != Role::Leader && self.claim_tracker.is_empty() {
             self.channels.confirm_left();
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! Three threads run next to the planner thread, which never waits for them: `fleet` owns the Raft node and the
 //! replicated state, `links` transfers messages between managers and sends effects, `store` writes and syncs the log.
-//! State that two threads share is split up, each part under its own lock. A thread holds one of these locks at a time
-//! and never during I/O:
+//! State that two threads share is split into parts, each under its own lock. A thread holds at most one of these locks
+//! at a time and none during I/O:
 //!
 //! | shared state | written by | read by |
 //! | --- | --- | --- |
@@ -67,28 +67,29 @@
         FleetListener { config, listener }
     }
 
+    /// The bound address; `None` if the operating system does not report it.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// Starts the threads.
+    /// Starts the fleet thread, which opens the store and starts the other threads.
     pub fn start(self) -> Result<Fleet, String> {
         let channels = Arc::new(Channels::new());
         let status = Arc::new(Mutex::new(FleetStatus::default()));
         let (thread_channels, thread_status) = (channels.clone(), status.clone());
         let (weight_ratios_sender, weight_ratios) = watch::channel(Arc::default());
-        let serve = move || {
+        let run_thread = move || {
             serve(&self.config, &self.listener, &thread_channels, thread_status, weight_ratios_sender)
         };
-        let thread = thread::Builder::new().name("fleet".into()).spawn(serve);
-        let thread = thread.map_err(|error| format!("the fleet's thread cannot be started: {error}"))?;
+        let spawn_result = thread::Builder::new().name("fleet".into()).spawn(run_thread);
+        let thread = spawn_result.map_err(|error| format!("the fleet thread cannot be started: {error}"))?;
         Ok(Fleet { channels, status, weight_ratios, thread: Some(thread) })
     }
 }
 
-/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` on a stop request.
-/// Returns `None` also if the store is damaged or not readable by this version, because its contents cannot be restored
-/// from it: this manager then plans without the other managers, as it does without a quorum.
+/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` on a stop request, and
+/// if the store is damaged or not readable by this version, since its contents then cannot be restored: this manager
+/// then plans without the other managers, as it does without a quorum.
 fn open_store(
     config: &FleetConfig,
     channels: &Channels,
@@ -192,14 +193,14 @@
         }
     }
 
-    /// Announces to the other managers that this manager leaves and transfers the leadership if this manager has it, as
-    /// on SIGTERM. Returns whether that was done before the timeout.
+    /// Leaves the fleet, as on SIGTERM: announces it to the other managers, transfers the leadership if this manager is the
+    /// leader, and waits until this manager works on no claim. Returns whether that was done before the timeout.
     pub fn leave(&self, timeout: Duration) -> bool {
         self.channels.leave(timeout)
     }
 }
 
-/// The fraction of its weight that each zone keeps under the active plan.
+/// The fraction of its weight that each zone has under the active plan.
 pub type ZoneWeightRatios = BTreeMap<Zone, f64>;
 
 /// The planner's handle of the fleet. Only [`next_weight_ratios`](Self::next_weight_ratios) waits.
@@ -216,7 +217,7 @@
         self.status.lock().clone()
     }
 
-    /// Reports evidence to the leader. The new evidence replaces evidence that was not sent yet.
+    /// Reports evidence to the leader. It replaces earlier evidence that was not sent yet.
     pub fn report_evidence(&self, evidence: Evidence) {
         self.channels.report_evidence(evidence);
     }
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -1,6 +1,6 @@
-//! Links between managers. Each manager dials every other one and only writes on the connections that it dialled. A
-//! message is framed by its length. A connection starts with a handshake that names the sender, the receiver, the fleet
-//! and the sender's run.
+//! Links between managers. Each manager dials every other one. It only writes on the connections that it dialled and only
+//! reads on those that it accepted. Each message is preceded by its length. A connection starts with a handshake that
+//! names the sender, the receiver, the fleet and the sender's run.
 
 use std::io;
 use std::net::TcpListener;
@@ -21,7 +21,7 @@
 use crate::config::{FleetConfig, MemberAddresses};
 use crate::effects;
 
-/// Large enough for a snapshot of the replicated state.
+/// Must be large enough for a snapshot of the replicated state.
 const MAX_MESSAGE_BYTES: u32 = 16 << 20;
 const MAX_HANDSHAKE_BYTES: u32 = 1024;
 /// Connections that are accepted in addition to two for each member, for peers that have not sent their handshake yet.
@@ -47,8 +47,8 @@
     listener: &'a TcpListener,
     channels: Arc<Channels>,
     peer_table: PeerTable,
-    /// The time limit of a connect and of a handshake. A write may take four times as long; the reconnect backoff is
-    /// derived from this limit.
+    /// The time limit of connecting and of receiving a handshake. A write may take four times as long, and the reconnect
+    /// backoff is derived from this limit.
     io_timeout: Duration,
     seed: u64,
 }
@@ -83,7 +83,8 @@
         });
     }
 
-    /// Runs a task for the link to each other member while it is a member at that address.
+    /// Runs one task for the link to each other member. Aborts the task when the member is removed and replaces it when the
+    /// member's address changes.
     async fn dial_peers(&self) {
         let mut tasks: std::collections::BTreeMap<MemberId, (String, tokio::task::JoinHandle<()>)> =
             <_>::default();
@@ -120,6 +121,8 @@
         }
     }
 
+    /// Accepts connections from other managers and runs a task for each one. Closes a connection at once if there are too
+    /// many.
     async fn accept(&self) {
         let listener = self.listener.try_clone().and_then(|listener| {
             listener.set_nonblocking(true)?;
@@ -169,7 +172,7 @@
     io_timeout: Duration,
 ) -> io::Result<()> {
     let rejection = |reason: String| io::Error::new(io::ErrorKind::InvalidData, reason);
-    let handshake: Handshake = timeout(io_timeout, read(&mut socket, MAX_HANDSHAKE_BYTES)).await??;
+    let handshake: Handshake = timeout(io_timeout, read_message(&mut socket, MAX_HANDSHAKE_BYTES)).await??;
     if handshake.receiver != member_id || handshake.fleet != fleet_name || handshake.sender == member_id {
         return Err(rejection(format!(
             "handshake from {} of fleet {:?} to {}: wrong fleet or member",
@@ -192,7 +195,7 @@
             () = peer.wait_until_replaced(connection) => {
                 return Err(rejection("replaced by a newer connection".into()))
             }
-            message = read(&mut socket, MAX_MESSAGE_BYTES) => message?,
+            message = read_message(&mut socket, MAX_MESSAGE_BYTES) => message?,
         };
         let copies = match Point::LINK_RECEIVED.pass() {
             Some(Fault::Lose) => 0,
@@ -213,14 +216,15 @@
     }
 }
 
-async fn read<T: DeserializeOwned>(socket: &mut TcpStream, max_bytes: u32) -> io::Result<T> {
+/// Reads one message, which is preceded by its length.
+async fn read_message<T: DeserializeOwned>(socket: &mut TcpStream, max_bytes: u32) -> io::Result<T> {
     let length = socket.read_u32().await?;
     if length > max_bytes {
         let reason = format!("message of {length} bytes is longer than {max_bytes}");
         return Err(io::Error::new(io::ErrorKind::InvalidData, reason));
     }
     let mut bytes = Vec::new();
-    // The buffer grows as bytes arrive: a peer can't make this manager reserve the length that it announces.
+    // The buffer grows as bytes arrive, so that a peer cannot make this manager allocate the announced length.
     (&mut *socket).take(length.into()).read_to_end(&mut bytes).await?;
     if bytes.len() < length as usize {
         return Err(io::ErrorKind::UnexpectedEof.into());
@@ -229,7 +233,8 @@
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))
 }
 
-fn frame<T: Serialize>(value: &T) -> Vec<u8> {
+/// Encodes a message, preceded by its length.
+fn encode_frame<T: Serialize>(value: &T) -> Vec<u8> {
     let bytes = postcard::to_stdvec(value).unwrap_or_default();
     let mut frame = (bytes.len() as u32).to_be_bytes().to_vec();
     frame.extend(bytes);
@@ -257,7 +262,7 @@
             if let Err(error) = self.send_messages().await {
                 tracing::debug!("fleet: the link to {} at {} broke: {error}", self.peer, self.address);
             }
-            // A connection that lasted resets the backoff; one that breaks at once doubles it.
+            // A connection that lasted longer than the time limit of connecting resets the backoff; any other doubles it.
             backoff = if started_at.elapsed() > self.io_timeout {
                 min_backoff
             } else {
@@ -275,11 +280,11 @@
         let mut socket = timeout(self.io_timeout, TcpStream::connect(&self.address)).await??;
         socket.set_nodelay(true)?;
         let queues = self.channels.peer(self.peer);
-        self.write(&mut socket, &frame(&self.handshake)).await?;
+        self.write(&mut socket, &encode_frame(&self.handshake)).await?;
         loop {
             let Some(message) = queues.next_outgoing() else {
                 tokio::select! {
-                    () = queues.outbox_filled.notified() => {}
+                    () = queues.message_queued.notified() => {}
                     // The peer never writes on this connection: a readable socket means that it was closed or that the
                     // peer violates the protocol.
                     _ = socket.readable() => {
@@ -294,7 +299,7 @@
                 }
                 continue;
             };
-            let bytes = frame(&message);
+            let bytes = encode_frame(&message);
             match Point::LINK_SEND.pass() {
                 Some(Fault::Lose) => continue,
                 Some(Fault::Repeat) => self.write(&mut socket, &bytes).await?,
@@ -309,7 +314,7 @@
         }
     }
 
-    /// Fails if the peer does not accept the bytes within four timeouts.
+    /// Fails if the bytes cannot be written within four times `io_timeout`, for example because the peer does not read.
     async fn write(&self, socket: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
         timeout(self.io_timeout * 4, socket.write_all(bytes)).await?
     }
--- a/crates/fleet/src/links/tests.rs
+++ b/crates/fleet/src/links/tests.rs
@@ -1,4 +1,4 @@
-//! The first message of a link, as an earlier build wrote it.
+//! Guards against changes of the handshake, the first message on a link, that managers of an earlier build cannot read.
 
 use super::*;
 
--- a/crates/fleet/src/replicated_state.rs
+++ b/crates/fleet/src/replicated_state.rs
@@ -10,7 +10,7 @@
 pub enum LogCommand {
     Schedule(juniperrail_schedule::Command),
     Plan(Plan),
-    /// The members now match this version of the operator's file.
+    /// The members match this version of the operator's file.
     Generation(u64),
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl ReplicatedState {
-    /// Applies the command of the entry at `index`. Returns whether it changed anything but the index.
+    /// Applies the command of the entry at `index`. Returns whether it changed anything but `last_applied`.
     pub fn apply(&mut self, index: Index, command: &LogCommand) -> bool {
         self.last_applied = index;
         match command {
@@ -56,7 +56,8 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The state in a snapshot. The snapshot that the cluster is bootstrapped from is empty.
+    /// Decodes the state in a snapshot; `None` if it was written in a format that this version does not know. The
+    /// snapshot that the cluster is bootstrapped from has no state, which stands for the default one.
     pub fn decode(snapshot: &Snapshot) -> Option<ReplicatedState> {
         if snapshot.state.is_empty() {
             return Some(ReplicatedState { last_applied: snapshot.last_index, ..ReplicatedState::default() });
--- a/crates/fleet/src/replicated_state/tests.rs
+++ b/crates/fleet/src/replicated_state/tests.rs
@@ -1,5 +1,5 @@
-//! The state in a snapshot that an earlier build wrote. `tests/formats.rs` checks each value in it; here it is read and
-//! written as the type that the fleet itself uses, so that a reordered field is found.
+//! Guards against reordered fields of [`ReplicatedState`], with a snapshot that an earlier build wrote.
+//! `tests/formats.rs` checks each value in the snapshot, but cannot use this type, which is private to the crate.
 
 use juniperrail_schedule::Ledger;
 
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -8,6 +8,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetStatus {
     pub member_id: MemberId,
+    /// `leader`, `follower` or `candidate`.
     pub role: &'static str,
     pub leader: Option<MemberId>,
     pub term: Term,
@@ -20,10 +21,11 @@
     pub messages_lost: u64,
     /// The local health score of Lifeguard: 0 is healthy.
     pub local_health: u32,
+    /// The other members, each with its health and whether it answers probes.
     pub members: Vec<(MemberId, Health, Reach)>,
     pub schedules: Vec<ScheduleStatus>,
     pub plan: Plan,
-    /// The plan's lease has expired, and no renewal has arrived since.
+    /// The lease of `plan` has expired, and no renewal has arrived since.
     pub plan_lease_expired: bool,
 }
 
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -1,7 +1,7 @@
-//! Bytes that an earlier build wrote, to its store and to other managers, are read as the same values and written as the
-//! same bytes. Guards against renames and reordered fields that make a store unreadable after an upgrade, or managers
-//! of two builds misread each other. Each file in `formats/` holds one encoded value a line: its name, then its bytes in
-//! hexadecimal digits.
+//! Bytes that an earlier build wrote, to its store and to other managers, are decoded as the same values and encoded as
+//! the same bytes. Guards against renames that also change or reorder fields or variants, which make a store unreadable after
+//! an upgrade, or make managers of two builds misread each other's messages. Each file in `formats/` holds one encoded
+//! value per line: its name, then its bytes in hexadecimal digits.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Debug;
@@ -20,12 +20,12 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The stored lines of a file, name and bytes in hexadecimal digits.
-fn stored(file: &str) -> Vec<(String, String)> {
+/// Reads the lines of a file: for each value, its name and its bytes in hexadecimal digits.
+fn read_stored_lines(file: &str) -> Vec<(String, String)> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/formats").join(file);
     let text = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     let split_line =
@@ -35,7 +35,7 @@
         .collect()
 }
 
-fn decoded<T: DeserializeOwned>(digits: &str) -> T {
+fn decode_value<T: DeserializeOwned>(digits: &str) -> T {
     let bytes: Vec<u8> = (0..digits.len())
         .step_by(2)
         .map(|start| u8::from_str_radix(&digits[start..start + 2], 16).unwrap())
@@ -45,14 +45,17 @@
     value
 }
 
-/// Compares each value with its stored bytes in both directions.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[(&str, T)]) {
-    let stored = stored(file);
+/// Asserts that the stored bytes of each value are decoded as the value, and that the value is encoded as these bytes.
+fn assert_stored_encodings<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    file: &str,
+    values: &[(&str, T)],
+) {
+    let stored = read_stored_lines(file);
     let names: Vec<&str> = stored.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, values.iter().map(|(name, _)| *name).collect::<Vec<_>>(), "{file}");
     for ((name, digits), (_, value)) in stored.iter().zip(values) {
-        assert_eq!(&decoded::<T>(digits), value, "{file}: {name} is read as another value");
-        let written = hexadecimal(&postcard::to_stdvec(value).unwrap());
+        assert_eq!(&decode_value::<T>(digits), value, "{file}: {name} is read as another value");
+        let written = encode_hex(&postcard::to_stdvec(value).unwrap());
         assert_eq!(&written, digits, "{file}: {name} is written as other bytes");
     }
 }
@@ -79,7 +82,7 @@
 #[test]
 fn consensus_records_of_the_store() {
     let bootstrap_stores = BTreeMap::from([(MemberId(1), 11), (MemberId(2), 1 << 40)]);
-    check(
+    assert_stored_encodings(
         "consensus-records.txt",
         &[
             ("birth", Record::StoreId(0x0123_4567_89ab_cdef)),
@@ -98,7 +101,7 @@
 
 #[test]
 fn membership_changes() {
-    check(
+    assert_stored_encodings(
         "membership-changes.txt",
         &[
             ("add", MembershipChange::Add(MemberId(4), "10.0.0.7:5001".into())),
@@ -159,9 +162,9 @@
 }
 
 fn membership_messages() -> Vec<(&'static str, PeerMessage)> {
-    let states = [MemberHealth::Alive, MemberHealth::Suspect, MemberHealth::Dead, MemberHealth::Left];
+    let health_states = [MemberHealth::Alive, MemberHealth::Suspect, MemberHealth::Dead, MemberHealth::Left];
     let updates: Vec<GossipUpdate> = (1..)
-        .zip(states)
+        .zip(health_states)
         .map(|(id, health)| GossipUpdate {
             member: MemberId(id),
             health,
@@ -200,11 +203,11 @@
     let mut messages = consensus_messages();
     messages.extend(membership_messages());
     messages.push(("evidence", PeerMessage::Evidence(evidence())));
-    check("peer-messages.txt", &messages);
+    assert_stored_encodings("peer-messages.txt", &messages);
 }
 
 fn plan() -> Plan {
-    let states = [
+    let health_states = [
         ZoneHealth::Unknown,
         ZoneHealth::Well,
         ZoneHealth::Silent,
@@ -216,7 +219,7 @@
     let share = |(part, reason): (u8, ZoneHealth)| {
         (zone(&format!("z{part}")), ZoneShare { weight_ratio: f64::from(part) / 8.0, reason })
     };
-    Plan { version: 3, renewal: 400, shares: (0..).zip(states).map(share).collect(), lease: 6000.0 }
+    Plan { version: 3, renewal: 400, shares: (0..).zip(health_states).map(share).collect(), lease: 6000.0 }
 }
 
 fn occurrence(due: i64) -> Occurrence {
@@ -274,7 +277,7 @@
     for (name, command) in &commands {
         assert_eq!(LogCommand::decode(&command.encode()).as_ref(), Some(command), "{name}");
     }
-    check("log-commands.txt", &commands);
+    assert_stored_encodings("log-commands.txt", &commands);
 }
 
 fn ledger() -> Ledger {
@@ -288,7 +291,7 @@
         OccurrenceOutcome::Unknown,
         OccurrenceOutcome::Replaced,
     ];
-    let end_occurrence = |(due_ms, outcome): (i64, OccurrenceOutcome)| EndedOccurrence {
+    let ended_occurrence = |(due_ms, outcome): (i64, OccurrenceOutcome)| EndedOccurrence {
         due_ms,
         outcome,
         tries: 2,
@@ -298,22 +301,24 @@
     let record = ScheduleRecord {
         decided_through_ms: 1_700_000_060_000,
         open: BTreeMap::from([(1_700_000_060_000, claimed), (1_700_000_120_000, unclaimed)]),
-        ended: (10..).zip(outcomes).map(end_occurrence).collect::<VecDeque<EndedOccurrence>>(),
+        ended: (10..).zip(outcomes).map(ended_occurrence).collect::<VecDeque<EndedOccurrence>>(),
         skipped: BTreeMap::from([(SkipReason::Missed, 1), (SkipReason::Quiet, 2), (SkipReason::Overlap, 3)]),
         ended_count: 5,
     };
     Ledger { schedules: BTreeMap::from([("nightly".to_string(), record)]) }
 }
 
-/// The fields of the state in a snapshot, in their order. The type that the fleet itself decodes is
-/// private to its crate.
+/// The fields of the state in a snapshot, in their order: the type itself is private to the crate.
 #[test]
 fn state_of_a_snapshot() {
-    check("snapshot-state.txt", &[("state", (ledger(), plan(), 12_u64, Index(131)))]);
+    assert_stored_encodings("snapshot-state.txt", &[("state", (ledger(), plan(), 12_u64, Index(131)))]);
 }
 
-/// The first message on a link, in the order of its fields.
+/// The fields of the handshake, the first message on a link, in their order: the type itself is private to the crate.
 #[test]
 fn first_message_of_a_link() {
-    check("hello.txt", &[("hello", (MemberId(1), MemberId(300), "exams".to_string(), Run(9)))]);
+    assert_stored_encodings(
+        "hello.txt",
+        &[("hello", (MemberId(1), MemberId(300), "exams".to_string(), Run(9)))],
+    );
 }
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between managers. The test acts as another manager over real connections.
+//! Links between managers. Each test acts as another manager over real connections to a running fleet member.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -25,7 +25,8 @@
     run: Run,
 }
 
-fn framed(value: &impl Serialize) -> Vec<u8> {
+/// Encodes a message, preceded by its length.
+fn encode_frame(value: &impl Serialize) -> Vec<u8> {
     let bytes = postcard::to_stdvec(value).unwrap();
     [&(bytes.len() as u32).to_be_bytes()[..], &bytes].concat()
 }
@@ -33,7 +34,7 @@
 /// Member 1 of three, with its store. Nothing listens at the addresses of the others.
 struct RunningMember {
     fleet: Option<Fleet>,
-    store: PathBuf,
+    store_path: PathBuf,
     address: SocketAddr,
 }
 
@@ -41,14 +42,14 @@
     fn drop(&mut self) {
         // Ends the member's threads before its files are removed.
         drop(self.fleet.take());
-        _ = std::fs::remove_dir_all(&self.store);
+        _ = std::fs::remove_dir_all(&self.store_path);
     }
 }
 
 fn start_member(name: &str) -> RunningMember {
-    let store = std::env::temp_dir().join(format!("juniperrail-links-{name}-{}", std::process::id()));
-    _ = std::fs::remove_dir_all(&store);
-    std::fs::create_dir_all(&store).unwrap();
+    let store_path = std::env::temp_dir().join(format!("juniperrail-links-{name}-{}", std::process::id()));
+    _ = std::fs::remove_dir_all(&store_path);
+    std::fs::create_dir_all(&store_path).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let others = [(MemberId(2), "127.0.0.1:1".to_string()), (MemberId(3), "127.0.0.1:1".to_string())];
@@ -56,7 +57,7 @@
         member_id: MemberId(1),
         fleet_name: "exams".into(),
         listen: address,
-        store_path: store.clone(),
+        store_path: store_path.clone(),
         store_limits: Limits::default(),
         members: others.into_iter().chain([(MemberId(1), address.to_string())]).collect(),
         generation: 0,
@@ -78,7 +79,7 @@
         seed: 7,
         max_log_entries: 1000,
     };
-    RunningMember { fleet: Some(FleetListener::new(config, listener).start().unwrap()), store, address }
+    RunningMember { fleet: Some(FleetListener::new(config, listener).start().unwrap()), store_path, address }
 }
 
 /// Connects as member 2 and names `run` as its run.
@@ -87,11 +88,12 @@
     socket.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     let handshake =
         Handshake { sender: MemberId(2), receiver: MemberId(1), fleet: "exams".into(), run: Run(run) };
-    socket.write_all(&framed(&handshake)).unwrap();
+    socket.write_all(&encode_frame(&handshake)).unwrap();
     socket
 }
 
-/// Whether the connection is closed. A peer that closes it with unread bytes resets it.
+/// Waits until the connection ends or the read times out, and returns whether the member closed it. A member that closes
+/// it with unread bytes resets it.
 fn is_closed(socket: &mut TcpStream) -> bool {
     match socket.read(&mut [0]) {
         Ok(read) => read == 0,
