--- a/crates/fleet/src/channels.rs
+++ b/crates/fleet/src/channels.rs
@@ -16,8 +16,8 @@
 pub const INBOX_CAPACITY: usize = 512;
 /// The capacity of the outbox of one peer. When it is full, the oldest message is dropped.
 pub const OUTBOX_CAPACITY: usize = 256;
-/// The maximum number of messages of one peer that are handled in one pass, so that a peer that floods this manager does
-/// not starve the others.
+/// The maximum number of messages of one peer that are handled in one pass, so that a peer that floods this manager
+/// does not starve the others.
 pub const MAX_MESSAGES_PER_PASS: usize = 64;
 /// The maximum number of effects that wait to be sent.
 pub const EFFECT_QUEUE_CAPACITY: usize = 1024;
--- a/crates/fleet/src/effects.rs
+++ b/crates/fleet/src/effects.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Sends one effect. The outcome states how far the request got: `Unsent` if it was certainly not executed, `Unanswered`
-/// if it may have been.
+/// Sends one effect. The outcome states how far the request got: `Unsent` if it was certainly not executed,
+/// `Unanswered` if it may have been.
 async fn send_effect(
     occurrence: &Occurrence,
     fence: Index,
--- a/crates/fleet/src/fleet_thread.rs
+++ b/crates/fleet/src/fleet_thread.rs
@@ -25,8 +25,8 @@
 use crate::status::{FleetStatus, ScheduleStatus};
 use crate::ZoneWeightRatios;
 
-/// The maximum number of records that wait for the store's writer. If there are more, the store counts as failing, and a
-/// leader steps down.
+/// The maximum number of records that wait for the store's writer. If there are more, the store counts as failing, and
+/// a leader steps down.
 const MAX_UNWRITTEN_RECORDS: usize = 1024;
 /// The longest time between two passes of the loop.
 const MAX_WAIT_MS: Ms = 250.0;
@@ -75,8 +75,8 @@
             (*id, Member { address: address.clone(), role: MemberRole::Voter })
         };
         let voters: Members = config.members.iter().map(voter).collect();
-        // The random store id is drawn from this seed. It distinguishes a new store from a lost one that it replaces, so it
-        // must not repeat at the next start, as it would with the configured seed alone.
+        // The random store id is drawn from this seed. It distinguishes a new store from a lost one that it replaces,
+        // so it must not repeat at the next start, as it would with the configured seed alone.
         let seed = config.seed ^ fastrand::u64(..);
         let raft = RaftNode::start(config.member_id, config.raft, voters, seed, 0.0, stored_state);
         let run = raft.run();
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Carries out the actions of the Raft node until it returns no more, then those of the failure detector, and compacts
-    /// the log if necessary.
+    /// Carries out the actions of the Raft node until it returns no more, then those of the failure detector, and
+    /// compacts the log if necessary.
     fn carry_out_actions(&mut self) {
         loop {
             let Actions { records, messages, committed, events } = self.raft.take_actions();
@@ -379,8 +379,8 @@
         }
     }
 
-    /// Updates the peers that are dialled, from the replicated membership and the operator's file, and the members that are
-    /// probed. An address in the operator's file takes precedence over the replicated one.
+    /// Updates the peers that are dialled, from the replicated membership and the operator's file, and the members that
+    /// are probed. An address in the operator's file takes precedence over the replicated one.
     fn update_members(&mut self) {
         let members = self.raft.members();
         let replicated_addresses = members.iter().map(|(id, member)| (*id, member.address.clone()));
@@ -420,8 +420,8 @@
         }
     }
 
-    /// Proposes a command, or forwards it to the leader if that is another member. Without a known leader the command is
-    /// dropped.
+    /// Proposes a command, or forwards it to the leader if that is another member. Without a known leader the command
+    /// is dropped.
     fn propose(&mut self, now: Ms, command: LogCommand) {
         let command = command.encode();
         match self.raft.role() {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -87,9 +87,9 @@
     }
 }
 
-/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` on a stop request, and
-/// if the store is damaged or not readable by this version, since its contents then cannot be restored: this manager
-/// then plans without the other managers, as it does without a quorum.
+/// Opens the store. Retries while the disk fails or another process holds the lock. Returns `None` on a stop request,
+/// and if the store is damaged or not readable by this version, since its contents then cannot be restored: this
+/// manager then plans without the other managers, as it does without a quorum.
 fn open_store(
     config: &FleetConfig,
     channels: &Channels,
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Leaves the fleet, as on SIGTERM: announces it to the other managers, transfers the leadership if this manager is the
-    /// leader, and waits until this manager works on no claim. Returns whether that was done before the timeout.
+    /// Leaves the fleet, as on SIGTERM: announces it to the other managers, transfers the leadership if this manager is
+    /// the leader, and waits until this manager works on no claim. Returns whether that was done before the timeout.
     pub fn leave(&self, timeout: Duration) -> bool {
         self.channels.leave(timeout)
     }
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -1,6 +1,6 @@
-//! Links between managers. Each manager dials every other one. It only writes on the connections that it dialled and only
-//! reads on those that it accepted. Each message is preceded by its length. A connection starts with a handshake that
-//! names the sender, the receiver, the fleet and the sender's run.
+//! Links between managers. Each manager dials every other one. It only writes on the connections that it dialled and
+//! only reads on those that it accepted. Each message is preceded by its length. A connection starts with a handshake
+//! that names the sender, the receiver, the fleet and the sender's run.
 
 use std::io;
 use std::net::TcpListener;
@@ -47,8 +47,8 @@
     listener: &'a TcpListener,
     channels: Arc<Channels>,
     peer_table: PeerTable,
-    /// The time limit of connecting and of receiving a handshake. A write may take four times as long, and the reconnect
-    /// backoff is derived from this limit.
+    /// The time limit of connecting and of receiving a handshake. A write may take four times as long, and the
+    /// reconnect backoff is derived from this limit.
     io_timeout: Duration,
     seed: u64,
 }
@@ -83,8 +83,8 @@
         });
     }
 
-    /// Runs one task for the link to each other member. Aborts the task when the member is removed and replaces it when the
-    /// member's address changes.
+    /// Runs one task for the link to each other member. Aborts the task when the member is removed and replaces it when
+    /// the member's address changes.
     async fn dial_peers(&self) {
         let mut tasks: std::collections::BTreeMap<MemberId, (String, tokio::task::JoinHandle<()>)> =
             <_>::default();
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Accepts connections from other managers and runs a task for each one. Closes a connection at once if there are too
-    /// many.
+    /// Accepts connections from other managers and runs a task for each one. Closes a connection at once if there are
+    /// too many.
     async fn accept(&self) {
         let listener = self.listener.try_clone().and_then(|listener| {
             listener.set_nonblocking(true)?;
@@ -262,7 +262,8 @@
             if let Err(error) = self.send_messages().await {
                 tracing::debug!("fleet: the link to {} at {} broke: {error}", self.peer, self.address);
             }
-            // A connection that lasted longer than the time limit of connecting resets the backoff; any other doubles it.
+            // A connection that lasted longer than the time limit of connecting resets the backoff; any other doubles
+            // it.
             backoff = if started_at.elapsed() > self.io_timeout {
                 min_backoff
             } else {
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -1,7 +1,7 @@
 //! Bytes that an earlier build wrote, to its store and to other managers, are decoded as the same values and encoded as
-//! the same bytes. Guards against renames that also change or reorder fields or variants, which make a store unreadable after
-//! an upgrade, or make managers of two builds misread each other's messages. Each file in `formats/` holds one encoded
-//! value per line: its name, then its bytes in hexadecimal digits.
+//! the same bytes. Guards against renames that also change or reorder fields or variants, which make a store unreadable
+//! after an upgrade, or make managers of two builds misread each other's messages. Each file in `formats/` holds one
+//! encoded value per line: its name, then its bytes in hexadecimal digits.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Debug;
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -12,8 +12,8 @@
 
 /// Long enough for every awaited event, even on a busy machine.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than any test, so that no election starts and no handshake times out. The time limit of a handshake is derived
-/// from this.
+/// Longer than any test, so that no election starts and no handshake times out. The time limit of a handshake is
+/// derived from this.
 const ELECTION_TIMEOUT_MS: f64 = 60_000.0;
 
 /// The handshake, the first message on a link, as managers encode it.
@@ -92,8 +92,8 @@
     socket
 }
 
-/// Waits until the connection ends or the read times out, and returns whether the member closed it. A member that closes
-/// it with unread bytes resets it.
+/// Waits until the connection ends or the read times out, and returns whether the member closed it. A member that
+/// closes it with unread bytes resets it.
 fn is_closed(socket: &mut TcpStream) -> bool {
     match socket.read(&mut [0]) {
         Ok(read) => read == 0,
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -16,8 +16,8 @@
     fn create(&self, name: &str) -> io::Result<()>;
     /// If this fails, some of the bytes may have been written.
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Syncs the file, so that all appended bytes survive a power loss. After a failure it is unknown which of the bytes
-    /// that were appended since the last successful sync survive.
+    /// Syncs the file, so that all appended bytes survive a power loss. After a failure it is unknown which of the
+    /// bytes that were appended since the last successful sync survive.
     fn sync(&self, name: &str) -> io::Result<()>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,5 +1,6 @@
 //! The file formats of the store. All integers are little-endian. The manifest, every header and every frame have a
-//! checksum (CRC-32, IEEE). In the table, the number in brackets is a field's length in bytes, and N is a file's number.
+//! checksum (CRC-32, IEEE). In the table, the number in brackets is a field's length in bytes, and N is a file's
+//! number.
 //!
 //! | file | bytes |
 //! | --- | --- |
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -107,8 +107,8 @@
         self.state().powered_off
     }
 
-    /// Restores power, releases the lock and clears the faults. Each unsynced append survives at random, also in part or without earlier ones. Of the unsynced
-    /// name changes a random number survives, in their order.
+    /// Restores power, releases the lock and clears the faults. Each unsynced append survives at random, also in part
+    /// or without earlier ones. Of the unsynced name changes a random number survives, in their order.
     pub fn restart(&self) {
         let mut state = self.state();
         let State { files, names, synced_names, unsynced_name_changes, rng, .. } = &mut *state;
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -58,8 +58,8 @@
     Stop,
 }
 
-/// The state that the handle and the thread share: the values of [`WriterStats`], whether a compaction runs, and the request to
-/// stop.
+/// The state that the handle and the thread share: the values of [`WriterStats`], whether a compaction runs, and the
+/// request to stop.
 #[derive(Default)]
 struct Shared {
     durable: AtomicU64,
@@ -95,8 +95,8 @@
 }
 
 impl<D: Disk + 'static> Writer<D> {
-    /// Starts the writer thread. It calls `on_change` after each successful commit, after the first of a series of failed
-    /// ones, and when a compaction ends.
+    /// Starts the writer thread. It calls `on_change` after each successful commit, after the first of a series of
+    /// failed ones, and when a compaction ends.
     pub fn start(
         store: Store<D>,
         timing: WriterTiming,
@@ -296,8 +296,8 @@
 
     fn begin_compaction(&mut self, records: Vec<Vec<u8>>) {
         if !self.queue.is_empty() {
-            // The store has not yet accepted all records that the snapshot would replace: the compaction fails and leaves
-            // the store unchanged.
+            // The store has not yet accepted all records that the snapshot would replace: the compaction fails and
+            // leaves the store unchanged.
             return self.end_compaction(Err(StoreError::TooManyPending));
         }
         match self.store.begin_compaction() {
--- a/crates/store/tests/formats.rs
+++ b/crates/store/tests/formats.rs
@@ -1,5 +1,6 @@
-//! Files of a store that an earlier build wrote are recovered record by record. Guards against changes that make a store
-//! unreadable after an upgrade. Each line of the file in `formats/` is a file's name and its bytes in hexadecimal digits.
+//! Files of a store that an earlier build wrote are recovered record by record. Guards against changes that make a
+//! store unreadable after an upgrade. Each line of the file in `formats/` is a file's name and its bytes in hexadecimal
+//! digits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
