--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -42,7 +42,7 @@
 pub enum RecoveryError {
     Io(io::Error),
     Damage(Damage),
-    NewerFormat { file: String, format: u16 },
+    NewerFormat { file: String, version: u16 },
 }
 
 impl From<io::Error> for RecoveryError {
@@ -69,7 +69,7 @@
 
 fn format_error<T>(file: &str, error: FormatError) -> Result<T, RecoveryError> {
     match error {
-        FormatError::NewerVersion(format) => Err(RecoveryError::NewerFormat { file: file.into(), format }),
+        FormatError::NewerVersion(version) => Err(RecoveryError::NewerFormat { file: file.into(), version }),
         FormatError::Truncated => damage(file, 0, "the header is truncated"),
         FormatError::WrongMagic => damage(file, 0, "wrong magic number"),
         FormatError::ChecksumMismatch => damage(file, 0, "header checksum mismatch"),
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -33,7 +33,7 @@
     /// A file has a newer format than [`FORMAT_VERSION`].
     NewerFormat {
         file: String,
-        format: u16,
+        version: u16,
     },
     Damage(Damage),
     Io(io::Error),
@@ -43,10 +43,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             OpenError::Locked => f.write_str("another process has the store open"),
-            OpenError::NewerFormat { file, format } => {
+            OpenError::NewerFormat { file, version } => {
                 write!(
                     f,
-                    "{file} has format version {format}, but this program supports up to {FORMAT_VERSION}: \
+                    "{file} has format version {version}, but this program supports up to {FORMAT_VERSION}: \
                      use a newer version"
                 )
             }
@@ -63,7 +63,7 @@
         match error {
             RecoveryError::Io(error) => OpenError::Io(error),
             RecoveryError::Damage(damage) => OpenError::Damage(damage),
-            RecoveryError::NewerFormat { file, format } => OpenError::NewerFormat { file, format },
+            RecoveryError::NewerFormat { file, version } => OpenError::NewerFormat { file, version },
         }
     }
 }
