--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -29,7 +29,9 @@
     pub swim: SwimConfig,
     /// `None` if failover between zones is off.
     pub failover: Option<juniperrail_failover::FailoverConfig>,
+    /// The configured schedules, by name.
     pub schedules: BTreeMap<String, Schedule>,
+    /// Seeds the randomness of Raft, the failure detector and the links.
     pub seed: u64,
     /// The log is compacted once it has more entries than this.
     pub max_log_entries: usize,
--- a/crates/fleet/src/fleet_thread.rs
+++ b/crates/fleet/src/fleet_thread.rs
@@ -528,11 +528,11 @@
                 self.propose_at_point(now, Point::SCHEDULE_CLAIM_GRANTED, LogCommand::Schedule(command));
             }
             ClaimTask::Propose(command) => self.propose_outcome(now, command),
-            execute @ ClaimTask::Execute { .. } => {
+            execute_task @ ClaimTask::Execute { .. } => {
                 _ = Point::SCHEDULE_STARTED.pass();
-                let ClaimTask::Execute { fence, .. } = &execute else { return };
+                let ClaimTask::Execute { fence, .. } = &execute_task else { return };
                 let fence = *fence;
-                if !self.channels.queue_effect(execute) {
+                if !self.channels.queue_effect(execute_task) {
                     // The queue is full: nothing was sent, so another manager may execute the occurrence.
                     let command = self.claim_tracker.record_outcome(
                         fence,
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -33,8 +33,9 @@
 #[derive(Clone, Debug)]
 pub struct ScheduleStatus {
     pub name: String,
-    /// Every occurrence that was due up to this time is decided on, in Unix milliseconds.
+    /// Every occurrence that was due up to this time, in Unix milliseconds, was claimed or skipped.
     pub decided_through: i64,
+    /// Claimed occurrences that have not ended.
     pub open_count: usize,
     pub ended_count: u64,
     pub skipped_count: u64,
--- a/crates/fleet/tests/links.rs
+++ b/crates/fleet/tests/links.rs
@@ -104,30 +104,31 @@
 #[test]
 fn a_later_connection_of_a_manager_closes_the_earlier_one_even_in_the_middle_of_a_message() {
     let running = start_member("later");
-    let mut old = connect_as_member_2(running.address, 5);
+    let mut old_connection = connect_as_member_2(running.address, 5);
     // The start of a message whose remaining bytes are never sent.
-    old.write_all(&[0, 0, 0, 9, 1]).unwrap();
-    let mut new = connect_as_member_2(running.address, 5);
+    old_connection.write_all(&[0, 0, 0, 9, 1]).unwrap();
+    let mut new_connection = connect_as_member_2(running.address, 5);
     assert!(
-        is_closed(&mut old),
+        is_closed(&mut old_connection),
         "the old connection is closed, because its messages are older than those of the new one"
     );
     // The member sends nothing on this connection: a read that times out shows that it is still open.
-    new.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    assert!(!is_closed(&mut new));
+    new_connection.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+    assert!(!is_closed(&mut new_connection));
 }
 
 #[test]
 fn a_connection_of_an_earlier_run_is_closed_and_replaces_nothing() {
     let running = start_member("earlier");
-    let mut new = connect_as_member_2(running.address, 6);
-    // The member usually reads the handshake of `new` first, which was sent first, and rejects and closes `old`. If it
-    // reads that of `old` first, `new` replaces `old`, which is then closed too.
-    let mut old = connect_as_member_2(running.address, 5);
-    if !is_closed(&mut old) {
+    let mut new_connection = connect_as_member_2(running.address, 6);
+    // The member usually reads the handshake of `new_connection` first, which was sent first, and rejects and closes
+    // `old_connection`. If it reads that of `old_connection` first, `new_connection` replaces `old_connection`, which
+    // is then closed too.
+    let mut old_connection = connect_as_member_2(running.address, 5);
+    if !is_closed(&mut old_connection) {
         panic!("a connection of an earlier run was accepted");
     }
     // The member sends nothing on this connection: a read that times out shows that it is still open.
-    new.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    assert!(!is_closed(&mut new));
+    new_connection.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+    assert!(!is_closed(&mut new_connection));
 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -93,8 +93,8 @@
 }
 
 /// Checks the magic number, the checksum and the version in this order, so that a damaged file is not reported as a
-/// newer version.
-fn check_magic_checksum_version(bytes: &[u8], magic: &[u8; 4], length: usize) -> Result<(), FormatError> {
+/// newer version. The checksum is in the last 4 of the first `length` bytes.
+fn validate(bytes: &[u8], magic: &[u8; 4], length: usize) -> Result<(), FormatError> {
     if bytes.len() < length {
         return Err(FormatError::Truncated);
     }
@@ -129,7 +129,7 @@
     }
 
     pub fn decode(bytes: &[u8]) -> Result<Manifest, FormatError> {
-        check_magic_checksum_version(bytes, b"JRMF", Manifest::LENGTH)?;
+        validate(bytes, b"JRMF", Manifest::LENGTH)?;
         // The checksum does not cover bytes after it.
         if bytes.len() > Manifest::LENGTH {
             return Err(FormatError::ChecksumMismatch);
@@ -156,7 +156,7 @@
 
 /// Decodes a header into the file number and the sequence number.
 pub fn decode_header(kind: FileKind, bytes: &[u8]) -> Result<(u64, Seq), FormatError> {
-    check_magic_checksum_version(bytes, kind.magic(), HEADER_BYTES)?;
+    validate(bytes, kind.magic(), HEADER_BYTES)?;
     Ok((u64_at(bytes, 6), Seq(u64_at(bytes, 14))))
 }
 
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -59,6 +59,7 @@
     /// Changes of the directory that were not synced, in their order.
     unsynced_name_changes: Vec<NameChange>,
     faults: Faults,
+    /// The number of steps since the faults were set or the disk was restarted.
     step: u64,
     powered_off: bool,
     locked: bool,
@@ -98,7 +99,7 @@
         (state.faults, state.step) = (faults, 0);
     }
 
-    /// Steps since the faults were set.
+    /// The number of steps since the faults were set or the disk was restarted.
     pub fn step_count(&self) -> u64 {
         self.state().step
     }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -158,8 +158,8 @@
         Ok(Opened { store, recovered })
     }
 
-    /// Removes files that the manifest does not name. They are left by a crash between two steps of a rotation or
-    /// compaction.
+    /// Removes files that the manifest does not name and returns their number. A crash between two steps of a rotation
+    /// or compaction leaves such files.
     fn remove_unreferenced_files(&self) -> io::Result<usize> {
         let Manifest { snapshot, first_segment, newest_segment, .. } = self.manifest;
         let names = self.disk.list()?;
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -62,7 +62,7 @@
 /// request to stop.
 #[derive(Default)]
 struct Shared {
-    durable: AtomicU64,
+    durable_ticket: AtomicU64,
     failing: AtomicBool,
     failures: AtomicU64,
     compacting: AtomicBool,
@@ -175,7 +175,7 @@
 impl Shared {
     fn stats(&self) -> WriterStats {
         WriterStats {
-            durable: Ticket(self.durable.load(Ordering::Acquire)),
+            durable: Ticket(self.durable_ticket.load(Ordering::Acquire)),
             failing: self.failing.load(Ordering::Acquire),
             failures: self.failures.load(Ordering::Relaxed),
             compactions: self.compactions.load(Ordering::Relaxed),
@@ -213,8 +213,8 @@
                 continue;
             }
             // After a failed commit, retries even if no further work arrives.
-            let retry_needed =
-                !self.queue.is_empty() || self.shared.durable.load(Ordering::Acquire) < self.accepted_count;
+            let retry_needed = !self.queue.is_empty()
+                || self.shared.durable_ticket.load(Ordering::Acquire) < self.accepted_count;
             let first_work = match retry_needed {
                 true => self.work_receiver.recv_timeout(self.timing.retry_interval),
                 false => self.work_receiver.recv().map_err(|_| RecvTimeoutError::Disconnected),
@@ -263,7 +263,7 @@
             if let Err(error) = self.store.commit() {
                 break Some(error);
             }
-            self.shared.durable.store(self.accepted_count, Ordering::Release);
+            self.shared.durable_ticket.store(self.accepted_count, Ordering::Release);
             // The store limits its pending bytes: now that they are synced, it accepts the remaining records.
             if !matches!(rejection, Some(StoreError::TooManyPending)) {
                 break rejection;
--- a/crates/store/tests/histories.rs
+++ b/crates/store/tests/histories.rs
@@ -162,14 +162,14 @@
     let (files, record_count) = store_files();
     assert_eq!(open_files(&files), Some(record_count));
     let newest_segment = files.keys().rfind(|name| name.starts_with("seg-")).unwrap().clone();
-    let (mut truncated, mut rejected, mut torn) = (0, 0, 0);
+    let (mut truncated_count, mut rejected_count, mut torn_count) = (0, 0, 0);
     for (name, bytes) in &files {
         for length in 0..bytes.len() {
             let mut files = files.clone();
             files.insert(name.clone(), bytes[..length].to_vec());
-            truncated += 1;
+            truncated_count += 1;
             match open_files(&files) {
-                None => rejected += 1,
+                None => rejected_count += 1,
                 Some(found) => {
                     // An older file may only lose its last durability marker, which is not a record.
                     assert!(
@@ -177,18 +177,18 @@
                         "{name} truncated to {length} bytes is accepted as complete"
                     );
                     assert!(found <= record_count);
-                    torn += u32::from(*name == newest_segment);
+                    torn_count += u32::from(*name == newest_segment);
                 }
             }
         }
     }
-    let mut corrupted = 0;
+    let mut corrupted_count = 0;
     for (name, bytes) in &files {
         for offset in 0..bytes.len() {
             for bit in [0x01, 0x80] {
                 let mut files = files.clone();
                 files.get_mut(name).unwrap()[offset] ^= bit;
-                corrupted += 1;
+                corrupted_count += 1;
                 // Only corruption of the last durability marker, which is not a record, goes unnoticed.
                 if let Some(found) = open_files(&files) {
                     assert_eq!(
@@ -199,8 +199,14 @@
             }
         }
     }
-    println!("{truncated} truncated: {rejected} rejected, {torn} torn tails; {corrupted} corrupted");
-    assert!(torn > 100 && rejected > 1000, "too few cases: {torn} torn tails, {rejected} rejected");
+    println!(
+        "{truncated_count} truncated: {rejected_count} rejected, {torn_count} torn tails; \
+         {corrupted_count} corrupted"
+    );
+    assert!(
+        torn_count > 100 && rejected_count > 1000,
+        "too few cases: {torn_count} torn tails, {rejected_count} rejected"
+    );
 }
 
 #[test]
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -68,19 +68,19 @@
     let second_ticket = writer.append(b"meanwhile".to_vec()).unwrap();
     let failing_stats = wait_for_stats(&stats_receiver, |stats| stats.failing);
     assert_eq!(failing_stats.durable, Ticket(1));
-    let mut accepted = 0;
+    let mut accepted_count = 0;
     while writer.append(vec![7; 1000]).is_ok() {
-        accepted += 1;
-        assert!(accepted < 10_000, "the queue is bounded");
+        accepted_count += 1;
+        assert!(accepted_count < 10_000, "the queue is bounded");
     }
     assert_eq!(writer.stats().durable, Ticket(1), "no record is reported as durable while the disk fails");
     disk.set_faults(Faults::default());
-    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable.0 == second_ticket.0 + accepted);
+    let stats = wait_for_stats(&stats_receiver, |stats| stats.durable.0 == second_ticket.0 + accepted_count);
     assert!(!stats.failing && stats.failures > 0);
     drop(writer.stop());
     disk.restart();
     // The two records `before` and `meanwhile`, and those of the loop.
-    assert_eq!(recovered(&disk).len() as u64, 2 + accepted);
+    assert_eq!(recovered(&disk).len() as u64, 2 + accepted_count);
 }
 
 #[test]
@@ -91,7 +91,7 @@
         writer.append(number.to_le_bytes().to_vec()).unwrap();
     }
     wait_for_stats(&stats_receiver, |stats| stats.durable == Ticket(200));
-    let bytes_before = writer.stats().size_bytes;
+    let bytes_before_compaction = writer.stats().size_bytes;
     // The snapshot keeps the last ten records.
     let snapshot_records: Vec<Vec<u8>> = (190..200u32).map(|number| number.to_le_bytes().to_vec()).collect();
     assert!(writer.compact(snapshot_records.clone()));
@@ -101,8 +101,8 @@
         wait_for_stats(&stats_receiver, |stats| stats.durable >= concurrent_ticket);
     }
     assert!(
-        writer.stats().size_bytes < bytes_before / 2,
-        "{} of {bytes_before} bytes are left",
+        writer.stats().size_bytes < bytes_before_compaction / 2,
+        "{} of {bytes_before_compaction} bytes are left",
         writer.stats().size_bytes
     );
     assert!(writer.compact(snapshot_records.clone()), "the next compaction may start");
