--- a/crates/intent/src/access.rs
+++ b/crates/intent/src/access.rs
@@ -93,8 +93,8 @@
             let operations = leaf_list_texts(&rule, "access");
             let path = rule.text("path").unwrap_or_default();
             let number = rule.leaf("number").map(ToString::to_string).unwrap_or_default();
-            let path = Path::parse(schema, path).map_err(|fault| {
-                format!("the path of rule {number} does not match the data model: {fault}")
+            let path = Path::parse(schema, path).map_err(|error| {
+                format!("the path of rule {number} does not match the data model: {error}")
             })?;
             let covers = |operation: &str| operations.is_empty() || operations.contains(operation);
             access.rules.push(Rule {
--- a/crates/intent/src/datastores.rs
+++ b/crates/intent/src/datastores.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DatastoreError {
     /// The data violates the data model or a constraint that is checked in addition to it.
-    Faults(Vec<ModelError>),
+    Invalid(Vec<ModelError>),
     /// The admission checks refuse the change.
     NotAdmitted(Vec<Refusal>),
     /// The lock is denied, as the given session holds it or has a pending confirmed commit.
@@ -74,8 +74,8 @@
             })
         };
         match self {
-            DatastoreError::Faults(faults) => {
-                write_joined(f, &faults.iter().map(|fault| fault as &dyn fmt::Display).collect::<Vec<_>>())
+            DatastoreError::Invalid(errors) => {
+                write_joined(f, &errors.iter().map(|error| error as &dyn fmt::Display).collect::<Vec<_>>())
             }
             DatastoreError::NotAdmitted(refusals) => write_joined(
                 f,
@@ -266,7 +266,7 @@
         Ok(())
     }
 
-    /// Returns the candidate as it would be after an edit, and the faults of the edit. Does not change the candidate.
+    /// Returns the candidate as it would be after an edit, and the errors of the edit. Does not change the candidate.
     pub fn edit_candidate(
         &self,
         session: Session,
@@ -275,7 +275,7 @@
         error_option: ErrorOption,
     ) -> Result<(Data, Vec<ModelError>), DatastoreError> {
         self.check_not_locked(Datastore::Candidate, session)?;
-        let (edited, faults) = edit_config(
+        let (edited, errors) = edit_config(
             &self.schema,
             self.get(Datastore::Candidate),
             edit_nodes,
@@ -283,8 +283,8 @@
             error_option,
         );
         match error_option {
-            ErrorOption::RollbackOnError if !faults.is_empty() => Err(DatastoreError::Faults(faults)),
-            _ => Ok((edited, faults)),
+            ErrorOption::RollbackOnError if !errors.is_empty() => Err(DatastoreError::Invalid(errors)),
+            _ => Ok((edited, errors)),
         }
     }
 
@@ -448,9 +448,9 @@
 fn validate_data(schema: &Schema, data: &Data) -> Result<(), DatastoreError> {
     use juniperrail_model::ErrorKind;
     let bad_value = |path: &str, name: &str, message: String| {
-        Err(DatastoreError::Faults(vec![ModelError::new(ErrorKind::BadValue, path, name, message)]))
+        Err(DatastoreError::Invalid(vec![ModelError::new(ErrorKind::BadValue, path, name, message)]))
     };
-    data.check_mandatory(schema).map_err(|fault| DatastoreError::Faults(vec![fault]))?;
+    data.check_mandatory(schema).map_err(|error| DatastoreError::Invalid(vec![error]))?;
     let access = match AccessControl::from_data(schema, data) {
         Ok(access) => access,
         Err(message) => return bad_value("/jrm:northbound/rule", "path", message),
--- a/crates/intent/src/edit.rs
+++ b/crates/intent/src/edit.rs
@@ -23,7 +23,7 @@
     /// is applied completely or not at all.
     #[default]
     RollbackOnError,
-    /// The valid parts are applied, and every fault is returned.
+    /// The valid parts are applied, and every error is returned.
     ContinueOnError,
 }
 
@@ -35,14 +35,14 @@
     None,
 }
 
-/// Applies one edit and collects its faults.
+/// Applies one edit and collects its errors.
 struct Editor<'a> {
     schema: &'a Schema,
     error_option: ErrorOption,
-    faults: Vec<ModelError>,
+    errors: Vec<ModelError>,
 }
 
-/// Returns the data after the edit and the faults found. With [`ErrorOption::RollbackOnError`], data with a fault is
+/// Returns the data after the edit and the errors found. With [`ErrorOption::RollbackOnError`], data with an error is
 /// returned unchanged.
 pub fn edit_config(
     schema: &Schema,
@@ -51,7 +51,7 @@
     default_operation: DefaultOperation,
     error_option: ErrorOption,
 ) -> (Data, Vec<ModelError>) {
-    let mut editor = Editor { schema, error_option, faults: Vec::new() };
+    let mut editor = Editor { schema, error_option, errors: Vec::new() };
     let operation = match default_operation {
         DefaultOperation::Merge => EffectiveOperation::Edit(EditOperation::Merge),
         DefaultOperation::Replace => EffectiveOperation::Edit(EditOperation::Replace),
@@ -67,10 +67,10 @@
     };
     editor.apply_all(&mut edited, edit_nodes, &Path::default(), operation);
     edited.prune_empty(schema);
-    if error_option == ErrorOption::RollbackOnError && !editor.faults.is_empty() {
-        return (data.clone(), editor.faults);
+    if error_option == ErrorOption::RollbackOnError && !editor.errors.is_empty() {
+        return (data.clone(), editor.errors);
     }
-    (edited, editor.faults)
+    (edited, editor.errors)
 }
 
 impl Editor<'_> {
@@ -82,8 +82,8 @@
         inherited: EffectiveOperation,
     ) {
         for edit_node in edit_nodes {
-            if let Err(fault) = self.apply_one(data, edit_node, parent, inherited) {
-                self.faults.push(fault);
+            if let Err(error) = self.apply_one(data, edit_node, parent, inherited) {
+                self.errors.push(error);
                 if self.error_option == ErrorOption::RollbackOnError {
                     return;
                 }
@@ -254,18 +254,18 @@
     const TWO_WORKERS: &str = "<worker><name>a</name><weight>1</weight></worker>\
                                <worker><name>b</name><wanted>out</wanted></worker>";
 
-    /// Applies an edit to the data of the two workers. Asserts that an edit with a fault changes nothing.
+    /// Applies an edit to the data of the two workers. Asserts that an edit with an error changes nothing.
     fn edited(body: &str, default: DefaultOperation) -> Result<Data, ModelError> {
         let before = data(TWO_WORKERS);
-        let (after, mut faults) =
+        let (after, mut errors) =
             edit_config(&schema(), &before, &edit_nodes(body), default, ErrorOption::RollbackOnError);
-        if let Some(fault) = faults.pop() {
+        if let Some(error) = errors.pop() {
             assert_eq!(
-                (after, faults.len()),
+                (after, errors.len()),
                 (before, 0),
-                "nothing is changed, and the first fault is returned"
+                "nothing is changed, and the first error is returned"
             );
-            return Err(fault);
+            return Err(error);
         }
         Ok(after)
     }
@@ -320,7 +320,7 @@
     }
 
     #[test]
-    fn an_edit_with_a_fault_changes_nothing() {
+    fn an_edit_with_an_error_changes_nothing() {
         use DefaultOperation::*;
         let create = "<worker n:operation=\"create\"><name>a</name></worker>";
         let valid = "<worker><name>a</name><weight>9</weight></worker>";
@@ -337,11 +337,11 @@
     }
 
     #[test]
-    fn continue_on_error_applies_the_valid_parts_and_returns_every_fault() {
+    fn continue_on_error_applies_the_valid_parts_and_returns_every_error() {
         let body = "<worker n:operation=\"create\"><name>a</name></worker>\
                     <worker><name>a</name><weight>9</weight></worker>\
                     <worker n:operation=\"delete\"><name>c</name></worker>";
-        let (after, faults) = edit_config(
+        let (after, errors) = edit_config(
             &schema(),
             &data(TWO_WORKERS),
             &edit_nodes(body),
@@ -349,7 +349,7 @@
             ErrorOption::ContinueOnError,
         );
         assert_eq!(
-            faults.iter().map(|fault| fault.kind).collect::<Vec<_>>(),
+            errors.iter().map(|error| error.kind).collect::<Vec<_>>(),
             [ErrorKind::DataExists, ErrorKind::DataMissing]
         );
         assert_eq!(after, data(&TWO_WORKERS.replace("<weight>1", "<weight>9")));
--- a/crates/intent/tests/properties.rs
+++ b/crates/intent/tests/properties.rs
@@ -441,15 +441,15 @@
         let before = stores.get(Datastore::Candidate).clone();
         match stores.edit_candidate(Session(1), &edit, DefaultOperation::Merge, ErrorOption::RollbackOnError)
         {
-            Ok((data, faults)) => {
-                assert!(faults.is_empty());
+            Ok((data, errors)) => {
+                assert!(errors.is_empty());
                 stores.put(Session(1), Datastore::Candidate, data).unwrap();
                 accepted += 1;
             }
-            Err(DatastoreError::Faults(faults)) => {
-                assert!(faults
+            Err(DatastoreError::Invalid(errors)) => {
+                assert!(errors
                     .iter()
-                    .all(|fault| matches!(fault.kind, ErrorKind::DataExists | ErrorKind::DataMissing)));
+                    .all(|error| matches!(error.kind, ErrorKind::DataExists | ErrorKind::DataMissing)));
                 assert_eq!(*stores.get(Datastore::Candidate), before);
                 rejected += 1;
             }
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -1,4 +1,4 @@
-//! `rpc-error` as in RFC 6241 section 4.3 and appendix A, and the mapping of model faults and datastore errors to
+//! `rpc-error` as in RFC 6241 section 4.3 and appendix A, and the mapping of model errors and datastore errors to
 //! `rpc-error`s.
 
 use juniperrail_intent::{DatastoreError, Refusal, Session};
@@ -75,44 +75,46 @@
     }
 }
 
-/// Converts a fault that the data model reports, such as an unknown element.
-pub fn from_model_fault(fault: &ModelError) -> RpcError {
-    let message = match fault.line {
-        // The fault is not about one line of the message.
-        0 => fault.message.clone(),
-        line => format!("line {line} of the message: {}", fault.message),
+/// Converts an error of the data model, such as an unknown element.
+pub fn from_model_error(model_error: &ModelError) -> RpcError {
+    let message = match model_error.line {
+        // The error is not about one line of the message.
+        0 => model_error.message.clone(),
+        line => format!("line {line} of the message: {}", model_error.message),
     };
     let application_error = |tag| RpcError::new(ErrorType::Application, tag, message.clone());
-    let with_bad_element = |error: RpcError| error.with_info("bad-element", &*fault.name);
-    let error = match fault.kind {
+    let with_bad_element = |error: RpcError| error.with_info("bad-element", &*model_error.name);
+    let error = match model_error.kind {
         ErrorKind::Malformed => RpcError::new(ErrorType::Rpc, "malformed-message", message.clone()),
         ErrorKind::UnknownElement | ErrorKind::NotConfiguration => {
             with_bad_element(application_error("unknown-element"))
         }
         ErrorKind::UnknownNamespace => with_bad_element(application_error("unknown-namespace"))
-            .with_info("bad-namespace", quoted_namespace(&fault.message)),
-        ErrorKind::UnknownAttribute => with_bad_attribute(application_error("unknown-attribute"), fault),
-        ErrorKind::BadAttribute => with_bad_attribute(application_error("bad-attribute"), fault),
+            .with_info("bad-namespace", quoted_namespace(&model_error.message)),
+        ErrorKind::UnknownAttribute => {
+            with_bad_attribute(application_error("unknown-attribute"), model_error)
+        }
+        ErrorKind::BadAttribute => with_bad_attribute(application_error("bad-attribute"), model_error),
         ErrorKind::BadValue => application_error("invalid-value"),
         ErrorKind::MissingElement => with_bad_element(application_error("missing-element")),
         ErrorKind::Duplicate => with_bad_element(application_error("bad-element")),
         ErrorKind::DataExists => application_error("data-exists"),
         ErrorKind::DataMissing => application_error("data-missing"),
     };
-    match fault.path.is_empty() {
+    match model_error.path.is_empty() {
         true => error,
-        false => error.with_path(&*fault.path),
+        false => error.with_path(&*model_error.path),
     }
 }
 
-fn with_bad_attribute(error: RpcError, fault: &ModelError) -> RpcError {
-    let element = fault.path.rsplit('/').next().unwrap_or_default();
+fn with_bad_attribute(error: RpcError, model_error: &ModelError) -> RpcError {
+    let element = model_error.path.rsplit('/').next().unwrap_or_default();
     let element = element.split('[').next().unwrap_or_default();
     let element = element.rsplit(':').next().unwrap_or_default();
-    error.with_info("bad-attribute", &*fault.name).with_info("bad-element", element)
+    error.with_info("bad-attribute", &*model_error.name).with_info("bad-element", element)
 }
 
-/// The namespace, which is the last quoted part of the fault's message.
+/// The namespace, which is the last quoted part of the message of the model error.
 fn quoted_namespace(message: &str) -> String {
     message.rsplit('"').nth(1).unwrap_or_default().to_string()
 }
@@ -136,7 +138,7 @@
 pub fn from_datastore_error(error: &DatastoreError) -> Vec<RpcError> {
     let single_error = |error_type, tag| RpcError::new(error_type, tag, error.to_string());
     vec![match error {
-        DatastoreError::Faults(faults) => return faults.iter().map(from_model_fault).collect(),
+        DatastoreError::Invalid(model_errors) => return model_errors.iter().map(from_model_error).collect(),
         DatastoreError::NotAdmitted(refusals) => return refusals.iter().map(from_refusal).collect(),
         DatastoreError::LockDenied(holder) => {
             lock_holder_error(ErrorType::Protocol, "lock-denied", error, *holder)
@@ -166,25 +168,25 @@
     use juniperrail_model::{schema, xml};
 
     #[test]
-    fn each_model_fault_maps_to_its_error_tag() {
+    fn each_model_error_maps_to_its_error_tag() {
         let schema = schema();
         let namespace = "xmlns='tag:juniperrail.example,2026:yang:manager'";
-        let convert_fault = |text: String| {
+        let convert_error = |text: String| {
             let element = xml::parse(text.as_bytes()).unwrap();
-            from_model_fault(&xml::to_edit_nodes(&schema, &[element], true).unwrap_err())
+            from_model_error(&xml::to_edit_nodes(&schema, &[element], true).unwrap_err())
         };
-        let unknown = convert_fault("<workers xmlns='urn:none'/>".into());
+        let unknown = convert_error("<workers xmlns='urn:none'/>".into());
         assert_eq!((unknown.tag, unknown.info.len()), ("unknown-namespace", 2));
         assert_eq!(unknown.info[1], ("bad-namespace", "urn:none".to_string()));
-        let attribute = convert_fault(format!(
+        let attribute = convert_error(format!(
             "<workers {namespace}><worker hue='red'><name>a</name></worker></workers>"
         ));
         assert_eq!(attribute.tag, "unknown-attribute");
         assert_eq!(attribute.info[0], ("bad-attribute", "hue".to_string()));
         let missing =
-            convert_fault(format!("<workers {namespace}><worker><weight>1</weight></worker></workers>"));
+            convert_error(format!("<workers {namespace}><worker><weight>1</weight></worker></workers>"));
         assert_eq!((missing.tag, &missing.info[0].1), ("missing-element", &"name".to_string()));
-        let value = convert_fault(format!(
+        let value = convert_error(format!(
             "<workers {namespace}><worker><name>a</name><weight>x</weight></worker></workers>"
         ));
         assert_eq!(value.path.as_deref(), Some("/jrm:workers/worker[name='a']/weight"));
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -528,14 +528,15 @@
             .ok_or_else(|| missing_element("config", "edit-config"))?;
         let datastore_manager = &self.context.datastore_manager;
         let drafts = xml::to_edit_nodes(datastore_manager.schema(), &config.children, true);
-        let drafts = drafts.map_err(|fault| datastore_error(DatastoreError::Faults(vec![fault])))?;
-        let faults = datastore_manager
+        let drafts =
+            drafts.map_err(|model_error| datastore_error(DatastoreError::Invalid(vec![model_error])))?;
+        let model_errors = datastore_manager
             .edit(&self.caller, &drafts, default_operation, error_option, test_option)
             .await
             .map_err(datastore_error)?;
-        match faults.is_empty() {
+        match model_errors.is_empty() {
             true => reply_with(ReplyBody::Ok),
-            false => Err(datastore_error(DatastoreError::Faults(faults))),
+            false => Err(datastore_error(DatastoreError::Invalid(model_errors))),
         }
     }
 
@@ -548,7 +549,9 @@
             return datastore_parameter(operation, "source").map(Source::Datastore);
         };
         let drafts = xml::to_edit_nodes(self.context.datastore_manager.schema(), &config.children, false);
-        drafts.map(Source::Inline).map_err(|fault| datastore_error(DatastoreError::Faults(vec![fault])))
+        drafts
+            .map(Source::Inline)
+            .map_err(|model_error| datastore_error(DatastoreError::Invalid(vec![model_error])))
     }
 
     async fn copy_config(&self, operation: &Element) -> OperationResult {
--- a/crates/northbound/src/datastore_manager.rs
+++ b/crates/northbound/src/datastore_manager.rs
@@ -418,7 +418,7 @@
         test_option: TestOption,
     ) -> Result<Vec<ModelError>, DatastoreError> {
         let mut inner = self.0.inner.lock().await;
-        let (data, faults) =
+        let (data, errors) =
             inner.datastores.edit_candidate(caller.session, edit_nodes, default_operation, error_option)?;
         self.check_write_access(&inner, caller, inner.datastores.get(Datastore::Candidate), &data)?;
         if test_option != TestOption::Set {
@@ -427,7 +427,7 @@
         if test_option != TestOption::TestOnly {
             inner.datastores.put(caller.session, Datastore::Candidate, data)?;
         }
-        Ok(faults)
+        Ok(errors)
     }
 
     /// Checks that the user may make every change between `old` and `new`.
@@ -458,7 +458,7 @@
             }
             Source::Inline(edit_nodes) => {
                 let mut data = Data::from_edit_nodes(&self.0.schema, &edit_nodes)
-                    .map_err(|fault| DatastoreError::Faults(vec![fault]))?;
+                    .map_err(|error| DatastoreError::Invalid(vec![error]))?;
                 data.prune_empty(&self.0.schema);
                 data
             }
