--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -31,9 +31,9 @@
 /// The base capability of RFC 6241.
 const BASE_1_1: &str = "urn:ietf:params:netconf:base:1.1";
 /// The namespace of notifications, RFC 5277.
-pub const NOTIFICATION: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
+pub const NOTIFICATION_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
 /// The namespace of `ietf-netconf-monitoring`, RFC 6022.
-pub const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
+pub const MONITORING_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
 /// Maximum number of notifications that are queued while the client waits for replies. The oldest are dropped first.
 const MAX_QUEUED_NOTIFICATIONS: usize = 1024;
 /// Size of the buffer for reads from the stream.
@@ -208,7 +208,7 @@
     pub async fn read_reply(&mut self) -> Result<Element, ClientError> {
         loop {
             let message = self.receive().await?;
-            if !message.is(NOTIFICATION, "notification") {
+            if !message.is(NOTIFICATION_NAMESPACE, "notification") {
                 return ClientError::check_reply(message);
             }
             if self.notifications.len() == MAX_QUEUED_NOTIFICATIONS {
@@ -355,16 +355,18 @@
 
     /// Reads the source of a YANG module.
     pub async fn schema(&mut self, module: &str) -> Result<String, ClientError> {
-        let identifier = Element::with_text(MONITORING, "identifier", module);
-        let reply = self.rpc(Element::new(MONITORING, "get-schema").with_child(identifier)).await?;
+        let identifier = Element::with_text(MONITORING_NAMESPACE, "identifier", module);
+        let reply = self.rpc(Element::new(MONITORING_NAMESPACE, "get-schema").with_child(identifier)).await?;
         Ok(reply.children.into_iter().next().map(|data| data.text).unwrap_or_default())
     }
 
     /// Subscribes to notifications; `filter` as in [`Client::get`].
     pub async fn subscribe(&mut self, filter: Option<&str>) -> Result<(), ClientError> {
         let filter = Client::filter_element(filter)?
-            .map(|filter| Element { namespace: NOTIFICATION.into(), ..filter });
-        self.rpc(Element::new(NOTIFICATION, "create-subscription").with_children(filter)).await.map(drop)
+            .map(|filter| Element { namespace: NOTIFICATION_NAMESPACE.into(), ..filter });
+        self.rpc(Element::new(NOTIFICATION_NAMESPACE, "create-subscription").with_children(filter))
+            .await
+            .map(drop)
     }
 
     /// Waits for the next notification: an element with `eventTime` and the event.
@@ -374,7 +376,7 @@
         }
         loop {
             let message = self.receive().await?;
-            if message.is(NOTIFICATION, "notification") {
+            if message.is(NOTIFICATION_NAMESPACE, "notification") {
                 return Ok(message);
             }
         }
--- a/crates/netconf/src/capabilities.rs
+++ b/crates/netconf/src/capabilities.rs
@@ -3,17 +3,17 @@
 use juniperrail_model::Schema;
 
 /// The namespace of `ietf-netconf-monitoring`, RFC 6022.
-pub const MONITORING: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
+pub const MONITORING_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring";
 /// The namespace of `ietf-netconf-nmda`, RFC 8526.
-pub const NMDA: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-nmda";
+pub const NMDA_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-nmda";
 /// The namespace of `ietf-yang-library`, RFC 8525.
-pub const YANG_LIBRARY: &str = "urn:ietf:params:xml:ns:yang:ietf-yang-library";
+pub const YANG_LIBRARY_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-yang-library";
 /// The namespace of `ietf-netconf-with-defaults`, RFC 6243.
-pub const WITH_DEFAULTS: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults";
+pub const WITH_DEFAULTS_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-with-defaults";
 /// The namespace of notifications, RFC 5277.
-pub const NOTIFICATION: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
+pub const NOTIFICATION_NAMESPACE: &str = "urn:ietf:params:xml:ns:netconf:notification:1.0";
 /// The namespace of `ietf-netconf-notifications`, RFC 6470.
-pub const BASE_NOTIFICATIONS: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-notifications";
+pub const BASE_NOTIFICATIONS_NAMESPACE: &str = "urn:ietf:params:xml:ns:yang:ietf-netconf-notifications";
 
 /// The base capability of RFC 4741: end-of-message framing.
 pub const BASE_1_0: &str = "urn:ietf:params:netconf:base:1.0";
@@ -48,9 +48,9 @@
     let id = content_id(schema);
     capabilities.push(capability(&format!("yang-library:1.1?revision=2019-01-04&content-id={id}")));
     for (namespace, module, revision) in [
-        (MONITORING, "ietf-netconf-monitoring", "2010-10-04"),
-        (NMDA, "ietf-netconf-nmda", "2019-01-07"),
-        (BASE_NOTIFICATIONS, "ietf-netconf-notifications", "2012-02-06"),
+        (MONITORING_NAMESPACE, "ietf-netconf-monitoring", "2010-10-04"),
+        (NMDA_NAMESPACE, "ietf-netconf-nmda", "2019-01-07"),
+        (BASE_NOTIFICATIONS_NAMESPACE, "ietf-netconf-notifications", "2012-02-06"),
     ] {
         capabilities.push(format!("{namespace}?module={module}&revision={revision}"));
     }
--- a/crates/netconf/src/lib.rs
+++ b/crates/netconf/src/lib.rs
@@ -14,4 +14,4 @@
 pub use session::SessionTimeouts;
 pub use transport::{fingerprint, Listeners};
 
-pub use capabilities::{BASE_1_0, BASE_1_1, MONITORING, NMDA, NOTIFICATION};
+pub use capabilities::{BASE_1_0, BASE_1_1, MONITORING_NAMESPACE, NMDA_NAMESPACE, NOTIFICATION_NAMESPACE};
--- a/crates/netconf/src/notification.rs
+++ b/crates/netconf/src/notification.rs
@@ -7,15 +7,15 @@
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
-use crate::capabilities::{BASE_NOTIFICATIONS, NOTIFICATION};
+use crate::capabilities::{BASE_NOTIFICATIONS_NAMESPACE, NOTIFICATION_NAMESPACE};
 
 /// Maximum number of edits that one `netconf-config-change` lists; further edits are omitted.
 const MAX_EDITS: usize = 256;
 
 /// The event element of a notification.
 pub fn event_element(schema: &Schema, prefixes: &[(String, String)], notification: &Notification) -> Element {
-    let element = |name: &str| Element::new(BASE_NOTIFICATIONS, name);
-    let leaf = |name: &str, text: &str| Element::with_text(BASE_NOTIFICATIONS, name, text);
+    let element = |name: &str| Element::new(BASE_NOTIFICATIONS_NAMESPACE, name);
+    let leaf = |name: &str, text: &str| Element::with_text(BASE_NOTIFICATIONS_NAMESPACE, name, text);
     let with_session = |event: Element, user: &str, id: u32| {
         event.with_child(leaf("username", user)).with_child(leaf("session-id", &id.to_string()))
     };
@@ -78,7 +78,7 @@
     let event_time = OffsetDateTime::from_unix_timestamp_nanos((now_ms * 1e6) as i128)
         .unwrap_or(OffsetDateTime::UNIX_EPOCH);
     let event_time = event_time.format(&Rfc3339).unwrap_or_default();
-    Element::new(NOTIFICATION, "notification")
-        .with_child(Element::with_text(NOTIFICATION, "eventTime", event_time))
+    Element::new(NOTIFICATION_NAMESPACE, "notification")
+        .with_child(Element::with_text(NOTIFICATION_NAMESPACE, "eventTime", event_time))
         .with_child(event)
 }
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -9,7 +9,10 @@
 use juniperrail_model::{Data, NodeKind, Path, Schema};
 use juniperrail_northbound::{Caller, DatastoreManager, Source, TestOption};
 
-use crate::capabilities::{self, MONITORING, NMDA, NOTIFICATION, WITH_DEFAULTS, YANG_LIBRARY};
+use crate::capabilities::{
+    self, MONITORING_NAMESPACE, NMDA_NAMESPACE, NOTIFICATION_NAMESPACE, WITH_DEFAULTS_NAMESPACE,
+    YANG_LIBRARY_NAMESPACE,
+};
 use crate::error::{from_datastore_error, ErrorType, RpcError};
 use crate::filter;
 
@@ -37,7 +40,7 @@
             }
         }
         for (list, key) in [("session", "session-id"), ("datastore", "name"), ("schema", "identifier")] {
-            keys.insert((MONITORING.into(), list.into()), vec![key.into()]);
+            keys.insert((MONITORING_NAMESPACE.into(), list.into()), vec![key.into()]);
         }
         let capabilities = capabilities::capabilities(&schema);
         let prefixes =
@@ -160,7 +163,8 @@
 fn check_parameters(operation: &Element, names: &[&str]) -> Result<(), Vec<RpcError>> {
     let is_unknown = |child: &&Element| {
         let is_named = names.contains(&child.name.as_str());
-        !(is_named && (child.namespace == operation.namespace || &*child.namespace == WITH_DEFAULTS))
+        !(is_named
+            && (child.namespace == operation.namespace || &*child.namespace == WITH_DEFAULTS_NAMESPACE))
     };
     operation.children.iter().find(is_unknown).map_or(Ok(()), |child| Err(unknown_element(child)))
 }
@@ -258,9 +262,9 @@
                 Ok((ReplyBody::Ok, SessionAction::Close))
             }
             (NETCONF_NAMESPACE, "kill-session") => self.kill_session(operation).await,
-            (NMDA, "get-data") => self.get_data(operation).await,
-            (MONITORING, "get-schema") => self.get_schema(operation),
-            (NOTIFICATION, "create-subscription") => self.create_subscription(operation),
+            (NMDA_NAMESPACE, "get-data") => self.get_data(operation).await,
+            (MONITORING_NAMESPACE, "get-schema") => self.get_schema(operation),
+            (NOTIFICATION_NAMESPACE, "create-subscription") => self.create_subscription(operation),
             (_, "rollback") if is_own_namespace => self.rollback(operation).await,
             _ => {
                 let message = format!("there is no operation <{name:.60}> in {:.120?}", operation.namespace);
@@ -302,7 +306,7 @@
     /// Whether the reply includes default values (RFC 6243).
     fn with_defaults(&self, operation: &Element) -> Result<bool, Vec<RpcError>> {
         let mode = operation
-            .child(WITH_DEFAULTS, "with-defaults")
+            .child(WITH_DEFAULTS_NAMESPACE, "with-defaults")
             .or(operation.child(&operation.namespace, "with-defaults"));
         match mode.map(Element::trimmed_text) {
             None | Some("explicit") => Ok(false),
@@ -342,10 +346,10 @@
                 self.elements(&datastore_manager.state(&self.caller).await.map_err(datastore_error)?, false),
             );
         }
-        if can_select(MONITORING) {
+        if can_select(MONITORING_NAMESPACE) {
             all.push(self.monitoring().await);
         }
-        if can_select(YANG_LIBRARY) {
+        if can_select(YANG_LIBRARY_NAMESPACE) {
             all.push(self.library());
         }
         Ok(all)
@@ -355,8 +359,8 @@
     async fn monitoring(&self) -> Element {
         let (datastore_manager, schema) =
             (&self.context.datastore_manager, self.context.datastore_manager.schema());
-        let element = |name: &str| Element::new(MONITORING, name);
-        let leaf = |name: &str, text: &str| Element::with_text(MONITORING, name, text);
+        let element = |name: &str| Element::new(MONITORING_NAMESPACE, name);
+        let leaf = |name: &str, text: &str| Element::with_text(MONITORING_NAMESPACE, name, text);
         let capabilities = self.context.capabilities.iter().map(|uri| leaf("capability", uri));
         let locks = datastore_manager.locks().await;
         let datastore_element = |(store, name): (Datastore, &str)| {
@@ -399,8 +403,8 @@
     /// The `yang-library` of RFC 8525.
     fn library(&self) -> Element {
         let schema = self.context.datastore_manager.schema();
-        let element = |name: &str| Element::new(YANG_LIBRARY, name);
-        let leaf = |name: &str, text: &str| Element::with_text(YANG_LIBRARY, name, text);
+        let element = |name: &str| Element::new(YANG_LIBRARY_NAMESPACE, name);
+        let leaf = |name: &str, text: &str| Element::with_text(YANG_LIBRARY_NAMESPACE, name, text);
         let module_element = |module: &juniperrail_model::Module| {
             let import_only = schema.roots.iter().all(|id| schema.module_of(*id).name != module.name);
             let name = if import_only { "import-only-module" } else { "module" };
@@ -488,7 +492,7 @@
         }
         let mut selected = self.context.apply_filter(filter, all);
         selected.iter_mut().for_each(|element| limit_depth(element, max_depth));
-        reply_with(self.data(NMDA, selected))
+        reply_with(self.data(NMDA_NAMESPACE, selected))
     }
 
     async fn edit_config(&self, operation: &Element) -> OperationResult {
@@ -651,7 +655,7 @@
         };
         match schema.modules.iter().find(is_requested).filter(|_| format.rsplit(':').next() == Some("yang")) {
             Some(module) => {
-                reply_with(ReplyBody::Data(Element::with_text(MONITORING, "data", &*module.text)))
+                reply_with(ReplyBody::Data(Element::with_text(MONITORING_NAMESPACE, "data", &*module.text)))
             }
             None => Err(invalid_value(
                 "identifier",
@@ -673,8 +677,8 @@
         if let Some(stream) = text_parameter(operation, "stream").filter(|stream| *stream != "NETCONF") {
             return Err(invalid_value("stream", format!("there is no stream {stream:.60?}, only NETCONF")));
         }
-        if operation.child(NOTIFICATION, "startTime").is_some()
-            || operation.child(NOTIFICATION, "stopTime").is_some()
+        if operation.child(NOTIFICATION_NAMESPACE, "startTime").is_some()
+            || operation.child(NOTIFICATION_NAMESPACE, "stopTime").is_some()
         {
             let message = "replay is not supported, so startTime and stopTime are not accepted";
             return Err(rpc_error(ErrorType::Protocol, "operation-not-supported", message));
