--- a/crates/netconf/src/capabilities.rs
+++ b/crates/netconf/src/capabilities.rs
@@ -45,8 +45,8 @@
         ]
         .map(capability),
     );
-    let id = content_id(schema);
-    capabilities.push(capability(&format!("yang-library:1.1?revision=2019-01-04&content-id={id}")));
+    let content_id = content_id(schema);
+    capabilities.push(capability(&format!("yang-library:1.1?revision=2019-01-04&content-id={content_id}")));
     for (namespace, module, revision) in [
         (MONITORING_NAMESPACE, "ietf-netconf-monitoring", "2010-10-04"),
         (NMDA_NAMESPACE, "ietf-netconf-nmda", "2019-01-07"),
--- a/crates/netconf/src/error.rs
+++ b/crates/netconf/src/error.rs
@@ -1,5 +1,5 @@
-//! `rpc-error` as in RFC 6241 section 4.3 and appendix A, and the mapping of model errors and datastore errors to
-//! `rpc-error`s.
+//! The `rpc-error` element (RFC 6241 section 4.3 and appendix A), and the conversion of model errors and datastore
+//! errors to it.
 
 use juniperrail_intent::{DatastoreError, Refusal, Session};
 use juniperrail_model::xml::{Attribute, Element, NETCONF_NAMESPACE, XML_NAMESPACE};
@@ -46,7 +46,8 @@
         self
     }
 
-    /// Builds the `rpc-error` element. `prefixes` are the prefixes and namespaces that paths of the model use.
+    /// Builds the `rpc-error` element. `prefixes` are the prefixes of model paths and their namespaces; the
+    /// `error-path` declares those that it uses.
     pub fn to_element(&self, prefixes: &[(String, String)]) -> Element {
         let leaf = |name: &str, text: &str| Element::with_text(NETCONF_NAMESPACE, name, text);
         let error_type = match self.error_type {
@@ -78,7 +79,7 @@
 /// Converts an error of the data model, such as an unknown element.
 pub fn from_model_error(model_error: &ModelError) -> RpcError {
     let message = match model_error.line {
-        // The error is not about one line of the message.
+        // The error is not about a particular line.
         0 => model_error.message.clone(),
         line => format!("line {line} of the message: {}", model_error.message),
     };
@@ -107,6 +108,7 @@
     }
 }
 
+/// Adds the attribute and its element, the last node of the path, to `error-info`.
 fn with_bad_attribute(error: RpcError, model_error: &ModelError) -> RpcError {
     let element = model_error.path.rsplit('/').next().unwrap_or_default();
     let element = element.split('[').next().unwrap_or_default();
@@ -114,7 +116,7 @@
     error.with_info("bad-attribute", &*model_error.name).with_info("bad-element", element)
 }
 
-/// The namespace, which is the last quoted part of the message of the model error.
+/// The unknown namespace: the last quoted part of the message of the model error.
 fn quoted_namespace(message: &str) -> String {
     message.rsplit('"').nth(1).unwrap_or_default().to_string()
 }
@@ -125,6 +127,7 @@
     RpcError { app_tag: Some(refusal.error_app_tag()), ..error }
 }
 
+/// An error whose `error-info` contains the session that holds the lock.
 fn lock_holder_error(
     error_type: ErrorType,
     tag: &'static str,
@@ -168,38 +171,38 @@
     use juniperrail_model::{schema, xml};
 
     #[test]
-    fn each_model_error_maps_to_its_error_tag() {
+    fn model_errors_convert_to_tag_path_and_info() {
         let schema = schema();
         let namespace = "xmlns='tag:juniperrail.example,2026:yang:manager'";
         let convert_error = |text: String| {
             let element = xml::parse(text.as_bytes()).unwrap();
             from_model_error(&xml::to_edit_nodes(&schema, &[element], true).unwrap_err())
         };
-        let unknown = convert_error("<workers xmlns='urn:none'/>".into());
-        assert_eq!((unknown.tag, unknown.info.len()), ("unknown-namespace", 2));
-        assert_eq!(unknown.info[1], ("bad-namespace", "urn:none".to_string()));
-        let attribute = convert_error(format!(
+        let unknown_namespace = convert_error("<workers xmlns='urn:none'/>".into());
+        assert_eq!((unknown_namespace.tag, unknown_namespace.info.len()), ("unknown-namespace", 2));
+        assert_eq!(unknown_namespace.info[1], ("bad-namespace", "urn:none".to_string()));
+        let unknown_attribute = convert_error(format!(
             "<workers {namespace}><worker hue='red'><name>a</name></worker></workers>"
         ));
-        assert_eq!(attribute.tag, "unknown-attribute");
-        assert_eq!(attribute.info[0], ("bad-attribute", "hue".to_string()));
-        let missing =
+        assert_eq!(unknown_attribute.tag, "unknown-attribute");
+        assert_eq!(unknown_attribute.info[0], ("bad-attribute", "hue".to_string()));
+        let missing_key =
             convert_error(format!("<workers {namespace}><worker><weight>1</weight></worker></workers>"));
-        assert_eq!((missing.tag, &missing.info[0].1), ("missing-element", &"name".to_string()));
-        let value = convert_error(format!(
+        assert_eq!((missing_key.tag, &missing_key.info[0].1), ("missing-element", &"name".to_string()));
+        let invalid_value = convert_error(format!(
             "<workers {namespace}><worker><name>a</name><weight>x</weight></worker></workers>"
         ));
-        assert_eq!(value.path.as_deref(), Some("/jrm:workers/worker[name='a']/weight"));
+        assert_eq!(invalid_value.path.as_deref(), Some("/jrm:workers/worker[name='a']/weight"));
         let prefixes =
             vec![("jrm".to_string(), "tag:x".to_string()), ("jrs".to_string(), "tag:y".to_string())];
-        let text = xml::write(&value.to_element(&prefixes), false);
+        let text = xml::write(&invalid_value.to_element(&prefixes), false);
         assert!(text.contains("<error-path xmlns:jrm=\"tag:x\">/jrm:workers"), "{text}");
         assert!(text.contains(" xml:lang=\"en\">"), "{text}");
         assert!(xml::parse(text.as_bytes()).is_ok(), "{text}");
     }
 
     #[test]
-    fn lock_denied_names_the_session_that_holds_the_lock() {
+    fn lock_errors_name_the_holder_and_refusals_have_app_tags() {
         let errors = from_datastore_error(&DatastoreError::LockDenied(Session(7)));
         assert_eq!(
             (errors[0].tag, errors[0].info.clone()),
--- a/crates/netconf/src/filter.rs
+++ b/crates/netconf/src/filter.rs
@@ -23,7 +23,7 @@
 fn node_matches(filter: &Element, element: &Element) -> bool {
     filter.name == element.name
         && (filter.namespace.is_empty() || filter.namespace == element.namespace)
-        && filter.attributes.iter().all(|attr| element.attributes.contains(attr))
+        && filter.attributes.iter().all(|attribute| element.attributes.contains(attribute))
 }
 
 /// The part of one element that a filter node selects.
@@ -54,7 +54,7 @@
         return None;
     }
     if other_filters.is_empty() {
-        // Content match nodes alone select the whole containment node (section 6.2.5).
+        // Content match nodes alone select the entire containment node (section 6.2.5).
         return Some(element.clone());
     }
     let key_names = keys(element);
@@ -89,14 +89,14 @@
     let (mut a_children, mut b_children) =
         (a.children.into_iter().peekable(), b.children.into_iter().peekable());
     for child in &original.children {
-        let is_child = |part: &Element| {
+        let is_from_child = |part: &Element| {
             part.name == child.name
                 && part.namespace == child.namespace
                 && part.line == child.line
                 && is_part_of(part, child)
         };
         let (from_a, from_b) =
-            (a_children.next_if(|part| is_child(part)), b_children.next_if(|part| is_child(part)));
+            (a_children.next_if(|part| is_from_child(part)), b_children.next_if(|part| is_from_child(part)));
         children.extend(match (from_a, from_b) {
             (Some(a), Some(b)) => Some(merge(a, b, child)),
             (one, other) => one.or(other),
@@ -105,8 +105,8 @@
     Element { children, ..original.clone() }
 }
 
-/// Whether `part` was selected from `original`: a leaf has the same text, and the leaves of a container or list entry are
-/// among those of `original`.
+/// Whether `part` may have been selected from `original`: a leaf has the same text, and the leaves of a container or
+/// list entry are among those of `original`.
 fn is_part_of(part: &Element, original: &Element) -> bool {
     if original.children.is_empty() {
         return part.text == original.text;
@@ -131,8 +131,8 @@
             "user" => vec!["name".to_string()],
             _ => vec![],
         };
-        let all = select(&filter, &xml::parse(DATA.as_bytes()).unwrap().children, &keys);
-        all.iter().map(|element| xml::write(element, false)).collect()
+        let elements = select(&filter, &xml::parse(DATA.as_bytes()).unwrap().children, &keys);
+        elements.iter().map(|element| xml::write(element, false)).collect()
     }
 
     const FRED: &str =
--- a/crates/netconf/src/notification.rs
+++ b/crates/netconf/src/notification.rs
@@ -10,19 +10,19 @@
 use crate::capabilities::{BASE_NOTIFICATIONS_NAMESPACE, NOTIFICATION_NAMESPACE};
 
 /// Maximum number of edits that one `netconf-config-change` lists; further edits are omitted.
-const MAX_EDITS: usize = 256;
+const MAX_LISTED_EDITS: usize = 256;
 
 /// The event element of a notification.
 pub fn event_element(schema: &Schema, prefixes: &[(String, String)], notification: &Notification) -> Element {
     let element = |name: &str| Element::new(BASE_NOTIFICATIONS_NAMESPACE, name);
     let leaf = |name: &str, text: &str| Element::with_text(BASE_NOTIFICATIONS_NAMESPACE, name, text);
-    let with_session = |event: Element, user: &str, id: u32| {
-        event.with_child(leaf("username", user)).with_child(leaf("session-id", &id.to_string()))
+    let with_user_and_session = |event: Element, user: &str, session_id: u32| {
+        event.with_child(leaf("username", user)).with_child(leaf("session-id", &session_id.to_string()))
     };
     match notification {
-        Notification::ConfigChanged { author, session: by_session, edits, .. } => {
-            let changed_by = match by_session {
-                Some(id) => with_session(element("changed-by"), author, id.0),
+        Notification::ConfigChanged { author, session, edits, .. } => {
+            let changed_by = match session {
+                Some(session) => with_user_and_session(element("changed-by"), author, session.0),
                 None => element("changed-by").with_child(element("server")),
             };
             let edit = |(path, operation): &(String, &'static str)| {
@@ -32,25 +32,25 @@
             element("netconf-config-change")
                 .with_child(changed_by)
                 .with_child(leaf("datastore", "running"))
-                .with_children(edits.iter().take(MAX_EDITS).map(edit))
+                .with_children(edits.iter().take(MAX_LISTED_EDITS).map(edit))
         }
         Notification::ConfirmedCommit { event } => {
             element("netconf-confirmed-commit").with_child(leaf("confirm-event", event))
         }
         Notification::SessionStarted { caller, client_origin } => {
             let host = client_origin.split(' ').nth(1).unwrap_or_default();
-            with_session(element("netconf-session-start"), &caller.user, caller.session.0)
+            with_user_and_session(element("netconf-session-start"), &caller.user, caller.session.0)
                 .with_child(leaf("source-host", host))
         }
         Notification::SessionEnded { caller, reason } => {
             let (killed_by, reason) = match reason {
                 TerminationReason::Closed => (None, "closed"),
-                TerminationReason::Killed(by) => (Some(by.0.to_string()), "killed"),
+                TerminationReason::Killed(killed_by) => (Some(killed_by.0.to_string()), "killed"),
                 TerminationReason::Dropped => (None, "dropped"),
                 TerminationReason::TimedOut => (None, "timeout"),
             };
-            with_session(element("netconf-session-end"), &caller.user, caller.session.0)
-                .with_children(killed_by.map(|by| leaf("killed-by", &by)))
+            with_user_and_session(element("netconf-session-end"), &caller.user, caller.session.0)
+                .with_children(killed_by.map(|session_id| leaf("killed-by", &session_id)))
                 .with_child(leaf("termination-reason", reason))
         }
         Notification::ChangeApplied { number, after } => {
@@ -65,7 +65,8 @@
     }
 }
 
-/// The configuration paths that an event names. A user who may not read all of them does not receive the event.
+/// The paths of the configuration nodes that a notification lists. A user who may not read all of them does not
+/// receive the notification.
 pub fn configuration_paths(notification: &Notification) -> Vec<&str> {
     match notification {
         Notification::ConfigChanged { edits, .. } => edits.iter().map(|(path, _)| path.as_str()).collect(),
--- a/crates/netconf/src/session.rs
+++ b/crates/netconf/src/session.rs
@@ -24,7 +24,7 @@
 /// Time limits of a session.
 #[derive(Clone, Copy, Debug)]
 pub struct SessionTimeouts {
-    /// Limits the exchange of hellos, and each step of the transport (SSH or TLS) before that.
+    /// Limits the exchange of hellos, and each earlier step of the transport (SSH or TLS).
     pub hello_timeout: Duration,
     /// Limits the time without a message from the client; subscribed sessions are exempt. `None` means no limit.
     pub idle_timeout: Option<Duration>,
@@ -88,9 +88,10 @@
     xml::write(&hello, false)
 }
 
-/// The framing that both hellos allow. The error says what is wrong with the client's hello.
+/// The framing that follows from the client's hello: chunked if it lists base:1.1, as the server's does. The error is
+/// the reason why the hello is rejected.
 fn negotiate_framing(message: &[u8]) -> Result<Framing, String> {
-    let hello = xml::parse(message).map_err(|malformed| malformed.message)?;
+    let hello = xml::parse(message).map_err(|error| error.message)?;
     if !hello.is(NETCONF_NAMESPACE, "hello") {
         return Err(format!("expected <hello>, got <{:.60}>", hello.name));
     }
@@ -126,14 +127,13 @@
         return;
     };
     let peer = Peer { stream, decoder: Decoder::default(), framing: Framing::EndOfMessage };
-    // The guard tells the datastore manager of the session's end, also if this future is dropped because the transport
-    // ended.
+    // The guard closes the session in the datastore manager also if this future is dropped because the transport ended.
     let guard = SessionGuard { context: context.clone(), caller: Some(caller.clone()) };
     let reason = run_session(peer, context, &caller, &kill_signal, timeouts).await;
     guard.close(reason).await;
 }
 
-/// Tells the datastore manager that the session has ended, also if the session's future is dropped.
+/// Closes the session in the datastore manager when it ends, also if the session's future is dropped.
 struct SessionGuard {
     context: Arc<ServerContext>,
     caller: Option<Caller>,
@@ -159,6 +159,14 @@
     }
 }
 
+/// The notification subscription of a session.
+struct Subscription {
+    notifications: Receiver<Arc<Notification>>,
+    /// The subtree filter of the subscriber, if any.
+    filter: Option<Element>,
+}
+
+/// Exchanges hellos and then messages until the session ends. Returns why it ended.
 async fn run_session<S: AsyncRead + AsyncWrite + Unpin>(
     mut peer: Peer<S>,
     context: Arc<ServerContext>,
@@ -166,11 +174,11 @@
     kill_signal: &Notify,
     timeouts: SessionTimeouts,
 ) -> TerminationReason {
-    let exchange = async {
+    let hello_exchange = async {
         peer.write(&hello(&context, caller.session.0)).await?;
         peer.read().await
     };
-    let client_hello = match timeout(timeouts.hello_timeout, exchange).await {
+    let client_hello = match timeout(timeouts.hello_timeout, hello_exchange).await {
         Ok(Ok(client_hello)) => client_hello,
         Ok(Err(_)) => return TerminationReason::Dropped,
         Err(_) => return TerminationReason::TimedOut,
@@ -186,14 +194,14 @@
         }
     }
     let mut handler = RpcHandler { context, caller: caller.clone(), subscribed: false };
-    let mut subscription: Option<(Receiver<Arc<Notification>>, Option<Element>)> = None;
+    let mut subscription: Option<Subscription> = None;
     let mut last_message_at = Instant::now();
     loop {
         let idle_timeout = timeouts.idle_timeout.filter(|_| subscription.is_none());
         let idle_deadline = idle_timeout.map(|idle_timeout| last_message_at + idle_timeout);
         let next_notification = async {
             match &mut subscription {
-                Some((notifications, _)) => notifications.recv().await,
+                Some(subscription) => subscription.notifications.recv().await,
                 None => std::future::pending().await,
             }
         };
@@ -209,7 +217,7 @@
             message = peer.read() => Some(message),
             received = next_notification => match received {
                 Ok(notification) => {
-                    let filter = subscription.as_ref().and_then(|(_, filter)| filter.as_ref());
+                    let filter = subscription.as_ref().and_then(|subscription| subscription.filter.as_ref());
                     if let Some(text) = notification_text(&handler, filter, &notification).await {
                         if peer.write(&text).await.is_err() {
                             return TerminationReason::Dropped;
@@ -238,8 +246,8 @@
             Some(Err(_)) => return TerminationReason::Dropped,
         };
         last_message_at = Instant::now();
-        // The operation may be create-subscription: the receiver exists before the reply is sent, so that no event
-        // after the reply is missed.
+        // The operation may be create-subscription: the receiver is created before the reply is sent, so that no
+        // notification after the reply is missed.
         let notifications = (!handler.subscribed).then(|| handler.context.datastore_manager.subscribe());
         let (reply, action) = handler.reply(&message).await;
         if peer.write(&reply).await.is_err() {
@@ -253,7 +261,7 @@
             }
             SessionAction::Subscribe(filter) => {
                 handler.subscribed = true;
-                subscription = notifications.map(|notifications| (notifications, filter));
+                subscription = notifications.map(|notifications| Subscription { notifications, filter });
             }
         }
     }
