--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -1,5 +1,5 @@
-//! The operations of one session: takes an `rpc` and returns an `rpc-reply`. Each operation is one call to the datastore
-//! manager; this module only checks the parameters and translates the result.
+//! The operations of one session: takes an `rpc` and returns an `rpc-reply`. The datastore manager executes the
+//! operations; this module only checks the parameters and translates the results.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,39 +24,46 @@
     /// The prefixes of the YANG modules and their namespaces.
     pub prefixes: Vec<(String, String)>,
     /// The key names of lists, by namespace and name of the list.
-    keys: HashMap<(String, String), Vec<String>>,
+    list_keys: HashMap<(String, String), Vec<String>>,
 }
 
 impl ServerContext {
     /// Collects the capabilities, prefixes and list keys of the schema.
     pub fn new(datastore_manager: DatastoreManager) -> ServerContext {
         let schema = datastore_manager.schema().clone();
-        let mut keys: HashMap<(String, String), Vec<String>> = HashMap::new();
+        let mut list_keys: HashMap<(String, String), Vec<String>> = HashMap::new();
         for id in schema.node_ids() {
             let node = schema.node(id);
-            let list = (schema.modules[node.module].namespace.clone(), node.name.clone());
-            if let NodeKind::List { keys: ids } = &node.kind {
-                keys.entry(list).or_default().extend(ids.iter().map(|key| schema.node(*key).name.clone()));
+            let list_name = (schema.modules[node.module].namespace.clone(), node.name.clone());
+            if let NodeKind::List { keys: key_ids } = &node.kind {
+                list_keys
+                    .entry(list_name)
+                    .or_default()
+                    .extend(key_ids.iter().map(|key| schema.node(*key).name.clone()));
             }
         }
+        // The lists of `netconf-state`, which is not part of the schema.
         for (list, key) in [("session", "session-id"), ("datastore", "name"), ("schema", "identifier")] {
-            keys.insert((MONITORING_NAMESPACE.into(), list.into()), vec![key.into()]);
+            list_keys.insert((MONITORING_NAMESPACE.into(), list.into()), vec![key.into()]);
         }
         let capabilities = capabilities::capabilities(&schema);
         let prefixes =
             schema.modules.iter().map(|module| (module.prefix.clone(), module.namespace.clone())).collect();
-        ServerContext { datastore_manager, capabilities, prefixes, keys }
+        ServerContext { datastore_manager, capabilities, prefixes, list_keys }
     }
 
     /// The key names of a list entry; empty for other elements.
-    fn keys(&self, element: &Element) -> Vec<String> {
-        self.keys.get(&(element.namespace.to_string(), element.name.clone())).cloned().unwrap_or_default()
+    fn key_names(&self, element: &Element) -> Vec<String> {
+        self.list_keys
+            .get(&(element.namespace.to_string(), element.name.clone()))
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// The parts of the elements that the filter selects, or all of them without a filter.
     pub fn apply_filter(&self, filter: Option<&Element>, elements: Vec<Element>) -> Vec<Element> {
         match filter {
-            Some(filter) => filter::select(filter, &elements, &|element| self.keys(element)),
+            Some(filter) => filter::select(filter, &elements, &|element| self.key_names(element)),
             None => elements,
         }
     }
@@ -85,6 +92,7 @@
     pub subscribed: bool,
 }
 
+/// The reply to an operation and what follows it, or the errors that the reply lists.
 type OperationResult = Result<(ReplyBody, SessionAction), Vec<RpcError>>;
 
 fn datastore_error(error: DatastoreError) -> Vec<RpcError> {
@@ -138,13 +146,13 @@
     values: &[(&str, T)],
 ) -> Result<T, Vec<RpcError>> {
     let Some(parameter) = operation.child(&operation.namespace, name) else { return Ok(default) };
-    let found = values.iter().find(|(word, _)| *word == parameter.trimmed_text()).map(|(_, value)| *value);
-    found.ok_or_else(|| {
+    let value = values.iter().find(|(text, _)| *text == parameter.trimmed_text()).map(|(_, value)| *value);
+    value.ok_or_else(|| {
         invalid_value(name, format!("{:.60?} is not a valid {name}", parameter.trimmed_text()))
     })
 }
 
-/// The value of an unsigned integer parameter.
+/// The value of an unsigned integer parameter; `None` if the parameter is absent.
 fn number_parameter(operation: &Element, name: &str) -> Result<Option<u64>, Vec<RpcError>> {
     let Some(parameter) = operation.child(&operation.namespace, name) else { return Ok(None) };
     let number = parameter.trimmed_text().parse();
@@ -153,13 +161,13 @@
     })
 }
 
-/// The text of a parameter.
+/// The text of a parameter; `None` if the parameter is absent.
 fn text_parameter<'a>(operation: &'a Element, name: &str) -> Option<&'a str> {
     operation.child(&operation.namespace, name).map(Element::trimmed_text)
 }
 
-/// Rejects an operation with a parameter that is not among `names`. Parameters may also be in the namespace of
-/// `with-defaults`.
+/// Rejects an operation with a parameter that is not among `names`. A parameter is in the namespace of its operation or
+/// in that of `ietf-netconf-with-defaults`.
 fn check_parameters(operation: &Element, names: &[&str]) -> Result<(), Vec<RpcError>> {
     let is_unknown = |child: &&Element| {
         let is_named = names.contains(&child.name.as_str());
@@ -176,8 +184,8 @@
         let reply = Element::new(NETCONF_NAMESPACE, "rpc-reply");
         let rpc = match xml::parse(message) {
             Ok(rpc) => rpc,
-            Err(malformed) => {
-                let message = format!("line {} of the message: {}", malformed.line, malformed.message);
+            Err(parse_error) => {
+                let message = format!("line {} of the message: {}", parse_error.line, parse_error.message);
                 let error = RpcError::new(ErrorType::Rpc, "malformed-message", message);
                 return (self.write_reply(reply, Err(vec![error])), SessionAction::Continue);
             }
@@ -224,14 +232,14 @@
             ));
         };
         let name = operation.name.as_str();
-        if let Some(attr) = operation.attributes.first() {
+        if let Some(attribute) = operation.attributes.first() {
             let error = RpcError::new(
                 ErrorType::Protocol,
                 "unknown-attribute",
-                format!("attribute {:.60} is not allowed here", attr.name),
+                format!("attribute {:.60} is not allowed here", attribute.name),
             );
             return Err(vec![error
-                .with_info("bad-attribute", attr.name.clone())
+                .with_info("bad-attribute", attribute.name.clone())
                 .with_info("bad-element", name)]);
         }
         tracing::debug!(session = self.caller.session.0, operation = name, "operation received");
@@ -248,7 +256,7 @@
             (NETCONF_NAMESPACE, "edit-config") => self.edit_config(operation).await,
             (NETCONF_NAMESPACE, "copy-config") => self.copy_config(operation).await,
             (NETCONF_NAMESPACE, "delete-config") => self.delete_config(operation).await,
-            (NETCONF_NAMESPACE, "lock" | "unlock") => self.locking(operation).await,
+            (NETCONF_NAMESPACE, "lock" | "unlock") => self.lock_or_unlock(operation).await,
             (NETCONF_NAMESPACE, "validate") => self.validate(operation).await,
             (NETCONF_NAMESPACE, "commit") => self.commit(operation).await,
             (NETCONF_NAMESPACE, "cancel-commit") => self.cancel_commit(operation).await,
@@ -283,12 +291,16 @@
         }
     }
 
-    fn data(&self, ns: &str, elements: Vec<Element>) -> ReplyBody {
-        ReplyBody::Data(Element::new(ns, "data").with_children(elements))
+    fn data_body(&self, namespace: &str, elements: Vec<Element>) -> ReplyBody {
+        ReplyBody::Data(Element::new(namespace, "data").with_children(elements))
     }
 
-    /// The filter parameter. Filters other than subtree filters are rejected.
-    fn filter<'a>(&self, operation: &'a Element, name: &str) -> Result<Option<&'a Element>, Vec<RpcError>> {
+    /// The filter of an operation; `None` if the parameter is absent. Filters other than subtree filters are rejected.
+    fn filter_parameter<'a>(
+        &self,
+        operation: &'a Element,
+        name: &str,
+    ) -> Result<Option<&'a Element>, Vec<RpcError>> {
         let Some(filter) = operation.child(&operation.namespace, name) else { return Ok(None) };
         match filter.attribute("", "type").or(filter.attribute(NETCONF_NAMESPACE, "type")) {
             None | Some("subtree") => Ok(Some(filter)),
@@ -304,7 +316,7 @@
     }
 
     /// Whether the reply includes default values (RFC 6243).
-    fn with_defaults(&self, operation: &Element) -> Result<bool, Vec<RpcError>> {
+    fn with_defaults_parameter(&self, operation: &Element) -> Result<bool, Vec<RpcError>> {
         let mode = operation
             .child(WITH_DEFAULTS_NAMESPACE, "with-defaults")
             .or(operation.child(&operation.namespace, "with-defaults"));
@@ -318,53 +330,57 @@
         }
     }
 
-    /// Configuration and state. The state is only collected if the filter can select any of it.
+    /// Replies with configuration and state. State is only collected where the filter can select any of it.
     async fn get(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["filter", "with-defaults"])?;
-        let (filter, with_defaults) = (self.filter(operation, "filter")?, self.with_defaults(operation)?);
+        let (filter, with_defaults) =
+            (self.filter_parameter(operation, "filter")?, self.with_defaults_parameter(operation)?);
         let running = self.context.datastore_manager.get(&self.caller, Datastore::Running).await;
-        let mut all = self.elements(&running, with_defaults);
-        all.extend(self.state(filter).await?);
-        reply_with(self.data(NETCONF_NAMESPACE, self.context.apply_filter(filter, all)))
+        let mut elements = self.elements(&running, with_defaults);
+        elements.extend(self.state_elements(filter).await?);
+        reply_with(self.data_body(NETCONF_NAMESPACE, self.context.apply_filter(filter, elements)))
     }
 
     /// The operational state that the filter can select.
-    async fn state(&self, filter: Option<&Element>) -> Result<Vec<Element>, Vec<RpcError>> {
+    async fn state_elements(&self, filter: Option<&Element>) -> Result<Vec<Element>, Vec<RpcError>> {
         let datastore_manager = &self.context.datastore_manager;
-        let can_select = |ns: &str| {
+        let can_select = |namespace: &str| {
             filter.is_none_or(|filter| {
-                filter.children.iter().any(|child| child.namespace.is_empty() || &*child.namespace == ns)
+                filter
+                    .children
+                    .iter()
+                    .any(|child| child.namespace.is_empty() || &*child.namespace == namespace)
             })
         };
-        let mut all = Vec::new();
-        let state = &datastore_manager
+        let mut elements = Vec::new();
+        let state_module = &datastore_manager
             .schema()
             .module_index("juniperrail-state")
             .map(|index| &datastore_manager.schema().modules[index]);
-        if state.is_some_and(|module| can_select(&module.namespace)) {
-            all.extend(
+        if state_module.is_some_and(|module| can_select(&module.namespace)) {
+            elements.extend(
                 self.elements(&datastore_manager.state(&self.caller).await.map_err(datastore_error)?, false),
             );
         }
         if can_select(MONITORING_NAMESPACE) {
-            all.push(self.monitoring().await);
+            elements.push(self.netconf_state().await);
         }
         if can_select(YANG_LIBRARY_NAMESPACE) {
-            all.push(self.library());
+            elements.push(self.yang_library());
         }
-        Ok(all)
+        Ok(elements)
     }
 
     /// The `netconf-state` of RFC 6022.
-    async fn monitoring(&self) -> Element {
+    async fn netconf_state(&self) -> Element {
         let (datastore_manager, schema) =
             (&self.context.datastore_manager, self.context.datastore_manager.schema());
         let element = |name: &str| Element::new(MONITORING_NAMESPACE, name);
         let leaf = |name: &str, text: &str| Element::with_text(MONITORING_NAMESPACE, name, text);
         let capabilities = self.context.capabilities.iter().map(|uri| leaf("capability", uri));
         let locks = datastore_manager.locks().await;
-        let datastore_element = |(store, name): (Datastore, &str)| {
-            let global_lock = locks.iter().find(|(datastore, _)| *datastore == store);
+        let datastore_element = |(datastore, name): (Datastore, &str)| {
+            let global_lock = locks.iter().find(|(locked, _)| *locked == datastore);
             let lock = global_lock.map(|(_, session)| {
                 let locked_by = leaf("locked-by-session", &session.0.to_string());
                 element("locks").with_child(element("global-lock").with_child(locked_by))
@@ -385,10 +401,10 @@
                 .with_child(leaf("location", "NETCONF"))
         };
         let sessions = datastore_manager.sessions().await;
-        let session_element = |(id, user, client_origin): (Session, String, String)| {
+        let session_element = |(session, user, client_origin): (Session, String, String)| {
             let transport = if client_origin.starts_with("tls") { "netconf-tls" } else { "netconf-ssh" };
             element("session")
-                .with_child(leaf("session-id", &id.0.to_string()))
+                .with_child(leaf("session-id", &session.0.to_string()))
                 .with_child(leaf("transport", transport))
                 .with_child(leaf("username", &user))
                 .with_child(leaf("source-host", client_origin.split(' ').nth(1).unwrap_or_default()))
@@ -401,14 +417,14 @@
     }
 
     /// The `yang-library` of RFC 8525.
-    fn library(&self) -> Element {
+    fn yang_library(&self) -> Element {
         let schema = self.context.datastore_manager.schema();
         let element = |name: &str| Element::new(YANG_LIBRARY_NAMESPACE, name);
         let leaf = |name: &str, text: &str| Element::with_text(YANG_LIBRARY_NAMESPACE, name, text);
         let module_element = |module: &juniperrail_model::Module| {
             let import_only = schema.roots.iter().all(|id| schema.module_of(*id).name != module.name);
-            let name = if import_only { "import-only-module" } else { "module" };
-            element(name)
+            let element_name = if import_only { "import-only-module" } else { "module" };
+            element(element_name)
                 .with_child(leaf("name", &module.name))
                 .with_child(leaf("revision", &module.revision))
                 .with_child(leaf("namespace", &module.namespace))
@@ -419,8 +435,8 @@
         let datastores = ["running", "candidate", "startup", "operational"].map(|name| {
             let prefixes =
                 vec![("ds".to_string(), "urn:ietf:params:xml:ns:yang:ietf-datastores".to_string())];
-            let name = Element { prefixes, ..leaf("name", &format!("ds:{name}")) };
-            element("datastore").with_child(name).with_child(leaf("schema", "all"))
+            let name_leaf = Element { prefixes, ..leaf("name", &format!("ds:{name}")) };
+            element("datastore").with_child(name_leaf).with_child(leaf("schema", "all"))
         });
         element("yang-library")
             .with_child(module_set)
@@ -433,15 +449,14 @@
 
     async fn get_config(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["source", "filter", "with-defaults"])?;
-        let store = datastore_parameter(operation, "source")?;
-        let (filter, with_defaults) = (self.filter(operation, "filter")?, self.with_defaults(operation)?);
-        let data = self.context.datastore_manager.get(&self.caller, store).await;
-        reply_with(
-            self.data(
-                NETCONF_NAMESPACE,
-                self.context.apply_filter(filter, self.elements(&data, with_defaults)),
-            ),
-        )
+        let datastore = datastore_parameter(operation, "source")?;
+        let (filter, with_defaults) =
+            (self.filter_parameter(operation, "filter")?, self.with_defaults_parameter(operation)?);
+        let data = self.context.datastore_manager.get(&self.caller, datastore).await;
+        reply_with(self.data_body(
+            NETCONF_NAMESPACE,
+            self.context.apply_filter(filter, self.elements(&data, with_defaults)),
+        ))
     }
 
     /// `get-data` of RFC 8526 section 3.1.1, with subtree filters only.
@@ -452,10 +467,11 @@
         )?;
         let identity =
             text_parameter(operation, "datastore").ok_or_else(|| missing_element("datastore", "get-data"))?;
-        let filter = self.filter(operation, "subtree-filter")?;
-        let with_defaults = self.with_defaults(operation)?;
-        let booleans = [("true", Some(true)), ("false", Some(false))];
-        let config_only = enum_parameter(operation, "config-filter", None, &booleans)?;
+        let filter = self.filter_parameter(operation, "subtree-filter")?;
+        let with_defaults = self.with_defaults_parameter(operation)?;
+        let config_filters = [("true", Some(true)), ("false", Some(false))];
+        // `true` selects only configuration, `false` only state.
+        let config_filter = enum_parameter(operation, "config-filter", None, &config_filters)?;
         let max_depth = match text_parameter(operation, "max-depth") {
             None | Some("unbounded") => usize::MAX,
             Some(_) => number_parameter(operation, "max-depth")?
@@ -463,22 +479,22 @@
                 .map_or(1, |depth| depth as usize),
         };
         let datastore_manager = &self.context.datastore_manager;
-        let read_config = |store| async move {
-            self.elements(&datastore_manager.get(&self.caller, store).await, with_defaults)
+        let read_config = |datastore| async move {
+            self.elements(&datastore_manager.get(&self.caller, datastore).await, with_defaults)
         };
-        let mut all = match identity.rsplit(':').next() {
+        let mut elements = match identity.rsplit(':').next() {
             Some("running") => read_config(Datastore::Running).await,
             Some("candidate") => read_config(Datastore::Candidate).await,
             Some("startup") => read_config(Datastore::Startup).await,
             Some("operational") => {
-                let mut all = match config_only {
+                let mut elements = match config_filter {
                     Some(false) => Vec::new(),
                     _ => read_config(Datastore::Running).await,
                 };
-                if config_only != Some(true) {
-                    all.extend(self.state(filter).await?);
+                if config_filter != Some(true) {
+                    elements.extend(self.state_elements(filter).await?);
                 }
-                all
+                elements
             }
             _ => {
                 return Err(invalid_value(
@@ -487,12 +503,12 @@
                 ))
             }
         };
-        if config_only == Some(false) && !identity.ends_with("operational") {
-            all.clear();
+        if config_filter == Some(false) && !identity.ends_with("operational") {
+            elements.clear();
         }
-        let mut selected = self.context.apply_filter(filter, all);
+        let mut selected = self.context.apply_filter(filter, elements);
         selected.iter_mut().for_each(|element| limit_depth(element, max_depth));
-        reply_with(self.data(NMDA_NAMESPACE, selected))
+        reply_with(self.data_body(NMDA_NAMESPACE, selected))
     }
 
     async fn edit_config(&self, operation: &Element) -> OperationResult {
@@ -531,11 +547,11 @@
             .child(NETCONF_NAMESPACE, "config")
             .ok_or_else(|| missing_element("config", "edit-config"))?;
         let datastore_manager = &self.context.datastore_manager;
-        let drafts = xml::to_edit_nodes(datastore_manager.schema(), &config.children, true);
-        let drafts =
-            drafts.map_err(|model_error| datastore_error(DatastoreError::Invalid(vec![model_error])))?;
+        let edit_nodes = xml::to_edit_nodes(datastore_manager.schema(), &config.children, true);
+        let edit_nodes =
+            edit_nodes.map_err(|model_error| datastore_error(DatastoreError::Invalid(vec![model_error])))?;
         let model_errors = datastore_manager
-            .edit(&self.caller, &drafts, default_operation, error_option, test_option)
+            .edit(&self.caller, &edit_nodes, default_operation, error_option, test_option)
             .await
             .map_err(datastore_error)?;
         match model_errors.is_empty() {
@@ -545,22 +561,22 @@
     }
 
     /// The `source` parameter: a datastore or an inline configuration.
-    fn source(&self, operation: &Element) -> Result<Source, Vec<RpcError>> {
+    fn source_parameter(&self, operation: &Element) -> Result<Source, Vec<RpcError>> {
         let source = operation
             .child(&operation.namespace, "source")
             .ok_or_else(|| missing_element("source", &operation.name))?;
         let Some(config) = source.child(NETCONF_NAMESPACE, "config") else {
             return datastore_parameter(operation, "source").map(Source::Datastore);
         };
-        let drafts = xml::to_edit_nodes(self.context.datastore_manager.schema(), &config.children, false);
-        drafts
+        let edit_nodes = xml::to_edit_nodes(self.context.datastore_manager.schema(), &config.children, false);
+        edit_nodes
             .map(Source::Inline)
             .map_err(|model_error| datastore_error(DatastoreError::Invalid(vec![model_error])))
     }
 
     async fn copy_config(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["target", "source", "with-defaults"])?;
-        let (target, source) = (datastore_parameter(operation, "target")?, self.source(operation)?);
+        let (target, source) = (datastore_parameter(operation, "target")?, self.source_parameter(operation)?);
         if matches!(source, Source::Datastore(datastore) if datastore == target) {
             return Err(invalid_value("source", "source and target are the same datastore"));
         }
@@ -576,7 +592,7 @@
     }
 
     /// `lock` and `unlock`.
-    async fn locking(&self, operation: &Element) -> OperationResult {
+    async fn lock_or_unlock(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["target"])?;
         let target = datastore_parameter(operation, "target")?;
         let result = match operation.name.as_str() {
@@ -589,7 +605,7 @@
 
     async fn validate(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["source"])?;
-        let source = self.source(operation)?;
+        let source = self.source_parameter(operation)?;
         self.context.datastore_manager.validate(&self.caller, source).await.map_err(datastore_error)?;
         reply_with(ReplyBody::Ok)
     }
@@ -629,10 +645,10 @@
 
     async fn kill_session(&self, operation: &Element) -> OperationResult {
         check_parameters(operation, &["session-id"])?;
-        let id = number_parameter(operation, "session-id")?
+        let session_id = number_parameter(operation, "session-id")?
             .ok_or_else(|| missing_element("session-id", "kill-session"))?;
         let session =
-            u32::try_from(id).map_err(|_| invalid_value("session-id", "there is no such session"))?;
+            u32::try_from(session_id).map_err(|_| invalid_value("session-id", "there is no such session"))?;
         let killed = self.context.datastore_manager.kill_session(&self.caller, Session(session)).await;
         killed.map_err(|error| match error {
             DatastoreError::Unsupported(message) => invalid_value("session-id", message),
@@ -683,7 +699,7 @@
             let message = "replay is not supported, so startTime and stopTime are not accepted";
             return Err(rpc_error(ErrorType::Protocol, "operation-not-supported", message));
         }
-        let filter = self.filter(operation, "filter")?.cloned();
+        let filter = self.filter_parameter(operation, "filter")?.cloned();
         Ok((ReplyBody::Ok, SessionAction::Subscribe(filter)))
     }
 
@@ -709,7 +725,7 @@
     }
 }
 
-/// Keeps `depth` levels, of which the element is the first, and removes the descendants below them.
+/// Removes the descendants below the first `depth` levels; the element itself is the first level.
 fn limit_depth(element: &mut Element, depth: usize) {
     if depth <= 1 {
         element.children.clear();
--- a/crates/netconf/src/ssh.rs
+++ b/crates/netconf/src/ssh.rs
@@ -16,14 +16,14 @@
 use crate::service::ServerContext;
 use crate::session::SessionTimeouts;
 
-/// The SSH channel window: bytes of a session that may be in flight.
+/// The SSH channel window: the bytes that a client may send before the server has read them.
 const WINDOW_BYTES: u32 = 256 << 10;
-/// The least interval between keepalive messages.
+/// Minimum interval between keepalive messages.
 const MIN_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
-/// Limits the wait for the end of a connection that the server disconnects.
+/// Limits the wait for the end of a connection after the server has sent a disconnect message.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_AUTH_ATTEMPTS: usize = 4;
-/// Time that the client has to read the last reply and close the connection itself.
+/// Time for the client to read the last reply and to close the connection itself.
 const DISCONNECT_GRACE: Duration = Duration::from_secs(2);
 
 /// The configuration of the SSH server. `host_key` is the server's private key.
@@ -55,6 +55,7 @@
     unauthenticated_permit: Option<OwnedSemaphorePermit>,
     user: Option<String>,
     channel: Option<Channel<Msg>>,
+    /// Notified when the client has requested the subsystem `netconf`.
     session_started: Arc<tokio::sync::Notify>,
 }
 
@@ -62,9 +63,9 @@
     type Error = russh::Error;
 
     async fn auth_publickey(&mut self, user: &str, key: VerifiedPublicKey<'_>) -> Result<Auth, russh::Error> {
-        let is_offered_key = |line: &str| {
-            PublicKey::from_openssh(line)
-                .is_ok_and(|known_key| known_key.key_data() == key.public_key.key_data())
+        let is_offered_key = |authorized_key: &str| {
+            PublicKey::from_openssh(authorized_key)
+                .is_ok_and(|authorized_key| authorized_key.key_data() == key.public_key.key_data())
         };
         if self.access.borrow().ssh_keys(user).any(is_offered_key) {
             self.user = Some(user.to_string());
@@ -153,29 +154,29 @@
         channel: None,
         session_started: session_started.clone(),
     };
-    let running = timeout(timeouts.hello_timeout, run_stream(config, socket, handler)).await;
-    let mut running = match running {
-        Ok(running) => running.map_err(|error| error.to_string())?,
+    let connection = timeout(timeouts.hello_timeout, run_stream(config, socket, handler)).await;
+    let mut connection = match connection {
+        Ok(connection) => connection.map_err(|error| error.to_string())?,
         Err(_) => return Err("SSH version exchange timed out".into()),
     };
-    let handle = running.handle();
-    let early_end = tokio::select! {
-        end = &mut running => Some(end),
+    let handle = connection.handle();
+    let early_result = tokio::select! {
+        result = &mut connection => Some(result),
         started = timeout(timeouts.hello_timeout, session_started.notified()) => {
             if started.is_err() {
-                // Ends the connection, so that one that never starts a session frees its permit.
+                // The client has requested no session: disconnecting it releases its permit.
                 _ = handle.disconnect(russh::Disconnect::ByApplication, String::new(), String::new()).await;
-                _ = timeout(DISCONNECT_TIMEOUT, &mut running).await;
+                _ = timeout(DISCONNECT_TIMEOUT, &mut connection).await;
                 return Err("no session was requested in time".into());
             }
             None
         }
     };
-    let end = match early_end {
-        Some(end) => end,
-        None => running.await,
+    let result = match early_result {
+        Some(result) => result,
+        None => connection.await,
     };
-    match end {
+    match result {
         Ok(()) | Err(russh::Error::Disconnect | russh::Error::HUP) => Ok(()),
         // Common clients close the socket after the last reply without an SSH disconnect.
         Err(russh::Error::IO(error)) if error.kind() == std::io::ErrorKind::UnexpectedEof => Ok(()),
--- a/crates/netconf/src/transport.rs
+++ b/crates/netconf/src/transport.rs
@@ -25,7 +25,7 @@
 use crate::session::SessionTimeouts;
 use crate::ssh;
 
-/// Delay before the next attempt after an error on accept.
+/// Delay before the next accept after one has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The bound listeners of the server, which do not accept connections yet.
@@ -56,11 +56,11 @@
     /// container names none. `resolve` returns the path of a file that the configuration names. The error is one line.
     pub fn bind(netconf: View<'_>, resolve: &dyn Fn(&str) -> PathBuf) -> Result<Option<Listeners>, String> {
         let (ssh, tls) = (netconf.container("ssh"), netconf.container("tls"));
-        let file = |view: &View<'_>, name: &str| resolve(view.text(name).unwrap_or_default());
+        let file_path = |view: &View<'_>, name: &str| resolve(view.text(name).unwrap_or_default());
         let bind = |view: &View<'_>| bind_listener(view.text("listen").unwrap_or_default());
         let ssh = match ssh.exists() {
             true => {
-                let path = file(&ssh, "host-key");
+                let path = file_path(&ssh, "host-key");
                 let host_key = russh::keys::load_secret_key(&path, None)
                     .map_err(|error| format!("the host key {} cannot be read: {error}", path.display()))?;
                 Some((bind(&ssh)?, host_key))
@@ -70,9 +70,9 @@
         let tls = match tls.exists() {
             true => {
                 let config = tls_server_config(
-                    &file(&tls, "certificate"),
-                    &file(&tls, "key"),
-                    &file(&tls, "client-authorities"),
+                    &file_path(&tls, "certificate"),
+                    &file_path(&tls, "key"),
+                    &file_path(&tls, "client-authorities"),
                 )?;
                 Some((bind(&tls)?, Arc::new(config)))
             }
@@ -97,33 +97,33 @@
         (ssh, self.tls.as_ref().and_then(|(listener, _)| address(listener)))
     }
 
-    /// Accepts and serves connections on the current runtime. Does not return while a listener works.
+    /// Accepts and serves connections on the current runtime. Returns only if no listener can be used.
     pub async fn serve(self, datastore_manager: DatastoreManager) {
         let (ssh_address, tls_address) = self.addresses();
         let access = datastore_manager.access_rules();
         let context = Arc::new(ServerContext::new(datastore_manager));
         let (timeouts, limits) = (self.timeouts, ConnectionLimits::new(self.max_sessions));
-        let over_ssh = async {
+        let serve_ssh = async {
             let Some((listener, host_key)) = self.ssh else { return };
             let config = Arc::new(ssh::config(host_key, timeouts));
             tracing::info!(
                 "NETCONF over SSH on {}",
                 ssh_address.map(|address| address.to_string()).unwrap_or_default()
             );
-            let serve = |socket, client_address, limits: ConnectionLimits, permit| {
+            let serve_connection = |socket, client_address, limits: ConnectionLimits, permit| {
                 let (config, context) = (config.clone(), context.clone());
                 ssh::serve_connection(socket, client_address, config, context, timeouts, limits, permit)
             };
-            accept_connections(listener, &limits, serve).await;
+            accept_connections(listener, &limits, serve_connection).await;
         };
-        let over_tls = async {
+        let serve_tls = async {
             let Some((listener, config)) = self.tls else { return };
             tracing::info!(
                 "NETCONF over TLS on {}",
                 tls_address.map(|address| address.to_string()).unwrap_or_default()
             );
             let acceptor = tokio_rustls::TlsAcceptor::from(config);
-            let serve = |socket, client_address, limits: ConnectionLimits, permit| {
+            let serve_connection = |socket, client_address, limits: ConnectionLimits, permit| {
                 let (acceptor, context, access) = (acceptor.clone(), context.clone(), access.clone());
                 serve_tls_connection(
                     socket,
@@ -136,24 +136,24 @@
                     permit,
                 )
             };
-            accept_connections(listener, &limits, serve).await;
+            accept_connections(listener, &limits, serve_connection).await;
         };
-        tokio::join!(over_ssh, over_tls);
+        tokio::join!(serve_ssh, serve_tls);
     }
 }
 
 /// Accepts connections in an endless loop and serves each in a task of its own, so that a panic ends only that
-/// connection. A connection above the limit of unauthenticated ones is closed at once.
+/// connection. A connection that exceeds the limit on unauthenticated connections is closed at once.
 async fn accept_connections<F>(
     listener: StdListener,
     limits: &ConnectionLimits,
-    serve: impl Fn(TcpStream, SocketAddr, ConnectionLimits, OwnedSemaphorePermit) -> F,
+    serve_connection: impl Fn(TcpStream, SocketAddr, ConnectionLimits, OwnedSemaphorePermit) -> F,
 ) where
     F: Future<Output = Result<(), String>> + Send + 'static,
 {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return tracing::error!("cannot accept NETCONF connections: {error}"),
+        Err(error) => return tracing::error!("cannot accept northbound connections: {error}"),
     };
     let mut rejected_connections = 0u64;
     loop {
@@ -176,7 +176,7 @@
             continue;
         };
         _ = socket.set_nodelay(true);
-        let connection = serve(socket, client_address, limits.clone(), permit);
+        let connection = serve_connection(socket, client_address, limits.clone(), permit);
         let span = tracing::info_span!("northbound", from = %client_address);
         let logged_connection = async move {
             if let Err(reason) = connection.await {
@@ -187,7 +187,7 @@
     }
 }
 
-/// The TLS configuration of the server: clients need a certificate that one of the authorities has signed.
+/// The TLS configuration of the server. Clients need a certificate that one of the authorities has signed.
 fn tls_server_config(
     certificate: &Path,
     key: &Path,
@@ -219,25 +219,27 @@
         .map_err(|error| unusable_file(certificate, error.to_string()))
 }
 
-/// Maps a client's certificate chain, which was verified before, to a user (RFC 7589 section 7).
+/// Maps a client's certificate chain, which is already verified, to a user (RFC 7589 section 7).
 fn map_certificate_to_user(access: &AccessControl, chain: &[CertificateDer<'_>]) -> Result<String, String> {
-    let client = chain.first().ok_or("the client sent no certificate")?;
-    let mapped = chain.iter().find_map(|certificate| access.cert_to_name(&fingerprint(certificate)));
-    let unmapped_error = || format!("its certificate {} maps to no user", fingerprint(client));
+    let client_certificate = chain.first().ok_or("the client sent no certificate")?;
+    let cert_to_name = chain.iter().find_map(|certificate| access.cert_to_name(&fingerprint(certificate)));
+    let unmapped_error = || format!("its certificate {} maps to no user", fingerprint(client_certificate));
     let parse_client_certificate =
-        || x509_parser::parse_x509_certificate(client).map_err(|error| error.to_string());
-    let name = match mapped.ok_or_else(unmapped_error)? {
+        || x509_parser::parse_x509_certificate(client_certificate).map_err(|error| error.to_string());
+    let name = match cert_to_name.ok_or_else(unmapped_error)? {
         CertToName::Specified(user) => Some(user.clone()),
         CertToName::CommonName => {
             let (_, certificate) = parse_client_certificate()?;
-            let mut names = certificate.subject().iter_common_name().filter_map(|name| name.as_str().ok());
-            names.next().map(str::to_string)
+            let mut common_names =
+                certificate.subject().iter_common_name().filter_map(|name| name.as_str().ok());
+            common_names.next().map(str::to_string)
         }
         CertToName::DnsName => {
             let (_, certificate) = parse_client_certificate()?;
-            let names = certificate.subject_alternative_name().map_err(|error| error.to_string())?;
-            let names = names.into_iter().flat_map(|names| &names.value.general_names);
-            let mut dns_names = names.filter_map(|name| match name {
+            let alternative_names =
+                certificate.subject_alternative_name().map_err(|error| error.to_string())?;
+            let general_names = alternative_names.into_iter().flat_map(|names| &names.value.general_names);
+            let mut dns_names = general_names.filter_map(|name| match name {
                 GeneralName::DNSName(name) => Some(name.to_string()),
                 _ => None,
             });
