--- a/crates/client/src/endpoint.rs
+++ b/crates/client/src/endpoint.rs
@@ -34,7 +34,7 @@
 
 /// The byte stream, and the transport that has to stay alive as long as the stream is used: for SSH its handle, for TLS
 /// `None`.
-type Connected = (Box<dyn Stream>, Option<Box<dyn std::any::Any + Send>>);
+type TransportSession = (Box<dyn Stream>, Option<Box<dyn std::any::Any + Send>>);
 
 impl Endpoint {
     /// An SSH endpoint for a user with a private key in OpenSSH format. The endpoint also needs
@@ -44,7 +44,7 @@
         Endpoint { address: address.into(), transport }
     }
 
-    /// Sets the file with the public host key of the server, one line in OpenSSH format.
+    /// Sets the file with the public host key of the server, one line in OpenSSH format. Has no effect on a TLS endpoint.
     pub fn with_host_key(mut self, path: impl Into<PathBuf>) -> Endpoint {
         if let Transport::Ssh { host_key, .. } = &mut self.transport {
             *host_key = Some(path.into());
@@ -68,7 +68,7 @@
     }
 
     /// Opens the transport session.
-    pub(crate) async fn connect(&self) -> Result<Connected, ClientError> {
+    pub(crate) async fn connect(&self) -> Result<TransportSession, ClientError> {
         let connect = async {
             let socket = TcpStream::connect(&self.address).await;
             let socket = socket.map_err(|error| connection_lost(format!("{}: {error}", self.address)))?;
@@ -118,7 +118,7 @@
     user: &str,
     key: &PathBuf,
     host_key: Option<&PathBuf>,
-) -> Result<Connected, ClientError> {
+) -> Result<TransportSession, ClientError> {
     let unusable_file = |path: &PathBuf, reason: String| {
         invalid_input(format!("{} cannot be used: {reason}", path.display()))
     };
@@ -137,9 +137,11 @@
         russh::Error::UnknownKey => authentication_failed("the server has another host key".into()),
         error => connection_lost(error.to_string()),
     })?;
-    let key = PrivateKeyWithHashAlg::new(Arc::new(private_key), None);
-    let result =
-        handle.authenticate_publickey(user, key).await.map_err(|error| connection_lost(error.to_string()))?;
+    let key_with_hash = PrivateKeyWithHashAlg::new(Arc::new(private_key), None);
+    let result = handle
+        .authenticate_publickey(user, key_with_hash)
+        .await
+        .map_err(|error| connection_lost(error.to_string()))?;
     if !matches!(result, AuthResult::Success) {
         return Err(authentication_failed(format!("the server rejected the key of user {user}")));
     }
@@ -155,7 +157,7 @@
     authorities: &PathBuf,
     certificate: &PathBuf,
     key: &PathBuf,
-) -> Result<Connected, ClientError> {
+) -> Result<TransportSession, ClientError> {
     let unusable_file = |path: &PathBuf, reason: String| {
         invalid_input(format!("{} cannot be used: {reason}", path.display()))
     };
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -7,7 +7,7 @@
 /// How far an operation got before it failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Nothing was done, because the input is invalid.
+    /// The input is invalid. No operation was sent.
     NotStarted,
     /// Connecting to the server. No operation was sent.
     Connecting,
@@ -32,7 +32,7 @@
     pub message: String,
 }
 
-/// What went wrong.
+/// The kind of an error.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ErrorKind {
     /// A file, name or text from the caller cannot be used.
@@ -55,7 +55,7 @@
 }
 
 impl ClientError {
-    /// An error of this kind at this stage.
+    /// Creates an error of the given kind at the given stage.
     pub fn new(stage: Stage, kind: ErrorKind) -> ClientError {
         ClientError { stage, kind }
     }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -69,7 +69,7 @@
     /// If set, this is a confirmed commit: the server rolls it back unless a later commit confirms it within this many
     /// seconds.
     pub confirm_timeout_s: Option<u32>,
-    /// A token with which any session may confirm this commit. Only sent for a confirmed commit.
+    /// A token with which any session may confirm or cancel this commit. Only sent for a confirmed commit.
     pub persist: Option<String>,
     /// The `persist` token of the earlier commit that this commit confirms.
     pub persist_id: Option<String>,
@@ -102,6 +102,7 @@
     decoder: Decoder,
     framing: Framing,
     next_message_id: u64,
+    /// Notifications that arrived while the client waited for replies.
     notifications: VecDeque<Element>,
     /// The session-id that the server assigned.
     pub session_id: u32,
@@ -157,7 +158,7 @@
             hello.child(NETCONF_NAMESPACE, "capabilities").map(|list| &list.children[..]).unwrap_or_default();
         client.capabilities =
             capability_elements.iter().map(|item| item.trimmed_text().to_string()).collect();
-        if client.capabilities.iter().any(|name| name == BASE_1_1) {
+        if client.capabilities.iter().any(|capability| capability == BASE_1_1) {
             client.framing = Framing::Chunked;
             client.decoder.set_framing(Framing::Chunked);
         }
@@ -204,7 +205,8 @@
         }
     }
 
-    /// Reads the next reply. Notifications that arrive before it are queued.
+    /// Reads the next reply and fails as [`Client::rpc`] does if the reply has errors. Notifications that arrive before it
+    /// are queued.
     pub async fn read_reply(&mut self) -> Result<Element, ClientError> {
         loop {
             let message = self.receive().await?;
@@ -234,9 +236,7 @@
     /// Executes an operation that replies with data.
     async fn request_data(&mut self, operation: Element) -> Result<Data, ClientError> {
         let reply = self.rpc(operation).await?;
-        Ok(Data(
-            reply.children.into_iter().next().map(|data_element| data_element.children).unwrap_or_default(),
-        ))
+        Ok(Data(reply.children.into_iter().next().map(|data| data.children).unwrap_or_default()))
     }
 
     /// Wraps the elements of a subtree filter, given as XML text, in a `filter` element.
@@ -307,7 +307,8 @@
         self.rpc(operation).await.map(drop)
     }
 
-    /// Cancels the confirmed commit that awaits confirmation.
+    /// Cancels the confirmed commit that awaits confirmation. `persist_id` is the `persist` token of that commit, if it
+    /// has one.
     pub async fn cancel_commit(&mut self, persist_id: Option<&str>) -> Result<(), ClientError> {
         let persist_id = persist_id.map(|token| leaf("persist-id", token));
         self.rpc(element("cancel-commit").with_children(persist_id)).await.map(drop)
@@ -339,7 +340,7 @@
             .map(drop)
     }
 
-    /// Replaces the content of the target datastore by that of the source.
+    /// Replaces the content of the target datastore with that of the source.
     pub async fn copy(&mut self, source: Datastore, target: Datastore) -> Result<(), ClientError> {
         let target = element("target").with_child(element(target.name()));
         let source = element("source").with_child(element(source.name()));
@@ -353,7 +354,7 @@
         self.rpc(Element::new(MANAGER, "rollback").with_child(version)).await.map(drop)
     }
 
-    /// Reads the source of a YANG module.
+    /// Reads the text of a YANG module.
     pub async fn schema(&mut self, module: &str) -> Result<String, ClientError> {
         let identifier = Element::with_text(MONITORING_NAMESPACE, "identifier", module);
         let reply = self.rpc(Element::new(MONITORING_NAMESPACE, "get-schema").with_child(identifier)).await?;
--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -31,7 +31,7 @@
 pub enum FramingError {
     /// A message is longer than [`MAX_MESSAGE_BYTES`].
     TooLong,
-    /// A chunk is malformed.
+    /// A chunk is malformed, for the given reason.
     BadChunk(&'static str),
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Decoder {
-    /// Sets the framing of the bytes after the last message that was returned.
+    /// Sets the framing of all bytes after the last returned message, including those that are already buffered.
     pub fn set_framing(&mut self, framing: Framing) {
         (self.framing, self.searched_bytes) = (framing, 0);
     }
@@ -85,7 +85,7 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Number of buffered bytes.
+    /// Number of bytes received but not yet returned as part of a message, without framing that is already decoded.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() + self.message.len()
     }
@@ -131,19 +131,19 @@
             }
             match read_chunk_header(&self.bytes)? {
                 None => return Ok(None),
-                Some((header_bytes, Some(size))) => {
-                    // The size is checked before the chunk arrives, so that a false size costs no memory.
+                Some(ChunkHeader { length_bytes, chunk_bytes: Some(size) }) => {
+                    // The size is checked before the chunk arrives, so that an excessive size uses no memory.
                     if size > MAX_MESSAGE_BYTES - self.message.len() {
                         return Err(FramingError::TooLong);
                     }
-                    _ = self.bytes.split_to(header_bytes);
+                    _ = self.bytes.split_to(length_bytes);
                     (self.missing_chunk_bytes, self.has_chunk) = (size, true);
                 }
-                Some((_, None)) if !self.has_chunk => {
+                Some(ChunkHeader { chunk_bytes: None, .. }) if !self.has_chunk => {
                     return Err(FramingError::BadChunk("is missing before the end-of-chunks marker"));
                 }
-                Some((header_bytes, None)) => {
-                    _ = self.bytes.split_to(header_bytes);
+                Some(ChunkHeader { length_bytes, chunk_bytes: None }) => {
+                    _ = self.bytes.split_to(length_bytes);
                     self.has_chunk = false;
                     return Ok(Some(self.message.split().freeze()));
                 }
@@ -152,9 +152,16 @@
     }
 }
 
-/// Reads a chunk header; `None` if the header is not complete yet. Returns the length of the header in bytes, and the
-/// size of the chunk, or `None` in place of the size for the end-of-chunks marker.
-fn read_chunk_header(bytes: &[u8]) -> Result<Option<(usize, Option<usize>)>, FramingError> {
+/// The header of a chunk, or the end-of-chunks marker.
+struct ChunkHeader {
+    /// Length of the header itself.
+    length_bytes: usize,
+    /// Size of the chunk; `None` for the end-of-chunks marker.
+    chunk_bytes: Option<usize>,
+}
+
+/// Reads the header at the start of `bytes`; `None` if it is not complete yet.
+fn read_chunk_header(bytes: &[u8]) -> Result<Option<ChunkHeader>, FramingError> {
     for (byte, expected) in bytes.iter().zip(b"\n#") {
         if byte != expected {
             return Err(FramingError::BadChunk("does not start with LF and #"));
@@ -164,33 +171,33 @@
     if rest.first() == Some(&b'#') {
         return match rest.get(1) {
             None => Ok(None),
-            Some(b'\n') => Ok(Some((END_OF_CHUNKS.len(), None))),
+            Some(b'\n') => Ok(Some(ChunkHeader { length_bytes: END_OF_CHUNKS.len(), chunk_bytes: None })),
             Some(_) => Err(FramingError::BadChunk("has no LF after the end-of-chunks marker")),
         };
     }
-    let digits = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
-    if digits > MAX_CHUNK_SIZE_DIGITS || rest.first() == Some(&b'0') {
+    let digit_count = rest.iter().take_while(|byte| byte.is_ascii_digit()).count();
+    if digit_count > MAX_CHUNK_SIZE_DIGITS || rest.first() == Some(&b'0') {
         return Err(FramingError::BadChunk("has a size out of range"));
     }
-    match rest.get(digits) {
+    match rest.get(digit_count) {
         None => Ok(None),
-        Some(b'\n') if digits > 0 => {
-            let size = std::str::from_utf8(&rest[..digits]).ok().and_then(|size| size.parse().ok());
+        Some(b'\n') if digit_count > 0 => {
+            let size = std::str::from_utf8(&rest[..digit_count]).ok().and_then(|size| size.parse().ok());
             let size = size.filter(|size: &u64| *size <= u32::MAX.into());
             let size = size.ok_or(FramingError::BadChunk("has a size out of range"))?;
             // LF and # come before the digits, LF after them.
-            Ok(Some((2 + digits + 1, Some(size as usize))))
+            Ok(Some(ChunkHeader { length_bytes: 2 + digit_count + 1, chunk_bytes: Some(size as usize) }))
         }
         Some(_) => Err(FramingError::BadChunk("has a size that is not a number")),
     }
 }
 
-/// The bytes to send before and after a message of `length_bytes` bytes. They are separate from the message so that the
+/// The bytes to send before and after a message of `message_bytes` bytes. They are separate from the message so that the
 /// message is not copied.
-pub fn delimiters(framing: Framing, length_bytes: usize) -> (String, &'static [u8]) {
+pub fn delimiters(framing: Framing, message_bytes: usize) -> (String, &'static [u8]) {
     match framing {
         Framing::EndOfMessage => (String::new(), END_OF_MESSAGE),
-        Framing::Chunked => (format!("\n#{length_bytes}\n"), END_OF_CHUNKS),
+        Framing::Chunked => (format!("\n#{message_bytes}\n"), END_OF_CHUNKS),
     }
 }
 
@@ -204,8 +211,8 @@
 mod tests {
     use super::*;
 
-    /// Size of the pieces that are pushed until a message is too long.
-    const PUSHED_BYTES: usize = 65536;
+    /// Size of the pieces that the tests push until a message is too long.
+    const PIECE_BYTES: usize = 65536;
 
     fn decode_all(framing: Framing, pieces: &[&[u8]]) -> Result<Vec<String>, FramingError> {
         let mut decoder = Decoder::default();
@@ -272,27 +279,27 @@
         decoder.set_framing(Framing::Chunked);
         let mut pushed_bytes = 0;
         let error = loop {
-            // The header of a chunk of `PUSHED_BYTES`.
+            // The header of a chunk of `PIECE_BYTES`.
             decoder.push(b"\n#65536\n");
-            decoder.push(&[b'x'; PUSHED_BYTES]);
-            pushed_bytes += PUSHED_BYTES;
+            decoder.push(&[b'x'; PIECE_BYTES]);
+            pushed_bytes += PIECE_BYTES;
             if let Err(error) = decoder.next_message() {
                 break error;
             }
         };
         assert!(
             error == FramingError::TooLong
-                && pushed_bytes <= MAX_MESSAGE_BYTES + 2 * PUSHED_BYTES
-                && decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + 2 * PUSHED_BYTES
+                && pushed_bytes <= MAX_MESSAGE_BYTES + 2 * PIECE_BYTES
+                && decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + 2 * PIECE_BYTES
         );
-        let mut endless_decoder = Decoder::default();
+        let mut delimited_decoder = Decoder::default();
         let error = (0..).find_map(|_| {
-            endless_decoder.push(&[b'x'; PUSHED_BYTES]);
-            endless_decoder.next_message().err()
+            delimited_decoder.push(&[b'x'; PIECE_BYTES]);
+            delimited_decoder.next_message().err()
         });
         assert!(
             error == Some(FramingError::TooLong)
-                && endless_decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + PUSHED_BYTES
+                && delimited_decoder.buffered_bytes() <= MAX_MESSAGE_BYTES + PIECE_BYTES
         );
     }
 
