--- a/crates/manager/tests/cluster/mod.rs
+++ b/crates/manager/tests/cluster/mod.rs
@@ -1,4 +1,5 @@
-//! Test harness: a manager in this process or as a process of its own, with a discovery server that the test plays.
+//! Test harness: a manager that runs in the test process or in a process of its own. The test acts as its discovery
+//! server.
 
 #![allow(dead_code)] // Each test file uses a part of this module.
 
@@ -16,8 +17,11 @@
 /// The state of a listening socket in /proc/net/tcp.
 const TCP_LISTEN_STATE: &str = "0A";
 
+/// A chunk of a watch that contains an empty line, which is a heartbeat.
+pub const HEARTBEAT_CHUNK: &str = "1\r\n\n\r\n";
+
 /// Time limit of a wait, generous because the machine can be busy.
-const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The list entry of a worker in zone a.
 pub fn entry(id: &str, lifecycle: &str) -> String {
@@ -34,23 +38,24 @@
     )
 }
 
-/// A manager that runs in this process, with a listener in place of its discovery server.
-pub struct TestCluster {
-    pub manager: SocketAddr,
+/// A manager that runs on a thread of the test process, with a listener in place of its discovery server.
+pub struct InProcessManager {
+    /// The address on which the manager serves proxies and collectors.
+    pub address: SocketAddr,
     pub discovery: TcpListener,
     /// Dropping this, or sending on it, stops the manager.
     pub stop: Option<tokio::sync::oneshot::Sender<()>>,
 }
 
-impl TestCluster {
-    pub fn new(sockets: usize) -> TestCluster {
-        TestCluster::with_config(|discovery| config(discovery, sockets))
+impl InProcessManager {
+    pub fn new(sockets: usize) -> InProcessManager {
+        InProcessManager::with_config(|discovery| config(discovery, sockets))
     }
 
-    pub fn with_config(config: impl FnOnce(SocketAddr) -> String) -> TestCluster {
+    pub fn with_config(config: impl FnOnce(SocketAddr) -> String) -> InProcessManager {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let config = config(discovery.local_addr().unwrap());
-        let (address_sender, address) = mpsc::channel();
+        let (address_sender, address_receiver) = mpsc::channel();
         let (stop, stop_receiver) = tokio::sync::oneshot::channel();
         thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -60,17 +65,17 @@
                 tokio::select! { () = manager.serve() => {}, _ = stop_receiver => {} }
             });
         });
-        TestCluster { manager: address.recv().unwrap(), discovery, stop: Some(stop) }
+        InProcessManager { address: address_receiver.recv().unwrap(), discovery, stop: Some(stop) }
     }
 
     /// Connects to the manager.
     pub fn peer(&self) -> Peer {
-        Peer::connect(self.manager)
+        Peer::connect(self.address)
     }
 
     /// Connects to the manager and joins as a proxy.
     pub fn proxy(&self, number: u16) -> Peer {
-        Peer::connect_as_proxy(self.manager, number)
+        Peer::connect_as_proxy(self.address, number)
     }
 
     /// Accepts the next watch and answers with a response head. Returns the request line and the connection.
@@ -79,17 +84,18 @@
     }
 }
 
-/// Accepts the next watch at a discovery listener; see [`TestCluster::accept_watch`].
+/// Accepts the next watch at a discovery listener; see [`InProcessManager::accept_watch`].
 pub fn accept_watch(discovery: &TcpListener, status: &str) -> (String, Peer) {
     Discovery::accept_watch(discovery, status)
 }
 
-/// A manager as a process of its own. Dropping it ends the process and removes its configuration file.
+/// A manager in a process of its own. Dropping it kills the process and removes its configuration file.
 pub struct ManagerProcess {
     pub child: Child,
     pub address: SocketAddr,
+    /// The standard error of the process; `None` once a test has taken it.
     pub log: Option<BufReader<ChildStderr>>,
-    pub path: PathBuf,
+    pub config_path: PathBuf,
 }
 
 impl ManagerProcess {
@@ -99,35 +105,37 @@
         ManagerProcess::start_with(name, config, &[])
     }
 
-    /// Like [`ManagerProcess::start`], with environment variables.
+    /// Like [`ManagerProcess::start`], with these environment variables.
     pub fn start_with(name: &str, config: &str, variables: &[(&str, &str)]) -> ManagerProcess {
         let path = std::env::temp_dir().join(format!("juniperrail-{name}-{}.json", std::process::id()));
         std::fs::write(&path, config).unwrap();
-        let mut program = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
-        program.env_clear().env("PROXY_CONFIG", &path).envs(variables.iter().copied());
-        let mut child = program.stderr(Stdio::piped()).spawn().unwrap();
+        let mut command = Command::new(env!("CARGO_BIN_EXE_juniperrail"));
+        command.env_clear().env("PROXY_CONFIG", &path).envs(variables.iter().copied());
+        let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let address = address_from_log(&mut log);
-        ManagerProcess { child, address, log: Some(log), path }
+        ManagerProcess { child, address, log: Some(log), config_path: path }
     }
 
     /// Sends a signal, such as `TERM`.
     pub fn signal(&self, signal: &str) {
-        let sent = Command::new("kill").args([&format!("-{signal}"), &self.child.id().to_string()]).status();
-        assert!(sent.unwrap().success());
+        let status =
+            Command::new("kill").args([&format!("-{signal}"), &self.child.id().to_string()]).status();
+        assert!(status.unwrap().success());
     }
 
     /// Waits for the next log line that contains the text, and returns it.
     pub fn wait_for_log_line(&mut self, text: &str) -> String {
-        let lines = self.log.as_mut().expect("the log was taken by the test").by_ref().lines();
+        let lines =
+            self.log.as_mut().expect("no test waits for a log line after it took the log").by_ref().lines();
         let mut lines = lines.map(Result::unwrap);
         lines
             .find(|line| line.contains(text))
             .unwrap_or_else(|| panic!("the log ended without a line with {text:?}"))
     }
 
-    /// Number of connections to the manager's address that are accepted and not closed. Connections in the backlog or in
-    /// TIME_WAIT have no inode, and are not counted.
+    /// The number of connections to the manager's address that are accepted and not closed. Connections in the backlog or in
+    /// TIME_WAIT have no inode and are not counted.
     pub fn connection_count(&self) -> usize {
         let port = format!(":{:04X}", self.address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
@@ -157,6 +165,6 @@
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
-        _ = std::fs::remove_file(&self.path);
+        _ = std::fs::remove_file(&self.config_path);
     }
 }
--- a/crates/manager/tests/command_line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -12,35 +12,38 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_juniperrail");
 
-/// Runs a command: exit code, standard output and standard error.
-fn output(command: &mut Command) -> (i32, String, String) {
+/// Runs a command. Returns its exit code (-1 if a signal ended it), standard output and standard error.
+fn run_command(command: &mut Command) -> (i32, String, String) {
     let Output { status, stdout, stderr } = command.output().unwrap();
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (status.code().unwrap_or(-1), text(stdout), text(stderr))
+    let to_text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
+    (status.code().unwrap_or(-1), to_text(stdout), to_text(stderr))
 }
 
-/// A running manager with NETCONF over SSH, and its files in a folder of its own.
+/// A running manager with NETCONF over SSH, and its files in a directory of its own. Dropping it kills the manager and
+/// removes the files.
 struct TestManager {
-    folder: PathBuf,
+    directory: PathBuf,
     _discovery: Discovery,
     child: Child,
+    /// The address on which the manager serves proxies.
     address: std::net::SocketAddr,
-    ssh: String,
-    host: SshKeyPair,
-    ann: SshKeyPair,
+    ssh_address: String,
+    host_keys: SshKeyPair,
+    ann_keys: SshKeyPair,
     log: BufReader<std::process::ChildStderr>,
 }
 
-fn create_folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("juniperrail-line-{name}-{}", std::process::id()));
-    fs::create_dir_all(&folder).unwrap();
-    folder
+fn create_directory(name: &str) -> PathBuf {
+    let directory = std::env::temp_dir().join(format!("juniperrail-line-{name}-{}", std::process::id()));
+    fs::create_dir_all(&directory).unwrap();
+    directory
 }
 
 impl TestManager {
     fn new(name: &str) -> TestManager {
-        let folder = create_folder(name);
-        let (host, ann) = (SshKeyPair::write(&folder, "host", 1), SshKeyPair::write(&folder, "ann", 2));
+        let directory = create_directory(name);
+        let (host_keys, ann_keys) =
+            (SshKeyPair::write(&directory, "host", 1), SshKeyPair::write(&directory, "ann", 2));
         let discovery = Discovery::start();
         let cached_list =
             list_json(1, true, &["s-1", "s-2"].map(|id| instance_json(id, "a", "127.0.0.1:9", "ready")));
@@ -50,50 +53,60 @@
             "settings":{SETTINGS}}}"#,
             discovery.address
         );
-        let operator = format!(
+        let operator_file = format!(
             r#"<config xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><northbound
             xmlns="tag:juniperrail.example,2026:yang:manager"><netconf><ssh><listen>127.0.0.1:0</listen>
             <host-key>host</host-key></ssh></netconf><user><name>ann</name><role>admin</role>
             <ssh-key>{}</ssh-key></user></northbound></config>"#,
-            ann.public_key
+            ann_keys.public_key
         );
-        fs::write(folder.join("config.json"), config).unwrap();
-        fs::write(folder.join("operator.xml"), operator).unwrap();
+        fs::write(directory.join("config.json"), config).unwrap();
+        fs::write(directory.join("operator.xml"), operator_file).unwrap();
         let mut program = Command::new(PROGRAM);
-        program.env_clear().env("PROXY_CONFIG", folder.join("config.json"));
-        program.args(["--operator-file", folder.join("operator.xml").to_str().unwrap(), "--log", "json"]);
+        program.env_clear().env("PROXY_CONFIG", directory.join("config.json"));
+        program.args(["--operator-file", directory.join("operator.xml").to_str().unwrap(), "--log", "json"]);
         let mut manager = program.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(manager.stderr.take().unwrap());
         let mut line = String::new();
-        let (mut address, mut ssh) = (None, None);
-        while address.is_none() || ssh.is_none() {
+        let (mut address, mut ssh_address) = (None, None);
+        while address.is_none() || ssh_address.is_none() {
             line.clear();
             assert!(log.read_line(&mut line).unwrap() > 0, "the manager ended before it served");
             let event: serde_json::Value = serde_json::from_str(&line).unwrap();
             let message = event["message"].as_str().unwrap();
             address = address.or(message.split_once("serves on ").map(|(_, text)| text.parse().unwrap()));
-            ssh = ssh.or(message.split_once("NETCONF over SSH on ").map(|(_, text)| text.to_string()));
+            ssh_address =
+                ssh_address.or(message.split_once("NETCONF over SSH on ").map(|(_, text)| text.to_string()));
+        }
+        let (address, ssh_address) = (address.unwrap(), ssh_address.unwrap());
+        TestManager {
+            directory,
+            _discovery: discovery,
+            child: manager,
+            address,
+            ssh_address,
+            host_keys,
+            ann_keys,
+            log,
         }
-        let (address, ssh) = (address.unwrap(), ssh.unwrap());
-        TestManager { folder, _discovery: discovery, child: manager, address, ssh, host, ann, log }
     }
 
-    /// Runs a command over SSH as the user ann: exit code, standard output and standard error.
-    fn command(&self, args: &[&str]) -> (i32, String, String) {
+    /// Runs a subcommand over SSH as the user ann. Returns the same as [`run_command`].
+    fn run(&self, args: &[&str]) -> (i32, String, String) {
         let mut command = Command::new(PROGRAM);
-        let (group, rest) = args.split_first().unwrap();
-        command.env_clear().arg(group).args(["--ssh", &self.ssh, "--user", "ann"]);
+        let (subcommand, rest) = args.split_first().unwrap();
+        command.env_clear().arg(subcommand).args(["--ssh", &self.ssh_address, "--user", "ann"]);
         command
             .arg("--key")
-            .arg(&self.ann.private_key_path)
+            .arg(&self.ann_keys.private_key_path)
             .arg("--host-key")
-            .arg(&self.host.public_key_path);
-        output(command.args(rest))
+            .arg(&self.host_keys.public_key_path);
+        run_command(command.args(rest))
     }
 
     /// Writes an operator file whose element `workers` contains `body`, and returns the file's path.
     fn write_change_file(&self, body: &str) -> String {
-        let path = self.folder.join("change.xml");
+        let path = self.directory.join("change.xml");
         let text = format!(
             "<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\
              <workers xmlns=\"tag:juniperrail.example,2026:yang:manager\">{body}</workers></config>"
@@ -107,7 +120,7 @@
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
-        _ = fs::remove_dir_all(&self.folder);
+        _ = fs::remove_dir_all(&self.directory);
     }
 }
 
@@ -117,11 +130,11 @@
     let mut proxy = AnsweringProxy::connect(manager.address, 7);
     proxy.next_line_containing("whole=1");
     let drain_file = manager.write_change_file("<worker><name>s-1</name><wanted>draining</wanted></worker>");
-    assert_eq!(manager.command(&["config", "edit", &drain_file]), (0, String::new(), String::new()));
+    assert_eq!(manager.run(&["config", "edit", &drain_file]), (0, String::new(), String::new()));
     proxy.next_line_containing("out=s-1");
-    // The manager would not keep a proxy that owes it an answer for so long.
+    // Within this time the manager would have closed the connection of a proxy that does not acknowledge its marks.
     std::thread::sleep(std::time::Duration::from_secs(7));
-    let (code, output, error) = manager.command(&["config", "get", "/workers", "--json"]);
+    let (code, output, error) = manager.run(&["config", "get", "/workers", "--json"]);
     assert_eq!(error, "");
     let config: serde_json::Value = serde_json::from_str(&output).unwrap();
     let worker = &config["juniperrail-manager:workers"]["worker"][0];
@@ -129,32 +142,32 @@
         (code, worker["name"].as_str(), worker["wanted"].as_str()),
         (0, Some("s-1"), Some("draining"))
     );
-    let (_, state, _) = manager.command(&["state", "/state/workers/worker[name='s-1']/phase"]);
+    let (_, state, _) = manager.run(&["state", "/state/workers/worker[name='s-1']/phase"]);
     assert!(state.contains("<name>s-1</name>") && state.contains("<phase>draining</phase>"), "{state}");
     assert!(!state.contains("s-2") && !state.contains("<zone>"), "{state}");
-    // Rejected: exit code 3, one line with the reason, and the candidate is unchanged.
-    let without_s2 = manager.write_change_file("<worker><name>s-2</name><weight>0</weight></worker>");
-    let (code, output, error) = manager.command(&["config", "edit", &without_s2]);
+    // A refused edit has exit code 3, prints the reason in one line, and leaves the candidate unchanged.
+    let zero_weight_file = manager.write_change_file("<worker><name>s-2</name><weight>0</weight></worker>");
+    let (code, output, error) = manager.run(&["config", "edit", &zero_weight_file]);
     assert_eq!((code, output.as_str(), error.lines().count()), (3, "", 1));
     assert!(error.starts_with("juniperrail: refused: lookup would have no ready, warm worker"), "{error}");
-    assert_eq!(manager.command(&["config", "diff"]), (0, String::new(), String::new()));
-    let weight_change = manager.write_change_file("<worker><name>s-2</name><weight>1.5</weight></worker>");
-    assert_eq!(manager.command(&["config", "edit", "--no-commit", &weight_change]).0, 0);
-    let (_, differences, _) = manager.command(&["config", "diff"]);
+    assert_eq!(manager.run(&["config", "diff"]), (0, String::new(), String::new()));
+    let weight_file = manager.write_change_file("<worker><name>s-2</name><weight>1.5</weight></worker>");
+    assert_eq!(manager.run(&["config", "edit", "--no-commit", &weight_file]).0, 0);
+    let (_, differences, _) = manager.run(&["config", "diff"]);
     assert!(differences.contains("+ /jrm:workers/worker[name='s-2']/weight 1.5"), "{differences}");
-    assert_eq!(manager.command(&["config", "commit", "--confirm", "600", "--persist", "night"]).0, 0);
-    assert_eq!(manager.command(&["config", "commit", "--persist-id", "day"]).0, 3);
-    assert_eq!(manager.command(&["config", "commit", "--persist-id", "night"]).0, 0);
-    assert_eq!(manager.command(&["config", "rollback", "1"]).0, 0);
+    assert_eq!(manager.run(&["config", "commit", "--confirm", "600", "--persist", "night"]).0, 0);
+    assert_eq!(manager.run(&["config", "commit", "--persist-id", "day"]).0, 3);
+    assert_eq!(manager.run(&["config", "commit", "--persist-id", "night"]).0, 0);
+    assert_eq!(manager.run(&["config", "rollback", "1"]).0, 0);
     proxy.next_line_containing("back=s-1");
-    assert_eq!(manager.command(&["config", "rollback", "99"]).0, 3);
-    assert_eq!(manager.command(&["config", "save"]).0, 0);
-    let saved = fs::read_to_string(manager.folder.join("operator.xml")).unwrap();
+    assert_eq!(manager.run(&["config", "rollback", "99"]).0, 3);
+    assert_eq!(manager.run(&["config", "save"]).0, 0);
+    let saved = fs::read_to_string(manager.directory.join("operator.xml")).unwrap();
     assert!(saved.contains("<role>admin</role>") && !saved.contains("s-2"), "{saved}");
-    let (code, _, error) = manager.command(&["config", "edit", "/nothing/there.xml"]);
+    let (code, _, error) = manager.run(&["config", "edit", "/nothing/there.xml"]);
     assert!(code == 1 && error.lines().count() == 1 && error.contains("cannot be read"), "{error}");
     let malformed = manager.write_change_file("<worker>");
-    let (code, _, error) = manager.command(&["config", "edit", &malformed]);
+    let (code, _, error) = manager.run(&["config", "edit", &malformed]);
     assert!(code == 1 && error.starts_with("juniperrail: line 1: "), "{error}");
 }
 
@@ -162,7 +175,7 @@
 fn log_is_json_on_request() {
     let mut manager = TestManager::new("json");
     let change_file = manager.write_change_file("<worker><name>s-1</name><weight>2</weight></worker>");
-    assert_eq!(manager.command(&["config", "edit", &change_file]).0, 0);
+    assert_eq!(manager.run(&["config", "edit", &change_file]).0, 0);
     let mut lines = manager.log.by_ref().lines().map(Result::unwrap);
     let line = lines.find(|line| line.contains("is accepted")).unwrap();
     let event: serde_json::Value = serde_json::from_str(&line).unwrap();
@@ -175,18 +188,20 @@
 }
 
 #[test]
-fn optional_features_are_off_without_an_operator_file_or_with_an_empty_one() {
-    let folder = create_folder("without");
+fn optional_features_are_off_without_an_operator_file_or_with_the_empty_default_file() {
+    let directory = create_directory("without");
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","known":{},"settings":{SETTINGS}}}"#,
         list_json(1, true, &[instance_json("s-1", "a", "127.0.0.1:9", "ready")])
     );
-    fs::write(folder.join("config.json"), config).unwrap();
-    fs::create_dir_all(folder.join("deploy")).unwrap();
-    for text in [None, Some(include_str!("../../../deploy/juniperrail.xml"))] {
-        text.iter().for_each(|text| fs::write(folder.join("deploy/juniperrail.xml"), text).unwrap());
+    fs::write(directory.join("config.json"), config).unwrap();
+    fs::create_dir_all(directory.join("deploy")).unwrap();
+    for operator_file in [None, Some(include_str!("../../../deploy/juniperrail.xml"))] {
+        operator_file
+            .iter()
+            .for_each(|text| fs::write(directory.join("deploy/juniperrail.xml"), text).unwrap());
         let mut program = Command::new(PROGRAM);
-        program.env_clear().env("PROXY_CONFIG", "config.json").current_dir(&folder);
+        program.env_clear().env("PROXY_CONFIG", "config.json").current_dir(&directory);
         let mut manager = program.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(manager.stderr.take().unwrap());
         let address = address_from_log(&mut log);
@@ -196,26 +211,26 @@
         manager.kill().unwrap();
         manager.wait().unwrap();
     }
-    fs::remove_dir_all(&folder).unwrap();
+    fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
 fn check_reports_an_invalid_file_in_one_line() {
-    let folder = create_folder("check");
-    let operator = folder.join("operator.xml");
+    let directory = create_directory("check");
+    let operator_file = directory.join("operator.xml");
     let config = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{SETTINGS}}}"#
     );
-    fs::write(folder.join("config.json"), config).unwrap();
+    fs::write(directory.join("config.json"), config).unwrap();
     let check = |body: &str, with_config: bool| {
         let text = format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">\n{body}</config>");
-        fs::write(&operator, text).unwrap();
+        fs::write(&operator_file, text).unwrap();
         let mut command = Command::new(PROGRAM);
-        command.env_clear().arg("check").arg("--operator-file").arg(&operator);
+        command.env_clear().arg("check").arg("--operator-file").arg(&operator_file);
         if with_config {
-            command.env("PROXY_CONFIG", folder.join("config.json"));
+            command.env("PROXY_CONFIG", directory.join("config.json"));
         }
-        output(&mut command)
+        run_command(&mut command)
     };
     let namespace = "xmlns=\"tag:juniperrail.example,2026:yang:manager\"";
     let drain_grace = |ms: u32| format!("<figures {namespace}><drain-grace>{ms}</drain-grace></figures>");
@@ -244,41 +259,41 @@
         assert_eq!((code, output.as_str(), error.lines().count()), (1, "", 1), "{error}");
         assert!(error.contains(expected), "{error}");
     }
-    let serve = |operator: &str| {
+    let serve = |operator_file: &str| {
         let mut command = Command::new(PROGRAM);
-        command.env_clear().env("PROXY_CONFIG", folder.join("config.json"));
-        output(command.args(["--operator-file", operator]))
+        command.env_clear().env("PROXY_CONFIG", directory.join("config.json"));
+        run_command(command.args(["--operator-file", operator_file]))
     };
     let (code, _, error) = serve("/nothing/there.xml");
     assert!(code == 1 && error.contains("/nothing/there.xml does not exist"), "{error}");
     let admin = "<user><name>a</name><role>admin</role></user>";
     fs::write(
-        &operator,
+        &operator_file,
         format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"><northbound {namespace}>{netconf}{admin}</northbound></config>"),
     )
     .unwrap();
-    let (code, _, error) = serve(operator.to_str().unwrap());
+    let (code, _, error) = serve(operator_file.to_str().unwrap());
     assert!(code == 1 && error.lines().count() == 1 && error.contains("the host key"), "{error}");
-    fs::remove_dir_all(&folder).unwrap();
+    fs::remove_dir_all(&directory).unwrap();
 }
 
 #[test]
 fn schema_completions_and_help_are_printed() {
-    let run = |args: &[&str]| output(Command::new(PROGRAM).env_clear().args(args));
+    let run = |args: &[&str]| run_command(Command::new(PROGRAM).env_clear().args(args));
     let (code, yang, _) = run(&["schema"]);
     assert!(code == 0 && yang.contains("module juniperrail-manager {"));
-    let folder = create_folder("schema");
-    assert_eq!(run(&["schema", "--xsd", "-o", folder.to_str().unwrap()]).0, 0);
-    let mut names: Vec<_> = fs::read_dir(&folder).unwrap().map(|file| file.unwrap().file_name()).collect();
+    let directory = create_directory("schema");
+    assert_eq!(run(&["schema", "--xsd", "-o", directory.to_str().unwrap()]).0, 0);
+    let mut names: Vec<_> = fs::read_dir(&directory).unwrap().map(|file| file.unwrap().file_name()).collect();
     names.sort();
     assert_eq!(names, ["juniperrail-manager.xsd", "juniperrail.xsd"]);
-    fs::remove_dir_all(&folder).unwrap();
+    fs::remove_dir_all(&directory).unwrap();
     for shell in ["bash", "zsh", "fish"] {
         assert!(run(&["completions", shell]).1.contains("juniperrail"));
     }
     let (code, help, _) = run(&["--help"]);
     assert!(code == 0 && help.contains("Exit codes: 0 done"), "{help}");
-    assert_eq!(run(&["config", "get"]).0, 2, "a command that names no manager must be a usage error");
+    assert_eq!(run(&["config", "get"]).0, 2, "a command that names no manager must fail with a usage error");
     assert_eq!(run(&["state", "--ssh", "127.0.0.1:1"]).0, 2);
     let (code, _, error) =
         run(&["state", "--ssh", "127.0.0.1:1", "--user", "a", "--key", "/no/key", "--host-key", "/no/key"]);
--- a/crates/manager/tests/relay.rs
+++ b/crates/manager/tests/relay.rs
@@ -23,9 +23,9 @@
 
 impl Relay {
     fn start(source: SocketAddr) -> Relay {
-        let mut program = Command::new(PROGRAM);
-        program.env_clear().args(["relay", "--listen", "127.0.0.1:0", "--source", &source.to_string()]);
-        let mut child = program.stderr(Stdio::piped()).spawn().unwrap();
+        let mut command = Command::new(PROGRAM);
+        command.env_clear().args(["relay", "--listen", "127.0.0.1:0", "--source", &source.to_string()]);
+        let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
         while !line.contains("relays the list of ") {
@@ -37,8 +37,8 @@
     }
 
     fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
-        assert!(sent.unwrap().success());
+        let status = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
+        assert!(status.unwrap().success());
     }
 
     fn wait_until_serving(&self) {
@@ -56,9 +56,9 @@
 }
 
 /// Starts a relay with a list of many workers, and a subscriber that has read only the head of the response, so that the
-/// relay is in the midst of a snapshot. Also returns the list as the source sent it, and the relay's connection to the
+/// relay is still sending the snapshot. Also returns the list as the source sent it, and the relay's connection to the
 /// source, which must stay open.
-fn relay_in_snapshot() -> (Relay, String, ListSubscriber, Peer) {
+fn start_relay_sending_snapshot() -> (Relay, String, ListSubscriber, Peer) {
     let source = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(source.local_addr().unwrap());
     let (_, mut watch) = Discovery::accept_watch(&source, "200 OK");
@@ -73,18 +73,18 @@
 
 #[test]
 fn a_relay_killed_during_a_snapshot_leaves_an_incomplete_line() {
-    let (relay, full_list, mut subscriber, _watch) = relay_in_snapshot();
+    let (relay, full_list, mut subscriber, _watch) = start_relay_sending_snapshot();
     relay.signal("KILL");
-    let (received, ending) = subscriber.read_to_end();
-    assert_eq!(ending, BodyEnd::Truncated);
+    let (received, body_end) = subscriber.read_to_end();
+    assert_eq!(body_end, BodyEnd::Truncated);
     assert!(received.len() < full_list.len() && full_list.starts_with(&received));
 }
 
 #[test]
 fn a_relay_paused_during_a_snapshot_completes_it_when_resumed() {
-    let (relay, full_list, mut subscriber, _watch) = relay_in_snapshot();
+    let (relay, full_list, mut subscriber, _watch) = start_relay_sending_snapshot();
     relay.signal("STOP");
-    // Only what was already in the socket buffers arrives.
+    // Only the bytes that are already in the socket buffers arrive.
     let received_bytes = subscriber.read_until_silent(Duration::from_millis(500));
     assert!(received_bytes < full_list.len(), "{received_bytes} of {} bytes arrived", full_list.len());
     relay.signal("CONT");
@@ -100,12 +100,12 @@
 }
 
 #[test]
-fn an_address_in_use_is_reported_in_one_line() {
+fn an_occupied_address_is_reported_in_one_line() {
     let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = occupied.local_addr().unwrap().to_string();
-    let mut program = Command::new(PROGRAM);
-    program.env_clear().args(["relay", "--listen", &address, "--source", "127.0.0.1:1"]);
-    let mut child = program.stderr(Stdio::piped()).spawn().unwrap();
+    let mut command = Command::new(PROGRAM);
+    command.env_clear().args(["relay", "--listen", &address, "--source", "127.0.0.1:1"]);
+    let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
     let mut stderr = String::new();
     child.stderr.take().unwrap().read_to_string(&mut stderr).unwrap();
     assert_eq!(child.wait().unwrap().code(), Some(1));
