--- a/crates/manager/src/connection_tracker/tests.rs
+++ b/crates/manager/src/connection_tracker/tests.rs
@@ -2,8 +2,8 @@
 
 const TIMEOUTS: SilenceTimeouts = SilenceTimeouts { ack_timeout: 3000.0, queue_drain_time: 12_000.0 };
 
-/// A tracker of three proxies. At time 0 each was sent one mark, whose number is that of the proxy; each mark belongs to
-/// a later turn than the one before. Also returns the receiving ends of the proxies' queues.
+/// A tracker of three proxies. At time 0 each was sent one mark, whose number is that of the proxy; each mark belongs
+/// to a later turn than the one before. Also returns the receiving ends of the proxies' queues.
 fn tracker_with_three_proxies() -> (ConnectionTracker, Vec<impl Sized>) {
     let mut connections = ConnectionTracker::new(TIMEOUTS);
     let mut queues = Vec::new();
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -127,8 +127,8 @@
     );
 }
 
-/// A restarted planner numbers its marks from 1 again. An acknowledgement of a mark of the failed planner must not count
-/// for the mark of the new planner that has the same number.
+/// A restarted planner numbers its marks from 1 again. An acknowledgement of a mark of the failed planner must not
+/// count for the mark of the new planner that has the same number.
 #[test]
 fn acknowledgements_of_marks_of_a_failed_planner_are_ignored() {
     let mut manager = TestManager::new();
@@ -309,7 +309,8 @@
         self.decider.receive(Inbound::Listing(serde_json::from_str(&listing).unwrap()));
     }
 
-    /// Requests a change of the operator's intent. `desired_states`: the workers with an intent, and their desired states.
+    /// Requests a change of the operator's intent. `desired_states`: workers and the states in which the operator wants
+    /// them.
     fn request_change(&mut self, number: u64, desired_states: &[(&str, DesiredState)]) -> Verdict {
         let worker_intent = |(name, desired_state): &(&str, DesiredState)| {
             (name.to_string(), WorkerIntent { desired_state: *desired_state, ..WorkerIntent::default() })
--- a/crates/manager/tests/cluster/mod.rs
+++ b/crates/manager/tests/cluster/mod.rs
@@ -99,8 +99,8 @@
 }
 
 impl ManagerProcess {
-    /// Starts the manager and waits until it serves. `name` must differ from those of other tests, because it is part of the
-    /// configuration file's name.
+    /// Starts the manager and waits until it serves. `name` must differ from those of other tests, because it is part
+    /// of the configuration file's name.
     pub fn start(name: &str, config: &str) -> ManagerProcess {
         ManagerProcess::start_with(name, config, &[])
     }
@@ -134,8 +134,8 @@
             .unwrap_or_else(|| panic!("the log ended without a line with {text:?}"))
     }
 
-    /// The number of connections to the manager's address that are accepted and not closed. Connections in the backlog or in
-    /// TIME_WAIT have no inode and are not counted.
+    /// The number of connections to the manager's address that are accepted and not closed. Connections in the backlog
+    /// or in TIME_WAIT have no inode and are not counted.
     pub fn connection_count(&self) -> usize {
         let port = format!(":{:04X}", self.address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
--- a/crates/manager/tests/races.rs
+++ b/crates/manager/tests/races.rs
@@ -48,18 +48,20 @@
     )
 }
 
+/// A write to a proxy that does not read blocks; the time-out of the silent stream must end the connection despite it.
 #[test]
 fn silent_stream_frees_its_descriptor_even_during_a_blocked_write() {
     let manager = ManagerProcess::start("silent", &large_table_config(unreachable_discovery()));
     let mut proxy = Peer::connect_with_small_buffer(manager.address);
     proxy.send_line("hello node=1 locality=a w=2 cold=1");
     manager.wait_for_connection_count(1);
-    // The proxy never reads or acknowledges. Once a report period (200 ms) and the transit time (100 ms) have passed, it
-    // counts as left, and after the same time again the manager closes its connection.
+    // The proxy never reads or acknowledges. Once a report period (200 ms) and the transit time (100 ms) have passed,
+    // it counts as left, and after the same time again the manager closes its connection.
     manager.wait_for_connection_count(0);
     drop(proxy);
 }
 
+/// Orders that are still queued on the old stream must not reach the proxy after it has joined over a new one.
 #[test]
 fn replaced_stream_ends_at_once_and_drops_its_queue() {
     let manager = InProcessManager::with_config(large_table_config);
@@ -70,8 +72,8 @@
     other_proxy.next_line_containing("whole=1");
     let draining = entry_at(&format!("s-7-{name}"), "a", "127.0.0.1:9", "draining");
     manager.accept_watch("200 OK").1.send_chunk(&(list_json(42, false, &[draining]) + "\n"));
-    // The order is sent to both proxies in one turn. On the old stream it is queued behind the table, which the peer does
-    // not read.
+    // The order is sent to both proxies in one turn. On the old stream it is queued behind the table, which the peer
+    // does not read.
     other_proxy.next_line_containing("out=s-7-");
     let mut new_stream = manager.proxy(1);
     new_stream.next_line_containing("whole=1");
@@ -83,6 +85,7 @@
     );
 }
 
+/// The introduction on an older connection may arrive after that on a newer one; the newer one must stay the stream.
 #[test]
 fn late_introduction_on_an_older_connection_does_not_replace_the_stream() {
     let manager = InProcessManager::new(64);
@@ -149,6 +152,7 @@
     proxy.next_line_containing("out=s-2");
 }
 
+/// Single bytes keep a connection active, but only complete lines may count as activity of the watch.
 #[test]
 fn watch_that_drips_bytes_without_ending_a_line_is_reconnected() {
     let manager = InProcessManager::new(64);
@@ -189,6 +193,7 @@
     None
 }
 
+/// A list of a discovery server that is behind would bring back workers that have left since.
 #[test]
 fn older_list_restores_no_worker_until_discovery_restarts_its_versions() {
     let manager = InProcessManager::new(64);
@@ -224,6 +229,7 @@
     assert!(proxy.next_line_containing("back=").contains("s-1"));
 }
 
+/// Writing the log to a pipe whose reader is gone fails, and must not end the manager.
 #[test]
 fn closing_the_log_pipe_does_not_end_the_program() {
     let mut manager = ManagerProcess::start("log", &config(unreachable_discovery(), 64));
@@ -337,6 +343,7 @@
     }
 }
 
+/// All signals are pending when the process continues, and SIGHUP must not keep SIGTERM from ending it.
 #[test]
 fn simultaneous_and_repeated_signals_end_the_program_with_success() {
     let mut manager = ManagerProcess::start("signals", &config(unreachable_discovery(), 64));
@@ -380,6 +387,7 @@
     assert!(table.contains("ticket=1"), "the successor must start without its predecessor's marks");
 }
 
+/// Earlier connections of a proxy end before their introductions are read; their ends must not remove its last stream.
 #[test]
 fn stream_that_ended_before_its_introduction_was_read_does_not_affect_the_next() {
     let manager = ManagerProcess::start("ended", &config(unreachable_discovery(), 64));
--- a/crates/manager/tests/relay.rs
+++ b/crates/manager/tests/relay.rs
@@ -55,9 +55,9 @@
     }
 }
 
-/// Starts a relay with a list of many workers, and a subscriber that has read only the head of the response, so that the
-/// relay is still sending the snapshot. Also returns the list as the source sent it, and the relay's connection to the
-/// source, which must stay open.
+/// Starts a relay with a list of many workers, and a subscriber that has read only the head of the response, so that
+/// the relay is still sending the snapshot. Also returns the list as the source sent it, and the relay's connection to
+/// the source, which must stay open.
 fn start_relay_sending_snapshot() -> (Relay, String, ListSubscriber, Peer) {
     let source = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::start(source.local_addr().unwrap());
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -62,7 +62,7 @@
         ManagerProcess::start_with(&format!("relays-{test}"), config, &variables)
     }
 
-    /// Accepts the next watch at this relay and answers with a response head. Returns the request line and the connection.
+    /// Accepts the next watch at this relay and sends a response head. Returns the request line and the connection.
     fn accept_watch(&self, relay: usize) -> (String, Peer) {
         self.accept_watch_with_status(relay, "200 OK")
     }
@@ -150,8 +150,8 @@
     with_newline(list_json(version, false, &[entry(id, zone, lifecycle)]))
 }
 
-/// Sends heartbeats on a watch from a thread of its own. The returned receiver gets a message once the manager has closed
-/// the watch.
+/// Sends heartbeats on a watch from a thread of its own. The returned receiver gets a message once the manager has
+/// closed the watch.
 fn send_heartbeats_until_closed(mut watch: Peer) -> mpsc::Receiver<()> {
     let (closed_sender, closed) = mpsc::channel();
     thread::spawn(move || {
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_incomplete_snapshot_has_no_effect_and_the_next_relay_is_asked_from_the_current_version() {
+fn a_relay_killed_during_a_snapshot_has_no_effect_and_the_next_is_asked_from_the_current_version() {
     let (relays, manager) = Relays::with_manager_of_zone_a("snapshot");
     let mut proxy = AnsweringProxy::connect(manager.address, 1);
     proxy.next_line_containing("whole=1");
@@ -348,7 +348,7 @@
     assert!(!messages.contains("s-1"), "{messages}");
     let table = AnsweringProxy::connect(manager.address, 2).next_line_containing("whole=1");
     assert!(table.contains("s-1") && table.contains("s-4") && !table.contains("far-"), "{table}");
-    // One entry has no worker id and could be that of any worker, so no worker is removed because it is absent from this
+    // One entry has no worker id and could be that of any worker. No worker is removed because it is absent from this
     // list.
     let without_id = r#"{"zone":"a"}"#.to_string();
     watch.send_chunk(&with_newline(list_json(44, true, &[without_id, entry("s-4", "a", "draining")])));
