--- a/crates/manager/tests/races.rs
+++ b/crates/manager/tests/races.rs
@@ -1,7 +1,7 @@
 //! Races between two events. Each test forces the order that could fail: a peer delays a part of what it sends, or the
 //! process is stopped while both events arrive. No test depends on timing to produce that order.
 
-mod cluster;
+mod common;
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::{accept_watch, config, entry, InProcessManager, ManagerProcess, HEARTBEAT_CHUNK, WAIT_TIMEOUT};
+use common::{accept_watch, config, entry, InProcessManager, ManagerProcess, HEARTBEAT_CHUNK, WAIT_TIMEOUT};
 use juniperrail_standins::{instance_json as entry_at, list_json, AnsweringProxy, Peer, SETTINGS};
 
 /// Capacity of the queue to the manager's decider, as in the crate. Once it is full, peers have to wait.
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -1,7 +1,7 @@
 //! A manager that takes its part of the list from relays. Each test acts as the relays and determines the order of
 //! events by the order in which it sends.
 
-mod cluster;
+mod common;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use cluster::{config, ManagerProcess, HEARTBEAT_CHUNK};
+use common::{config, ManagerProcess, HEARTBEAT_CHUNK};
 use juniperrail_distribution::RelayChoice;
 use juniperrail_standins::{instance_json as entry_at, list_json, AnsweringProxy, Peer};
 
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! End-to-end tests on real sockets: a manager, with stand-ins for discovery, proxies and collectors.
 
-mod cluster;
+mod common;
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use cluster::{accept_watch, config, entry, InProcessManager};
+use common::{accept_watch, config, entry, InProcessManager};
 use juniperrail_standins::{address_from_log, list_json, Peer, SETTINGS};
 
 #[test]
