--- a/crates/manager/tests/command_line.rs
+++ b/crates/manager/tests/command_line.rs
@@ -62,10 +62,10 @@
         );
         fs::write(directory.join("config.json"), config).unwrap();
         fs::write(directory.join("operator.xml"), operator_file).unwrap();
-        let mut program = Command::new(PROGRAM);
-        program.env_clear().env("PROXY_CONFIG", directory.join("config.json"));
-        program.args(["--operator-file", directory.join("operator.xml").to_str().unwrap(), "--log", "json"]);
-        let mut manager = program.stderr(Stdio::piped()).spawn().unwrap();
+        let mut command = Command::new(PROGRAM);
+        command.env_clear().env("PROXY_CONFIG", directory.join("config.json"));
+        command.args(["--operator-file", directory.join("operator.xml").to_str().unwrap(), "--log", "json"]);
+        let mut manager = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(manager.stderr.take().unwrap());
         let mut line = String::new();
         let (mut address, mut ssh_address) = (None, None);
@@ -166,8 +166,8 @@
     assert!(saved.contains("<role>admin</role>") && !saved.contains("s-2"), "{saved}");
     let (code, _, error) = manager.run(&["config", "edit", "/nothing/there.xml"]);
     assert!(code == 1 && error.lines().count() == 1 && error.contains("cannot be read"), "{error}");
-    let malformed = manager.write_change_file("<worker>");
-    let (code, _, error) = manager.run(&["config", "edit", &malformed]);
+    let malformed_file = manager.write_change_file("<worker>");
+    let (code, _, error) = manager.run(&["config", "edit", &malformed_file]);
     assert!(code == 1 && error.starts_with("juniperrail: line 1: "), "{error}");
 }
 
@@ -200,9 +200,9 @@
         operator_file
             .iter()
             .for_each(|text| fs::write(directory.join("deploy/juniperrail.xml"), text).unwrap());
-        let mut program = Command::new(PROGRAM);
-        program.env_clear().env("PROXY_CONFIG", "config.json").current_dir(&directory);
-        let mut manager = program.stderr(Stdio::piped()).spawn().unwrap();
+        let mut command = Command::new(PROGRAM);
+        command.env_clear().env("PROXY_CONFIG", "config.json").current_dir(&directory);
+        let mut manager = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(manager.stderr.take().unwrap());
         let address = address_from_log(&mut log);
         Peer::connect_as_proxy(address, 1).next_line_containing("whole=1 lines=s-1:1");
@@ -233,18 +233,20 @@
         run_command(&mut command)
     };
     let namespace = "xmlns=\"tag:juniperrail.example,2026:yang:manager\"";
-    let drain_grace = |ms: u32| format!("<figures {namespace}><drain-grace>{ms}</drain-grace></figures>");
-    assert_eq!(check(&drain_grace(2900), true).0, 0);
-    let netconf = "<netconf><ssh><listen>127.0.0.1:0</listen><host-key>nowhere</host-key></ssh></netconf>";
+    let drain_grace_config =
+        |ms: u32| format!("<figures {namespace}><drain-grace>{ms}</drain-grace></figures>");
+    assert_eq!(check(&drain_grace_config(2900), true).0, 0);
+    let netconf_element =
+        "<netconf><ssh><listen>127.0.0.1:0</listen><host-key>nowhere</host-key></ssh></netconf>";
     for (body, with_config, expected) in [
-        (drain_grace(0), false, "line 2: /jrm:figures/drain-grace: 0.0 is not within 1.0..3600000.0"),
+        (drain_grace_config(0), false, "line 2: /jrm:figures/drain-grace: 0.0 is not within 1.0..3600000.0"),
         (
-            drain_grace(3001),
+            drain_grace_config(3001),
             true,
             "/jrm:figures/drain-grace: drain-grace 3001 is looser than the settings' 3000",
         ),
         (
-            format!("<northbound {namespace}>{netconf}</northbound>"),
+            format!("<northbound {namespace}>{netconf_element}</northbound>"),
             false,
             "without a user whose role is admin",
         ),
@@ -266,10 +268,10 @@
     };
     let (code, _, error) = serve("/nothing/there.xml");
     assert!(code == 1 && error.contains("/nothing/there.xml does not exist"), "{error}");
-    let admin = "<user><name>a</name><role>admin</role></user>";
+    let admin_element = "<user><name>a</name><role>admin</role></user>";
     fs::write(
         &operator_file,
-        format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"><northbound {namespace}>{netconf}{admin}</northbound></config>"),
+        format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\"><northbound {namespace}>{netconf_element}{admin_element}</northbound></config>"),
     )
     .unwrap();
     let (code, _, error) = serve(operator_file.to_str().unwrap());
--- a/crates/manager/tests/races.rs
+++ b/crates/manager/tests/races.rs
@@ -395,12 +395,12 @@
     for _ in 0..8 {
         drop(Peer::connect_as_proxy(manager.address, 7));
     }
-    let mut last = Peer::connect_as_proxy(manager.address, 7);
+    let mut last_stream = Peer::connect_as_proxy(manager.address, 7);
     manager.signal("CONT");
-    last.next_line_containing("whole=1");
+    last_stream.next_line_containing("whole=1");
     manager.wait_for_connection_count(1);
-    last.send_line("probe");
-    last.next_line_containing("alive");
+    last_stream.send_line("probe");
+    last_stream.next_line_containing("alive");
 }
 
 #[test]
--- a/crates/manager/tests/relays.rs
+++ b/crates/manager/tests/relays.rs
@@ -295,8 +295,8 @@
     for proxy in [&mut proxy, &mut late_proxy] {
         let messages = proxy.next_line_containing("out=s-1");
         assert_names_only(&messages, &["s-1"]);
-        let update = proxy.next_line_containing("lines=");
-        assert!(update.contains("s-1:0"), "{update}");
+        let removed = proxy.next_line_containing("lines=");
+        assert!(removed.contains("s-1:0"), "{removed}");
     }
 }
 
@@ -391,9 +391,8 @@
     let mut proxy = AnsweringProxy::connect(manager.address, 1);
     proxy.next_line_containing("whole=1");
     // 40 MB of entries in scope: the list is refused while it is received.
-    let long_name = "x".repeat(16_000);
-    let entries: Vec<String> =
-        (0..2500).map(|id| entry(&format!("w-{id}-{long_name}"), "a", "ready")).collect();
+    let name = "x".repeat(16_000);
+    let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
     let huge_list = list_json(42, true, &entries);
     let mut waits_s: Vec<u64> = Vec::new();
     let mut refused_at = Vec::new();
@@ -514,9 +513,8 @@
     let source = Relays { listeners: vec![discovery], operator_file: PathBuf::new() };
     let (request_line, mut watch) = source.accept_watch(0);
     assert_eq!(request_line, "GET /v1/servers?stream=1&index=41 HTTP/1.1");
-    let long_name = "x".repeat(16_000);
-    let entries: Vec<String> =
-        (0..2500).map(|id| entry(&format!("w-{id}-{long_name}"), "a", "ready")).collect();
+    let name = "x".repeat(16_000);
+    let entries: Vec<String> = (0..2500).map(|id| entry(&format!("w-{id}-{name}"), "a", "ready")).collect();
     let huge_list = list_json(42, true, &entries);
     assert!(
         watch.try_send_raw(&format!("{:x}\r\n{huge_list}", huge_list.len() + 1)).is_err(),
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -35,14 +35,14 @@
 #[test]
 fn new_stream_of_a_proxy_replaces_the_old_one() {
     let manager = InProcessManager::new(64);
-    let mut old = manager.proxy(7);
-    old.next_line_containing("whole=1");
-    let mut new = manager.proxy(7);
-    new.next_line_containing("whole=1");
-    assert_eq!(old.next_line(), None, "the old stream must end");
-    new.assert_alive();
+    let mut old_stream = manager.proxy(7);
+    old_stream.next_line_containing("whole=1");
+    let mut new_stream = manager.proxy(7);
+    new_stream.next_line_containing("whole=1");
+    assert_eq!(old_stream.next_line(), None, "the old stream must end");
+    new_stream.assert_alive();
     manager.accept_watch("200 OK").1.send_chunk(&(list_json(42, false, &[entry("s-2", "draining")]) + "\n"));
-    new.next_line_containing("out=s-2");
+    new_stream.next_line_containing("out=s-2");
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let manager = InProcessManager::new(64);
     let mut proxy = manager.proxy(1);
     proxy.next_line_containing("whole=1");
-    let endless = "x".repeat(100_000);
+    let endless_line = "x".repeat(100_000);
     for (first_bytes, reason) in [
         ("hello node=20 locality=a w=1 cold=1\r\n", "unreadable"),
         ("hello node=2 locality=nowhere w=1 cold=1\r\n", "unreadable"),
@@ -110,7 +110,7 @@
         ("ack node=1 nonce=1 latency=1\r\n", "unreadable"),
         ("push out=s-1\r\nand more", "unreadable"),
         ("GET / HTTP/1.1\r\nHost: a\r\n\r\n", "unreadable"),
-        (&endless, "unreadable"),
+        (&endless_line, "unreadable"),
         ("hello node=2 loca", "late"),
         ("", "late"),
     ] {
@@ -264,8 +264,8 @@
     let mut proxy = manager.proxy(1);
     proxy.next_line_containing("whole=1");
     let invalid_entry = r#"{"instanceId":"s-3"}"#.to_string();
-    let first = list_json(42, false, &[invalid_entry, entry("s-1", "draining")]) + "\n";
-    let (head, tail) = first.split_at(25);
+    let changes = list_json(42, false, &[invalid_entry, entry("s-1", "draining")]) + "\n";
+    let (head, tail) = changes.split_at(25);
     watch.send_chunk("\n");
     watch.send_chunk(head);
     watch.send_chunk(&(tail.to_string() + "\n" + &list_json(43, false, &[entry("s-9", "ready")]) + "\n"));
