--- a/crates/manager/src/connection_error.rs
+++ b/crates/manager/src/connection_error.rs
@@ -28,12 +28,12 @@
 }
 
 impl ConnectionError {
-    /// An error while reading that is not a time-out.
+    /// An error while reading that is not a timeout.
     pub fn reading(message: impl Into<String>) -> Self {
         ConnectionError { stage: Stage::Reading, timed_out: false, message: message.into() }
     }
 
-    /// Returns a function that converts the errors of a tower service at this stage, time-outs included.
+    /// Returns a function that converts the errors of a tower service at this stage, timeouts included.
     pub fn service(stage: Stage) -> impl Fn(Box<dyn Error + Send + Sync>) -> ConnectionError + Clone {
         move |cause| ConnectionError { stage, timed_out: cause.is::<Elapsed>(), message: cause.to_string() }
     }
--- a/crates/manager/src/connection_tracker.rs
+++ b/crates/manager/src/connection_tracker.rs
@@ -1,4 +1,4 @@
-//! Tracks the streams of proxies: the marks that await acknowledgement, and the time-outs of silent streams.
+//! Tracks the streams of proxies: the marks that await acknowledgement, and the timeouts of silent streams.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// What follows from the time-out of a stream.
+/// What follows from the timeout of a stream.
 pub enum StreamTimeout {
     /// Acknowledgements are pending and nothing was received: the proxy counts as left until it sends a message.
     Silent { proxy: ProxyId, idle_for: Ms, pending_count: usize },
@@ -162,12 +162,12 @@
         stream.send(pending_mark, now, message_window, bytes)
     }
 
-    /// When a stream times out next. At the first time-out the proxy is reported as left, at the second its connection
+    /// When a stream times out next. At the first timeout the proxy is reported as left, at the second its connection
     /// is closed.
     ///
     /// A proxy whose message still waits in the channel, as it may for seconds after a start, must not count as silent.
     /// Messages leave the channel in order, so a mark is known to be delivered once any proxy has acknowledged a mark
-    /// of a later turn. If no proxy acknowledges anything, the time-out starts once a full channel would have emptied.
+    /// of a later turn. If no proxy acknowledges anything, the timeout starts once a full channel would have emptied.
     fn times_out_at(&self, stream: &Stream) -> Option<Ms> {
         let SilenceTimeouts { ack_timeout, queue_drain_time } = self.silence_timeouts;
         let silent_since = stream.silent_since.or_else(|| {
@@ -188,7 +188,7 @@
     /// Handles the streams that have timed out.
     ///
     /// A connection may fail without a reset. A proxy with pending acknowledgements that sends nothing counts as left
-    /// until it sends a message. Its connection stays open for one more time-out, since it may be healthy, and is then
+    /// until it sends a message. Its connection stays open for one more timeout, since it may be healthy, and is then
     /// closed: otherwise a machine that vanished would occupy a file descriptor forever.
     pub fn handle_timeouts(&mut self, now: Ms) -> Vec<StreamTimeout> {
         let is_due = |stream: &Stream| self.times_out_at(stream).is_some_and(|timeout| now >= timeout);
--- a/crates/manager/src/fleet.rs
+++ b/crates/manager/src/fleet.rs
@@ -129,7 +129,7 @@
             max_uncommitted_entries: MAX_UNCOMMITTED_ENTRIES,
         },
         swim: SwimConfig {
-            // This is the report period: the file's probe-period is only checked against the probe time-out above.
+            // This is the report period: the file's probe-period is only checked against the probe timeout above.
             probe_period_ms: report_period_ms,
             probe_timeout_ms,
             indirect_probe_count: INDIRECT_PROBE_COUNT,
--- a/crates/manager/src/http.rs
+++ b/crates/manager/src/http.rs
@@ -1,5 +1,5 @@
 //! One HTTP exchange as a tower service over a hyper client. Each exchange has a connection of its own. Tower layers
-//! set the time-outs for connecting and for the head of the response.
+//! set the timeouts for connecting and for the head of the response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/manager/src/launch.rs
+++ b/crates/manager/src/launch.rs
@@ -64,7 +64,7 @@
     pub settings: Settings,
     /// The shortest time from one turn to the next.
     pub tick: Duration,
-    /// Time-out for connecting to a worker that is probed.
+    /// Timeout for connecting to a worker that is probed.
     pub dial_timeout: Duration,
 }
 
--- a/crates/manager/src/probes.rs
+++ b/crates/manager/src/probes.rs
@@ -31,7 +31,7 @@
 /// Limit on the body of a response.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// Returns a service with these time-outs that runs at most `max_concurrent` probes at a time.
+/// Returns a service with these timeouts that runs at most `max_concurrent` probes at a time.
 pub fn probe_service(
     connect_timeout: Duration,
     response_timeout: Duration,
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -49,19 +49,19 @@
     }
 }
 
-/// The intervals and time-outs of a relay.
+/// The intervals and timeouts of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// A subscriber to which nothing else was sent for this long receives a heartbeat. This is also the time-out for
+    /// A subscriber to which nothing else was sent for this long receives a heartbeat. This is also the timeout for
     /// connecting to the source, and the maximum wait, before jitter, until it is dialled again.
     pub heartbeat_interval: Duration,
     /// A source that has not confirmed the list for this long is considered lost: the relay ends all watches. This is
-    /// also the time-out for the head of the source's response, and for each further entry or line.
+    /// also the timeout for the head of the source's response, and for each further entry or line.
     pub source_timeout: Duration,
     /// A source whose lists have been older than the current one for this long is considered to have restarted its
     /// versions.
     pub source_behind_timeout: Duration,
-    /// Time-out for receiving the head of a request.
+    /// Timeout for receiving the head of a request.
     pub request_head_timeout: Duration,
     /// A subscriber that accepts no byte for this long while there is something to send is disconnected.
     pub stalled_write_timeout: Duration,
--- a/crates/relay/src/source.rs
+++ b/crates/relay/src/source.rs
@@ -30,7 +30,7 @@
     ConnectTimeout,
     Http(hyper::Error),
     Status(StatusCode),
-    /// No response head, complete entry or complete line within the time-out.
+    /// No response head, complete entry or complete line within the timeout.
     Timeout,
     EndedBySource,
     InvalidLine(ListError),
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -26,7 +26,7 @@
 }
 
 impl RunningRelay {
-    /// Starts a relay with the options that `configure` sets. Unless it sets another time-out, the source may be silent
+    /// Starts a relay with the options that `configure` sets. Unless it sets another timeout, the source may be silent
     /// for the duration of a test.
     pub fn start(source: SocketAddr, configure: impl FnOnce(&mut Options)) -> RunningRelay {
         let mut options = Options::new("127.0.0.1:0".parse().unwrap(), source);
--- a/crates/relay/tests/faults.rs
+++ b/crates/relay/tests/faults.rs
@@ -356,7 +356,7 @@
         options.timing.request_head_timeout = Duration::from_millis(200);
     });
     let mut client = TcpStream::connect(relay.address).unwrap();
-    // Shorter than the default time-out of hyper, so that it cannot be the one that closes the connection.
+    // Shorter than the default timeout of hyper, so that it cannot be the one that closes the connection.
     client.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     client.write_all(b"GET /v1/servers HTTP/1.1\r\nHost:").unwrap();
     let mut answer = String::new();
