--- a/crates/distribution/src/locations.rs
+++ b/crates/distribution/src/locations.rs
@@ -10,7 +10,7 @@
 /// Maximum number of distinct zone names in one list, and of service names, each including the empty name.
 const MAX_NAMES: usize = u16::MAX as usize;
 
-/// The id of the empty name, which stands for an unknown zone and for no service.
+/// The id of the empty name, which means an unknown zone or no service.
 const UNNAMED: u16 = 0;
 
 /// The ids of the zone and the service of a location.
--- a/crates/failover/src/health.rs
+++ b/crates/failover/src/health.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether the proxies of `proxy_zone` reach any zone other than their own and `excluded_zone` or, if they tried none,
-    /// their own. If not, the fault may be theirs, and their failures prove nothing about `excluded_zone`.
+    /// their own. If not, the fault may be in `proxy_zone`, and their failures prove nothing about `excluded_zone`.
     fn reaches_others(&self, proxy_zone: &Zone, excluded_zone: &Zone) -> bool {
         let stats_of_third_zones = self.pair_stats.iter().filter(|((origin, worker_zone), _)| {
             origin == proxy_zone && worker_zone != proxy_zone && worker_zone != excluded_zone
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -8,7 +8,7 @@
 use crate::evidence::Zone;
 use crate::health::ZoneHealth;
 
-/// The ratio of its weight that a zone keeps, and why.
+/// The ratio of its weight that a zone keeps, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneShare {
     /// 0 removes all workers of the zone; 1 leaves the zone unrestricted.
@@ -55,7 +55,7 @@
 }
 
 impl ActivePlan {
-    /// Applies a new or renewed plan and starts its lease anew.
+    /// Applies a new or renewed plan and restarts the lease.
     pub fn activate(&mut self, now: Ms, plan: &Plan) {
         (self.plan, self.lease_start, self.expired) = (plan.clone(), now, false);
     }
--- a/crates/lab/src/capacity/point.rs
+++ b/crates/lab/src/capacity/point.rs
@@ -19,7 +19,7 @@
     pub figure: &'static str,
     pub conditions: Conditions,
     pub unit: Unit,
-    /// [`Bound::AtMost`] if the load of the run exceeded the one that the figure stands for.
+    /// [`Bound::AtMost`] if the load of the run exceeded the load that the figure is for.
     pub bound: Bound,
 }
 
--- a/crates/manager/src/order_writer.rs
+++ b/crates/manager/src/order_writer.rs
@@ -378,13 +378,13 @@
     }
 }
 
-/// The operations in a bit mask; 0 stands for all.
+/// The operations in a bit mask; 0 means all.
 fn ops_in_mask(mask: u32, names: &Names) -> impl Iterator<Item = OpId> {
     let count = names.ops.count() as u8;
     (0..count).filter(move |op| mask == 0 || mask >> op & 1 == 1).map(OpId)
 }
 
-/// The names of operations as written in a message, where no name stands for all.
+/// The names of operations as written in a message, where an empty list means all.
 fn op_names<'a>(ops: &[OpId], names: &'a Names) -> Vec<&'a str> {
     if ops.len() == names.ops.count() {
         return Vec::new();
--- a/crates/trials/src/cluster.rs
+++ b/crates/trials/src/cluster.rs
@@ -37,7 +37,7 @@
     pub election_timeout_ms: u32,
     /// Number of log entries above which the log is compacted.
     pub max_log_entries: u32,
-    /// Whether the operator files configure zone failover, on which the managers then agree.
+    /// Whether the operator files configure zone failover, whose plans the managers then commit.
     pub failover: bool,
 }
 
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -283,7 +283,7 @@
 
 #[test]
 fn without_a_majority_of_the_configured_members_no_leader_is_elected() {
-    // Of 350 configured members seven run. They agree on nothing, and each plans by itself.
+    // Of 350 configured members seven run. They commit nothing, and each plans by itself.
     let cluster = TestCluster::start(ClusterConfig {
         managers: 7,
         absent_managers: 343,
--- a/crates/trials/tests/zones.rs
+++ b/crates/trials/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Zone failover agreed by several manager processes while some of them fail.
+//! Zone failover by plans that several manager processes commit, while some of the processes fail.
 
 use std::time::{Duration, Instant};
 
@@ -88,7 +88,7 @@
     let isolated = ALL_MANAGERS.into_iter().find(|id| *id != leader).unwrap();
     cluster.set_links_across(&[isolated], LinkState::Silent);
     cluster.managers[&MemberId(isolated)].wait_for_log("expired: all zones at full weight", 1);
-    // It plans by itself again, as without a fleet. The others keep to the agreed plan.
+    // It plans by itself again, as without a fleet. The others keep the committed plan.
     cluster.wait_for_routing(&[isolated], &ZONE_B_WORKERS, true);
     assert_eq!(cluster.managers[&MemberId(leader)].count_log_lines("expired: all zones at full weight"), 0);
     cluster.heal_links();
