--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -26,12 +26,12 @@
     pub report_period_ms: u32,
 }
 
-/// The discovery stand-in, the folder of files and the SSH keys that the managers of one experiment share. Dropping it
-/// removes the folder.
+/// The discovery stand-in, the directory of files and the SSH keys that the managers of one experiment share. Dropping
+/// it removes the directory.
 pub struct Cluster {
     pub size: ClusterSize,
-    /// The folder with the keys and the managers' configuration files.
-    pub folder: PathBuf,
+    /// The directory with the keys and the managers' configuration files.
+    pub directory: PathBuf,
     pub discovery: Discovery,
     host_key: SshKeyPair,
     user_key: SshKeyPair,
@@ -40,12 +40,12 @@
 impl Cluster {
     /// Starts discovery with a list of all workers, all of them ready.
     pub fn new(name: &str, size: ClusterSize) -> Cluster {
-        let folder = std::env::temp_dir().join(format!("juniperrail-lab-{name}-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("the temporary folder can be written");
+        let directory = std::env::temp_dir().join(format!("juniperrail-lab-{name}-{}", std::process::id()));
+        fs::create_dir_all(&directory).expect("the temporary directory can be written");
         let discovery = Discovery::start();
         let (host_key, user_key) =
-            (SshKeyPair::write(&folder, "host", 1), SshKeyPair::write(&folder, "ann", 2));
-        let cluster = Cluster { size, folder, discovery, host_key, user_key };
+            (SshKeyPair::write(&directory, "host", 1), SshKeyPair::write(&directory, "ann", 2));
+        let cluster = Cluster { size, directory, discovery, host_key, user_key };
         cluster.discovery.publish(&cluster.list());
         cluster
     }
@@ -85,9 +85,9 @@
             self.user_key.public_key
         );
         let (config_path, operator_path) =
-            (self.folder.join(format!("{name}.json")), self.folder.join(format!("{name}.xml")));
-        fs::write(&config_path, config).expect("the temporary folder can be written");
-        fs::write(&operator_path, operator).expect("the temporary folder can be written");
+            (self.directory.join(format!("{name}.json")), self.directory.join(format!("{name}.xml")));
+        fs::write(&config_path, config).expect("the temporary directory can be written");
+        fs::write(&operator_path, operator).expect("the temporary directory can be written");
         let program = std::env::current_exe().expect("this program has a path");
         let mut command = Command::new(program);
         command.arg("serve").args([&config_path, &operator_path]);
@@ -134,7 +134,7 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        _ = fs::remove_dir_all(&self.folder);
+        _ = fs::remove_dir_all(&self.directory);
     }
 }
 
--- a/crates/lab/src/council.rs
+++ b/crates/lab/src/council.rs
@@ -192,12 +192,12 @@
             group.commit_entries(20_000, 64),
         );
     }
-    let folder: PathBuf = std::env::temp_dir().join(format!("juniperrail-council-{}", std::process::id()));
+    let directory: PathBuf = std::env::temp_dir().join(format!("juniperrail-council-{}", std::process::id()));
     let mut batch_speedup = 0.0;
     for members in [1, 3, 5] {
         let disk = |id: u16| {
-            DirectoryDisk::open(folder.join(format!("{members}-{id}")))
-                .expect("the temporary folder can be written")
+            DirectoryDisk::open(directory.join(format!("{members}-{id}")))
+                .expect("the temporary directory can be written")
         };
         let mut group = Group::new(members, disk);
         let single_rate = report_commits(
@@ -214,7 +214,7 @@
             batch_speedup = batch_rate / single_rate;
         }
     }
-    _ = std::fs::remove_dir_all(&folder);
+    _ = std::fs::remove_dir_all(&directory);
     report.bound(
         "3 members: rate in batches of 64 over batches of 1",
         format!("{batch_speedup:.1} times"),
--- a/crates/lab/src/scale/manager.rs
+++ b/crates/lab/src/scale/manager.rs
@@ -33,16 +33,16 @@
         discovery: SocketAddr,
         operator: Option<&str>,
     ) -> Result<Manager, ScaleError> {
-        let folder = launcher.create_folder("manager")?;
-        let config = write_file(&folder, "config.json", &config(scenario, discovery))?;
+        let directory = launcher.create_directory("manager")?;
+        let config = write_file(&directory, "config.json", &config(scenario, discovery))?;
         let mut arguments = Vec::new();
         if let Some(content) = operator {
             let content =
                 format!("<config xmlns=\"urn:ietf:params:xml:ns:netconf:base:1.0\">{content}</config>");
-            let file = write_file(&folder, "operator.xml", &content)?;
+            let file = write_file(&directory, "operator.xml", &content)?;
             arguments = vec!["--operator-file".to_string(), file.display().to_string()];
         }
-        let mut process = launcher.start(&folder, &arguments, &[("PROXY_CONFIG", config)])?;
+        let mut process = launcher.start(&directory, &arguments, &[("PROXY_CONFIG", config)])?;
         let address = process.wait_for_address().await?;
         probe(address).await?;
         Ok(Manager { process, address })
@@ -54,8 +54,8 @@
     format!("<{name} xmlns=\"{NAMESPACE}\">{content}</{name}>")
 }
 
-fn write_file(folder: &std::path::Path, name: &str, content: &str) -> Result<PathBuf, ScaleError> {
-    let path = folder.join(name);
+fn write_file(directory: &std::path::Path, name: &str, content: &str) -> Result<PathBuf, ScaleError> {
+    let path = directory.join(name);
     fs::write(&path, content).map_err(ScaleError::io(path.display().to_string()))?;
     Ok(path)
 }
--- a/crates/lab/src/scale/measured_process.rs
+++ b/crates/lab/src/scale/measured_process.rs
@@ -1,4 +1,4 @@
-//! The processes that are measured: the shipped program as a manager or a relay, each in a folder of its own.
+//! The processes that are measured: the shipped program as a manager or a relay, each in a directory of its own.
 
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -26,53 +26,53 @@
 pub struct Program(PathBuf);
 
 impl Program {
-    /// Finds the program in the folder of this executable or, when a test runs, in the one above.
+    /// Finds the program in the directory of this executable or, when a test runs, in the one above.
     pub fn find() -> Result<Program, ScaleError> {
         let executable =
             std::env::current_exe().map_err(ScaleError::io("finding the path of this executable"))?;
-        let folders = executable.ancestors().skip(1).take(2);
-        let candidates: Vec<PathBuf> = folders.map(|folder| folder.join("juniperrail")).collect();
+        let directories = executable.ancestors().skip(1).take(2);
+        let candidates: Vec<PathBuf> = directories.map(|directory| directory.join("juniperrail")).collect();
         let found = candidates.iter().find(|path| path.is_file());
         found.map(|path| Program(path.clone())).ok_or_else(|| ScaleError::NoProgram(candidates[0].clone()))
     }
 }
 
-/// Starts the processes of a run, in folders that are removed when it is dropped.
+/// Starts the processes of a run, in directories that are removed when it is dropped.
 pub struct Launcher {
     program: Program,
-    folder: PathBuf,
+    directory: PathBuf,
     children: ChildProcesses,
-    folder_count: std::cell::Cell<usize>,
+    directory_count: std::cell::Cell<usize>,
 }
 
 impl Launcher {
-    /// Creates the folder of the run. Each process that the launcher starts is added to `children`.
+    /// Creates the directory of the run. Each process that the launcher starts is added to `children`.
     pub fn new(program: Program, children: ChildProcesses) -> Result<Launcher, ScaleError> {
-        let folder = std::env::temp_dir().join(format!("juniperrail-scale-{}", std::process::id()));
-        fs::create_dir_all(&folder).map_err(ScaleError::io(folder.display().to_string()))?;
-        Ok(Launcher { program, folder, children, folder_count: Default::default() })
+        let directory = std::env::temp_dir().join(format!("juniperrail-scale-{}", std::process::id()));
+        fs::create_dir_all(&directory).map_err(ScaleError::io(directory.display().to_string()))?;
+        Ok(Launcher { program, directory, children, directory_count: Default::default() })
     }
 
-    /// Creates a folder for one process, named after its role.
-    pub fn create_folder(&self, role: &str) -> Result<PathBuf, ScaleError> {
-        self.folder_count.set(self.folder_count.get() + 1);
-        let folder = self.folder.join(format!("{role}-{}", self.folder_count.get()));
-        fs::create_dir_all(&folder).map_err(ScaleError::io(folder.display().to_string()))?;
-        Ok(folder)
+    /// Creates a directory for one process, named after its role.
+    pub fn create_directory(&self, role: &str) -> Result<PathBuf, ScaleError> {
+        self.directory_count.set(self.directory_count.get() + 1);
+        let directory = self.directory.join(format!("{role}-{}", self.directory_count.get()));
+        fs::create_dir_all(&directory).map_err(ScaleError::io(directory.display().to_string()))?;
+        Ok(directory)
     }
 
-    /// Starts the program in a folder, with these arguments and environment variables only. Its log goes to a file
-    /// there.
+    /// Starts the program in a directory, with these arguments and environment variables only. Its log goes to a file
+    /// in that directory.
     pub fn start(
         &self,
-        folder: &Path,
+        directory: &Path,
         arguments: &[String],
         variables: &[(&str, PathBuf)],
     ) -> Result<MeasuredProcess, ScaleError> {
-        let log = folder.join("log");
+        let log = directory.join("log");
         let stderr = File::create(&log).map_err(ScaleError::io(log.display().to_string()))?;
         let mut command = Command::new(&self.program.0);
-        command.env_clear().envs(variables.iter().cloned()).args(arguments).current_dir(folder);
+        command.env_clear().envs(variables.iter().cloned()).args(arguments).current_dir(directory);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(stderr);
         let child = command.spawn().map_err(ScaleError::io(self.program.0.display().to_string()))?;
         self.children.add(child.id());
@@ -82,7 +82,7 @@
 
 impl Drop for Launcher {
     fn drop(&mut self) {
-        _ = fs::remove_dir_all(&self.folder);
+        _ = fs::remove_dir_all(&self.directory);
     }
 }
 
--- a/crates/lab/src/scale/record.rs
+++ b/crates/lab/src/scale/record.rs
@@ -138,8 +138,8 @@
         };
         let merged = merge(existing, self.measurements.clone());
         let text = serde_json::to_string_pretty(&merged).map_err(json_error(path))?;
-        if let Some(folder) = path.parent() {
-            fs::create_dir_all(folder).map_err(ScaleError::io(folder.display().to_string()))?;
+        if let Some(directory) = path.parent() {
+            fs::create_dir_all(directory).map_err(ScaleError::io(directory.display().to_string()))?;
         }
         fs::write(path, text + "\n").map_err(ScaleError::io(path.display().to_string()))
     }
--- a/crates/lab/src/scale/relay.rs
+++ b/crates/lab/src/scale/relay.rs
@@ -43,10 +43,10 @@
 impl Relay {
     /// Starts a relay that reads the list from this source, and waits until it logs its address.
     pub async fn start(launcher: &Launcher, source: std::net::SocketAddr) -> Result<Relay, ScaleError> {
-        let folder = launcher.create_folder("relay")?;
+        let directory = launcher.create_directory("relay")?;
         let source = source.to_string();
         let arguments = ["relay", "--listen", "127.0.0.1:0", "--source", &source].map(String::from);
-        let mut process = launcher.start(&folder, &arguments, &[])?;
+        let mut process = launcher.start(&directory, &arguments, &[])?;
         let address = process.wait_for_address().await?;
         Ok(Relay { process, address })
     }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -12,15 +12,15 @@
 /// alone.
 fn build_program() {
     let executable = std::env::current_exe().unwrap();
-    let folder = executable.parent().and_then(Path::parent).unwrap();
-    if folder.join("juniperrail").is_file() {
+    let directory = executable.parent().and_then(Path::parent).unwrap();
+    if directory.join("juniperrail").is_file() {
         return;
     }
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut build = Command::new(cargo);
     build.current_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("../.."));
     build.args(["build", "--locked", "--quiet", "-p", "juniperrail-manager", "--target-dir"]);
-    build.arg(folder.parent().unwrap());
+    build.arg(directory.parent().unwrap());
     build.args((!cfg!(debug_assertions)).then_some("--release"));
     assert!(build.status().unwrap().success(), "cargo builds the program");
 }
