--- a/crates/manager/src/cli/mod.rs
+++ b/crates/manager/src/cli/mod.rs
@@ -86,7 +86,7 @@
     /// Prints the YANG modules; this is the default.
     #[arg(long)]
     yang: bool,
-    /// Folder to write to, one file per document, instead of standard output.
+    /// Directory to write to, one file per document, instead of standard output.
     #[arg(short, long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
@@ -185,10 +185,10 @@
     for (name, text) in documents {
         match &args.out {
             None => print(&text).map_err(|error| error.to_string())?,
-            Some(folder) => {
-                let path = folder.join(name);
+            Some(directory) => {
+                let path = directory.join(name);
                 let write_error = |error: io::Error| format!("cannot write {}: {error}", path.display());
-                std::fs::create_dir_all(folder)
+                std::fs::create_dir_all(directory)
                     .and_then(|()| std::fs::write(&path, text))
                     .map_err(write_error)?;
             }
--- a/crates/model/tests/model.rs
+++ b/crates/model/tests/model.rs
@@ -316,13 +316,13 @@
         documents.iter().map(|(name, _)| name.as_str()).collect::<Vec<_>>(),
         ["juniperrail.xsd", "juniperrail-manager.xsd"]
     );
-    let folder = std::env::temp_dir().join(format!("juniperrail-xsd-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).unwrap();
+    let directory = std::env::temp_dir().join(format!("juniperrail-xsd-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
     for (name, text) in &documents {
-        std::fs::write(folder.join(name), text).unwrap();
+        std::fs::write(directory.join(name), text).unwrap();
     }
     let root = uppsala::parse(&documents[0].1).unwrap();
-    let validator = uppsala::XsdValidator::from_schema_with_base_path(&root, Some(&folder)).unwrap();
+    let validator = uppsala::XsdValidator::from_schema_with_base_path(&root, Some(&directory)).unwrap();
     let errors = |text: &str| validator.validate(&uppsala::parse(text).unwrap());
     let written = xml::write_config(&schema, &parse_file(FILE));
     assert!(errors(&written).is_empty(), "{:?}", errors(&written));
@@ -341,5 +341,5 @@
         assert!(xml::parse_config(&schema, text.as_bytes()).is_err(), "{new}");
         assert!(!errors(&text).is_empty(), "the XML Schema accepts {new:?} in place of {old:?}");
     }
-    std::fs::remove_dir_all(&folder).unwrap();
+    std::fs::remove_dir_all(&directory).unwrap();
 }
