--- a/crates/intent/src/compose.rs
+++ b/crates/intent/src/compose.rs
@@ -120,7 +120,7 @@
         true
     }
 
-    /// Marks the workers gone that a complete list from discovery no longer names. Returns their names.
+    /// Marks the workers gone that a full list from discovery no longer names. Returns their names.
     pub fn mark_unlisted_gone(&mut self, is_listed: &dyn Fn(&str) -> bool) -> Vec<String> {
         let unlisted = |(name, discovery): (&String, &DiscoveryEntry)| {
             (discovery.entry.phase != Phase::Gone && !is_listed(name)).then(|| name.clone())
--- a/crates/lab/src/capacity/assumptions.rs
+++ b/crates/lab/src/capacity/assumptions.rs
@@ -208,7 +208,7 @@
         entries * self.assumed(Assumption::EntryBytes)
     }
 
-    /// Bytes of the complete list.
+    /// Bytes of the full list.
     pub fn list_bytes(&self) -> f64 {
         self.entries_bytes(requirements::WORKERS)
     }
--- a/crates/lab/src/capacity/paths.rs
+++ b/crates/lab/src/capacity/paths.rs
@@ -6,7 +6,7 @@
 pub const SCOPE: Mechanism = Mechanism::File("crates/distribution/src/scope.rs");
 /// The filter that keeps the list entries in a manager's scope.
 pub const MANAGER_SCOPE: Mechanism = Mechanism::File("crates/manager/src/scope_filter.rs");
-/// The relay, which holds the complete list once and serves each watch the part in its scope.
+/// The relay, which holds the full list once and serves each watch the part in its scope.
 pub const RELAY: Mechanism = Mechanism::File("crates/relay/src/server.rs");
 /// The list versions that a relay remembers, so that watches can resume.
 pub const LIST_VERSIONS: Mechanism = Mechanism::File("crates/distribution/src/worker_list.rs");
--- a/crates/lab/src/capacity/roles/control_machine.rs
+++ b/crates/lab/src/capacity/roles/control_machine.rs
@@ -1,4 +1,4 @@
-//! A machine dedicated to control: a relay that holds the complete list once and serves the watches of managers.
+//! A machine dedicated to control: a relay that holds the full list once and serves the watches of managers.
 
 use super::{bytes, bytes_per_second, count, per_second, Inputs, Table};
 use crate::capacity::assumptions::{Assumption, Sizes};
@@ -56,7 +56,7 @@
     let subscribers = sizes.managers_per_control_machine();
     let scenario = Scenario::OrdinaryDay;
     let bytes_in = series::RELAY_BYTES_IN.look_up(measured);
-    let bytes_in = bytes_in.or(bytes_per_second(traffic::complete_list(sizes)));
+    let bytes_in = bytes_in.or(bytes_per_second(traffic::full_list(sizes)));
     table.add(scenario, "bytes received", bytes_in, paths::RELAY);
     let heartbeats = per_second(subscribers / wire::HEARTBEAT_PERIOD_SECONDS);
     table.add(scenario, "heartbeats sent (empty lines)", heartbeats, paths::RELAY);
@@ -69,7 +69,7 @@
         with_timed_changes,
         paths::RELAY,
     );
-    let unscoped = subscribers * (traffic::complete_list(sizes) + traffic::heartbeats());
+    let unscoped = subscribers * (traffic::full_list(sizes) + traffic::heartbeats());
     table.add(
         scenario,
         "bytes sent if all its managers watched the complete list",
@@ -231,11 +231,11 @@
         snapshots(additional_managers),
         paths::SCOPE,
     );
-    let complete_lists = bytes(additional_managers * sizes.list_bytes());
+    let full_lists = bytes(additional_managers * sizes.list_bytes());
     table.add(
         control_machine_failed,
         "snapshots for these managers if each were the complete list",
-        complete_lists,
+        full_lists,
         paths::RELAY,
     );
     let all_restarted = Scenario::WorstCase(Failure::AllControlMachinesRestarted);
@@ -246,11 +246,11 @@
         snapshots(subscribers),
         paced_snapshots,
     );
-    let complete_lists = bytes(subscribers * sizes.list_bytes());
+    let full_lists = bytes(subscribers * sizes.list_bytes());
     table.add(
         all_restarted,
         "snapshots for all its managers if each were the complete list",
-        complete_lists,
+        full_lists,
         paced_snapshots,
     );
 }
--- a/crates/lab/src/capacity/roles/discovery.rs
+++ b/crates/lab/src/capacity/roles/discovery.rs
@@ -21,16 +21,11 @@
         count(requirements::CONTROL_MACHINES),
         paths::RELAY,
     );
-    let complete_list = bytes(sizes.list_bytes());
-    table.add(
-        steady_state,
-        "bytes of the complete list, one line of a watch",
-        complete_list,
-        paths::LIST_READER,
-    );
+    let full_list = bytes(sizes.list_bytes());
+    table.add(steady_state, "bytes of the complete list, one line of a watch", full_list, paths::LIST_READER);
 
     let ordinary_day = Scenario::OrdinaryDay;
-    let watch = traffic::complete_list(sizes) + traffic::heartbeats();
+    let watch = traffic::full_list(sizes) + traffic::heartbeats();
     let direct = bytes_per_second(requirements::MANAGERS * watch);
     table.add(ordinary_day, "bytes sent, with one watch per manager", direct, paths::DISCOVERY_WATCH);
     let relayed = bytes_per_second(requirements::CONTROL_MACHINES * watch);
--- a/crates/lab/src/capacity/roles/manager.rs
+++ b/crates/lab/src/capacity/roles/manager.rs
@@ -28,7 +28,7 @@
 pub fn rows(inputs: &Inputs<'_>) -> Vec<Row> {
     let mut table = Table::new(Role::Manager);
     memory_per_item(inputs, &mut table);
-    state_of_complete_list(inputs, &mut table);
+    state_of_full_list(inputs, &mut table);
     state_of_scope(inputs, &mut table);
     processor_time_by_list(inputs, &mut table);
     total_processor_time(inputs, &mut table);
@@ -39,7 +39,7 @@
     table.rows
 }
 
-fn state_of_complete_list(inputs: &Inputs<'_>, table: &mut Table) {
+fn state_of_full_list(inputs: &Inputs<'_>, table: &mut Table) {
     let entries = bytes(inputs.sizes.list_bytes());
     let max_entries = Limit::program(MAX_LIST_BYTES, Unit::Bytes);
     table.add_limited(
@@ -132,11 +132,11 @@
     let (sizes, measured) = (&inputs.sizes, inputs.measured);
     let scenario = Scenario::OrdinaryDay;
     let processor = |workers| series::MANAGER_PROCESSOR.at(measured, workers);
-    let by_complete_list = processor(requirements::WORKERS);
+    let by_full_list = processor(requirements::WORKERS);
     table.add_limited(
         scenario,
         "processor time with the complete list",
-        by_complete_list,
+        by_full_list,
         processor_limit(),
         paths::WORKER_REGISTRY,
     );
@@ -198,11 +198,11 @@
         let measured = series::MANAGER_BYTES_IN_BY_CHANGES.at(measured, changes);
         measured.or(bytes_per_second(computed + traffic::heartbeats()))
     };
-    let complete = watch(changes, traffic::complete_list(sizes));
+    let unscoped = watch(changes, traffic::full_list(sizes));
     table.add_limited(
         scenario,
         "bytes received over a watch of the complete list",
-        complete,
+        unscoped,
         traffic_limit(),
         paths::DISCOVERY_WATCH,
     );
--- a/crates/lab/src/capacity/traffic.rs
+++ b/crates/lab/src/capacity/traffic.rs
@@ -3,14 +3,14 @@
 use super::assumptions::{Assumption, Sizes};
 use super::{requirements, wire};
 
-/// Bytes per second of changed entries of the complete list.
-pub fn complete_list(sizes: &Sizes) -> f64 {
+/// Bytes per second of changed entries of the full list.
+pub fn full_list(sizes: &Sizes) -> f64 {
     sizes.entries_bytes(sizes.entries_per_second())
 }
 
 /// Bytes per second of changed entries in the scope of one manager.
 pub fn scoped_list(sizes: &Sizes) -> f64 {
-    complete_list(sizes) * sizes.scope_share()
+    full_list(sizes) * sizes.scope_share()
 }
 
 /// Bytes per second of the heartbeats of one watch.
--- a/crates/lab/src/scale/scoped.rs
+++ b/crates/lab/src/scale/scoped.rs
@@ -1,4 +1,4 @@
-//! Compares a manager without a scope, which reads a complete list directly, with a scoped one, which reads only the
+//! Compares a manager without a scope, which reads the full list directly, with a scoped one, which reads only the
 //! workers of one service from the list of a larger fleet, through a relay.
 
 use super::error::ScaleError;
--- a/crates/lab/src/scale/simulated/discovery.rs
+++ b/crates/lab/src/scale/simulated/discovery.rs
@@ -106,7 +106,7 @@
 
 struct Shared {
     fleet: Fleet,
-    /// The line with the complete list of the first generation.
+    /// The line with the full list of the first generation.
     snapshot: Bytes,
     /// The line of each change. The first change results in the generation after [`FIRST_GENERATION`].
     changes: Mutex<Vec<Bytes>>,
@@ -159,7 +159,7 @@
         &self.shared.traffic
     }
 
-    /// The length of the line with the complete list, in bytes.
+    /// The length of the line with the full list, in bytes.
     pub fn list_bytes(&self) -> usize {
         self.shared.snapshot.len()
     }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -30,7 +30,7 @@
     keep_connected("proxy", run_proxy)
 }
 
-/// Publishes the complete list, then alternately that s-two is draining and that it is ready.
+/// Publishes the full list, then alternately that s-two is draining and that it is ready.
 fn publish_lists(discovery: &Discovery) {
     discovery.publish(&list_json(
         2,
