--- a/crates/manager/src/upstream.rs
+++ b/crates/manager/src/upstream.rs
@@ -68,7 +68,7 @@
             Upstream::Agent { failures, .. } => {
                 let behind = failure == RelayFailure::Behind;
                 *failures = if source_works || behind { 0 } else { failures.saturating_add(1) };
-                // Starts at 1/32 of the heartbeat interval and doubles up to the whole interval, with jitter so that
+                // Starts at 1/32 of the heartbeat interval and doubles up to the full interval, with jitter so that
                 // managers do not retry together.
                 let wait = HEARTBEAT_INTERVAL.mul_f64(0.5 + rng.f64()) / (32 >> (*failures).min(5));
                 Retry { wait, round: if behind { Round::AllBehind } else { Round::InProgress } }
