--- a/crates/manager/src/discovery.rs
+++ b/crates/manager/src/discovery.rs
@@ -34,11 +34,11 @@
 
 /// Why a watch ended.
 enum WatchEnd {
-    /// It could not be started, or it broke.
+    /// The watch could not be started, or it broke.
     Broken(ConnectionError),
-    /// Its lists stay older than the current one.
+    /// The lists of the source stay older than the current one.
     Behind,
-    /// It sent a list that exceeds a limit.
+    /// The source sent a list that exceeds a limit.
     TooLarge(OverLimit),
 }
 
@@ -70,7 +70,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             WatchEnd::Broken(error) => error.fmt(f),
-            WatchEnd::Behind => f.write_str("its lists stay older than the current one"),
+            WatchEnd::Behind => f.write_str("the lists of the source stay older than the current one"),
             WatchEnd::TooLarge(over_limit) => over_limit.fmt(f),
         }
     }
@@ -273,7 +273,7 @@
             // Ends a watch that stays silent, or that sends bytes without ever ending a line.
             let frame = match timeout_at(deadline, body.frame()).await {
                 Err(_) => return Err(self.timed_out()),
-                Ok(None) => return Err(ConnectionError::reading("the watch ended").into()),
+                Ok(None) => return Err(ConnectionError::reading("the source ended the watch").into()),
                 Ok(Some(Err(cause))) => return Err(ConnectionError::reading(cause.to_string()).into()),
                 Ok(Some(Ok(frame))) => frame,
             };
@@ -384,7 +384,7 @@
             Some(deadline) if deadline <= Instant::now() => WatchEnd::Behind,
             _ => WatchEnd::Broken(ConnectionError {
                 timed_out: true,
-                ..ConnectionError::reading("the watch is silent")
+                ..ConnectionError::reading("the source completed no line in time")
             }),
         }
     }
