--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -163,7 +163,7 @@
     /// Limit on the recorded passes of each point, and so on the size of the file. Trials inject faults only at recorded
     /// passes.
     const MAX_RECORDED_PASSES: u64 = 200;
-    /// Longer than a lease and an election in the trials, but shorter than their wait time-outs.
+    /// Longer than a lease and an election in the trials, but shorter than their wait timeouts.
     const STALL_DURATION: Duration = Duration::from_millis(2500);
 
     /// A fault to inject, from [`FAULTS_VARIABLE`].
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! | shared state | written by | read by |
 //! | --- | --- | --- |
-//! | the [`PeerQueues`](channels) of each other manager | `links`, `fleet` | both |
+//! | the `PeerQueues` of each other manager | `links`, `fleet` | both |
 //! | completed effects | `links` | `fleet` |
 //! | evidence that was not sent yet, and the weight ratios of the active plan | the planner; `fleet` | `fleet`; the planner |
 //! | [`FleetStatus`], a snapshot for operators | `fleet` | any thread |
--- a/crates/fleet/src/replicated_state.rs
+++ b/crates/fleet/src/replicated_state.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// The state that all managers agree on.
+/// The result of applying the committed log entries, the same on every manager at the same index.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     pub ledger: Ledger,
--- a/crates/interface/src/lib.rs
+++ b/crates/interface/src/lib.rs
@@ -146,14 +146,14 @@
     pub weight: f64,
 }
 
-/// How a received list relates to the complete worker list.
+/// How a received list relates to the full worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the entries that changed.
     Changes,
-    /// The complete list.
+    /// The full list.
     Full,
-    /// The complete list as this manager last stored it; it may be stale.
+    /// The full list as this manager last stored it; it may be stale.
     Remembered,
     /// The list could not be fetched.
     Failed,
--- a/crates/manager/src/connection_tracker/tests.rs
+++ b/crates/manager/src/connection_tracker/tests.rs
@@ -18,7 +18,7 @@
     (connections, queues)
 }
 
-/// Handles the time-outs that are due at `now`. Returns the proxies concerned.
+/// Handles the timeouts that are due at `now`. Returns the proxies concerned.
 fn timed_out(connections: &mut ConnectionTracker, now: Ms) -> Vec<u16> {
     let timeouts = connections.handle_timeouts(now).into_iter();
     timeouts
@@ -44,7 +44,7 @@
         0,
         "the messages to proxies 1 and 2 may still wait in the channel"
     );
-    // Proxy 2 acknowledges the last message, so the message to proxy 1 was delivered too: its time-out starts now.
+    // Proxy 2 acknowledges the last message, so the message to proxy 1 was delivered too: its timeout starts now.
     acknowledge(&mut connections, 9500.0, 2);
     assert_eq!(connections.next_timeout(), Some(12_500.0));
     assert_eq!(timed_out(&mut connections, 12_499.0).len(), 0);
@@ -52,7 +52,7 @@
     assert_eq!(
         timed_out(&mut connections, 15_499.0).len(),
         0,
-        "the connection stays open for one more time-out"
+        "the connection stays open for one more timeout"
     );
     assert_eq!(timed_out(&mut connections, 15_500.0), [1]);
 }
--- a/crates/manager/src/decider/tests.rs
+++ b/crates/manager/src/decider/tests.rs
@@ -169,7 +169,7 @@
     manager.decider.handle_timeouts(timeout);
     assert_eq!(manager.run_turn(), [LEFT]);
     manager.decider.handle_timeouts(timeout + 1.0);
-    assert!(manager.decider.events.is_empty(), "the time-out of a stream is reported once");
+    assert!(manager.decider.events.is_empty(), "the timeout of a stream is reported once");
     let sent = manager.take_sent(stream);
     manager.ack(stream, 1);
     assert!(
--- a/crates/manager/tests/northbound.rs
+++ b/crates/manager/tests/northbound.rs
@@ -766,7 +766,7 @@
             (0..4).map(|_| std::net::TcpStream::connect(manager.ssh_address).unwrap()).collect();
         // With two sessions only one connection may be unauthenticated at a time; another one is accepted once such a
         // connection has timed out without a hello. On a busy machine connecting can take longer than the hello
-        // time-out, so both clients connect again until both succeed.
+        // timeout, so both clients connect again until both succeed.
         let (mut first, mut second) = loop {
             let Ok(first) = Client::connect(&environment.ssh_endpoint(&manager, "bob")).await else {
                 continue;
--- a/crates/manager/tests/sockets.rs
+++ b/crates/manager/tests/sockets.rs
@@ -137,7 +137,7 @@
     let mut unidentified: Vec<Peer> = (0..4).map(|_| manager.peer()).collect();
     let table = manager.proxy(2).next_line_containing("whole=1");
     assert!(table.contains("s-1"), "{table}");
-    assert_eq!(unidentified[0].next_line(), None, "the longest idle one is evicted before its time-out");
+    assert_eq!(unidentified[0].next_line(), None, "the longest idle one is evicted before its timeout");
     unidentified[3].assert_alive();
     proxy.assert_alive();
 }
--- a/crates/netconf/src/service.rs
+++ b/crates/netconf/src/service.rs
@@ -614,9 +614,7 @@
         check_parameters(operation, &["confirmed", "confirm-timeout", "persist", "persist-id"])?;
         let string_parameter = |name: &str| text_parameter(operation, name).map(str::to_string);
         let confirm_timeout = match number_parameter(operation, "confirm-timeout")? {
-            Some(0) => {
-                return Err(invalid_value("confirm-timeout", "the time-out must be at least 1 second"))
-            }
+            Some(0) => return Err(invalid_value("confirm-timeout", "the timeout must be at least 1 second")),
             seconds => seconds.map(|seconds| seconds as f64 * 1000.0),
         };
         let commit = Commit {
--- a/crates/netconf/src/ssh.rs
+++ b/crates/netconf/src/ssh.rs
@@ -36,7 +36,7 @@
         window_size: WINDOW_BYTES,
         channel_buffer_size: 8,
         max_auth_attempts: MAX_AUTH_ATTEMPTS,
-        // The NETCONF session has its own idle time-out.
+        // The NETCONF session has its own idle timeout.
         inactivity_timeout: None,
         keepalive_interval: Some(timeouts.hello_timeout.max(MIN_KEEPALIVE_INTERVAL)),
         nodelay: true,
