--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -88,7 +88,7 @@
         name: "workers",
         against: "workers listed",
         sizes: &[500, 1000, 2000, 4000, 8000],
-        small_sizes: &[500, 1000, 2000, 4000],
+        small_sizes: &[1000, 2000, 4000, 8000],
         load: Load::Manager(|workers| Scenario { workers, ..BASE }),
     },
     SlopeExperiment {
@@ -123,7 +123,7 @@
         name: "relay-workers",
         against: "workers listed",
         sizes: &[25_000, 50_000, 100_000, 200_000],
-        small_sizes: &[4000, 8000, 16_000, 32_000],
+        small_sizes: &[8000, 16_000, 32_000, 64_000],
         load: Load::Relay(|workers| TargetFleet { workers, ..RELAY }),
     },
     SlopeExperiment {
