--- a/crates/trials/src/link.rs
+++ b/crates/trials/src/link.rs
@@ -48,9 +48,11 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Link {
-    /// Starts an open link for `from`, to the address `to` that another manager listens on.
+    /// Starts an open link for `from`, to the address `to` that another manager listens on. The link listens on the same
+    /// loopback address, which only this cluster uses, so that no manager of another cluster reaches it through a reused
+    /// port.
     pub fn start(from: MemberId, to: SocketAddr, traffic: Arc<Mutex<Traffic>>) -> Link {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind((to.ip(), 0)).expect("a free port");
         let address = listener.local_addr().expect("the listener is bound");
         let state = Arc::new(Mutex::new(LinkState::Open));
         let shared_state = state.clone();
--- a/crates/trials/tests/council.rs
+++ b/crates/trials/tests/council.rs
@@ -1,6 +1,8 @@
 //! Consensus among several manager processes while some of them fail.
 
+use std::collections::BTreeSet;
 use std::fs;
+use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -60,6 +62,21 @@
     cluster.assert_invariants(&["grade"]);
 }
 
+/// Guards against managers of another cluster that still dial a port which a link of this cluster was given since: their
+/// messages would be recorded as those of this cluster.
+#[test]
+fn links_listen_on_a_loopback_address_that_only_their_cluster_uses() {
+    let clusters = [0, 1].map(|_| TestCluster::new(ClusterConfig::default()));
+    let addresses = clusters
+        .each_ref()
+        .map(|cluster| cluster.links.values().map(|link| link.address.ip()).collect::<BTreeSet<_>>());
+    for cluster_addresses in &addresses {
+        assert_eq!(cluster_addresses.len(), 1, "{addresses:?}");
+        assert!(!cluster_addresses.contains(&Ipv4Addr::LOCALHOST.into()), "{addresses:?}");
+    }
+    assert_ne!(addresses[0], addresses[1]);
+}
+
 #[test]
 fn killed_leaders_are_replaced_and_no_execution_is_repeated_or_missed() {
     let mut cluster = start_with_leader(ClusterConfig::default());
